--- a/serve/backoff_test.go
+++ b/serve/backoff_test.go
@@ -11,24 +11,24 @@
 	"shedkeel.org/shedkeel/dispatch"
 )
 
-// TestBackoffOutlivesTheRequest checks that later requests are not sent to a server
-// that asked for a backoff, on every path, and what their callers are told when all do.
+// TestBackoffAppliesToLaterRequests checks on every path that later requests are not sent
+// to a server that asked for a backoff, and the refusal when all servers did.
 func TestBackoffAppliesToLaterRequests(t *testing.T) {
 	rest := step{status: 503, notRun: true, backoff: time.Minute}
 	cases := map[string]struct {
 		path   string
 		steps  []step
-		first  int // sendings of the first request
+		first  int // attempts of the first request
 		second int // and of the next one
 		status int // of the next one
 	}{
-		"one plain server":      {"/safe/x", []step{rest, {body: "ok"}}, 2, 1, 200},
-		"all plain servers":     {"/safe/x", []step{rest, rest, rest}, 3, 0, 503},
-		"all, run once":         {"/once/x", []step{rest, rest, rest}, 3, 0, 503},
-		"one group":             {"/s/x", []step{rest, {events: 5}}, 2, 1, 200},
-		"all groups":            {"/s/x", []step{rest, rest, rest}, 3, 0, 503},
-		"two, and one fails":    {"/s/x", []step{rest, rest, {status: 503, notRun: true}}, 3, 1, 200},
-		"the group of a repeat": {"/s/x", []step{{events: 5, cutAfter: 2}, rest, {events: 5}}, 3, 1, 200},
+		"one plain server":        {"/safe/x", []step{rest, {body: "ok"}}, 2, 1, 200},
+		"all plain servers":       {"/safe/x", []step{rest, rest, rest}, 3, 0, 503},
+		"all, run once":           {"/once/x", []step{rest, rest, rest}, 3, 0, 503},
+		"one group":               {"/s/x", []step{rest, {events: 5}}, 2, 1, 200},
+		"all groups":              {"/s/x", []step{rest, rest, rest}, 3, 0, 503},
+		"two, and one fails":      {"/s/x", []step{rest, rest, {status: 503, notRun: true}}, 3, 1, 200},
+		"the group of a failover": {"/s/x", []step{{events: 5, cutAfter: 2}, rest, {events: 5}}, 3, 1, 200},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -49,20 +49,20 @@
 				assert.Assert(t, !resting[request.Header.Get("To")])
 			}
 			if test.status == 503 {
-				assert.Assert(t, time.Since(began) < 50*time.Millisecond, "it is refused at once")
+				assert.Assert(t, time.Since(began) < 50*time.Millisecond, "the request must be refused at once")
 				wait, err := strconv.ParseFloat(got.Header().Get("Retry-After"), 64)
 				assert.NilError(t, err)
-				assert.Assert(t, wait > 0.25, "told to come back in %v s", wait)
+				assert.Assert(t, wait > 0.25, "Retry-After is %v s", wait)
 			}
 		})
 	}
 }
 
-// TestWhichStatementsCount checks which answers' backoffs and drains are heeded.
+// TestServerStatements checks which answers' backoffs and draining states are applied.
 func TestServerStatements(t *testing.T) {
 	cases := map[string]struct {
 		step     step
-		most     time.Duration // that a backoff is heeded
+		most     time.Duration // MaxBackoff
 		backsOff bool
 		drains   bool
 	}{
@@ -88,15 +88,16 @@
 	}
 }
 
-// TestRetryAfterABackoff checks that callers that are refused together are told times
-// from the end of the backoff on that differ, or what they heed if it ends later.
+// TestRetryAfterABackoff checks that callers that are refused together get different
+// Retry-After times, from the end of the backoff on, or the longest wait that they honor
+// if the backoff ends later.
 func TestRetryAfterABackoff(t *testing.T) {
 	cases := map[string]struct {
 		length      time.Duration
-		least, most float64 // that callers are told, in seconds
+		least, most float64 // Retry-After, in seconds
 	}{
 		"ends soon": {100 * time.Millisecond, 0.08, 0.13},
-		"ends late": {time.Minute, 0.2, 0.3}, // of a second that they wait
+		"ends late": {time.Minute, 0.2, 0.3}, // at most 0.3 of the second that the caller waits
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -110,7 +111,7 @@
 				assert.Equal(t, got.Code, 503)
 				wait, err := strconv.ParseFloat(got.Header().Get("Retry-After"), 64)
 				assert.NilError(t, err)
-				assert.Assert(t, wait >= test.least && wait <= test.most, "told to come back in %v s", wait)
+				assert.Assert(t, wait >= test.least && wait <= test.most, "Retry-After is %v s", wait)
 				waits[wait] = true
 			}
 			assert.Assert(t, len(waits) > 10, "%v", waits)
--- a/serve/budget_test.go
+++ b/serve/budget_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRepeatsOfNodesThatStartAgain plays a fleet of which nodes start again while
-// every request is to be repeated: the sum of repeats stays within the bound in each
-// window that slides.
+// TestRetryBudgetAcrossRestarts simulates a fleet whose nodes restart while every request
+// fails and is retried. In each sliding window the sum of all retries must stay within
+// the bound.
 func TestRetryBudgetAcrossRestarts(t *testing.T) {
 	const (
 		window  = 10 * time.Second
@@ -23,17 +23,17 @@
 	)
 	cases := map[string]struct {
 		nodes    int
-		requests float64 // a second, of all
+		requests float64 // per second, over all nodes
 		slack    float64
-		restarts func(node, second int) bool // at the beginning of that second
-		least    float64                     // part of what is allowed that is used in some window
+		restarts func(node, second int) bool // whether the node restarts at the start of the second
+		least    float64                     // fraction of the bound that must be used in some window
 	}{
-		"none":                     {9, 40, slack, func(int, int) bool { return false }, 0.5},
+		"no restart":               {9, 40, slack, func(int, int) bool { return false }, 0.5},
 		"all twice":                {9, 40, slack, func(_, second int) bool { return second == 25 || second == 30 }, 0.1},
 		"all each two seconds":     {66, 40, slack, func(_, second int) bool { return second > 20 && second%2 == 0 }, 0.1},
-		"in turn":                  {66, 40, slack, func(node, second int) bool { return second > 20 && node%10 == second%10 }, 0.1},
+		"one by one":               {66, 40, slack, func(node, second int) bool { return second > 20 && node%10 == second%10 }, 0.1},
 		"all twice, large":         {300, 400, slack, func(_, second int) bool { return second == 25 || second == 30 }, 0.1},
-		"more nodes than repeats":  {984, 58, 1040, func(int, int) bool { return false }, 0.5},
+		"more nodes than retries":  {984, 58, 1040, func(int, int) bool { return false }, 0.5},
 		"twice as many":            {1968, 116, 1040, func(int, int) bool { return false }, 0.5},
 		"as many, half twice":      {984, 58, 1040, func(node, second int) bool { return node%2 == 0 && (second == 25 || second == 30) }, 0.5},
 		"more nodes, small number": {984, 58, slack, func(int, int) bool { return false }, 0.4},
@@ -63,7 +63,8 @@
 						repeats = append(repeats, now)
 					}
 				}
-				// What else fails is repeated as well: each node tries each second.
+				// Each node also uses up its budget once a second, as if further
+				// requests failed.
 				if now%time.Second == 0 {
 					for _, node := range nodes {
 						for node.Repeat("s", len(nodes), now) {
@@ -77,14 +78,14 @@
 				bound := ratio*float64(countWithin(requests, end-window, end)) + test.slack
 				worst = max(worst, float64(countWithin(repeats, end-window, end))/bound)
 			}
-			t.Logf("%.2f of what is allowed", worst)
-			assert.Assert(t, worst <= 1, fmt.Sprintf("%.2f of what is allowed", worst))
-			assert.Assert(t, worst >= test.least, "%.2f of what is allowed is used", worst)
+			t.Logf("%.2f of the bound used", worst)
+			assert.Assert(t, worst <= 1, fmt.Sprintf("%.2f of the bound used", worst))
+			assert.Assert(t, worst >= test.least, "%.2f of the bound used", worst)
 		})
 	}
 }
 
-// within counts the moments after the first and up to the second.
+// countWithin counts the moments that lie after the first bound and up to the second.
 func countWithin(moments []time.Duration, after, until time.Duration) int {
 	count := 0
 	for _, moment := range moments {
--- a/serve/digest_test.go
+++ b/serve/digest_test.go
@@ -10,6 +10,7 @@
 	"shedkeel.org/shedkeel"
 )
 
+// newExchange returns an exchange with what is part of its digest.
 func newExchange() *exchange {
 	return &exchange{
 		front:   &Front{DigestKey: []byte("k")},
@@ -20,24 +21,24 @@
 	}
 }
 
-// TestDigest checks which requests count as one and the same.
+// TestDigest checks which changes of a request change its digest.
 func TestDigest(t *testing.T) {
 	cases := map[string]struct {
 		change func(exchange *exchange)
 		same   bool
 	}{
-		"another try":          {func(exchange *exchange) { exchange.call.ID = "r2" }, true},
-		"resumed":              {func(exchange *exchange) { exchange.call.LastEvent = "7" }, true},
-		"another key":          {func(exchange *exchange) { exchange.call.Key = "k2" }, true},
-		"another account":      {func(exchange *exchange) { exchange.account = &shedkeel.KeyedAccount{ID: "office"} }, false},
-		"no account":           {func(exchange *exchange) { exchange.account = nil }, false},
-		"another path":         {func(exchange *exchange) { exchange.call.Target = "/s/y?a=1" }, false},
-		"another query":        {func(exchange *exchange) { exchange.call.Target = "/s/x?a=2" }, false},
-		"another host":         {func(exchange *exchange) { exchange.call.Host = "g" }, false},
-		"another body":         {func(exchange *exchange) { exchange.body = []byte("bodz") }, false},
-		"another method":       {func(exchange *exchange) { exchange.request = httptest.NewRequest(http.MethodPut, "/s/x", nil) }, false},
-		"parts put otherwise":  {func(exchange *exchange) { exchange.call.Target, exchange.account = "/s/x?a=1clerk", nil }, false},
-		"a fleet with its key": {func(exchange *exchange) { exchange.front = &Front{DigestKey: []byte("other")} }, false},
+		"another ID":         {func(exchange *exchange) { exchange.call.ID = "r2" }, true},
+		"resumed":            {func(exchange *exchange) { exchange.call.LastEvent = "7" }, true},
+		"another key":        {func(exchange *exchange) { exchange.call.Key = "k2" }, true},
+		"another account":    {func(exchange *exchange) { exchange.account = &shedkeel.KeyedAccount{ID: "office"} }, false},
+		"no account":         {func(exchange *exchange) { exchange.account = nil }, false},
+		"another path":       {func(exchange *exchange) { exchange.call.Target = "/s/y?a=1" }, false},
+		"another query":      {func(exchange *exchange) { exchange.call.Target = "/s/x?a=2" }, false},
+		"another host":       {func(exchange *exchange) { exchange.call.Host = "g" }, false},
+		"another body":       {func(exchange *exchange) { exchange.body = []byte("bodz") }, false},
+		"another method":     {func(exchange *exchange) { exchange.request = httptest.NewRequest(http.MethodPut, "/s/x", nil) }, false},
+		"parts concatenated": {func(exchange *exchange) { exchange.call.Target, exchange.account = "/s/x?a=1clerk", nil }, false},
+		"another digest key": {func(exchange *exchange) { exchange.front = &Front{DigestKey: []byte("other")} }, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -49,8 +50,7 @@
 	}
 }
 
-// BenchmarkDigest is what it costs to name a request with a body of 2 KB, once a
-// server has ended.
+// BenchmarkDigest measures the digest of a request with a body of 2 KB.
 func BenchmarkDigest(b *testing.B) {
 	exchange := newExchange()
 	exchange.body = make([]byte, 2<<10)
--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -16,12 +16,13 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// fixedGuard judges all requests alike and notes what it is told.
+// fixedGuard is a fake shedkeel.RequestGuard that judges all requests alike and records
+// its calls.
 type fixedGuard struct {
 	judgment shedkeel.Judgment
-	refuses  bool // no try is allowed now
+	refuses  bool // Try allows nothing
 	idle     bool
-	worsens  bool // once a server has ended, the request is quarantined
+	worsens  bool // requests are quarantined once a server has ended
 
 	mutex    sync.Mutex
 	ended    []shedkeel.InstanceID
@@ -71,35 +72,36 @@
 	}, true
 }
 
-// fixedCheck says of all servers that they have ended, or that none has.
+// fixedCheck is a fake shedkeel.ServerCheck that reports all servers as ended, or none.
 type fixedCheck bool
 
 func (check fixedCheck) Ended(context.Context, string) bool { return bool(check) }
 
-// TestGuardedRequests checks what becomes of requests that servers ended under: what
-// callers are told is true, and one that is tried alone has one server.
+// TestGuardedRequests checks requests under which servers ended: the status must say
+// truly whether the request may have run, and a quarantined request runs on one server
+// only.
 func TestGuardedRequests(t *testing.T) {
 	cut := step{events: 3, cutAfter: 1}
 	cases := map[string]struct {
 		path   string
 		guard  *fixedGuard
-		gone   bool // servers that break off have ended
+		gone   bool // servers whose connections fail have ended
 		steps  []step
 		status int
 		broken bool
 		sent   int
 		ended  int
-		again  bool // the caller is told when to come back
+		again  bool // Retry-After is set
 	}{
 		"contained":                          {"/s/x", &fixedGuard{judgment: shedkeel.Contained}, true, nil, 503, false, 0, 0, false},
 		"contained, plain":                   {"/once/x", &fixedGuard{judgment: shedkeel.Contained}, true, nil, 503, false, 0, 0, false},
 		"quarantined, tried elsewhere":       {"/s/x", &fixedGuard{judgment: shedkeel.Quarantined, refuses: true}, true, nil, 503, false, 0, 0, true},
 		"quarantined, answered":              {"/s/x", &fixedGuard{judgment: shedkeel.Quarantined}, true, []step{{events: 3}}, 200, false, 1, 0, false},
-		"quarantined, cut":                   {"/s/x", &fixedGuard{judgment: shedkeel.Quarantined}, true, []step{cut, {events: 3}}, 200, true, 1, 1, false},
+		"quarantined, cut off":               {"/s/x", &fixedGuard{judgment: shedkeel.Quarantined}, true, []step{cut, {events: 3}}, 200, true, 1, 1, false},
 		"quarantined, plain, lost":           {"/safe/x", &fixedGuard{judgment: shedkeel.Quarantined}, true, []step{{err: errAnswerLost}, {}}, 502, false, 1, 1, false},
 		"quarantined, not run at one server": {"/s/x", &fixedGuard{judgment: shedkeel.Quarantined}, true, []step{{err: errConnRefused}, {events: 3}}, 200, false, 2, 0, false},
-		"unblamed, cut once":                 {"/s/x", &fixedGuard{idle: true}, true, []step{cut, {events: 3}}, 200, false, 2, 1, false},
-		"unblamed, cut, no server ended":     {"/s/x", &fixedGuard{idle: true}, false, []step{cut, {events: 3}}, 200, false, 2, 0, false},
+		"unblamed, cut off":                  {"/s/x", &fixedGuard{idle: true}, true, []step{cut, {events: 3}}, 200, false, 2, 1, false},
+		"unblamed, cut off, server alive":    {"/s/x", &fixedGuard{idle: true}, false, []step{cut, {events: 3}}, 200, false, 2, 0, false},
 		"unblamed, lost, then quarantined":   {"/s/x", &fixedGuard{idle: true, worsens: true}, true, []step{{err: errAnswerLost}, {events: 3}}, 502, false, 1, 1, false},
 		"plain, lost, then quarantined":      {"/safe/x", &fixedGuard{idle: true, worsens: true}, true, []step{{err: errAnswerLost}, {}}, 502, false, 1, 1, false},
 		"refused by a server":                {"/safe/x", &fixedGuard{idle: true}, true, []step{{status: 503, notRun: true}, {body: "ok"}}, 200, false, 2, 0, false},
@@ -116,11 +118,12 @@
 			assert.Equal(t, len(harness.backend.requests), test.sent)
 			assert.Equal(t, len(test.guard.ended), test.ended)
 			assert.Equal(t, got.Header().Get("Retry-After") != "", test.again)
-			assert.Equal(t, test.guard.finished, test.guard.tries, "each try that was allowed is told to be over")
+			assert.Equal(t, test.guard.finished, test.guard.tries, "done must be called for each allowed try")
 		})
 	}
 }
 
+// modelOf returns the model for a request to the path; "" for a plain service.
 func modelOf(path string) string {
 	if path[:3] == "/s/" {
 		return "m"
@@ -128,11 +131,11 @@
 	return ""
 }
 
-// TestNextIsReachedAnew checks that a request under which a server ended is sent to the
-// next one over a connection of its own: servers end together, and over a kept
-// connection one that is gone already would count as having ended under it.
+// TestFreshConnectionAfterServerEnd checks that a request under which a server ended is
+// sent to the next server over a new connection. Servers often end together; over a
+// pooled connection, one that ended before would count as ended under this request.
 func TestFreshConnectionAfterServerEnd(t *testing.T) {
-	for name, gone := range map[string]bool{"it ended": true, "it broke off": false} {
+	for name, gone := range map[string]bool{"server ended": true, "connection failed": false} {
 		for _, path := range []string{"/s/x", "/safe/x"} {
 			t.Run(name+path, func(t *testing.T) {
 				harness := newHarness(t, step{err: errAnswerLost}, step{events: 3})
@@ -146,8 +149,8 @@
 	}
 }
 
-// TestSentAfterTheEnd checks that a server ends only under requests that were sent
-// to it before the first one broke off there.
+// TestServerEndBlamesEarlierAttemptsOnly checks that the end of a server is reported only
+// for requests that were sent to it before the first request failed there.
 func TestServerEndBlamesEarlierAttemptsOnly(t *testing.T) {
 	harness := newHarness(t)
 	timers := &timer.Manual{}
@@ -166,16 +169,16 @@
 	asked.reportServerEnd(late, errAnswerLost)
 	assert.Equal(t, len(guard.ended), 1)
 	asked.reportServerEnd(another, errAnswerLost)
-	assert.Equal(t, len(guard.ended), 2, "it was there already")
+	assert.Equal(t, len(guard.ended), 2, "it was sent before the first failure")
 	harness.Table.Replace(nil)
 	asked.reportServerEnd(before, errAnswerLost)
-	assert.Equal(t, len(guard.ended), 2, "the server had said that it leaves")
+	assert.Equal(t, len(guard.ended), 2, "the server is no longer listed")
 }
 
-// TestAnswerClears checks that an answer is told of where something is held against
-// a request, and not otherwise: naming requests costs time.
+// TestAnswerReportedToGuard checks that answers are reported to the guard while it has
+// records, and not otherwise, because computing digests costs time.
 func TestAnswerReportedToGuard(t *testing.T) {
-	for name, idle := range map[string]bool{"something is held": false, "nothing is": true} {
+	for name, idle := range map[string]bool{"guard has records": false, "guard is idle": true} {
 		t.Run(name, func(t *testing.T) {
 			harness := newHarness(t, step{events: 3}, step{body: "ok"})
 			guard := &fixedGuard{idle: idle}
@@ -187,8 +190,8 @@
 	}
 }
 
-// TestCallBack checks that a copy of a request which waits at a server is given up,
-// and that one whose answer has begun goes on.
+// TestCallBackCancelsWaitingCopies checks that CallBack cancels a copy of the request
+// that waits at a server, and that one whose answer has started goes on.
 func TestCallBackCancelsWaitingCopies(t *testing.T) {
 	cases := map[string]struct {
 		path   string
@@ -224,19 +227,19 @@
 	}
 }
 
-// TestSuspendedBox has the clock go on while nothing runs and no timer of the process
-// does, as when its box was suspended: callers whose time is over get their end at
-// once, and others go on.
+// TestExpireAfterBoxSuspension advances the clock while no timer of the process runs, as
+// when its box was suspended. Requests whose deadline has passed must end at once, and
+// others go on.
 func TestExpireAfterBoxSuspension(t *testing.T) {
 	cases := map[string]struct {
 		path   string
 		away   time.Duration
 		status int
 	}{
-		"past its limit":        {"/safe/x", 5 * time.Second, 504},
-		"past it, a stream":     {"/s/x", 5 * time.Second, 504},
-		"for a moment":          {"/safe/x", 100 * time.Millisecond, 200},
-		"for a moment, streams": {"/s/x", 100 * time.Millisecond, 200},
+		"past its deadline":    {"/safe/x", 5 * time.Second, 504},
+		"past it, stream":      {"/s/x", 5 * time.Second, 504},
+		"for a moment":         {"/safe/x", 100 * time.Millisecond, 200},
+		"for a moment, stream": {"/s/x", 100 * time.Millisecond, 200},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -257,7 +260,7 @@
 	}
 }
 
-// slowly is a backend whose streams take some milliseconds for each event.
+// slowBackend is a backend whose response bodies delay each read by a millisecond.
 type slowBackend struct{ shedkeel.Backend }
 
 func (slowBackend slowBackend) Send(request *http.Request) (*http.Response, error) {
--- a/serve/permit_test.go
+++ b/serve/permit_test.go
@@ -12,11 +12,10 @@
 	"shedkeel.org/shedkeel"
 )
 
-// permits grants from a script: of each server, how long its permits take; a server
-// that is not in it grants at once.
+// scriptedLimits is a fake shedkeel.ServerLimits that records its calls.
 type scriptedLimits struct {
 	mutex    sync.Mutex
-	waits    map[shedkeel.InstanceID]time.Duration
+	waits    map[shedkeel.InstanceID]time.Duration // for a permit of the server; none: granted at once
 	asked    int
 	observed []shedkeel.StatedLimit
 }
@@ -35,9 +34,9 @@
 	return shedkeel.Permit{Granted: wait <= patience, Wait: wait}
 }
 
-// TestPermits checks what becomes of a request while servers limit their rate: it goes
-// where it may, waits for a permit that comes in time, or is refused at once and told
-// when one is free.
+// TestPermits checks a request while servers limit their rate: it is sent to a server
+// without a limit or with a free permit, waits for a permit that comes in time, or is
+// refused at once with a Retry-After.
 func TestPermits(t *testing.T) {
 	const soon, late = 20 * time.Millisecond, 300 * time.Millisecond
 	cases := map[string]struct {
@@ -45,10 +44,10 @@
 		status int
 		sent   int
 		took   time.Duration // at least
-		wait   time.Duration // told at least; 0: not stated
+		wait   time.Duration // shortest Retry-After; 0: not stated
 	}{
 		"a permit is free":         {map[shedkeel.InstanceID]time.Duration{"p0": 0, "p1": 0, "p2": 0}, 200, 1, 0, 0},
-		"another takes it":         {map[shedkeel.InstanceID]time.Duration{"p0": late, "p1": late}, 200, 1, 0, 0},
+		"one without limit":        {map[shedkeel.InstanceID]time.Duration{"p0": late, "p1": late}, 200, 1, 0, 0},
 		"one comes in time":        {map[shedkeel.InstanceID]time.Duration{"p0": soon, "p1": soon, "p2": soon}, 200, 1, soon, 0},
 		"none comes in time":       {map[shedkeel.InstanceID]time.Duration{"p0": late, "p1": late, "p2": late}, 503, 0, 0, 200 * time.Millisecond},
 		"none comes for very long": {map[shedkeel.InstanceID]time.Duration{"p0": time.Minute, "p1": time.Minute, "p2": time.Minute}, 503, 0, 0, 200 * time.Millisecond},
@@ -70,25 +69,25 @@
 			took := time.Since(began)
 			assert.Assert(t, took >= test.took && took < 200*time.Millisecond, "took %s", took)
 			wait, _ := strconv.ParseFloat(got.Header().Get("Retry-After"), 64)
-			assert.Assert(t, wait >= test.wait.Seconds() && (test.wait > 0) == (wait > 0), "told to come back in %v s", wait)
+			assert.Assert(t, wait >= test.wait.Seconds() && (test.wait > 0) == (wait > 0), "Retry-After is %v s", wait)
 		})
 	}
 }
 
-// TestEverySendingTakesAPermit checks that repeats and moved streams ask for permits as
-// first sendings do.
+// TestEveryAttemptNeedsPermit checks that retries, hedges and failovers ask for permits as
+// first attempts do.
 func TestEveryAttemptNeedsPermit(t *testing.T) {
 	cases := map[string]struct {
 		path  string
 		steps []step
 		asked int
 	}{
-		"answered":            {"/safe/x", []step{{body: "ok"}}, 1},
-		"safe, repeated":      {"/safe/x", []step{{status: 500}, {body: "ok"}}, 2},
-		"once, refused":       {"/once/x", []step{{status: 503, notRun: true}, {body: "ok"}}, 2},
-		"stream":              {"/s/x", []step{{events: 5}}, 1},
-		"stream, broken off":  {"/s/x", []step{{events: 5, cutAfter: 2}, {events: 5}}, 2},
-		"stream, gone silent": {"/s/x", []step{{events: 5, stallAfter: 2}, {events: 5}}, 2},
+		"answered":        {"/safe/x", []step{{body: "ok"}}, 1},
+		"safe, retried":   {"/safe/x", []step{{status: 500}, {body: "ok"}}, 2},
+		"once, refused":   {"/once/x", []step{{status: 503, notRun: true}, {body: "ok"}}, 2},
+		"stream":          {"/s/x", []step{{events: 5}}, 1},
+		"stream, cut off": {"/s/x", []step{{events: 5, cutAfter: 2}, {events: 5}}, 2},
+		"stream, stalled": {"/s/x", []step{{events: 5, stallAfter: 2}, {events: 5}}, 2},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -105,7 +104,8 @@
 	}
 }
 
-// TestLimitsAreObserved checks which answers tell of a server's limit.
+// TestLimitsAreObserved checks which answers are evidence of a server's rate limit or of
+// its absence.
 func TestLimitsAreObserved(t *testing.T) {
 	cases := map[string]struct {
 		step step
--- a/serve/reader_test.go
+++ b/serve/reader_test.go
@@ -14,8 +14,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestCallersThatDoNotReadAreReleased has callers take their connections up and read
-// nothing. What was kept for each stayed until its box gave the connection up.
+// TestSlowReadersAreDisconnected has callers open connections and read nothing. Without a
+// write deadline, the state of each request is kept until the operating system closes
+// the connection.
 func TestSlowReadersAreDisconnected(t *testing.T) {
 	const callers, deadline = 20, 300 * time.Millisecond
 	cases := map[string]struct {
@@ -46,7 +47,7 @@
 				harness.ServeHTTP(writer, request)
 			}))
 			server.Config.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
-				assert.Check(t, conn.(*net.TCPConn).SetWriteBuffer(4096)) // the answers don't fit in
+				assert.Check(t, conn.(*net.TCPConn).SetWriteBuffer(4096)) // too small for the answers
 				return ctx
 			}
 			server.Start()
@@ -60,19 +61,19 @@
 				assert.NilError(t, err)
 			}
 			time.Sleep(deadline / 2)
-			assert.Assert(t, open.Load() > 0, "their answers wait")
+			assert.Assert(t, open.Load() > 0, "no answer waits for its reader")
 			for end := time.Now().Add(10 * unreadTimeout); ended.Load() < callers && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			}
-			t.Logf("the last request came after %s, the longest took %s", time.Duration(latest.Load()), time.Duration(longest.Load()))
-			assert.Equal(t, ended.Load(), int64(callers), "nothing is kept for them any more")
-			assert.Assert(t, time.Duration(longest.Load()) <= deadline+2*unreadTimeout, "it was kept for %s", time.Duration(longest.Load()))
+			t.Logf("the last request arrived after %s, the longest took %s", time.Duration(latest.Load()), time.Duration(longest.Load()))
+			assert.Equal(t, ended.Load(), int64(callers), "all requests must have ended")
+			assert.Assert(t, time.Duration(longest.Load()) <= deadline+2*unreadTimeout, "a request was held for %s", time.Duration(longest.Load()))
 			assert.Equal(t, len(harness.activeExchanges()), 0)
 		})
 	}
 }
 
-// TestConnectionsOutliveDeadlines has a caller rest for longer than the deadline of its
-// request before the next one on the same connection.
+// TestConnectionReusedAfterDeadline checks that the write deadline of one request does not
+// apply to the next one on the same connection, which is sent after that deadline.
 func TestConnectionReusedAfterDeadline(t *testing.T) {
 	harness := newHarness(t)
 	server := httptest.NewServer(harness)
@@ -85,7 +86,7 @@
 		request.Header.Set("Key", "k1")
 		request.Header.Set("Deadline", "100ms")
 		response, err := server.Client().Do(request)
-		assert.NilError(t, err, "the connection is kept and works")
+		assert.NilError(t, err, "the connection must stay usable")
 		assert.NilError(t, response.Body.Close())
 		time.Sleep(100*time.Millisecond + unreadTimeout + 100*time.Millisecond)
 	}
--- a/serve/retryafter_test.go
+++ b/serve/retryafter_test.go
@@ -11,27 +11,27 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// TestRetryAfter tells callers when to come back by what is known.
+// TestRetryAfter checks the range and the jitter of Retry-After for each cause.
 func TestRetryAfter(t *testing.T) {
-	const since = 30 * time.Second // an outage's begin, half a minute ago
+	const since = 30 * time.Second // length of a long outage
 	cases := map[string]struct {
 		cause    cause
 		deadline time.Duration
-		outage   time.Duration // lasts for so long; 0: there is none
+		outage   time.Duration // its length so far; 0: there is none
 		least    time.Duration
 		most     time.Duration
 	}{
-		"others serve":                            {causeStopping, 8 * time.Second, 0, retrySoon, retrySoon},
-		"others serve, in an outage":              {causeStopping, 8 * time.Second, time.Second, retrySoon, retrySoon},
-		"it alone knows nothing":                  {causeStaleConfig, 8 * time.Second, 0, retrySoon, retrySoon},
-		"an outage has begun":                     {causeStaleConfig, 8 * time.Second, 10 * time.Millisecond, retryOutage * 3 / 4, retryOutage},
-		"an outage lasts":                         {causeStaleConfig, 8 * time.Second, 2 * time.Second, 1500 * time.Millisecond, 2 * time.Second},
-		"an outage lasts long":                    {causeStaleConfig, 8 * time.Second, since, 1800 * time.Millisecond, 2400 * time.Millisecond},
-		"an outage, and the caller can't wait":    {causeStaleConfig, time.Second, time.Second, 225 * time.Millisecond, 300 * time.Millisecond},
-		"an outage, and the caller states no end": {causeStaleConfig, 0, since, 6750 * time.Millisecond, 9 * time.Second},
-		"all places are taken":                    {causeNoCapacity, 8 * time.Second, 0, retryRepair * 3 / 4, retryRepair},
-		"servers refused it":                      {causeNotRun, 8 * time.Second, since, retryRepair * 3 / 4, retryRepair},
-		"its time is nearly over":                 {causeNoCapacity, 20 * time.Millisecond, 0, retrySoon, retrySoon},
+		"it is stopping":                           {causeStopping, 8 * time.Second, 0, retrySoon, retrySoon},
+		"it is stopping, in an outage":             {causeStopping, 8 * time.Second, time.Second, retrySoon, retrySoon},
+		"only it has a stale configuration":        {causeStaleConfig, 8 * time.Second, 0, retrySoon, retrySoon},
+		"an outage has started":                    {causeStaleConfig, 8 * time.Second, 10 * time.Millisecond, retryOutage * 3 / 4, retryOutage},
+		"an outage lasts":                          {causeStaleConfig, 8 * time.Second, 2 * time.Second, 1500 * time.Millisecond, 2 * time.Second},
+		"an outage lasts long":                     {causeStaleConfig, 8 * time.Second, since, 1800 * time.Millisecond, 2400 * time.Millisecond},
+		"an outage, and an impatient caller":       {causeStaleConfig, time.Second, time.Second, 225 * time.Millisecond, 300 * time.Millisecond},
+		"an outage, and a caller without deadline": {causeStaleConfig, 0, since, 6750 * time.Millisecond, 9 * time.Second},
+		"all slots are taken":                      {causeNoCapacity, 8 * time.Second, 0, retryRepair * 3 / 4, retryRepair},
+		"servers refused it":                       {causeNotRun, 8 * time.Second, since, retryRepair * 3 / 4, retryRepair},
+		"its deadline is very near":                {causeNoCapacity, 20 * time.Millisecond, 0, retrySoon, retrySoon},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -45,13 +45,14 @@
 				assert.Assert(t, wait >= test.least && wait <= test.most, "%s", wait)
 				got[wait] = true
 			}
-			assert.Equal(t, len(got) > 50, test.most-test.least > 50*time.Millisecond, "they come back as one crowd: %d times", len(got))
+			assert.Equal(t, len(got) > 50, test.most-test.least > 50*time.Millisecond, "%d different times", len(got))
 		})
 	}
 }
 
-// TestRefusedWhileAllAreInAnOutage covers a process that started in an outage:
-// it sent every caller back after 50 ms, to be refused once more.
+// TestRetryAfterInStoreOutage covers a process that starts in an outage of the key-value
+// service. A Retry-After of 50 ms would make every caller retry only to be refused
+// again.
 func TestRetryAfterInStoreOutage(t *testing.T) {
 	harness := newHarness(t)
 	harness.Believe = func() Belief { return Belief{} }
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -20,7 +20,7 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// protocol is a plain way of naming things, for tests.
+// testProtocol is a shedkeel.CallerProtocol with one plain header per field.
 type testProtocol struct{}
 
 func (testProtocol) Read(request *http.Request) (shedkeel.Call, error) {
@@ -51,29 +51,30 @@
 	_, err := fmt.Sscan(response.Header.Get("Limit"), &answer.Limit.Rate)
 	answer.Limit.Stated = err == nil
 	answer.Draining = response.Header.Get("Drains") != ""
-	answer.Backoff, _ = time.ParseDuration(response.Header.Get("Backoff")) // none is stated otherwise
+	answer.Backoff, _ = time.ParseDuration(response.Header.Get("Backoff")) // without a valid duration it stays 0
 	return answer
 }
 
-// step is what a fake server does with one request.
+// step is how a fake server handles one request.
 type step struct {
 	err        error
 	status     int
 	body       string
-	events     int           // of a stream: up to this number
-	cutAfter   int           // break off after this event; 0: never
-	stallAfter int           // be silent after this event; 0: never
-	unframed   bool          // the end of the connection is the end of the answer
-	delay      time.Duration // wait before the answer
+	events     int           // number of the stream's last event; 0: no stream
+	cutAfter   int           // fail the connection after this event; 0: never
+	stallAfter int           // send nothing more after this event; 0: never
+	unframed   bool          // the answer has neither length nor chunks
+	delay      time.Duration // before the answer
 	wrongID    bool
 	unsealed   bool
 	notRun     bool
-	limit      float64 // that the server states; 0: none
+	limit      float64 // stated rate limit, in requests a second; 0: none
 	backoff    time.Duration
 	drains     bool
 }
 
-// backend follows a script, a step a request.
+// backend is a fake shedkeel.Backend that handles each request by the next step of a
+// script, and answers "ok" after the last.
 type backend struct {
 	mutex    sync.Mutex
 	steps    []step
@@ -105,6 +106,7 @@
 	return next.response(request), nil
 }
 
+// response returns the head of the answer, with the body as the step says.
 func (step *step) response(request *http.Request) *http.Response {
 	header := http.Header{"Id": {request.Header.Get("Id")}, "Seal": {request.Header.Get("To")}}
 	if step.wrongID {
@@ -140,6 +142,7 @@
 	return response
 }
 
+// runStream writes the events of the stream, from after the one that the request names.
 func (step *step) runStream(request *http.Request, writer *io.PipeWriter) {
 	first := 1
 	_, _ = fmt.Sscanf(request.Header.Get("After"), "%d", &first)
@@ -162,11 +165,11 @@
 	_ = writer.Close()
 }
 
-// harness is a front with a scripted backend.
+// harness is a front with a scripted backend, three plain servers and three groups.
 type harness struct {
 	*Front
 	backend *backend
-	asOf    atomic.Int64
+	asOf    atomic.Int64 // Belief.AsOf
 	clock   timer.System
 }
 
@@ -210,12 +213,13 @@
 	return harness
 }
 
-// result is what a caller gets.
+// result is what a caller receives.
 type result struct {
 	*httptest.ResponseRecorder
-	broken bool // the connection was broken off
+	broken bool // the connection was aborted
 }
 
+// post serves one request. The header is a list of names and values.
 func (harness *harness) post(path, body string, header ...string) result {
 	request := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
 	request.Host = "h"
@@ -232,6 +236,7 @@
 	return recorder
 }
 
+// events returns the text of the events with these numbers.
 func events(from, to int) string {
 	var text strings.Builder
 	for number := from; number <= to; number++ {
@@ -245,8 +250,8 @@
 	errAnswerLost  = &shedkeel.UnknownRunError{Reason: "no answer", Cause: io.EOF}
 )
 
-// TestPlainOutcomes checks what a caller is told after each course of events:
-// 503 only if the request did not run and never will.
+// TestPlainOutcomes checks the status that a caller gets for each sequence of attempts:
+// 503 only if the request did not run and will not run later.
 func TestPlainOutcomes(t *testing.T) {
 	cases := map[string]struct {
 		path   string
@@ -254,21 +259,21 @@
 		status int
 		sent   int
 	}{
-		"answered":                             {"/safe/x", []step{{body: "ok"}}, 200, 1},
-		"safe, failed once":                    {"/safe/x", []step{{status: 500}, {body: "ok"}}, 200, 2},
-		"safe, failed twice":                   {"/safe/x", []step{{status: 500}, {status: 500}, {}}, 500, 2},
-		"safe, answer lost":                    {"/safe/x", []step{{err: errAnswerLost}, {body: "ok"}}, 200, 2},
-		"safe, answer lost twice":              {"/safe/x", []step{{err: errAnswerLost}, {err: errAnswerLost}, {}}, 502, 2},
-		"safe, another's answer":               {"/safe/x", []step{{wrongID: true}, {body: "ok"}}, 200, 2},
-		"safe, unsigned":                       {"/safe/x", []step{{unsealed: true}, {body: "ok"}}, 200, 2},
-		"once, answered":                       {"/once/x", []step{{body: "ok"}}, 200, 1},
-		"once, the server's failure passes on": {"/once/x", []step{{status: 500}, {}}, 500, 1},
-		"once, answer lost":                    {"/once/x", []step{{err: errAnswerLost}, {}}, 502, 1},
-		"once, not sent":                       {"/once/x", []step{{err: errConnRefused}, {body: "ok"}}, 200, 2},
-		"once, refused":                        {"/once/x", []step{{status: 503, notRun: true}, {body: "ok"}}, 200, 2},
-		"once, refused, then lost":             {"/once/x", []step{{status: 503, notRun: true}, {err: errAnswerLost}, {}}, 502, 2},
-		"once, refused by all":                 {"/once/x", []step{{status: 503, notRun: true}, {status: 503, notRun: true}, {status: 503, notRun: true}}, 503, 3},
-		"once, another's answer":               {"/once/x", []step{{wrongID: true}, {}}, 502, 1},
+		"answered":                                {"/safe/x", []step{{body: "ok"}}, 200, 1},
+		"safe, failed once":                       {"/safe/x", []step{{status: 500}, {body: "ok"}}, 200, 2},
+		"safe, failed twice":                      {"/safe/x", []step{{status: 500}, {status: 500}, {}}, 500, 2},
+		"safe, answer lost":                       {"/safe/x", []step{{err: errAnswerLost}, {body: "ok"}}, 200, 2},
+		"safe, answer lost twice":                 {"/safe/x", []step{{err: errAnswerLost}, {err: errAnswerLost}, {}}, 502, 2},
+		"safe, another's answer":                  {"/safe/x", []step{{wrongID: true}, {body: "ok"}}, 200, 2},
+		"safe, unsigned":                          {"/safe/x", []step{{unsealed: true}, {body: "ok"}}, 200, 2},
+		"once, answered":                          {"/once/x", []step{{body: "ok"}}, 200, 1},
+		"once, the server's failure is forwarded": {"/once/x", []step{{status: 500}, {}}, 500, 1},
+		"once, answer lost":                       {"/once/x", []step{{err: errAnswerLost}, {}}, 502, 1},
+		"once, not sent":                          {"/once/x", []step{{err: errConnRefused}, {body: "ok"}}, 200, 2},
+		"once, refused":                           {"/once/x", []step{{status: 503, notRun: true}, {body: "ok"}}, 200, 2},
+		"once, refused, then lost":                {"/once/x", []step{{status: 503, notRun: true}, {err: errAnswerLost}, {}}, 502, 2},
+		"once, refused by all":                    {"/once/x", []step{{status: 503, notRun: true}, {status: 503, notRun: true}, {status: 503, notRun: true}}, 503, 3},
+		"once, another's answer":                  {"/once/x", []step{{wrongID: true}, {}}, 502, 1},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -276,11 +281,13 @@
 			got := harness.post(test.path, "body")
 			assert.Equal(t, got.Code, test.status, got.Body.String())
 			assert.Equal(t, len(harness.backend.requests), test.sent)
-			assert.Equal(t, got.Code == 503, got.Header().Get("Retry-After") != "", "a refusal tells when to come back")
+			assert.Equal(t, got.Code == 503, got.Header().Get("Retry-After") != "", "a refusal has a Retry-After")
 		})
 	}
 }
 
+// TestRequestValidation checks the status for requests that are refused before they are
+// sent, and that any key of an account is accepted.
 func TestRequestValidation(t *testing.T) {
 	cases := map[string]struct {
 		path   string
@@ -304,10 +311,10 @@
 	}
 }
 
-// TestKeysOfAnOldConfiguration covers an outage of the service in which the
-// copy of the configuration grows old. Operators choose whether keys are
-// refused then. Where they are not, a caller whose key or path is unknown is
-// told to come back: it may be newer than the copy.
+// TestStaleConfiguration covers an outage of the key-value service, in which the
+// process's copy of the configuration becomes out of date. Operators choose whether
+// keys are refused then. Where they are not, a request with an unknown key or path
+// gets 503 and a Retry-After, because the key or route may be newer than the copy.
 func TestStaleConfiguration(t *testing.T) {
 	cases := map[string]struct {
 		refuse bool
@@ -337,6 +344,8 @@
 	}
 }
 
+// TestPlannedStop checks that a stopping process first asks callers to close their
+// connections, and then refuses requests without sending them.
 func TestPlannedStop(t *testing.T) {
 	harness := newHarness(t)
 	harness.Stop()
@@ -349,6 +358,8 @@
 	assert.Equal(t, len(harness.backend.requests), 1)
 }
 
+// TestRequestForwardedUnchanged checks that target, body and end-to-end headers are
+// forwarded as they are, and that the key and hop-by-hop headers are not.
 func TestRequestForwardedUnchanged(t *testing.T) {
 	harness := newHarness(t)
 	got := harness.post("/safe/a%2Fb/../c?x=1&y=%20", "the body", "Connection", "X-Hop", "X-Hop", "1", "X-Other", "2")
@@ -362,6 +373,8 @@
 	assert.Equal(t, sent.Header.Get("Account"), "clerk")
 }
 
+// TestRouteTimeout checks that a request ends with 504 at its route's timeout of 200 ms
+// if the server does not answer.
 func TestRouteTimeout(t *testing.T) {
 	harness := newHarness(t, step{delay: time.Minute})
 	begun := time.Now()
@@ -370,8 +383,8 @@
 	assert.Assert(t, time.Since(begun) < 400*time.Millisecond, "held for %s", time.Since(begun))
 }
 
-// TestStreams checks that a caller gets each event once and in order, and that
-// only a whole stream looks whole.
+// TestStreams checks that a caller gets each event once and in order, and that the
+// connection is aborted unless the stream is complete.
 func TestStreams(t *testing.T) {
 	cases := map[string]struct {
 		steps  []step
@@ -381,21 +394,21 @@
 		broken bool
 		sent   int
 	}{
-		"whole":                            {[]step{{events: 5}}, "", events(1, 5), 200, false, 1},
-		"resumed by the caller":            {[]step{{events: 5}}, "3", events(4, 5), 200, false, 1},
-		"cut inside an event":              {[]step{{events: 5, cutAfter: 3}, {events: 5}}, "", events(1, 5), 200, false, 2},
-		"silent":                           {[]step{{events: 5, stallAfter: 2}, {events: 5}}, "", events(1, 5), 200, false, 2},
-		"silent before its first event":    {[]step{{delay: time.Minute}, {events: 5}}, "", events(1, 5), 200, false, 2},
-		"cut twice":                        {[]step{{events: 5, cutAfter: 2}, {events: 5, cutAfter: 4}, {events: 5}}, "", events(1, 4), 200, true, 2},
-		"answer lost, then resumed":        {[]step{{err: errAnswerLost}, {events: 5}}, "", events(1, 5), 200, false, 2},
-		"cut, then the answer is lost":     {[]step{{events: 5, cutAfter: 2}, {err: errAnswerLost}, {events: 5}}, "", events(1, 2), 200, true, 2},
-		"no frame shows where it ends":     {[]step{{events: 5, unframed: true}, {events: 5}}, "", events(1, 5), 200, false, 2},
-		"refused, then served":             {[]step{{status: 503, notRun: true}, {events: 5}}, "", events(1, 5), 200, false, 2},
-		"refused by all":                   {[]step{{status: 503, notRun: true}, {status: 503, notRun: true}, {status: 503, notRun: true}}, "", "", 503, false, 3},
-		"the servers' failure passes on":   {[]step{{status: 500}, {status: 500}}, "", "", 500, false, 2},
-		"lost twice":                       {[]step{{err: errAnswerLost}, {err: errAnswerLost}}, "", "", 502, false, 2},
-		"another's answer":                 {[]step{{wrongID: true}, {events: 3}}, "", events(1, 3), 200, false, 2},
-		"refused connections draw nothing": {[]step{{err: errConnRefused}, {err: errConnRefused}, {events: 2}}, "", events(1, 2), 200, false, 3},
+		"complete":                            {[]step{{events: 5}}, "", events(1, 5), 200, false, 1},
+		"resumed by the caller":               {[]step{{events: 5}}, "3", events(4, 5), 200, false, 1},
+		"cut off inside an event":             {[]step{{events: 5, cutAfter: 3}, {events: 5}}, "", events(1, 5), 200, false, 2},
+		"stalled":                             {[]step{{events: 5, stallAfter: 2}, {events: 5}}, "", events(1, 5), 200, false, 2},
+		"stalled before its first event":      {[]step{{delay: time.Minute}, {events: 5}}, "", events(1, 5), 200, false, 2},
+		"cut off twice":                       {[]step{{events: 5, cutAfter: 2}, {events: 5, cutAfter: 4}, {events: 5}}, "", events(1, 4), 200, true, 2},
+		"answer lost, then resumed":           {[]step{{err: errAnswerLost}, {events: 5}}, "", events(1, 5), 200, false, 2},
+		"cut off, then answer lost":           {[]step{{events: 5, cutAfter: 2}, {err: errAnswerLost}, {events: 5}}, "", events(1, 2), 200, true, 2},
+		"neither length nor chunks":           {[]step{{events: 5, unframed: true}, {events: 5}}, "", events(1, 5), 200, false, 2},
+		"refused, then served":                {[]step{{status: 503, notRun: true}, {events: 5}}, "", events(1, 5), 200, false, 2},
+		"refused by all":                      {[]step{{status: 503, notRun: true}, {status: 503, notRun: true}, {status: 503, notRun: true}}, "", "", 503, false, 3},
+		"the servers' failure is forwarded":   {[]step{{status: 500}, {status: 500}}, "", "", 500, false, 2},
+		"answer lost twice":                   {[]step{{err: errAnswerLost}, {err: errAnswerLost}}, "", "", 502, false, 2},
+		"another's answer":                    {[]step{{wrongID: true}, {events: 3}}, "", events(1, 3), 200, false, 2},
+		"refused connections are not retries": {[]step{{err: errConnRefused}, {err: errConnRefused}, {events: 2}}, "", events(1, 2), 200, false, 3},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -413,9 +426,9 @@
 	}
 }
 
-// TestSilentStreamAsksAgain has a stream go silent while nothing may be sent to
-// any other group, for half a second: it was never begun elsewhere then, and
-// ended with its caller's time.
+// TestStalledStreamRetriesHedge has a stream stall while all other groups are avoided
+// for half a second. If the hedge is not tried again on later stall signals, the
+// stream never resumes elsewhere and ends at the caller's deadline.
 func TestStalledStreamRetriesHedge(t *testing.T) {
 	harness := newHarness(t, step{events: 5, stallAfter: 2}, step{events: 5})
 	for _, other := range []shedkeel.GroupID{"g1", "g2"} {
@@ -427,8 +440,8 @@
 	assert.Equal(t, len(harness.backend.requests), 2)
 }
 
-// TestStreamKeepsFirstHead checks that a stream which goes on elsewhere keeps
-// the head, and so the signature, of its first server.
+// TestFailoverKeepsFirstHeader checks that a stream that fails over keeps the header,
+// and so the signature, of its first server.
 func TestFailoverKeepsFirstHeader(t *testing.T) {
 	harness := newHarness(t, step{events: 4, cutAfter: 2}, step{events: 4})
 	got := harness.post("/s/x", "", "Model", "m")
@@ -438,6 +451,7 @@
 	assert.Equal(t, harness.backend.requests[1].Header.Get("After"), "2")
 }
 
+// TestBudget checks the retries that are allowed by Slack, Ratio, a window's end and Set.
 func TestBudget(t *testing.T) {
 	budget := &Budget{Ratio: 0.5, Window: 10 * time.Second, Slack: 4, Careful: 1}
 	now := time.Minute
@@ -448,25 +462,25 @@
 		}
 		return allowed
 	}
-	assert.Equal(t, count(2), 2, "half of the slack")
+	assert.Equal(t, count(2), 2, "half of Slack")
 	budget.TakeBack("s", now)
-	assert.Equal(t, count(2), 1, "one was sent nowhere")
+	assert.Equal(t, count(2), 1, "one was not sent")
 	budget.TakeBack("other", now)
-	assert.Equal(t, count(2), 0, "another service's repeat")
+	assert.Equal(t, count(2), 0, "it was another service's retry")
 	for range 10 {
 		budget.First("s", now)
 	}
-	assert.Equal(t, count(2), 5, "and a part of the requests")
+	assert.Equal(t, count(2), 5, "Ratio times the requests")
 	now += 9 * time.Second
-	assert.Equal(t, count(2), 0, "they count for a whole window")
+	assert.Equal(t, count(2), 0, "retries count for a whole window")
 	now += 2 * time.Second
-	assert.Equal(t, count(2), 2, "then no more")
+	assert.Equal(t, count(2), 2, "then the retries no longer count")
 	budget.Set(0, 5*time.Second, 8)
 	assert.Equal(t, count(2), 4)
 }
 
-// TestRepeatSentNowhereIsNotCounted has all three servers refuse: two repeats
-// were sent, and the third found no server.
+// TestUnsentRetryIsRefunded has all three servers refuse. Two retries are sent; the
+// third finds no server and must not use up the retry budget.
 func TestUnsentRetryIsRefunded(t *testing.T) {
 	refused := step{status: 503, notRun: true}
 	harness := newHarness(t, refused, refused, refused)
@@ -478,12 +492,12 @@
 	assert.Equal(t, left, 10-2)
 }
 
-// TestPlaces checks that requests are refused only when there are more than
-// the groups can run and keep waiting.
+// TestModelAdmission checks that requests are refused only when there are more than the
+// groups can run and queue.
 func TestModelAdmission(t *testing.T) {
 	harness := newHarness(t)
 	capacity := 3 * 8                       // groups and slots
-	harness.Nodes = func() int { return 9 } // one serves: the others are stopping
+	harness.Nodes = func() int { return 9 } // only one accepts requests: the others are stopping
 	request := httptest.NewRequest(http.MethodPost, "/s/x", nil)
 	onTime, late, refused := 0, 0, 0
 	for range 2 * capacity {
@@ -498,7 +512,7 @@
 			onTime++
 		}
 	}
-	assert.Equal(t, onTime, 22, "places within onTimeFill")
+	assert.Equal(t, onTime, 22, "slots within onTimeFraction")
 	assert.Equal(t, late, int(lateFraction*float64(capacity)))
 	assert.Equal(t, onTime+late+refused, 2*capacity)
 }
