--- a/mutants_test.go
+++ b/mutants_test.go
@@ -40,7 +40,7 @@
 		"serve/permit.go", "if !choice.Limited ||", "if !mayWait || !choice.Limited ||", "TestEveryAttemptNeedsPermit", "./serve",
 	},
 	"rate limits of servers: a new granter does not wait": {
-		"ratelimit/granter.go", "from: max(now, ask.Settled+handover)", "from: now", "TestGranterTakesOver", "./ratelimit",
+		"ratelimit/granter.go", "grantsFrom: max(now, ask.Settled+handoverDelay)", "grantsFrom: now", "TestGranterHandover", "./ratelimit",
 	},
 	"rate limits of servers: an answer that comes late lifts a limit": {
 		"ratelimit/book.go", "Lifted: true, At: sent}", "Lifted: true, At: now}", "TestBook", "./ratelimit",
--- a/ratelimit/book.go
+++ b/ratelimit/book.go
@@ -1,5 +1,6 @@
-// Package ratelimit shares the rate limits of backend servers among processes:
-// what is known of the limits, and the permits that one process grants for all.
+// Package ratelimit shares the rate limits of backend servers among processes. It keeps
+// the limits that servers state, and grants permits: for each server, one process
+// grants the permits of all processes.
 package ratelimit
 
 import (
@@ -12,20 +13,20 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Book holds what is known of the rate limits of backend servers. The zero value
-// is empty. It is safe for concurrent use.
+// Book holds the known rate limits of backend servers. The zero value is empty. It is
+// safe for concurrent use.
 type Book struct {
 	mutex  sync.RWMutex
-	limits map[shedkeel.InstanceID]shedkeel.ServerLimit
-	inUse  atomic.Int64 // limits that are not lifted
+	limits map[shedkeel.InstanceID]shedkeel.ServerLimit // lifted ones too
+	inUse  atomic.Int64                                 // limits that are not lifted
 }
 
 // Idle reports whether no server is known to limit its rate.
 func (book *Book) Idle() bool { return book.inUse.Load() == 0 }
 
-// Observe takes in what an answer that came now says. The request was sent at that
-// time: an answer without a limit proves only that there was none then. It returns
-// what is known now, and whether that differs from before.
+// Observe records what an answer that is received now states. Sent is when its request
+// was sent: an answer without a limit proves only that there was none at that time. It
+// returns the limit that is known now, and whether it has changed.
 func (book *Book) Observe(server shedkeel.InstanceID, limit shedkeel.StatedLimit, sent, now time.Duration) (shedkeel.ServerLimit, bool) {
 	if !limit.Stated {
 		if book.Idle() {
@@ -36,8 +37,8 @@
 	return book.Merge(shedkeel.ServerLimit{Server: server, Rate: limit.Rate, At: now, Since: now})
 }
 
-// Merge takes in what is known elsewhere. The newer statement counts. It returns
-// what is known now, and whether that differs from before.
+// Merge records a limit, possibly from another process. The newest statement of a server
+// wins. It returns the limit that is known now, and whether it has changed.
 func (book *Book) Merge(limit shedkeel.ServerLimit) (shedkeel.ServerLimit, bool) {
 	book.mutex.Lock()
 	defer book.mutex.Unlock()
@@ -54,12 +55,13 @@
 	book.limits[limit.Server] = limit
 	changed := !known || before.Lifted != limit.Lifted || before.Rate != limit.Rate
 	if changed {
-		book.count()
+		book.updateInUse()
 	}
 	return limit, changed
 }
 
-// Limit returns what is known of a server, and whether it limits its rate.
+// Limit returns the known limit of a server, and whether it is in use, that is, known
+// and not lifted.
 func (book *Book) Limit(server shedkeel.InstanceID) (shedkeel.ServerLimit, bool) {
 	book.mutex.RLock()
 	defer book.mutex.RUnlock()
@@ -67,7 +69,7 @@
 	return limit, known && !limit.Lifted
 }
 
-// All returns the servers that limit their rate, by name.
+// All returns the limits in use, ordered by server.
 func (book *Book) All() []shedkeel.ServerLimit {
 	book.mutex.RLock()
 	defer book.mutex.RUnlock()
@@ -81,7 +83,7 @@
 	return found
 }
 
-// Retain forgets the servers that are not listed any more.
+// Retain removes the servers for which listed returns false.
 func (book *Book) Retain(listed func(shedkeel.InstanceID) bool) {
 	book.mutex.Lock()
 	defer book.mutex.Unlock()
@@ -90,11 +92,11 @@
 			delete(book.limits, server)
 		}
 	}
-	book.count()
+	book.updateInUse()
 }
 
-// count counts the limits in use. The mutex is held.
-func (book *Book) count() {
+// updateInUse recounts the limits in use. The caller holds the mutex.
+func (book *Book) updateInUse() {
 	inUse := int64(0)
 	for _, limit := range book.limits {
 		if !limit.Lifted {
--- a/ratelimit/book_test.go
+++ b/ratelimit/book_test.go
@@ -9,8 +9,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestBook checks what is known of a server after answers of its, told in the order
-// in which they came.
+// TestBook checks the known limit of a server after a sequence of its answers, in the
+// order in which they arrive.
 func TestBook(t *testing.T) {
 	type answer struct {
 		limit     float64 // below 0: none
@@ -22,14 +22,14 @@
 		rate    float64
 		changes int
 	}{
-		"never stated":                     {[]answer{{-1, 0, 1}}, false, 0, 0},
-		"stated":                           {[]answer{{2, 0, 1}}, true, 2, 1},
-		"stated again":                     {[]answer{{2, 0, 1}, {2, 1, 2}}, true, 2, 1},
-		"changed":                          {[]answer{{2, 0, 1}, {5, 1, 2}}, true, 5, 2},
-		"none at all":                      {[]answer{{0, 0, 1}}, true, 0, 1},
-		"lifted":                           {[]answer{{2, 0, 1}, {-1, 2, 3}}, false, 0, 2},
-		"an answer from before comes late": {[]answer{{2, 0, 3}, {-1, 1, 4}}, true, 2, 1},
-		"stated anew":                      {[]answer{{2, 0, 1}, {-1, 2, 3}, {4, 4, 5}}, true, 4, 3},
+		"never stated":                 {[]answer{{-1, 0, 1}}, false, 0, 0},
+		"stated":                       {[]answer{{2, 0, 1}}, true, 2, 1},
+		"stated again":                 {[]answer{{2, 0, 1}, {2, 1, 2}}, true, 2, 1},
+		"changed":                      {[]answer{{2, 0, 1}, {5, 1, 2}}, true, 5, 2},
+		"none at all":                  {[]answer{{0, 0, 1}}, true, 0, 1},
+		"lifted":                       {[]answer{{2, 0, 1}, {-1, 2, 3}}, false, 0, 2},
+		"an older answer arrives late": {[]answer{{2, 0, 3}, {-1, 1, 4}}, true, 2, 1},
+		"stated after lift":            {[]answer{{2, 0, 1}, {-1, 2, 3}, {4, 4, 5}}, true, 4, 3},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestBookMerge checks that the newer statement counts, whoever tells it, and that
-// servers which are not listed are forgotten.
+// TestBookMerge checks that the newest statement wins, from whichever process it comes,
+// and that Retain removes servers that are not listed.
 func TestBookMerge(t *testing.T) {
 	var book Book
 	book.Merge(shedkeel.ServerLimit{Server: "s", Rate: 2, At: 10, Since: 10})
@@ -66,8 +66,8 @@
 	assert.Equal(t, len(book.All()), 1)
 }
 
-// BenchmarkObserve is an answer, with and without a limit, while no server states one
-// and while 1,000 do.
+// BenchmarkObserve measures an answer with and without a limit, while no server limits
+// its rate and while 1,000 do.
 func BenchmarkObserve(b *testing.B) {
 	cases := map[string]struct {
 		limited int
--- a/ratelimit/cold.go
+++ b/ratelimit/cold.go
@@ -10,15 +10,15 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Cold holds which backend servers are cold. The zero value is empty. It is safe for
-// concurrent use.
+// Cold holds the backend servers that are cold: they have started lately and take fewer
+// requests until they are warm. The zero value is empty. It is safe for concurrent use.
 type Cold struct {
 	mutex   sync.RWMutex
 	servers map[shedkeel.InstanceID]shedkeel.ColdServer
 }
 
-// Note takes in that a server is cold, and reports whether that is news: until when it
-// is may be known already.
+// Note records that a server is cold, and reports whether that changed anything. Until is
+// never moved to an earlier time.
 func (cold *Cold) Note(server shedkeel.ColdServer) bool {
 	cold.mutex.Lock()
 	defer cold.mutex.Unlock()
@@ -36,7 +36,7 @@
 	return true
 }
 
-// Server returns until when a server is cold, and whether it is now.
+// Server returns the record of a server, and whether it is cold now.
 func (cold *Cold) Server(server shedkeel.InstanceID, now time.Duration) (shedkeel.ColdServer, bool) {
 	cold.mutex.RLock()
 	defer cold.mutex.RUnlock()
@@ -44,7 +44,7 @@
 	return known, found && known.Until > now
 }
 
-// All returns the servers that are cold, by name.
+// All returns the servers that are cold now, ordered by ID.
 func (cold *Cold) All(now time.Duration) []shedkeel.ColdServer {
 	cold.mutex.RLock()
 	defer cold.mutex.RUnlock()
@@ -53,7 +53,7 @@
 	return found
 }
 
-// Expire forgets the servers that are warm by now and returns them.
+// Expire removes the servers that are warm now and returns their IDs.
 func (cold *Cold) Expire(now time.Duration) []shedkeel.InstanceID {
 	cold.mutex.Lock()
 	defer cold.mutex.Unlock()
--- a/ratelimit/cold_test.go
+++ b/ratelimit/cold_test.go
@@ -10,27 +10,28 @@
 	"shedkeel.org/shedkeel/ratelimit"
 )
 
-// TestColdServersAreKnownUntilWarm has servers be told of as cold once and again.
+// TestColdServersAreKnownUntilWarm records a server as cold once and again, and checks
+// that it is cold until the latest time recorded.
 func TestColdServersAreKnownUntilWarm(t *testing.T) {
-	type note struct {
-		until time.Duration
-		news  bool
+	type call struct {
+		until   time.Duration
+		changed bool
 	}
 	cases := map[string]struct {
-		notes []note
+		notes []call
 		until time.Duration
 	}{
-		"once":                {[]note{{5, true}}, 5},
-		"again, the same":     {[]note{{5, true}, {5, false}}, 5},
-		"again, for longer":   {[]note{{5, true}, {7, true}}, 7},
-		"again, for less":     {[]note{{5, true}, {3, false}}, 5},
-		"in the past already": {[]note{{-1, true}}, -1},
+		"once":                {[]call{{5, true}}, 5},
+		"again, the same":     {[]call{{5, true}, {5, false}}, 5},
+		"again, for longer":   {[]call{{5, true}, {7, true}}, 7},
+		"again, for less":     {[]call{{5, true}, {3, false}}, 5},
+		"in the past already": {[]call{{-1, true}}, -1},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			var cold ratelimit.Cold
-			for _, note := range test.notes {
-				assert.Equal(t, cold.Note(shedkeel.ColdServer{Server: "s", Rate: 2, Until: note.until}), note.news)
+			for _, call := range test.notes {
+				assert.Equal(t, cold.Note(shedkeel.ColdServer{Server: "s", Rate: 2, Until: call.until}), call.changed)
 			}
 			_, isCold := cold.Server("s", test.until)
 			assert.Assert(t, !isCold, "it is warm from then on")
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -10,58 +10,60 @@
 )
 
 const (
-	// handover is how long after a change of the processes that answer no permits are
-	// granted of servers that are new to this one: another may have granted them.
-	handover = time.Second
-	// trialRate is the least rate at which a server is sent requests, in requests a
-	// second: only its answers tell that its limit has ended.
-	trialRate = 0.1
-	// leastBurst is how many permits are kept at least for requests to come, and
-	// burstTime for how long they are.
-	leastBurst = 2
-	burstTime  = 50 * time.Millisecond
-	// mostWait is the longest time after which a refused process asks again.
-	mostWait = 2 * time.Second
+	// handoverDelay is how long after a change of the set of live processes a process
+	// grants no permits of servers that it takes over: the previous granter may still
+	// be granting them.
+	handoverDelay = time.Second
+	// probeRate is the lowest rate at which permits are granted, in requests a second,
+	// even if the server takes no requests: only its answers show that the limit has
+	// been lifted.
+	probeRate = 0.1
+	// A bucket holds the permits of burstDuration, but at least minBurst.
+	minBurst      = 2
+	burstDuration = 50 * time.Millisecond
+	// maxRetryWait bounds the wait that a refused process is told.
+	maxRetryWait = 2 * time.Second
 )
 
-// Granter grants the permits of servers that limit their rate. At each moment one
-// process grants those of a server. The zero value is ready. It is safe for
-// concurrent use.
+// Granter grants permits of servers that limit their rate. The callers make sure that
+// only one process at a time grants the permits of a server. The zero value is ready to
+// use. It is safe for concurrent use.
 type Granter struct {
 	mutex   sync.Mutex
 	buckets map[shedkeel.InstanceID]*bucket
 }
 
-// bucket is the token bucket of one server. It begins empty.
+// bucket is the token bucket of one server. It starts empty.
 type bucket struct {
-	tokens *rate.Limiter
-	from   time.Duration // permits are granted from then on
-	turn   time.Duration // when the one that was refused last is to ask again
-	usage  Usage
+	tokens     *rate.Limiter
+	grantsFrom time.Duration // no permits are granted before
+	nextRetry  time.Duration // earliest time that the next refusal may name for a retry
+	usage      Usage
 }
 
-// Usage is how many permits of a server a process has granted and refused since it
-// grants them.
+// Usage counts the permits of a server that a process has granted and refused since it
+// became the server's granter.
 type Usage struct {
 	Granted int64
 	Refused int64
 }
 
-// Ask is the question whether a request may be sent to a server.
+// Ask is a request for one permit.
 type Ask struct {
 	Server   shedkeel.InstanceID
 	Rate     float64       // requests a second that this process may grant
-	Patience time.Duration // how long the request can wait
-	Settled  time.Duration // since when the same processes answer as now
+	Patience time.Duration // longest wait for which a permit is granted in advance
+	Settled  time.Duration // since when the set of live processes has not changed
 }
 
-// Grant answers a question.
+// Grant grants or refuses a permit. A granted permit may be used after its Wait, which is
+// at most ask.Patience. After a refusal, a new attempt makes sense after Wait.
 func (granter *Granter) Grant(ask Ask, now time.Duration) shedkeel.Permit {
 	granter.mutex.Lock()
 	defer granter.mutex.Unlock()
 	bucket := granter.bucket(ask, now)
-	if now < bucket.from {
-		return bucket.refuse(bucket.from-now, now)
+	if now < bucket.grantsFrom {
+		return bucket.refuse(bucket.grantsFrom-now, now)
 	}
 	reservation := bucket.tokens.ReserveN(instant(now), 1)
 	delay := reservation.DelayFrom(instant(now))
@@ -73,10 +75,10 @@
 	return shedkeel.Permit{Granted: true, Wait: delay}
 }
 
-// bucket returns the server's bucket, filled at the rate that holds now. The mutex
-// is held.
+// bucket returns the server's bucket, with the rate set to ask.Rate. It creates an empty
+// one for a new server. The caller holds the mutex.
 func (granter *Granter) bucket(ask Ask, now time.Duration) *bucket {
-	perSecond := rate.Limit(max(ask.Rate, trialRate))
+	perSecond := rate.Limit(max(ask.Rate, probeRate))
 	known := granter.buckets[ask.Server]
 	if known != nil {
 		if known.tokens.Limit() != perSecond {
@@ -85,8 +87,8 @@
 		}
 		return known
 	}
-	known = &bucket{tokens: rate.NewLimiter(perSecond, burst(perSecond)), from: max(now, ask.Settled+handover)}
-	known.tokens.AllowN(instant(known.from), burst(perSecond))
+	known = &bucket{tokens: rate.NewLimiter(perSecond, burst(perSecond)), grantsFrom: max(now, ask.Settled+handoverDelay)}
+	known.tokens.AllowN(instant(known.grantsFrom), burst(perSecond))
 	if granter.buckets == nil {
 		granter.buckets = map[shedkeel.InstanceID]*bucket{}
 	}
@@ -94,21 +96,22 @@
 	return known
 }
 
-// burst is how many permits are kept at the rate.
+// burst returns the capacity of a bucket, in permits.
 func burst(perSecond rate.Limit) int {
-	return max(leastBurst, int(float64(perSecond)*burstTime.Seconds()))
+	return max(minBurst, int(float64(perSecond)*burstDuration.Seconds()))
 }
 
-// refuse tells when to ask again: each at a time of its own, at the server's rate.
+// refuse returns a refusal and when to ask again. Successive refusals are spaced at the
+// server's rate, so that refused processes do not all ask at the same time.
 func (bucket *bucket) refuse(delay, now time.Duration) shedkeel.Permit {
 	bucket.usage.Refused++
-	bucket.turn = max(bucket.turn, now+delay)
-	wait := min(bucket.turn-now, mostWait)
-	bucket.turn = now + wait + time.Duration(float64(time.Second)/float64(bucket.tokens.Limit()))
+	bucket.nextRetry = max(bucket.nextRetry, now+delay)
+	wait := min(bucket.nextRetry-now, maxRetryWait)
+	bucket.nextRetry = now + wait + time.Duration(float64(time.Second)/float64(bucket.tokens.Limit()))
 	return shedkeel.Permit{Wait: wait}
 }
 
-// Usage returns what has become of the questions for permits of a server.
+// Usage returns how many permits of a server were granted and refused.
 func (granter *Granter) Usage(server shedkeel.InstanceID) Usage {
 	granter.mutex.Lock()
 	defer granter.mutex.Unlock()
@@ -118,7 +121,8 @@
 	return Usage{}
 }
 
-// Retain forgets the servers whose permits this process grants no longer.
+// Retain removes the servers whose permits this process no longer grants, that is, for
+// which granted returns false.
 func (granter *Granter) Retain(granted func(shedkeel.InstanceID) bool) {
 	granter.mutex.Lock()
 	defer granter.mutex.Unlock()
@@ -129,5 +133,6 @@
 	}
 }
 
-// instant is a time on the steady clock, as token buckets count it.
+// instant converts a time on the monotonic clock of shedkeel.Timers to the time.Time that
+// rate.Limiter takes.
 func instant(now time.Duration) time.Time { return time.Unix(0, int64(now)) }
--- /dev/null
+++ b/ratelimit/sharing_test.go
@@ -0,0 +1,680 @@
+package ratelimit
+
+import (
+	"container/heap"
+	"flag"
+	"fmt"
+	"hash/fnv"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"golang.org/x/time/rate"
+	"gotest.tools/v3/assert"
+
+	"shedkeel.org/shedkeel"
+)
+
+var allSizes = flag.Bool("sizes", false, "compare the schemes for sharing a limit at all sizes and rates")
+
+// scheme is how nodes share the limit of a server.
+type scheme interface {
+	// ask requests a permit for the node, and calls answer now or later.
+	ask(fleet *simFleet, node *simNode, answer func(permit shedkeel.Permit))
+	// restart clears what the scheme keeps for the node.
+	restart(node *simNode)
+}
+
+// Parameters of the simulated fleet.
+const (
+	simDuration     = 24 * time.Second
+	simWindow       = 4 * time.Second // in which requests to the server are counted
+	propagationTime = 3 * time.Second // in which all nodes should have received a limit
+	simBurst        = 5               // allowed in a window in addition to one and a half times the limit
+	linkDelay       = 2 * time.Millisecond
+	callTimeout     = 30 * time.Millisecond
+	retryPause      = 200 * time.Millisecond
+	answerDelay     = 100 * time.Millisecond // after which the server's answer states its limit
+	// gossipDelay is how long a limit takes to reach all other nodes.
+	gossipDelay = 60 * time.Millisecond
+	// Failure detection takes this long to find a node dead, or alive again.
+	suspectMin, suspectMax = 400 * time.Millisecond, 1300 * time.Millisecond
+	recoverMin, recoverMax = 50 * time.Millisecond, 600 * time.Millisecond
+	// delistDelay is how long a node is down before its record is removed.
+	delistDelay = 3 * time.Second
+)
+
+// interval is a half-open interval of virtual time.
+type interval struct{ from, until time.Duration }
+
+func (interval interval) contains(now time.Duration) bool {
+	return now >= interval.from && now < interval.until
+}
+
+// scenario is the faults and the changes of the limit in one simulation.
+type scenario struct {
+	kill      func(fleet *simFleet)                  // takes nodes down; they restart without state
+	freeze    func(fleet *simFleet)                  // suspends nodes; they keep their state
+	partition interval                               // the two halves of the fleet cannot reach each other
+	limit     func(at time.Duration) (float64, bool) // of the server, as a fraction of the rate; nil: always 1
+}
+
+// killInTurn takes each node down for 1.5 s, one after another.
+func killInTurn(fleet *simFleet) {
+	for index, node := range fleet.ranked {
+		from := 3*time.Second + time.Duration(index)*2*time.Second
+		if from < simDuration {
+			node.killed = append(node.killed, interval{from, from + 1500*time.Millisecond})
+		}
+	}
+}
+
+// killAll takes all nodes down at the same time, for up to a second.
+func killAll(fleet *simFleet) {
+	for _, node := range fleet.nodes {
+		node.killed = append(node.killed, interval{6 * time.Second, 6*time.Second + fleet.randomBetween(200*time.Millisecond, time.Second)})
+	}
+}
+
+// freezeThird suspends every third node for some seconds.
+func freezeThird(fleet *simFleet) {
+	for index, node := range fleet.ranked {
+		if index%3 == 0 {
+			node.frozen = append(node.frozen, interval{5 * time.Second, fleet.randomBetween(6*time.Second, 15*time.Second)})
+		}
+	}
+}
+
+// changingLimit is a server that states a limit, then a fifth of it, then none, then the
+// full one again.
+func changingLimit(at time.Duration) (float64, bool) {
+	switch {
+	case at < 6*time.Second, at > 16*time.Second:
+		return 1, true
+	case at < 12*time.Second:
+		return 0.2, true
+	}
+	return 0, false
+}
+
+var scenarios = map[string]scenario{
+	"no faults":               {},
+	"nodes killed in turn":    {kill: killInTurn},
+	"all killed":              {kill: killAll},
+	"partitioned":             {partition: interval{5 * time.Second, 14 * time.Second}},
+	"a third frozen":          {freeze: freezeThird},
+	"the limit changes":       {limit: changingLimit},
+	"killed while it changes": {kill: killInTurn, limit: changingLimit},
+}
+
+// demand returns the fraction of all requests that arrive at a node.
+type demand func(fleet *simFleet, node *simNode, now time.Duration) float64
+
+var demands = map[string]demand{
+	"even": func(fleet *simFleet, _ *simNode, _ time.Duration) float64 { return 1 / float64(len(fleet.nodes)) },
+	"one node": func(_ *simFleet, node *simNode, _ time.Duration) float64 {
+		if node.index == 0 {
+			return 1
+		}
+		return 0
+	},
+	"moving": func(fleet *simFleet, node *simNode, now time.Duration) float64 {
+		if node.index == int(now/(5*time.Second))%len(fleet.nodes) {
+			return 1
+		}
+		return 0
+	},
+}
+
+// simFleet simulates, in virtual time, a fleet of nodes and one server that limits its
+// rate.
+type simFleet struct {
+	scheme   scheme
+	scenario scenario
+	rate     float64
+	random   *rand.Rand
+	now      time.Duration
+	events   eventQueue
+	nodes    []*simNode
+	ranked   []*simNode // in the server's rendezvous hashing order
+	attempts []attempt
+	offered  int // requests that arrived at nodes
+	calls    int // between nodes
+}
+
+// attempt is one request that was sent to the server.
+type attempt struct {
+	at       time.Duration
+	informed bool // its node had known the limit for at least half a second
+}
+
+// simNode is one node of the fleet.
+type simNode struct {
+	index          int
+	hash           uint64
+	killed, frozen []interval
+	blockedUntil   time.Duration // by a refusal
+	knownSince     time.Duration // when it received the limit; below 0: it has not
+
+	granter       Granter
+	bucket        *rate.Limiter
+	leasedPermits int           // permits left of its block
+	leaseEnd      time.Duration // when they expire
+	recent        float64       // requests, decayed by half each second
+}
+
+// randomBetween returns a random duration from least up to most.
+func (fleet *simFleet) randomBetween(least, most time.Duration) time.Duration {
+	return least + time.Duration(fleet.random.Int64N(int64(most-least)))
+}
+
+// event is an action at a point of virtual time.
+type event struct {
+	at time.Duration
+	do func()
+}
+
+// eventQueue is a heap of events by time.
+type eventQueue []event
+
+func (queue eventQueue) Len() int           { return len(queue) }
+func (queue eventQueue) Less(a, b int) bool { return queue[a].at < queue[b].at }
+func (queue eventQueue) Swap(a, b int)      { queue[a], queue[b] = queue[b], queue[a] }
+func (queue *eventQueue) Push(added any)    { *queue = append(*queue, added.(event)) }
+func (queue *eventQueue) Pop() any {
+	last := (*queue)[len(*queue)-1]
+	*queue = (*queue)[:len(*queue)-1]
+	return last
+}
+
+// schedule runs do after a delay in virtual time.
+func (fleet *simFleet) schedule(after time.Duration, do func()) {
+	heap.Push(&fleet.events, event{fleet.now + after, do})
+}
+
+// newSimFleet returns a fleet with the scenario's faults and the requests scheduled.
+func newSimFleet(scheme scheme, scenario scenario, size int, rate float64, demand demand, seed uint64) *simFleet {
+	fleet := &simFleet{scheme: scheme, scenario: scenario, rate: rate, random: rand.New(rand.NewPCG(seed, 1))}
+	for index := range size {
+		hash := fnv.New64a()
+		_, _ = fmt.Fprint(hash, seed, "-", index) // it never fails
+		fleet.nodes = append(fleet.nodes, &simNode{index: index, hash: hash.Sum64(), knownSince: -1})
+	}
+	fleet.ranked = slices.Clone(fleet.nodes)
+	slices.SortFunc(fleet.ranked, func(a, b *simNode) int {
+		if a.hash < b.hash {
+			return -1
+		}
+		return 1
+	})
+	for _, inject := range []func(*simFleet){scenario.kill, scenario.freeze} {
+		if inject != nil {
+			inject(fleet)
+		}
+	}
+	for _, node := range fleet.nodes {
+		for _, killed := range node.killed {
+			heap.Push(&fleet.events, event{killed.until, func() { fleet.restart(node) }})
+		}
+	}
+	// Demand is three times the server's limit, and at least 8 requests a second.
+	fleet.arrive(demand, max(3*rate, 8))
+	heap.Push(&fleet.events, event{time.Second, fleet.everySecond})
+	return fleet
+}
+
+// arrive schedules the next request, which schedules the one after it.
+func (fleet *simFleet) arrive(demand demand, perSecond float64) {
+	fleet.schedule(time.Duration(fleet.random.ExpFloat64()/perSecond*float64(time.Second)), func() {
+		point := fleet.random.Float64()
+		for _, node := range fleet.nodes {
+			if point -= demand(fleet, node, fleet.now); point < 0 {
+				fleet.request(node)
+				break
+			}
+		}
+		fleet.arrive(demand, perSecond)
+	})
+}
+
+// everySecond decays the recent demand of all nodes.
+func (fleet *simFleet) everySecond() {
+	for _, node := range fleet.nodes {
+		node.recent /= 2
+	}
+	fleet.schedule(time.Second, fleet.everySecond)
+}
+
+// restart clears the state of a node.
+func (fleet *simFleet) restart(node *simNode) {
+	node.knownSince, node.blockedUntil = -1, 0
+	node.granter = Granter{}
+	node.bucket, node.leasedPermits, node.recent = nil, 0, 0
+	fleet.scheme.restart(node)
+}
+
+// running reports whether the node is neither down nor suspended.
+func (node *simNode) running(now time.Duration) bool {
+	for _, down := range append(slices.Clone(node.killed), node.frozen...) {
+		if down.contains(now) {
+			return false
+		}
+	}
+	return true
+}
+
+// limit returns the server's limit now, and whether it states one. Nodes receive it
+// later.
+func (fleet *simFleet) limit() (float64, bool) {
+	if fleet.scenario.limit == nil {
+		return fleet.rate, true
+	}
+	part, limited := fleet.scenario.limit(fleet.now)
+	return fleet.rate * part, limited
+}
+
+// request handles a request that arrives at a node: it is sent if the node knows no
+// limit or gets a permit.
+func (fleet *simFleet) request(node *simNode) {
+	if !node.running(fleet.now) {
+		return
+	}
+	fleet.offered++
+	node.recent++
+	_, limited := fleet.limit()
+	if !limited {
+		node.knownSince = -1
+	}
+	switch {
+	case node.knownSince < 0:
+		fleet.send(node)
+	case fleet.now >= node.blockedUntil:
+		fleet.scheme.ask(fleet, node, func(permit shedkeel.Permit) {
+			if permit.Granted {
+				fleet.send(node)
+				return
+			}
+			node.blockedUntil = max(node.blockedUntil, fleet.now+permit.Wait)
+		})
+	}
+}
+
+// send sends a request to the server, whose answer states the limit.
+func (fleet *simFleet) send(node *simNode) {
+	informed := node.knownSince >= 0 && fleet.now-node.knownSince >= 500*time.Millisecond
+	fleet.attempts = append(fleet.attempts, attempt{fleet.now, informed})
+	if _, limited := fleet.limit(); limited && node.knownSince < 0 {
+		fleet.schedule(answerDelay, func() { fleet.learn(node) })
+	}
+}
+
+// learn makes the limit known to a node, and after gossipDelay to all that it reaches.
+func (fleet *simFleet) learn(node *simNode) {
+	if node.knownSince >= 0 {
+		return
+	}
+	node.knownSince = fleet.now
+	fleet.schedule(gossipDelay, func() {
+		for _, other := range fleet.nodes {
+			if other.knownSince < 0 && fleet.reaches(node, other) {
+				other.knownSince = fleet.now
+			}
+		}
+	})
+}
+
+// reaches reports whether a message from a to b arrives.
+func (fleet *simFleet) reaches(a, b *simNode) bool {
+	partitioned := fleet.scenario.partition.contains(fleet.now) && a.index%2 != b.index%2
+	return b.running(fleet.now) && !partitioned
+}
+
+// call runs serve at another node and passes its result to answer. If the node cannot be
+// reached, answer gets a refusal after callTimeout.
+func (fleet *simFleet) call(from, to *simNode, serve func() shedkeel.Permit, answer func(shedkeel.Permit)) {
+	if from == to {
+		answer(serve())
+		return
+	}
+	fleet.calls++
+	if !fleet.reaches(from, to) {
+		fleet.schedule(callTimeout, func() { answer(shedkeel.Permit{Wait: retryPause}) })
+		return
+	}
+	fleet.schedule(linkDelay, func() {
+		permit := serve()
+		fleet.schedule(linkDelay, func() { answer(permit) })
+	})
+}
+
+// suspected returns when node a believes that node b is dead.
+func (fleet *simFleet) suspected(a, b *simNode) []interval {
+	lag := func(least, most time.Duration) time.Duration {
+		return least + time.Duration((a.hash^b.hash*31)%uint64(most-least))
+	}
+	down := append(slices.Clone(b.killed), b.frozen...)
+	if a.index%2 != b.index%2 {
+		down = append(down, fleet.scenario.partition)
+	}
+	for index := range down {
+		down[index].from += lag(suspectMin, suspectMax)
+		down[index].until += lag(recoverMin, recoverMax)
+	}
+	return down
+}
+
+// believesAlive reports whether node a believes that node b is alive.
+func (fleet *simFleet) believesAlive(a, b *simNode) bool {
+	for _, suspected := range fleet.suspected(a, b) {
+		if suspected.contains(fleet.now) {
+			return false
+		}
+	}
+	return true
+}
+
+// stableSince returns since when the set of nodes that a node believes alive has not
+// changed.
+func (fleet *simFleet) stableSince(node *simNode) time.Duration {
+	last := time.Duration(0)
+	for _, killed := range node.killed {
+		if killed.until <= fleet.now {
+			last = max(last, killed.until)
+		}
+	}
+	for _, other := range fleet.nodes {
+		for _, suspected := range fleet.suspected(node, other) {
+			for _, at := range []time.Duration{suspected.from, suspected.until} {
+				if at <= fleet.now {
+					last = max(last, at)
+				}
+			}
+		}
+	}
+	return last
+}
+
+// listed reports whether a node has a record in the key-value service.
+func (fleet *simFleet) listed(node *simNode) bool {
+	for _, down := range append(slices.Clone(node.killed), node.frozen...) {
+		if (interval{down.from + delistDelay, down.until}).contains(fleet.now) {
+			return false
+		}
+	}
+	return true
+}
+
+// aliveFraction returns the fraction of the listed nodes that a node believes alive.
+func (fleet *simFleet) aliveFraction(node *simNode) float64 {
+	alive, listed := 0, 0
+	for _, other := range fleet.nodes {
+		if !fleet.listed(other) {
+			continue
+		}
+		listed++
+		if fleet.believesAlive(node, other) {
+			alive++
+		}
+	}
+	return float64(alive) / float64(max(listed, 1))
+}
+
+// firstAlive returns the first nodes in the server's rendezvous order that a node believes
+// alive.
+func (fleet *simFleet) firstAlive(node *simNode, count int) []*simNode {
+	var found []*simNode
+	for _, other := range fleet.ranked {
+		if len(found) < count && (other == node || fleet.believesAlive(node, other)) {
+			found = append(found, other)
+		}
+	}
+	return found
+}
+
+// run simulates the scenario and returns its outcome.
+func (fleet *simFleet) run() outcome {
+	for fleet.events.Len() > 0 {
+		next, _ := heap.Pop(&fleet.events).(event)
+		if next.at > simDuration {
+			break
+		}
+		fleet.now = next.at
+		next.do()
+	}
+	return fleet.evaluate()
+}
+
+// outcome is the result of one simulation.
+type outcome struct {
+	worst       float64 // most requests in a window, as a fraction of what is allowed
+	utilization float64 // fraction of the limit that was used
+	calls       float64 // between nodes, a second
+}
+
+// evaluate counts the requests of nodes that knew the limit, in sliding windows.
+func (fleet *simFleet) evaluate() outcome {
+	var informed []time.Duration
+	for _, attempt := range fleet.attempts {
+		if attempt.informed {
+			informed = append(informed, attempt.at)
+		}
+	}
+	result := outcome{calls: float64(fleet.calls) / simDuration.Seconds()}
+	first := 0
+	for last, at := range informed {
+		for at-informed[first] > simWindow {
+			first++
+		}
+		result.worst = max(result.worst, float64(last-first+1)/fleet.allowed(at))
+	}
+	available := 0.0
+	for at := propagationTime; at < simDuration; at += 100 * time.Millisecond {
+		fleet.now = at
+		if limit, limited := fleet.limit(); limited {
+			available += limit / 10
+		}
+	}
+	used := 0
+	for _, attempt := range fleet.attempts {
+		fleet.now = attempt.at
+		if _, limited := fleet.limit(); limited && attempt.at >= propagationTime && attempt.informed {
+			used++
+		}
+	}
+	result.utilization = float64(used) / available
+	return result
+}
+
+// allowed returns how many requests the server may get in the window that ends at end. It
+// uses the highest limit stated in the window or within propagationTime before it.
+func (fleet *simFleet) allowed(end time.Duration) float64 {
+	most := 0.0
+	for at := max(end-simWindow-propagationTime, 0); at <= end; at += 100 * time.Millisecond {
+		fleet.now = at
+		limit, limited := fleet.limit()
+		if !limited {
+			return math.Inf(1)
+		}
+		most = max(most, limit)
+	}
+	return 1.5*most*simWindow.Seconds() + simBurst
+}
+
+// singleGranter is the scheme that the product uses: one node grants the permits of all. It
+// reduces the rate to the fraction of the nodes that it believes alive, so that two
+// granters in a partitioned fleet together keep the limit.
+type singleGranter struct{ fullRate bool } // fullRate: without that reduction
+
+func (singleGranter singleGranter) ask(fleet *simFleet, node *simNode, answer func(shedkeel.Permit)) {
+	granter := fleet.firstAlive(node, 1)[0]
+	fleet.call(node, granter, func() shedkeel.Permit { return singleGranter.grant(fleet, granter) }, answer)
+}
+
+func (singleGranter singleGranter) grant(fleet *simFleet, granter *simNode) shedkeel.Permit {
+	limit, limited := fleet.limit()
+	if !limited {
+		return shedkeel.Permit{Granted: true}
+	}
+	if fleet.firstAlive(granter, 1)[0] != granter {
+		granter.granter.Retain(func(shedkeel.InstanceID) bool { return false })
+		return shedkeel.Permit{Wait: retryPause}
+	}
+	if !singleGranter.fullRate {
+		limit *= fleet.aliveFraction(granter)
+	}
+	return granter.granter.Grant(Ask{Server: "s", Rate: limit, Settled: fleet.stableSince(granter)}, fleet.now)
+}
+
+func (singleGranter) restart(*simNode) {}
+
+// evenShares gives each listed node an equal share of the limit.
+type evenShares struct{}
+
+func (evenShares) ask(fleet *simFleet, node *simNode, answer func(shedkeel.Permit)) {
+	limit, _ := fleet.limit()
+	listed := 0
+	for _, other := range fleet.nodes {
+		if fleet.listed(other) {
+			listed++
+		}
+	}
+	answer(node.take(limit/float64(listed), fleet.now))
+}
+
+func (evenShares) restart(*simNode) {}
+
+// take takes a permit from the node's own token bucket.
+func (node *simNode) take(perSecond float64, now time.Duration) shedkeel.Permit {
+	if node.bucket == nil {
+		node.bucket = rate.NewLimiter(rate.Limit(perSecond), 1)
+	}
+	node.bucket.SetLimitAt(instant(now), rate.Limit(perSecond))
+	return shedkeel.Permit{Granted: node.bucket.AllowN(instant(now), 1)}
+}
+
+// demandShares gives each node a share of the limit in proportion to its recent demand.
+// Nodes know each other's demand.
+type demandShares struct{}
+
+func (demandShares) ask(fleet *simFleet, node *simNode, answer func(shedkeel.Permit)) {
+	limit, _ := fleet.limit()
+	total := 0.0
+	for _, other := range fleet.nodes {
+		if fleet.believesAlive(node, other) {
+			total += other.recent
+		}
+	}
+	answer(node.take(limit*node.recent/max(total, 1), fleet.now))
+}
+
+func (demandShares) restart(*simNode) {}
+
+// leasedBlocks has one node grant blocks of permits that expire after leaseDuration.
+type leasedBlocks struct{}
+
+const leaseDuration = 500 * time.Millisecond
+
+func (leasedBlocks) ask(fleet *simFleet, node *simNode, answer func(shedkeel.Permit)) {
+	if fleet.now < node.leaseEnd && node.leasedPermits > 0 {
+		node.leasedPermits--
+		answer(shedkeel.Permit{Granted: true})
+		return
+	}
+	granter := fleet.firstAlive(node, 1)[0]
+	limit, _ := fleet.limit()
+	block := max(int(limit*leaseDuration.Seconds()), 1)
+	fleet.call(node, granter, func() shedkeel.Permit {
+		if granter.bucket == nil {
+			granter.bucket = rate.NewLimiter(rate.Limit(limit), block)
+			granter.bucket.AllowN(instant(fleet.now), block)
+		}
+		granter.bucket.SetLimitAt(instant(fleet.now), rate.Limit(limit))
+		granter.bucket.SetBurstAt(instant(fleet.now), block)
+		return shedkeel.Permit{Granted: granter.bucket.AllowN(instant(fleet.now), block), Wait: time.Duration(float64(time.Second) * float64(block) / limit)}
+	}, func(permit shedkeel.Permit) {
+		if permit.Granted {
+			node.leasedPermits, node.leaseEnd = block-1, fleet.now+leaseDuration
+		}
+		answer(permit)
+	})
+}
+
+func (leasedBlocks) restart(*simNode) {}
+
+// twoSenders lets only two nodes send to the server, each at half its rate.
+type twoSenders struct{}
+
+func (twoSenders) ask(fleet *simFleet, node *simNode, answer func(shedkeel.Permit)) {
+	limit, _ := fleet.limit()
+	senders := fleet.firstAlive(node, 2)
+	if !slices.Contains(senders, node) {
+		answer(shedkeel.Permit{Wait: retryPause})
+		return
+	}
+	answer(node.take(limit/float64(len(senders)), fleet.now))
+}
+
+func (twoSenders) restart(*simNode) {}
+
+// minUtilization is the fraction of a limit that must be used without faults when demand
+// exceeds the limit: a limited server must still get its requests.
+const minUtilization = 0.7
+
+// TestSharingSchemes simulates the same scenarios with each scheme and prints the outcomes.
+// The scheme that the product uses must keep the limit in all of them, and use it.
+func TestSharingSchemes(t *testing.T) {
+	sizes, rates, seeds := []int{9, 66}, []float64{0.5, 2, 20}, uint64(2)
+	if *allSizes {
+		sizes, rates, seeds = []int{9, 66, 300}, []float64{0.5, 2, 20, 200}, 5
+	}
+	schemes := map[string]scheme{
+		"single granter": singleGranter{}, "single granter, full rate": singleGranter{fullRate: true},
+		"even shares": evenShares{}, "shares by demand": demandShares{}, "leased blocks": leasedBlocks{}, "two senders": twoSenders{},
+	}
+	for name, scheme := range schemes {
+		t.Run(name, func(t *testing.T) {
+			for _, size := range sizes {
+				for scenarioName, scenario := range scenarios {
+					total := summary{}
+					for _, rate := range rates {
+						for demandName, demand := range demands {
+							for seed := range seeds {
+								result := newSimFleet(scheme, scenario, size, rate, demand, seed).run()
+								total.add(result)
+								if scheme == (singleGranter{}) {
+									assert.Assert(t, result.worst <= 1, "%d nodes, %s, %v a second, %s, seed %d: %.2f of the allowed requests", size, scenarioName, rate, demandName, seed, result.worst)
+									assert.Assert(t, scenarioName != "no faults" || result.utilization >= minUtilization, "%d nodes, %v a second, %s, seed %d: %.2f of the limit used", size, rate, demandName, seed, result.utilization)
+								}
+							}
+						}
+					}
+					t.Logf("%3d nodes, %-24s %s", size, scenarioName, total)
+				}
+			}
+		})
+	}
+}
+
+// summary sums outcomes up.
+type summary struct {
+	count, violated    int
+	worst              float64
+	utilization, calls float64
+}
+
+func (summary *summary) add(result outcome) {
+	summary.count++
+	if result.worst > 1 {
+		summary.violated++
+	}
+	summary.worst = max(summary.worst, result.worst)
+	summary.utilization += result.utilization
+	summary.calls += result.calls
+}
+
+func (summary summary) String() string {
+	return fmt.Sprintf("%2d of %d over the limit, worst %.2f of what is allowed, %3.0f%% of the limit used, %.1f calls/s",
+		summary.violated, summary.count, summary.worst, 100*summary.utilization/float64(summary.count), summary.calls/float64(summary.count))
+}
