--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -21,7 +21,7 @@
 	// A bucket holds the permits of burstDuration, but at least minBurst.
 	minBurst      = 2
 	burstDuration = 50 * time.Millisecond
-	// maxRetryWait bounds the wait that a refused process is told.
+	// maxRetryWait bounds the Wait of a refusal, so that refused processes ask again at least this often.
 	maxRetryWait = 2 * time.Second
 )
 
--- a/ratelimit/sharing_test.go
+++ b/ratelimit/sharing_test.go
@@ -61,7 +61,7 @@
 	limit     func(at time.Duration) (float64, bool) // of the server, as a fraction of the rate; nil: always 1
 }
 
-// killInTurn takes each node down for 1.5 s, one after another.
+// killInTurn takes each node down for 1.5 s, one node every 2 s.
 func killInTurn(fleet *simFleet) {
 	for index, node := range fleet.ranked {
 		from := 3*time.Second + time.Duration(index)*2*time.Second
--- a/serve/budget.go
+++ b/serve/budget.go
@@ -41,6 +41,7 @@
 	retries  [budgetSlots]float64
 }
 
+// budgetSlots is the number of slots in a window.
 const budgetSlots = 10
 
 // advance makes slot the current one and clears the slots that it skips.
@@ -56,8 +57,10 @@
 	}
 }
 
+// reset returns empty counts with slot as the current one.
 func (*serviceUsage) reset(slot int64) serviceUsage { return serviceUsage{slot: slot} }
 
+// sum returns the total of all slots.
 func sum(counts [budgetSlots]float64) float64 {
 	total := 0.0
 	for _, count := range counts {
@@ -81,7 +84,8 @@
 	return usage
 }
 
-// Set changes the bound. If the window changes, all counts restart at zero.
+// Set changes the bound. If the window changes, all counts restart at zero, so that only
+// Slack allows retries until new requests are counted.
 func (budget *Budget) Set(ratio float64, window time.Duration, slack float64) {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
--- a/serve/ended.go
+++ b/serve/ended.go
@@ -102,7 +102,7 @@
 }
 
 // isDisconnect reports whether an attempt failed without an answer or refusal from
-// the server itself, and not because this process cancelled it.
+// the server itself, and not because this process canceled it.
 func isDisconnect(failure error) bool {
 	var notRun *shedkeel.NotRunError
 	var status *statusError
--- a/serve/front.go
+++ b/serve/front.go
@@ -85,7 +85,7 @@
 	DigestKey []byte
 	// Outage reports whether the key-value service is not available to any process,
 	// as far as this one can tell, and since when. nil: this is not known.
-	Outage func() (since time.Duration, away bool)
+	Outage func() (since time.Duration, unavailable bool)
 
 	stopping     atomic.Bool // answers ask callers to close their connections
 	refusing     atomic.Bool // new requests are refused
--- a/serve/guard.go
+++ b/serve/guard.go
@@ -8,7 +8,7 @@
 	"shedkeel.org/shedkeel"
 )
 
-// errServersEnded is the cause of a cancelled request: servers have ended while they
+// errServersEnded is the cause of a canceled request: servers have ended while they
 // served other attempts of it.
 var errServersEnded = errors.New("backend servers have ended under this very request")
 
--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -83,15 +83,15 @@
 func TestGuardedRequests(t *testing.T) {
 	cut := step{events: 3, cutAfter: 1}
 	cases := map[string]struct {
-		path   string
-		guard  *fixedGuard
-		gone   bool // servers whose connections fail have ended
-		steps  []step
-		status int
-		broken bool
-		sent   int
-		ended  int
-		again  bool // Retry-After is set
+		path         string
+		guard        *fixedGuard
+		serversEnded bool // servers whose connections fail have ended
+		steps        []step
+		status       int
+		broken       bool
+		sent         int
+		ended        int
+		retryAfter   bool // Retry-After is set
 	}{
 		"contained":                          {"/s/x", &fixedGuard{judgment: shedkeel.Contained}, true, nil, 503, false, 0, 0, false},
 		"contained, plain":                   {"/once/x", &fixedGuard{judgment: shedkeel.Contained}, true, nil, 503, false, 0, 0, false},
@@ -111,13 +111,13 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			harness := newHarness(t, test.steps...)
-			harness.Guard, harness.Check = test.guard, fixedCheck(test.gone)
+			harness.Guard, harness.Check = test.guard, fixedCheck(test.serversEnded)
 			got := harness.post(test.path, "body", "Model", modelOf(test.path))
 			assert.Equal(t, got.Code, test.status, got.Body.String())
 			assert.Equal(t, got.broken, test.broken)
 			assert.Equal(t, len(harness.backend.requests), test.sent)
 			assert.Equal(t, len(test.guard.ended), test.ended)
-			assert.Equal(t, got.Header().Get("Retry-After") != "", test.again)
+			assert.Equal(t, got.Header().Get("Retry-After") != "", test.retryAfter)
 			assert.Equal(t, test.guard.finished, test.guard.tries, "done must be called for each allowed try")
 		})
 	}
@@ -135,15 +135,15 @@
 // sent to the next server over a new connection. Servers often end together; over a
 // pooled connection, one that ended before would count as ended under this request.
 func TestFreshConnectionAfterServerEnd(t *testing.T) {
-	for name, gone := range map[string]bool{"server ended": true, "connection failed": false} {
+	for name, serverEnded := range map[string]bool{"server ended": true, "connection failed": false} {
 		for _, path := range []string{"/s/x", "/safe/x"} {
 			t.Run(name+path, func(t *testing.T) {
 				harness := newHarness(t, step{err: errAnswerLost}, step{events: 3})
-				harness.Guard, harness.Check = &fixedGuard{idle: true}, fixedCheck(gone)
+				harness.Guard, harness.Check = &fixedGuard{idle: true}, fixedCheck(serverEnded)
 				assert.Equal(t, harness.post(path, "body", "Model", modelOf(path)).Code, 200)
 				assert.Equal(t, len(harness.backend.requests), 2)
 				assert.Assert(t, !engine.IsFresh(harness.backend.requests[0].Context()))
-				assert.Equal(t, engine.IsFresh(harness.backend.requests[1].Context()), gone)
+				assert.Equal(t, engine.IsFresh(harness.backend.requests[1].Context()), serverEnded)
 			})
 		}
 	}
@@ -232,9 +232,9 @@
 // others go on.
 func TestExpireAfterBoxSuspension(t *testing.T) {
 	cases := map[string]struct {
-		path   string
-		away   time.Duration
-		status int
+		path      string
+		suspended time.Duration
+		status    int
 	}{
 		"past its deadline":    {"/safe/x", 5 * time.Second, 504},
 		"past it, stream":      {"/s/x", 5 * time.Second, 504},
@@ -249,7 +249,7 @@
 			harness.Timers = timers
 			go func() {
 				time.Sleep(50 * time.Millisecond)
-				timers.Advance(test.away)
+				timers.Advance(test.suspended)
 				harness.Expire(timers.Now())
 			}()
 			began := time.Now()
--- a/serve/retryafter.go
+++ b/serve/retryafter.go
@@ -12,9 +12,9 @@
 	// retryRepair is about the time in which a failed member of a replica group is
 	// replaced, or in which full servers get free slots.
 	retryRepair = 700 * time.Millisecond
-	// retryOutage is the shortest Retry-After in an outage of the key-value service
-	// in which no process can serve the caller. An outage that has lasted longer is
-	// assumed to go on for as long again.
+	// retryOutage is the shortest wait, before jitter and the caller's own limit, in an
+	// outage of the key-value service in which no process can serve the caller. An
+	// outage that has lasted longer is assumed to go on for as long again.
 	retryOutage = 1200 * time.Millisecond
 	// maxWaitFraction is the largest fraction of the caller's remaining time that
 	// Retry-After asks it to wait: callers honor at most a third, and need the rest
@@ -65,8 +65,8 @@
 }
 
 // retryWhenFree returns how long until a server accepts a request again, by retryIn.
-// No caller can be served earlier, so the jitter is added. If that exceeds what the
-// caller honors, it gets the longest wait that it does, less the jitter.
+// No caller can be served earlier, so the jitter is added. If retryIn exceeds what the
+// caller honors, the result is the longest wait that it honors, less the jitter.
 func (exchange *exchange) retryWhenFree() time.Duration {
 	spread := retryJitter * exchange.jitter()
 	longest := time.Duration(maxWaitFraction * float64(exchange.remaining()))
@@ -85,8 +85,8 @@
 	if front.Outage == nil {
 		return retrySoon
 	}
-	since, away := front.Outage()
-	if !away {
+	since, unavailable := front.Outage()
+	if !unavailable {
 		return retrySoon
 	}
 	return max(retryOutage, now-since)
--- a/serve/send.go
+++ b/serve/send.go
@@ -30,8 +30,9 @@
 	errServerFailed  = errors.New("the server failed")
 )
 
-// choose picks the server for the next attempt. It charges the retry budget for every
-// attempt after the first, and checks on the first whether the model has capacity.
+// choose picks the server for the next attempt. If an earlier attempt may have reached a
+// server, it charges the retry budget; otherwise it checks whether the model has
+// capacity.
 func (exchange *exchange) choose(ctx context.Context) (*dispatch.Choice, error) {
 	now := exchange.front.Timers.Now()
 	retry := exchange.attempts > 0
@@ -94,8 +95,8 @@
 }
 
 // modelCapacity returns the requests that run on a model and its slots, for all
-// processes together if Spread answers. Otherwise it returns the requests of this
-// process and its equal share of the slots.
+// processes together if Spread answers; it then sets query.Wish to the advised group.
+// Otherwise it returns the requests of this process and its equal share of the slots.
 func (exchange *exchange) modelCapacity(query *dispatch.Query, load dispatch.Load) (dispatch.Running, float64) {
 	if exchange.front.Spread != nil {
 		if advice, known := exchange.front.Spread(exchange.request.Context(), *query, load); known {
--- a/serve/source.go
+++ b/serve/source.go
@@ -41,7 +41,7 @@
 	source.deliver(update{source: source, err: err})
 }
 
-// deliver passes an update to the stream. It returns false if the source is cancelled
+// deliver passes an update to the stream. It returns false if the source is canceled
 // first.
 func (source *source) deliver(update update) bool {
 	select {
--- a/serve/stream.go
+++ b/serve/stream.go
@@ -18,7 +18,7 @@
 // stream forwards a stream of events to its caller. When the server stalls or the
 // connection to it fails, the stream resumes at another server after its last complete
 // event. While two servers run it, the one that delivers the next event first is
-// used and the other cancelled.
+// used and the other canceled.
 type stream struct {
 	*exchange
 	updates    chan update
@@ -85,7 +85,7 @@
 
 // mayFailOver reports whether the stream may run on another server too. Every server
 // that it was sent to and that did not refuse it counts as having run it, because a
-// server whose attempt was cancelled may already have started.
+// server whose attempt was canceled may already have started.
 func (stream *stream) mayFailOver() bool {
 	return stream.route.Repeatable() && stream.runs < stream.route.MaxRuns && !stream.quarantined && stream.guardAllows()
 }
@@ -165,7 +165,8 @@
 }
 
 // sourceEnded processes the end of a source. It returns true when the stream is
-// complete. The end of a source that was cancelled before has no effect.
+// complete: the source ended regularly, and its last event is the last one forwarded.
+// The end of a source that was canceled before has no effect.
 func (stream *stream) sourceEnded(ctx context.Context, update update) (bool, error) {
 	active := false
 	for index, source := range stream.sources {
