--- a/serve/budget_test.go
+++ b/serve/budget_test.go
@@ -9,10 +9,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRepeatsOfNodesThatStartAgain plays a fleet of which nodes start again while
-// every request is to be repeated: the sum of repeats stays within the bound in each
-// window that slides.
-func TestRepeatsOfNodesThatStartAgain(t *testing.T) {
+// TestRetryBudgetAcrossRestarts simulates a fleet whose nodes restart while every request
+// fails and is retried. In each sliding window the sum of all retries must stay within
+// the bound.
+func TestRetryBudgetAcrossRestarts(t *testing.T) {
 	const (
 		window  = 10 * time.Second
 		length  = 60 * time.Second
@@ -23,17 +23,17 @@
 	)
 	cases := map[string]struct {
 		nodes    int
-		requests float64 // a second, of all
+		requests float64 // per second, over all nodes
 		slack    float64
-		restarts func(node, second int) bool // at the beginning of that second
-		least    float64                     // part of what is allowed that is used in some window
+		restarts func(node, second int) bool // whether the node restarts at the start of the second
+		least    float64                     // fraction of the bound that must be used in some window
 	}{
-		"none":                     {9, 40, slack, func(int, int) bool { return false }, 0.5},
+		"no restart":               {9, 40, slack, func(int, int) bool { return false }, 0.5},
 		"all twice":                {9, 40, slack, func(_, second int) bool { return second == 25 || second == 30 }, 0.1},
 		"all each two seconds":     {66, 40, slack, func(_, second int) bool { return second > 20 && second%2 == 0 }, 0.1},
-		"in turn":                  {66, 40, slack, func(node, second int) bool { return second > 20 && node%10 == second%10 }, 0.1},
+		"one by one":               {66, 40, slack, func(node, second int) bool { return second > 20 && node%10 == second%10 }, 0.1},
 		"all twice, large":         {300, 400, slack, func(_, second int) bool { return second == 25 || second == 30 }, 0.1},
-		"more nodes than repeats":  {984, 58, 1040, func(int, int) bool { return false }, 0.5},
+		"more nodes than retries":  {984, 58, 1040, func(int, int) bool { return false }, 0.5},
 		"twice as many":            {1968, 116, 1040, func(int, int) bool { return false }, 0.5},
 		"as many, half twice":      {984, 58, 1040, func(node, second int) bool { return node%2 == 0 && (second == 25 || second == 30) }, 0.5},
 		"more nodes, small number": {984, 58, slack, func(int, int) bool { return false }, 0.4},
@@ -41,18 +41,18 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(1, 2))
-			fresh := func(now time.Duration) *Budget {
+			newBudget := func(now time.Duration) *Budget {
 				return &Budget{Ratio: ratio, Window: window, Slack: test.slack, Careful: careful, Began: now, Lot: random.Float64()}
 			}
 			nodes := make([]*Budget, test.nodes)
 			for index := range nodes {
-				nodes[index] = fresh(0)
+				nodes[index] = newBudget(0)
 			}
 			var requests, repeats []time.Duration
 			for now := time.Duration(0); now < length; now += step {
 				for index := range nodes {
 					if now%time.Second == 0 && test.restarts(index, int(now/time.Second)) {
-						nodes[index] = fresh(now)
+						nodes[index] = newBudget(now)
 					}
 				}
 				for range int(test.requests*step.Seconds() + random.Float64()) {
@@ -63,7 +63,8 @@
 						repeats = append(repeats, now)
 					}
 				}
-				// What else fails is repeated as well: each node tries each second.
+				// Each node also uses up its budget once a second, as if further
+				// requests failed.
 				if now%time.Second == 0 {
 					for _, node := range nodes {
 						for node.Repeat("s", len(nodes), now) {
@@ -74,18 +75,18 @@
 			}
 			worst := 0.0
 			for end := window; end < length; end += step {
-				bound := ratio*float64(within(requests, end-window, end)) + test.slack
-				worst = max(worst, float64(within(repeats, end-window, end))/bound)
+				bound := ratio*float64(countWithin(requests, end-window, end)) + test.slack
+				worst = max(worst, float64(countWithin(repeats, end-window, end))/bound)
 			}
-			t.Logf("%.2f of what is allowed", worst)
-			assert.Assert(t, worst <= 1, fmt.Sprintf("%.2f of what is allowed", worst))
-			assert.Assert(t, worst >= test.least, "%.2f of what is allowed is used", worst)
+			t.Logf("%.2f of the bound used", worst)
+			assert.Assert(t, worst <= 1, fmt.Sprintf("%.2f of the bound used", worst))
+			assert.Assert(t, worst >= test.least, "%.2f of the bound used", worst)
 		})
 	}
 }
 
-// within counts the moments after the first and up to the second.
-func within(moments []time.Duration, after, until time.Duration) int {
+// countWithin counts the moments that lie after the first bound and up to the second.
+func countWithin(moments []time.Duration, after, until time.Duration) int {
 	count := 0
 	for _, moment := range moments {
 		if moment > after && moment <= until {
--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -16,12 +16,13 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// fixedGuard judges all requests alike and notes what it is told.
+// fixedGuard is a fake shedkeel.RequestGuard that judges all requests alike and records
+// its calls.
 type fixedGuard struct {
 	judgment shedkeel.Judgment
-	refuses  bool // no try is allowed now
+	refuses  bool // Try allows nothing
 	idle     bool
-	worsens  bool // once a server has ended, the request is quarantined
+	worsens  bool // requests are quarantined once a server has ended
 
 	mutex    sync.Mutex
 	ended    []shedkeel.InstanceID
@@ -71,37 +72,38 @@
 	}, true
 }
 
-// fixedCheck says of all servers that they have ended, or that none has.
+// fixedCheck is a fake shedkeel.ServerCheck that reports all servers as ended, or none.
 type fixedCheck bool
 
 func (check fixedCheck) Ended(context.Context, string) bool { return bool(check) }
 
-// TestGuardedRequests checks what becomes of requests that servers ended under: what
-// callers are told is true, and one that is tried alone has one server.
+// TestGuardedRequests checks requests under which servers ended: the status must say
+// truly whether the request may have run, and a quarantined request runs on one server
+// only.
 func TestGuardedRequests(t *testing.T) {
 	cut := step{events: 3, cutAfter: 1}
 	cases := map[string]struct {
-		path   string
-		guard  *fixedGuard
-		gone   bool // servers that break off have ended
-		steps  []step
-		status int
-		broken bool
-		sent   int
-		ended  int
-		again  bool // the caller is told when to come back
+		path         string
+		guard        *fixedGuard
+		serversEnded bool // servers whose connections fail have ended
+		steps        []step
+		status       int
+		broken       bool
+		sent         int
+		ended        int
+		retryAfter   bool // Retry-After is set
 	}{
 		"contained":                          {"/s/x", &fixedGuard{judgment: shedkeel.Contained}, true, nil, 503, false, 0, 0, false},
 		"contained, plain":                   {"/once/x", &fixedGuard{judgment: shedkeel.Contained}, true, nil, 503, false, 0, 0, false},
 		"quarantined, tried elsewhere":       {"/s/x", &fixedGuard{judgment: shedkeel.Quarantined, refuses: true}, true, nil, 503, false, 0, 0, true},
 		"quarantined, answered":              {"/s/x", &fixedGuard{judgment: shedkeel.Quarantined}, true, []step{{events: 3}}, 200, false, 1, 0, false},
-		"quarantined, cut":                   {"/s/x", &fixedGuard{judgment: shedkeel.Quarantined}, true, []step{cut, {events: 3}}, 200, true, 1, 1, false},
-		"quarantined, plain, lost":           {"/safe/x", &fixedGuard{judgment: shedkeel.Quarantined}, true, []step{{err: errLost}, {}}, 502, false, 1, 1, false},
-		"quarantined, not run at one server": {"/s/x", &fixedGuard{judgment: shedkeel.Quarantined}, true, []step{{err: errRefusedConn}, {events: 3}}, 200, false, 2, 0, false},
-		"unblamed, cut once":                 {"/s/x", &fixedGuard{idle: true}, true, []step{cut, {events: 3}}, 200, false, 2, 1, false},
-		"unblamed, cut, no server ended":     {"/s/x", &fixedGuard{idle: true}, false, []step{cut, {events: 3}}, 200, false, 2, 0, false},
-		"unblamed, lost, then quarantined":   {"/s/x", &fixedGuard{idle: true, worsens: true}, true, []step{{err: errLost}, {events: 3}}, 502, false, 1, 1, false},
-		"plain, lost, then quarantined":      {"/safe/x", &fixedGuard{idle: true, worsens: true}, true, []step{{err: errLost}, {}}, 502, false, 1, 1, false},
+		"quarantined, cut off":               {"/s/x", &fixedGuard{judgment: shedkeel.Quarantined}, true, []step{cut, {events: 3}}, 200, true, 1, 1, false},
+		"quarantined, plain, lost":           {"/safe/x", &fixedGuard{judgment: shedkeel.Quarantined}, true, []step{{err: errAnswerLost}, {}}, 502, false, 1, 1, false},
+		"quarantined, not run at one server": {"/s/x", &fixedGuard{judgment: shedkeel.Quarantined}, true, []step{{err: errConnRefused}, {events: 3}}, 200, false, 2, 0, false},
+		"unblamed, cut off":                  {"/s/x", &fixedGuard{idle: true}, true, []step{cut, {events: 3}}, 200, false, 2, 1, false},
+		"unblamed, cut off, server alive":    {"/s/x", &fixedGuard{idle: true}, false, []step{cut, {events: 3}}, 200, false, 2, 0, false},
+		"unblamed, lost, then quarantined":   {"/s/x", &fixedGuard{idle: true, worsens: true}, true, []step{{err: errAnswerLost}, {events: 3}}, 502, false, 1, 1, false},
+		"plain, lost, then quarantined":      {"/safe/x", &fixedGuard{idle: true, worsens: true}, true, []step{{err: errAnswerLost}, {}}, 502, false, 1, 1, false},
 		"refused by a server":                {"/safe/x", &fixedGuard{idle: true}, true, []step{{status: 503, notRun: true}, {body: "ok"}}, 200, false, 2, 0, false},
 		"failed by a server":                 {"/once/x", &fixedGuard{idle: true}, true, []step{{status: 500}}, 500, false, 1, 0, false},
 		"another's answer":                   {"/once/x", &fixedGuard{idle: true}, true, []step{{wrongID: true}}, 502, false, 1, 0, false},
@@ -109,18 +111,19 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			harness := newHarness(t, test.steps...)
-			harness.Guard, harness.Check = test.guard, fixedCheck(test.gone)
+			harness.Guard, harness.Check = test.guard, fixedCheck(test.serversEnded)
 			got := harness.post(test.path, "body", "Model", modelOf(test.path))
 			assert.Equal(t, got.Code, test.status, got.Body.String())
 			assert.Equal(t, got.broken, test.broken)
 			assert.Equal(t, len(harness.backend.requests), test.sent)
 			assert.Equal(t, len(test.guard.ended), test.ended)
-			assert.Equal(t, got.Header().Get("Retry-After") != "", test.again)
-			assert.Equal(t, test.guard.finished, test.guard.tries, "each try that was allowed is told to be over")
+			assert.Equal(t, got.Header().Get("Retry-After") != "", test.retryAfter)
+			assert.Equal(t, test.guard.finished, test.guard.tries, "done must be called for each allowed try")
 		})
 	}
 }
 
+// modelOf returns the model for a request to the path; "" for a plain service.
 func modelOf(path string) string {
 	if path[:3] == "/s/" {
 		return "m"
@@ -128,27 +131,27 @@
 	return ""
 }
 
-// TestNextIsReachedAnew checks that a request under which a server ended is sent to the
-// next one over a connection of its own: servers end together, and over a kept
-// connection one that is gone already would count as having ended under it.
-func TestNextIsReachedAnew(t *testing.T) {
-	for name, gone := range map[string]bool{"it ended": true, "it broke off": false} {
+// TestFreshConnectionAfterServerEnd checks that a request under which a server ended is
+// sent to the next server over a new connection. Servers often end together; over a
+// pooled connection, one that ended before would count as ended under this request.
+func TestFreshConnectionAfterServerEnd(t *testing.T) {
+	for name, serverEnded := range map[string]bool{"server ended": true, "connection failed": false} {
 		for _, path := range []string{"/s/x", "/safe/x"} {
 			t.Run(name+path, func(t *testing.T) {
-				harness := newHarness(t, step{err: errLost}, step{events: 3})
-				harness.Guard, harness.Check = &fixedGuard{idle: true}, fixedCheck(gone)
+				harness := newHarness(t, step{err: errAnswerLost}, step{events: 3})
+				harness.Guard, harness.Check = &fixedGuard{idle: true}, fixedCheck(serverEnded)
 				assert.Equal(t, harness.post(path, "body", "Model", modelOf(path)).Code, 200)
 				assert.Equal(t, len(harness.backend.requests), 2)
 				assert.Assert(t, !engine.IsFresh(harness.backend.requests[0].Context()))
-				assert.Equal(t, engine.IsFresh(harness.backend.requests[1].Context()), gone)
+				assert.Equal(t, engine.IsFresh(harness.backend.requests[1].Context()), serverEnded)
 			})
 		}
 	}
 }
 
-// TestSentAfterTheEnd checks that a server ends only under requests that were sent
-// to it before the first one broke off there.
-func TestSentAfterTheEnd(t *testing.T) {
+// TestServerEndBlamesEarlierAttemptsOnly checks that the end of a server is reported only
+// for requests that were sent to it before the first request failed there.
+func TestServerEndBlamesEarlierAttemptsOnly(t *testing.T) {
 	harness := newHarness(t)
 	timers := &timer.Manual{}
 	guard := &fixedGuard{idle: true}
@@ -159,23 +162,23 @@
 		return harness.Table.Choose(dispatch.Query{Service: "plain", Now: timers.Now()})
 	}
 	asked := newExchange()
-	asked.front, asked.digest = harness.Front, asked.makeDigest
+	asked.front, asked.digest = harness.Front, asked.computeDigest
 	before, another := choose(), choose()
-	asked.noteEnd(before, errLost)
+	asked.reportServerEnd(before, errAnswerLost)
 	late := choose()
-	asked.noteEnd(late, errLost)
+	asked.reportServerEnd(late, errAnswerLost)
 	assert.Equal(t, len(guard.ended), 1)
-	asked.noteEnd(another, errLost)
-	assert.Equal(t, len(guard.ended), 2, "it was there already")
+	asked.reportServerEnd(another, errAnswerLost)
+	assert.Equal(t, len(guard.ended), 2, "it was sent before the first failure")
 	harness.Table.Replace(nil)
-	asked.noteEnd(before, errLost)
-	assert.Equal(t, len(guard.ended), 2, "the server had said that it leaves")
+	asked.reportServerEnd(before, errAnswerLost)
+	assert.Equal(t, len(guard.ended), 2, "the server is no longer listed")
 }
 
-// TestAnswerClears checks that an answer is told of where something is held against
-// a request, and not otherwise: naming requests costs time.
-func TestAnswerClears(t *testing.T) {
-	for name, idle := range map[string]bool{"something is held": false, "nothing is": true} {
+// TestAnswerReportedToGuard checks that answers are reported to the guard while it has
+// records, and not otherwise, because computing digests costs time.
+func TestAnswerReportedToGuard(t *testing.T) {
+	for name, idle := range map[string]bool{"guard has records": false, "guard is idle": true} {
 		t.Run(name, func(t *testing.T) {
 			harness := newHarness(t, step{events: 3}, step{body: "ok"})
 			guard := &fixedGuard{idle: idle}
@@ -187,18 +190,18 @@
 	}
 }
 
-// TestCallBack checks that a copy of a request which waits at a server is given up,
-// and that one whose answer has begun goes on.
-func TestCallBack(t *testing.T) {
+// TestCallBackCancelsWaitingCopies checks that CallBack cancels a copy of the request
+// that waits at a server, and that one whose answer has started goes on.
+func TestCallBackCancelsWaitingCopies(t *testing.T) {
 	cases := map[string]struct {
 		path   string
 		step   step
 		status int
 	}{
-		"waits":           {"/s/x", step{empty: 300 * time.Millisecond, events: 3}, 502},
-		"waits, plain":    {"/safe/x", step{empty: 300 * time.Millisecond, body: "ok"}, 502},
+		"waits":           {"/s/x", step{delay: 300 * time.Millisecond, events: 3}, 502},
+		"waits, plain":    {"/safe/x", step{delay: 300 * time.Millisecond, body: "ok"}, 502},
 		"has begun":       {"/s/x", step{events: 200}, 200},
-		"another request": {"/s/y", step{empty: 300 * time.Millisecond, events: 3}, 200},
+		"another request": {"/s/y", step{delay: 300 * time.Millisecond, events: 3}, 200},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -211,42 +214,42 @@
 			}
 			go func() {
 				time.Sleep(60 * time.Millisecond)
-				harness.CallBack(named.makeDigest())
+				harness.CallBack(named.computeDigest())
 			}()
 			if name == "has begun" {
-				harness.Backend = slowly{harness.backend}
+				harness.Backend = slowBackend{harness.backend}
 			}
 			got := harness.post(test.path, "body", "Model", modelOf(test.path))
 			assert.Equal(t, got.Code, test.status, got.Body.String())
 			assert.Equal(t, got.Header().Get("Retry-After"), "")
-			assert.Equal(t, len(harness.underWay()), 0)
+			assert.Equal(t, len(harness.activeExchanges()), 0)
 		})
 	}
 }
 
-// TestSuspendedBox has the clock go on while nothing runs and no timer of the process
-// does, as when its box was suspended: callers whose time is over get their end at
-// once, and others go on.
-func TestSuspendedBox(t *testing.T) {
+// TestExpireAfterBoxSuspension advances the clock while no timer of the process runs, as
+// when its box was suspended. Requests whose deadline has passed must end at once, and
+// others go on.
+func TestExpireAfterBoxSuspension(t *testing.T) {
 	cases := map[string]struct {
-		path   string
-		away   time.Duration
-		status int
+		path      string
+		suspended time.Duration
+		status    int
 	}{
-		"past its limit":        {"/safe/x", 5 * time.Second, 504},
-		"past it, a stream":     {"/s/x", 5 * time.Second, 504},
-		"for a moment":          {"/safe/x", 100 * time.Millisecond, 200},
-		"for a moment, streams": {"/s/x", 100 * time.Millisecond, 200},
+		"past its deadline":    {"/safe/x", 5 * time.Second, 504},
+		"past it, stream":      {"/s/x", 5 * time.Second, 504},
+		"for a moment":         {"/safe/x", 100 * time.Millisecond, 200},
+		"for a moment, stream": {"/s/x", 100 * time.Millisecond, 200},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			harness := newHarness(t, step{empty: 400 * time.Millisecond, events: 2})
+			harness := newHarness(t, step{delay: 400 * time.Millisecond, events: 2})
 			timers := &timer.Manual{}
 			timers.Advance(harness.clock.Now())
 			harness.Timers = timers
 			go func() {
 				time.Sleep(50 * time.Millisecond)
-				timers.Advance(test.away)
+				timers.Advance(test.suspended)
 				harness.Expire(timers.Now())
 			}()
 			began := time.Now()
@@ -257,11 +260,11 @@
 	}
 }
 
-// slowly is a backend whose streams take some milliseconds for each event.
-type slowly struct{ shedkeel.Backend }
+// slowBackend is a backend whose response bodies delay each read by a millisecond.
+type slowBackend struct{ shedkeel.Backend }
 
-func (slowly slowly) Send(request *http.Request) (*http.Response, error) {
-	response, err := slowly.Backend.Send(request)
+func (slowBackend slowBackend) Send(request *http.Request) (*http.Response, error) {
+	response, err := slowBackend.Backend.Send(request)
 	if err == nil {
 		response.Body = &slowBody{response.Body}
 	}
