--- a/route/router.go
+++ b/route/router.go
@@ -1,7 +1,7 @@
-// Package route chooses the backend server for each request: the group that
-// likely holds the prompt's prefix if it is not overloaded, else the less
-// loaded of two picked at random. A choice takes the same time whatever the
-// number of groups.
+// Package route chooses the target of a request, a replica group or backend server: the
+// one that likely has the prompt's prefix cached unless it is overloaded, otherwise the
+// less loaded of two drawn at random. The time of a choice does not depend on the number
+// of targets, unless few of them are usable.
 package route
 
 import (
@@ -16,174 +16,175 @@
 )
 
 const (
-	// DefaultBound is how much more than the mean load a group may have and
-	// still get a request for its prefix.
+	// DefaultBound is how many times the mean load a target may have and still get a request
+	// for a prefix that it likely has cached.
 	DefaultBound = 1.25
-	// slotCount is how many parts the space of prefixes is cut into.
-	slotCount = 1024
-	// slotChoices is how many groups stand in for each other for one part.
-	slotChoices = 2
-	// drawLimit bounds how many draws look for a usable group.
-	drawLimit = 16
+	// prefixSlots is the number of slots that prefix hashes are mapped to.
+	prefixSlots = 1024
+	// targetsPerSlot is how many targets a slot has, in order of preference.
+	targetsPerSlot = 2
+	// maxDraws bounds the random draws that look for two usable targets.
+	maxDraws = 16
 )
 
-// Target is one backend server, or one group behind its first member, that a
-// request can be sent to.
+// Target is a backend server, or a replica group that is addressed by its first member.
 type Target struct {
-	Name       string // of the group or the server; stays the same over epochs
+	Name       string // of the group or server; the same in all epochs
 	Address    string
 	Assignment shedkeel.Assignment
-	Until      time.Duration // usable until then
-	Reported   int           // load that it reported, with a lag
-	AsOf       time.Duration // when it was reported
-	Capacity   int           // requests that it runs at once
+	Until      time.Duration // when the target stops being usable
+	Reported   int           // load that the target reported, in requests; lags behind
+	AsOf       time.Duration // time of that report
+	Capacity   int           // requests that the target runs concurrently
 }
 
-// Router holds the targets of all services. The zero value chooses among no
-// targets; Random must be set before use. Its methods may be called at once.
+// Router holds the targets of all services. The zero value has none; Random must be set
+// before use. Its methods may be called concurrently.
 type Router struct {
 	Random shedkeel.Random
 	Bound  float64 // zero: DefaultBound; negative: no prefix affinity
 
 	mutex sync.Mutex
-	pools map[shedkeel.ServiceID]*pool
+	pools map[shedkeel.ServiceID]*targetPool
 }
 
-// pool is the targets of one service.
-type pool struct {
+// targetPool holds the targets of one service.
+type targetPool struct {
 	targets  []*target
-	usable   []*target
-	slots    [slotCount][slotChoices]*target
+	usable   []*target // targets that were usable at the last update
+	slots    [prefixSlots][targetsPerSlot]*target
 	inFlight int
-	reported int // sum over the usable
-	capacity int // sum over the usable
+	load     int // sum over the usable targets, as of the last update
+	capacity int // sum over the usable targets
 }
 
+// target is a Target with the changes that this process made to its load.
 type target struct {
 	Target
-	inFlight int
-	changes  []change // since the report
-	changed  int      // sum of the changes
+	inFlight  int
+	changes   []change // since the report
+	changeSum int      // sum of the changes' deltas
 }
 
-// change is a request sent or ended, which a report may not have counted yet.
+// change is a request that was sent or has ended, which the last report may not include.
 type change struct {
-	at time.Duration
-	by int
+	at    time.Duration
+	delta int
 }
 
-// Choice is a target that was chosen for a request. End must be called once.
+// Choice is the target chosen for a request. The caller must call End once.
 type Choice struct {
 	Target
-	Load int // estimated on the target before this request
+	Load int // estimated load of the target without this request
 
 	router *Router
-	pool   *pool
+	pool   *targetPool
 	target *target
 }
 
-// Update replaces the targets of a service. What is in flight to a target that
-// stays is not forgotten.
+// Update replaces the targets of a service. It keeps the requests in flight of targets
+// that remain.
 func (router *Router) Update(service shedkeel.ServiceID, targets []Target, now time.Duration) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
 	if router.pools == nil {
-		router.pools = map[shedkeel.ServiceID]*pool{}
+		router.pools = map[shedkeel.ServiceID]*targetPool{}
 	}
-	known := router.pools[service]
-	if known == nil {
-		known = &pool{}
-		router.pools[service] = known
+	pool := router.pools[service]
+	if pool == nil {
+		pool = &targetPool{}
+		router.pools[service] = pool
 	}
-	known.update(targets, now)
+	pool.update(targets, now)
 }
 
-// Forget drops the services that are not in the list.
-func (router *Router) Forget(keep []shedkeel.ServiceID) {
+// Forget drops all services that are not in the list.
+func (router *Router) Forget(services []shedkeel.ServiceID) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
 	for service := range router.pools {
-		if !slices.Contains(keep, service) {
+		if !slices.Contains(services, service) {
 			delete(router.pools, service)
 		}
 	}
 }
 
-func (pool *pool) update(targets []Target, now time.Duration) {
-	before := map[string]*target{}
-	for _, known := range pool.targets {
-		before[known.Name] = known
+// update replaces the targets and assigns slots anew if any target was added or removed.
+func (pool *targetPool) update(targets []Target, now time.Duration) {
+	previous := map[string]*target{}
+	for _, target := range pool.targets {
+		previous[target.Name] = target
 	}
-	same := len(targets) == len(pool.targets)
+	sameTargets := len(targets) == len(pool.targets)
 	next := make([]*target, 0, len(targets))
-	for _, described := range targets {
-		known := before[described.Name]
+	for _, reported := range targets {
+		known := previous[reported.Name]
 		if known == nil {
 			known = &target{}
-			same = false
+			sameTargets = false
 		}
-		known.describe(described)
+		known.applyReport(reported)
 		next = append(next, known)
 	}
 	slices.SortFunc(next, func(a, b *target) int { return cmp.Compare(a.Name, b.Name) })
 	pool.targets = next
 	pool.usable = pool.usable[:0]
-	pool.reported = 0
+	pool.load = 0
 	pool.capacity = 0
 	for _, target := range next {
 		if target.Until > now {
 			pool.usable = append(pool.usable, target)
-			pool.reported += target.load()
+			pool.load += target.load()
 			pool.capacity += target.Capacity
 		}
 	}
-	if !same {
+	if !sameTargets {
 		pool.fillSlots()
 	}
 }
 
-// describe takes a new report. Requests that went out before the report was
-// made are counted in it.
-func (target *target) describe(described Target) {
-	if described.Assignment != target.Assignment || described.Address != target.Address {
+// applyReport replaces the target's description and drops the changes up to its report,
+// which includes them. A target with another assignment or address starts without
+// changes.
+func (target *target) applyReport(reported Target) {
+	if reported.Assignment != target.Assignment || reported.Address != target.Address {
 		target.changes = nil
 	}
-	target.Target = described
-	target.changes = slices.DeleteFunc(target.changes, func(change change) bool { return change.at <= described.AsOf })
-	target.changed = 0
+	target.Target = reported
+	target.changes = slices.DeleteFunc(target.changes, func(change change) bool { return change.at <= reported.AsOf })
+	target.changeSum = 0
 	for _, change := range target.changes {
-		target.changed += change.by
+		target.changeSum += change.delta
 	}
 }
 
-// note adds a change to what the report said.
-func (target *target) note(now time.Duration, by int) {
-	target.inFlight += by
-	target.changes = append(target.changes, change{at: now, by: by})
-	target.changed += by
+// recordChange adds delta requests to the load since the report.
+func (target *target) recordChange(now time.Duration, delta int) {
+	target.inFlight += delta
+	target.changes = append(target.changes, change{at: now, delta: delta})
+	target.changeSum += delta
 }
 
-// load estimates what the target has to do: what it reported, corrected by
-// what was sent to it and what ended since, and no less than what is in flight
-// from here.
+// load estimates the target's load: what it reported, corrected by the requests that were
+// sent and have ended since, and at least the requests in flight from this process.
 func (target *target) load() int {
-	return max(target.Reported+target.changed, target.inFlight)
+	return max(target.Reported+target.changeSum, target.inFlight)
 }
 
-// fillSlots gives each part of the space of prefixes its groups by rendezvous
-// hashing, so that one group coming or going moves few prefixes.
-func (pool *pool) fillSlots() {
+// fillSlots assigns targets to each slot by rendezvous hashing, so that a target that is
+// added or removed moves few prefixes.
+func (pool *targetPool) fillSlots() {
 	for slot := range pool.slots {
-		pool.slots[slot] = [slotChoices]*target{}
-		var best [slotChoices]uint64
+		pool.slots[slot] = [targetsPerSlot]*target{}
+		var best [targetsPerSlot]uint64
 		for _, candidate := range pool.targets {
 			score := member.Score(candidate.Name, string([]byte{byte(slot), byte(slot >> 8)}))
-			for place := range best {
-				if pool.slots[slot][place] == nil || score > best[place] {
-					copy(best[place+1:], best[place:])
-					copy(pool.slots[slot][place+1:], pool.slots[slot][place:])
-					best[place] = score
-					pool.slots[slot][place] = candidate
+			for rank := range best {
+				if pool.slots[slot][rank] == nil || score > best[rank] {
+					copy(best[rank+1:], best[rank:])
+					copy(pool.slots[slot][rank+1:], pool.slots[slot][rank:])
+					best[rank] = score
+					pool.slots[slot][rank] = candidate
 					break
 				}
 			}
@@ -191,44 +192,47 @@
 	}
 }
 
-// Request is what a choice depends on.
+// Request describes the request that a target is chosen for.
 type Request struct {
 	Service  shedkeel.ServiceID
-	Affinity uint64 // hash of the prompt's prefix; 0: none
+	Affinity uint64 // hash of the prompt's prefix; 0: no affinity
 	Now      time.Duration
-	Avoid    []string // targets that were tried
+	Avoid    []string // names of targets that must not be chosen, such as those already tried
 }
 
-// Choose returns a target for the request, or a NotRunError when there is none.
+// Choose returns a target for the request, or a NotRunError if none is usable.
 func (router *Router) Choose(request Request) (*Choice, error) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
 	pool := router.pools[request.Service]
 	if pool == nil || len(pool.usable) == 0 {
-		return nil, &shedkeel.NotRunError{Reason: fmt.Sprintf("service %s has no whole group or server", request.Service), RetryAfter: retryWhenNone}
+		return nil, &shedkeel.NotRunError{Reason: fmt.Sprintf("service %s has no whole group or server", request.Service), RetryAfter: retryAfterNoTarget}
 	}
-	chosen := router.byPrefix(pool, request)
+	chosen := router.chooseByPrefix(pool, request)
 	if chosen == nil {
-		chosen = router.byDraw(pool, request)
+		chosen = router.chooseRandom(pool, request)
 	}
 	if chosen == nil {
-		return nil, &shedkeel.NotRunError{Reason: fmt.Sprintf("service %s has no other whole group or server", request.Service), RetryAfter: retryWhenNone}
+		return nil, &shedkeel.NotRunError{Reason: fmt.Sprintf("service %s has no other whole group or server", request.Service), RetryAfter: retryAfterNoTarget}
 	}
 	choice := &Choice{Target: chosen.Target, Load: chosen.load(), router: router, pool: pool, target: chosen}
-	chosen.note(request.Now, 1)
+	chosen.recordChange(request.Now, 1)
 	pool.inFlight++
 	return choice, nil
 }
 
-// retryWhenNone is when callers may come back if nothing can take a request: a
-// group is seldom mended sooner.
-const retryWhenNone = 2 * time.Second
+// retryAfterNoTarget is when callers may retry if no target is usable. A group is rarely
+// restored sooner.
+const retryAfterNoTarget = 2 * time.Second
 
+// allows reports whether the target is usable and the request does not exclude it.
 func (request *Request) allows(target *target) bool {
 	return target != nil && target.Until > request.Now && !slices.Contains(request.Avoid, target.Name)
 }
 
-func (router *Router) byPrefix(pool *pool, request Request) *target {
+// chooseByPrefix returns the first target of the prefix's slot that is not overloaded, or
+// nil.
+func (router *Router) chooseByPrefix(pool *targetPool, request Request) *target {
 	bound := router.Bound
 	if bound == 0 {
 		bound = DefaultBound
@@ -236,9 +240,9 @@
 	if request.Affinity == 0 || bound < 0 {
 		return nil
 	}
-	mean := float64(pool.reported+pool.inFlight) / float64(len(pool.usable))
+	mean := float64(pool.load+pool.inFlight) / float64(len(pool.usable))
 	limit := int(bound*mean) + 1
-	for _, candidate := range pool.slots[request.Affinity%slotCount] {
+	for _, candidate := range pool.slots[request.Affinity%prefixSlots] {
 		if request.allows(candidate) && candidate.load() <= limit {
 			return candidate
 		}
@@ -246,10 +250,11 @@
 	return nil
 }
 
-// byDraw returns the less loaded of two usable targets drawn at random.
-func (router *Router) byDraw(pool *pool, request Request) *target {
+// chooseRandom returns the less loaded of two usable targets drawn at random. If maxDraws
+// draws find fewer than two, it returns the one found or the first that is allowed, or nil.
+func (router *Router) chooseRandom(pool *targetPool, request Request) *target {
 	var first *target
-	for range drawLimit {
+	for range maxDraws {
 		drawn := pool.usable[router.Random.Uint64()%uint64(len(pool.usable))]
 		switch {
 		case !request.allows(drawn) || drawn == first:
@@ -272,16 +277,16 @@
 	return nil
 }
 
-// End tells that the request has ended.
+// End records that the request is no longer in flight.
 func (choice *Choice) End(now time.Duration) {
 	choice.router.mutex.Lock()
 	defer choice.router.mutex.Unlock()
-	choice.target.note(now, -1)
+	choice.target.recordChange(now, -1)
 	choice.pool.inFlight--
 }
 
-// Load returns the requests in flight from here to a service, and what its
-// usable targets can run at once.
+// Load returns the requests in flight from this process to a service, and the total capacity
+// and number of its usable targets.
 func (router *Router) Load(service shedkeel.ServiceID) (inFlight, capacity, usable int) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
