--- a/contain/ledger.go
+++ b/contain/ledger.go
@@ -1,7 +1,7 @@
-// Package contain decides which requests are sent to no server any more because
-// servers end under them. It has no clock and sends nothing: processes tell each
-// other what their ledgers hold, and ledgers that were told the same agree,
-// whatever the order.
+// Package contain decides which requests are no longer sent to any server because servers
+// fail while they run them. It has no clock and sends nothing: processes exchange the
+// contents of their ledgers, and ledgers that received the same messages reach the same
+// judgments, in whatever order the messages came.
 package contain
 
 import (
@@ -13,181 +13,187 @@
 )
 
 const (
-	// quarantinedFrom is under how many ended servers a request is quarantined. Under
-	// one there are tens of requests when it ends.
-	quarantinedFrom = 2
-	// containedFrom is under how many it is contained. A request that ran beside
-	// one that ends servers meets a second one that ends, and rarely a third.
-	containedFrom = 3
-	// maxRequests bounds how many requests are remembered.
+	// quarantineThreshold is the number of failed servers from which a request is quarantined.
+	// One failed server does not single out a request: it runs tens of them when it fails.
+	quarantineThreshold = 2
+	// containThreshold is the number from which a request is contained. A request that runs
+	// beside one that makes servers fail may see a second server fail, and rarely a third.
+	containThreshold = 3
+	// maxRequests bounds the requests in a ledger.
 	maxRequests = 4096
 )
 
-// Judge returns what becomes of a request by what is held against it.
+// Judge returns the judgment of a request by the number of servers that failed while they
+// ran it.
 func Judge(blame shedkeel.Blame) shedkeel.Judgment {
 	switch count := len(blame.Servers); {
-	case count >= containedFrom:
+	case count >= containThreshold:
 		return shedkeel.Contained
-	case count >= quarantinedFrom:
+	case count >= quarantineThreshold:
 		return shedkeel.Quarantined
 	}
 	return shedkeel.Unblamed
 }
 
-// Ledger holds what is held against requests. The zero value is empty.
+// Ledger records for each request which servers failed while they ran it. The zero value is
+// empty. Its methods may be called concurrently.
 type Ledger struct {
-	mutex   sync.Mutex
-	entries map[shedkeel.RequestDigest]*entry
-	turn    uint64       // grows with each use
-	blamed  atomic.Int64 // entries with servers
+	mutex    sync.Mutex
+	entries  map[shedkeel.RequestDigest]*entry
+	useCount uint64       // incremented with each use of an entry
+	blamed   atomic.Int64 // entries with at least one server
 }
 
+// entry is the record of one request.
 type entry struct {
-	blame shedkeel.Blame
-	used  uint64 // the turn in which it was last used
+	blame    shedkeel.Blame
+	lastUsed uint64 // useCount when the entry was last used
 }
 
-// Idle reports whether nothing is held against any request.
+// Idle reports whether no request has a failed server recorded.
 func (ledger *Ledger) Idle() bool { return ledger.blamed.Load() == 0 }
 
-// Blame returns what is held against a request.
+// Blame returns the record of a request. It counts as a use of the entry.
 func (ledger *Ledger) Blame(request shedkeel.RequestDigest) shedkeel.Blame {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
-	known := ledger.entries[request]
-	if known == nil {
+	entry := ledger.entries[request]
+	if entry == nil {
 		return shedkeel.Blame{Request: request}
 	}
-	ledger.use(known)
-	return known.copy()
+	ledger.touch(entry)
+	return entry.copy()
 }
 
-// All returns what is held against all requests, cleared ones among them.
+// All returns the records of all requests, including cleared ones.
 func (ledger *Ledger) All() []shedkeel.Blame {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
-	var found []shedkeel.Blame
-	for _, known := range ledger.entries {
-		found = append(found, known.copy())
+	var blames []shedkeel.Blame
+	for _, entry := range ledger.entries {
+		blames = append(blames, entry.copy())
 	}
-	return found
+	return blames
 }
 
-// Ended notes that a server ended under a request. It returns what is held against
-// it now, and whether that is news.
+// Ended records that a server failed while it ran a request. It returns the record of the
+// request and whether it changed.
 func (ledger *Ledger) Ended(request shedkeel.RequestDigest, server shedkeel.InstanceID) (shedkeel.Blame, bool) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
-	known := ledger.entry(request)
-	changed := ledger.add(known, []shedkeel.InstanceID{server})
-	return known.copy(), changed
+	entry := ledger.entry(request)
+	changed := ledger.addServers(entry, []shedkeel.InstanceID{server})
+	return entry.copy(), changed
 }
 
-// Clear drops what is held against a request. It returns what was.
+// Clear drops the servers recorded for a request and starts a new round, so that late
+// messages of earlier rounds have no effect. It returns the record before and after.
 func (ledger *Ledger) Clear(request shedkeel.RequestDigest) (before, now shedkeel.Blame) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
-	known := ledger.entries[request]
-	if known == nil || len(known.blame.Servers) == 0 {
+	entry := ledger.entries[request]
+	if entry == nil || len(entry.blame.Servers) == 0 {
 		return shedkeel.Blame{Request: request}, shedkeel.Blame{Request: request}
 	}
-	before = known.copy()
-	ledger.raise(known, known.blame.Round+1)
-	return before, known.copy()
+	before = entry.copy()
+	ledger.startRound(entry, entry.blame.Round+1)
+	return before, entry.copy()
 }
 
-// Merge takes in what another ledger holds against a request. It returns what is
-// held against it now, and whether that is news.
+// Merge adds the record of another ledger: the later round wins, and within a round the
+// servers add up. It returns the record of the request and whether it changed.
 func (ledger *Ledger) Merge(other shedkeel.Blame) (shedkeel.Blame, bool) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	if ledger.entries[other.Request] == nil && other.Round == 0 && len(other.Servers) == 0 {
 		return other, false
 	}
-	known := ledger.entry(other.Request)
+	entry := ledger.entry(other.Request)
 	changed := false
-	if other.Round > known.blame.Round {
-		ledger.raise(known, other.Round)
+	if other.Round > entry.blame.Round {
+		ledger.startRound(entry, other.Round)
 		changed = true
 	}
-	if other.Round == known.blame.Round {
-		changed = ledger.add(known, other.Servers) || changed
+	if other.Round == entry.blame.Round {
+		changed = ledger.addServers(entry, other.Servers) || changed
 	}
-	return known.copy(), changed
+	return entry.copy(), changed
 }
 
-// add adds servers that ended, as many as are needed for a judgment. The mutex is
-// held.
-func (ledger *Ledger) add(known *entry, servers []shedkeel.InstanceID) bool {
-	before := len(known.blame.Servers)
+// addServers adds failed servers, up to containThreshold in total, and reports whether the
+// record changed. The caller must hold ledger.mutex.
+func (ledger *Ledger) addServers(entry *entry, servers []shedkeel.InstanceID) bool {
+	before := len(entry.blame.Servers)
 	for _, server := range servers {
-		place, found := slices.BinarySearch(known.blame.Servers, server)
-		if !found && len(known.blame.Servers) < containedFrom {
-			known.blame.Servers = slices.Insert(known.blame.Servers, place, server)
+		place, found := slices.BinarySearch(entry.blame.Servers, server)
+		if !found && len(entry.blame.Servers) < containThreshold {
+			entry.blame.Servers = slices.Insert(entry.blame.Servers, place, server)
 		}
 	}
-	if before == 0 && len(known.blame.Servers) > 0 {
+	if before == 0 && len(entry.blame.Servers) > 0 {
 		ledger.blamed.Add(1)
 	}
-	return len(known.blame.Servers) != before
+	return len(entry.blame.Servers) != before
 }
 
-// raise begins a round in which nothing is held against the request. The mutex is
-// held.
-func (ledger *Ledger) raise(known *entry, round uint32) {
-	if len(known.blame.Servers) > 0 {
+// startRound sets the round and drops the recorded servers. The caller must hold
+// ledger.mutex.
+func (ledger *Ledger) startRound(entry *entry, round uint32) {
+	if len(entry.blame.Servers) > 0 {
 		ledger.blamed.Add(-1)
 	}
-	known.blame.Round, known.blame.Servers = round, nil
+	entry.blame.Round, entry.blame.Servers = round, nil
 }
 
-// entry returns the entry of a request, a new one if there is none. The mutex is
-// held.
+// entry returns the entry of a request, and creates it if there is none. The caller must hold
+// ledger.mutex.
 func (ledger *Ledger) entry(request shedkeel.RequestDigest) *entry {
-	known := ledger.entries[request]
-	if known == nil {
-		ledger.makeRoom()
-		known = &entry{blame: shedkeel.Blame{Request: request}}
-		ledger.entries[request] = known
+	result := ledger.entries[request]
+	if result == nil {
+		ledger.evictIfFull()
+		result = &entry{blame: shedkeel.Blame{Request: request}}
+		ledger.entries[request] = result
 	}
-	ledger.use(known)
-	return known
+	ledger.touch(result)
+	return result
 }
 
-func (ledger *Ledger) use(known *entry) {
-	ledger.turn++
-	known.used = ledger.turn
+// touch records a use of the entry. The caller must hold ledger.mutex.
+func (ledger *Ledger) touch(entry *entry) {
+	ledger.useCount++
+	entry.lastUsed = ledger.useCount
 }
 
-// makeRoom forgets the request that was used longest ago of those with the mildest
-// judgment, if there are too many. The mutex is held.
-func (ledger *Ledger) makeRoom() {
+// evictIfFull makes room for one entry: if the ledger is full, it evicts the least recently
+// used of the entries with the fewest servers. The caller must hold ledger.mutex.
+func (ledger *Ledger) evictIfFull() {
 	if ledger.entries == nil {
 		ledger.entries = map[shedkeel.RequestDigest]*entry{}
 	}
 	if len(ledger.entries) < maxRequests {
 		return
 	}
-	var oldest *entry
-	for _, known := range ledger.entries {
-		if oldest == nil || known.before(oldest) {
-			oldest = known
+	var victim *entry
+	for _, entry := range ledger.entries {
+		if victim == nil || entry.evictBefore(victim) {
+			victim = entry
 		}
 	}
-	ledger.raise(oldest, oldest.blame.Round)
-	delete(ledger.entries, oldest.blame.Request)
+	ledger.startRound(victim, victim.blame.Round)
+	delete(ledger.entries, victim.blame.Request)
 }
 
-// before reports whether the entry is forgotten before another one.
-func (known *entry) before(other *entry) bool {
-	if own, others := len(known.blame.Servers), len(other.blame.Servers); own != others {
+// evictBefore reports whether the entry is evicted before another one.
+func (entry *entry) evictBefore(other *entry) bool {
+	if own, others := len(entry.blame.Servers), len(other.blame.Servers); own != others {
 		return own < others
 	}
-	return known.used < other.used
+	return entry.lastUsed < other.lastUsed
 }
 
-func (known *entry) copy() shedkeel.Blame {
-	blame := known.blame
+// copy returns the record with servers of its own, so that the caller may keep it.
+func (entry *entry) copy() shedkeel.Blame {
+	blame := entry.blame
 	blame.Servers = slices.Clone(blame.Servers)
 	return blame
 }
--- a/contain/ways_test.go
+++ b/contain/ways_test.go
@@ -278,7 +278,7 @@
 // end ends a server: all that it has breaks off at its nodes.
 func (history *history) end(ended *head) {
 	history.ended++
-	if history.ended == containedFrom {
+	if history.ended == containThreshold {
 		history.third = history.now
 	}
 	server := shedkeel.InstanceID(fmt.Sprintf("%p@%d", ended, ended.life))
@@ -410,7 +410,7 @@
 				more := compare(t, fmt.Sprintf("%3d nodes, %2.0f a second, %-30s", nodes, perSecond, name), func(seed uint64) *history {
 					return play(way, nodes, heads, perSecond, fault(seed%uint64(numberOfFault)), seed)
 				})
-				assert.Assert(t, way != kept || more <= containedFrom, "%d nodes, %.0f a second: %d more", nodes, perSecond, more)
+				assert.Assert(t, way != kept || more <= containThreshold, "%d nodes, %.0f a second: %d more", nodes, perSecond, more)
 			}
 		}
 	}
@@ -424,7 +424,7 @@
 	few, calm, most, more := 0, 0, 0, 0
 	for seed := range seeds {
 		history := play(seed)
-		if history.ended <= containedFrom {
+		if history.ended <= containThreshold {
 			few++
 		}
 		if history.fault == noFault {
