--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,7 +1,7 @@
-// Package policy runs operators' policy programs. A policy is a short Starlark
-// program with a function plan(facts) that returns table(...). It runs when it
-// is applied and on planning ticks, never for a request; it has no input or
-// output and a bounded number of steps.
+// Package policy runs the policy programs of operators. A policy is a short Starlark program
+// with a function plan(facts) that returns table(...). It runs when it is applied and at
+// each planning tick, but never for a single request. It has no input or output, and the
+// number of its steps is bounded.
 package policy
 
 import (
@@ -18,7 +18,7 @@
 )
 
 const (
-	// MaxSteps bounds one run of a policy.
+	// MaxSteps bounds the Starlark execution steps of one run of a policy.
 	MaxSteps = 100_000
 	// MaxSize bounds the source of a policy, in bytes.
 	MaxSize = 64 << 10
@@ -27,36 +27,38 @@
 	maxPatience = time.Hour
 )
 
-// Facts is what a policy may decide on.
+// Facts is the input of plan: what is known of an availability zone.
 type Facts struct {
 	Zone        shedkeel.ZoneID
 	Members     int           // boxes in a group of the zone's largest service
-	DomainBoxes int           // boxes of the zone's largest fabric domain
-	Domains     int           // fabric domains of the zone
-	Restart     time.Duration // how long boxes were silent when they restarted, median
-	Load        time.Duration // how long loading weights takes, median
+	DomainBoxes int           // boxes in the zone's largest fabric domain
+	Domains     int           // fabric domains in the zone
+	Restart     time.Duration // median time that a box does not respond while it restarts
+	Load        time.Duration // median time to load model weights
 }
 
-// DefaultTable is used until operators apply a policy.
+// DefaultTable is the table that applies until operators apply a policy, and supplies the
+// defaults of table(...).
 func DefaultTable() shedkeel.Table {
 	return shedkeel.Table{Patience: 20 * time.Second, StormFraction: 0.5, WarmSpares: true}
 }
 
-// SampleFacts is what a policy is checked with when it is applied.
+// SampleFacts is the input that Check runs a policy with.
 func SampleFacts() Facts {
 	return Facts{Zone: "zone", Members: 8, DomainBoxes: 32, Domains: 2, Restart: time.Minute, Load: 2 * time.Minute}
 }
 
 var fileOptions = &syntax.FileOptions{Set: true}
 
-// Check returns an InvalidError, with line and column, when a policy does not
-// compile or does not give a valid table for sample facts.
+// Check returns an InvalidError, with line and column, if the policy does not compile or
+// returns no valid table for SampleFacts.
 func Check(policy shedkeel.Policy) error {
 	_, err := Run(policy, SampleFacts())
 	return err
 }
 
-// Run runs a policy and returns its table. Its error is an InvalidError.
+// Run runs a policy and returns its table, which is DefaultTable for an empty program. Its
+// error is an InvalidError.
 func Run(policy shedkeel.Policy, facts Facts) (shedkeel.Table, error) {
 	if policy.Program == "" {
 		return DefaultTable(), nil
@@ -71,7 +73,7 @@
 		"table": starlark.NewBuiltin("table", builder.table),
 	})
 	if err != nil {
-		return shedkeel.Table{}, explain(policy, err)
+		return shedkeel.Table{}, invalidProgram(policy, err)
 	}
 	plan, ok := globals["plan"].(starlark.Callable)
 	if !ok {
@@ -79,7 +81,7 @@
 	}
 	result, err := starlark.Call(thread, plan, starlark.Tuple{facts.value()}, nil)
 	if err != nil {
-		return shedkeel.Table{}, explain(policy, err)
+		return shedkeel.Table{}, invalidProgram(policy, err)
 	}
 	value, ok := result.(*tableValue)
 	if !ok {
@@ -88,6 +90,7 @@
 	return value.table, nil
 }
 
+// value returns the facts as the Starlark struct that plan receives.
 func (facts Facts) value() starlark.Value {
 	return starlarkstruct.FromStringDict(starlarkstruct.Default, starlark.StringDict{
 		"zone":            starlark.String(facts.Zone),
@@ -99,15 +102,16 @@
 	})
 }
 
-// tableValue is what table(...) returns inside a policy.
+// tableValue is the Starlark value that table(...) returns.
 type tableValue struct {
 	*starlarkstruct.Struct
 	table shedkeel.Table
 }
 
-// builder holds the built-in function table.
+// builder implements the built-in function table.
 type builder struct{}
 
+// table builds and validates a table from the keyword arguments of table(...).
 func (*builder) table(_ *starlark.Thread, function *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	table := DefaultTable()
 	patience := starlark.Value(starlark.Float(table.Patience.Seconds()))
@@ -125,10 +129,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if table.Patience, err = secondsOf("patience_seconds", patience); err != nil {
+	if table.Patience, err = durationArgument("patience_seconds", patience); err != nil {
 		return nil, err
 	}
-	if table.WarmPatience, err = secondsOf("warm_patience_seconds", warmPatience); err != nil {
+	if table.WarmPatience, err = durationArgument("warm_patience_seconds", warmPatience); err != nil {
 		return nil, err
 	}
 	fraction, ok := starlark.AsFloat(storm)
@@ -142,7 +146,9 @@
 	return &tableValue{Struct: starlarkstruct.FromStringDict(starlarkstruct.Default, nil), table: table}, nil
 }
 
-func secondsOf(name string, value starlark.Value) (time.Duration, error) {
+// durationArgument converts the value of a named argument in seconds. It must be from 0 to
+// maxPatience.
+func durationArgument(name string, value starlark.Value) (time.Duration, error) {
 	seconds, ok := starlark.AsFloat(value)
 	if !ok || !(seconds >= 0 && seconds <= maxPatience.Seconds()) {
 		return 0, fmt.Errorf("%s must be a number from 0 to %g", name, maxPatience.Seconds())
@@ -150,8 +156,8 @@
 	return time.Duration(seconds * float64(time.Second)), nil
 }
 
-// explain turns an error of the language into one with line and column.
-func explain(policy shedkeel.Policy, err error) error {
+// invalidProgram converts a Starlark error to an InvalidError with line and column.
+func invalidProgram(policy shedkeel.Policy, err error) error {
 	remedy := "mend the program; `shedkeel policy check FILE` tries it without applying it"
 	var syntaxErr syntax.Error
 	if errors.As(err, &syntaxErr) {
@@ -163,13 +169,14 @@
 	}
 	var evalErr *starlark.EvalError
 	if errors.As(err, &evalErr) {
-		return &shedkeel.InvalidError{Where: place(policy, evalErr), What: evalErr.Msg, Remedy: remedy}
+		return &shedkeel.InvalidError{Where: errorPosition(policy, evalErr), What: evalErr.Msg, Remedy: remedy}
 	}
 	return &shedkeel.InvalidError{Where: policy.Name, What: err.Error(), Remedy: remedy}
 }
 
-// place returns the innermost position that lies in the program itself.
-func place(policy shedkeel.Policy, err *starlark.EvalError) string {
+// errorPosition returns the position of the innermost call frame that lies in the program, or
+// the policy's name if there is none.
+func errorPosition(policy shedkeel.Policy, err *starlark.EvalError) string {
 	for index := range err.CallStack {
 		frame := err.CallStack.At(index)
 		if frame.Pos.Filename() == policy.Name && frame.Pos.Line > 0 {
