--- a/route/load_test.go
+++ b/route/load_test.go
@@ -20,35 +20,36 @@
 var loads = flag.Bool("loads", false, "measure all routing rules at all loads")
 
 const (
-	simTick     = 10 * time.Millisecond
-	simGroups   = 30
-	simSlots    = 16
-	simEntries  = 9
-	simLength   = 40 * time.Second
-	runTime     = time.Second // mean, after the first token
-	missTime    = 400 * time.Millisecond
-	hitTime     = 80 * time.Millisecond
-	cachePlaces = 40
-	prefixes    = 900
-	reportLag   = time.Second
-	simDeadline = 5 * time.Second
-	aimFirst    = 700 * time.Millisecond
+	simTick          = 10 * time.Millisecond
+	simGroups        = 30
+	simSlots         = 16
+	simEntries       = 9
+	simLength        = 40 * time.Second
+	meanRunTime      = time.Second // mean time from the first token to the end
+	cacheMissPrefill = 400 * time.Millisecond
+	cacheHitPrefill  = 80 * time.Millisecond
+	cacheSize        = 40
+	prefixes         = 900
+	reportLag        = time.Second
+	simDeadline      = 5 * time.Second
+	firstTokenTarget = 700 * time.Millisecond
 )
 
-// chooser is a routing rule.
-type chooser interface {
+// routingRule chooses a group for each request that arrives at an entry.
+type routingRule interface {
 	choose(entry int, affinity uint64, now time.Duration) (int, func(time.Duration), bool)
 	update(entry int, targets []Target, now time.Duration)
 }
 
-// ours are the routers of all entries.
+// ours is the rule of this package, with a router at each entry.
 type ours struct {
 	routers []*Router
-	gates   []*admit.Gate // nil: nothing is refused
+	gates   []*admit.Gate // nil: no admission control
 	maxWait time.Duration
 }
 
-// gated refuses what would wait longer than maxWait.
+// gated returns the rule with admission control: it refuses requests that would wait longer
+// than maxWait.
 func gated(maxWait time.Duration) *ours {
 	ours := newOurs(0)
 	ours.maxWait = maxWait
@@ -58,6 +59,7 @@
 	return ours
 }
 
+// newOurs returns the rule with that Router.Bound, without admission control.
 func newOurs(bound float64) *ours {
 	ours := &ours{}
 	for entry := range simEntries {
@@ -95,37 +97,39 @@
 	ours.routers[entry].Update("s", targets, now)
 }
 
-// simple are the plain rules: random, in turn, and least reported load.
-type simple struct {
+// baseline implements the baseline rules: random, in turn, and least reported load.
+type baseline struct {
 	rule    string
 	random  *rand.Rand
 	turn    int
 	targets []Target
 }
 
-func (simple *simple) choose(_ int, _ uint64, now time.Duration) (int, func(time.Duration), bool) {
+func (baseline *baseline) choose(_ int, _ uint64, now time.Duration) (int, func(time.Duration), bool) {
 	best := -1
-	simple.turn++
-	offset := simple.turn
-	if simple.rule == "random" {
-		offset = simple.random.IntN(simGroups)
+	baseline.turn++
+	offset := baseline.turn
+	if baseline.rule == "random" {
+		offset = baseline.random.IntN(simGroups)
 	}
-	for step := range simple.targets {
-		place := (offset + step) % len(simple.targets)
-		target := simple.targets[place]
+	for step := range baseline.targets {
+		place := (offset + step) % len(baseline.targets)
+		target := baseline.targets[place]
 		if target.Until <= now {
 			continue
 		}
-		if best < 0 || simple.rule == "least reported" && target.Reported < simple.targets[best].Reported {
+		if best < 0 || baseline.rule == "least reported" && target.Reported < baseline.targets[best].Reported {
 			best = place
 		}
 	}
 	return best, func(time.Duration) {}, best >= 0
 }
 
-func (simple *simple) update(_ int, targets []Target, _ time.Duration) { simple.targets = targets }
+func (baseline *baseline) update(_ int, targets []Target, _ time.Duration) {
+	baseline.targets = targets
+}
 
-// server is a group as a queue with slots and a cache of prefixes.
+// server is a group: a queue, slots and a cache of prefixes.
 type server struct {
 	up      bool
 	running []*job
@@ -136,59 +140,60 @@
 type job struct {
 	arrived time.Duration
 	prefix  uint64
-	first   time.Duration // when its first token comes
+	first   time.Duration // when the first token is sent
 	ends    time.Duration
 	run     time.Duration
 	end     func(time.Duration)
 }
 
+// hit reports whether the prefix is cached, and makes it the most recently used one.
 func (server *server) hit(prefix uint64) bool {
 	place := slices.Index(server.cache, prefix)
 	if place >= 0 {
 		server.cache = slices.Delete(server.cache, place, place+1)
 	}
 	server.cache = append(server.cache, prefix)
-	if len(server.cache) > cachePlaces {
+	if len(server.cache) > cacheSize {
 		server.cache = server.cache[1:]
 	}
 	return place >= 0
 }
 
-// outcome is what callers got.
+// outcome counts what callers observed.
 type outcome struct {
-	offered, good, hits, begun int
-	firsts                     []time.Duration
+	offered, inTime, hits, started int
+	firstTokenTimes                []time.Duration
 }
 
 func (outcome *outcome) percentile(part float64) time.Duration {
-	if len(outcome.firsts) == 0 {
+	if len(outcome.firstTokenTimes) == 0 {
 		return 0
 	}
-	slices.Sort(outcome.firsts)
-	return outcome.firsts[int(part*float64(len(outcome.firsts)-1))]
+	slices.Sort(outcome.firstTokenTimes)
+	return outcome.firstTokenTimes[int(part*float64(len(outcome.firstTokenTimes)-1))]
 }
 
-// simulate offers a load, as a part of capacity, and counts what came in time.
-// In the middle third a third of the groups is gone if dark is set.
-func simulate(rule chooser, load float64, dark bool) outcome {
+// simulate offers a load, as a multiple of the capacity, and counts the requests answered in
+// time. With outage set, a third of the groups fails for the middle third of the simulation.
+func simulate(rule routingRule, load float64, outage bool) outcome {
 	random := rand.New(rand.NewPCG(11, 11))
 	servers := make([]*server, simGroups)
 	for index := range servers {
 		servers[index] = &server{up: true}
 	}
 	var result outcome
-	capacity := float64(simGroups*simSlots) / (runTime + missTime).Seconds()
+	capacity := float64(simGroups*simSlots) / (meanRunTime + cacheMissPrefill).Seconds()
 	var reports [][]Target
 	lag := int(reportLag / simTick)
 	for now := time.Duration(0); now < simLength; now += simTick {
 		for index, server := range servers {
-			server.up = !dark || index%3 != 0 || now < simLength/3 || now > simLength*2/3
+			server.up = !outage || index%3 != 0 || now < simLength/3 || now > simLength*2/3
 			server.step(now, random, &result)
 		}
 		reports = append(reports, report(servers, now))
 		if int(now/simTick)%25 == 0 {
 			for entry := range simEntries {
-				rule.update(entry, known(reports, lag, now), now)
+				rule.update(entry, laggedReports(reports, lag, now), now)
 			}
 		}
 		arrivals := poisson(random, load*capacity*simTick.Seconds())
@@ -199,6 +204,7 @@
 	return result
 }
 
+// report returns the load reports of all servers.
 func report(servers []*server, now time.Duration) []Target {
 	targets := targetsOf(len(servers), 0)
 	for index, server := range servers {
@@ -209,8 +215,9 @@
 	return targets
 }
 
-// known is what entries know at a time: loads late, permits in time.
-func known(reports [][]Target, lag int, now time.Duration) []Target {
+// laggedReports is what entries know at that time: reports that lag, and targets that are
+// usable for another 3 s.
+func laggedReports(reports [][]Target, lag int, now time.Duration) []Target {
 	targets := slices.Clone(reports[max(len(reports)-1-lag, 0)])
 	for index := range targets {
 		targets[index].Until = now + 3*time.Second
@@ -218,6 +225,7 @@
 	return targets
 }
 
+// poisson draws a Poisson-distributed number.
 func poisson(random *rand.Rand, mean float64) int {
 	count, product, limit := 0, random.Float64(), math.Exp(-mean)
 	for product > limit {
@@ -227,9 +235,10 @@
 	return count
 }
 
-func arrive(rule chooser, servers []*server, random *rand.Rand, now time.Duration, result *outcome) {
+// arrive routes one request and queues it at its group, where it is lost if that has failed.
+func arrive(rule routingRule, servers []*server, random *rand.Rand, now time.Duration, result *outcome) {
 	result.offered++
-	// A tenth of the prefixes makes up half of the requests.
+	// A tenth of the prefixes gets an additional half of the requests.
 	prefix := uint64(random.IntN(prefixes))
 	if random.IntN(2) == 0 {
 		prefix /= 10
@@ -239,7 +248,7 @@
 	if !found {
 		return
 	}
-	run := time.Duration(random.ExpFloat64() * float64(runTime))
+	run := time.Duration(random.ExpFloat64() * float64(meanRunTime))
 	arrived := &job{arrived: now, prefix: prefix, run: run, end: end}
 	if !servers[group].up {
 		arrived.end(now)
@@ -248,6 +257,8 @@
 	servers[group].queue = append(servers[group].queue, arrived)
 }
 
+// step ends the requests that are due and starts queued ones in free slots. A server that is
+// down loses its requests and its cache.
 func (server *server) step(now time.Duration, _ *rand.Rand, result *outcome) {
 	if !server.up {
 		for _, lost := range slices.Concat(server.running, server.queue) {
@@ -261,8 +272,8 @@
 			return false
 		}
 		job.end(now)
-		if job.ends-job.arrived <= simDeadline && job.first-job.arrived <= aimFirst {
-			result.good++
+		if job.ends-job.arrived <= simDeadline && job.first-job.arrived <= firstTokenTarget {
+			result.inTime++
 		}
 		return true
 	})
@@ -273,62 +284,62 @@
 			next.end(now)
 			continue
 		}
-		prefill := missTime
-		result.begun++
+		prefill := cacheMissPrefill
+		result.started++
 		if server.hit(next.prefix) {
-			prefill = hitTime
+			prefill = cacheHitPrefill
 			result.hits++
 		}
 		next.first = now + prefill
 		next.ends = next.first + next.run
-		result.firsts = append(result.firsts, next.first-next.arrived)
+		result.firstTokenTimes = append(result.firstTokenTimes, next.first-next.arrived)
 		server.running = append(server.running, next)
 	}
 }
 
-// TestRoutingRules measures routing rules on lagging load. It prints its table
-// with -v; -loads adds rules and loads.
+// TestRoutingRules compares routing rules when load reports lag. It prints a table with -v;
+// -loads adds loads.
 func TestRoutingRules(t *testing.T) {
-	rules := map[string]func() chooser{
-		"random":             func() chooser { return &simple{rule: "random", random: rand.New(rand.NewPCG(5, 5))} },
-		"in turn":            func() chooser { return &simple{rule: "in turn"} },
-		"least reported":     func() chooser { return &simple{rule: "least reported"} },
-		"ours":               func() chooser { return gated(300 * time.Millisecond) },
-		"ours, no gate":      func() chooser { return newOurs(0) },
-		"ours, wait of 0":    func() chooser { return gated(0) },
-		"ours, wait of 1s":   func() chooser { return gated(time.Second) },
-		"ours, no affinity":  func() chooser { return newOurs(-1) }, // nor gate
-		"ours, bound of 3":   func() chooser { return newOurs(3) },
-		"ours, bound of 1.5": func() chooser { return newOurs(1.5) },
+	rules := map[string]func() routingRule{
+		"random":             func() routingRule { return &baseline{rule: "random", random: rand.New(rand.NewPCG(5, 5))} },
+		"in turn":            func() routingRule { return &baseline{rule: "in turn"} },
+		"least reported":     func() routingRule { return &baseline{rule: "least reported"} },
+		"ours":               func() routingRule { return gated(300 * time.Millisecond) },
+		"ours, no gate":      func() routingRule { return newOurs(0) },
+		"ours, wait of 0":    func() routingRule { return gated(0) },
+		"ours, wait of 1s":   func() routingRule { return gated(time.Second) },
+		"ours, no affinity":  func() routingRule { return newOurs(-1) }, // without admission control
+		"ours, bound of 3":   func() routingRule { return newOurs(3) },
+		"ours, bound of 1.5": func() routingRule { return newOurs(1.5) },
 	}
 	points := []struct {
-		load float64
-		dark bool
+		load   float64
+		outage bool
 	}{{0.7, false}, {1.0, false}, {3, false}}
 	if *loads {
 		points = append(points, []struct {
-			load float64
-			dark bool
+			load   float64
+			outage bool
 		}{{1.5, false}, {0.7, true}}...)
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "load\trule\tin time\tfirst token p50\tp95\tprefix hits")
-	good := map[string]int{}
+	inTime := map[string]int{}
 	for _, point := range points {
 		for _, name := range []string{"random", "in turn", "least reported", "ours, no affinity", "ours, bound of 1.5", "ours, bound of 3", "ours, no gate", "ours, wait of 0", "ours, wait of 1s", "ours"} {
-			result := simulate(rules[name](), point.load, point.dark)
-			good[fmt.Sprint(point.load, point.dark, name)] = result.good
-			_, _ = fmt.Fprintf(table, "%.1f%s\t%s\t%.0f%%\t%s\t%s\t%.0f%%\n", point.load, map[bool]string{true: ", a third lost and back"}[point.dark], name,
-				100*float64(result.good)/float64(result.offered), result.percentile(0.5), result.percentile(0.95), 100*float64(result.hits)/float64(max(result.begun, 1)))
+			result := simulate(rules[name](), point.load, point.outage)
+			inTime[fmt.Sprint(point.load, point.outage, name)] = result.inTime
+			_, _ = fmt.Fprintf(table, "%.1f%s\t%s\t%.0f%%\t%s\t%s\t%.0f%%\n", point.load, map[bool]string{true: ", with an outage of a third"}[point.outage], name,
+				100*float64(result.inTime)/float64(result.offered), result.percentile(0.5), result.percentile(0.95), 100*float64(result.hits)/float64(max(result.started, 1)))
 		}
 	}
 	if testing.Verbose() {
 		_ = table.Flush()
 	}
 	for _, point := range points[:3] {
-		key := func(name string) int { return good[fmt.Sprint(point.load, point.dark, name)] }
+		key := func(name string) int { return inTime[fmt.Sprint(point.load, point.outage, name)] }
 		for _, other := range []string{"random", "in turn", "least reported"} {
-			assert.Assert(t, key("ours") >= key(other), "at %.1f %s does better: %d against %d", point.load, other, key(other), key("ours"))
+			assert.Assert(t, key("ours") >= key(other), "at load %.1f, rule %q answered %d requests in time, ours %d", point.load, other, key(other), key("ours"))
 		}
 	}
 }
--- a/route/router_test.go
+++ b/route/router_test.go
@@ -9,6 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// targetsOf returns that many targets with 32 slots each, usable until the given time.
 func targetsOf(count int, until time.Duration) []Target {
 	var targets []Target
 	for index := range count {
@@ -17,12 +18,14 @@
 	return targets
 }
 
+// newRouter returns a router with that many targets of the service s.
 func newRouter(count int) *Router {
 	router := &Router{Random: rand.NewPCG(1, 2)}
 	router.Update("s", targetsOf(count, time.Hour), 0)
 	return router
 }
 
+// TestChoose checks that a choice returns a usable target that is not excluded, or an error.
 func TestChoose(t *testing.T) {
 	cases := map[string]struct {
 		count int
@@ -31,11 +34,11 @@
 		avoid []string
 		want  bool
 	}{
-		"one":                {1, time.Second, 0, nil, true},
-		"none":               {0, time.Second, 0, nil, false},
-		"permit has run out": {3, time.Second, time.Second, nil, false},
-		"all were tried":     {2, time.Second, 0, []string{"g000", "g001"}, false},
-		"one was not tried":  {3, time.Second, 0, []string{"g000", "g001"}, true},
+		"one":              {1, time.Second, 0, nil, true},
+		"none":             {0, time.Second, 0, nil, false},
+		"no longer usable": {3, time.Second, time.Second, nil, false},
+		"all excluded":     {2, time.Second, 0, []string{"g000", "g001"}, false},
+		"one not excluded": {3, time.Second, 0, []string{"g000", "g001"}, true},
 	}
 	for name, test := range cases {
 		for _, affinity := range []uint64{0, 77} {
@@ -53,8 +56,8 @@
 	}
 }
 
-// TestLoadIsCorrected shows that a lagging report is corrected by what was
-// sent and what ended since.
+// TestLoadIsCorrected checks that the reported load is corrected by the requests that were sent
+// and have ended since the report.
 func TestLoadIsCorrected(t *testing.T) {
 	router := newRouter(1)
 	choose := func(now time.Duration) *Choice {
@@ -69,38 +72,37 @@
 	report[0].Reported, report[0].AsOf = 10, 2*time.Second
 	router.Update("s", report, 3*time.Second)
 	first.End(4 * time.Second)
-	assert.Equal(t, choose(5*time.Second).Load, 10, "10 reported, one sent and one ended since")
+	assert.Equal(t, choose(5*time.Second).Load, 10, "10 reported, one sent and one ended since then")
 }
 
-// TestAffinity shows that a prefix keeps its group while that is not
-// overloaded, and that the loss of a group moves only its own prefixes.
+// TestAffinity checks that a prefix keeps its group while that is not overloaded, and that
+// the loss of a group moves only its own prefixes.
 func TestAffinity(t *testing.T) {
 	const prefixes = 500
-	where := func(router *Router) map[int]string {
-		places := map[int]string{}
+	chooseAll := func(router *Router) map[int]string {
+		targets := map[int]string{}
 		for prefix := range prefixes {
 			choice, err := router.Choose(Request{Service: "s", Affinity: uint64(prefix)*2654435761 | 1})
 			assert.NilError(t, err)
-			places[prefix] = choice.Name
+			targets[prefix] = choice.Name
 			choice.End(0)
 		}
-		return places
+		return targets
 	}
 	router := newRouter(20)
-	before := where(router)
+	before := chooseAll(router)
 	router.Update("s", targetsOf(20, time.Hour)[1:], 0)
 	moved := 0
-	for prefix, name := range where(router) {
+	for prefix, name := range chooseAll(router) {
 		if before[prefix] != name {
-			assert.Equal(t, before[prefix], "g000", "a prefix of another group moved")
+			assert.Equal(t, before[prefix], "g000", "a prefix moved whose group remains")
 			moved++
 		}
 	}
-	assert.Assert(t, moved > 0 && moved < prefixes/5, "%d moved", moved)
+	assert.Assert(t, moved > 0 && moved < prefixes/5, "%d prefixes moved", moved)
 }
 
-// TestHotPrefixSpills shows that a prefix that is asked for by all does not
-// overload its group.
+// TestHotPrefixSpills checks that a prefix of all requests does not overload its group.
 func TestHotPrefixSpills(t *testing.T) {
 	router := newRouter(10)
 	counts := map[string]int{}
@@ -110,7 +112,7 @@
 		counts[choice.Name]++
 	}
 	for name, count := range counts {
-		assert.Assert(t, count <= 180, "%s has %d of 1000", name, count)
+		assert.Assert(t, count <= 180, "%s got %d of 1000 requests", name, count)
 	}
 }
 
@@ -130,8 +132,8 @@
 					if index%1000 == 999 {
 						b.StopTimer()
 						targets := targetsOf(groups, time.Hour)
-						for place := range targets {
-							targets[place].AsOf = now
+						for position := range targets {
+							targets[position].AsOf = now
 						}
 						router.Update("s", targets, now)
 						b.StartTimer()
