--- a/contain/bench_test.go
+++ b/contain/bench_test.go
@@ -7,8 +7,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// BenchmarkJudgment is what each request costs while 1,000 are contained, without
-// the naming of the request.
+// BenchmarkJudgment measures the judgment of a request while 1,000 others are contained. It
+// leaves out the computation of the request's digest.
 func BenchmarkJudgment(b *testing.B) {
 	ledger := &Ledger{}
 	for index := range 1000 {
@@ -19,7 +19,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if Judge(ledger.Blame("innocent")) != shedkeel.Unblamed {
-			b.Fatal("an innocent request is judged")
+			b.Fatal("a request without failures is not Unblamed")
 		}
 	}
 }
--- a/contain/ledger_test.go
+++ b/contain/ledger_test.go
@@ -11,21 +11,21 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestJudge checks under how many ended servers a request is judged how. A server
-// that starts again under its name counts anew.
+// TestJudge checks the judgment for each number of failed servers. A server that restarts
+// under its name counts as another one.
 func TestJudge(t *testing.T) {
 	cases := map[string]struct {
 		ended    []shedkeel.InstanceID
 		judgment shedkeel.Judgment
 	}{
-		"none":                        {nil, shedkeel.Unblamed},
-		"one":                         {[]shedkeel.InstanceID{"a"}, shedkeel.Unblamed},
-		"one, told by several":        {[]shedkeel.InstanceID{"a", "a", "a"}, shedkeel.Unblamed},
-		"two":                         {[]shedkeel.InstanceID{"a", "b"}, shedkeel.Quarantined},
-		"one that started again":      {[]shedkeel.InstanceID{"a@1", "a@2"}, shedkeel.Quarantined},
-		"three":                       {[]shedkeel.InstanceID{"a", "b", "c"}, shedkeel.Contained},
-		"three, two of them told one": {[]shedkeel.InstanceID{"c", "b", "b", "a", "c"}, shedkeel.Contained},
-		"more":                        {[]shedkeel.InstanceID{"a", "b", "c", "d", "e"}, shedkeel.Contained},
+		"none":                      {nil, shedkeel.Unblamed},
+		"one":                       {[]shedkeel.InstanceID{"a"}, shedkeel.Unblamed},
+		"one, reported by several":  {[]shedkeel.InstanceID{"a", "a", "a"}, shedkeel.Unblamed},
+		"two":                       {[]shedkeel.InstanceID{"a", "b"}, shedkeel.Quarantined},
+		"one that restarted":        {[]shedkeel.InstanceID{"a@1", "a@2"}, shedkeel.Quarantined},
+		"three":                     {[]shedkeel.InstanceID{"a", "b", "c"}, shedkeel.Contained},
+		"three, two reported twice": {[]shedkeel.InstanceID{"c", "b", "b", "a", "c"}, shedkeel.Contained},
+		"more":                      {[]shedkeel.InstanceID{"a", "b", "c", "d", "e"}, shedkeel.Contained},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestClear checks that an answer voids what was held against a request, also what
-// comes late from those that have not heard of it, and nothing that comes after.
+// TestClear checks that clearing drops the recorded servers and makes late messages of the
+// earlier round ineffective, while later failures count.
 func TestClear(t *testing.T) {
 	ledger := &Ledger{}
 	ledger.Ended("r", "a")
@@ -50,37 +50,37 @@
 	assert.Equal(t, len(before.Servers), 2)
 	assert.Equal(t, now.Round, uint32(1))
 	assert.Assert(t, ledger.Idle())
-	_, news := ledger.Merge(shedkeel.Blame{Request: "r", Servers: []shedkeel.InstanceID{"a", "b", "c"}})
-	assert.Assert(t, !news, "it was told late")
+	_, changed := ledger.Merge(shedkeel.Blame{Request: "r", Servers: []shedkeel.InstanceID{"a", "b", "c"}})
+	assert.Assert(t, !changed, "a message of an earlier round was applied")
 	assert.Equal(t, Judge(ledger.Blame("r")), shedkeel.Unblamed)
 	for _, server := range []shedkeel.InstanceID{"d", "e", "f"} {
 		ledger.Ended("r", server)
 	}
 	assert.Equal(t, Judge(ledger.Blame("r")), shedkeel.Contained)
 	_, now = ledger.Clear("unknown")
-	assert.Equal(t, now.Round, uint32(0), "nothing was held against it")
+	assert.Equal(t, now.Round, uint32(0), "an unknown request was given a round")
 }
 
-// TestLedgersAgree has ledgers tell each other in any order: those that were told
-// the same hold the same.
+// TestLedgersAgree checks that ledgers which merge the same messages, in any order and some
+// of them twice, hold the same record.
 func TestLedgersAgree(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
-		told := []shedkeel.Blame{}
+		messages := []shedkeel.Blame{}
 		source := &Ledger{}
 		for step := range 8 {
 			if random.IntN(4) == 0 {
 				_, now := source.Clear("r")
-				told = append(told, now)
+				messages = append(messages, now)
 				continue
 			}
 			now, _ := source.Ended("r", shedkeel.InstanceID(fmt.Sprint("s", step)))
-			told = append(told, now)
+			messages = append(messages, now)
 		}
 		for range 5 {
-			random.Shuffle(len(told), func(a, b int) { told[a], told[b] = told[b], told[a] })
+			random.Shuffle(len(messages), func(a, b int) { messages[a], messages[b] = messages[b], messages[a] })
 			other := &Ledger{}
-			for _, blame := range slices.Concat(told, told[:3]) {
+			for _, blame := range slices.Concat(messages, messages[:3]) {
 				other.Merge(blame)
 			}
 			assert.DeepEqual(t, other.Blame("r"), source.Blame("r"))
@@ -89,7 +89,8 @@
 	}
 }
 
-// TestMemoryIsBounded fills a ledger: what is contained stays, and what is used.
+// TestMemoryIsBounded checks that a full ledger evicts entries, but neither a contained
+// request nor one in use.
 func TestMemoryIsBounded(t *testing.T) {
 	ledger := &Ledger{}
 	for _, server := range []shedkeel.InstanceID{"a", "b", "c"} {
--- /dev/null
+++ b/contain/simulation_test.go
@@ -0,0 +1,437 @@
+package contain
+
+import (
+	"container/heap"
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"shedkeel.org/shedkeel"
+)
+
+var allSizes = flag.Bool("sizes", false, "compare strategies at all sizes and rates")
+
+// strategy is how nodes share records of servers that failed, and act on them.
+type strategy struct {
+	keepsLedger      bool // records are kept after the copy that they came from
+	coordinator      bool // one node per request receives every failure
+	broadcast        bool // all nodes are informed from the second failure on
+	persisted        bool // the store keeps the record from the second failure on, and all nodes read it
+	withdrawsQueued  bool // copies queued at servers are withdrawn from the second failure on
+	oneAtATime       bool // one copy at a time is tried from the second failure on
+	fromFirstFailure bool // all of this applies from the first failure on
+}
+
+var current = strategy{keepsLedger: true, coordinator: true, broadcast: true, persisted: true, withdrawsQueued: true, oneAtATime: true}
+
+// fault is what happens to the fleet while the request arrives that makes servers fail.
+type fault int
+
+const (
+	noFault          fault = iota
+	nodesKilled            // one after another
+	allNodesKilled         // at the same time
+	partitioned            // in halves that do not reach each other; one of them does not reach the store
+	storeUnavailable       // for faultDuration
+	nodesFrozen            // a third of them, for faultDuration
+	faultCount             // number of faults
+)
+
+// simulation is one run in virtual time.
+type simulation struct {
+	strategy   strategy
+	fault      fault
+	random     *rand.Rand
+	now        time.Duration
+	events     queue
+	nodes      []*simNode
+	heads      []*head
+	stored     shedkeel.Blame
+	trialUntil time.Duration // latest end of the current exclusive attempt
+
+	failedServers int           // servers that failed
+	thirdFailure  time.Duration // when the third server failed; 0: not yet
+	lateCopies    int           // copies sent to servers more than convergenceTime after thirdFailure, by connected nodes
+}
+
+const (
+	request = shedkeel.RequestDigest("deadly")
+	// requestDuration is how long the request arrives, simDuration the length of the simulation.
+	requestDuration = 10 * time.Second
+	simDuration     = 20 * time.Second
+	// convergenceTime is the time within which all nodes must know of the third failure.
+	convergenceTime = 3 * time.Second
+	// recoveryTime is how long a group that has lost a server is not available.
+	recoveryTime = 3 * time.Second
+	// messageDelay is the time of a message between nodes, storeDelay the time of a write until
+	// all nodes have read it.
+	messageDelay  = 4 * time.Millisecond
+	storeDelay    = 250 * time.Millisecond
+	faultStart    = 300 * time.Millisecond
+	faultDuration = 4 * time.Second
+)
+
+type simNode struct {
+	ledger    *Ledger
+	partition int
+	frozen    bool
+}
+
+// head is the head of a replica group.
+type head struct {
+	incarnation int
+	unavailable bool
+	copies      []*requestCopy
+}
+
+// requestCopy is one copy of the request, with its attempts.
+type requestCopy struct {
+	node      int
+	attempts  int
+	mayRetry  bool // its caller may send it once more
+	exclusive bool
+	done      bool
+}
+
+type simEvent struct {
+	at    time.Duration
+	order int
+	run   func()
+}
+
+type queue []simEvent
+
+func (queue queue) Len() int { return len(queue) }
+func (queue queue) Less(a, b int) bool {
+	return queue[a].at < queue[b].at || queue[a].at == queue[b].at && queue[a].order < queue[b].order
+}
+func (queue queue) Swap(a, b int)  { queue[a], queue[b] = queue[b], queue[a] }
+func (queue *queue) Push(item any) { *queue = append(*queue, item.(simEvent)) }
+func (queue *queue) Pop() any {
+	last := (*queue)[len(*queue)-1]
+	*queue = (*queue)[:len(*queue)-1]
+	return last
+}
+
+func (simulation *simulation) after(pause time.Duration, run func()) {
+	heap.Push(&simulation.events, simEvent{at: simulation.now + pause, order: simulation.events.Len() + int(simulation.random.Uint32()>>1), run: run})
+}
+
+func (simulation *simulation) between(low, high time.Duration) time.Duration {
+	return low + time.Duration(simulation.random.Int64N(int64(high-low)))
+}
+
+// simulate runs a simulation in which the request arrives at that rate.
+func simulate(strategy strategy, nodes, heads int, perSecond float64, fault fault, seed uint64) *simulation {
+	simulation := &simulation{strategy: strategy, fault: fault, random: rand.New(rand.NewPCG(seed, uint64(nodes)))}
+	simulation.stored.Request = request
+	for index := range nodes {
+		simulation.nodes = append(simulation.nodes, &simNode{ledger: &Ledger{}, partition: index % 2})
+	}
+	for range heads {
+		simulation.heads = append(simulation.heads, &head{})
+	}
+	for at := time.Duration(0); at < requestDuration; at += time.Duration(simulation.random.ExpFloat64() / perSecond * float64(time.Second)) {
+		simulation.now = at
+		simulation.after(0, func() { simulation.arrive(true) })
+	}
+	simulation.now = faultStart
+	simulation.after(0, simulation.startFault)
+	for simulation.events.Len() > 0 {
+		next := heap.Pop(&simulation.events).(simEvent)
+		if next.at > simDuration {
+			break
+		}
+		simulation.now = next.at
+		next.run()
+	}
+	return simulation
+}
+
+// startFault starts the fault.
+func (simulation *simulation) startFault() {
+	switch simulation.fault {
+	case nodesKilled:
+		for index := range simulation.nodes {
+			simulation.after(time.Duration(index)*faultDuration/time.Duration(len(simulation.nodes)), func() { simulation.restart(index) })
+		}
+	case allNodesKilled:
+		simulation.after(time.Second, func() {
+			for index := range simulation.nodes {
+				simulation.restart(index)
+			}
+		})
+	case nodesFrozen:
+		for index, node := range simulation.nodes {
+			if index%3 == 0 {
+				node.frozen = true
+				simulation.after(faultDuration, func() {
+					node.frozen = false
+					simulation.readStore(index)
+				})
+			}
+		}
+	}
+}
+
+// restart clears the ledger of a node, which then reads the record in the store.
+func (simulation *simulation) restart(index int) {
+	simulation.nodes[index].ledger = &Ledger{}
+	simulation.readStore(index)
+}
+
+func (simulation *simulation) during(fault fault) bool {
+	return simulation.fault == fault && simulation.now >= faultStart && simulation.now < faultStart+faultDuration
+}
+
+// storeReachable reports whether the store answers a node.
+func (simulation *simulation) storeReachable(index int) bool {
+	cutOff := simulation.during(partitioned) && simulation.nodes[index].partition == 1
+	return !cutOff && !simulation.during(storeUnavailable)
+}
+
+// readStore merges the record in the store into the ledger of a node.
+func (simulation *simulation) readStore(index int) {
+	if simulation.strategy.persisted && simulation.storeReachable(index) {
+		simulation.mergeRecord(index, simulation.stored)
+	}
+}
+
+// arrive delivers the request to a node.
+func (simulation *simulation) arrive(mayRetry bool) {
+	index := simulation.random.IntN(len(simulation.nodes))
+	if simulation.nodes[index].frozen {
+		return // its caller sends to another node or gives up
+	}
+	sent := &requestCopy{node: index, mayRetry: mayRetry}
+	switch simulation.judge(index) {
+	case shedkeel.Contained:
+		return
+	case shedkeel.Quarantined:
+		if simulation.strategy.oneAtATime {
+			if simulation.now < simulation.trialUntil {
+				return
+			}
+			sent.exclusive = true
+			simulation.trialUntil = simulation.now + convergenceTime
+		}
+	}
+	simulation.send(sent)
+}
+
+func (simulation *simulation) judge(index int) shedkeel.Judgment {
+	if !simulation.strategy.keepsLedger {
+		return shedkeel.Unblamed
+	}
+	return simulation.strategy.judge(simulation.nodes[index].ledger.Blame(request))
+}
+
+func (strategy strategy) judge(blame shedkeel.Blame) shedkeel.Judgment {
+	if strategy.fromFirstFailure && len(blame.Servers) == 1 {
+		return shedkeel.Quarantined
+	}
+	return Judge(blame)
+}
+
+// send sends a copy to an available head, which fails if it runs it.
+func (simulation *simulation) send(sent *requestCopy) {
+	var available []*head
+	for _, head := range simulation.heads {
+		if !head.unavailable {
+			available = append(available, head)
+		}
+	}
+	if len(available) == 0 {
+		return
+	}
+	head := available[simulation.random.IntN(len(available))]
+	incarnation := head.incarnation
+	sent.attempts++
+	if simulation.thirdFailure != 0 && simulation.now > simulation.thirdFailure+convergenceTime && simulation.connected(sent.node) {
+		simulation.lateCopies++
+	}
+	head.copies = append(head.copies, sent)
+	begins := simulation.between(150*time.Millisecond, 350*time.Millisecond)
+	simulation.after(begins, func() {
+		if sent.done || head.incarnation != incarnation || head.unavailable {
+			return
+		}
+		simulation.after(simulation.between(40*time.Millisecond, 100*time.Millisecond), func() {
+			if head.incarnation == incarnation && !head.unavailable {
+				simulation.failServer(head)
+			}
+		})
+	})
+}
+
+// connected reports whether the node could receive what others know. One that is partitioned
+// from the store and the other nodes could not.
+func (simulation *simulation) connected(index int) bool {
+	cutOff := simulation.fault == partitioned && simulation.nodes[index].partition == 1
+	return !cutOff || simulation.now > faultStart+faultDuration+convergenceTime
+}
+
+// failServer has a server fail: the nodes lose all copies that it has.
+func (simulation *simulation) failServer(failed *head) {
+	simulation.failedServers++
+	if simulation.failedServers == containThreshold {
+		simulation.thirdFailure = simulation.now
+	}
+	server := shedkeel.InstanceID(fmt.Sprintf("%p@%d", failed, failed.incarnation))
+	copies := failed.copies
+	failed.copies, failed.unavailable = nil, true
+	failed.incarnation++
+	simulation.after(recoveryTime, func() { failed.unavailable = false })
+	for _, sent := range copies {
+		if !sent.done {
+			simulation.after(messageDelay, func() { simulation.copyLost(sent, server) })
+		}
+	}
+}
+
+// copyLost has a node notice that a server failed while it had a copy.
+func (simulation *simulation) copyLost(sent *requestCopy, server shedkeel.InstanceID) {
+	if sent.done {
+		return
+	}
+	if simulation.strategy.keepsLedger {
+		blame, changed := simulation.nodes[sent.node].ledger.Ended(request, server)
+		simulation.recordUpdated(sent.node, blame, changed, true)
+	}
+	if sent.exclusive {
+		simulation.trialUntil = simulation.now
+	}
+	if sent.attempts < 2 && !sent.exclusive && simulation.judge(sent.node) == shedkeel.Unblamed && !simulation.nodes[sent.node].frozen {
+		simulation.send(sent)
+		return
+	}
+	sent.done = true
+	if sent.mayRetry {
+		simulation.after(2*messageDelay, func() { simulation.arrive(false) })
+	}
+}
+
+// recordUpdated acts on a changed record of a node. A local change, which other nodes do not
+// know of, is passed on.
+func (simulation *simulation) recordUpdated(index int, blame shedkeel.Blame, changed, local bool) {
+	if !changed {
+		return
+	}
+	blamed := simulation.strategy.judge(blame) != shedkeel.Unblamed
+	if blamed && simulation.strategy.withdrawsQueued {
+		simulation.withdrawQueued(index)
+	}
+	if !local {
+		return
+	}
+	if simulation.strategy.coordinator && !blamed {
+		simulation.notify(index, 0, blame)
+	}
+	if blamed && simulation.strategy.broadcast {
+		for other := range simulation.nodes {
+			simulation.notify(index, other, blame)
+		}
+	}
+	if blamed && simulation.strategy.persisted {
+		simulation.writeStore(index, blame)
+	}
+}
+
+// withdrawQueued withdraws the copies of a node that no server has started to run.
+func (simulation *simulation) withdrawQueued(index int) {
+	for _, head := range simulation.heads {
+		for _, sent := range head.copies {
+			if sent.node == index && !sent.exclusive {
+				sent.done = true
+			}
+		}
+	}
+}
+
+func (simulation *simulation) notify(from, to int, blame shedkeel.Blame) {
+	if from == to || simulation.during(partitioned) && simulation.nodes[from].partition != simulation.nodes[to].partition {
+		return
+	}
+	simulation.after(messageDelay, func() {
+		if !simulation.nodes[to].frozen {
+			simulation.mergeRecord(to, blame)
+		}
+	})
+}
+
+func (simulation *simulation) mergeRecord(index int, received shedkeel.Blame) {
+	blame, changed := simulation.nodes[index].ledger.Merge(received)
+	simulation.recordUpdated(index, blame, changed, len(blame.Servers) > len(received.Servers))
+}
+
+// writeStore writes the record of a node to the store, and retries until the store is reachable.
+func (simulation *simulation) writeStore(index int, blame shedkeel.Blame) {
+	if !simulation.storeReachable(index) {
+		simulation.after(500*time.Millisecond, func() { simulation.writeStore(index, simulation.nodes[index].ledger.Blame(request)) })
+		return
+	}
+	simulation.after(storeDelay, func() {
+		if len(blame.Servers) > len(simulation.stored.Servers) {
+			simulation.stored = blame
+		}
+		for other, node := range simulation.nodes {
+			if !node.frozen {
+				simulation.readStore(other)
+			}
+		}
+	})
+}
+
+// TestWays compares strategies on the same simulations, and checks the bound of the one in
+// use: once three servers have failed and all connected nodes could know of it, at most three
+// more copies of the request reach servers, whatever fault the fleet has.
+func TestWays(t *testing.T) {
+	strategies := map[string]strategy{
+		"1 bounded by attempts":          {},
+		"2 each node for itself":         {keepsLedger: true},
+		"3 the store only":               {keepsLedger: true, persisted: true},
+		"4 broadcast, no store":          {keepsLedger: true, coordinator: true, broadcast: true},
+		"5 broadcast and stored":         {keepsLedger: true, coordinator: true, broadcast: true, persisted: true},
+		"6 broadcast, stored, withdrawn": {keepsLedger: true, coordinator: true, broadcast: true, persisted: true, withdrawsQueued: true},
+		"7 and one at a time, current":   current,
+		"8 all from the first failure":   {keepsLedger: true, coordinator: true, broadcast: true, persisted: true, withdrawsQueued: true, oneAtATime: true, fromFirstFailure: true},
+	}
+	sizes, rates := map[int]int{9: 12}, []float64{1, 10}
+	if *allSizes {
+		sizes, rates = map[int]int{9: 12, 66: 36, 300: 100}, []float64{1, 10, 50}
+	}
+	for nodes, heads := range sizes {
+		for _, perSecond := range rates {
+			for name, strategy := range strategies {
+				lateCopies := compare(t, fmt.Sprintf("%3d nodes, %2.0f per second, %-30s", nodes, perSecond, name), func(seed uint64) *simulation {
+					return simulate(strategy, nodes, heads, perSecond, fault(seed%uint64(faultCount)), seed)
+				})
+				assert.Assert(t, strategy != current || lateCopies <= containThreshold, "%d nodes, %.0f per second: %d late copies", nodes, perSecond, lateCopies)
+			}
+		}
+	}
+}
+
+// compare runs simulations and logs their outcomes. It returns the maximum of lateCopies over
+// all of them.
+func compare(t *testing.T, label string, simulate func(seed uint64) *simulation) int {
+	t.Helper()
+	const seeds = 20 * uint64(faultCount)
+	contained, maxWithoutFault, maxWithFault, lateCopies := 0, 0, 0, 0
+	for seed := range seeds {
+		simulation := simulate(seed)
+		if simulation.failedServers <= containThreshold {
+			contained++
+		}
+		if simulation.fault == noFault {
+			maxWithoutFault = max(maxWithoutFault, simulation.failedServers)
+		}
+		maxWithFault, lateCopies = max(maxWithFault, simulation.failedServers), max(lateCopies, simulation.lateCopies)
+	}
+	t.Logf("%s at most three servers failed in %3d of %d; at most %3d failed without a fault, %3d with; at most %3d late copies", label, contained, seeds, maxWithoutFault, maxWithFault, lateCopies)
+	return lateCopies
+}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -12,28 +12,31 @@
 	"shedkeel.org/shedkeel"
 )
 
+// run runs a program with the sample facts.
 func run(program string) (shedkeel.Table, error) {
 	return Run(shedkeel.Policy{Name: "p.star", Program: program}, SampleFacts())
 }
 
+// TestRefusals checks that invalid programs are refused with an InvalidError that names the
+// position or cause.
 func TestRefusals(t *testing.T) {
 	cases := map[string]struct{ program, want string }{
-		"syntax":              {"def plan(facts)\n  return 1", "p.star:2:1: got newline, want ':'"},
-		"unknown name":        {"def plan(facts):\n    return tabel()", "p.star:2:12"},
-		"no plan":             {"x = 1", "it has no function plan"},
-		"plan is no function": {"plan = 1", "it has no function plan"},
-		"returns a number":    {"def plan(facts):\n    return 7", "plan returned a int"},
-		"unknown field":       {"def plan(facts):\n    return table(spare = 1)", "p.star:2:17"},
-		"wrong type":          {"def plan(facts):\n    return table(spares = \"x\")", "p.star:2:17"},
-		"negative spares":     {"def plan(facts):\n    return table(spares = -1)", "spares must be"},
-		"too patient":         {"def plan(facts):\n    return table(patience_seconds = 1e9)", "patience_seconds must be"},
-		"not a number":        {"def plan(facts):\n    return table(patience_seconds = float(\"nan\"))", "patience_seconds must be"},
-		"fraction over one":   {"def plan(facts):\n    return table(storm_fraction = 2)", "storm_fraction must be"},
-		"unknown fact":        {"def plan(facts):\n    return table(spares = facts.moon)", "p.star:2:32"},
-		"endless":             {"def plan(facts):\n    for i in range(100000000):\n        pass\n    return table()", "too many steps"},
-		"endless at top":      {"x = [i for i in range(100000000)]", "too many steps"},
-		"reads a file":        {"load(\"x.star\", \"y\")\ndef plan(facts):\n    return table()", "load"},
-		"recursion":           {"def f():\n    f()\ndef plan(facts):\n    f()\n    return table()", "recursive"},
+		"syntax":                 {"def plan(facts)\n  return 1", "p.star:2:1: got newline, want ':'"},
+		"unknown name":           {"def plan(facts):\n    return tabel()", "p.star:2:12"},
+		"no plan":                {"x = 1", "it has no function plan"},
+		"plan is not a function": {"plan = 1", "it has no function plan"},
+		"returns a number":       {"def plan(facts):\n    return 7", "plan returned a int"},
+		"unknown field":          {"def plan(facts):\n    return table(spare = 1)", "p.star:2:17"},
+		"wrong type":             {"def plan(facts):\n    return table(spares = \"x\")", "p.star:2:17"},
+		"negative spares":        {"def plan(facts):\n    return table(spares = -1)", "spares must be"},
+		"patience too long":      {"def plan(facts):\n    return table(patience_seconds = 1e9)", "patience_seconds must be"},
+		"not a number":           {"def plan(facts):\n    return table(patience_seconds = float(\"nan\"))", "patience_seconds must be"},
+		"fraction over one":      {"def plan(facts):\n    return table(storm_fraction = 2)", "storm_fraction must be"},
+		"unknown fact":           {"def plan(facts):\n    return table(spares = facts.moon)", "p.star:2:32"},
+		"endless loop":           {"def plan(facts):\n    for i in range(100000000):\n        pass\n    return table()", "too many steps"},
+		"endless at top level":   {"x = [i for i in range(100000000)]", "too many steps"},
+		"reads a file":           {"load(\"x.star\", \"y\")\ndef plan(facts):\n    return table()", "load"},
+		"recursion":              {"def f():\n    f()\ndef plan(facts):\n    f()\n    return table()", "recursive"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -45,6 +48,7 @@
 	}
 }
 
+// TestShippedPoliciesDiffer checks that the shipped policies are valid and decide differently.
 func TestShippedPoliciesDiffer(t *testing.T) {
 	tables := map[string]shedkeel.Table{}
 	for _, name := range []string{"karadere", "nafha"} {
@@ -57,6 +61,7 @@
 	assert.Assert(t, tables["nafha"].CrossDomain && !tables["karadere"].CrossDomain)
 }
 
+// TestEmptyPolicyIsTheDefault checks that a policy without a program gives DefaultTable.
 func TestEmptyPolicyIsTheDefault(t *testing.T) {
 	table, err := Run(shedkeel.Policy{}, SampleFacts())
 	assert.NilError(t, err)
@@ -64,8 +69,7 @@
 	assert.Equal(t, table.Patience, 20*time.Second)
 }
 
-// FuzzPolicy checks that no program does more than give a table or a typed
-// error.
+// FuzzPolicy checks that any program gives either a table or an InvalidError.
 func FuzzPolicy(f *testing.F) {
 	f.Add("def plan(facts):\n    return table(spares = facts.domains)")
 	f.Add("def plan(facts):\n    return table(patience_seconds = 1/0)")
