--- a/dispatch/condition.go
+++ b/dispatch/condition.go
@@ -79,7 +79,7 @@
 }
 
 // Drain keeps requests from a server that has said in an answer that it drains. It reports
-// whether that was not known yet.
+// whether this is a change.
 func (table *Table) Drain(server shedkeel.InstanceID) bool {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
--- a/dispatch/spread.go
+++ b/dispatch/spread.go
@@ -85,7 +85,7 @@
 	at      time.Duration
 }
 
-// Spread returns the group of a model that is expected to send the first event soonest,
+// Spread returns the group of a model that is expected to be the first to send an event,
 // given the requests that it assigned before, and assigns this request to it. It also
 // takes in the reporter's running requests.
 //
--- a/dispatch/spread_test.go
+++ b/dispatch/spread_test.go
@@ -91,7 +91,7 @@
 
 // TestSpreadByWhatRuns checks that Spread follows the reports of three processes, although
 // it has assigned none of their running requests: a group without a free slot gets no
-// request while others have room, and requests that have ended soon no longer count.
+// request while others have room, and requests that have ended stop counting.
 func TestSpreadByWhatRuns(t *testing.T) {
 	table := &Table{Zone: "z", Random: rand.NewPCG(1, 1)}
 	var servers []Server
@@ -140,18 +140,18 @@
 		"avoided":            {func(table *Table, server *Server) { table.Avoid(server.Group, now, time.Second) }, "z", 0, 0},
 		"four times as slow": {func(table *Table, server *Server) { table.servers[server.key()].latencyRatio = 4 }, "z", 4, 1},
 		"both were slow in a traffic burst": {func(table *Table, server *Server) {
-			for _, known := range table.servers {
-				known.latencyRatio = 1.9
+			for _, state := range table.servers {
+				state.latencyRatio = 1.9
 			}
 			table.servers[server.key()].latencyRatio = 2.2
 		}, "z", 5, 4},
 		"it failed recently": {func(table *Table, server *Server) { table.servers[server.key()].failureRate = 0.9 }, "z", 1, 0},
 		"it fails two of five, and the other has no free slots": {func(table *Table, server *Server) {
-			for _, known := range table.servers {
-				known.assigned = workload{at: now, running: float64(known.Slots)}
+			for _, state := range table.servers {
+				state.assigned = workload{at: now, running: float64(state.Slots)}
 			}
-			known := table.servers[server.key()]
-			known.failureRate, known.assigned = 0.4, workload{at: now}
+			state := table.servers[server.key()]
+			state.failureRate, state.assigned = 0.4, workload{at: now}
 		}, "z", 5, 2},
 		"the reporter is in the second's zone": {func(*Table, *Server) {}, "far", 5, 5},
 	}
@@ -161,8 +161,8 @@
 			first := Server{Service: "s", Model: "m", Instance: "first", Zone: "z", Group: shedkeel.Assignment{Group: "m/d/1", Epoch: 1}, Slots: 26, Rate: 23_000}
 			second := Server{Service: "s", Model: "m", Instance: "second", Zone: "far", Group: shedkeel.Assignment{Group: "m/d/2", Epoch: 1}, Slots: 26, Rate: 23_000}
 			table.Replace([]Server{first, second})
-			for _, known := range table.servers {
-				known.scoresUpdated = now
+			for _, state := range table.servers {
+				state.scoresUpdated = now
 			}
 			test.alter(table, &second)
 			got := map[shedkeel.InstanceID]int{}
@@ -212,9 +212,9 @@
 		t.Run(name, func(t *testing.T) {
 			table := &Table{Zone: "z", Random: rand.NewPCG(1, 1)}
 			table.Replace([]Server{{Service: "s", Model: "m", Instance: "a", Zone: "z"}, {Service: "s", Model: "m", Instance: "b", Zone: "far"}})
-			for _, known := range table.servers {
-				if known.Instance == test.wish {
-					test.alter(known)
+			for _, state := range table.servers {
+				if state.Instance == test.wish {
+					test.alter(state)
 				}
 			}
 			choice := table.Choose(Query{Service: "s", Model: "m", Wish: test.wish, Now: now})
@@ -247,8 +247,8 @@
 			for part := range test.parts {
 				for range 3 * test.groups {
 					head := table.Spread(Query{Service: "s", Model: "m", Prompt: 100, Part: part, Parts: test.parts, Now: time.Minute}, Reporter{}).Head
-					before, known := partitions[head]
-					assert.Assert(t, !known || before == part, "%s is in two partitions", head)
+					before, found := partitions[head]
+					assert.Assert(t, !found || before == part, "%s is in two partitions", head)
 					partitions[head] = part
 				}
 			}
--- a/dispatch/stall.go
+++ b/dispatch/stall.go
@@ -22,7 +22,7 @@
 	// reported in a traffic burst were false alarms, and each had a prompt prefilled
 	// twice. Callers wait for 2 s.
 	maxFirstEventTime = 800 * time.Millisecond
-	// stallMargin is added to the longest expected silence of a group before it counts as
+	// stallMargin is added to the longest expected time without events before a group counts as
 	// stalled. It covers delays of the links and of this process's timers. Earlier
 	// detection saves no stream, since a first event from another group takes 180 to
 	// 240 ms, and each false alarm has a prompt prefilled twice (docs/PLATFORM.md).
@@ -42,8 +42,8 @@
 	idleFirstEventTime = 150 * time.Millisecond
 )
 
-// Silence reports a server that has stopped responding.
-type Silence struct {
+// Stall reports a server that has stopped responding.
+type Stall struct {
 	Server  Server
 	For     time.Duration // time since its last event or answer
 	Running int           // requests of this process that run there
@@ -100,10 +100,10 @@
 // FindSilent marks servers that have sent nothing for longer than expected as avoided and
 // notifies the requests that run there. It returns the stalls that were not reported
 // within stallReportInterval.
-func (table *Table) FindSilent(now time.Duration) []Silence {
+func (table *Table) FindSilent(now time.Duration) []Stall {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	var stalls []Silence
+	var stalls []Stall
 	for _, state := range table.servers {
 		if len(state.running) == 0 {
 			continue
@@ -119,7 +119,7 @@
 		}
 		if report {
 			state.stallReported = now
-			stalls = append(stalls, Silence{Server: state.Server, For: elapsed, Running: len(state.running)})
+			stalls = append(stalls, Stall{Server: state.Server, For: elapsed, Running: len(state.running)})
 		}
 		state.avoidUntil = max(state.avoidUntil, now+avoidDuration)
 	}
--- a/dispatch/table.go
+++ b/dispatch/table.go
@@ -28,7 +28,7 @@
 	// penaltyHalfLife is the time in which the penalties for latency and failures halve
 	// while the server gets no requests, so that it is tried again.
 	penaltyHalfLife = 2 * time.Second
-	// unresponsiveCost multiplies the cost of a server that has been silent for longer
+	// unresponsiveCost multiplies the cost of a server that has sent nothing for longer
 	// than expected, but not yet long enough to be avoided.
 	unresponsiveCost = 4
 	// maxPreferredCostRatio is how many times the cost of the cheapest server the
@@ -162,7 +162,7 @@
 	late          bool
 	responded     bool // the first event or the answer has arrived
 	stalled       chan struct{}
-	stallNotified bool // Stalled was signalled for the current stall
+	stallNotified bool // Stalled has received a notice of the current stall
 }
 
 // Choose returns the server of the lowest cost, with ties broken at random, or nil if
@@ -216,7 +216,7 @@
 }
 
 // cost is the weight of a server in a choice: one more than its running requests, times
-// the penalties for latency, failures, silence, another availability zone and an
+// the penalties for latency, failures, a lack of events, another availability zone and an
 // unanswered probe. The caller must hold table.mutex.
 func (table *Table) cost(candidate *serverState, now time.Duration) float64 {
 	candidate.decayPenalties(now)
--- a/dispatch/table_test.go
+++ b/dispatch/table_test.go
@@ -87,8 +87,8 @@
 	for range 20 {
 		now += penaltyHalfLife
 		table.mutex.Lock()
-		for _, known := range table.servers {
-			known.decayPenalties(now)
+		for _, state := range table.servers {
+			state.decayPenalties(now)
 		}
 		table.mutex.Unlock()
 	}
--- a/route/router.go
+++ b/route/router.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// update replaces the targets and assigns slots anew if any target was added or removed.
+// update replaces the targets and reassigns the slots if any target was added or removed.
 func (pool *targetPool) update(targets []Target, now time.Duration) {
 	previous := map[string]*target{}
 	for _, target := range pool.targets {
@@ -118,13 +118,13 @@
 	sameTargets := len(targets) == len(pool.targets)
 	next := make([]*target, 0, len(targets))
 	for _, reported := range targets {
-		known := previous[reported.Name]
-		if known == nil {
-			known = &target{}
+		updated := previous[reported.Name]
+		if updated == nil {
+			updated = &target{}
 			sameTargets = false
 		}
-		known.applyReport(reported)
-		next = append(next, known)
+		updated.applyReport(reported)
+		next = append(next, updated)
 	}
 	slices.SortFunc(next, func(a, b *target) int { return cmp.Compare(a.Name, b.Name) })
 	pool.targets = next
