--- a/shedkeel.go
+++ b/shedkeel.go
@@ -1,7 +1,7 @@
-// Package shedkeel defines what a shedkeel fleet is made of: boxes, replica
-// groups, services, client accounts and the records that are agreed through
-// the platform's key-value service. All behavior that varies stands here as
-// an interface; the packages below implement them.
+// Package shedkeel defines the types of a shedkeel fleet: boxes, replica groups,
+// services, client accounts and the records that are stored in the platform's
+// key-value service. It also defines the interfaces that the other packages
+// implement and use.
 package shedkeel
 
 import (
@@ -9,45 +9,48 @@
 	"time"
 )
 
-// BoxID names a box, as the platform's box list does.
+// BoxID is the name of a box in the platform's box list.
 type BoxID string
 
-// GroupID names a replica group; it is unique in the fleet and never reused.
+// GroupID is the name of a replica group. It is unique in the fleet and never
+// reused.
 type GroupID string
 
-// ServiceID names a service that operators created.
+// ServiceID is the name of a service that operators created.
 type ServiceID string
 
-// ZoneID names an availability zone.
+// ZoneID is the name of an availability zone.
 type ZoneID string
 
-// DomainID names a fabric domain: boxes that share a fast interconnect.
+// DomainID is the name of a fabric domain: a set of boxes that share a fast
+// interconnect.
 type DomainID string
 
-// AccountID names a client account.
+// AccountID is the name of a client account.
 type AccountID string
 
-// NodeID names an entry box of the system itself, on which an entry and a
-// keeper run.
+// NodeID is the name of a node: a box that runs shedkeel itself, with an entry
+// (the proxy for callers) and a keeper (the control process).
 type NodeID string
 
-// Box is one machine of the platform that can be a member of a replica group.
+// Box is a machine of the platform that can be a member of a replica group.
 type Box struct {
 	ID           BoxID    `json:"id"`
-	Address      string   `json:"address"` // host:port of its engine
+	Address      string   `json:"address"` // host:port of the box's engine
 	Zone         ZoneID   `json:"zone"`
 	Domain       DomainID `json:"domain"`
 	Accelerators int      `json:"accelerators"`
-	Leaving      bool     `json:"leaving"`
+	Leaving      bool     `json:"leaving"` // the platform is going to remove the box
 }
 
-// Assignment is what a box was ordered to be part of.
+// Assignment identifies the replica group, at one epoch, that a box was ordered
+// to join.
 type Assignment struct {
 	Group GroupID `json:"group"`
 	Epoch uint64  `json:"epoch"`
 }
 
-// Phase says how far a box has come with its orders.
+// Phase is the progress of a box in carrying out its orders.
 type Phase string
 
 // The phases of a box.
@@ -58,56 +61,57 @@
 	PhaseReady   Phase = "ready"   // weights loaded and joined to its group
 )
 
-// BoxState is what a box's engine said of itself in answer to a probe.
+// BoxState is the state that a box's engine reports in reply to a probe.
 type BoxState struct {
-	Boot     string     `json:"boot"` // differs after every start of the engine
+	Boot     string     `json:"boot"` // changes with every start of the engine
 	Phase    Phase      `json:"phase"`
-	Weights  ServiceID  `json:"weights"`  // whose weights are loaded or loading
-	Assigned Assignment `json:"assigned"` // the last order it took
+	Weights  ServiceID  `json:"weights"`  // service whose weights are loaded or being loaded
+	Assigned Assignment `json:"assigned"` // from the last order that the engine accepted
 	Leaving  bool       `json:"leaving"`
-	Running  int        `json:"running"` // requests running, as reported with a lag
-	Queued   int        `json:"queued"`  // requests queued, as reported with a lag
+	Running  int        `json:"running"` // running requests; the report lags behind
+	Queued   int        `json:"queued"`  // queued requests; the report lags behind
 }
 
-// Member is one box of a replica group, pinned to the engine start with which
-// the group was formed.
+// Member is a box of a replica group. Boot identifies the start of the engine
+// with which the group was formed: after a restart of the engine, the box no
+// longer counts as this member.
 type Member struct {
 	Box     BoxID  `json:"box"`
 	Address string `json:"address"`
 	Boot    string `json:"boot"`
 }
 
-// Group is one replica of a model service that spans several boxes. The first
-// member takes the requests.
+// Group is a replica of a model service that runs on several boxes. The first
+// member receives the requests.
 type Group struct {
 	ID       GroupID   `json:"id"`
 	Service  ServiceID `json:"service"`
 	Domain   DomainID  `json:"domain"`
-	Epoch    uint64    `json:"epoch"` // grows with every change of members
+	Epoch    uint64    `json:"epoch"` // increases with every change of the members
 	Members  []Member  `json:"members"`
-	Draining bool      `json:"draining"` // finishes what it runs, takes nothing new
+	Draining bool      `json:"draining"` // finishes its running requests and accepts no new ones
 	Reserve  *Reserve  `json:"reserve,omitempty"`
 }
 
-// Reserve is a box that was agreed ahead to take the place of one lost member
-// while the key-value service is out, and the epoch that the group then has.
-// It is kept for this group alone.
+// Reserve is a box that was committed in advance as the substitute for one lost
+// member while the key-value service is not available, and the epoch that the
+// group has after the substitution. The box is reserved for this group alone.
 type Reserve struct {
 	Member Member `json:"member"`
 	Epoch  uint64 `json:"epoch"`
 }
 
-// WithReserve returns the group with its reserve in the place of a lost member,
-// or the group itself when it has no reserve or no such member.
+// WithReserve returns a copy of the group in which the reserve replaces the lost
+// member. It returns the group unchanged if it has no reserve or no such member.
 func (group *Group) WithReserve(lost BoxID) Group {
 	if group.Reserve == nil || !group.Has(lost) {
 		return *group
 	}
 	formed := *group
 	formed.Members = slices.Clone(group.Members)
-	for place := range formed.Members {
-		if formed.Members[place].Box == lost {
-			formed.Members[place] = group.Reserve.Member
+	for index := range formed.Members {
+		if formed.Members[index].Box == lost {
+			formed.Members[index] = group.Reserve.Member
 		}
 	}
 	formed.Epoch = group.Reserve.Epoch
@@ -115,18 +119,18 @@
 	return formed
 }
 
-// Fallback says which reserves of an agreed placement are in use while the
-// key-value service is out. It is spread between keepers and never written to
-// the service; the next agreed placement takes it in.
+// Fallback lists the reserves of a committed placement that are in use while the
+// key-value service is not available. Keepers send it to each other and never
+// write it to the service; the next committed placement includes its effect.
 type Fallback struct {
 	Generation uint64            `json:"generation"`
 	Zone       ZoneID            `json:"zone"`
-	Base       uint64            `json:"base"` // generation of the placement that it is about
-	Lost       map[GroupID]BoxID `json:"lost"`
+	Base       uint64            `json:"base"` // generation of the placement that it applies to
+	Lost       map[GroupID]BoxID `json:"lost"` // the member that each group's reserve replaces
 }
 
-// With returns the placement with the reserves that the fallback uses. A
-// fallback about another generation changes nothing.
+// With returns the placement with the substitutions of the fallback applied. It
+// ignores a fallback for another generation or zone.
 func (placement *Placement) With(fallback Fallback) Placement {
 	if fallback.Base != placement.Generation || fallback.Zone != placement.Zone {
 		return *placement
@@ -140,7 +144,7 @@
 	return formed
 }
 
-// Assignment returns what every member of the group must have loaded.
+// Assignment returns the assignment that every member of the group must have.
 func (group *Group) Assignment() Assignment {
 	return Assignment{Group: group.ID, Epoch: group.Epoch}
 }
@@ -150,18 +154,19 @@
 	return slices.ContainsFunc(group.Members, func(member Member) bool { return member.Box == box })
 }
 
-// Placement is the agreed record of one availability zone: which box belongs
-// to which group. It changes by compare-and-swap as a whole.
+// Placement is the committed record of one availability zone: it assigns boxes to
+// groups. Each change replaces the whole record by compare-and-swap.
 type Placement struct {
-	Generation   uint64  `json:"generation"` // grows by one with each write
+	Generation   uint64  `json:"generation"` // increases by one with each write
 	Zone         ZoneID  `json:"zone"`
-	PlannerEpoch uint64  `json:"planner_epoch"` // of the lease under which it was written
-	Nonce        string  `json:"nonce"`         // of its writer, to settle a lost reply
-	NextEpoch    uint64  `json:"next_epoch"`    // the epoch that the next formed group gets
+	PlannerEpoch uint64  `json:"planner_epoch"` // epoch of the planner lease under which it was written
+	Nonce        string  `json:"nonce"`         // from the writer, which finds out by it whether a write whose reply was lost was done
+	NextEpoch    uint64  `json:"next_epoch"`    // epoch of the next group to be formed
 	Groups       []Group `json:"groups"`
 }
 
-// Validate returns a ConflictError when a box belongs to two groups.
+// Validate returns a ConflictError if a box is a member or the reserve of more
+// than one group, or is listed twice in one group.
 func (placement *Placement) Validate() error {
 	owner := map[BoxID]GroupID{}
 	for _, group := range placement.Groups {
@@ -179,7 +184,7 @@
 	return nil
 }
 
-// Clone returns a copy that shares nothing with the placement.
+// Clone returns a copy with its own groups and members. The reserves are shared.
 func (placement *Placement) Clone() Placement {
 	clone := *placement
 	clone.Groups = slices.Clone(placement.Groups)
@@ -189,64 +194,65 @@
 	return clone
 }
 
-// ServiceKind tells model services from plain ones.
+// ServiceKind is the kind of a service.
 type ServiceKind string
 
 // The kinds of service.
 const (
-	KindModel ServiceKind = "model"
-	KindPlain ServiceKind = "plain"
+	KindModel ServiceKind = "model" // replica groups serve a model
+	KindPlain ServiceKind = "plain" // backend servers that operators list serve HTTP requests
 )
 
-// BackendServer is one server of a plain service.
+// BackendServer is a server of a plain service.
 type BackendServer struct {
 	ID      BoxID  `json:"id" toml:"id"`
 	Address string `json:"address" toml:"address"`
 	Zone    ZoneID `json:"zone" toml:"zone"`
 }
 
-// Service is what operators create for callers to use.
+// Service is a service that operators create for callers.
 type Service struct {
 	ID        ServiceID       `json:"id" toml:"id"`
 	Kind      ServiceKind     `json:"kind" toml:"kind"`
-	Groups    int             `json:"groups" toml:"groups"`         // model: replica groups wanted over all zones
-	Members   int             `json:"members" toml:"members"`       // model: boxes in a group
-	Zones     []ZoneID        `json:"zones" toml:"zones"`           // model: where groups may stand
-	Unfenced  bool            `json:"unfenced" toml:"unfenced"`     // model: engines do not check who orders them
-	Capacity  int             `json:"capacity" toml:"capacity"`     // requests one group or server runs at once
-	Timeout   Duration        `json:"timeout" toml:"timeout"`       // longest that a request may take
-	MaxWait   Duration        `json:"max_wait" toml:"max_wait"`     // longest that a request may wait for its turn; 0: as long as it may take
-	Backends  []BackendServer `json:"backends" toml:"backends"`     // plain: its servers
-	OncePaths []string        `json:"once_paths" toml:"once_paths"` // plain: path prefixes whose calls must not be repeated
+	Groups    int             `json:"groups" toml:"groups"`         // model: desired number of replica groups in all zones
+	Members   int             `json:"members" toml:"members"`       // model: boxes per group
+	Zones     []ZoneID        `json:"zones" toml:"zones"`           // model: zones in which groups may be placed
+	Unfenced  bool            `json:"unfenced" toml:"unfenced"`     // model: engines do not check the planner epoch of their orders
+	Capacity  int             `json:"capacity" toml:"capacity"`     // requests that one group or server runs concurrently
+	Timeout   Duration        `json:"timeout" toml:"timeout"`       // maximum duration of a request
+	MaxWait   Duration        `json:"max_wait" toml:"max_wait"`     // maximum time that a request waits in the queue; 0: up to Timeout
+	Backends  []BackendServer `json:"backends" toml:"backends"`     // plain: the servers of the service
+	OncePaths []string        `json:"once_paths" toml:"once_paths"` // plain: path prefixes of the calls that must not be retried
 }
 
 // Account is a client account.
 type Account struct {
 	ID       AccountID   `json:"id" toml:"id"`
-	KeyHash  string      `json:"key_sha256" toml:"key_sha256"` // hex SHA-256 of its bearer key
-	Services []ServiceID `json:"services" toml:"services"`     // what it may call; empty is everything
-	Rate     float64     `json:"rate" toml:"rate"`             // requests a second over all entry boxes; 0 is no limit
-	Weight   int         `json:"weight" toml:"weight"`         // its share under overload; 0 counts as 1
+	KeyHash  string      `json:"key_sha256" toml:"key_sha256"` // hex SHA-256 of the account's bearer key
+	Services []ServiceID `json:"services" toml:"services"`     // services that it may call; empty: all
+	Rate     float64     `json:"rate" toml:"rate"`             // requests per second on all entry boxes together; 0: no limit
+	Weight   int         `json:"weight" toml:"weight"`         // relative share under overload; 0 counts as 1
 }
 
-// Policy is the operators' program that says how groups are planned.
+// Policy is the operators' program that computes the planner's parameters.
 type Policy struct {
 	Name    string `json:"name" toml:"name"`
 	Program string `json:"program" toml:"program"` // Starlark source
 }
 
-// Config is the one agreed record of what operators had accepted.
+// Config is the committed configuration record: the last change by operators that
+// was accepted.
 type Config struct {
-	Generation uint64    `json:"generation"` // grows by one with each accepted change
-	Nonce      string    `json:"nonce"`      // of its writer, to settle a lost reply
+	Generation uint64    `json:"generation"` // increases by one with each accepted change
+	Nonce      string    `json:"nonce"`      // from the writer, which finds out by it whether a write whose reply was lost was done
 	EntryBoxes int       `json:"entry_boxes"`
 	Services   []Service `json:"services"`
 	Accounts   []Account `json:"accounts"`
 	Policy     Policy    `json:"policy"`
-	Drains     []BoxID   `json:"drains"` // boxes that operators take out of service
+	Drains     []BoxID   `json:"drains"` // boxes that operators are taking out of service
 }
 
-// Service returns the service of that name, or nil.
+// Service returns the service with the ID, or nil if there is none.
 func (config *Config) Service(id ServiceID) *Service {
 	for index := range config.Services {
 		if config.Services[index].ID == id {
@@ -256,28 +262,29 @@
 	return nil
 }
 
-// Node is an entry box of the system, as its keeper describes it to others.
+// Node is the record of a node that its keeper sends to other keepers.
 type Node struct {
 	ID          NodeID `json:"id"`
-	Incarnation string `json:"incarnation"` // differs after every start of the keeper
+	Incarnation string `json:"incarnation"` // changes with every start of the keeper
 	Zone        ZoneID `json:"zone"`
-	Wire        string `json:"wire"`     // host:port for other keepers
-	Entry       string `json:"entry"`    // host:port for callers
-	Stopping    bool   `json:"stopping"` // its entry takes no new callers
-	Heartbeat   uint64 `json:"heartbeat"`
-	Config      uint64 `json:"config"` // generation of the configuration in force there
+	Wire        string `json:"wire"`      // host:port for other keepers
+	Entry       string `json:"entry"`     // host:port for callers
+	Stopping    bool   `json:"stopping"`  // its entry accepts no new callers
+	Heartbeat   uint64 `json:"heartbeat"` // increases with each update; the newer record of an incarnation has the higher value
+	Config      uint64 `json:"config"`    // generation of the configuration that the node applies
 }
 
-// Verdict is what a watcher found when it probed every member of a group.
+// Verdict is the result of probing all members of a group.
 type Verdict uint8
 
-// The verdicts. Only VerdictWhole lets a request through; a silent member
-// proves nothing, it only stops the permit from being renewed.
+// The verdicts. Only VerdictWhole renews a group's permit to receive requests. A
+// member that does not reply is no evidence that the group is broken:
+// VerdictSilent only lets the current permit expire.
 const (
-	VerdictSilent   Verdict = iota // some member did not answer
-	VerdictWhole                   // every member answered with the group's epoch and its pinned boot
-	VerdictBroken                  // some member answered that it is not in the group any more, or refused the connection
-	VerdictDraining                // whole, but a member is leaving
+	VerdictSilent   Verdict = iota // some member did not reply
+	VerdictWhole                   // every member replied with the group's epoch and the Boot of its Member
+	VerdictBroken                  // some member replied that it is no longer in the group, or refused the connection
+	VerdictDraining                // as VerdictWhole, but a member is leaving
 )
 
 // String returns the verdict's name.
@@ -289,35 +296,43 @@
 	return "invalid"
 }
 
-// OrderKind says what a box is ordered to do.
+// OrderKind is the kind of an order to a box.
 type OrderKind string
 
 // The kinds of order.
 const (
-	OrderLoad     OrderKind = "load"     // load weights and join the group
-	OrderPrefetch OrderKind = "prefetch" // load weights, join nothing
-	OrderRelease  OrderKind = "release"  // leave the group, keep the weights
+	OrderLoad     OrderKind = "load"     // load the weights and join the group
+	OrderPrefetch OrderKind = "prefetch" // load the weights without joining a group
+	OrderRelease  OrderKind = "release"  // leave the group and keep the weights loaded
 )
 
-// Order is one fenced instruction to a box.
+// Order is an instruction to a box. The box rejects it if it has accepted an order
+// with a higher planner epoch, unless the box is unfenced.
 type Order struct {
 	Kind         OrderKind  `json:"kind"`
 	Box          BoxID      `json:"box"`
 	Address      string     `json:"-"`
 	Service      ServiceID  `json:"service"`
 	Assignment   Assignment `json:"assignment"`
-	PlannerEpoch uint64     `json:"planner_epoch"` // fences the order
+	PlannerEpoch uint64     `json:"planner_epoch"` // fencing token
 	Peers        []string   `json:"peers"`         // addresses of all members, in order
-	Unfenced     bool       `json:"-"`             // the box checks no fence, so time must protect it
+	Unfenced     bool       `json:"-"`             // the box does not check the fencing token; the keeper waits out former leases instead
 }
 
-// Table is what a policy program decided: the numbers that the planner uses.
+// Table is the result of a policy program: the parameters of the planner.
 type Table struct {
-	Spares        int           `json:"spares"`         // boxes kept free in each fabric domain
-	WarmSpares    bool          `json:"warm_spares"`    // free boxes load weights ahead of need
-	Patience      time.Duration `json:"patience"`       // how long a silent member may take to come back as it was, while its substitute loads
-	WarmPatience  time.Duration `json:"warm_patience"`  // the same when a substitute has the weights already
-	Consolidate   bool          `json:"consolidate"`    // break up one short group to mend others
-	CrossDomain   bool          `json:"cross_domain"`   // form slow groups over fabric domains rather than none
-	StormFraction float64       `json:"storm_fraction"` // hold still when this part of a domain is gone at once
+	Spares     int  `json:"spares"`      // boxes to keep free in each fabric domain
+	WarmSpares bool `json:"warm_spares"` // free boxes load weights in advance
+	// Patience is how long the planner waits for a member that does not reply
+	// before it replaces the member. The substitute loads the weights meanwhile.
+	Patience time.Duration `json:"patience"`
+	// WarmPatience takes the place of Patience if a substitute already has the
+	// weights loaded, so that the replacement is fast.
+	WarmPatience time.Duration `json:"warm_patience"`
+	Consolidate  bool          `json:"consolidate"`  // dissolve one incomplete group to repair others
+	CrossDomain  bool          `json:"cross_domain"` // form a slower group across fabric domains if no domain has enough boxes
+	// StormFraction is the fraction of a domain's boxes that must fail to reply,
+	// two boxes at least, for the domain itself to count as failed. Meanwhile the
+	// planner replaces no members and forms no groups there. 0: never.
+	StormFraction float64 `json:"storm_fraction"`
 }
