--- a/call.go
+++ b/call.go
@@ -5,55 +5,56 @@
 	"time"
 )
 
-// Call is a caller's request, in the product's own terms.
+// Call is the head of a caller's request, independent of the protocol.
 type Call struct {
-	ID           string // the caller's name for this attempt
-	Host         string // lower case, without port
-	Path         string // for matching routes
-	Target       string // path and query as the caller sent them
-	Key          string // of the client account; "" if none
-	KeyCount     int    // how many keys the caller sent
-	Deadline     time.Duration
+	ID           string        // the caller's ID of this request
+	Host         string        // lower case, without port
+	Path         string        // decoded path, for matching routes
+	Target       string        // path and query as received
+	Key          string        // key of the client account; "" if none
+	KeyCount     int           // number of keys that the caller sent
+	Deadline     time.Duration // time that the caller waits for the answer; 0: not stated
 	Model        ModelID
 	PromptTokens int
 	AnswerTokens int
-	LastEvent    string // the caller resumes a stream after this event
+	LastEvent    string // the caller resumes a stream after the event with this ID
 }
 
-// Sending is one sending of a call to one backend server.
+// Sending is one attempt: a call as it is sent to one backend server.
 type Sending struct {
 	Call      *Call
 	To        InstanceID
 	Account   AccountID     // "" on public routes
-	Deadline  time.Duration // what is left for the backend server
-	LastEvent string        // resume the stream after this event; "" from its beginning
-	Priority  int           // 0 is most urgent
+	Deadline  time.Duration // time that remains for the backend server
+	LastEvent string        // resume the stream after the event with this ID; "": start from the beginning
+	Priority  int           // 0 is the most urgent
 }
 
-// BackendAnswer is what the head of a backend server's answer says.
+// BackendAnswer is the content of the header of a backend server's response.
 type BackendAnswer struct {
-	ID     string // the attempt that it answers
-	Sealed bool   // it carries the backend server's signature
-	NotRun bool   // the server says that it did not run the request
+	ID     string // ID of the attempt that it answers
+	Sealed bool   // the response carries the backend server's signature
+	NotRun bool   // the server states that it did not run the request
 	Limit  StatedLimit
-	// Backoff is for how long the server wants no request from this process; 0: it
-	// states none.
+	// Backoff is how long this process must send the server no requests; 0: not
+	// stated.
 	Backoff  time.Duration
-	Draining bool  // the server is about to end
-	Invalid  error // statements of the server that cannot be read; nothing is stated by them
+	Draining bool  // the server is about to stop
+	Invalid  error // header fields that cannot be parsed; they are ignored
 }
 
-// RequestDigest names what a request asks for. All tries of one and the same
-// request, under whichever name and at whichever process, have the same one.
+// RequestDigest is a digest of the content of a request. All attempts of the same
+// request have the same digest, whatever their IDs and processes.
 type RequestDigest string
 
-// CallerProtocol is how callers and backend servers name things in headers.
+// CallerProtocol translates between the HTTP headers of callers and backend
+// servers and the types of this package.
 type CallerProtocol interface {
-	// Read reads the head of a caller's request. Its error is an InvalidError.
+	// Read parses the head of a caller's request. Its error is an InvalidError.
 	Read(request *http.Request) (Call, error)
-	// Write sets the head of a request to a backend server. The header holds
-	// what the caller sent, without what concerns one connection only.
+	// Write sets the header of a request to a backend server. The header already
+	// has the caller's fields, without the hop-by-hop fields.
 	Write(header http.Header, sending Sending)
-	// Answer reads the head of a backend server's answer.
+	// Answer parses the header of a backend server's response.
 	Answer(response *http.Response) BackendAnswer
 }
--- a/serving.go
+++ b/serving.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// RouteID names a route of a serving configuration.
+// RouteID is the name of a route in the serving configuration.
 type RouteID string
 
-// ModelID names a model that replica groups of a service serve.
+// ModelID is the name of a model that the replica groups of a service serve.
 type ModelID string
 
-// RequestKind says how often a request of a route may run.
+// RequestKind says whether the requests of a route may run more than once.
 type RequestKind string
 
 // The kinds of request.
@@ -21,24 +21,25 @@
 	RequestStream RequestKind = "stream" // answers with a series of events
 )
 
-// Target is one service that a route sends to, with its share of the requests.
+// Target is a service to which a route sends requests, with its relative share
+// of them.
 type Target struct {
 	Service ServiceID
 	Weight  int
 }
 
-// Route says what becomes of requests to a host whose path begins with Prefix.
+// Route is the rule for requests to Host whose path begins with Prefix.
 type Route struct {
 	ID        RouteID
 	Host      string
 	Prefix    string
 	Kind      RequestKind
-	Resumable bool          // a stream may go on at another server from its last event
-	Public    bool          // needs no key
-	Timeout   time.Duration // longest that a request is held
-	Objective time.Duration // an answer, or a stream's first event, is on time within it
-	MaxPause  time.Duration // between two events of a stream that is on time; 0: not stated
-	MaxRuns   int           // most servers that one request may run on
+	Resumable bool          // another server can continue a stream after the last event sent
+	Public    bool          // requests need no key
+	Timeout   time.Duration // maximum duration of a request
+	Objective time.Duration // latency objective for an answer or the first event of a stream
+	MaxPause  time.Duration // objective for the time between two events of a stream; 0: none
+	MaxRuns   int           // maximum number of servers on which one request may run
 	Priority  int           // 0 is most urgent
 	Targets   []Target
 }
@@ -48,30 +49,31 @@
 	return route.Kind == RequestSafe || route.Kind == RequestStream && route.Resumable
 }
 
-// KeyedAccount is a client account with the keys that it may present.
+// KeyedAccount is a client account with the keys that it may use.
 type KeyedAccount struct {
 	ID       AccountID
 	Keys     []string
-	Priority *int // goes before the route's; nil: the route's holds
+	Priority *int // overrides the route's priority; nil: the route's applies
 }
 
-// Limits bound what callers may send.
+// Limits are the size limits of requests.
 type Limits struct {
 	HeaderBytes int64
 	BodyBytes   int64
 }
 
-// Model is one model of a service of replica groups.
+// Model is a model that replica groups of a service serve.
 type Model struct {
 	ID     ModelID
-	Size   int           // boxes in a group
-	Share  float64       // of the work, as expected before any is measured
-	Pace   float64       // factor on the engine's times; 0 counts as 1
-	Load   time.Duration // from the weight store
-	Warmup time.Duration // from the box's own host memory
+	Size   int           // boxes per group
+	Share  float64       // expected share of the work, used until demand has been measured
+	Pace   float64       // multiplier of the engine's times; 0 counts as 1
+	Load   time.Duration // time to load the weights from the weight store
+	Warmup time.Duration // time to load the weights from the box's host memory
 }
 
-// Slowdown is the factor on the engine's times, 1 where none is stated.
+// Slowdown returns the multiplier of the engine's times: Pace, or 1 if Pace is
+// not set.
 func (model *Model) Slowdown() float64 {
 	if model.Pace <= 0 {
 		return 1
@@ -79,14 +81,15 @@
 	return model.Pace
 }
 
-// ModelDemand is what callers ask of a model, weighed over some seconds.
+// ModelDemand is the demand for a model: an average over some seconds that
+// weights recent requests more.
 type ModelDemand struct {
 	Requests     float64
 	PromptTokens float64
-	AnswerTokens float64 // at most, as callers state
+	AnswerTokens float64 // upper bounds, as stated by callers
 }
 
-// Plus returns the sum.
+// Plus returns the sum of the demands.
 func (demand ModelDemand) Plus(other ModelDemand) ModelDemand {
 	demand.Requests += other.Requests
 	demand.PromptTokens += other.PromptTokens
@@ -94,29 +97,29 @@
 	return demand
 }
 
-// Scaled returns so many times the demand.
+// Scaled returns the demand multiplied by a factor.
 func (demand ModelDemand) Scaled(by float64) ModelDemand {
 	return ModelDemand{Requests: by * demand.Requests, PromptTokens: by * demand.PromptTokens, AnswerTokens: by * demand.AnswerTokens}
 }
 
-// Engine describes the engines of a service of replica groups.
+// Engine describes the performance of the engines of a service of replica groups.
 type Engine struct {
 	Models         []Model
-	Slots          int           // requests that a group runs at once
-	Stride         int           // steps of one pass over all that a group runs
-	Chunk          int           // prompt tokens that one step reads at most
-	Step           time.Duration // of a token of one request
-	StepEach       time.Duration // that each request that runs adds to a step
-	ReadPerSecond  float64       // prompt tokens
-	LoadsPerSecond float64       // that may begin, over all boxes
-	LoadsAtOnce    int           // beyond which each takes longer
-	FormTime       time.Duration
+	Slots          int           // requests that a group runs concurrently
+	Stride         int           // steps in one pass over all running requests of a group
+	Chunk          int           // maximum prompt tokens that one step reads
+	Step           time.Duration // duration of a step that generates one token for one request
+	StepEach       time.Duration // time that each running request adds to a step
+	ReadPerSecond  float64       // prompt tokens read per second
+	LoadsPerSecond float64       // maximum rate of load starts on all boxes together
+	LoadsAtOnce    int           // number of concurrent loads above which each load takes longer
+	FormTime       time.Duration // time that forming a group takes
 }
 
-// LongestPass is the longest time that a group of the model works between two
-// events of a stream: each step of a pass reads as much of waiting prompts as
-// it may, and all places are taken. It is 0 where the engine's times are not
-// stated.
+// LongestPass returns the longest time between two events of a stream at a group
+// of the model. This is the duration of a pass in which each step reads Chunk
+// prompt tokens and all slots are in use. It is 0 if the engine's times are not
+// known.
 func (engine *Engine) LongestPass(model *Model) time.Duration {
 	if engine.ReadPerSecond <= 0 {
 		return 0
@@ -126,7 +129,7 @@
 	return time.Duration(float64(engine.Stride) * float64(step) * model.Slowdown())
 }
 
-// Model returns the model of that name, or nil.
+// Model returns the model with the ID, or nil if there is none.
 func (engine *Engine) Model(id ModelID) *Model {
 	for index := range engine.Models {
 		if engine.Models[index].ID == id {
@@ -136,46 +139,46 @@
 	return nil
 }
 
-// RoutedService is a service of a serving configuration.
+// RoutedService is a service in the serving configuration.
 type RoutedService struct {
 	ID             ServiceID
 	HealthPath     string
-	MaxConnections int           // that one server takes from all callers together
-	ColdRate       float64       // requests a second that a cold server takes from all processes together; 0: as many as a warm one
-	ColdTime       time.Duration // for how long a server is cold after a start while callers are served
-	Engine         *Engine       // nil: a plain service
+	MaxConnections int           // maximum number of connections to one server from all processes together
+	ColdRate       float64       // requests per second that a cold server accepts from all processes together; 0: as many as a warm server
+	ColdTime       time.Duration // how long a server is cold if it starts while the service has traffic
+	Engine         *Engine       // nil for a plain service
 }
 
-// ServingConfig is what operators want served: routes, services, accounts.
+// ServingConfig is the operators' serving configuration.
 type ServingConfig struct {
-	Version  int64 // only grows
+	Version  int64 // increases with each change
 	Routes   []Route
 	Services []RoutedService
 	Accounts []KeyedAccount
 	Limits   Limits
 }
 
-// MemberState says how far a member of a replica group has come.
+// MemberState is the state of a member of a replica group.
 type MemberState string
 
-// The states of a member. Only the first member, the head, opens.
+// The states of a member. Only the first member, the head, can be open or closing.
 const (
-	MemberJoining MemberState = "joining"
-	MemberReady   MemberState = "ready"
-	MemberOpen    MemberState = "open"
-	MemberClosing MemberState = "closing"
-	MemberBroken  MemberState = "broken"
+	MemberJoining MemberState = "joining" // loads the weights and joins the group
+	MemberReady   MemberState = "ready"   // has joined the group
+	MemberOpen    MemberState = "open"    // accepts requests
+	MemberClosing MemberState = "closing" // finishes its running requests and accepts no new ones
+	MemberBroken  MemberState = "broken"  // the group has failed
 )
 
-// Membership is what a backend server says of the replica group it is in.
+// Membership is the membership in a replica group that a backend server reports.
 type Membership struct {
 	Group GroupID
 	Epoch uint64
-	Rank  int // 0 is the head, which takes the requests
+	Rank  int // 0: the head, which receives the requests
 	State MemberState
 }
 
-// same reports whether two memberships are the same; nil is none.
+// same reports whether two memberships are equal or both are nil.
 func (membership *Membership) same(other *Membership) bool {
 	if membership == nil || other == nil {
 		return membership == other
@@ -183,28 +186,28 @@
 	return *membership == *other
 }
 
-// Assignment names the group in its epoch.
+// Assignment returns the group and epoch of the membership.
 func (membership *Membership) Assignment() Assignment {
 	return Assignment{Group: membership.Group, Epoch: membership.Epoch}
 }
 
-// Instance is a backend server as it stands in the platform's list.
+// Instance is the record of a backend server in the platform's list.
 type Instance struct {
 	ID       InstanceID
 	Service  ServiceID
 	Address  string // host:port
 	Zone     ZoneID
-	Slots    int
-	Draining bool
-	ColdFor  time.Duration // how much longer it is cold, when it wrote that; 0: it is warm
-	Sequence int64         // rises with what the server tells of itself, and begins anew with its start
+	Slots    int           // requests that it runs concurrently
+	Draining bool          // finishes its running requests and accepts no new ones
+	ColdFor  time.Duration // how much longer it was going to be cold when it wrote the record; 0: it is warm
+	Sequence int64         // increases with each record that the server writes; restarts with each start of the server
 	Domain   DomainID
-	Staged   []ModelID // on the box's host
-	Models   []ModelID // loaded
-	Member   *Membership
+	Staged   []ModelID   // models whose weights are in the host memory of its box
+	Models   []ModelID   // models whose weights are loaded
+	Member   *Membership // nil: in no group
 }
 
-// Same reports whether two records of a server say the same, their sequence apart.
+// Same reports whether two records of a server are equal except for Sequence.
 func (instance *Instance) Same(other *Instance) bool {
 	return instance.ID == other.ID && instance.Service == other.Service && instance.Address == other.Address &&
 		instance.Zone == other.Zone && instance.Slots == other.Slots && instance.Draining == other.Draining &&
@@ -213,7 +216,7 @@
 		instance.Member.same(other.Member)
 }
 
-// HasStaged reports whether the model's weights are on the box's host.
+// HasStaged reports whether the model's weights are in the box's host memory.
 func (instance *Instance) HasStaged(model ModelID) bool {
 	for _, staged := range instance.Staged {
 		if staged == model {
@@ -223,20 +226,20 @@
 	return false
 }
 
-// GroupOrderKind says what the engine of one box is ordered to do.
+// GroupOrderKind is the kind of an order to the engine of a box.
 type GroupOrderKind string
 
-// The kinds of order for replica groups.
+// The kinds of GroupOrder.
 const (
-	OrderJoin  GroupOrderKind = "join"  // become a member, replacing any membership
-	OrderOpen  GroupOrderKind = "open"  // to a ready head: serve
-	OrderClose GroupOrderKind = "close" // to an open head: finish what runs, then be ready
-	OrderLeave GroupOrderKind = "leave" // give up the membership at once
-	OrderStage GroupOrderKind = "stage" // load weights onto the host
+	OrderJoin  GroupOrderKind = "join"  // become a member of the group; replaces an earlier membership
+	OrderOpen  GroupOrderKind = "open"  // to a ready head: accept requests
+	OrderClose GroupOrderKind = "close" // to an open head: finish the running requests, then become ready
+	OrderLeave GroupOrderKind = "leave" // end the membership immediately
+	OrderStage GroupOrderKind = "stage" // load the weights into the host memory
 )
 
-// GroupOrder is one order to the engine of one box. Except for OrderStage it
-// is fenced by the group's epoch.
+// GroupOrder is an order to the engine of a box. The group's epoch is its fencing
+// token, except for OrderStage, which has none.
 type GroupOrder struct {
 	Kind    GroupOrderKind
 	To      InstanceID
@@ -244,19 +247,20 @@
 	Group   GroupID
 	Epoch   uint64
 	Model   ModelID
-	Members []InstanceID // OrderJoin: all members, the head first
+	Members []InstanceID // for OrderJoin: all members, the head first
 }
 
-// EngineReport is what an engine says of itself, as of some hundred ms ago.
+// EngineReport is an engine's report of its load. It is some hundred milliseconds
+// old.
 type EngineReport struct {
-	Queued int
-	Active int
-	Pace   float64 // factor on its times now; over 1 is slow
-	Born   int64   // when the server started, in Unix milliseconds; 0: it does not say
+	Queued int     // queued requests
+	Active int     // running requests
+	Pace   float64 // current multiplier of its times; above 1: slow
+	Born   int64   // start of the server in Unix milliseconds; 0: not reported
 }
 
-// From reports whether the report may come from this start of the server, and
-// not from another one under the same name.
+// From reports whether the report can be from this instance, rather than from
+// another start of the same server.
 func (report EngineReport) From(id InstanceID) bool {
 	return report.Born == 0 || id.Born() == 0 || report.Born == id.Born()
 }
