--- a/interfaces.go
+++ b/interfaces.go
@@ -6,80 +6,85 @@
 	"time"
 )
 
-// Record is one value of the key-value service.
+// Record is a key of the key-value service with its value.
 type Record struct {
 	Key      string
 	Value    []byte
-	Revision Revision // of its last change; the zero value: the key does not exist
-	Gone     bool     // as a change: the key was removed at the revision
-	Lost     bool     // as a change: it is gone since the service came back from an older copy
+	Revision Revision // of the last change; zero: the key does not exist
+	Gone     bool     // in a change: the key was removed at the revision
+	Lost     bool     // in a change: the key is missing because the service was restored from an older backup
 }
 
-// Condition holds while the key has the revision (the zero value: does not exist).
+// Condition holds if the key has the revision. The zero revision means that the
+// key does not exist.
 type Condition struct {
 	Key      string
 	Revision Revision
 }
 
-// Put is a value to be written, and the lease with which it goes.
+// Put is a value to write. The service removes the key when the lease ends; the
+// zero lease is none.
 type Put struct {
 	Key   string
 	Value []byte
 	Lease LeaseID
 }
 
-// MaxEntries is how many conditions, puts and removals a transaction may have in all.
+// MaxEntries is the maximum number of conditions, puts and removals together in
+// one transaction.
 const MaxEntries = 32
 
-// Change is a transaction: all of it is done if every condition holds. It has at most
-// MaxEntries entries.
+// Change is a transaction: it is applied as a whole if every condition holds, and
+// not at all otherwise. It has at most MaxEntries entries.
 type Change struct {
 	If     []Condition
 	Put    []Put
 	Remove []string
 }
 
-// Changes are what changed below a prefix after a revision.
+// Changes are the changes of the keys with a prefix since a revision.
 type Changes struct {
 	Records []Record
-	At      Revision // to go on from
-	// More says that the answer was full: later changes may stand at the service
-	// already, so the answer does not prove that At is the newest revision.
+	At      Revision // revision from which to read further changes
+	// More is set if the answer reached its maximum size. The service may already
+	// have later changes, so At may be older than its newest revision.
 	More bool
 }
 
-// RecordSource is where records are followed: the key-value service itself.
+// RecordSource reads records of the key-value service and follows their changes.
 type RecordSource interface {
-	// List returns all records below the prefix and the revision from which
-	// to follow changes.
+	// List returns all records with the prefix and the revision from which to
+	// follow changes.
 	List(ctx context.Context, prefix string) ([]Record, Revision, error)
-	// Changes waits for changes after a revision. It returns a
-	// HistoryGoneError when they can no longer be told, as in a later era.
+	// Changes waits up to the given time for changes after a revision. It returns
+	// a HistoryGoneError if the service no longer has these changes, for example
+	// because it is in a later era.
 	Changes(ctx context.Context, prefix string, since Revision, wait time.Duration) (Changes, error)
-	// GetStale reads one key, as it was up to some seconds ago. It costs the
-	// service a tenth of another read.
+	// GetStale reads a key. The result may be some seconds old. It costs the
+	// service a tenth of a current read.
 	GetStale(ctx context.Context, key string) (Record, error)
 }
 
-// LeasedStore writes records that go with a lease. A lease of an earlier era is over:
-// calls with it return a LeaseGoneError.
+// LeasedStore writes records that are removed when their lease ends. Leases of
+// an earlier era have ended: calls with one return a LeaseGoneError.
 type LeasedStore interface {
-	// Commit makes all changes or none. A condition on a revision of an earlier era
-	// does not hold.
+	// Commit applies all changes or none. A condition with a revision of an
+	// earlier era does not hold.
 	Commit(ctx context.Context, change Change) (Revision, error)
+	// Grant returns a new lease and the time to live that the service gave it.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, time.Duration, error)
 	Renew(ctx context.Context, lease LeaseID) error
 	Release(ctx context.Context, lease LeaseID) error
 }
 
-// StoreCall is a kind of call to the key-value service.
+// StoreCall is the kind of a call to the key-value service.
 type StoreCall string
 
-// The kinds of call.
+// The kinds of calls.
 const (
 	CallGet      StoreCall = "get"
 	CallGetStale StoreCall = "get_stale"
-	CallList     StoreCall = "list" // each page
+	CallList     StoreCall = "list" // one per page
 	CallWatch    StoreCall = "watch"
 	CallCommit   StoreCall = "commit"
 	CallGrant    StoreCall = "grant"
@@ -87,94 +92,96 @@
 	CallRelease  StoreCall = "release"
 )
 
-// CallCounter counts the calls that a process has made to the key-value service.
+// CallCounter counts the calls of this process to the key-value service.
 type CallCounter interface {
 	Calls() map[StoreCall]int64
 }
 
-// GroupEngines is how the engines of replica groups are asked and ordered.
+// GroupEngines queries the engines of replica groups and sends them orders.
 type GroupEngines interface {
-	// Report asks an engine for its load.
+	// Report requests the current load of an engine.
 	Report(ctx context.Context, address string) (EngineReport, error)
-	// Order returns a ConflictError when the engine says that the order does
-	// not fit its state, and an UnknownOutcomeError when its answer is lost:
-	// the order may still be carried out seconds later.
+	// Order sends an order. It returns a ConflictError if the engine rejects the
+	// order because of its state, and an UnknownOutcomeError if the reply is lost:
+	// the engine may still carry out the order seconds later.
 	Order(ctx context.Context, order GroupOrder) error
 }
 
 // Store is the platform's key-value service.
 type Store interface {
-	// Get reads a key. It returns an UnavailableError when the service does
-	// not answer.
+	// Get reads a key. It returns an UnavailableError if the service does not
+	// reply.
 	Get(ctx context.Context, key string) (Record, error)
-	// Swap writes the value if the key still has the revision (the zero value:
-	// does not exist) and returns the new revision. It returns a ConflictError when
-	// the key has moved, an UnavailableError when nothing was sent, and an
-	// UnknownOutcomeError when the reply was lost.
+	// Swap writes the value if the key still has the revision (zero: does not
+	// exist) and returns the new revision. It returns a ConflictError if the key
+	// has another revision, an UnavailableError if nothing was sent, and an
+	// UnknownOutcomeError if the reply was lost.
 	Swap(ctx context.Context, key string, revision Revision, value []byte) (Revision, error)
-	// Watch calls seen for the present records below the prefix and for each
-	// later change, until the context ends or the service fails.
+	// Watch calls seen for the current records with the prefix and for each later
+	// change, until the context ends or the service fails.
 	Watch(ctx context.Context, prefix string, seen func(Record)) error
 }
 
-// BoxList is the platform's list of live and leaving boxes. It lags.
+// BoxList is the platform's list of boxes, including those that are leaving. The
+// list lags behind the actual state.
 type BoxList interface {
 	Boxes(ctx context.Context) ([]Box, error)
 }
 
-// Engines is how a keeper speaks to the engines on boxes.
+// Engines queries the engines of boxes and sends them orders.
 type Engines interface {
-	// Probe asks an engine for its state.
+	// Probe requests the state of an engine.
 	Probe(ctx context.Context, address string) (BoxState, error)
-	// Give sends an order. It returns a ConflictError when the engine's
-	// fence refused it.
+	// Give sends an order. It returns a ConflictError if the engine has accepted
+	// an order with a higher planner epoch.
 	Give(ctx context.Context, order Order) error
 }
 
-// Backend sends one request to one backend server, once. It never sends it a
-// second time by itself.
+// Backend sends a request to a backend server. It never retries.
 type Backend interface {
-	// Send returns a NotRunError when not one byte of the request was
-	// written, and an UnknownRunError when some may have been.
+	// Send returns a NotRunError if no byte of the request was written, and an
+	// UnknownRunError if some may have been written.
 	Send(request *http.Request) (*http.Response, error)
 }
 
-// ServerCheck finds out what became of a backend server that broke off.
+// ServerCheck finds out whether a backend server whose connection broke has
+// stopped.
 type ServerCheck interface {
-	// Ended reports whether it is proven that nothing serves at the address any
-	// more. Silence proves nothing.
+	// Ended reports whether it is proven that no process listens at the address,
+	// as by a refused connection. A missing reply proves nothing.
 	Ended(ctx context.Context, address string) bool
 }
 
-// Timers is the timer service that parts subscribe to. Times are durations on
-// a clock that never steps and that also runs while the machine is suspended.
+// Timers is a clock with periodic timers. Times are durations on a monotonic
+// clock that also advances while the machine is suspended.
 type Timers interface {
+	// Now returns the current time of the clock.
 	Now() time.Duration
-	// Subscribe calls tick every interval until cancel is called. Calls to
-	// one subscriber never overlap.
+	// Subscribe calls tick at every interval until cancel is called. Calls for one
+	// subscription never overlap.
 	Subscribe(interval time.Duration, tick func(now time.Duration)) (cancel func())
 }
 
-// Random is a source of pseudo-random numbers that is seeded from outside.
+// Random is a source of pseudo-random numbers. The caller provides its seed.
 type Random interface {
 	Uint64() uint64
 }
 
-// Planner decides which boxes form which groups of one availability zone.
+// Planner assigns the boxes of an availability zone to groups.
 type Planner interface {
-	// Plan returns the placement that should be agreed next and the orders
-	// that the placement now in force calls for.
+	// Plan returns the placement to commit next and the orders that carry out the
+	// current placement.
 	Plan(input PlanInput) PlanOutput
 }
 
-// BoxView is what a planner knows of one box.
+// BoxView is what the planner knows about a box.
 type BoxView struct {
 	Box   Box
 	State BoxState
-	Seen  time.Duration // when it last answered a probe; negative: never
+	Seen  time.Duration // time of its last reply to a probe; negative: never
 }
 
-// PlanInput is everything that a planner decides on.
+// PlanInput is the complete input of a planner.
 type PlanInput struct {
 	Now       time.Duration
 	Zone      ZoneID
@@ -184,7 +191,8 @@
 	Placement Placement
 }
 
-// Decision is one thing that a planner did or left, and why.
+// Decision is a record of an action that the planner took or decided against, with
+// the reason.
 type Decision struct {
 	Group  GroupID `json:"group"`
 	Box    BoxID   `json:"box"`
@@ -192,9 +200,9 @@
 	Reason string  `json:"reason"`
 }
 
-// PlanOutput is what a planner decided.
+// PlanOutput is the result of a planner.
 type PlanOutput struct {
-	Changed   bool
+	Changed   bool // Placement differs from that of the input
 	Placement Placement
 	Orders    []Order
 	Decisions []Decision
--- a/ratelimit.go
+++ b/ratelimit.go
@@ -5,47 +5,48 @@
 	"time"
 )
 
-// StatedLimit is what one answer of a backend server says of how many requests a
-// second it takes from all processes together. The zero value says that it takes
-// any number.
+// StatedLimit is the rate limit that one answer of a backend server states, in
+// requests per second from all processes together. The zero value means that the
+// server states no limit.
 type StatedLimit struct {
 	Stated bool
-	Rate   float64 // requests a second; 0: none at all
-	Err    error   // it states something else than a rate; then nothing is stated
+	Rate   float64 // requests per second; 0: the server accepts none
+	Err    error   // the stated limit cannot be parsed; it is ignored
 }
 
-// ServerLimit is what is known of a backend server's rate limit.
+// ServerLimit is the known rate limit of a backend server.
 type ServerLimit struct {
 	Server InstanceID
-	Rate   float64       // requests a second from all processes together
-	Lifted bool          // the server states no limit any more
-	At     time.Duration // when that was true
-	Since  time.Duration // from when on the server has stated a limit
+	Rate   float64       // requests per second from all processes together
+	Lifted bool          // the server no longer states a limit
+	At     time.Duration // time at which Rate and Lifted were true; the later one replaces the earlier
+	Since  time.Duration // time since which the server has stated a limit without a break
 }
 
-// ColdServer is a backend server that has started lately and takes fewer requests until
-// it is warm.
+// ColdServer is a backend server that has started recently and accepts fewer
+// requests until it is warm.
 type ColdServer struct {
 	Server InstanceID
-	Rate   float64       // requests a second from all processes together
-	Until  time.Duration // it is warm from then on
+	Rate   float64       // requests per second from all processes together
+	Until  time.Duration // time from which the server is warm
 }
 
-// Permit is the answer to the question whether a request may be sent to a backend
+// Permit is the reply to a request for permission to send one request to a backend
 // server that limits its rate.
 type Permit struct {
 	Granted bool
-	// Wait is after what time a granted request is to be sent, or after what time
-	// it is worth asking again.
+	// Wait is how long to wait: before the request is sent if the permit is
+	// granted, otherwise before a permit is requested again.
 	Wait time.Duration
 }
 
-// ServerLimits knows the rate limits of backend servers and shares them among
+// ServerLimits records the rate limits of backend servers and enforces them over
 // all processes.
 type ServerLimits interface {
-	// Observe takes in what an answer of the server says. The request was sent at
-	// that time.
+	// Observe records the limit that an answer of the server states. sent is the
+	// time at which the request was sent.
 	Observe(server InstanceID, limit StatedLimit, sent time.Duration)
-	// Acquire asks for a permit to send one request. The request can wait so long.
+	// Acquire requests a permit to send one request. patience is how long the
+	// request can wait.
 	Acquire(ctx context.Context, server InstanceID, patience time.Duration) Permit
 }
--- a/revision.go
+++ b/revision.go
@@ -2,16 +2,17 @@
 
 import "strconv"
 
-// Revision is a place in the history of the key-value service. A record with the zero
-// value does not exist.
+// Revision is a point in the history of the key-value service. A record with the
+// zero revision does not exist.
 type Revision struct {
-	// Era is how often the service has come back from an older copy of itself. It
-	// gives numbers out again then, so that they only compare within an era.
+	// Era is the number of times that the service was restored from an older
+	// backup. A restored service assigns the same numbers again, so numbers can
+	// only be compared within an era.
 	Era    int64
-	Number int64 // rises with each change
+	Number int64 // increases with each change
 }
 
-// After reports whether the revision is later than the other.
+// After reports whether the revision is later than the other one.
 func (revision Revision) After(other Revision) bool {
 	if revision.Era != other.Era {
 		return revision.Era > other.Era
@@ -22,7 +23,7 @@
 // Exists reports whether a record with the revision exists.
 func (revision Revision) Exists() bool { return revision.Number != 0 }
 
-// String returns the era and the number, or only the number in the first era.
+// String returns "era:number", or only the number in the first era, 0.
 func (revision Revision) String() string {
 	number := strconv.FormatInt(revision.Number, 10)
 	if revision.Era == 0 {
@@ -39,8 +40,8 @@
 	return a
 }
 
-// LeaseID names a lease of the key-value service; the zero value is none. The numbers
-// of leases are given out again in another era, too.
+// LeaseID identifies a lease of the key-value service; the zero value is no lease.
+// The service assigns the same lease numbers again in another era.
 type LeaseID struct {
 	Era    int64
 	Number int64
