--- a/blame.go
+++ b/blame.go
@@ -2,29 +2,31 @@
 
 import "context"
 
-// Blame is what is held against one request: the servers that ended under it.
+// Blame lists the server instances that ended while they ran a request. A request
+// that crashes servers is found by it.
 type Blame struct {
 	Request RequestDigest `json:"request"`
-	// Round is raised each time that the request is cleared; what is held against
-	// it in an earlier round is void.
+	// Round increases each time that the request is cleared. Servers recorded in
+	// an earlier round no longer count.
 	Round   uint32       `json:"round"`
-	Servers []InstanceID `json:"servers"` // each start of a server counts
+	Servers []InstanceID `json:"servers"` // each start of a server counts separately
 }
 
-// Judgment is what becomes of a request that servers ended under.
+// Judgment says whether a request may be sent to servers, given its Blame.
 type Judgment int
 
 const (
-	// Unblamed requests are sent as all are: one server may have ended under
-	// each of tens of them.
+	// Unblamed requests are sent without restriction. One server may have ended
+	// while it ran the request: tens of requests run on a server when it ends, and
+	// at most one of them is the cause.
 	Unblamed Judgment = iota
-	// Quarantined requests are tried by one process at a time, at one server.
+	// Quarantined requests are sent by one process at a time, to one server.
 	Quarantined
-	// Contained requests are sent to no server any more.
+	// Contained requests are no longer sent to any server.
 	Contained
 )
 
-// String returns the word for logs and operators.
+// String returns the name of the judgment for logs and operators.
 func (judgment Judgment) String() string {
 	switch judgment {
 	case Quarantined:
@@ -36,19 +38,20 @@
 	}
 }
 
-// RequestGuard keeps requests that end servers from ending more of them. It
-// remembers over tries and processes.
+// RequestGuard limits the sending of requests that crash servers. What it records
+// applies to all attempts of a request at all processes.
 type RequestGuard interface {
-	// Idle reports whether nothing is held against any request, so that none
-	// need be named.
+	// Idle reports whether no request has any blame, so that callers need not
+	// compute the digests of requests.
 	Idle() bool
-	// Judge returns what becomes of a request.
+	// Judge returns the judgment of a request.
 	Judge(request RequestDigest) Judgment
-	// Ended notes that a server has ended under a request.
+	// Ended records that a server ended while it ran a request.
 	Ended(request RequestDigest, server InstanceID)
-	// Answered notes that a server has answered a request whole.
+	// Answered records that a server answered a request completely, which clears
+	// the request.
 	Answered(request RequestDigest)
-	// Try reports whether a quarantined request may be tried now. If so, done is
-	// called when the try is over.
+	// Try reports whether this process may send a quarantined request now. If so,
+	// the caller must call done after the attempt.
 	Try(ctx context.Context, request RequestDigest) (done func(), allowed bool)
 }
--- a/liveness.go
+++ b/liveness.go
@@ -2,24 +2,26 @@
 
 import "time"
 
-// Liveness is how a node stands in the view of another.
+// Liveness is the state of a node in the view of another node's failure detector.
 type Liveness int
 
 const (
-	// Alive is also what a node counts as that is not judged.
+	// Alive is also the state of nodes that the detector does not monitor.
 	Alive Liveness = iota
-	// Suspected nodes did not answer. They are dead unless they refute it soon.
+	// Suspected nodes did not answer a ping. They become dead unless they refute
+	// the suspicion in time.
 	Suspected
-	// Dead nodes did not refute a suspicion in time.
+	// Dead nodes did not refute the suspicion in time.
 	Dead
-	// Left nodes said themselves that they stop.
+	// Left nodes announced that they stop.
 	Left
-	// Unheard nodes are listed, and nobody has told of a sign of life of theirs.
+	// Unheard nodes are listed as peers, but neither this node nor another one has
+	// reported an answer from them yet.
 	Unheard
 )
 
-// String returns the word for logs and operators. Another version of the program
-// may send one that is not known here.
+// String returns the name of the state for logs and operators. A state that
+// another version of the program sent may not be known here.
 func (liveness Liveness) String() string {
 	switch liveness {
 	case Alive:
@@ -36,62 +38,63 @@
 	return "unknown"
 }
 
-// GossipKind is what a message between failure detectors asks.
+// GossipKind is the kind of a message between failure detectors.
 type GossipKind int
 
-// What a message asks for, or is.
+// The kinds of gossip messages.
 const (
-	GossipPing    GossipKind = iota + 1 // answer this
-	GossipAck                           // an answer
-	GossipPingFor                       // ping the target in the sender's place
+	GossipPing    GossipKind = iota + 1 // requests an ack
+	GossipAck                           // answers a ping
+	GossipPingFor                       // asks the receiver to ping Target for the sender (indirect ping)
 )
 
-// GossipMessage is one datagram between failure detectors.
+// GossipMessage is the content of a datagram between failure detectors.
 type GossipMessage struct {
 	Kind        GossipKind
-	Sequence    uint64 // an answer has that of its question
+	Sequence    uint64 // an ack repeats the number of its ping
 	From        NodeID
 	Incarnation uint32 // of the sender
-	// Target is who is to be pinged in the sender's place or, in an answer, who
-	// was heard.
+	// Target is the node to ping in a GossipPingFor, and the node that answered in
+	// a GossipAck.
 	Target  NodeID
 	Updates []GossipUpdate
 }
 
-// GossipUpdate is what one node says of another.
+// GossipUpdate is a report about the state of a node, passed on with messages.
 type GossipUpdate struct {
-	Node        uint64 // HashNode of its name
+	Node        uint64 // HashNode of the name of the node
 	Liveness    Liveness
-	Incarnation uint32        // of the node that is spoken of
-	Age         time.Duration // how long ago the suspicion began
+	Incarnation uint32        // of the node that the update is about
+	Age         time.Duration // time since the suspicion began
 }
 
-// GossipDatagram is a message on its way to a node.
+// GossipDatagram is a message to send to a node.
 type GossipDatagram struct {
 	To      NodeID
 	Message GossipMessage
 }
 
-// FailureDetector decides which nodes live. It has no clock, socket or goroutine
-// of its own: times are durations on the caller's steady clock, and the datagrams
-// that it returns are to be sent.
+// FailureDetector decides which nodes are alive. It has no clock, socket or
+// goroutine of its own: times are durations on the caller's monotonic clock, and
+// the caller must send the datagrams that the methods return.
 type FailureDetector interface {
-	// SetPeers makes these the nodes that are judged.
+	// SetPeers replaces the set of monitored nodes.
 	SetPeers(peers []NodeID)
-	// Connect notes that something other than a peer has answered this node, so
-	// that it is not itself cut off.
+	// Connect records that a host other than a peer has answered this node at the
+	// given time, so that the node is not isolated.
 	Connect(now time.Duration)
-	// Tick does what is due. It is called some times within a period.
+	// Tick returns the datagrams that are due. The caller calls it several times
+	// per protocol period.
 	Tick(now time.Duration) []GossipDatagram
-	// Receive takes a message in.
+	// Receive processes a message and returns the datagrams that it gives rise to.
 	Receive(now time.Duration, message GossipMessage) []GossipDatagram
-	// Leave tells others that this node stops.
+	// Leave returns the datagrams that announce that this node stops.
 	Leave(now time.Duration) []GossipDatagram
-	// Liveness returns how a node stands. One that is not judged is alive.
+	// Liveness returns the state of a node. Nodes that are not monitored are alive.
 	Liveness(peer NodeID) Liveness
-	// Changes returns how often how a node stands has changed. It only grows.
+	// Changes returns the number of state changes of all nodes so far.
 	Changes() uint64
-	// Isolated reports whether this node can judge nobody, because it hears nobody
-	// itself.
+	// Isolated reports whether this node has received no answers for so long that
+	// it is likely cut off itself and cannot judge other nodes.
 	Isolated(now time.Duration) bool
 }
