--- a/duration.go
+++ b/duration.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Duration is a time.Duration that is written as text such as "1m30s".
+// Duration is a time.Duration that is encoded as text such as "1m30s".
 type Duration time.Duration
 
-// MarshalText returns the duration as time.Duration prints it.
+// MarshalText returns the duration in the format of time.Duration.String.
 func (duration Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(duration).String()), nil
 }
 
-// UnmarshalText reads what time.ParseDuration reads and returns its error.
+// UnmarshalText parses the text with time.ParseDuration and returns its error.
 func (duration *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
--- a/errors.go
+++ b/errors.go
@@ -5,102 +5,100 @@
 	"time"
 )
 
-// ConflictError says that another writer was faster or that two wishes exclude
-// each other.
+// ConflictError reports that another write came first, or that a request
+// contradicts another one or the current state.
 type ConflictError struct {
 	What string
 }
 
-// Error names the remedy.
+// Error returns the message, which ends with what the caller can do.
 func (err *ConflictError) Error() string {
 	return "conflict: " + err.What + "; read the current state and try again"
 }
 
-// UnknownOutcomeError says that a write was sent and its reply was lost.
+// UnknownOutcomeError reports that a write was sent and its reply was lost, so that
+// it may or may not have been done.
 type UnknownOutcomeError struct {
 	What  string
 	Cause error
 }
 
-// Error names the remedy.
+// Error returns the message, which ends with what the caller can do.
 func (err *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("unknown outcome: %s (%v); read it back and look for your nonce", err.What, err.Cause)
 }
 
-// Unwrap returns the cause.
 func (err *UnknownOutcomeError) Unwrap() error { return err.Cause }
 
-// UnavailableError says that something the call needs is away and that nothing
-// was done.
+// UnavailableError reports that something that the call needs is not available and
+// that nothing was done.
 type UnavailableError struct {
 	What       string
 	RetryAfter time.Duration
 	Cause      error
 }
 
-// Error names the remedy.
+// Error returns the message, which ends with what the caller can do.
 func (err *UnavailableError) Error() string {
 	return fmt.Sprintf("unavailable: %s (%v); nothing was done, come back in %s", err.What, err.Cause, err.RetryAfter)
 }
 
-// Unwrap returns the cause.
 func (err *UnavailableError) Unwrap() error { return err.Cause }
 
-// InvalidError says that input was refused; nothing in force changed.
+// InvalidError reports that input was rejected and that nothing was changed.
 type InvalidError struct {
-	Where  string // file, line, column or field
+	Where  string // file, line and column, or field
 	What   string
 	Remedy string
 }
 
-// Error names the remedy.
+// Error returns the message, which ends with what the caller can do.
 func (err *InvalidError) Error() string {
 	return err.Where + ": " + err.What + "; " + err.Remedy
 }
 
-// NotRunError says that a request truly did not run.
+// NotRunError reports that a request was not run and may be sent again.
 type NotRunError struct {
 	Reason     string
 	RetryAfter time.Duration
-	Overloaded bool // the caller's own limit or the queue, not a fault
-	Arrived    bool // the server itself said so; else nothing was sent to it
+	Overloaded bool // the cause is the account's rate limit, load shedding or overload, not a fault
+	Arrived    bool // the server received the request and reported that it did not run it; otherwise nothing was sent
 }
 
-// Error names the remedy.
+// Error returns the message, which ends with what the caller can do.
 func (err *NotRunError) Error() string {
 	return fmt.Sprintf("not run: %s; come back in %s", err.Reason, err.RetryAfter)
 }
 
-// UnknownRunError says that a request may have run and that no whole answer
-// can be given.
+// UnknownRunError reports that a request may have run and that its complete answer
+// is not available.
 type UnknownRunError struct {
 	Reason string
 	Cause  error
 }
 
-// Error names the remedy.
+// Error returns the message, which ends with what the caller can do.
 func (err *UnknownRunError) Error() string {
 	return fmt.Sprintf("outcome unknown: %s (%v); ask the service what became of it before you send it again", err.Reason, err.Cause)
 }
 
-// Unwrap returns the cause.
 func (err *UnknownRunError) Unwrap() error { return err.Cause }
 
-// HistoryGoneError says that the key-value service has forgotten what changed
+// HistoryGoneError reports that the key-value service no longer has the changes
 // since a revision.
 type HistoryGoneError struct {
 	Since Revision
 }
 
-// Error names the remedy.
+// Error returns the message, which ends with what the caller can do.
 func (err *HistoryGoneError) Error() string {
 	return fmt.Sprintf("the changes since revision %s are forgotten; list the records anew", err.Since)
 }
 
-// LeaseGoneError says that a lease is over.
+// LeaseGoneError reports that a lease has ended.
 type LeaseGoneError struct{}
 
-// Error names the remedy.
+// Error returns the message, which ends with what the caller can do.
 func (*LeaseGoneError) Error() string {
 	return "the lease is over; get a new one and write its records again"
 }
--- a/instance.go
+++ b/instance.go
@@ -5,48 +5,49 @@
 	"strings"
 )
 
-// ServerID names a backend server. It keeps its name when it starts again.
+// ServerID is the name of a backend server. It stays the same across restarts.
 type ServerID string
 
-// InstanceID names one start of a backend server. A server that starts again,
-// even under its name, is another instance: it knows nothing of the groups,
-// epochs and orders of before, so nothing that was believed of the former
-// instance may be believed of it.
+// InstanceID identifies one start of a backend server. A server that restarts under
+// the same name is another instance: it has lost the groups, epochs and orders
+// of before, so nothing that was known about the former instance applies to it.
 type InstanceID string
 
-// bornMark parts a server's name from the time of its start.
-const bornMark = "@"
+// startSeparator separates the name of a server from the time of its start.
+const startSeparator = "@"
 
-// NewInstanceID names the start of a server at a time in Unix milliseconds. 0
-// says that the server does not tell when it started; its name alone counts then.
+// NewInstanceID returns the ID of the start of a server at born, in Unix
+// milliseconds. If born is 0, the server does not report its start and the ID is
+// the server's name alone.
 func NewInstanceID(server ServerID, born int64) InstanceID {
 	if born == 0 {
 		return InstanceID(server)
 	}
-	return InstanceID(string(server) + bornMark + strconv.FormatInt(born, 10))
+	return InstanceID(string(server) + startSeparator + strconv.FormatInt(born, 10))
 }
 
-// Server returns the name that the server keeps when it starts again.
+// Server returns the name of the server, which stays the same across restarts.
 func (id InstanceID) Server() ServerID {
-	server, _ := id.parts()
+	server, _ := id.split()
 	return server
 }
 
-// Born returns when the server started, in Unix milliseconds, or 0 where it
-// does not tell.
+// Born returns the time of the server's start in Unix milliseconds, or 0 if the
+// server does not report it.
 func (id InstanceID) Born() int64 {
-	_, born := id.parts()
+	_, born := id.split()
 	return born
 }
 
-// parts returns the server and the time of its start. A name may have the mark
-// in it, of a server that does not tell when it started.
-func (id InstanceID) parts() (server ServerID, born int64) {
-	at := strings.LastIndex(string(id), bornMark)
+// split splits the ID into the server and the time of its start. The name of a
+// server may itself contain the separator, also if the server does not report
+// its start.
+func (id InstanceID) split() (server ServerID, born int64) {
+	at := strings.LastIndex(string(id), startSeparator)
 	if at < 0 {
 		return ServerID(id), 0
 	}
-	born, err := strconv.ParseInt(string(id[at+len(bornMark):]), 10, 64)
+	born, err := strconv.ParseInt(string(id[at+len(startSeparator):]), 10, 64)
 	if err != nil || born <= 0 {
 		return ServerID(id), 0
 	}
--- a/names.go
+++ b/names.go
@@ -9,37 +9,39 @@
 	"time"
 )
 
-// nonceBytes is the length of the random names of writes and attempts.
+// nonceBytes is the length in bytes of the random IDs of writes and attempts.
 const nonceBytes = 8
 
-// NewNonce returns a new random name.
+// NewNonce returns a new random ID in hex.
 func NewNonce() string {
 	var raw [nonceBytes]byte
 	_, _ = rand.Read(raw[:])
 	return hex.EncodeToString(raw[:])
 }
 
-// NewIncarnation returns a name for a start of a process that sorts after those
-// of earlier starts on the same box, as long as its clock does not step back
-// over a start.
+// NewIncarnation returns an ID for a start of a process at the given time. It sorts
+// after the IDs of earlier starts on the same box, unless the box's clock was set
+// back to before one of them.
 func NewIncarnation(now time.Time) string {
 	return strconv.FormatInt(now.UnixMilli(), 36) + "-" + NewNonce()[:4]
 }
 
-// HolderOf names the entry of a box at one of its starts, as claims do.
+// HolderOf returns the name under which claims record an entry at one of its
+// starts: the node and its incarnation.
 func HolderOf(node NodeID, incarnation string) string {
 	return string(node) + "/" + incarnation
 }
 
-// IsAddress reports whether the text is host:port, both stated.
+// IsAddress reports whether the text is host:port with neither part empty.
 func IsAddress(text string) bool {
 	host, port, err := net.SplitHostPort(text)
 	return err == nil && host != "" && port != ""
 }
 
-// HashNode shortens a node's name for messages that speak of many nodes.
+// HashNode returns a hash of a node's name, which stands for the name in messages
+// about many nodes to keep them small.
 func HashNode(node NodeID) uint64 {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(node)) // it never fails
+	_, _ = hash.Write([]byte(node)) // Write of a hash never fails
 	return hash.Sum64()
 }
