--- a/admit/admit.go
+++ b/admit/admit.go
@@ -1,6 +1,6 @@
-// Package admit decides which requests are taken on: rate limits of client
-// accounts, fair shares under overload, refusal of what cannot be answered in
-// time, and the budget for retries.
+// Package admit is the admission control of an entry box: rate limits of client
+// accounts, fair shares of the accounts under overload, load shedding of requests
+// that would miss their deadline, and the retry budget.
 package admit
 
 import (
@@ -13,59 +13,61 @@
 )
 
 const (
-	// burst is for how long an unused rate is saved up.
-	burst = time.Second
-	// busyFraction is the part of a service's capacity in use from which
-	// accounts are held to their fair shares.
+	// burstTime is the time for which an account's unused rate accumulates.
+	burstTime = time.Second
+	// busyFraction is the fraction of a service's capacity in use at and above
+	// which accounts are limited to their fair shares.
 	busyFraction = 0.9
-	// smoothing is the weight of the newest run time in the mean.
-	smoothing = 0.05
-	// minRetry and maxRetry bound when callers are told to come back.
-	minRetry = time.Second
-	maxRetry = time.Minute
+	// runTimeWeight is the weight of the newest run time in the moving average.
+	runTimeWeight = 0.05
+	// minRetryAfter and maxRetryAfter bound the Retry-After times that callers receive.
+	minRetryAfter = time.Second
+	maxRetryAfter = time.Minute
 )
 
-// Limiter holds client accounts to their rates on one entry box. Each box
-// gets an equal part of a rate for each entry box that may ever run, so that
-// the sum stays within the rate whatever becomes of the links between them.
-// The zero value admits everything.
+// Limiter enforces the rate limits of client accounts on one entry box with token
+// buckets. Each box enforces an equal part of a rate, divided by the configured
+// number of entry boxes. All boxes together thus stay within the rate even if
+// they cannot communicate. The zero value admits everything.
 type Limiter struct {
 	mutex   sync.Mutex
 	buckets map[shedkeel.AccountID]*bucket
 }
 
+// bucket is the token bucket of an account on this box.
 type bucket struct {
-	rate   float64 // a second, on this box
-	tokens float64
-	filled time.Duration
+	rate    float64       // tokens per second
+	tokens  float64       // requests that may be admitted now
+	updated time.Duration // time for which tokens was last computed
 }
 
-// Configure sets the accounts' rates over all boxes and the number of boxes.
+// Configure sets the accounts, whose rates apply to all entry boxes together, and
+// the number of entry boxes. Accounts that had a rate limit keep their tokens.
 func (limiter *Limiter) Configure(accounts []shedkeel.Account, boxes int, now time.Duration) {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
-	before := limiter.buckets
+	previous := limiter.buckets
 	limiter.buckets = map[shedkeel.AccountID]*bucket{}
 	for _, account := range accounts {
 		if account.Rate <= 0 {
 			continue
 		}
 		rate := account.Rate / float64(max(boxes, 1))
-		known := before[account.ID]
+		known := previous[account.ID]
 		if known == nil {
-			known = &bucket{tokens: depth(rate), filled: now}
+			known = &bucket{tokens: bucketSize(rate), updated: now}
 		}
 		known.rate = rate
 		limiter.buckets[account.ID] = known
 	}
 }
 
-// depth is how many requests a bucket of the rate holds; at least one, so that
-// slow rates let anything through.
-func depth(rate float64) float64 { return max(rate*burst.Seconds(), 1) }
+// bucketSize returns the maximum number of tokens in a bucket with the rate. It is at
+// least 1, so that rates below one request per second admit requests at all.
+func bucketSize(rate float64) float64 { return max(rate*burstTime.Seconds(), 1) }
 
-// Take lets one request of the account through, or returns a NotRunError that
-// tells when the next one may come.
+// Take takes a token for one request of the account. If there is none, it returns
+// a NotRunError with the time after which the next request can be admitted.
 func (limiter *Limiter) Take(account shedkeel.AccountID, now time.Duration) error {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
@@ -73,45 +75,50 @@
 	if bucket == nil {
 		return nil
 	}
-	bucket.tokens = min(bucket.tokens+bucket.rate*(now-bucket.filled).Seconds(), depth(bucket.rate))
-	bucket.filled = now
+	bucket.tokens = min(bucket.tokens+bucket.rate*(now-bucket.updated).Seconds(), bucketSize(bucket.rate))
+	bucket.updated = now
 	if bucket.tokens >= 1 {
 		bucket.tokens--
 		return nil
 	}
 	wait := time.Duration((1 - bucket.tokens) / bucket.rate * float64(time.Second))
-	return &shedkeel.NotRunError{Reason: fmt.Sprintf("account %s is over its rate", account), RetryAfter: bound(wait), Overloaded: true}
+	return &shedkeel.NotRunError{Reason: fmt.Sprintf("account %s is over its rate", account), RetryAfter: clampRetryAfter(wait), Overloaded: true}
 }
 
-func bound(wait time.Duration) time.Duration { return min(max(wait, minRetry), maxRetry) }
+// clampRetryAfter limits a Retry-After time to the range from minRetryAfter to
+// maxRetryAfter.
+func clampRetryAfter(wait time.Duration) time.Duration {
+	return min(max(wait, minRetryAfter), maxRetryAfter)
+}
 
-// Gate refuses what cannot be answered in time and holds accounts to fair
-// shares when a service is busy. The zero value works.
+// Gate refuses requests that cannot begin before their deadline, and limits
+// accounts to their fair shares while a service is busy. The zero value is ready
+// to use.
 type Gate struct {
 	mutex    sync.Mutex
 	services map[shedkeel.ServiceID]*usage
 }
 
-// usage is what a service runs from this box.
+// usage counts the requests of a service that this box has in flight.
 type usage struct {
-	accounts map[shedkeel.AccountID]int
-	total    int
-	mean     time.Duration // run time of a request
+	inFlightOf  map[shedkeel.AccountID]int // accounts without requests in flight are not listed
+	inFlight    int
+	meanRunTime time.Duration // moving average of the run times of requests; 0: none yet
 }
 
-// Request is what a gate decides on.
+// Request is the input for Enter's decision.
 type Request struct {
 	Service  shedkeel.ServiceID
 	Account  shedkeel.AccountID
 	Weight   func(shedkeel.AccountID) int
-	Deadline time.Duration // how long the caller still waits
-	Capacity int           // what the service's usable targets run at once
-	Load     int           // estimated on the chosen target before this request
-	Room     int           // what the chosen target runs at once
+	Deadline time.Duration // maximum time until the request begins
+	Capacity int           // requests that all usable targets of the service run concurrently
+	Load     int           // estimated requests on the chosen target without this one
+	Room     int           // requests that the chosen target runs concurrently
 }
 
-// Enter lets a request in, or returns a NotRunError that tells when to come
-// back. Leave must be called for each that was let in.
+// Enter admits a request, or returns a NotRunError with the time after which to
+// retry. The caller must call Leave for each admitted request.
 func (gate *Gate) Enter(request Request) error {
 	gate.mutex.Lock()
 	defer gate.mutex.Unlock()
@@ -120,105 +127,111 @@
 	if wait > request.Deadline {
 		return &shedkeel.NotRunError{
 			Reason:     fmt.Sprintf("service %s would begin it in %s, after its deadline", request.Service, wait.Round(time.Millisecond)),
-			RetryAfter: bound(wait - request.Deadline), Overloaded: true,
+			RetryAfter: clampRetryAfter(wait - request.Deadline), Overloaded: true,
 		}
 	}
-	busy := request.Load >= request.Room || float64(usage.total) >= busyFraction*float64(request.Capacity)
-	if busy && float64(usage.accounts[request.Account]) >= usage.fairShare(request) {
+	busy := request.Load >= request.Room || float64(usage.inFlight) >= busyFraction*float64(request.Capacity)
+	if busy && float64(usage.inFlightOf[request.Account]) >= usage.fairShare(request) {
 		return &shedkeel.NotRunError{
 			Reason:     fmt.Sprintf("service %s is busy and account %s has its fair share of it", request.Service, request.Account),
-			RetryAfter: bound(usage.mean), Overloaded: true,
+			RetryAfter: clampRetryAfter(usage.meanRunTime), Overloaded: true,
 		}
 	}
-	usage.accounts[request.Account]++
-	usage.total++
+	usage.inFlightOf[request.Account]++
+	usage.inFlight++
 	return nil
 }
 
-// wait estimates how long a request waits on a target before it begins.
+// wait estimates how long a request is queued at a target before it begins, from
+// the target's load and room and the mean run time.
 func (usage *usage) wait(load, room int) time.Duration {
 	if room <= 0 || load < room {
 		return 0
 	}
-	return time.Duration(float64(load-room+1) / float64(room) * float64(usage.mean))
+	return time.Duration(float64(load-room+1) / float64(room) * float64(usage.meanRunTime))
 }
 
-// fairShare is how many requests the account may have in flight: its weighted
-// part of what runs, counted with the accounts that have any.
+// fairShare returns the number of requests that the account may have in flight:
+// the larger of the service's capacity and the requests in flight, divided by
+// weight among the accounts with requests in flight and this one. It is at least
+// 1, and without limit if no other account has requests in flight.
 func (usage *usage) fairShare(request Request) float64 {
 	weights := 0
-	for account := range usage.accounts {
+	for account := range usage.inFlightOf {
 		weights += max(request.Weight(account), 1)
 	}
 	own := max(request.Weight(request.Account), 1)
-	if usage.accounts[request.Account] == 0 {
+	if usage.inFlightOf[request.Account] == 0 {
 		weights += own
 	}
 	if weights == own {
 		return math.Inf(1)
 	}
-	running := max(usage.total, request.Capacity)
+	running := max(usage.inFlight, request.Capacity)
 	return max(float64(running)*float64(own)/float64(weights), 1)
 }
 
-// Leave tells that a request that was let in has ended, and how long it ran if
-// it ran to its end.
+// Leave records that an admitted request has ended. ran is its run time if it
+// completed, and 0 otherwise.
 func (gate *Gate) Leave(service shedkeel.ServiceID, account shedkeel.AccountID, ran time.Duration) {
 	gate.mutex.Lock()
 	defer gate.mutex.Unlock()
 	usage := gate.usage(service)
-	usage.total--
-	usage.accounts[account]--
-	if usage.accounts[account] <= 0 {
-		delete(usage.accounts, account)
+	usage.inFlight--
+	usage.inFlightOf[account]--
+	if usage.inFlightOf[account] <= 0 {
+		delete(usage.inFlightOf, account)
 	}
 	switch {
 	case ran <= 0:
-	case usage.mean == 0:
-		usage.mean = ran
+	case usage.meanRunTime == 0:
+		usage.meanRunTime = ran
 	default:
-		usage.mean += time.Duration(smoothing * float64(ran-usage.mean))
+		usage.meanRunTime += time.Duration(runTimeWeight * float64(ran-usage.meanRunTime))
 	}
 }
 
+// usage returns the usage of a service, which it creates if there is none. The
+// mutex is held.
 func (gate *Gate) usage(service shedkeel.ServiceID) *usage {
 	if gate.services == nil {
 		gate.services = map[shedkeel.ServiceID]*usage{}
 	}
 	known := gate.services[service]
 	if known == nil {
-		known = &usage{accounts: map[shedkeel.AccountID]int{}}
+		known = &usage{inFlightOf: map[shedkeel.AccountID]int{}}
 		gate.services[service] = known
 	}
 	return known
 }
 
-// Budget bounds retries to a part of first tries, so that a failing zone is
-// not hit by more than its callers sent. The zero value holds a few retries.
+// Budget is a retry budget: it limits retries to a fraction of first attempts, so
+// that retries do not multiply the load on a failing zone. The zero value allows
+// initialRetries retries before any first attempt.
 type Budget struct {
-	mutex sync.Mutex
-	spent float64
+	mutex   sync.Mutex
+	charged float64 // retries charged to the budget, less what first attempts have restored
 }
 
 const (
-	retryShare = 0.1 // retries for each first try
-	retryFloor = 10  // retries that a quiet box may make
+	retryRatio     = 0.1 // retries that each first attempt allows
+	initialRetries = 10  // retries allowed without any first attempts
 )
 
-// First notes a first try.
+// First records a first attempt.
 func (budget *Budget) First() {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
-	budget.spent = max(budget.spent-retryShare, 0)
+	budget.charged = max(budget.charged-retryRatio, 0)
 }
 
-// Retry reports whether a retry may be made, and counts it.
+// Retry reports whether a retry is allowed, and charges it to the budget if so.
 func (budget *Budget) Retry() bool {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
-	if budget.spent+1 > retryFloor {
+	if budget.charged+1 > initialRetries {
 		return false
 	}
-	budget.spent++
+	budget.charged++
 	return true
 }
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -11,8 +11,9 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestRateHoldsOverAllBoxes floods nine boxes that cannot speak to each other
-// and counts what they let through together.
+// TestRateHoldsOverAllBoxes sends more requests than the rate to nine boxes that
+// do not communicate. Together they must admit no more than the rate, whether the
+// requests are spread over all boxes or all go to one.
 func TestRateHoldsOverAllBoxes(t *testing.T) {
 	const boxes, rate, seconds = 9, 90.0, 30
 	for name, skew := range map[string]int{"all boxes": boxes, "one box": 1} {
@@ -37,6 +38,9 @@
 	}
 }
 
+// TestTakeTellsWhenToComeBack checks that a request is admitted after the
+// RetryAfter of its refusal, that accounts without a rate are not limited, and that
+// a new configuration does not refill a bucket.
 func TestTakeTellsWhenToComeBack(t *testing.T) {
 	limiter := &Limiter{}
 	limiter.Configure([]shedkeel.Account{{ID: "slow", Rate: 0.2}, {ID: "free"}}, 1, 0)
@@ -45,7 +49,7 @@
 	assert.Assert(t, errors.As(limiter.Take("slow", 0), &notRun))
 	assert.Equal(t, notRun.RetryAfter, 5*time.Second)
 	assert.Assert(t, notRun.Overloaded)
-	assert.NilError(t, limiter.Take("slow", notRun.RetryAfter), "it was told to come back then")
+	assert.NilError(t, limiter.Take("slow", notRun.RetryAfter), "the request must be admitted after RetryAfter")
 	for range 1000 {
 		assert.NilError(t, limiter.Take("free", 0))
 	}
@@ -53,6 +57,8 @@
 	assert.Assert(t, limiter.Take("slow", 6*time.Second) != nil, "a new configuration must not refill a bucket")
 }
 
+// enter offers a request to a gate for a service whose targets run 40 requests
+// concurrently. load is the load of the chosen target, which runs 10.
 func enter(gate *Gate, account shedkeel.AccountID, load int) error {
 	weights := map[shedkeel.AccountID]int{"heavy": 3}
 	return gate.Enter(Request{
@@ -61,8 +67,8 @@
 	})
 }
 
-// TestFlood lets one account flood a busy service, and checks that others keep
-// their shares by weight.
+// TestFlood sends far more requests of one account than a busy service can run, and
+// checks that the other accounts get their weighted shares.
 func TestFlood(t *testing.T) {
 	gate := &Gate{}
 	running := map[shedkeel.AccountID]int{}
@@ -78,15 +84,17 @@
 	offer("flood", 1000)
 	offer("light", 1000)
 	offer("heavy", 1000)
-	assert.Assert(t, running["flood"] <= 40/5+1, "the flood has %d", running["flood"])
-	assert.Assert(t, running["light"] >= 7, "the light account has %d", running["light"])
-	assert.Assert(t, running["heavy"] >= 3*running["light"]-3, "the heavy account has %d, the light one %d", running["heavy"], running["light"])
+	assert.Assert(t, running["flood"] <= 40/5+1, "the account flood has %d requests in flight", running["flood"])
+	assert.Assert(t, running["light"] >= 7, "the account light has %d requests in flight", running["light"])
+	assert.Assert(t, running["heavy"] >= 3*running["light"]-3, "the account heavy has %d requests in flight, the account light %d", running["heavy"], running["light"])
 	for range running["flood"] {
 		gate.Leave("s", "flood", 0)
 	}
 	assert.NilError(t, enter(gate, "flood", 0))
 }
 
+// TestAloneMayUseAll checks that an account is not limited to a share of a busy
+// service while no other account uses it.
 func TestAloneMayUseAll(t *testing.T) {
 	gate := &Gate{}
 	for range 200 {
@@ -94,41 +102,44 @@
 	}
 }
 
+// TestRefusedWhatCannotBeInTime checks that requests are refused if their estimated
+// wait exceeds their deadline of 1 s, with the difference as RetryAfter.
 func TestRefusedWhatCannotBeInTime(t *testing.T) {
 	gate := &Gate{}
 	assert.NilError(t, enter(gate, "a", 0))
-	gate.Leave("s", "a", 2*time.Second) // the mean run time
+	gate.Leave("s", "a", 2*time.Second) // sets the mean run time
 	cases := map[string]struct {
-		load  int
-		after time.Duration // 0: let in
+		load       int
+		retryAfter time.Duration // expected RetryAfter; 0: admitted
 	}{
-		"a free slot":       {9, 0},
-		"a short queue":     {12, 0},
-		"too long a queue":  {20, 1200 * time.Millisecond},
-		"far too long":      {60, 9200 * time.Millisecond},
-		"longer than bound": {1000, time.Minute},
+		"one free slot":            {9, 0},
+		"a short queue":            {12, 0},
+		"queue too long":           {20, 1200 * time.Millisecond},
+		"queue far too long":       {60, 9200 * time.Millisecond},
+		"limited to maxRetryAfter": {1000, time.Minute},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			err := enter(gate, "a", test.load)
-			if test.after == 0 {
+			if test.retryAfter == 0 {
 				assert.NilError(t, err)
 				gate.Leave("s", "a", 0)
 				return
 			}
 			var notRun *shedkeel.NotRunError
 			assert.Assert(t, errors.As(err, &notRun), "%v", err)
-			assert.Equal(t, notRun.RetryAfter, test.after)
+			assert.Equal(t, notRun.RetryAfter, test.retryAfter)
 		})
 	}
 }
 
-// TestBudget bounds retries when everything fails.
+// TestBudget checks that retries stay within the budget, and use it, if every
+// attempt fails.
 func TestBudget(t *testing.T) {
 	budget := &Budget{}
 	retries := 0
-	const firsts = 10_000
-	for range firsts {
+	const firstAttempts = 10_000
+	for range firstAttempts {
 		budget.First()
 		for range 2 {
 			if budget.Retry() {
@@ -136,6 +147,6 @@
 			}
 		}
 	}
-	assert.Assert(t, retries <= firsts*retryShare+retryFloor, "%d retries", retries)
-	assert.Assert(t, retries >= firsts*retryShare*9/10, "%d retries", retries)
+	assert.Assert(t, retries <= firstAttempts*retryRatio+initialRetries, "%d retries", retries)
+	assert.Assert(t, retries >= firstAttempts*retryRatio*9/10, "%d retries", retries)
 }
