--- a/event/event.go
+++ b/event/event.go
@@ -1,5 +1,6 @@
-// Package event numbers what the processes log. docs/EVENTS.md says what each
-// event means and what to do; a test holds the two together.
+// Package event defines the numbered log events of the processes, and a logger for
+// them. docs/EVENTS.md says what each event means and what operators should do; a
+// test checks that the page and the code list the same events.
 package event
 
 import (
@@ -10,14 +11,14 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Event is one kind of log line.
+// Event is a kind of log line.
 type Event struct {
 	Number int
 	Level  slog.Level
 	Text   string
 }
 
-// The events. Numbers are never reused.
+// The events. The number of a removed event is never used again.
 var (
 	Started         = Event{100, slog.LevelInfo, "process started"}
 	Stopping        = Event{101, slog.LevelInfo, "planned stop begun"}
@@ -109,16 +110,17 @@
 	}
 }
 
-// Log writes numbered events. The zero value drops them.
+// Log writes events as log lines. A nil Log and the zero value discard them.
 type Log struct {
 	Logger *slog.Logger
 
-	limits *limits // nil: every line is written
-	queue  *Queue  // nil: lines are written at once
+	limits *rateLimits // nil: no rate limits
+	queue  *Queue      // nil: lines are written synchronously
 }
 
-// NewBoundedLog returns a log like NewLog's whose volume is bounded and that
-// never waits for its reader. Report is to be called about once a second.
+// NewBoundedLog returns a log like NewLog, but with a rate limit for each event and
+// a queue, so that callers never block on a slow writer. The caller must call
+// Report about once per second, and Close at the end.
 func NewBoundedLog(writer io.Writer, level string) (*Log, error) {
 	queue := NewQueue(writer)
 	log, err := NewLog(queue, level)
@@ -126,20 +128,21 @@
 		queue.Close()
 		return nil, err
 	}
-	log.limits = &limits{}
+	log.limits = &rateLimits{}
 	log.queue = queue
 	return log, nil
 }
 
-// With returns a log whose lines carry the fields; it shares the bounds.
+// With returns a log that adds the fields to each line. It shares the rate limits
+// and the queue.
 func (log *Log) With(fields ...any) *Log {
-	with := *log
-	with.Logger = log.Logger.With(fields...)
-	return &with
+	extended := *log
+	extended.Logger = log.Logger.With(fields...)
+	return &extended
 }
 
-// Recent returns those of the latest lines in which the field has the value,
-// oldest first. A log that is not bounded remembers none.
+// Recent returns the recent lines in which the field has the value, oldest first.
+// It returns none unless the log was made by NewBoundedLog.
 func (log *Log) Recent(field, value string) [][]byte {
 	if log == nil || log.queue == nil {
 		return nil
@@ -147,12 +150,13 @@
 	return log.queue.Recent(field, value)
 }
 
-// Report logs how many lines were left out since the last report, if any.
+// Report logs how many lines were dropped since the last report, if any: by the
+// rate limit of each event, and because the queue was full.
 func (log *Log) Report() {
 	if log == nil || log.limits == nil {
 		return
 	}
-	for number, count := range log.limits.takeSkipped() {
+	for number, count := range log.limits.takeDropped() {
 		log.write(LinesLeftOut, slog.Int("of", number), slog.Int64("count", count))
 	}
 	if count := log.queue.Dropped(); count > 0 {
@@ -160,24 +164,24 @@
 	}
 }
 
-// Close writes what waits. Nothing may be logged afterwards.
+// Close waits until the queued lines are written. Nothing may be logged afterwards.
 func (log *Log) Close() {
 	if log != nil && log.queue != nil {
 		log.queue.Close()
 	}
 }
 
-// NewLog returns a log that writes JSON lines of at least the named level. Its
+// NewLog returns a log that writes lines of the named level and above as JSON. Its
 // error is an InvalidError.
 func NewLog(writer io.Writer, level string) (*Log, error) {
-	var least slog.Level
-	if err := least.UnmarshalText([]byte(level)); err != nil {
+	var minLevel slog.Level
+	if err := minLevel.UnmarshalText([]byte(level)); err != nil {
 		return nil, &shedkeel.InvalidError{Where: "log.level", What: err.Error(), Remedy: "write debug, info, warn or error"}
 	}
-	return &Log{Logger: slog.New(slog.NewJSONHandler(writer, &slog.HandlerOptions{Level: least}))}, nil
+	return &Log{Logger: slog.New(slog.NewJSONHandler(writer, &slog.HandlerOptions{Level: minLevel}))}, nil
 }
 
-// Write logs an event with further fields.
+// Write logs an event with more fields, unless the event's rate limit is exceeded.
 func (log *Log) Write(event Event, fields ...slog.Attr) {
 	if log == nil || log.Logger == nil || log.limits != nil && !log.limits.allow(event) {
 		return
@@ -185,6 +189,7 @@
 	log.write(event, fields...)
 }
 
+// write logs an event without a rate limit.
 func (log *Log) write(event Event, fields ...slog.Attr) {
 	fields = append([]slog.Attr{slog.Int("event", event.Number)}, fields...)
 	log.Logger.LogAttrs(context.Background(), event.Level, event.Text, fields...)
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -14,7 +14,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestCatalog holds the events and their page together.
+// TestCatalog checks that docs/EVENTS.md and Catalog list the same events, and that
+// no number is used twice.
 func TestCatalog(t *testing.T) {
 	page, err := os.ReadFile("../docs/EVENTS.md")
 	assert.NilError(t, err)
@@ -25,15 +26,15 @@
 	numbers := map[int]bool{}
 	for _, event := range Catalog() {
 		row := fmt.Sprintf("%d | %s | %s", event.Number, event.Level, event.Text)
-		assert.Assert(t, documented[row], "docs/EVENTS.md lacks: %s", row)
+		assert.Assert(t, documented[row], "docs/EVENTS.md has no row: %s", row)
 		assert.Assert(t, !numbers[event.Number], "number %d is used twice", event.Number)
 		numbers[event.Number] = true
 		delete(documented, row)
 	}
-	assert.Equal(t, len(documented), 0, "docs/EVENTS.md has events that the code lacks: %v", documented)
+	assert.Equal(t, len(documented), 0, "docs/EVENTS.md has events that the code does not define: %v", documented)
 }
 
-// TestCatalogIsComplete finds every event in the source of this package.
+// TestCatalogIsComplete checks that Catalog has as many events as event.go defines.
 func TestCatalogIsComplete(t *testing.T) {
 	source, err := os.ReadFile("event.go")
 	assert.NilError(t, err)
@@ -41,6 +42,8 @@
 	assert.Equal(t, len(defined), len(Catalog()))
 }
 
+// TestWrite checks the level of the log and its event numbers, the error for an
+// unknown level, and that a nil log discards events.
 func TestWrite(t *testing.T) {
 	var buffer bytes.Buffer
 	log, err := NewLog(&buffer, "warn")
@@ -56,18 +59,19 @@
 	(*Log)(nil).Write(Started)
 }
 
-// stuck is a reader that never reads.
-type stuck struct{ release chan struct{} }
+// blockedWriter is a writer that blocks until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (stuck *stuck) Write(line []byte) (int, error) {
-	<-stuck.release
+func (writer *blockedWriter) Write(line []byte) (int, error) {
+	<-writer.release
 	return len(line), nil
 }
 
-// TestLogNeverBlocks fills the pipe of a reader that does not read.
+// TestLogNeverBlocks checks that writes to a queue do not block while its writer
+// does, and that the queue counts the lines that it drops.
 func TestLogNeverBlocks(t *testing.T) {
-	reader := &stuck{release: make(chan struct{})}
-	queue := NewQueue(reader)
+	writer := &blockedWriter{release: make(chan struct{})}
+	queue := NewQueue(writer)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -78,15 +82,15 @@
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("a writer waited for the reader")
+		t.Fatal("a write to the queue blocked")
 	}
 	assert.Assert(t, queue.Dropped() >= queueLines-1)
-	close(reader.release)
+	close(writer.release)
 	queue.Close()
 }
 
-// TestVolumeIsBounded checks that routine lines give out long before failures
-// do, and that what was left out is said.
+// TestVolumeIsBounded checks that info events are dropped above their rate limit
+// while as many warnings are written, and that the dropped lines are reported.
 func TestVolumeIsBounded(t *testing.T) {
 	var buffer bytes.Buffer
 	log, err := NewBoundedLog(&buffer, "info")
@@ -101,12 +105,12 @@
 		return bytes.Count(buffer.Bytes(), fmt.Appendf(nil, `"event":%d`, number))
 	}
 	assert.Assert(t, count(Answered.Number) < routineRate*3/2)
-	assert.Equal(t, count(Refused.Number), 3*routineRate, "a failure was left out before what went well")
+	assert.Equal(t, count(Refused.Number), 3*routineRate, "a warning was dropped at a rate that is within its limit")
 	assert.Equal(t, count(LinesLeftOut.Number), 1)
 }
 
-// TestRecent asks a log for its latest lines, of which more were written than
-// it remembers.
+// TestRecent queries the recent lines of a log after more lines were written than
+// it keeps.
 func TestRecent(t *testing.T) {
 	log, err := NewBoundedLog(io.Discard, "info")
 	assert.NilError(t, err)
@@ -119,7 +123,7 @@
 	log.Write(Refused, slog.String("request", "a <\"> b"), slog.Int("number", 2))
 	found := log.Recent("request", "a <\"> b")
 	assert.Equal(t, len(found), 2)
-	assert.Assert(t, bytes.Contains(found[0], []byte(`"number":1`)), "the oldest comes first")
+	assert.Assert(t, bytes.Contains(found[0], []byte(`"number":1`)), "the oldest line must come first")
 	assert.Equal(t, len(log.Recent("request", "forgotten")), 0)
 	assert.Equal(t, len(log.Recent("request", "r")), recentLines-2)
 	assert.Equal(t, len((*Log)(nil).Recent("request", "r")), 0)
--- a/event/queue.go
+++ b/event/queue.go
@@ -13,144 +13,149 @@
 )
 
 const (
-	// queueLines is how many lines may wait for a reader that is slow; some
-	// 300 bytes each.
+	// queueLines is how many lines of about 300 bytes may be queued while the
+	// writer is slow.
 	queueLines = 2048
-	// recentLines is how many lines are remembered for operators who ask a
-	// running process; at some 300 bytes each they take 0.6 MB.
+	// recentLines is how many lines are kept in memory for operators who query a
+	// running process. At about 300 bytes each they take 0.6 MB.
 	recentLines = 2048
-	// routineRate is how many lines a second each event has that tells of
-	// nothing wrong; a node serves some 20 requests a second today.
+	// routineRate is the maximum number of lines per second for each event below
+	// the level warn. A node serves about 20 requests per second.
 	routineRate = 100
-	// warningRate is the same for warnings and errors, so that failures are
-	// never left out before what went well.
+	// warningRate is the same for each event of the level warn or above. It is
+	// higher, so that failures are not dropped before successes.
 	warningRate = 400
 )
 
-// Queue writes lines in the background, so that who logs never waits for who
-// reads. Lines that find it full are dropped and counted.
+// Queue is an io.Writer that writes lines in the background, so that callers never
+// block on a slow writer. It drops and counts lines while it is full.
 type Queue struct {
-	lines   chan []byte
-	dropped atomic.Int64
-	ended   chan struct{}
-	out     io.Writer
-	once    sync.Once
+	lines     chan []byte
+	dropped   atomic.Int64
+	closed    chan struct{}
+	out       io.Writer
+	closeOnce sync.Once
 
 	mutex  sync.Mutex
-	recent [][]byte // the latest lines, in a ring
-	next   int      // where the ring goes on
+	recent [][]byte // ring buffer of the latest lines
+	oldest int      // index of the oldest line once the ring buffer is full
 }
 
-// NewQueue returns a queue that writes to out until Close.
+// NewQueue returns a queue that writes to out until Close is called.
 func NewQueue(out io.Writer) *Queue {
-	queue := &Queue{lines: make(chan []byte, queueLines), ended: make(chan struct{}), out: out}
+	queue := &Queue{lines: make(chan []byte, queueLines), closed: make(chan struct{}), out: out}
 	go queue.run()
 	return queue
 }
 
+// run writes the queued lines until the queue is closed.
 func (queue *Queue) run() {
-	defer close(queue.ended)
+	defer close(queue.closed)
 	for line := range queue.lines {
-		_, _ = queue.out.Write(line) // a log that can't be written has nowhere to say so
+		_, _ = queue.out.Write(line) // a failure to write the log cannot be logged
 	}
 }
 
-// Write takes one line. It never blocks and never fails.
+// Write queues one line, or drops it if the queue is full. It never blocks and
+// never returns an error.
 func (queue *Queue) Write(line []byte) (int, error) {
-	kept := bytes.Clone(line)
-	queue.remember(kept)
+	cloned := bytes.Clone(line)
+	queue.keepRecent(cloned)
 	select {
-	case queue.lines <- kept:
+	case queue.lines <- cloned:
 	default:
 		queue.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-func (queue *Queue) remember(line []byte) {
+// keepRecent adds a line to the ring buffer of recent lines.
+func (queue *Queue) keepRecent(line []byte) {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
 	if len(queue.recent) < recentLines {
 		queue.recent = append(queue.recent, line)
 		return
 	}
-	queue.recent[queue.next] = line
-	queue.next = (queue.next + 1) % recentLines
+	queue.recent[queue.oldest] = line
+	queue.oldest = (queue.oldest + 1) % recentLines
 }
 
-// Recent returns those of the latest lines in which the field has the value,
-// oldest first, also those that found the queue full.
+// Recent returns the recent lines in which the field has the value, oldest first.
+// They include lines that were dropped because the queue was full.
 func (queue *Queue) Recent(field, value string) [][]byte {
-	wanted := fmt.Appendf(nil, "%s:%s", quoted(field), quoted(value))
+	pattern := fmt.Appendf(nil, "%s:%s", jsonString(field), jsonString(value))
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
 	var found [][]byte
 	for index := range queue.recent {
-		line := queue.recent[(queue.next+index)%len(queue.recent)]
-		if bytes.Contains(line, wanted) {
+		line := queue.recent[(queue.oldest+index)%len(queue.recent)]
+		if bytes.Contains(line, pattern) {
 			found = append(found, line)
 		}
 	}
 	return found
 }
 
-// quoted returns a text as the log writes it.
-func quoted(text string) []byte {
+// jsonString returns the text as a JSON string in the encoding of the log.
+func jsonString(text string) []byte {
 	var buffer bytes.Buffer
 	encoder := json.NewEncoder(&buffer)
 	encoder.SetEscapeHTML(false)
-	_ = encoder.Encode(text) // a text can always be encoded
+	_ = encoder.Encode(text) // encoding a string never fails
 	return bytes.TrimSpace(buffer.Bytes())
 }
 
-// Dropped returns how many lines found the queue full since it was last asked.
+// Dropped returns how many lines were dropped since the last call because the queue
+// was full.
 func (queue *Queue) Dropped() int64 { return queue.dropped.Swap(0) }
 
-// Close writes what waits and ends. Nothing may be written afterwards.
+// Close waits until the queued lines are written and stops the goroutine of the
+// queue. Nothing may be written afterwards.
 func (queue *Queue) Close() {
-	queue.once.Do(func() { close(queue.lines) })
-	<-queue.ended
+	queue.closeOnce.Do(func() { close(queue.lines) })
+	<-queue.closed
 }
 
-// limits bound the lines of each event.
-type limits struct {
+// rateLimits are the rate limits of the events, by event number.
+type rateLimits struct {
 	mutex   sync.Mutex
 	events  map[int]*rate.Limiter
-	skipped map[int]int64
+	dropped map[int]int64 // lines dropped since the last takeDropped
 }
 
-// allow reports whether a line of the event may be written.
-func (limits *limits) allow(event Event) bool {
+// allow reports whether a line of the event may be written now, and counts the
+// line as dropped if not.
+func (limits *rateLimits) allow(event Event) bool {
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
 	if limits.events == nil {
 		limits.events = map[int]*rate.Limiter{}
-		limits.skipped = map[int]int64{}
+		limits.dropped = map[int]int64{}
 	}
 	limiter := limits.events[event.Number]
 	if limiter == nil {
-		lines := routineRate
+		limit := routineRate
 		if event.Level >= slog.LevelWarn {
-			lines = warningRate
+			limit = warningRate
 		}
-		limiter = rate.NewLimiter(rate.Limit(lines), lines)
+		limiter = rate.NewLimiter(rate.Limit(limit), limit)
 		limits.events[event.Number] = limiter
 	}
 	if limiter.Allow() {
 		return true
 	}
-	limits.skipped[event.Number]++
+	limits.dropped[event.Number]++
 	return false
 }
 
-// takeSkipped returns how many lines of each event were left out since it was
-// last asked.
-func (limits *limits) takeSkipped() map[int]int64 {
+// takeDropped returns and resets the number of dropped lines by event number.
+func (limits *rateLimits) takeDropped() map[int]int64 {
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
-	skipped := limits.skipped
-	if len(skipped) > 0 {
-		limits.skipped = map[int]int64{}
+	dropped := limits.dropped
+	if len(dropped) > 0 {
+		limits.dropped = map[int]int64{}
 	}
-	return skipped
+	return dropped
 }
