--- a/capacity_test.go
+++ b/capacity_test.go
@@ -23,77 +23,81 @@
 	platformstandin "shedkeel.org/shedkeel/platform/standin"
 )
 
-var capacity = flag.Bool("capacity", false, "measure real keepers at several sizes")
-
-// yard is a fleet of real keepers; the stand-ins run in the test's process, so
-// that only keepers are measured.
-type yard struct {
-	host  string
-	store *standin.Store
-	procs []*exec.Cmd
-	dir   string
+var capacity = flag.Bool("capacity", false, "measure keeper processes in fleets of several sizes")
+
+// keeperFleet is a fleet of keeper processes. The stand-ins of the other parts run in
+// the test process, so that the measured processes are keepers only.
+type keeperFleet struct {
+	host    string // first three bytes of its loopback addresses
+	store   *standin.Store
+	keepers []*exec.Cmd // keepers, by number
+	dir     string      // of the settings files
 }
 
 const (
-	capacityMembers = 8
-	capacityTime    = 15 * time.Second
-	clockTicks      = 100 // a second, in /proc/PID/stat
+	capacityMembers = 8                // boxes per group
+	capacityTime    = 15 * time.Second // duration of a measurement
+	clockTicks      = 100              // ticks per second of the times in /proc/PID/stat
 )
 
-// TestCapacity measures the processor time, memory and bytes of keepers.
+// TestCapacity prints the CPU time, memory, and bytes sent and read of keepers, and
+// their calls to the key-value service, for several numbers of keepers and groups.
 func TestCapacity(t *testing.T) {
 	if !*capacity {
 		t.Skip("run with -capacity; it measures and asserts nothing")
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "keepers\tgroups\tCPU % of a core, mean\tworst\tmemory MB, worst\tsent KB/s, mean\tread KB/s\tstore reads/s\twrites/s\twatches\tnot whole")
-	for index, point := range []struct{ keepers, groups int }{{3, 20}, {9, 20}, {9, 53}, {18, 53}, {30, 53}} {
-		measureKeepers(t, table, index, point.keepers, point.groups)
+	for index, size := range []struct{ keepers, groups int }{{3, 20}, {9, 20}, {9, 53}, {18, 53}, {30, 53}} {
+		measureKeepers(t, table, index, size.keepers, size.groups)
 	}
 	_ = table.Flush()
 }
 
+// measureKeepers starts a fleet, waits until all groups are whole, and adds a line
+// with the mean and worst usage of its keepers to the table.
 func measureKeepers(t *testing.T, table *tabwriter.Writer, index, keepers, groups int) {
 	t.Helper()
-	yard := &yard{host: fmt.Sprintf("127.%d.%d", 10+os.Getpid()%200, 200+index), store: standin.NewStore(), dir: t.TempDir()}
-	defer yard.end()
-	yard.serve(t, yard.host+".250:2379", (&platformstandin.Store{Data: yard.store}).Handler())
+	fleet := &keeperFleet{host: fmt.Sprintf("127.%d.%d", 10+os.Getpid()%200, 200+index), store: standin.NewStore(), dir: t.TempDir()}
+	defer fleet.stop()
+	fleet.serve(t, fleet.host+".250:2379", (&platformstandin.Store{Data: fleet.store}).Handler())
 	var boxes []shedkeel.Box
 	for number := range groups*capacityMembers + 4 {
-		address := fmt.Sprintf("%s.%d:%d", yard.host, 200+number/100, 9000+number%100)
+		address := fmt.Sprintf("%s.%d:%d", fleet.host, 200+number/100, 9000+number%100)
 		model := &standin.Engine{JoinTime: time.Millisecond, LoadTime: time.Millisecond, Slots: 4, BootPrefix: "b"}
 		model.Begin()
-		yard.serve(t, address, model.Handler())
+		fleet.serve(t, address, model.Handler())
 		boxes = append(boxes, shedkeel.Box{ID: shedkeel.BoxID(fmt.Sprintf("box-%04d", number)), Address: address, Zone: "z1", Domain: shedkeel.DomainID(fmt.Sprintf("rack-%d", number/36)), Accelerators: 1})
 	}
-	yard.serve(t, yard.host+".251:8500", (&standin.BoxList{Boxes: boxes}).Handler())
+	fleet.serve(t, fleet.host+".251:8500", (&standin.BoxList{Boxes: boxes}).Handler())
 	for keeper := 1; keeper <= keepers; keeper++ {
-		yard.start(t, keeper, keepers)
+		fleet.start(t, keeper, keepers)
 	}
-	client := &operator.Client{Keeper: yard.host + ".1:7400", Key: "operator-key"}
-	yard.apply(t, client, groups)
-	yard.awaitWhole(t, client, groups)
+	client := &operator.Client{Keeper: fleet.host + ".1:7400", Key: "operator-key"}
+	fleet.apply(t, client, groups)
+	fleet.awaitWhole(t, client, groups)
 	time.Sleep(3 * time.Second)
-	before, counts := yard.usage(t), yard.store.Counts()
-	missing := yard.watch(t, client, groups)
-	after, later := yard.usage(t), yard.store.Counts()
-	var cpu, worst, memory, sent, read float64
-	for place := range before {
-		own := (after[place].cpu - before[place].cpu) / capacityTime.Seconds() * 100
-		cpu += own / float64(keepers)
-		worst = max(worst, own)
-		memory = max(memory, after[place].memory)
-		sent += (after[place].sent - before[place].sent) / capacityTime.Seconds() / float64(keepers)
-		read += (after[place].read - before[place].read) / capacityTime.Seconds() / float64(keepers)
+	usageBefore, countsBefore := fleet.usage(t), fleet.store.Counts()
+	notWhole := fleet.notWholeFraction(t, client, groups)
+	usageAfter, countsAfter := fleet.usage(t), fleet.store.Counts()
+	var cpu, worstCPU, memory, sent, read float64
+	for keeper := range usageBefore {
+		keeperCPU := (usageAfter[keeper].cpu - usageBefore[keeper].cpu) / capacityTime.Seconds() * 100
+		cpu += keeperCPU / float64(keepers)
+		worstCPU = max(worstCPU, keeperCPU)
+		memory = max(memory, usageAfter[keeper].memory)
+		sent += (usageAfter[keeper].sent - usageBefore[keeper].sent) / capacityTime.Seconds() / float64(keepers)
+		read += (usageAfter[keeper].read - usageBefore[keeper].read) / capacityTime.Seconds() / float64(keepers)
 	}
 	rate := func(later, before int) float64 { return float64(later-before) / capacityTime.Seconds() }
-	_, _ = fmt.Fprintf(table, "%d\t%d\t%.2f\t%.2f\t%.0f\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t%.2f%%\n", keepers, groups, cpu, worst, memory, sent/1000, read/1000,
-		rate(later.Reads, counts.Reads), rate(later.Writes, counts.Writes), later.Watches, missing*100)
+	_, _ = fmt.Fprintf(table, "%d\t%d\t%.2f\t%.2f\t%.0f\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t%.2f%%\n", keepers, groups, cpu, worstCPU, memory, sent/1000, read/1000,
+		rate(countsAfter.Reads, countsBefore.Reads), rate(countsAfter.Writes, countsBefore.Writes), countsAfter.Watches, notWhole*100)
 }
 
-// watch looks twice a second whether all groups are whole in one keeper's eyes,
-// and returns the part of what it saw that was not.
-func (yard *yard) watch(t *testing.T, client *operator.Client, groups int) float64 {
+// notWholeFraction queries the status of one keeper every 0.5 s for capacityTime. It
+// returns the
+// fraction of the group states seen that were not whole.
+func (fleet *keeperFleet) notWholeFraction(t *testing.T, client *operator.Client, groups int) float64 {
 	t.Helper()
 	seen, whole := 0, 0
 	for began := time.Now(); time.Since(began) < capacityTime; time.Sleep(500 * time.Millisecond) {
@@ -105,7 +109,8 @@
 	return float64(seen-whole) / float64(seen)
 }
 
-func (yard *yard) serve(t *testing.T, address string, handler http.Handler) {
+// serve serves the handler at the address until the test ends.
+func (fleet *keeperFleet) serve(t *testing.T, address string, handler http.Handler) {
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
 	assert.NilError(t, err)
@@ -114,13 +119,15 @@
 	t.Cleanup(func() { _ = server.Close() })
 }
 
-func (yard *yard) start(t *testing.T, number, keepers int) {
+// start starts the keeper with the number. The first nine keepers are the peers of
+// all.
+func (fleet *keeperFleet) start(t *testing.T, number, keepers int) {
 	t.Helper()
 	var peers []string
 	for peer := 1; peer <= min(keepers, 9); peer++ {
-		peers = append(peers, strconv.Quote(fmt.Sprintf("%s.%d:7401", yard.host, peer)))
+		peers = append(peers, strconv.Quote(fmt.Sprintf("%s.%d:7401", fleet.host, peer)))
 	}
-	own := fmt.Sprintf("%s.%d", yard.host, number)
+	own := fmt.Sprintf("%s.%d", fleet.host, number)
 	settings := fmt.Sprintf(`node = "node-%03d"
 zone = "z1"
 [entry]
@@ -138,25 +145,28 @@
 box_list = "%s.251:8500"
 [log]
 level = "error"
-`, number, own, own, own, strings.Join(peers, ", "), own, yard.host, yard.host)
-	path := filepath.Join(yard.dir, fmt.Sprintf("%d.toml", number))
+`, number, own, own, own, strings.Join(peers, ", "), own, fleet.host, fleet.host)
+	path := filepath.Join(fleet.dir, fmt.Sprintf("%d.toml", number))
 	assert.NilError(t, os.WriteFile(path, []byte(settings), 0o600))
 	program, err := exec.LookPath("shedkeel-keeper")
-	assert.NilError(t, err, "run it by make capacity, which builds the programs")
+	assert.NilError(t, err, "run this test with make capacity, which builds the programs")
 	command := exec.Command(program, "--settings", path)
 	command.Stderr = os.Stderr
 	assert.NilError(t, command.Start())
-	yard.procs = append(yard.procs, command)
+	fleet.keepers = append(fleet.keepers, command)
 }
 
-func (yard *yard) end() {
-	for _, command := range yard.procs {
+// stop kills the keepers and waits for them to exit.
+func (fleet *keeperFleet) stop() {
+	for _, command := range fleet.keepers {
 		_ = command.Process.Kill()
 		_ = command.Wait()
 	}
 }
 
-func (yard *yard) apply(t *testing.T, client *operator.Client, groups int) {
+// apply applies a configuration with the groups. It retries for about 20 s, since
+// the keepers may still be starting.
+func (fleet *keeperFleet) apply(t *testing.T, client *operator.Client, groups int) {
 	t.Helper()
 	wanted := shedkeel.Config{EntryBoxes: 9, Services: []shedkeel.Service{{
 		ID: "model", Kind: shedkeel.KindModel, Groups: groups, Members: capacityMembers, Zones: []shedkeel.ZoneID{"z1"}, Capacity: 4, Timeout: shedkeel.Duration(time.Minute),
@@ -172,7 +182,8 @@
 	assert.NilError(t, err)
 }
 
-func (yard *yard) awaitWhole(t *testing.T, client *operator.Client, groups int) {
+// awaitWhole waits up to about 60 s until all groups are whole.
+func (fleet *keeperFleet) awaitWhole(t *testing.T, client *operator.Client, groups int) {
 	t.Helper()
 	whole := 0
 	for range 300 {
@@ -184,18 +195,20 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	t.Fatalf("%d of %d groups are whole", whole, groups)
+	t.Fatalf("%d of %d groups are whole after about 60 s", whole, groups)
 }
 
-// usage is what a process has used since it began.
+// usage is the CPU time and bytes that a process has used since its start, and the
+// memory that it uses now.
 type usage struct {
 	cpu, memory, sent, read float64 // seconds, megabytes, bytes, bytes
 }
 
-func (yard *yard) usage(t *testing.T) []usage {
+// usage returns the usage of each keeper.
+func (fleet *keeperFleet) usage(t *testing.T) []usage {
 	t.Helper()
-	var all []usage
-	for _, command := range yard.procs {
+	var usages []usage
+	for _, command := range fleet.keepers {
 		dir := fmt.Sprintf("/proc/%d/", command.Process.Pid)
 		stat := strings.Fields(readFile(t, dir+"stat"))
 		io := map[string]float64{}
@@ -207,9 +220,9 @@
 		user, _ := strconv.ParseFloat(stat[13], 64)
 		system, _ := strconv.ParseFloat(stat[14], 64)
 		pages, _ := strconv.ParseFloat(statm[1], 64)
-		all = append(all, usage{cpu: (user + system) / clockTicks, memory: pages * 4096 / 1e6, sent: io["wchar"], read: io["rchar"]})
+		usages = append(usages, usage{cpu: (user + system) / clockTicks, memory: pages * 4096 / 1e6, sent: io["wchar"], read: io["rchar"]})
 	}
-	return all
+	return usages
 }
 
 func readFile(t *testing.T, path string) string {
@@ -219,7 +232,8 @@
 	return string(text)
 }
 
-// TestStateSizes prints how large the agreed records are at the letter's size.
+// TestStateSizes prints the size of the placement record of a zone with 86 groups of
+// 8 boxes, and checks that it fits into one value of the key-value service.
 func TestStateSizes(t *testing.T) {
 	placement := shedkeel.Placement{Generation: 1 << 20, Zone: "zone-1", Nonce: "0123456789abcdef"}
 	for group := range 86 {
@@ -232,5 +246,5 @@
 	text, err := json.Marshal(placement)
 	assert.NilError(t, err)
 	t.Logf("placement of 86 groups of 8: %d bytes", len(text))
-	assert.Assert(t, len(text) < 1<<20, "a zone's placement must fit one value of the service")
+	assert.Assert(t, len(text) < 1<<20, "the placement of a zone must fit into one value of the key-value service")
 }
--- a/instance_test.go
+++ b/instance_test.go
@@ -10,17 +10,19 @@
 	"shedkeel.org/shedkeel"
 )
 
+// TestInstanceID checks that an ID splits into the server and start that it was made
+// of, also if the server's name contains the separator.
 func TestInstanceID(t *testing.T) {
 	for name, test := range map[string]struct {
 		server shedkeel.ServerID
 		born   int64
 		id     shedkeel.InstanceID
 	}{
-		"a server that tells of its start": {"i-1", 1764720000000, "i-1@1764720000000"},
-		"one that does not":                {"i-1", 0, "i-1"},
-		"a name with the mark in it":       {"i@rack-1", 0, "i@rack-1"},
-		"both":                             {"i@rack-1", 7, "i@rack-1@7"},
-		"a name that ends with the mark":   {"i@", 0, "i@"},
+		"start reported":                           {"i-1", 1764720000000, "i-1@1764720000000"},
+		"start not reported":                       {"i-1", 0, "i-1"},
+		"separator in the name":                    {"i@rack-1", 0, "i@rack-1"},
+		"separator in the name and start reported": {"i@rack-1", 7, "i@rack-1@7"},
+		"separator at the end of the name":         {"i@", 0, "i@"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			id := shedkeel.NewInstanceID(test.server, test.born)
@@ -31,8 +33,9 @@
 	}
 }
 
-// TestInstancesSame changes each field of a record in turn, also ones that are added
-// later: only the sequence makes no difference.
+// TestInstancesSame changes each field of a record in turn and checks that Same
+// notices every change except that of Sequence. It finds the fields by reflection,
+// so that a field that is added later is covered too.
 func TestInstancesSame(t *testing.T) {
 	record := func() shedkeel.Instance {
 		return shedkeel.Instance{
--- a/overhead_test.go
+++ b/overhead_test.go
@@ -34,49 +34,54 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-var overhead = flag.Bool("overhead", false, "measure what an entry adds to a direct call")
+var overhead = flag.Bool("overhead", false, "measure the overhead of an entry over direct calls")
 
-// constant answers an entry's polls like a keeper for which nothing changes.
-type constant struct {
+// staticKeeper answers an entry's polls like a keeper whose records and verdicts never
+// change.
+type staticKeeper struct {
 	records  []*wire.Record
 	group    shedkeel.Group
 	sequence uint64
 }
 
-func (constant *constant) Handle(context.Context, *wire.Call) *wire.Reply {
-	constant.sequence++
-	digest := &wire.Digest{Watcher: "w", Incarnation: "1", Sequence: constant.sequence, Verdicts: []*wire.GroupVerdict{{
-		Group: string(constant.group.ID), Epoch: constant.group.Epoch, Verdict: uint32(shedkeel.VerdictWhole),
+// Handle returns the records and a new digest in which the group is whole.
+func (keeper *staticKeeper) Handle(context.Context, *wire.Call) *wire.Reply {
+	keeper.sequence++
+	digest := &wire.Digest{Watcher: "w", Incarnation: "1", Sequence: keeper.sequence, Verdicts: []*wire.GroupVerdict{{
+		Group: string(keeper.group.ID), Epoch: keeper.group.Epoch, Verdict: uint32(shedkeel.VerdictWhole),
 	}}}
-	return &wire.Reply{Kind: &wire.Reply_Sync{Sync: &wire.SyncReply{Settled: true, Records: constant.records, Digests: []*wire.Digest{digest}}}}
+	return &wire.Reply{Kind: &wire.Reply_Sync{Sync: &wire.SyncReply{Settled: true, Records: keeper.records, Digests: []*wire.Digest{digest}}}}
 }
 
-// TestOverhead measures latency and processor time of calls through an entry
-// against direct ones, in one run and one process.
+// TestOverhead prints the latency and CPU time of calls through an entry and of
+// direct calls to the engine, measured in the same process.
 func TestOverhead(t *testing.T) {
 	if !*overhead {
 		t.Skip("run with -overhead; it measures and asserts nothing")
 	}
-	direct, through := startOverhead(t)
+	direct, through := startEngineAndEntry(t)
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "kind\tcallers\tdirect p50\tp99\tthrough p50\tp99\tadded p50\tp99\tCPU direct\tthrough")
 	for _, stream := range []bool{false, true} {
 		for _, callers := range []int{1, 64, 512} {
 			_, _ = measureCalls(t, through, callers, stream, 500) // warm up
-			base, baseCPU := measureCalls(t, direct, callers, stream, 20000)
-			ours, oursCPU := measureCalls(t, through, callers, stream, 20000)
-			micros := func(histogram *hdrhistogram.Histogram, part float64) time.Duration {
-				return time.Duration(histogram.ValueAtQuantile(part)) * time.Microsecond
+			directLatency, directCPU := measureCalls(t, direct, callers, stream, 20000)
+			throughLatency, throughCPU := measureCalls(t, through, callers, stream, 20000)
+			quantile := func(histogram *hdrhistogram.Histogram, percent float64) time.Duration {
+				return time.Duration(histogram.ValueAtQuantile(percent)) * time.Microsecond
 			}
 			_, _ = fmt.Fprintf(table, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", map[bool]string{true: "stream", false: "whole"}[stream], callers,
-				micros(base, 50), micros(base, 99), micros(ours, 50), micros(ours, 99),
-				micros(ours, 50)-micros(base, 50), micros(ours, 99)-micros(base, 99), baseCPU, oursCPU)
+				quantile(directLatency, 50), quantile(directLatency, 99), quantile(throughLatency, 50), quantile(throughLatency, 99),
+				quantile(throughLatency, 50)-quantile(directLatency, 50), quantile(throughLatency, 99)-quantile(directLatency, 99), directCPU, throughCPU)
 		}
 	}
 	_ = table.Flush()
 }
 
-func startOverhead(t *testing.T) (direct, through string) {
+// startEngineAndEntry starts an engine, a static keeper and an entry. It returns the
+// URLs for direct calls to the engine and for calls through the entry, once the entry
+// serves.
+func startEngineAndEntry(t *testing.T) (direct, through string) {
 	t.Helper()
 	model := &standin.Engine{Slots: 4096, BootPrefix: "b"}
 	model.Begin()
@@ -94,7 +99,7 @@
 
 	wireListener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	server := &wire.Server{Key: "k", Handler: &constant{records: records(t, group), group: group}}
+	server := &wire.Server{Key: "k", Handler: &staticKeeper{records: staticRecords(t, group), group: group}}
 	go func() { _ = server.Run(wireListener) }()
 	t.Cleanup(func() { _ = wireListener.Close() })
 	callers, err := net.Listen("tcp", "127.0.0.1:0")
@@ -124,14 +129,15 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Fatal("the entry does not serve")
+	t.Fatal("the entry does not answer calls with 200 within about 10 s")
 	return "", ""
 }
 
-func records(t *testing.T, group shedkeel.Group) []*wire.Record {
+// staticRecords returns the configuration and the placement for one group.
+func staticRecords(t *testing.T, group shedkeel.Group) []*wire.Record {
 	t.Helper()
 	sum := sha256.Sum256([]byte(testerKey))
-	inForce, err := json.Marshal(shedkeel.Config{
+	configuration, err := json.Marshal(shedkeel.Config{
 		Generation: 1, EntryBoxes: 1,
 		Services: []shedkeel.Service{{ID: "model", Kind: shedkeel.KindModel, Capacity: 4096, Timeout: shedkeel.Duration(time.Minute)}},
 		Accounts: []shedkeel.Account{{ID: "tester", KeyHash: hex.EncodeToString(sum[:])}},
@@ -139,21 +145,21 @@
 	assert.NilError(t, err)
 	placement, err := json.Marshal(shedkeel.Placement{Generation: 1, Zone: "z", Groups: []shedkeel.Group{group}})
 	assert.NilError(t, err)
-	return []*wire.Record{{Key: member.KeyConfig, Version: 1, Value: inForce}, {Key: member.KeyPlacements + "z", Version: 1, Value: placement}}
+	return []*wire.Record{{Key: member.KeyConfig, Version: 1, Value: configuration}, {Key: member.KeyPlacements + "z", Version: 1, Value: placement}}
 }
 
-// measureCalls makes so many calls and returns their latencies, to the first
-// byte of the body for streams, and the processor time of the whole process
-// for each call.
+// measureCalls makes the given number of calls from concurrent callers. It returns the
+// latencies to the first byte of the body, in microseconds, and the CPU time of the
+// whole process per call.
 func measureCalls(t *testing.T, url string, callers int, stream bool, calls int) (*hdrhistogram.Histogram, time.Duration) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
 	defer client.CloseIdleConnections()
 	body := fmt.Sprintf(`{"model":"model","prompt":"p","stream":%t}`, stream)
-	merged := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
+	latencies := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	var mutex sync.Mutex
 	var running sync.WaitGroup
-	before := processorTime()
+	before := cpuTime()
 	for range callers {
 		running.Go(func() {
 			histogram := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
@@ -168,22 +174,23 @@
 				}
 				reader := bufio.NewReader(response.Body)
 				_, _ = reader.ReadByte()
-				taken := time.Since(began)
+				latency := time.Since(began)
 				_, _ = io.Copy(io.Discard, reader)
 				_ = response.Body.Close()
 				assert.Check(t, response.StatusCode == http.StatusOK, "status %d", response.StatusCode)
-				_ = histogram.RecordValue(taken.Microseconds())
+				_ = histogram.RecordValue(latency.Microseconds())
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
-			merged.Merge(histogram)
+			latencies.Merge(histogram)
 		})
 	}
 	running.Wait()
-	return merged, (processorTime() - before) / time.Duration(max(calls/callers, 1)*callers)
+	return latencies, (cpuTime() - before) / time.Duration(max(calls/callers, 1)*callers)
 }
 
-func processorTime() time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
--- a/revision_test.go
+++ b/revision_test.go
@@ -6,7 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRevisions checks that an era goes before a number in the order of revisions.
+// TestRevisions checks that revisions are ordered by era first and number second,
+// and how they are printed.
 func TestRevisions(t *testing.T) {
 	ordered := []Revision{{}, {0, 7}, {0, 1000}, {1, 0}, {1, 7}, {2, 3}}
 	for i, a := range ordered {
