--- a/mutants_test.go
+++ b/mutants_test.go
@@ -12,12 +12,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// mutant is a build without one mechanism, and the test that must fail on it.
+// mutant replaces a piece of code so that one mechanism is missing, and names the test
+// that must then fail.
 type mutant struct {
 	file     string
-	old, new string
-	test     string // of go test -run
-	packages string
+	old, new string // a text that must occur once in the file, and its replacement
+	test     string // pattern for go test -run
+	packages string // pattern of the packages to test
 }
 
 var mutants = map[string]mutant{
@@ -338,8 +339,8 @@
 	},
 }
 
-// TestMutants builds the project without one mechanism after another, in a
-// copy, and checks that the test which proves it then fails.
+// TestMutants applies each mutant in turn to a copy of the project and checks that
+// its test fails. A test that still passes does not cover the mechanism.
 func TestMutants(t *testing.T) {
 	listed, err := exec.Command("git", "ls-files").Output()
 	assert.NilError(t, err)
@@ -353,22 +354,23 @@
 	for name, mutant := range mutants {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(copied, mutant.file)
-			sound, err := os.ReadFile(path)
+			original, err := os.ReadFile(path)
 			assert.NilError(t, err)
-			assert.Equal(t, strings.Count(string(sound), mutant.old), 1, "the mechanism is not where it was")
-			assert.NilError(t, os.WriteFile(path, []byte(strings.Replace(string(sound), mutant.old, mutant.new, 1)), 0o600))
-			defer func() { _ = os.WriteFile(path, sound, 0o600) }()
+			assert.Equal(t, strings.Count(string(original), mutant.old), 1, "the text to replace must occur exactly once in its file")
+			assert.NilError(t, os.WriteFile(path, []byte(strings.Replace(string(original), mutant.old, mutant.new, 1)), 0o600))
+			defer func() { _ = os.WriteFile(path, original, 0o600) }()
 			command := exec.Command("go", "test", "-timeout", "150s", "-run", mutant.test, mutant.packages)
 			command.Dir = copied
 			output, err := command.CombinedOutput()
-			assert.Assert(t, err != nil, "the test passes without the mechanism:\n%s", output)
-			assert.Assert(t, !strings.Contains(string(output), "build failed"), "it does not build:\n%s", output)
-			t.Logf("fails as it must: %s", reason(string(output)))
+			assert.Assert(t, err != nil, "the test passes on the mutant:\n%s", output)
+			assert.Assert(t, !strings.Contains(string(output), "build failed"), "the mutant does not build:\n%s", output)
+			t.Logf("the test fails as expected: %s", reason(string(output)))
 		})
 	}
 }
 
-// reason returns the first line that tells why a test failed.
+// reason returns the first line of the output that says why a test failed, or the
+// whole output if there is none.
 func reason(output string) string {
 	for line := range strings.Lines(output) {
 		if strings.Contains(line, "assertion failed") || strings.Contains(line, "FAIL: testdata") || strings.Contains(line, "seed") {
--- a/scenario_load_test.go
+++ b/scenario_load_test.go
@@ -14,36 +14,37 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// load sends model calls, whole and streamed, through entry boxes until ended,
-// and judges each answer.
+// load sends model calls, alternately streamed and not, through entry boxes until
+// it is ended. It checks each answer and counts the outcomes.
 type load struct {
-	world   *world
-	stop    chan struct{}
-	running sync.WaitGroup
-	number  atomic.Int64
+	fleet   *fleet
+	stop    chan struct{}  // closed to end the load
+	running sync.WaitGroup // the callers
+	calls   atomic.Int64   // calls so far
 
 	mutex    sync.Mutex
 	answered int
 	notRun   int
 	unknown  int
-	cut      int
-	cuts     []string // the errors, or the last of what came
-	foreign  []string
+	cut      int      // answers whose connection failed or broke
+	cutTexts []string // for each of them, the error or the last 200 bytes of the answer
+	wrong    []string // answers that are incomplete or belong to another request
 }
 
-// cmdLoad begins a load: load CALLERS URL... Callers ask which entry boxes to
-// use, beginning at the URLs, and keep the answer as long as they may.
+// cmdLoad starts a load: load CALLERS URL... The callers get the list of entry boxes
+// from the first URL that answers, and use the list for as long as it permits.
 func cmdLoad(script *testscript.TestScript, _ bool, args []string) {
-	world := worldOf(script)
+	fleet := fleetOf(script)
 	callers, err := strconv.Atoi(args[0])
 	script.Check(err)
-	world.loads = &load{world: world, stop: make(chan struct{})}
+	fleet.load = &load{fleet: fleet, stop: make(chan struct{})}
 	for caller := range callers {
-		world.loads.running.Go(func() { world.loads.run(caller, args[1:]) })
+		fleet.load.running.Go(func() { fleet.load.run(caller, args[1:]) })
 	}
 }
 
-func (load *load) end() {
+// stopCallers stops the callers and waits for their calls to end.
+func (load *load) stopCallers() {
 	select {
 	case <-load.stop:
 	default:
@@ -52,7 +53,7 @@
 	load.running.Wait()
 }
 
-// run is one caller.
+// run makes the calls of one caller until the load ends.
 func (load *load) run(caller int, urls []string) {
 	addresses := urls
 	until := time.Time{}
@@ -64,18 +65,20 @@
 		default:
 		}
 		if asked := time.Now(); asked.After(until) {
-			named, kept := askEntries(client, urls)
-			if len(named) == 0 {
+			entries, validFor := fetchEntries(client, urls)
+			if len(entries) == 0 {
 				time.Sleep(50 * time.Millisecond)
-				continue // the addresses that it has may not be used any longer
+				continue // the list of entry boxes has expired
 			}
-			addresses, until = named, asked.Add(kept)
+			addresses, until = entries, asked.Add(validFor)
 		}
-		load.one(client, addresses[try%len(addresses)], try%2 == 0)
+		load.callOnce(client, addresses[try%len(addresses)], try%2 == 0)
 	}
 }
 
-func askEntries(client *http.Client, urls []string) ([]string, time.Duration) {
+// fetchEntries returns the URLs of the entry boxes and how long they may be used. It
+// asks the given URLs in turn until one answers.
+func fetchEntries(client *http.Client, urls []string) ([]string, time.Duration) {
 	for _, url := range urls {
 		response, err := client.Get(url + "/v1/entries")
 		if err != nil {
@@ -101,9 +104,9 @@
 	return nil, 0
 }
 
-// one makes one call, and judges its answer.
-func (load *load) one(client *http.Client, url string, stream bool) {
-	prompt := fmt.Sprintf("load-%d", load.number.Add(1))
+// callOnce makes one call and records its outcome.
+func (load *load) callOnce(client *http.Client, url string, stream bool) {
+	prompt := fmt.Sprintf("load-%d", load.calls.Add(1))
 	body := fmt.Sprintf(`{"model":"model","prompt":%q,"stream":%t,"max_tokens":20}`, prompt, stream)
 	request, err := http.NewRequest(http.MethodPost, url+"/v1/completions", strings.NewReader(body))
 	if err != nil {
@@ -112,7 +115,7 @@
 	request.Header.Set("Authorization", "Bearer "+testerKey)
 	response, err := client.Do(request)
 	if err != nil {
-		load.judge("cut", prompt, err.Error())
+		load.record("cut", prompt, err.Error())
 		return
 	}
 	text, err := io.ReadAll(response.Body)
@@ -121,24 +124,26 @@
 	if err != nil {
 		outcome = "cut"
 	}
-	load.judge(outcome, prompt, string(text))
+	load.record(outcome, prompt, string(text))
 	if outcome == "not-run" {
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-func (load *load) judge(outcome, prompt, text string) {
+// record counts an outcome. An answer must be complete: it repeats the prompt, has the
+// 20 words of the call, and a stream has its 21 events with the end marker last.
+func (load *load) record(outcome, prompt, text string) {
 	load.mutex.Lock()
 	defer load.mutex.Unlock()
 	switch outcome {
 	case "answered":
 		load.answered++
-		whole := strings.Contains(text, prompt+" ") && strings.Contains(text, "word19") && strings.Count(text, "load-") <= 2
+		complete := strings.Contains(text, prompt+" ") && strings.Contains(text, "word19") && strings.Count(text, "load-") <= 2
 		if strings.Contains(text, "data:") {
-			whole = whole && strings.HasSuffix(text, "data: [DONE]\n\n") && strings.Count(text, "data: ") == 21
+			complete = complete && strings.HasSuffix(text, "data: [DONE]\n\n") && strings.Count(text, "data: ") == 21
 		}
-		if !whole {
-			load.foreign = append(load.foreign, prompt+": "+text)
+		if !complete {
+			load.wrong = append(load.wrong, prompt+": "+text)
 		}
 	case "not-run":
 		load.notRun++
@@ -146,19 +151,18 @@
 		load.unknown++
 	default:
 		load.cut++
-		load.cuts = append(load.cuts, text[max(0, len(text)-200):])
+		load.cutTexts = append(load.cutTexts, text[max(0, len(text)-200):])
 	}
 }
 
-// cmdLoaded ends the load and checks it: loaded MIN-ANSWERED MAX-CUT
-// MAX-UNKNOWN. No answer may be another's or a part, and no call that was said
-// not to have run may have run.
+// cmdLoaded ends the load and checks the counts of its outcomes: loaded MIN-ANSWERED
+// MAX-CUT MAX-UNKNOWN. No answer may be incomplete or belong to another request.
 func cmdLoaded(script *testscript.TestScript, _ bool, args []string) {
-	world := worldOf(script)
-	world.loads.end()
-	load := world.loads
-	script.Logf("answered %d, not run %d, unknown %d, cut %d, foreign %d", load.answered, load.notRun, load.unknown, load.cut, len(load.foreign))
-	for _, text := range load.cuts {
+	fleet := fleetOf(script)
+	fleet.load.stopCallers()
+	load := fleet.load
+	script.Logf("answered %d, not run %d, unknown %d, cut %d, wrong %d", load.answered, load.notRun, load.unknown, load.cut, len(load.wrong))
+	for _, text := range load.cutTexts {
 		script.Logf("cut: %s", text)
 	}
 	limits := make([]int, len(args))
@@ -167,20 +171,21 @@
 		script.Check(err)
 		limits[index] = limit
 	}
-	if len(load.foreign) > 0 {
-		script.Fatalf("wrong or partial answers: %s", load.foreign[0])
+	if len(load.wrong) > 0 {
+		script.Fatalf("wrong or incomplete answers, the first: %s", load.wrong[0])
 	}
 	if load.answered < limits[0] || load.cut > limits[1] || load.unknown > limits[2] {
 		script.Fatalf("answered %d (at least %d), cut %d (at most %d), unknown %d (at most %d)", load.answered, limits[0], load.cut, limits[1], load.unknown, limits[2])
 	}
 }
 
-// cmdCharges sends charges, each under a key of its own, at once through all
-// the entry boxes given: charges COUNT PREFIX URL... Then it checks with the
-// plain services' counts that none ran twice, that none ran of which all
-// callers were told "not run", and that each that was answered ran.
+// cmdCharges sends charges, which must run at most once, each concurrently through
+// all the given entry boxes under the same idempotency key: charges COUNT PREFIX
+// URL... Then it checks with the counts of the plain services that no charge ran
+// twice, that none ran for which all outcomes were not-run, and that each ran for
+// which an outcome was answered.
 func cmdCharges(script *testscript.TestScript, _ bool, args []string) {
-	world := worldOf(script)
+	fleet := fleetOf(script)
 	count, err := strconv.Atoi(args[0])
 	script.Check(err)
 	var mutex sync.Mutex
@@ -199,78 +204,83 @@
 	}
 	sending.Wait()
 	tally := map[string]int{}
-	first, second := world.runs(script, "plain-1"), world.runs(script, "plain-2")
-	for name, told := range outcomes {
+	first, second := fleet.runs(script, "plain-1"), fleet.runs(script, "plain-2")
+	for name, results := range outcomes {
 		ran := first[name] + second[name]
 		notRun := 0
-		for _, outcome := range told {
+		for _, outcome := range results {
 			tally[outcome]++
 			if outcome == "not-run" {
 				notRun++
 			}
 			if outcome == "answered" && ran != 1 {
-				script.Fatalf("%s was answered and ran %d times", name, ran)
+				script.Fatalf("charge %s has the outcome answered and ran %d times", name, ran)
 			}
 		}
-		if ran > 1 || ran == 1 && notRun == len(told) {
-			script.Fatalf("%s ran %d times, callers were told %v", name, ran, told)
+		if ran > 1 || ran == 1 && notRun == len(results) {
+			script.Fatalf("charge %s ran %d times, the outcomes are %v", name, ran, results)
 		}
 	}
 	script.Logf("%d charges over %d entry boxes: %v", count, len(args)-2, tally)
 }
 
-// cmdCharging sends charges like cmdCharges, but does not wait for them.
+// cmdCharging starts to send charges like cmdCharges, and does not wait for them.
 func cmdCharging(script *testscript.TestScript, _ bool, args []string) {
 	count, err := strconv.Atoi(args[0])
 	script.Check(err)
-	world := worldOf(script)
+	fleet := fleetOf(script)
 	for number := range count {
 		for _, url := range args[2:] {
-			world.charging.Go(func() { charge(url, fmt.Sprintf("%s-%d", args[1], number)) })
+			fleet.charging.Go(func() { charge(url, fmt.Sprintf("%s-%d", args[1], number)) })
 		}
 	}
 }
 
-// cmdLongCall begins a streamed call of so many tokens: longcall URL TOKENS.
+// cmdLongCall starts a streamed call with a number of tokens: longcall URL TOKENS.
 func cmdLongCall(script *testscript.TestScript, _ bool, args []string) {
-	world := worldOf(script)
-	world.long = make(chan string, 1)
-	go world.runLong(args[0], args[1])
+	fleet := fleetOf(script)
+	fleet.longCall = make(chan string, 1)
+	go fleet.runLongCall(args[0], args[1])
 }
 
-func (world *world) runLong(url, tokens string) {
+// runLongCall makes the call of cmdLongCall. Its result is the status, the read error and
+// whether the stream had its end marker.
+func (fleet *fleet) runLongCall(url, tokens string) {
 	body := fmt.Sprintf(`{"model":"model","prompt":"long","stream":true,"max_tokens":%s}`, tokens)
 	request, err := http.NewRequest(http.MethodPost, url+"/v1/completions", strings.NewReader(body))
 	if err != nil {
-		world.long <- err.Error()
+		fleet.longCall <- err.Error()
 		return
 	}
 	request.Header.Set("Authorization", "Bearer "+testerKey)
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		world.long <- err.Error()
+		fleet.longCall <- err.Error()
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
 	text, err := io.ReadAll(response.Body)
-	world.long <- fmt.Sprintf("%d %v %t", response.StatusCode, err, strings.HasSuffix(string(text), "data: [DONE]\n\n"))
+	fleet.longCall <- fmt.Sprintf("%d %v %t", response.StatusCode, err, strings.HasSuffix(string(text), "data: [DONE]\n\n"))
 }
 
-// cmdLongCalled checks that the call of cmdLongCall ended whole.
+// cmdLongCalled waits for the call of cmdLongCall and checks that its answer was
+// complete.
 func cmdLongCalled(script *testscript.TestScript, _ bool, _ []string) {
 	select {
-	case ended := <-worldOf(script).long:
+	case ended := <-fleetOf(script).longCall:
 		if ended != "200 <nil> true" {
 			script.Fatalf("the long call ended with %s", ended)
 		}
 	case <-time.After(20 * time.Second):
-		script.Fatalf("the long call does not end")
+		script.Fatalf("the long call has not ended within 20 s")
 	}
 }
 
-// cmdCharged waits for the charges of cmdCharging.
-func cmdCharged(script *testscript.TestScript, _ bool, _ []string) { worldOf(script).charging.Wait() }
+// cmdCharged waits until the charges of cmdCharging have ended.
+func cmdCharged(script *testscript.TestScript, _ bool, _ []string) { fleetOf(script).charging.Wait() }
 
+// charge sends a charge under the idempotency key name and returns its outcome: cut
+// if the connection failed, bad if the request cannot be made.
 func charge(url, name string) string {
 	client := &http.Client{Timeout: 15 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	request, err := http.NewRequest(http.MethodPost, url+"/services/permits/fees", strings.NewReader(name))
--- a/scenario_test.go
+++ b/scenario_test.go
@@ -28,6 +28,8 @@
 	"shedkeel.org/shedkeel/program"
 )
 
+// TestMain lets the scripts run the programs of the project, which are part of the
+// test binary.
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
 		"shedkeel":         program.Operator,
@@ -37,12 +39,12 @@
 	})
 }
 
-// fleetSlots bounds how many fleets run at once, so that the machine's load
-// does not become the scenario.
+// fleetSlots limits the number of fleets that run at the same time, so that the
+// load on the machine does not cause failures that the script did not inject.
 var fleetSlots = make(chan struct{}, 3)
 
-// TestScenarios runs the scripts of testdata/script, each against a fleet of
-// real processes on loopback addresses of its own.
+// TestScenarios runs the scripts of testdata/script. Each runs against its own fleet
+// of processes, with its own loopback addresses.
 func TestScenarios(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:                 "testdata/script",
@@ -54,59 +56,68 @@
 			"call": cmdCall, "load": cmdLoad, "loaded": cmdLoaded, "runs": cmdRuns, "pause": cmdPause, "ready": cmdReady, "planner": cmdPlanner, "quiet": cmdQuiet, "monotone": cmdMonotone, "charges": cmdCharges, "charging": cmdCharging, "longcall": cmdLongCall, "longcalled": cmdLongCalled, "charged": cmdCharged, "within": cmdWithin,
 		},
 		Setup: func(env *testscript.Env) error {
-			env.Values[worldKey{}] = &world{env: env, processes: map[string]*process{}, addresses: map[string]string{}, relays: map[string]*relay{}}
+			env.Values[fleetKey{}] = &fleet{env: env, processes: map[string]*process{}, addresses: map[string]string{}, relays: map[string]*relay{}}
 			return nil
 		},
 	})
 }
 
-type worldKey struct{}
+// fleetKey is the key of the fleet in the values of a testscript environment.
+type fleetKey struct{}
 
-// world is the fleet of one script.
-type world struct {
+// fleet is the fleet of one script.
+type fleet struct {
 	env       *testscript.Env
-	host      string // first two bytes of its addresses
+	host      string // first three bytes of its loopback addresses
 	processes map[string]*process
-	addresses map[string]string // of HTTP faults and calls, by name
+	addresses map[string]string // of stand-ins that serve HTTP, by name
 	relays    map[string]*relay
-	loads     *load
-	marked    time.Time
-	charging  sync.WaitGroup
-	long      chan string // how the long call ended
+	load      *load
+	mark      time.Time      // set by the command within
+	charging  sync.WaitGroup // charges of cmdCharging
+	longCall  chan string    // result of the call of cmdLongCall
 }
 
+// process is a running program of the fleet.
 type process struct {
 	command *exec.Cmd
-	args    []string
-	ended   chan struct{}
+	args    []string      // the program and its arguments, to start it again
+	exited  chan struct{} // closed when the process has exited
 }
 
+// relay is a TCP relay whose connections can be made to hang.
 type relay struct {
 	link     *standin.Relay
 	listener net.Listener
 }
 
+// nextHost is the number of fleets so far; it gives each its loopback addresses.
 var nextHost atomic.Int64
 
-func worldOf(script *testscript.TestScript) *world { return script.Value(worldKey{}).(*world) }
+// fleetOf returns the fleet of a script.
+func fleetOf(script *testscript.TestScript) *fleet { return script.Value(fleetKey{}).(*fleet) }
 
-func (world *world) address(node, port int) string {
-	return fmt.Sprintf("%s.%d:%d", world.host, node, port)
+// address returns the address for a port of the host with the number in the fleet's
+// loopback network.
+func (fleet *fleet) address(node, port int) string {
+	return fmt.Sprintf("%s.%d:%d", fleet.host, node, port)
 }
 
-// options of a fleet, given as NAME=VALUE.
-type options struct {
+// fleetOptions are the options of the command fleet, given as NAME=VALUE.
+type fleetOptions struct {
 	nodes, boxes, groups, members, domains int
 	unfenced                               bool
-	token, lag, run                        string
-	timeout                                string // of the model service
-	policy                                 string
+	token, lag, run                        string // durations: per token, lag of an engine's report, run time of a plain call
+	timeout                                string // of requests of the model service
+	policy                                 string // name of a file in policies, without .star
 }
 
-func parseOptions(script *testscript.TestScript, args []string) options {
-	wanted := options{nodes: 3, boxes: 8, groups: 2, members: 3, domains: 1, token: "2ms", lag: "0s", run: "0s", timeout: "15s", policy: "karadere"}
-	numbers := map[string]*int{"nodes": &wanted.nodes, "boxes": &wanted.boxes, "groups": &wanted.groups, "members": &wanted.members, "domains": &wanted.domains}
-	texts := map[string]*string{"token": &wanted.token, "lag": &wanted.lag, "run": &wanted.run, "timeout": &wanted.timeout, "policy": &wanted.policy}
+// parseFleetOptions returns the options of the arguments, with defaults for those not
+// given.
+func parseFleetOptions(script *testscript.TestScript, args []string) fleetOptions {
+	options := fleetOptions{nodes: 3, boxes: 8, groups: 2, members: 3, domains: 1, token: "2ms", lag: "0s", run: "0s", timeout: "15s", policy: "karadere"}
+	numbers := map[string]*int{"nodes": &options.nodes, "boxes": &options.boxes, "groups": &options.groups, "members": &options.members, "domains": &options.domains}
+	texts := map[string]*string{"token": &options.token, "lag": &options.lag, "run": &options.run, "timeout": &options.timeout, "policy": &options.policy}
 	for _, arg := range args {
 		name, value, _ := strings.Cut(arg, "=")
 		switch {
@@ -117,47 +128,49 @@
 		case texts[name] != nil:
 			*texts[name] = value
 		case name == "unfenced":
-			wanted.unfenced = true
+			options.unfenced = true
 		default:
 			script.Fatalf("fleet has no option %q", name)
 		}
 	}
-	return wanted
+	return options
 }
 
-// cmdFleet starts stand-ins and entry boxes, and makes a document to apply.
+// cmdFleet starts the stand-ins, keepers and entries, and writes the configuration
+// document fleet.toml, which cmdReady applies: fleet [NAME=VALUE...] [unfenced]
 func cmdFleet(script *testscript.TestScript, _ bool, args []string) {
-	world := worldOf(script)
-	wanted := parseOptions(script, args)
+	fleet := fleetOf(script)
+	options := parseFleetOptions(script, args)
 	fleetSlots <- struct{}{}
 	script.Defer(func() { <-fleetSlots })
-	script.Defer(world.end)
+	script.Defer(fleet.stop)
 	number := nextHost.Add(1)
-	world.host = fmt.Sprintf("127.%d.%d", 10+os.Getpid()%200, number)
-	world.begin(script, "store", "shedkeel-standin", "store", "--listen", world.address(10, 2379))
-	world.addresses["store"] = world.address(10, 2379)
-	world.startBackends(script, wanted)
-	for node := 1; node <= wanted.nodes; node++ {
-		world.relay(script, fmt.Sprintf("store-%d", node), world.address(100+node, 2379), world.address(10, 2379))
-		world.relay(script, fmt.Sprintf("wire-%d", node), world.address(100+node, 7401), world.address(node, 7401))
-		script.Check(os.WriteFile(script.MkAbs(fmt.Sprintf("node-%d.toml", node)), []byte(world.settings(node, wanted)), 0o600))
+	fleet.host = fmt.Sprintf("127.%d.%d", 10+os.Getpid()%200, number)
+	fleet.begin(script, "store", "shedkeel-standin", "store", "--listen", fleet.address(10, 2379))
+	fleet.addresses["store"] = fleet.address(10, 2379)
+	fleet.startBackends(script, options)
+	for node := 1; node <= options.nodes; node++ {
+		fleet.relay(script, fmt.Sprintf("store-%d", node), fleet.address(100+node, 2379), fleet.address(10, 2379))
+		fleet.relay(script, fmt.Sprintf("wire-%d", node), fleet.address(100+node, 7401), fleet.address(node, 7401))
+		script.Check(os.WriteFile(script.MkAbs(fmt.Sprintf("node-%d.toml", node)), []byte(fleet.settings(node, options)), 0o600))
 		for _, kind := range []string{"keeper", "entry"} {
 			cmdStart(script, false, []string{fmt.Sprintf("%s-%d", kind, node)})
 		}
 	}
-	script.Check(os.WriteFile(script.MkAbs("fleet.toml"), []byte(world.document(wanted)), 0o600))
-	policy, err := os.ReadFile(filepath.Join(sourceDir, "policies", wanted.policy+".star"))
+	script.Check(os.WriteFile(script.MkAbs("fleet.toml"), []byte(fleet.document(options)), 0o600))
+	policy, err := os.ReadFile(filepath.Join(sourceDir, "policies", options.policy+".star"))
 	script.Check(err)
 	script.Check(os.WriteFile(script.MkAbs("policy.star"), policy, 0o600))
-	script.Setenv("SHEDKEEL_KEEPER", world.address(1, 7400))
+	script.Setenv("SHEDKEEL_KEEPER", fleet.address(1, 7400))
 	script.Setenv("SHEDKEEL_KEY", "operator-key")
-	for node := 1; node <= wanted.nodes; node++ {
-		script.Setenv(fmt.Sprintf("ENTRY%d", node), "http://"+world.address(node, 8080))
-		script.Setenv(fmt.Sprintf("KEEPER%d", node), world.address(node, 7400))
-		script.Setenv(fmt.Sprintf("ADMIN%d", node), world.address(node, 8081))
+	for node := 1; node <= options.nodes; node++ {
+		script.Setenv(fmt.Sprintf("ENTRY%d", node), "http://"+fleet.address(node, 8080))
+		script.Setenv(fmt.Sprintf("KEEPER%d", node), fleet.address(node, 7400))
+		script.Setenv(fmt.Sprintf("ADMIN%d", node), fleet.address(node, 8081))
 	}
 }
 
+// sourceDir is the folder of this package.
 var sourceDir = func() string {
 	dir, err := os.Getwd()
 	if err != nil {
@@ -166,35 +179,39 @@
 	return dir
 }()
 
-func (world *world) startBackends(script *testscript.TestScript, wanted options) {
+// startBackends starts the stand-ins of the engines, the box list and the plain
+// services.
+func (fleet *fleet) startBackends(script *testscript.TestScript, options fleetOptions) {
 	var boxes []map[string]any
-	for box := 1; box <= wanted.boxes; box++ {
+	for box := 1; box <= options.boxes; box++ {
 		name := fmt.Sprintf("engine-%d", box)
-		address := world.address(20+box, 9000)
-		world.addresses[name] = address
-		args := []string{"shedkeel-standin", "engine", "--token", wanted.token, "--lag", wanted.lag, "--load", "300ms"}
-		if wanted.unfenced {
+		address := fleet.address(20+box, 9000)
+		fleet.addresses[name] = address
+		args := []string{"shedkeel-standin", "engine", "--token", options.token, "--lag", options.lag, "--load", "300ms"}
+		if options.unfenced {
 			args = append(args, "--unfenced")
 		}
-		world.begin(script, name, append(args, address)...)
-		boxes = append(boxes, map[string]any{"id": name, "address": address, "zone": "z1", "domain": fmt.Sprintf("d%d", box%wanted.domains), "accelerators": 1})
+		fleet.begin(script, name, append(args, address)...)
+		boxes = append(boxes, map[string]any{"id": name, "address": address, "zone": "z1", "domain": fmt.Sprintf("d%d", box%options.domains), "accelerators": 1})
 	}
 	text, err := json.Marshal(boxes)
 	script.Check(err)
 	script.Check(os.WriteFile(script.MkAbs("boxes.json"), text, 0o600))
-	world.addresses["boxlist"] = world.address(11, 8500)
-	world.begin(script, "boxlist", "shedkeel-standin", "boxes", "--lag", "1s", "--listen", world.address(11, 8500), script.MkAbs("boxes.json"))
+	fleet.addresses["boxlist"] = fleet.address(11, 8500)
+	fleet.begin(script, "boxlist", "shedkeel-standin", "boxes", "--lag", "1s", "--listen", fleet.address(11, 8500), script.MkAbs("boxes.json"))
 	for server := 1; server <= 2; server++ {
 		name := fmt.Sprintf("plain-%d", server)
-		world.addresses[name] = world.address(11+server, 9100)
-		world.begin(script, name, "shedkeel-standin", "plain", "--run", wanted.run, "--listen", world.addresses[name])
+		fleet.addresses[name] = fleet.address(11+server, 9100)
+		fleet.begin(script, name, "shedkeel-standin", "plain", "--run", options.run, "--listen", fleet.addresses[name])
 	}
 }
 
-func (world *world) settings(node int, wanted options) string {
+// settings returns the settings file of a node. Its connections to the key-value
+// service, and those of other nodes to it, go through relays.
+func (fleet *fleet) settings(node int, options fleetOptions) string {
 	var peers []string
-	for peer := 1; peer <= wanted.nodes; peer++ {
-		peers = append(peers, strconv.Quote(world.address(100+peer, 7401)))
+	for peer := 1; peer <= options.nodes; peer++ {
+		peers = append(peers, strconv.Quote(fleet.address(100+peer, 7401)))
 	}
 	return fmt.Sprintf(`node = "node-%d"
 zone = "z1"
@@ -213,11 +230,12 @@
 [platform]
 store = "%s"
 box_list = "%s"
-`, node, world.address(node, 8080), world.address(node, 8081), world.address(node, 7400), strings.Join(peers, ", "),
-		world.address(node, 7401), world.address(100+node, 7401), world.address(100+node, 2379), world.address(11, 8500))
+`, node, fleet.address(node, 8080), fleet.address(node, 8081), fleet.address(node, 7400), strings.Join(peers, ", "),
+		fleet.address(node, 7401), fleet.address(100+node, 7401), fleet.address(100+node, 2379), fleet.address(11, 8500))
 }
 
-func (world *world) document(wanted options) string {
+// document returns the configuration document of the fleet.
+func (fleet *fleet) document(options fleetOptions) string {
 	return fmt.Sprintf(`entry_boxes = %d
 [policy]
 file = "policy.star"
@@ -243,7 +261,7 @@
 [[account]]
 id = "tester"
 key_sha256 = "%s"
-`, wanted.nodes, wanted.groups, wanted.members, wanted.timeout, wanted.unfenced, world.addresses["plain-1"], world.addresses["plain-2"], testerHash)
+`, options.nodes, options.groups, options.members, options.timeout, options.unfenced, fleet.addresses["plain-1"], fleet.addresses["plain-2"], testerHash)
 }
 
 const (
@@ -251,17 +269,17 @@
 	testerHash = "15a90d3572ea9b973fbc4d4b0f54935cf23b94c3552b4413b8dbd0b8e83e608f"
 )
 
-// relay opens a link that can be cut.
-func (world *world) relay(script *testscript.TestScript, name, listen, to string) {
+// relay starts a relay between two addresses, which cmdCut can cut.
+func (fleet *fleet) relay(script *testscript.TestScript, name, listen, to string) {
 	listener, err := net.Listen("tcp", listen)
 	script.Check(err)
 	opened := &relay{link: &standin.Relay{To: to}, listener: listener}
-	world.relays[name] = opened
+	fleet.relays[name] = opened
 	go opened.link.Run(listener)
 }
 
-// begin starts a process whose output goes to a file of the script.
-func (world *world) begin(script *testscript.TestScript, name string, args ...string) {
+// begin starts a process whose output goes to the file NAME.log of the script.
+func (fleet *fleet) begin(script *testscript.TestScript, name string, args ...string) {
 	path := ""
 	for _, dir := range filepath.SplitList(script.Getenv("PATH")) {
 		if _, err := os.Stat(filepath.Join(dir, args[0])); err == nil {
@@ -276,69 +294,73 @@
 	command.Stdout, command.Stderr = log, log
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	script.Check(command.Start())
-	started := &process{command: command, args: args, ended: make(chan struct{})}
-	world.processes[name] = started
+	started := &process{command: command, args: args, exited: make(chan struct{})}
+	fleet.processes[name] = started
 	go started.run()
 }
 
-// cmdStart starts a keeper or an entry of a node, or a stand-in again.
+// cmdStart starts keepers and entries of nodes. It restarts processes that were
+// started before, once they have exited: start NAME...
 func cmdStart(script *testscript.TestScript, _ bool, args []string) {
-	world := worldOf(script)
+	fleet := fleetOf(script)
 	for _, name := range args {
-		if before := world.processes[name]; before != nil {
-			<-before.ended
-			world.begin(script, name, before.args...)
+		if before := fleet.processes[name]; before != nil {
+			<-before.exited
+			fleet.begin(script, name, before.args...)
 			continue
 		}
 		kind, node, _ := strings.Cut(name, "-")
-		world.begin(script, name, "shedkeel-"+kind, "--settings", script.MkAbs("node-"+node+".toml"))
+		fleet.begin(script, name, "shedkeel-"+kind, "--settings", script.MkAbs("node-"+node+".toml"))
 	}
 }
 
+// cmdSignal returns a command that sends a signal to processes: crash NAME... For
+// SIGKILL it waits until they have exited.
 func cmdSignal(signal syscall.Signal) func(*testscript.TestScript, bool, []string) {
 	return func(script *testscript.TestScript, _ bool, args []string) {
 		for _, name := range args {
-			process := worldOf(script).processes[name]
+			process := fleetOf(script).processes[name]
 			if process == nil {
 				script.Fatalf("no process %q", name)
 			}
 			script.Check(process.command.Process.Signal(signal))
 			if signal == syscall.SIGKILL {
-				<-process.ended
+				<-process.exited
 			}
 		}
 	}
 }
 
-// cmdEnded waits for a process to end: ended DURATION NAME.
+// cmdEnded waits until a process has exited: ended DURATION NAME.
 func cmdEnded(script *testscript.TestScript, _ bool, args []string) {
 	longest, err := time.ParseDuration(args[0])
 	script.Check(err)
 	select {
-	case <-worldOf(script).processes[args[1]].ended:
+	case <-fleetOf(script).processes[args[1]].exited:
 	case <-time.After(longest):
-		script.Fatalf("%s still runs", args[1])
+		script.Fatalf("process %s has not exited in time", args[1])
 	}
 }
 
-// cmdFault sets the faults of stand-ins: fault JSON NAME...
+// cmdFault sets the faults that stand-ins inject: fault JSON NAME...
 func cmdFault(script *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args[1:] {
-		worldOf(script).post(script, name, "/fault", args[0])
+		fleetOf(script).post(script, name, "/fault", args[0])
 	}
 }
 
-// cmdPost posts to a stand-in: post NAME PATH [BODY].
+// cmdPost sends a POST request to a stand-in: post NAME PATH [BODY].
 func cmdPost(script *testscript.TestScript, _ bool, args []string) {
 	body := ""
 	if len(args) > 2 {
 		body = args[2]
 	}
-	worldOf(script).post(script, args[0], args[1], body)
+	fleetOf(script).post(script, args[0], args[1], body)
 }
 
-func (world *world) post(script *testscript.TestScript, name, path, body string) {
-	response, err := http.Post("http://"+world.addresses[name]+path, "application/json", strings.NewReader(body))
+// post sends a POST request to a stand-in and fails the script unless it gets 200.
+func (fleet *fleet) post(script *testscript.TestScript, name, path, body string) {
+	response, err := http.Post("http://"+fleet.addresses[name]+path, "application/json", strings.NewReader(body))
 	script.Check(err)
 	_ = response.Body.Close()
 	if response.StatusCode != http.StatusOK {
@@ -346,32 +368,33 @@
 	}
 }
 
-// cmdCut cuts links or joins them again, by the names of their relays.
+// cmdCut returns a command that makes relays hang, or forward again: cut NAME...,
+// join NAME...
 func cmdCut(hang bool) func(*testscript.TestScript, bool, []string) {
 	return func(script *testscript.TestScript, _ bool, args []string) {
 		for _, name := range args {
-			worldOf(script).relays[name].link.SetFaults(standin.Faults{Hang: hang})
+			fleetOf(script).relays[name].link.SetFaults(standin.Faults{Hang: hang})
 		}
 	}
 }
 
-// cmdPause lets time pass: pause DURATION. It is for faults that must last,
-// never a proof of anything.
+// cmdPause sleeps: pause DURATION. Scripts use it for faults that must last for some
+// time, not to wait until something has happened.
 func cmdPause(script *testscript.TestScript, _ bool, args []string) {
 	longest, err := time.ParseDuration(args[0])
 	script.Check(err)
 	time.Sleep(longest)
 }
 
-// cmdAwait waits until a condition holds: await DURATION CONDITION... The
-// conditions are those of holds.
+// cmdAwait waits until a condition holds: await DURATION CONDITION... See holds for
+// the conditions.
 func cmdAwait(script *testscript.TestScript, _ bool, args []string) {
-	world := worldOf(script)
+	fleet := fleetOf(script)
 	longest, err := time.ParseDuration(args[0])
 	script.Check(err)
 	began := time.Now()
 	for {
-		found, held := world.holds(args[1:])
+		found, held := fleet.holds(args[1:])
 		if held {
 			script.Logf("held after %s: %s", time.Since(began).Round(10*time.Millisecond), strings.Join(args[1:], " "))
 			return
@@ -383,19 +406,20 @@
 	}
 }
 
-// cmdNever checks that a condition does not hold for a while: never DURATION
-// CONDITION...
+// cmdNever checks that a condition does not hold at any time during the duration:
+// never DURATION CONDITION...
 func cmdNever(script *testscript.TestScript, _ bool, args []string) {
 	longest, err := time.ParseDuration(args[0])
 	script.Check(err)
 	for began := time.Now(); time.Since(began) < longest; time.Sleep(50 * time.Millisecond) {
-		if found, held := worldOf(script).holds(args[1:]); held {
-			script.Fatalf("it came to hold: %s: %s", strings.Join(args[1:], " "), found)
+		if found, held := fleetOf(script).holds(args[1:]); held {
+			script.Fatalf("condition holds, but must not: %s: %s", strings.Join(args[1:], " "), found)
 		}
 	}
 }
 
-// cmdReady applies the fleet's document and waits until it serves everywhere.
+// cmdReady applies fleet.toml and waits until all entries serve and all groups are
+// whole: ready
 func cmdReady(script *testscript.TestScript, _ bool, _ []string) {
 	cmdAwait(script, false, []string{"20s", "generation", "1", "0"})
 	script.Check(script.Exec("shedkeel", "apply", "fleet.toml"))
@@ -407,10 +431,10 @@
 	cmdAwait(script, false, []string{"30s", "whole", "1", strconv.Itoa(len(status.Keeper.Groups))})
 }
 
-// cmdPlanner sets PLANNER to the number of the node that holds the lease, and
-// OTHER to one that does not.
+// cmdPlanner sets PLANNER to the number of the node that holds the planner lease,
+// OTHER to that of a node that does not, and SHEDKEEL_KEEPER to OTHER's keeper.
 func cmdPlanner(script *testscript.TestScript, _ bool, _ []string) {
-	holder := worldOf(script).holder(context.Background())
+	holder := fleetOf(script).holder(context.Background())
 	number := strings.TrimPrefix(holder, "node-")
 	script.Setenv("PLANNER", number)
 	other := "1"
@@ -421,7 +445,7 @@
 	script.Setenv("SHEDKEEL_KEEPER", script.Getenv("KEEPER"+other))
 }
 
-// cmdQuiet checks that nothing new runs on stand-ins for a while: quiet
+// cmdQuiet checks that stand-ins run no new requests during the duration: quiet
 // DURATION NAME...
 func cmdQuiet(script *testscript.TestScript, _ bool, args []string) {
 	longest, err := time.ParseDuration(args[0])
@@ -429,7 +453,7 @@
 	count := func() int {
 		total := 0
 		for _, name := range args[1:] {
-			for _, runs := range worldOf(script).runs(script, name) {
+			for _, runs := range fleetOf(script).runs(script, name) {
 				total += runs
 			}
 		}
@@ -438,17 +462,18 @@
 	before := count()
 	time.Sleep(longest)
 	if after := count(); after != before {
-		script.Fatalf("%d new runs on %v within %s", after-before, args[1:], longest)
+		script.Fatalf("%d requests ran on %v within %s, want none", after-before, args[1:], longest)
 	}
 }
 
-// cmdMonotone checks in the logs of all keepers and entries that no start of
-// any of them ever went back to an older configuration.
+// cmdMonotone checks in the logs of all processes that the generation of the
+// configuration in force (event 301) only increases between two starts of a process
+// (event 100).
 func cmdMonotone(script *testscript.TestScript, _ bool, _ []string) {
-	for name := range worldOf(script).processes {
+	for name := range fleetOf(script).processes {
 		text, err := os.ReadFile(script.MkAbs(name + ".log"))
 		script.Check(err)
-		var inForce uint64
+		var generation uint64
 		for line := range strings.Lines(string(text)) {
 			var entry struct {
 				Event      int    `json:"event"`
@@ -459,46 +484,46 @@
 			}
 			switch {
 			case entry.Event == 100:
-				inForce = 0
-			case entry.Event == 301 && entry.Generation <= inForce:
-				script.Fatalf("%s went from generation %d to %d", name, inForce, entry.Generation)
+				generation = 0
+			case entry.Event == 301 && entry.Generation <= generation:
+				script.Fatalf("%s went from generation %d to %d", name, generation, entry.Generation)
 			case entry.Event == 301:
-				inForce = entry.Generation
+				generation = entry.Generation
 			}
 		}
 	}
 }
 
-// cmdWithin marks a time, or checks how long ago the mark is: within mark, or
-// within DURATION.
+// cmdWithin records the current time (within mark), or checks that at most the
+// duration has passed since (within DURATION).
 func cmdWithin(script *testscript.TestScript, _ bool, args []string) {
-	world := worldOf(script)
+	fleet := fleetOf(script)
 	if args[0] == "mark" {
-		world.marked = time.Now()
+		fleet.mark = time.Now()
 		return
 	}
 	longest, err := time.ParseDuration(args[0])
 	script.Check(err)
-	took := time.Since(world.marked)
+	took := time.Since(fleet.mark)
 	script.Logf("took %s", took.Round(10*time.Millisecond))
 	if took > longest {
 		script.Fatalf("took %s, longer than %s", took, longest)
 	}
 }
 
-// holds reports whether a condition holds now, and what was found:
+// holds reports whether a condition holds now, and the observed state for error
+// messages. The conditions are:
 //
-//	whole NODE COUNT       so many groups are whole in the node's eyes
-//	without NODE BOX       no group of the node's placement has the box
-//	generation NODE COUNT  the node has that configuration in force
-//	status URL CODE        a model call there gets that status
-//	listens NAME           the process takes connections
-//	apply FILE             the document is accepted
-//	reserved NODE COUNT    so many groups have a box agreed ahead
-//	obeyed NODE            each member of the node's placement is in its group
-//	planner NODE           the node holds the lease of zone z1
-//	notplanner NODE        another holds it
-func (world *world) holds(condition []string) (string, bool) {
+//	whole NODE COUNT       the node's keeper reports that many groups as whole
+//	without NODE BOX       no group that the keeper reports has the box as a member
+//	generation NODE COUNT  the keeper applies the configuration of that generation
+//	status URL CODE        a model call to the URL returns that status code
+//	listens NAME           the process accepts connections
+//	reserved NODE COUNT    the keeper reports that many groups with a reserve
+//	obeyed NODE            the engine of each member reports its group's assignment
+//	planner NODE           the node holds the planner lease of zone z1
+//	notplanner NODE        another node holds it
+func (fleet *fleet) holds(condition []string) (string, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	switch condition[0] {
@@ -506,20 +531,20 @@
 		code := callModel(ctx, condition[1], "probe", false)
 		return strconv.Itoa(code), strconv.Itoa(code) == condition[2]
 	case "listens":
-		connection, err := (&net.Dialer{}).DialContext(ctx, "tcp", world.addresses[condition[1]])
+		connection, err := (&net.Dialer{}).DialContext(ctx, "tcp", fleet.addresses[condition[1]])
 		if err != nil {
 			return err.Error(), false
 		}
-		return "it listens", connection.Close() == nil
+		return "the process listens", connection.Close() == nil
 	case "planner", "notplanner":
-		holder := world.holder(ctx)
+		holder := fleet.holder(ctx)
 		return holder, holder != "" && (holder == "node-"+condition[1]) == (condition[0] == "planner")
 	}
 	node, err := strconv.Atoi(condition[1])
 	if err != nil {
 		return err.Error(), false
 	}
-	client := &operator.Client{Keeper: world.address(node, 7400), Key: "operator-key"}
+	client := &operator.Client{Keeper: fleet.address(node, 7400), Key: "operator-key"}
 	answer, err := client.Status(ctx)
 	if err != nil {
 		return err.Error(), false
@@ -543,11 +568,11 @@
 			for _, member := range group.Group.Members {
 				state, err := engine.NewControl(time.Second).Probe(ctx, member.Address)
 				if err != nil || state.Assigned != group.Group.Assignment() {
-					return fmt.Sprintf("%s is in %v, not %v: %v", member.Box, state.Assigned, group.Group.Assignment(), err), false
+					return fmt.Sprintf("%s has the assignment %v, want %v: %v", member.Box, state.Assigned, group.Group.Assignment(), err), false
 				}
 			}
 		}
-		return "all are", len(status.Groups) > 0
+		return "all members have their assignments", len(status.Groups) > 0
 	case "without":
 		for _, group := range status.Groups {
 			for _, member := range group.Group.Members {
@@ -558,9 +583,10 @@
 		}
 		return "in no group", len(status.Groups) > 0
 	}
-	return "no such condition", false
+	return "unknown condition", false
 }
 
+// countWhole returns the number of groups that are whole.
 func countWhole(status keeper.Status) int {
 	count := 0
 	for _, group := range status.Groups {
@@ -571,9 +597,10 @@
 	return count
 }
 
-// holder returns the holder of the lease of zone z1, from the store itself.
-func (world *world) holder(ctx context.Context) string {
-	store := &platform.Store{Address: world.addresses["store"], Timeout: time.Second}
+// holder returns the holder of the planner lease of zone z1, or "" if there is none.
+// It reads the lease from the key-value service.
+func (fleet *fleet) holder(ctx context.Context) string {
+	store := &platform.Store{Address: fleet.addresses["store"], Timeout: time.Second}
 	record, err := store.Get(ctx, "shedkeel/lease/z1")
 	if err != nil || record.Revision.Number == 0 {
 		return ""
@@ -587,8 +614,8 @@
 	return lease.Holder
 }
 
-// callModel makes one model call, and returns its status; 0 if the answer did
-// not come whole.
+// callModel makes a model call and returns the status code, or 0 if the answer was
+// incomplete.
 func callModel(ctx context.Context, url, prompt string, stream bool) int {
 	body := fmt.Sprintf(`{"model":"model","prompt":%q,"stream":%t}`, prompt, stream)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/completions", strings.NewReader(body))
@@ -607,8 +634,9 @@
 	return response.StatusCode
 }
 
-// cmdCall makes one call and checks its status and outcome: call STATUS
-// OUTCOME METHOD URL [BODY [KEY]]. The answer goes to the file answer.
+// cmdCall makes a call and checks its status and outcome: call STATUS OUTCOME METHOD
+// URL [BODY [KEY]]. KEY is the idempotency key. An answer whose connection breaks has
+// the outcome cut. The body goes to the file answer, the request's ID to REQUEST.
 func cmdCall(script *testscript.TestScript, _ bool, args []string) {
 	args = append(args, "", "")
 	request, err := http.NewRequest(args[2], args[3], strings.NewReader(args[4]))
@@ -634,25 +662,27 @@
 		script.Fatalf("got %d %s, want %s %s", response.StatusCode, outcome, args[0], args[1])
 	}
 	if outcome == "not-run" && response.Header.Get("Retry-After") == "" {
-		script.Fatalf("it does not say when to come back")
+		script.Fatalf("the answer has the outcome not-run, but no Retry-After header")
 	}
 }
 
-// cmdRuns checks how often something ran on stand-ins: runs COUNT WHAT NAME...
+// cmdRuns checks how often a request ran on stand-ins in total: runs COUNT REQUEST
+// NAME...
 func cmdRuns(script *testscript.TestScript, _ bool, args []string) {
 	want, err := strconv.Atoi(args[0])
 	script.Check(err)
 	total := 0
 	for _, name := range args[2:] {
-		total += worldOf(script).runs(script, name)[args[1]]
+		total += fleetOf(script).runs(script, name)[args[1]]
 	}
 	if total != want {
 		script.Fatalf("%s ran %d times, want %d", args[1], total, want)
 	}
 }
 
-func (world *world) runs(script *testscript.TestScript, name string) map[string]int {
-	response, err := http.Get("http://" + world.addresses[name] + "/runs")
+// runs returns how often each request ran on a stand-in.
+func (fleet *fleet) runs(script *testscript.TestScript, name string) map[string]int {
+	response, err := http.Get("http://" + fleet.addresses[name] + "/runs")
 	script.Check(err)
 	defer func() { _ = response.Body.Close() }()
 	runs := map[string]int{}
@@ -667,20 +697,22 @@
 	return runs
 }
 
+// run waits until the process has exited.
 func (process *process) run() {
 	_ = process.command.Wait()
-	close(process.ended)
+	close(process.exited)
 }
 
-func (world *world) end() {
-	if world.loads != nil {
-		world.loads.end()
+// stop ends the load, kills all processes and closes the relays.
+func (fleet *fleet) stop() {
+	if fleet.load != nil {
+		fleet.load.stopCallers()
 	}
-	for _, process := range world.processes {
+	for _, process := range fleet.processes {
 		_ = process.command.Process.Kill()
-		<-process.ended
+		<-process.exited
 	}
-	for _, relay := range world.relays {
+	for _, relay := range fleet.relays {
 		_ = relay.listener.Close()
 	}
 }
