--- a/blame.go
+++ b/blame.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-// Blame lists the server instances that ended while they ran a request. A request
-// that crashes servers is found by it.
+// Blame lists the server instances that ended (crashed or stopped) while they ran a
+// request. It serves to find requests that crash servers.
 type Blame struct {
 	Request RequestDigest `json:"request"`
 	// Round increases each time that the request is cleared. Servers recorded in
@@ -17,8 +17,8 @@
 
 const (
 	// Unblamed requests are sent without restriction. One server may have ended
-	// while it ran the request: tens of requests run on a server when it ends, and
-	// at most one of them is the cause.
+	// while it ran the request: tens of requests run on a server when it ends, so
+	// one ended server does not show which of them is the cause.
 	Unblamed Judgment = iota
 	// Quarantined requests are sent by one process at a time, to one server.
 	Quarantined
--- a/shedkeel.go
+++ b/shedkeel.go
@@ -72,9 +72,9 @@
 	Queued   int        `json:"queued"`  // queued requests; the report lags behind
 }
 
-// Member is a box of a replica group. Boot identifies the start of the engine
-// with which the group was formed: after a restart of the engine, the box no
-// longer counts as this member.
+// Member is a box of a replica group. Boot identifies the start of the engine when
+// the group was formed: after a restart of the engine, the box no longer counts as
+// this member.
 type Member struct {
 	Box     BoxID  `json:"box"`
 	Address string `json:"address"`
@@ -160,7 +160,7 @@
 	Generation   uint64  `json:"generation"` // increases by one with each write
 	Zone         ZoneID  `json:"zone"`
 	PlannerEpoch uint64  `json:"planner_epoch"` // epoch of the planner lease under which it was written
-	Nonce        string  `json:"nonce"`         // from the writer, which finds out by it whether a write whose reply was lost was done
+	Nonce        string  `json:"nonce"`         // random ID of the write; shows whether a write took effect whose reply was lost
 	NextEpoch    uint64  `json:"next_epoch"`    // epoch of the next group to be formed
 	Groups       []Group `json:"groups"`
 }
@@ -244,7 +244,7 @@
 // was accepted.
 type Config struct {
 	Generation uint64    `json:"generation"` // increases by one with each accepted change
-	Nonce      string    `json:"nonce"`      // from the writer, which finds out by it whether a write whose reply was lost was done
+	Nonce      string    `json:"nonce"`      // random ID of the write; shows whether a write took effect whose reply was lost
 	EntryBoxes int       `json:"entry_boxes"`
 	Services   []Service `json:"services"`
 	Accounts   []Account `json:"accounts"`
@@ -278,12 +278,13 @@
 type Verdict uint8
 
 // The verdicts. Only VerdictWhole renews a group's permit to receive requests. A
-// member that does not reply is no evidence that the group is broken:
-// VerdictSilent only lets the current permit expire.
+// member that does not reply is no evidence that the group is broken, so
+// VerdictSilent only lets the current permit expire. If it lasts beyond the permit,
+// the group counts as broken.
 const (
 	VerdictSilent   Verdict = iota // some member did not reply
-	VerdictWhole                   // every member replied with the group's epoch and the Boot of its Member
-	VerdictBroken                  // some member replied that it is no longer in the group, or refused the connection
+	VerdictWhole                   // every member replied that it is ready, with the group's Assignment and the Boot of its Member
+	VerdictBroken                  // some member replied with another state, or refused the connection
 	VerdictDraining                // as VerdictWhole, but a member is leaving
 )
 
@@ -316,7 +317,7 @@
 	Assignment   Assignment `json:"assignment"`
 	PlannerEpoch uint64     `json:"planner_epoch"` // fencing token
 	Peers        []string   `json:"peers"`         // addresses of all members, in order
-	Unfenced     bool       `json:"-"`             // the box does not check the fencing token; the keeper waits out former leases instead
+	Unfenced     bool       `json:"-"`             // the box does not check the fencing token, so the keeper first waits until orders of a former lease holder have expired
 }
 
 // Table is the result of a policy program: the parameters of the planner.
