--- a/call.go
+++ b/call.go
@@ -14,10 +14,10 @@
 	Key          string        // key of the client account; "" if none
 	KeyCount     int           // number of keys that the caller sent
 	Deadline     time.Duration // time that the caller waits for the answer; 0: not stated
-	Model        ModelID
-	PromptTokens int
-	AnswerTokens int
-	LastEvent    string // the caller resumes a stream after the event with this ID
+	Model        ModelID       // "" if none
+	PromptTokens int           // as stated by the caller; 0: not stated
+	AnswerTokens int           // maximum that the caller states; 0: not stated
+	LastEvent    string        // the caller resumes a stream after the event with this ID
 }
 
 // Sending is one attempt: a call as it is sent to one backend server.
--- a/interfaces.go
+++ b/interfaces.go
@@ -66,14 +66,17 @@
 }
 
 // LeasedStore writes records that are removed when their lease ends. Leases of
-// an earlier era have ended: calls with one return a LeaseGoneError.
+// an earlier era have ended: Commit and Renew with one return a LeaseGoneError, and
+// Release does nothing.
 type LeasedStore interface {
 	// Commit applies all changes or none. A condition with a revision of an
 	// earlier era does not hold.
 	Commit(ctx context.Context, change Change) (Revision, error)
 	// Grant returns a new lease and the time to live that the service gave it.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, time.Duration, error)
+	// Renew extends the lease by its time to live from the arrival of the call.
 	Renew(ctx context.Context, lease LeaseID) error
+	// Release ends the lease and removes its records.
 	Release(ctx context.Context, lease LeaseID) error
 }
 
@@ -94,6 +97,7 @@
 
 // CallCounter counts the calls of this process to the key-value service.
 type CallCounter interface {
+	// Calls returns the number of calls so far by kind.
 	Calls() map[StoreCall]int64
 }
 
@@ -125,6 +129,7 @@
 // BoxList is the platform's list of boxes, including those that are leaving. The
 // list lags behind the actual state.
 type BoxList interface {
+	// Boxes returns the current list.
 	Boxes(ctx context.Context) ([]Box, error)
 }
 
--- a/serving.go
+++ b/serving.go
@@ -66,7 +66,7 @@
 type Model struct {
 	ID     ModelID
 	Size   int           // boxes per group
-	Share  float64       // expected share of the work, used until demand has been measured
+	Share  float64       // expected share of the work; the planner weighs it against measured demand
 	Pace   float64       // multiplier of the engine's times; 0 counts as 1
 	Load   time.Duration // time to load the weights from the weight store
 	Warmup time.Duration // time to load the weights from the box's host memory
@@ -81,12 +81,12 @@
 	return model.Pace
 }
 
-// ModelDemand is the demand for a model: an average over some seconds that
-// weights recent requests more.
+// ModelDemand is the demand for a model: a sum over the requests of the last seconds
+// in which older requests count less.
 type ModelDemand struct {
 	Requests     float64
 	PromptTokens float64
-	AnswerTokens float64 // upper bounds, as stated by callers
+	AnswerTokens float64 // upper bounds that callers state
 }
 
 // Plus returns the sum of the demands.
