--- a/mutants_test.go
+++ b/mutants_test.go
@@ -163,7 +163,7 @@
 		"lease/lease.go", "lease.until = lease.sentAt + lease.TTL - lease.Margin", "lease.until = lease.sentAt + 2*lease.TTL", "TestNeverTwoHolders", "./lease",
 	},
 	"2 one group a box: a lost reply is settled by the value": {
-		"platform/cas.go", "if mine(record.Value) {", "if len(record.Value) == len(value) || mine(record.Value) {", "TestLostReply", "./platform",
+		"platform/cas.go", "if ownWrite(record.Value) {", "if len(record.Value) == len(value) || ownWrite(record.Value) {", "TestLostReply", "./platform",
 	},
 	"3 whole answer: the attempt's name is not compared": {
 		"entry/send.go", "if named != try.attempt && (named", "if false && (named", "TestOutcomes|TestStreams", "./entry",
@@ -199,7 +199,7 @@
 		"keeper/plan.go", "if zone.mayFallBack(", "if false && zone.mayFallBack(", "TestScenarios/outage", ".",
 	},
 	"size: a read that keeps coming is given up": {
-		"platform/store.go", "func() { silence.Reset(store.Timeout) })", "func() {})", "TestTransfers", "./platform",
+		"platform/store.go", "func() { stallTimer.Reset(store.Timeout) })", "func() {})", "TestTransfers", "./platform",
 	},
 	"size: all nodes of a large fleet list the service's records": {
 		"node/fleetsize.go", "return mirror.Advice{Peers: peers.startFrom(size.Relays)}, nil", "return mirror.Advice{List: true}, nil", "TestAdvice", "./node",
@@ -262,7 +262,7 @@
 		"keeper/spread.go", "keeper.heal(stored, known)\n\t\treturn", "return", "TestScenarios/configuration", ".",
 	},
 	"8 configuration: a lost reply is taken for a failure": {
-		"platform/cas.go", "if mine(record.Value) {", "if false {", "TestLostReply", "./platform",
+		"platform/cas.go", "if ownWrite(record.Value) {", "if false {", "TestLostReply", "./platform",
 	},
 	"nodes: a write to lead that is done late is passed over": {
 		"node/election.go", "\t\tcontroller.vacant = 0\n\t\tcontroller.adopt(lead)\n", "\t\tcontroller.vacant = 0\n", "TestLeadOfUnknownOutcome", "./node",
