--- a/cmd/shedkeel-entry/main.go
+++ b/cmd/shedkeel-entry/main.go
@@ -1,4 +1,4 @@
-// Command shedkeel-entry is described by its own --help.
+// Command shedkeel-entry serves callers on an entry box. Its --help lists the flags.
 package main
 
 import "shedkeel.org/shedkeel/program"
--- a/cmd/shedkeel-keeper/main.go
+++ b/cmd/shedkeel-keeper/main.go
@@ -1,4 +1,5 @@
-// Command shedkeel-keeper is described by its own --help.
+// Command shedkeel-keeper controls replica groups from an entry box. Its --help lists
+// the flags.
 package main
 
 import "shedkeel.org/shedkeel/program"
--- a/cmd/shedkeel-node/main.go
+++ b/cmd/shedkeel-node/main.go
@@ -1,4 +1,5 @@
-// Command shedkeel-node is described by its own --help.
+// Command shedkeel-node serves callers and controls replica groups on an entry box. Its
+// --help lists the flags.
 package main
 
 import "shedkeel.org/shedkeel/program"
--- a/cmd/shedkeel/main.go
+++ b/cmd/shedkeel/main.go
@@ -1,4 +1,5 @@
-// Command shedkeel is described by its own --help.
+// Command shedkeel operates a fleet through any of its keepers or nodes. Its --help
+// lists the flags.
 package main
 
 import "shedkeel.org/shedkeel/program"
--- a/operator/client.go
+++ b/operator/client.go
@@ -1,5 +1,5 @@
-// Package operator is the operators' client: it speaks to any keeper or node of
-// the fleet and prints what it learns as tables or JSON.
+// Package operator is the operators' client: it calls any keeper, entry or node of the
+// fleet and prints the answers as tables or JSON.
 package operator
 
 import (
@@ -17,15 +17,17 @@
 )
 
 const (
+	// callTimeout bounds each call.
 	callTimeout = 10 * time.Second
-	maxAnswer   = 64 << 20
+	// maxResponseBytes bounds the body of an answer.
+	maxResponseBytes = 64 << 20
 )
 
-// Client speaks to one keeper, entry or node.
+// Client calls one keeper, entry or node.
 type Client struct {
-	Keeper string // host:port, or an https URL
-	Key    string // the operators' key
-	HTTP   *http.Client
+	Keeper string       // address of the process: host:port, or an https URL
+	Key    string       // operators' bearer key
+	HTTP   *http.Client // nil: http.DefaultClient
 }
 
 // Config returns the configuration in force.
@@ -34,36 +36,37 @@
 	return config, client.call(ctx, http.MethodGet, "/v1/config", nil, &config)
 }
 
-// Apply asks for a configuration that builds on the generation it carries.
+// Apply sends a new configuration. Its Generation must be that of the configuration it
+// replaces.
 func (client *Client) Apply(ctx context.Context, config shedkeel.Config) (keeper.Accepted, error) {
 	var accepted keeper.Accepted
 	return accepted, client.call(ctx, http.MethodPut, "/v1/config", config, &accepted)
 }
 
-// Status returns the fleet as the keeper or node sees it.
+// Status returns the state of the fleet as the keeper or node sees it.
 func (client *Client) Status(ctx context.Context) (Either[keeper.Status, node.Dump], error) {
 	var status Either[keeper.Status, node.Dump]
 	return status, client.call(ctx, http.MethodGet, "/v1/status", nil, &status)
 }
 
-// Explain returns why a group is as it is.
+// Explain returns the reasons for the current state of a group.
 func (client *Client) Explain(ctx context.Context, group string) (Either[keeper.Explanation, node.Explanation], error) {
 	var explanation Either[keeper.Explanation, node.Explanation]
 	return explanation, client.call(ctx, http.MethodGet, "/v1/explain/"+group, nil, &explanation)
 }
 
-// Request returns what the entry at the address decided on a request, or what
-// the node at the address has logged of it.
-func (client *Client) Request(ctx context.Context, id string) (RequestStory, error) {
-	story := RequestStory{ID: id}
-	return story, client.call(ctx, http.MethodGet, "/v1/requests/"+id, nil, &story)
+// Request returns the decisions that an entry recorded for a request, or the events
+// that a node logged for it.
+func (client *Client) Request(ctx context.Context, id string) (RequestReport, error) {
+	report := RequestReport{ID: id}
+	return report, client.call(ctx, http.MethodGet, "/v1/requests/"+id, nil, &report)
 }
 
-// Trace adds what the node at the address remembers to a trace.
+// Trace adds the events that a node still holds for the trace's request or group.
 func (client *Client) Trace(ctx context.Context, trace *Trace) error {
 	if trace.Request != "" {
-		story, err := client.Request(ctx, trace.Request)
-		trace.lines = append(trace.lines, story.Lines...)
+		report, err := client.Request(ctx, trace.Request)
+		trace.lines = append(trace.lines, report.Lines...)
 		return err
 	}
 	explanation, err := client.Explain(ctx, trace.Group)
@@ -71,19 +74,20 @@
 		return err
 	}
 	for _, line := range explanation.Node.Events {
-		trace.take(string(line))
+		trace.addLine(string(line))
 	}
 	return nil
 }
 
-// Dump returns the state of the process at the address as JSON.
+// Dump returns the state of the process as JSON.
 func (client *Client) Dump(ctx context.Context) (json.RawMessage, error) {
 	var dump json.RawMessage
 	return dump, client.call(ctx, http.MethodGet, "/v1/dump", nil, &dump)
 }
 
-// call makes one call. Its error is typed by the status: ConflictError,
-// InvalidError, UnavailableError or UnknownOutcomeError.
+// call makes one call and decodes the answer. It returns an UnknownOutcomeError if a
+// PUT gets no answer, an UnavailableError if another call gets none, an InvalidError
+// for a malformed address, and an *Error for an error status.
 func (client *Client) call(ctx context.Context, method, path string, body, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -109,15 +113,16 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return failure(response)
+		return responseError(response)
 	}
-	limited := io.LimitReader(response.Body, maxAnswer)
-	if story, ok := answer.(*RequestStory); ok && response.Header.Get("Content-Type") == node.EventLines {
-		return story.read(limited)
+	limited := io.LimitReader(response.Body, maxResponseBytes)
+	if report, ok := answer.(*RequestReport); ok && response.Header.Get("Content-Type") == node.EventLines {
+		return report.read(limited)
 	}
 	return json.NewDecoder(limited).Decode(answer)
 }
 
+// url returns the URL of a path, with http unless the address is an https URL.
 func (client *Client) url(path string) string {
 	if len(client.Keeper) > 8 && client.Keeper[:8] == "https://" {
 		return client.Keeper + path
@@ -125,28 +130,30 @@
 	return "http://" + client.Keeper + path
 }
 
-// Error is a refusal by a keeper.
+// Error is an answer with an error status.
 type Error struct {
 	Status int
 	Text   string
 }
 
-// Error returns what the keeper said, which names the remedy.
+// Error returns the text of the answer, which names the remedy.
 func (err *Error) Error() string { return err.Text }
 
-func failure(response *http.Response) error {
-	text, _ := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
-	var fromKeeper keeper.ErrorBody
-	var fromEntry struct {
+// responseError converts an answer with an error status, in the form of a keeper or of
+// an entry. Any other answer gives a text that asks whether the address is right.
+func responseError(response *http.Response) error {
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	var keeperBody keeper.ErrorBody
+	var entryBody struct {
 		Error struct {
 			Message string `json:"message"`
 		} `json:"error"`
 	}
 	switch {
-	case json.Unmarshal(text, &fromKeeper) == nil && fromKeeper.Error != "":
-		return &Error{Status: response.StatusCode, Text: fromKeeper.Error}
-	case json.Unmarshal(text, &fromEntry) == nil && fromEntry.Error.Message != "":
-		return &Error{Status: response.StatusCode, Text: fromEntry.Error.Message}
+	case json.Unmarshal(text, &keeperBody) == nil && keeperBody.Error != "":
+		return &Error{Status: response.StatusCode, Text: keeperBody.Error}
+	case json.Unmarshal(text, &entryBody) == nil && entryBody.Error.Message != "":
+		return &Error{Status: response.StatusCode, Text: entryBody.Error.Message}
 	}
 	return &Error{Status: response.StatusCode, Text: fmt.Sprintf("status %d; is this the operator port of a keeper, the admin port of an entry, or the metrics port of a node?", response.StatusCode)}
 }
--- a/operator/either.go
+++ b/operator/either.go
@@ -8,13 +8,13 @@
 	"shedkeel.org/shedkeel/node"
 )
 
-// Either is an answer of a keeper or of a node; the other one is nil.
+// Either holds an answer of a keeper or of a node; the other field is nil.
 type Either[FromKeeper, FromNode any] struct {
 	Keeper *FromKeeper
 	Node   *FromNode
 }
 
-// UnmarshalJSON reads an answer; one of a node says so.
+// UnmarshalJSON decodes an answer. The process field identifies an answer of a node.
 func (either *Either[FromKeeper, FromNode]) UnmarshalJSON(text []byte) error {
 	var sender struct {
 		Process string `json:"process"`
@@ -30,7 +30,7 @@
 	return json.Unmarshal(text, either.Keeper)
 }
 
-// MarshalJSON writes the answer as it came.
+// MarshalJSON encodes the answer that is set.
 func (either Either[FromKeeper, FromNode]) MarshalJSON() ([]byte, error) {
 	if either.Node != nil {
 		return json.Marshal(either.Node)
@@ -38,34 +38,34 @@
 	return json.Marshal(either.Keeper)
 }
 
-// RequestStory is what became of a request.
-type RequestStory struct {
+// RequestReport holds what an entry or a node recorded about a request.
+type RequestReport struct {
 	ID    string
-	Entry *entry.RequestRecord // from an entry; or
-	Lines []TraceLine          // from a node
+	Entry *entry.RequestRecord // set for an answer of an entry
+	Lines []TraceLine          // set for an answer of a node
 }
 
-// UnmarshalJSON reads the answer of an entry.
-func (story *RequestStory) UnmarshalJSON(text []byte) error {
-	story.Entry = &entry.RequestRecord{}
-	return json.Unmarshal(text, story.Entry)
+// UnmarshalJSON decodes the answer of an entry.
+func (report *RequestReport) UnmarshalJSON(text []byte) error {
+	report.Entry = &entry.RequestRecord{}
+	return json.Unmarshal(text, report.Entry)
 }
 
-// read reads the answer of a node.
-func (story *RequestStory) read(lines io.Reader) error {
-	trace := &Trace{Request: story.ID}
+// read decodes the answer of a node: event lines.
+func (report *RequestReport) read(lines io.Reader) error {
+	trace := &Trace{Request: report.ID}
 	if err := trace.Read(lines); err != nil {
 		return err
 	}
 	var err error
-	story.Lines, err = trace.Lines()
+	report.Lines, err = trace.Lines()
 	return err
 }
 
-// MarshalJSON writes the answer as it came.
-func (story RequestStory) MarshalJSON() ([]byte, error) {
-	if story.Entry != nil {
-		return json.Marshal(story.Entry)
+// MarshalJSON encodes the entry's record, or else the node's lines.
+func (report RequestReport) MarshalJSON() ([]byte, error) {
+	if report.Entry != nil {
+		return json.Marshal(report.Entry)
 	}
-	return json.Marshal(story.Lines)
+	return json.Marshal(report.Lines)
 }
--- a/operator/print.go
+++ b/operator/print.go
@@ -14,7 +14,7 @@
 	"shedkeel.org/shedkeel/node"
 )
 
-// PrintStatus writes a status as tables.
+// PrintStatus prints the status of a keeper or node as tables.
 func PrintStatus(writer io.Writer, status Either[keeper.Status, node.Dump]) {
 	if status.Node != nil {
 		printNodeStatus(writer, status.Node)
@@ -23,6 +23,7 @@
 	printKeeperStatus(writer, status.Keeper)
 }
 
+// printKeeperStatus prints a keeper's status.
 func printKeeperStatus(writer io.Writer, status *keeper.Status) {
 	counts := map[string]int{}
 	for _, group := range status.Groups {
@@ -59,7 +60,7 @@
 	_ = table.Flush()
 }
 
-// PrintExplanation writes why a group is as it is.
+// PrintExplanation prints the reasons for a group's state.
 func PrintExplanation(writer io.Writer, explanation Either[keeper.Explanation, node.Explanation]) {
 	if explanation.Node != nil {
 		printNodeExplanation(writer, explanation.Node)
@@ -68,6 +69,7 @@
 	printKeeperExplanation(writer, explanation.Keeper)
 }
 
+// printKeeperExplanation prints a keeper's explanation of a group.
 func printKeeperExplanation(writer io.Writer, explanation *keeper.Explanation) {
 	group := explanation.Group
 	_, _ = fmt.Fprintf(writer, "group %s of %s at epoch %d is %s", group.Group.ID, group.Group.Service, group.Group.Epoch, cmp.Or(group.State, "gone"))
@@ -83,20 +85,21 @@
 	}
 }
 
-// PrintRequest writes what became of a request.
-func PrintRequest(writer io.Writer, story RequestStory) {
-	if story.Entry == nil {
-		_ = PrintTrace(writer, story.Lines)
+// PrintRequest prints what an entry or a node recorded about a request.
+func PrintRequest(writer io.Writer, report RequestReport) {
+	if report.Entry == nil {
+		_ = PrintTrace(writer, report.Lines)
 		return
 	}
-	record := story.Entry
+	record := report.Entry
 	_, _ = fmt.Fprintf(writer, "request %s of account %s to %s took %s: %s\n", record.ID, record.Account, record.Service, record.Took, record.Result)
 	for number, try := range record.Tries {
 		_, _ = fmt.Fprintf(writer, "try %d: server %s with load %d: %s\n", number+1, try.Server, try.Load, try.Result)
 	}
 }
 
-// Diff returns what changes from one configuration to another, a line each.
+// Diff returns the differences between two configurations, one line for each added (+),
+// removed (-) or changed (~) item.
 func Diff(from, to shedkeel.Config) []string {
 	var lines []string
 	if from.EntryBoxes != to.EntryBoxes {
@@ -105,16 +108,16 @@
 	if from.Policy != to.Policy {
 		lines = append(lines, fmt.Sprintf("~ policy %q -> %q", from.Policy.Name, to.Policy.Name))
 	}
-	lines = append(lines, diffNamed("service", named(from.Services, func(service shedkeel.Service) string { return string(service.ID) }),
-		named(to.Services, func(service shedkeel.Service) string { return string(service.ID) }))...)
-	lines = append(lines, diffNamed("account", named(from.Accounts, func(account shedkeel.Account) string { return string(account.ID) }),
-		named(to.Accounts, func(account shedkeel.Account) string { return string(account.ID) }))...)
-	return append(lines, diffNamed("drain", named(from.Drains, func(box shedkeel.BoxID) string { return string(box) }),
-		named(to.Drains, func(box shedkeel.BoxID) string { return string(box) }))...)
+	lines = append(lines, diffNamed("service", textsByName(from.Services, func(service shedkeel.Service) string { return string(service.ID) }),
+		textsByName(to.Services, func(service shedkeel.Service) string { return string(service.ID) }))...)
+	lines = append(lines, diffNamed("account", textsByName(from.Accounts, func(account shedkeel.Account) string { return string(account.ID) }),
+		textsByName(to.Accounts, func(account shedkeel.Account) string { return string(account.ID) }))...)
+	return append(lines, diffNamed("drain", textsByName(from.Drains, func(box shedkeel.BoxID) string { return string(box) }),
+		textsByName(to.Drains, func(box shedkeel.BoxID) string { return string(box) }))...)
 }
 
-// named maps the names of items to their texts.
-func named[Item any](items []Item, name func(Item) string) map[string]string {
+// textsByName maps the name of each item to its printed form.
+func textsByName[Item any](items []Item, name func(Item) string) map[string]string {
 	texts := map[string]string{}
 	for _, item := range items {
 		texts[name(item)] = fmt.Sprintf("%+v", item)
@@ -122,6 +125,8 @@
 	return texts
 }
 
+// diffNamed returns the differences between two maps from names to texts, in order of
+// name.
 func diffNamed(kind string, from, to map[string]string) []string {
 	names := slices.Concat(slices.Collect(maps.Keys(from)), slices.Collect(maps.Keys(to)))
 	slices.Sort(names)
--- a/operator/print_node.go
+++ b/operator/print_node.go
@@ -11,7 +11,7 @@
 	"shedkeel.org/shedkeel/node"
 )
 
-// printNodeStatus writes the fleet as a node sees it.
+// printNodeStatus prints a node's status.
 func printNodeStatus(writer io.Writer, status *node.Dump) {
 	states := map[shedkeel.MemberState]int{}
 	for _, group := range status.Groups {
@@ -27,8 +27,8 @@
 	for _, unnamed := range status.Unnamed {
 		_, _ = fmt.Fprintf(writer, "callers are not sent to %s: %s\n", unnamed.Node, unnamed.Reason)
 	}
-	for _, blame := range status.Judged {
-		_, _ = fmt.Fprintf(writer, "request %s is %s: servers ended under it: %s\n", blame.Request, blame.Judgment, joined(blame.Servers))
+	for _, judged := range status.Judged {
+		_, _ = fmt.Fprintf(writer, "request %s is %s: servers ended under it: %s\n", judged.Request, judged.Judgment, joinNames(judged.Servers))
 	}
 	for _, evacuation := range status.Evacuated {
 		_, _ = fmt.Fprintf(writer, "zone %s is evacuated: its %d listed servers get no requests\n", evacuation.Zone, evacuation.Servers)
@@ -47,7 +47,7 @@
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "\nGROUP\tMODEL\tEPOCH\tHEAD\tMEMBERS")
 	for _, group := range status.Groups {
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\n", group.Group, group.Model, group.Epoch, cmp.Or(string(group.State), "not listed"), joined(group.Members))
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\n", group.Group, group.Model, group.Epoch, cmp.Or(string(group.State), "not listed"), joinNames(group.Members))
 	}
 	_, _ = fmt.Fprintln(table, "\nSERVER IN NO GROUP\tSERVICE\tSTATE\tWEIGHTS ON ITS HOST")
 	for _, server := range status.Servers {
@@ -55,13 +55,13 @@
 		if server.Draining {
 			state = "draining"
 		}
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", server.Server, server.Service, state, cmp.Or(joined(server.Staged), "-"))
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", server.Server, server.Service, state, cmp.Or(joinNames(server.Staged), "-"))
 	}
 	_ = table.Flush()
 }
 
-// joined joins names by commas.
-func joined[Name ~string](names []Name) string {
+// joinNames joins names with commas.
+func joinNames[Name ~string](names []Name) string {
 	texts := make([]string, len(names))
 	for index, name := range names {
 		texts[index] = string(name)
@@ -69,7 +69,7 @@
 	return strings.Join(texts, ",")
 }
 
-// printNodeExplanation writes what a node knows of a group.
+// printNodeExplanation prints what a node knows about a group.
 func printNodeExplanation(writer io.Writer, explanation *node.Explanation) {
 	_, _ = fmt.Fprintf(writer, "group %s, seen by node %s; planned by %s\n", explanation.Group, explanation.Node, cmp.Or(string(explanation.Leader), "nobody"))
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)
@@ -82,7 +82,7 @@
 	_, _ = fmt.Fprintln(writer)
 	trace := &Trace{Group: string(explanation.Group)}
 	for _, line := range explanation.Events {
-		trace.take(string(line))
+		trace.addLine(string(line))
 	}
 	lines, err := trace.Lines()
 	if err != nil {
@@ -92,7 +92,8 @@
 	_ = PrintTrace(writer, lines)
 }
 
-// printWaits writes what the planner waits for, and for how long it may.
+// printWaits prints what the planner waits for, for how long it has waited, and the
+// longest time it may wait.
 func printWaits(writer io.Writer, waits []node.WaitDump) {
 	if len(waits) == 0 {
 		return
@@ -106,7 +107,7 @@
 	_ = table.Flush()
 }
 
-// findings names what is wrong with a member.
+// findings describes the problems found with a member, or returns "-".
 func findings(member node.MemberDump) string {
 	var found []string
 	if member.Draining {
--- a/operator/trace.go
+++ b/operator/trace.go
@@ -14,21 +14,22 @@
 	"shedkeel.org/shedkeel"
 )
 
-// maxLogLine bounds a line of a log, in bytes; longer ones are passed over.
+// maxLogLine is the size of the buffer for reading log lines, in bytes. Longer lines
+// are still read in full.
 const maxLogLine = 1 << 20
 
-// Trace collects the log lines of one request or one replica group from the
-// logs of several nodes.
+// Trace collects the log lines about one request or one replica group from the logs of
+// several nodes.
 type Trace struct {
-	Request string // the request's id; or
-	Group   string // the group's name
+	Request string // ID of the request; empty if Group is set
+	Group   string // name of the group; empty if Request is set
 
-	lines  []TraceLine
-	read   int // lines that are events
-	passed int // cut or foreign lines
+	lines   []TraceLine
+	events  int // number of lines read that are events
+	skipped int // number of lines read that are not events, such as truncated ones or those of other programs
 }
 
-// TraceLine is one line of a log.
+// TraceLine is one event of a log.
 type TraceLine struct {
 	Time   time.Time      `json:"time"`
 	Node   string         `json:"node"`
@@ -37,13 +38,13 @@
 	Fields map[string]any `json:"fields"`
 }
 
-// Read reads one log. Lines that are no events are passed over and counted.
+// Read reads one log. It skips and counts lines that are not events.
 func (trace *Trace) Read(log io.Reader) error {
 	reader := bufio.NewReaderSize(log, maxLogLine)
 	for {
 		line, err := reader.ReadString('\n')
 		if strings.TrimSpace(line) != "" {
-			trace.take(line)
+			trace.addLine(line)
 		}
 		switch {
 		case err == io.EOF:
@@ -54,42 +55,44 @@
 	}
 }
 
-func (trace *Trace) take(line string) {
-	start := strings.IndexByte(line, '{') // what runs the nodes may write something before
+// addLine adds a log line if it is an event about the trace's request or group.
+func (trace *Trace) addLine(line string) {
+	start := strings.IndexByte(line, '{') // a process supervisor may put text before the JSON
 	fields := map[string]any{}
 	if start < 0 || json.Unmarshal([]byte(line[start:]), &fields) != nil {
-		trace.passed++
+		trace.skipped++
 		return
 	}
 	number, isEvent := fields["event"].(float64)
 	at, err := time.Parse(time.RFC3339Nano, fmt.Sprint(fields["time"]))
 	if !isEvent || err != nil {
-		trace.passed++
+		trace.skipped++
 		return
 	}
-	trace.read++
-	wanted := trace.Request != "" && fields["request"] == trace.Request || trace.Group != "" && fields["group"] == trace.Group
-	if !wanted {
+	trace.events++
+	matches := trace.Request != "" && fields["request"] == trace.Request || trace.Group != "" && fields["group"] == trace.Group
+	if !matches {
 		return
 	}
-	found := TraceLine{Time: at, Node: text(fields["node"]), Event: int(number), Text: text(fields["msg"]), Fields: fields}
+	parsed := TraceLine{Time: at, Node: stringOf(fields["node"]), Event: int(number), Text: stringOf(fields["msg"]), Fields: fields}
 	for _, name := range []string{"time", "node", "event", "msg", "level"} {
 		delete(fields, name)
 	}
-	trace.lines = append(trace.lines, found)
+	trace.lines = append(trace.lines, parsed)
 }
 
-func text(value any) string {
-	written, _ := value.(string) // what is no text is not shown
+// stringOf returns the value if it is a string, and an empty string otherwise.
+func stringOf(value any) string {
+	written, _ := value.(string)
 	return written
 }
 
-// Lines returns the lines in order of time, or an error that says what was
-// searched.
+// Lines returns the lines in order of time. If there are none, it returns an
+// InvalidError that states how many lines were read.
 func (trace *Trace) Lines() ([]TraceLine, error) {
 	if len(trace.lines) == 0 {
 		return nil, &shedkeel.InvalidError{
-			Where: trace.Request + trace.Group, What: fmt.Sprintf("none of %d events tells of it; %d lines are no events", trace.read, trace.passed),
+			Where: trace.Request + trace.Group, What: fmt.Sprintf("none of %d events tells of it; %d lines are no events", trace.events, trace.skipped),
 			Remedy: "give the logs of all nodes for that time, and the id as the caller sent it",
 		}
 	}
@@ -97,15 +100,15 @@
 	return trace.lines, nil
 }
 
-// Passed returns how many lines were no events.
-func (trace *Trace) Passed() int { return trace.passed }
+// Skipped returns the number of lines that were not events.
+func (trace *Trace) Skipped() int { return trace.skipped }
 
-// PrintTrace prints lines with the time since the first, a row each.
+// PrintTrace prints one row per line, with the time since the first line.
 func PrintTrace(writer io.Writer, lines []TraceLine) error {
 	for _, line := range lines {
 		var fields []string
 		for _, name := range slices.SortedFunc(maps.Keys(line.Fields), cmp.Compare[string]) {
-			fields = append(fields, fmt.Sprintf("%s=%v", name, shown(name, line.Fields[name])))
+			fields = append(fields, fmt.Sprintf("%s=%v", name, fieldValue(name, line.Fields[name])))
 		}
 		_, err := fmt.Fprintf(writer, "%9.3fs  %-16s %d %s: %s\n", line.Time.Sub(lines[0].Time).Seconds(), line.Node, line.Event, line.Text, strings.Join(fields, " "))
 		if err != nil {
@@ -115,10 +118,12 @@
 	return nil
 }
 
-// durationFields are logged in nanoseconds.
+// durationFields are the log fields that hold durations in nanoseconds.
 var durationFields = []string{"took", "first", "pause", "silent", "age"}
 
-func shown(name string, value any) any {
+// fieldValue returns the value to print for a field: durations are rounded to
+// milliseconds.
+func fieldValue(name string, value any) any {
 	nanoseconds, isNumber := value.(float64)
 	if isNumber && slices.Contains(durationFields, name) {
 		return time.Duration(nanoseconds).Round(time.Millisecond)
--- a/operator/trace_test.go
+++ b/operator/trace_test.go
@@ -19,6 +19,8 @@
 {"no":"event"}
 `
 
+// TestTrace reads the logs of two nodes, with text before an event, a truncated line
+// and lines that are not events. The lines found must be printed in order of time.
 func TestTrace(t *testing.T) {
 	cases := map[string]struct {
 		trace  Trace
@@ -43,7 +45,7 @@
 		t.Run(name, func(t *testing.T) {
 			assert.NilError(t, test.trace.Read(strings.NewReader(firstLog)))
 			assert.NilError(t, test.trace.Read(strings.NewReader(secondLog)))
-			assert.Equal(t, test.trace.Passed(), 3)
+			assert.Equal(t, test.trace.Skipped(), 3)
 			lines, err := test.trace.Lines()
 			if test.remedy != "" {
 				assert.ErrorContains(t, err, test.remedy)
--- a/program/daemon.go
+++ b/program/daemon.go
@@ -1,5 +1,5 @@
-// Package program holds the command lines of shedkeel's programs, so that the
-// mains are thin and tests can run the programs whole.
+// Package program implements the command lines of shedkeel's programs. The main
+// packages only call it, so that tests can run whole programs.
 package program
 
 import (
@@ -24,8 +24,8 @@
 	exitInvalid = 2
 )
 
-// run runs a command line until it ends or the process is told to stop, and
-// exits with its code.
+// run runs a command line until it ends or the process receives SIGINT or SIGTERM. If
+// the command fails, run exits with the error's code.
 func run(command *cli.Command) {
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	err := command.Run(ctx, os.Args)
@@ -37,7 +37,7 @@
 	os.Exit(exitCode(err))
 }
 
-// daemonFlags are the flags of the daemons.
+// daemonFlags returns the flags that all daemons have.
 func daemonFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "settings", Aliases: []string{"s"}, Required: true, Usage: "TOML `FILE` of settings; docs/OPERATIONS.md lists its keys"},
@@ -45,13 +45,14 @@
 	}
 }
 
-// daemon is what both daemons begin with.
+// daemon holds the settings and log that the daemons share.
 type daemon struct {
 	settings config.Settings
 	log      *event.Log
 }
 
-// begin reads the settings. It returns false if they were only to be checked.
+// begin reads the settings and opens the log. It returns false if the command only
+// checks the settings.
 func (daemon *daemon) begin(command *cli.Command) (bool, error) {
 	settings, err := config.ReadSettings(command.String("settings"))
 	if err != nil {
@@ -70,7 +71,7 @@
 	return true, nil
 }
 
-// listen opens a socket; its error names the setting.
+// listen opens a TCP socket. Its error names the setting.
 func listen(setting, address string) (net.Listener, error) {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
 	if err != nil {
@@ -79,7 +80,7 @@
 	return listener, nil
 }
 
-// listenDatagrams is listen for datagrams.
+// listenDatagrams opens a UDP socket. Its error names the setting.
 func listenDatagrams(setting, address string) (net.PacketConn, error) {
 	conn, err := (&net.ListenConfig{}).ListenPacket(context.Background(), "udp", address)
 	if err != nil {
@@ -88,10 +89,11 @@
 	return conn, nil
 }
 
-// finish logs how the process ended.
+// finish logs the end of the process, with a stack trace if it failed, and returns the
+// error.
 func (daemon *daemon) finish(err error) error {
 	if err != nil {
-		err = merry.Wrap(err) // with a stack, for the log
+		err = merry.Wrap(err) // adds a stack trace for the log
 		daemon.log.Write(event.Failed, slog.String("error", err.Error()), slog.String("stack", merry.Stacktrace(err)))
 		return err
 	}
--- a/program/entry.go
+++ b/program/entry.go
@@ -15,7 +15,7 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// Entry is the program shedkeel-entry.
+// Entry runs the program shedkeel-entry.
 func Entry() {
 	run(&cli.Command{
 		Name:                  "shedkeel-entry",
@@ -26,6 +26,7 @@
 	})
 }
 
+// runEntry reads the settings and runs an entry until ctx ends.
 func runEntry(ctx context.Context, command *cli.Command) error {
 	daemon := &daemon{}
 	proceed, err := daemon.begin(command)
--- a/program/evacuate_test.go
+++ b/program/evacuate_test.go
@@ -15,7 +15,8 @@
 	platformstandin "shedkeel.org/shedkeel/platform/standin"
 )
 
-// TestEvacuate has an operator evacuate a zone from the command line and take it back.
+// TestEvacuate evacuates a zone from the command line and ends the evacuation, each
+// twice. Arguments that are not a zone must be rejected.
 func TestEvacuate(t *testing.T) {
 	data := standin.NewStore()
 	server := httptest.NewServer((&platformstandin.Store{Data: data}).Handler())
@@ -28,15 +29,15 @@
 		err := command.Run(t.Context(), append([]string{"shedkeel", "evacuate", "--store", store.Address}, args...))
 		return printed.String(), err
 	}
-	stands := func() bool {
+	recordExists := func() bool {
 		record, err := store.Get(t.Context(), platform.EvacuationPrefix+"zone-1")
 		assert.NilError(t, err)
 		return record.Revision.Exists()
 	}
 	steps := []struct {
-		args  []string
-		says  string
-		after bool // the zone is evacuated
+		args   []string
+		output string
+		after  bool // whether the zone is evacuated afterwards
 	}{
 		{[]string{"zone-1"}, "zone zone-1 is evacuated", true},
 		{[]string{"zone-1"}, "zone zone-1 is evacuated", true},
@@ -46,8 +47,8 @@
 	for _, step := range steps {
 		printed, err := run(step.args...)
 		assert.NilError(t, err)
-		assert.Assert(t, strings.Contains(printed, step.says), printed)
-		assert.Equal(t, stands(), step.after)
+		assert.Assert(t, strings.Contains(printed, step.output), printed)
+		assert.Equal(t, recordExists(), step.after)
 	}
 	for _, zone := range []string{"", "zone-1/box-1"} {
 		_, err := run(zone)
--- a/program/keeper.go
+++ b/program/keeper.go
@@ -15,7 +15,7 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// Keeper is the program shedkeel-keeper.
+// Keeper runs the program shedkeel-keeper.
 func Keeper() {
 	run(&cli.Command{
 		Name:                  "shedkeel-keeper",
@@ -26,6 +26,7 @@
 	})
 }
 
+// runKeeper reads the settings and runs a keeper until ctx ends.
 func runKeeper(ctx context.Context, command *cli.Command) error {
 	daemon := &daemon{}
 	proceed, err := daemon.begin(command)
--- a/program/node.go
+++ b/program/node.go
@@ -24,24 +24,23 @@
 )
 
 const (
-	// storeTimeout bounds one call to the key-value service, which answers in
-	// 4 ms at rest and in some 300 ms when it is slow.
+	// storeTimeout bounds a call to the key-value service, which answers in 4 ms when
+	// idle and in about 300 ms when it is slow.
 	storeTimeout = 700 * time.Millisecond
-	// watchMargin is how much later than it should a watch may answer: the
-	// service adds some 280 ms when it is slow.
+	// watchMargin is how long after its wait a watch may answer: a slow service adds
+	// about 280 ms.
 	watchMargin = 400 * time.Millisecond
-	// orderTimeout bounds a report or an order, which engines answer in
+	// orderTimeout bounds a report call or an order. Engines answer both within
 	// milliseconds.
 	orderTimeout = 300 * time.Millisecond
-	// backendDial bounds a connection to a backend server: within a region it
-	// stands in milliseconds.
-	backendDial = 250 * time.Millisecond
-	// backendIdle is how long a connection to a backend server rests before
-	// it is closed.
-	backendIdle = 4 * time.Second
+	// backendDialTimeout bounds the connection to a backend server, which takes
+	// milliseconds within a region.
+	backendDialTimeout = 250 * time.Millisecond
+	// backendIdleTimeout is how long an idle connection is kept open.
+	backendIdleTimeout = 4 * time.Second
 )
 
-// Node is the program shedkeel-node.
+// Node runs the program shedkeel-node.
 func Node() {
 	run(&cli.Command{
 		Name:                  "shedkeel-node",
@@ -52,8 +51,10 @@
 	})
 }
 
+// runNode reads the settings and runs a node until ctx ends. It reloads the settings on
+// SIGHUP.
 func runNode(ctx context.Context, command *cli.Command) error {
-	hangups := catchHangups()
+	hangups := notifyHangups()
 	settings, err := config.ReadNodeSettings(command.String("settings"))
 	if err != nil {
 		return err
@@ -74,18 +75,18 @@
 	}
 	values := metrics.New("shedkeel_node")
 	defer values.Close()
-	transport := &engine.Transport{DialTimeout: backendDial, IdleTimeout: backendIdle}
+	transport := &engine.Transport{DialTimeout: backendDialTimeout, IdleTimeout: backendIdleTimeout}
 	defer transport.Close()
 	seed := rand.Uint64()
 	process := &node.Node{
 		Settings: settings, Incarnation: shedkeel.NewIncarnation(time.Now()),
-		Store: &platform.Store{Address: settings.Store, Timeout: storeTimeout, WatchMargin: watchMargin, Client: plainClient(4),
-			Malformed: func(err error) { log.Write(event.StoreEraBad, slog.String("error", err.Error())) }},
+		Store: &platform.Store{Address: settings.Store, Timeout: storeTimeout, WatchMargin: watchMargin, Client: newHTTPClient(4),
+			OnMalformedEra: func(err error) { log.Write(event.StoreEraBad, slog.String("error", err.Error())) }},
 		Decoder:  platform.Decoder{},
 		Protocol: platform.Callers{},
 		Backend:  transport,
 		Check:    transport,
-		Engines:  &platform.Engines{Timeout: orderTimeout, Client: plainClient(1)},
+		Engines:  &platform.Engines{Timeout: orderTimeout, Client: newHTTPClient(1)},
 		Timers:   &timer.System{},
 		Random:   rand.NewPCG(seed, seed),
 		Log:      log,
@@ -102,16 +103,16 @@
 	return daemon.finish(process.Run(ctx, listeners, faces))
 }
 
-// catchHangups takes hangups in from before the settings are read until the process
-// is gone. The system's own action ends a process: one that stopped as planned was
-// ended by it in the middle of answers, 2.7 s into its grace time.
-func catchHangups() <-chan os.Signal {
-	hangups := make(chan os.Signal, 1) // one that waits stands for all since
+// notifyHangups handles SIGHUP from before the settings are read until the process
+// exits. The default action would end the process: it once ended a node in the middle
+// of answers, 2.7 s into the grace period of a planned stop.
+func notifyHangups() <-chan os.Signal {
+	hangups := make(chan os.Signal, 1) // one pending signal is enough: a reload reads the latest settings
 	signal.Notify(hangups, syscall.SIGHUP)
 	return hangups
 }
 
-// reloader reads the settings again on SIGHUP.
+// reloader reads the settings again on SIGHUP and gives them to the node.
 type reloader struct {
 	hangups <-chan os.Signal
 	path    string
@@ -119,6 +120,8 @@
 	log     *event.Log
 }
 
+// run reloads the settings until ctx ends. If they are invalid, it logs the error and
+// the node keeps the previous ones.
 func (reloader *reloader) run(ctx context.Context) {
 	for {
 		select {
@@ -135,11 +138,13 @@
 	}
 }
 
-// plainClient is a client that keeps so many connections to each server.
-func plainClient(idle int) *http.Client {
-	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idle, IdleConnTimeout: backendIdle, DisableCompression: true}}
+// newHTTPClient returns an HTTP client that keeps up to idle unused connections to each
+// server.
+func newHTTPClient(idle int) *http.Client {
+	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idle, IdleConnTimeout: backendIdleTimeout, DisableCompression: true}}
 }
 
+// listenNode opens the sockets that the settings name. The metrics socket is optional.
 func listenNode(settings config.NodeSettings) (node.Listeners, error) {
 	var listeners node.Listeners
 	var err error
--- a/program/operator.go
+++ b/program/operator.go
@@ -28,9 +28,9 @@
 
 // Exit codes of the operators' client.
 const (
-	exitConflict    = 3 // another operator was faster
+	exitConflict    = 3 // the configuration changed since it was read
 	exitUnknown     = 4 // the outcome of a change is unknown
-	exitUnavailable = 5 // the keeper or the key-value service is away
+	exitUnavailable = 5 // the keeper or the key-value service does not answer
 )
 
 // exitCode returns the exit code for an error.
@@ -65,9 +65,10 @@
 	return exitFailed
 }
 
-// Operator is the program shedkeel.
+// Operator runs the program shedkeel.
 func Operator() { run(operatorCommand()) }
 
+// operatorCommand returns the command line of the operators' client.
 func operatorCommand() *cli.Command {
 	return &cli.Command{
 		Name:                  "shedkeel",
@@ -111,13 +112,15 @@
 				}, Action: checkPolicy},
 			}},
 			{Name: "account", Usage: "work on client accounts", Commands: []*cli.Command{
-				{Name: "hash", Usage: "print the key_sha256 of a bearer key", ArgsUsage: "KEY", Action: hashKey},
+				{Name: "hash", Usage: "print the key_sha256 of a bearer key", ArgsUsage: "KEY", Action: printKeyHash},
 			}},
 		},
 	}
 }
 
-func clientOf(command *cli.Command) (*operator.Client, error) {
+// newOperatorClient returns a client for the process that the flags name, with TLS if
+// they name certificates.
+func newOperatorClient(command *cli.Command) (*operator.Client, error) {
 	client := &operator.Client{Keeper: command.String("keeper"), Key: command.String("key")}
 	settings := config.TLSSettings{Certificate: command.String("certificate"), Key: command.String("certificate-key"), Authority: command.String("authority")}
 	clientTLS, err := settings.Client()
@@ -130,7 +133,8 @@
 	return client, nil
 }
 
-// argument returns the one argument of a command.
+// argument returns the single argument of a command. Any other number of arguments
+// gives an InvalidError.
 func argument(command *cli.Command) (string, error) {
 	if command.Args().Len() != 1 {
 		return "", &shedkeel.InvalidError{Where: command.Name, What: "it takes one argument", Remedy: "give " + command.ArgsUsage}
@@ -138,15 +142,17 @@
 	return command.Args().First(), nil
 }
 
+// printJSON prints the value as indented JSON.
 func printJSON(command *cli.Command, value any) error {
 	encoder := json.NewEncoder(command.Root().Writer)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
 
-// change reads a document and what is in force, and returns both with what
-// differs.
-func change(ctx context.Context, command *cli.Command) (*operator.Client, shedkeel.Config, []string, error) {
+// planChange reads the document that the argument names and the configuration in force.
+// It returns a client, the configuration to apply and its differences from the one in
+// force.
+func planChange(ctx context.Context, command *cli.Command) (*operator.Client, shedkeel.Config, []string, error) {
 	path, err := argument(command)
 	if err != nil {
 		return nil, shedkeel.Config{}, nil, err
@@ -155,18 +161,19 @@
 	if err != nil {
 		return nil, wanted, nil, err
 	}
-	client, err := clientOf(command)
+	client, err := newOperatorClient(command)
 	if err != nil {
 		return nil, wanted, nil, err
 	}
 	inForce, err := client.Config(ctx)
 	wanted.Generation = inForce.Generation
-	wanted.Drains = inForce.Drains // a document does not speak of drains
+	wanted.Drains = inForce.Drains // documents do not contain drains
 	return client, wanted, operator.Diff(inForce, wanted), err
 }
 
+// apply makes a document the configuration in force.
 func apply(ctx context.Context, command *cli.Command) error {
-	client, wanted, changes, err := change(ctx, command)
+	client, wanted, changes, err := planChange(ctx, command)
 	if err != nil {
 		return err
 	}
@@ -180,11 +187,11 @@
 		_, _ = fmt.Fprintln(command.Root().ErrWriter, "nothing was changed")
 		return nil
 	}
-	return send(ctx, command, client, wanted)
+	return applyConfig(ctx, command, client, wanted)
 }
 
-// send applies a configuration and tells how far it has come.
-func send(ctx context.Context, command *cli.Command, client *operator.Client, wanted shedkeel.Config) error {
+// applyConfig sends a configuration and prints on how many keepers it is in force.
+func applyConfig(ctx context.Context, command *cli.Command, client *operator.Client, wanted shedkeel.Config) error {
 	accepted, err := client.Apply(ctx, wanted)
 	if err != nil {
 		return err
@@ -196,8 +203,9 @@
 	return err
 }
 
+// diff prints what applying a document would change.
 func diff(ctx context.Context, command *cli.Command) error {
-	_, _, changes, err := change(ctx, command)
+	_, _, changes, err := planChange(ctx, command)
 	if err != nil {
 		return err
 	}
@@ -207,8 +215,9 @@
 	return nil
 }
 
+// get prints the configuration in force.
 func get(ctx context.Context, command *cli.Command) error {
-	client, err := clientOf(command)
+	client, err := newOperatorClient(command)
 	if err != nil {
 		return err
 	}
@@ -219,9 +228,10 @@
 	return printJSON(command, inForce)
 }
 
-// show asks a keeper or an entry, and prints the answer as JSON or as text.
-func show[Answer any](command *cli.Command, ask func(*operator.Client) (Answer, error), write func(io.Writer, Answer)) error {
-	client, err := clientOf(command)
+// printAnswer calls ask and prints the answer with write, or as JSON if the flag says
+// so.
+func printAnswer[Answer any](command *cli.Command, ask func(*operator.Client) (Answer, error), write func(io.Writer, Answer)) error {
+	client, err := newOperatorClient(command)
 	if err != nil {
 		return err
 	}
@@ -236,12 +246,14 @@
 	return nil
 }
 
+// status prints the state of the fleet.
 func status(ctx context.Context, command *cli.Command) error {
-	return show(command, func(client *operator.Client) (operator.Either[keeper.Status, node.Dump], error) {
+	return printAnswer(command, func(client *operator.Client) (operator.Either[keeper.Status, node.Dump], error) {
 		return client.Status(ctx)
 	}, operator.PrintStatus)
 }
 
+// explain prints the reasons for a group's state.
 func explain(ctx context.Context, command *cli.Command) error {
 	group, err := argument(command)
 	if err != nil {
@@ -250,20 +262,22 @@
 	ask := func(client *operator.Client) (operator.Either[keeper.Explanation, node.Explanation], error) {
 		return client.Explain(ctx, group)
 	}
-	return show(command, ask, operator.PrintExplanation)
+	return printAnswer(command, ask, operator.PrintExplanation)
 }
 
+// explainRequest prints what an entry or a node recorded about a request.
 func explainRequest(ctx context.Context, command *cli.Command) error {
 	id, err := argument(command)
 	if err != nil {
 		return err
 	}
-	ask := func(client *operator.Client) (operator.RequestStory, error) { return client.Request(ctx, id) }
-	return show(command, ask, operator.PrintRequest)
+	ask := func(client *operator.Client) (operator.RequestReport, error) { return client.Request(ctx, id) }
+	return printAnswer(command, ask, operator.PrintRequest)
 }
 
+// drain takes a box out of service.
 func drain(ctx context.Context, command *cli.Command) error {
-	return redrain(ctx, command, func(drains []shedkeel.BoxID, box shedkeel.BoxID) []shedkeel.BoxID {
+	return changeDrains(ctx, command, func(drains []shedkeel.BoxID, box shedkeel.BoxID) []shedkeel.BoxID {
 		if slices.Contains(drains, box) {
 			return drains
 		}
@@ -271,18 +285,20 @@
 	})
 }
 
+// undrain puts a box back into service.
 func undrain(ctx context.Context, command *cli.Command) error {
-	return redrain(ctx, command, func(drains []shedkeel.BoxID, box shedkeel.BoxID) []shedkeel.BoxID {
+	return changeDrains(ctx, command, func(drains []shedkeel.BoxID, box shedkeel.BoxID) []shedkeel.BoxID {
 		return slices.DeleteFunc(slices.Clone(drains), func(drained shedkeel.BoxID) bool { return drained == box })
 	})
 }
 
-func redrain(ctx context.Context, command *cli.Command, next func([]shedkeel.BoxID, shedkeel.BoxID) []shedkeel.BoxID) error {
+// changeDrains applies the configuration in force with the drains that next returns.
+func changeDrains(ctx context.Context, command *cli.Command, next func([]shedkeel.BoxID, shedkeel.BoxID) []shedkeel.BoxID) error {
 	box, err := argument(command)
 	if err != nil {
 		return err
 	}
-	client, err := clientOf(command)
+	client, err := newOperatorClient(command)
 	if err != nil {
 		return err
 	}
@@ -291,14 +307,15 @@
 		return err
 	}
 	wanted.Drains = next(wanted.Drains, shedkeel.BoxID(box))
-	return send(ctx, command, client, wanted)
+	return applyConfig(ctx, command, client, wanted)
 }
 
 // evacuateTimeout bounds the call to the key-value service.
 const evacuateTimeout = 5 * time.Second
 
-// evacuate writes or removes an evacuation. Nodes follow the service, so its answer
-// is the acknowledgement; status tells what a node heeds.
+// evacuate writes or removes the evacuation record of an availability zone. The nodes
+// watch the key-value service, so its answer is the acknowledgement; the status command
+// shows whether a node follows the record.
 func evacuate(ctx context.Context, command *cli.Command) error {
 	zone, err := argument(command)
 	if err != nil {
@@ -320,8 +337,9 @@
 	return err
 }
 
+// dump prints the state of the process.
 func dump(ctx context.Context, command *cli.Command) error {
-	client, err := clientOf(command)
+	client, err := newOperatorClient(command)
 	if err != nil {
 		return err
 	}
@@ -332,6 +350,7 @@
 	return printJSON(command, state)
 }
 
+// checkPolicy runs a policy on sample facts and prints its decisions.
 func checkPolicy(_ context.Context, command *cli.Command) error {
 	path, err := argument(command)
 	if err != nil {
@@ -351,7 +370,8 @@
 	return printJSON(command, table)
 }
 
-func hashKey(_ context.Context, command *cli.Command) error {
+// printKeyHash prints the SHA-256 hash of a bearer key.
+func printKeyHash(_ context.Context, command *cli.Command) error {
 	key, err := argument(command)
 	if err != nil {
 		return err
--- a/program/standin.go
+++ b/program/standin.go
@@ -17,16 +17,16 @@
 	platformstandin "shedkeel.org/shedkeel/platform/standin"
 )
 
-// Standin is the program shedkeel-standin, for tests and the demo.
+// Standin runs the program shedkeel-standin, for tests and the demo.
 func Standin() {
 	run(&cli.Command{
 		Name:  "shedkeel-standin",
 		Usage: "stand in for what shedkeel meets outside itself (tests and demo only)",
 		Commands: []*cli.Command{
-			{Name: "store", Usage: "run a key-value service", Flags: []cli.Flag{listenFlag()}, Action: standStore},
+			{Name: "store", Usage: "run a key-value service", Flags: []cli.Flag{listenFlag()}, Action: runStoreStandin},
 			{Name: "boxes", Usage: "run a box list from a JSON file of boxes", ArgsUsage: "FILE", Flags: []cli.Flag{
 				listenFlag(), &cli.DurationFlag{Name: "lag", Usage: "how late it tells of changes"},
-			}, Action: standBoxes},
+			}, Action: runBoxListStandin},
 			{Name: "engine", Usage: "run model engines, one on each address", ArgsUsage: "ADDRESS...", Flags: []cli.Flag{
 				&cli.DurationFlag{Name: "load", Value: 300 * time.Millisecond, Usage: "time to load weights"},
 				&cli.DurationFlag{Name: "join", Value: 50 * time.Millisecond, Usage: "time to join a group"},
@@ -35,26 +35,27 @@
 				&cli.IntFlag{Name: "slots", Value: 64, Usage: "requests that run at once"},
 				&cli.IntFlag{Name: "weights", Value: 8, Usage: "loads that the weight store serves at once"},
 				&cli.BoolFlag{Name: "unfenced", Usage: "obey whoever orders"},
-			}, Action: standEngines},
+			}, Action: runEngineStandins},
 			{Name: "plain", Usage: "run a plain service", Flags: []cli.Flag{
 				listenFlag(), &cli.DurationFlag{Name: "run", Usage: "how long a call runs"},
-			}, Action: standPlain},
+			}, Action: runPlainStandin},
 			{Name: "relay", Usage: "pass connections on until cut", Flags: []cli.Flag{
 				listenFlag(), &cli.StringFlag{Name: "to", Required: true}, &cli.StringFlag{Name: "control", Required: true},
-			}, Action: standRelay},
+			}, Action: runRelay},
 			{Name: "call", Usage: "make one HTTP call and print the answer", ArgsUsage: "METHOD URL [BODY]", Flags: []cli.Flag{
 				&cli.StringSliceFlag{Name: "header", Aliases: []string{"H"}, Usage: "`NAME: VALUE`"},
 				&cli.DurationFlag{Name: "timeout", Value: 10 * time.Second},
-			}, Action: standCall},
+			}, Action: makeCall},
 		},
 	})
 }
 
+// listenFlag returns the flag for the address to serve on.
 func listenFlag() cli.Flag {
 	return &cli.StringFlag{Name: "listen", Required: true, Usage: "`ADDRESS` to serve on"}
 }
 
-// serveUntil serves handlers by address until the context ends.
+// serveUntil serves a handler on each address until the context ends.
 func serveUntil(ctx context.Context, handlers map[string]http.Handler) error {
 	for address, handler := range handlers {
 		listener, err := listen("--listen", address)
@@ -69,11 +70,13 @@
 	return nil
 }
 
-func standStore(ctx context.Context, command *cli.Command) error {
+// runStoreStandin serves a stand-in key-value service.
+func runStoreStandin(ctx context.Context, command *cli.Command) error {
 	return serveUntil(ctx, map[string]http.Handler{command.String("listen"): (&platformstandin.Store{Data: standin.NewStore()}).Handler()})
 }
 
-func standBoxes(ctx context.Context, command *cli.Command) error {
+// runBoxListStandin serves a box list read from a JSON file.
+func runBoxListStandin(ctx context.Context, command *cli.Command) error {
 	path, err := argument(command)
 	if err != nil {
 		return err
@@ -90,7 +93,9 @@
 	return serveUntil(ctx, map[string]http.Handler{command.String("listen"): list.Handler()})
 }
 
-func standEngines(ctx context.Context, command *cli.Command) error {
+// runEngineStandins serves a stand-in engine on each address. The engines share the
+// weight store, which limits concurrent loads.
+func runEngineStandins(ctx context.Context, command *cli.Command) error {
 	weights := make(chan struct{}, max(command.Int("weights"), 1))
 	handlers := map[string]http.Handler{}
 	for _, address := range command.Args().Slice() {
@@ -105,12 +110,14 @@
 	return serveUntil(ctx, handlers)
 }
 
-func standPlain(ctx context.Context, command *cli.Command) error {
+// runPlainStandin serves a stand-in plain service.
+func runPlainStandin(ctx context.Context, command *cli.Command) error {
 	plain := &standin.Plain{RunTime: command.Duration("run")}
 	return serveUntil(ctx, map[string]http.Handler{command.String("listen"): plain.Handler()})
 }
 
-func standRelay(ctx context.Context, command *cli.Command) error {
+// runRelay runs a relay for connections, and its control interface.
+func runRelay(ctx context.Context, command *cli.Command) error {
 	relay := &standin.Relay{To: command.String("to")}
 	listener, err := listen("--listen", command.String("listen"))
 	if err != nil {
@@ -121,7 +128,9 @@
 	return serveUntil(ctx, map[string]http.Handler{command.String("control"): relay.Control()})
 }
 
-func standCall(ctx context.Context, command *cli.Command) error {
+// makeCall makes one HTTP call and prints the status, the outcome and the body of the
+// answer.
+func makeCall(ctx context.Context, command *cli.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, command.Duration("timeout"))
 	defer cancel()
 	arguments := command.Args()
--- a/program/trace.go
+++ b/program/trace.go
@@ -11,7 +11,8 @@
 	"shedkeel.org/shedkeel/operator"
 )
 
-// traceLogs prints what logs tell of one request or group.
+// traceLogs prints the events about one request or group, from log files and running
+// nodes.
 func traceLogs(ctx context.Context, command *cli.Command) error {
 	trace := &operator.Trace{Request: command.String("request"), Group: command.String("group")}
 	if (trace.Request == "") == (trace.Group == "") {
@@ -27,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	if passed := trace.Passed(); passed > 0 {
+	if passed := trace.Skipped(); passed > 0 {
 		_, _ = fmt.Fprintf(command.Root().ErrWriter, "%d lines are no events and were passed over\n", passed)
 	}
 	if command.Bool("json") {
@@ -36,11 +37,11 @@
 	return operator.PrintTrace(command.Root().Writer, lines)
 }
 
-// askNodes asks the named nodes for what they remember. One that does not
-// answer, or that remembers nothing, is named and passed over.
+// askNodes adds the events that the named nodes still hold. A node that does not answer
+// or holds no events is reported on standard error and skipped.
 func askNodes(ctx context.Context, command *cli.Command, trace *operator.Trace) error {
 	for _, address := range command.StringSlice("node") {
-		client, err := clientOf(command)
+		client, err := newOperatorClient(command)
 		if err != nil {
 			return err
 		}
@@ -52,8 +53,8 @@
 	return nil
 }
 
-// readLogs reads the named files, or standard input if neither a file nor a
-// node is named.
+// readLogs reads the named files, or standard input if the command names neither files
+// nor nodes.
 func readLogs(command *cli.Command, trace *operator.Trace) error {
 	if command.Args().Len() == 0 && len(command.StringSlice("node")) > 0 {
 		return nil
@@ -67,7 +68,7 @@
 			return &shedkeel.InvalidError{Where: path, What: err.Error(), Remedy: "name a file that can be read"}
 		}
 		err = trace.Read(file)
-		_ = file.Close() // it was only read
+		_ = file.Close() // the file was only read
 		if err != nil {
 			return err
 		}
