--- a/operator/trace.go
+++ b/operator/trace.go
@@ -14,9 +14,9 @@
 	"shedkeel.org/shedkeel"
 )
 
-// maxLogLine is the size of the buffer for reading log lines, in bytes. Longer lines
+// logBufferBytes is the size of the buffer for reading log lines, in bytes. Longer lines
 // are still read in full.
-const maxLogLine = 1 << 20
+const logBufferBytes = 1 << 20
 
 // Trace collects the log lines about one request or one replica group from the logs of
 // several nodes.
@@ -40,7 +40,7 @@
 
 // Read reads one log. It skips and counts lines that are not events.
 func (trace *Trace) Read(log io.Reader) error {
-	reader := bufio.NewReaderSize(log, maxLogLine)
+	reader := bufio.NewReaderSize(log, logBufferBytes)
 	for {
 		line, err := reader.ReadString('\n')
 		if strings.TrimSpace(line) != "" {
--- a/program/trace.go
+++ b/program/trace.go
@@ -28,8 +28,8 @@
 	if err != nil {
 		return err
 	}
-	if passed := trace.Skipped(); passed > 0 {
-		_, _ = fmt.Fprintf(command.Root().ErrWriter, "%d lines are no events and were passed over\n", passed)
+	if skipped := trace.Skipped(); skipped > 0 {
+		_, _ = fmt.Fprintf(command.Root().ErrWriter, "%d lines are no events and were passed over\n", skipped)
 	}
 	if command.Bool("json") {
 		return printJSON(command, lines)
