--- a/formation/together_test.go
+++ b/formation/correlated_loss_test.go
@@ -10,16 +10,16 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestServersLostTogether has two members of a group die at one moment, as
-// servers of one domain do, and the planner hear of the second a few milliseconds
-// after the first. The group must not be formed anew with the second: it would
-// wait for an order that nobody answers.
+// TestServersLostTogether kills two members of a group at the same moment, as a fault of
+// their domain causes. The planner learns of the second some milliseconds after the first. The
+// group must not be formed again with the second: it would wait for an order that is never
+// answered.
 func TestServersLostTogether(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(3, 2, 16)
 	planner := newPlanner(1)
-	fleet.play(planner, time.Minute, false)
-	whole := fleet.serving()
+	fleet.run(planner, time.Minute, false)
+	before := fleet.serving()
 	var lost []shedkeel.InstanceID
 	for _, server := range fleet.listed() {
 		member := server.Member
@@ -43,21 +43,21 @@
 	actions := planner.Plan(input)
 	assert.Equal(t, len(actions), 1, "%v", actions)
 	assert.Assert(t, !slices.Contains(actions[0].Order.Members, lost[1]))
-	fleet.give(planner, actions)
-	fleet.play(planner, 2*time.Second, true)
-	assert.DeepEqual(t, fleet.serving(), whole)
-	assert.Equal(t, len(fleet.broken), 0, "%v", fleet.broken)
+	fleet.deliver(planner, actions)
+	fleet.run(planner, 2*time.Second, true)
+	assert.DeepEqual(t, fleet.serving(), before)
+	assert.Equal(t, len(fleet.violations), 0, "%v", fleet.violations)
 }
 
-// TestSubstitutesAreFoundOut has a group lose a member while the free servers of
-// its domain are being probed too: it must wait for their answers, and then be
-// formed with one that lives. Formed with a lost one it stood 0.9 s later, and
-// without any it was given up.
-func TestSubstitutesAreFoundOut(t *testing.T) {
+// TestRepairWaitsForProbesOfSubstitutes has a group lose a member while the free servers of
+// its domain are being probed too: the planner must wait for the results, then form the group
+// with a live one. Formed with a lost server, the group recovered 0.9 s later; with no
+// substitute, it was released.
+func TestRepairWaitsForProbesOfSubstitutes(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(3, 2, 16)
 	planner := newPlanner(1)
-	fleet.play(planner, time.Minute, false)
+	fleet.run(planner, time.Minute, false)
 	probed, dead := map[shedkeel.InstanceID]bool{}, map[shedkeel.InstanceID]bool{}
 	var free []shedkeel.InstanceID
 	for _, server := range fleet.listed() {
--- a/formation/demand.go
+++ b/formation/demand.go
@@ -7,56 +7,56 @@
 )
 
 const (
-	// statedWeight is how many requests the stated shares of models weigh
-	// against those that were measured in the last seconds.
-	statedWeight = 200.0
-	// sameDemand is up to how many times a measured share may differ from the
-	// stated one and count as the same. On calm days of 130 requests a second
-	// measured shares swing by a tenth; a burst of 1.6 times the one model's
-	// requests and 0.7 times the other's, for 14 s, is over before a group that
-	// is given up for it has paid: 0.802 of the worth with 1.25, 0.812 without.
-	sameDemand = 1.5
+	// configuredWeight is the number of measured requests at which configured and
+	// measured shares have equal weight.
+	configuredWeight = 200.0
+	// sameDemandRatio is the ratio up to which a measured share counts as equal to
+	// the configured one. At a steady 130 requests a second, measured shares vary
+	// by a tenth. A burst of 1.6 times the requests of one model and 0.7 times
+	// those of the other for 14 s ends before moving a group for it pays off.
+	sameDemandRatio = 1.5
 )
 
-// shares returns the part of all work that each model has, as boxes do it: as
-// stated where little was measured or it is about the same, else as measured.
-// The stated shares are only what is expected before any work comes.
-func shares(engine *shedkeel.Engine, demand map[shedkeel.ModelID]shedkeel.ModelDemand) map[shedkeel.ModelID]float64 {
-	stated := map[shedkeel.ModelID]float64{}
+// workShares returns each model's share of the total work, measured in box time.
+// It returns the configured shares if few requests were measured or if all
+// measured shares are within sameDemandRatio of them, else a weighted mean of both.
+// Configured shares are only the estimate before any request arrives.
+func workShares(engine *shedkeel.Engine, demand map[shedkeel.ModelID]shedkeel.ModelDemand) map[shedkeel.ModelID]float64 {
+	configured := map[shedkeel.ModelID]float64{}
 	total, work, requests := 0.0, 0.0, 0.0
 	for index := range engine.Models {
 		model := &engine.Models[index]
-		stated[model.ID] = model.Share
+		configured[model.ID] = model.Share
 		total += model.Share
 		work += boxWork(engine, model, demand[model.ID])
 		requests += demand[model.ID].Requests
 	}
-	usable := work > 0 && requests > 0 && !math.IsInf(work, 0) && !math.IsInf(requests, 0) // false if one is not a number
+	usable := work > 0 && requests > 0 && !math.IsInf(work, 0) && !math.IsInf(requests, 0) // false also for NaN
 	if !usable || total <= 0 {
-		return stated
+		return configured
 	}
-	weight := requests / (requests + statedWeight)
+	weight := requests / (requests + configuredWeight)
 	measured := map[shedkeel.ModelID]float64{}
 	same := true
 	for index := range engine.Models {
 		model := &engine.Models[index]
 		share := weight*total*boxWork(engine, model, demand[model.ID])/work + (1-weight)*model.Share
 		measured[model.ID] = share
-		same = same && share <= sameDemand*model.Share && model.Share <= sameDemand*share
+		same = same && share <= sameDemandRatio*model.Share && model.Share <= sameDemandRatio*share
 	}
 	if same {
-		return stated
+		return configured
 	}
 	return measured
 }
 
-// boxWork is the time that boxes spend on what was asked of a model, in
-// seconds: reading prompts, and what each request adds to the steps in which
-// answers are written. The steps themselves are shared by all that run.
+// boxWork returns the box time, in seconds, that the demand on a model takes:
+// reading the prompts, and what each request adds to the decoding steps. It leaves
+// out the base time of a step, which all running requests share.
 func boxWork(engine *shedkeel.Engine, model *shedkeel.Model, asked shedkeel.ModelDemand) float64 {
 	if engine.ReadPerSecond <= 0 {
 		return 0
 	}
-	group := asked.PromptTokens/engine.ReadPerSecond + asked.AnswerTokens*engine.StepEach.Seconds()
-	return group * model.Slowdown() * float64(model.Size)
+	seconds := asked.PromptTokens/engine.ReadPerSecond + asked.AnswerTokens*engine.StepEach.Seconds()
+	return seconds * model.Slowdown() * float64(model.Size)
 }
--- a/formation/forget_test.go
+++ b/formation/forget_test.go
@@ -9,9 +9,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestFormerFormationsAreForgotten has a planner see one formation after the
-// other for an hour, each with a head that is lost: what it remembers must not
-// grow with time.
+// TestFormerFormationsAreForgotten has a planner observe one formation after the other for
+// an hour, each with a head that is lost: its state must not grow with time.
 func TestFormerFormationsAreForgotten(t *testing.T) {
 	engine := &shedkeel.Engine{Models: []shedkeel.Model{{ID: "m", Size: 2, Share: 1}}}
 	planner := &Planner{NextEpoch: func() uint64 { return 1 << 40 }}
@@ -29,12 +28,12 @@
 			planner.Confirm(action.Order)
 		}
 	}
-	const most = 10 // formations in forgetTime, and those that end it
+	const most = 10 // formations within retentionTime, and those that are about to expire
 	sizes := map[string]int{
-		"placed": len(planner.placed), "headless": len(planner.headless), "left": len(planner.left),
-		"absent": len(planner.absent), "told": len(planner.told), "sent": len(planner.sent), "warmed": len(planner.warmed),
+		"lastMembers": len(planner.lastMembers), "headMissingSince": len(planner.headMissingSince), "leftAt": len(planner.leftAt),
+		"memberMissingSince": len(planner.memberMissingSince), "lastReported": len(planner.lastReported), "sentAt": len(planner.sentAt), "standbyOrderedAt": len(planner.standbyOrderedAt),
 	}
 	for name, size := range sizes {
-		assert.Assert(t, size <= most, "%s remembers %d", name, size)
+		assert.Assert(t, size <= most, "%s has %d entries", name, size)
 	}
 }
--- a/formation/form_test.go
+++ b/formation/form_test.go
@@ -10,15 +10,15 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestLastSparesServeTheModelThatLacksGroups covers domains that kept spares
-// for the one group that stood while another model had lost half of its own.
+// TestLastSparesServeTheModelThatLacksGroups covers domains that kept their spares for the
+// one group in them while another model had lost half of its groups.
 func TestLastSparesServeTheModelThatLacksGroups(t *testing.T) {
 	cases := map[string]struct {
-		large  int // groups that stand elsewhere
+		large  int // groups that serve in other domains
 		formed bool
 	}{
-		"it has enough": {6, false},
-		"it lacks some": {2, true},
+		"enough groups":  {6, false},
+		"too few groups": {2, true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/formation/groups.go
+++ b/formation/groups.go
@@ -8,17 +8,17 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Group is a replica group as its members tell of it.
+// Group is a replica group as its members report it.
 type Group struct {
 	Group   shedkeel.GroupID
 	Epoch   uint64
 	Model   shedkeel.ModelID
-	State   shedkeel.MemberState // of its head; "": not listed
+	State   shedkeel.MemberState // state of the head; "" if the head is not listed
 	Members []shedkeel.InstanceID
 }
 
-// LatestEpochs returns the highest epoch of each group that any of the backend
-// servers tells of. Formations of lower epochs are former ones.
+// LatestEpochs returns the highest epoch that the backend servers report of each
+// group. Formations with lower epochs have been replaced.
 func LatestEpochs(instances iter.Seq[shedkeel.Instance]) map[shedkeel.GroupID]uint64 {
 	epochs := map[shedkeel.GroupID]uint64{}
 	for instance := range instances {
@@ -29,8 +29,8 @@
 	return epochs
 }
 
-// Groups returns the replica groups that backend servers tell of, by name,
-// each in its highest epoch.
+// Groups returns the replica groups that the backend servers report, sorted by
+// name, each with the members of its highest epoch.
 func Groups(instances []shedkeel.Instance) []Group {
 	epochs := LatestEpochs(slices.Values(instances))
 	byName := map[shedkeel.GroupID]*Group{}
--- a/formation/loads_test.go
+++ b/formation/loads_test.go
@@ -11,8 +11,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// lostLoads are loads that were ordered from servers which are gone.
-func lostLoads(count int) map[shedkeel.InstanceID]shedkeel.ModelID {
+// loadsOfLostServers returns loads that were ordered from servers that are gone.
+func loadsOfLostServers(count int) map[shedkeel.InstanceID]shedkeel.ModelID {
 	found := map[shedkeel.InstanceID]shedkeel.ModelID{}
 	for index := range count {
 		found[shedkeel.InstanceID("gone"+string(rune('a'+index)))] = "large"
@@ -20,35 +20,35 @@
 	return found
 }
 
-// TestLoadsOfLostServersBlockNoOthers covers a planner that took over as many
-// loads as may run at once, all of servers that were lost since: it waited for
-// them for ever, and with eight empty servers in a domain no group stood.
+// TestLoadsOfLostServersBlockNoOthers covers a planner that adopted as many loads as may run
+// at once, all from servers that were lost since: it waited for them for ever, and formed no
+// group from eight empty servers of a domain.
 func TestLoadsOfLostServersBlockNoOthers(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(7, 1, 8)
 	planner := newPlanner(2)
-	planner.Adopt(lostLoads(fleet.engine.LoadsAtOnce), fleet.engine, fleet.now)
-	fleet.play(planner, settleTime+25*time.Second, true)
+	planner.Adopt(loadsOfLostServers(fleet.engine.LoadsAtOnce), fleet.engine, fleet.now)
+	fleet.run(planner, settleTime+25*time.Second, true)
 	serving := fleet.serving()
 	assert.Assert(t, serving["large"]+serving["small"] >= 1, "%v", serving)
-	assert.Equal(t, len(fleet.broken), 0, "%v", fleet.broken)
+	assert.Equal(t, len(fleet.violations), 0, "%v", fleet.violations)
 }
 
-// TestLoadsOfLostServersAreForgotten has servers die while they load: what is
-// remembered of them, and told to the next planner, must end.
+// TestLoadsOfLostServersAreForgotten kills servers while they load: the planner must stop
+// reporting their loads, which the next planner adopts.
 func TestLoadsOfLostServersAreForgotten(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(7, 1, 8)
 	planner := newPlanner(2)
-	fleet.play(planner, settleTime+time.Second, true)
+	fleet.run(planner, settleTime+time.Second, true)
 	ordered := slices.Collect(maps.Keys(planner.Loading()))
 	assert.Assert(t, len(ordered) > 0)
 	for _, id := range ordered {
 		fleet.servers[id].diedAt = fleet.now
 	}
-	fleet.play(planner, 40*time.Second, true)
+	fleet.run(planner, 40*time.Second, true)
 	for _, id := range ordered {
 		_, known := planner.Loading()[id]
-		assert.Assert(t, !known, "%s is still taken for loading", id)
+		assert.Assert(t, !known, "%s is still reported as loading", id)
 	}
 }
--- a/formation/names.go
+++ b/formation/names.go
@@ -8,16 +8,15 @@
 	"shedkeel.org/shedkeel"
 )
 
-// A group's name tells its model, its domain and an index, so that a planner
-// that has just started knows what a group is for.
-
+// groupName returns the name MODEL/DOMAIN/INDEX. The name carries model and domain
+// so that a new planner knows what a group is for.
 func groupName(model shedkeel.ModelID, domain shedkeel.DomainID, index int) shedkeel.GroupID {
 	return shedkeel.GroupID(fmt.Sprintf("%s/%s/%d", model, domain, index))
 }
 
-// parseGroup returns the model and the domain of a name, or "" if it is none
-// that groupName made.
-func parseGroup(id shedkeel.GroupID) (shedkeel.ModelID, shedkeel.DomainID) {
+// parseGroupName returns the model and the domain of a group's name, or "" for both
+// if the name does not have the form that groupName makes.
+func parseGroupName(id shedkeel.GroupID) (shedkeel.ModelID, shedkeel.DomainID) {
 	parts := strings.Split(string(id), "/")
 	if len(parts) != 3 {
 		return "", ""
@@ -28,35 +27,37 @@
 	return shedkeel.ModelID(parts[0]), shedkeel.DomainID(parts[1])
 }
 
-// DomainOf returns the domain that a group's name tells, or "" if it is foreign.
+// DomainOf returns the domain in a group's name, or "" if the name does not have
+// the form that groupName makes.
 func DomainOf(id shedkeel.GroupID) shedkeel.DomainID {
-	_, domain := parseGroup(id)
+	_, domain := parseGroupName(id)
 	return domain
 }
 
-// standbyPart stands in the names of standbys, which parseGroup takes for
-// foreign.
+// standbyPart takes the place of the domain in the names of standby formations.
+// They end in an instance instead of an index, so parseGroupName rejects them.
 const standbyPart = "standby"
 
-// standbyName names the formation in which a spare waits by itself.
+// standbyName returns the name of the formation in which a spare is on standby.
 func standbyName(model shedkeel.ModelID, spare shedkeel.InstanceID) shedkeel.GroupID {
 	return shedkeel.GroupID(fmt.Sprintf("%s/%s/%s", model, standbyPart, spare))
 }
 
-// isStandby reports whether the formation is that of a waiting spare.
+// isStandby reports whether the name is that of a spare's standby formation.
 func isStandby(id shedkeel.GroupID) bool {
 	parts := strings.Split(string(id), "/")
 	return len(parts) == 3 && parts[1] == standbyPart
 }
 
-// IsFree reports whether a backend server is in no group: it waits alone, or is
-// in nothing.
+// IsFree reports whether a backend server is in no group: it is on standby or has
+// no membership.
 func IsFree(instance *shedkeel.Instance) bool {
 	return instance.Member == nil || isStandby(instance.Member.Group)
 }
 
-// ModelOf returns the model that a group serves, or "" if its name is foreign.
+// ModelOf returns the model in a group's name, or "" if the name does not have the
+// form that groupName makes.
 func ModelOf(id shedkeel.GroupID) shedkeel.ModelID {
-	model, _ := parseGroup(id)
+	model, _ := parseGroupName(id)
 	return model
 }
--- a/formation/planner.go
+++ b/formation/planner.go
@@ -1,17 +1,22 @@
-// Package formation decides how replica groups are formed, repaired and given
-// up where the engines themselves keep the state of their groups. It holds no
-// truth of its own: a planner that has just started goes on from what the
-// engines say.
+// Package formation decides which replica groups to form, repair and release where
+// the engines themselves keep the state of their groups. The planner's own state is
+// not authoritative: a new planner continues from what the engines report.
 //
-// Three rules keep groups safe whatever becomes of orders on their way:
+// A formation is one configuration of a group: its members under one epoch. The
+// member of rank 0 is the head, which serves requests while it is open. To stage a
+// model is to load its weights onto a host. A spare is a free backend server that is
+// kept as a substitute for lost members; it is on standby while it waits, warmed up,
+// in a formation of its own.
 //
-//   - each formation has an epoch that no other has, and engines refuse lower
-//     epochs than they have seen;
-//   - a head is ordered to open only when every member says that it is ready
-//     in that very formation;
-//   - a member is used elsewhere only when its head can't be serving: the head
-//     has confirmed a higher epoch or that it left, or has been out of reach
-//     for longer than cuts last.
+// Three rules keep groups consistent even if orders are lost or carried out late:
+//
+//   - Each formation has a unique epoch, and engines refuse epochs lower than the
+//     highest that they have seen.
+//   - A head is ordered to open only when every member reports that it is ready in
+//     that formation.
+//   - A member is used in another group only when its head can't be serving: the
+//     head has confirmed a higher epoch or that it left, or it has been unreachable
+//     for longer than network partitions last (headTimeout).
 package formation
 
 import (
@@ -23,159 +28,163 @@
 )
 
 const (
-	// orderRepeat is how long an order may stay without effect before it is
-	// given again: an answer takes some milliseconds, the effect is listed
-	// at once after it.
-	orderRepeat = 500 * time.Millisecond
-	// settleTime is how long no backend server may have entered a domain
-	// before new groups are planned there, so that a domain is planned whole.
+	// orderRetryInterval is the time after which an order without effect is sent
+	// again. An answer takes some milliseconds, and the list shows the effect
+	// immediately after it.
+	orderRetryInterval = 500 * time.Millisecond
+	// settleTime is the minimum time since the last backend server joined a domain
+	// before new groups are planned there, so that the domain is planned as a whole.
 	settleTime = 800 * time.Millisecond
-	// goneTime is how long a head must have been out of reach for the members
-	// of its group to be used in others. Only time tells one that is lost from
-	// one that is cut off from the planner and the list and serves on. Cuts of
-	// ten seconds were seen, and it takes two more until the head is listed
-	// again. Its own group can be formed anew at once.
-	goneTime = 20 * time.Second
-	// listedTime is within what time the list tells what became of an order that was
-	// answered.
-	listedTime = time.Second
-	// lateTime is for how long an order without an answer may still be carried out.
-	lateTime = 15 * time.Second
-	// loadWindow is the span over which load orders are counted.
+	// headTimeout is how long a head must be unreachable before the members of its
+	// group may be used in other groups. Only time distinguishes a lost head from
+	// one that is partitioned from the planner and the list and still serves.
+	// Partitions of 10 s were seen, and the head is listed again up to 2 s later.
+	// The head's own group can be formed again immediately.
+	headTimeout = 20 * time.Second
+	// listDelay is the time within which the list shows the effect of an answered
+	// order.
+	listDelay = time.Second
+	// lateOrderTime is how long a server may still carry out an order that it has
+	// not answered.
+	lateOrderTime = 15 * time.Second
+	// loadWindow is the sliding window over which load orders are counted.
 	loadWindow = 5 * time.Second
-	// spareShare is the part of a domain that is kept free as substitutes.
+	// spareShare is the share of a domain's servers that are kept free as spares.
 	spareShare = 0.125
-	// pairSpares is how many are enough for two servers that are lost together.
-	pairSpares = 2
+	// pairLossSpares is the number of spares that replaces two servers lost at the
+	// same time.
+	pairLossSpares = 2
 )
 
 const (
-	// unansweredMax is how many orders in a row a server may leave unanswered
-	// before it is passed over: on days when a third of all answers is lost,
-	// two in a row seldom are.
-	unansweredMax = 2
-	// unreachableTime is how long it is passed over then.
-	unreachableTime = 3 * time.Second
-	// absentTime is how long a group that goes on working is left alone though
-	// a member is no longer listed: cut off from the service alone, it comes
-	// back; leaving without a word, it serves on for some seconds.
-	absentTime = 6 * time.Second
-	// forgetTime is after how long nothing is remembered of a formation that no
-	// listed server tells of: far longer than any server of it, cut off from
-	// the service, could serve on.
-	forgetTime = time.Minute
-	// enough is the part of the neediest model's need from which another
-	// model gets no more groups: what is left stays spare.
-	enough = 0.5
+	// maxUnanswered is the number of consecutive unanswered orders after which a
+	// server is skipped. Even if a third of all answers is lost, two consecutive
+	// losses are rare.
+	maxUnanswered = 2
+	// unreachableBackoff is how long such a server is skipped.
+	unreachableBackoff = 3 * time.Second
+	// unlistedGrace is how long a working group is left unchanged although a member
+	// is no longer listed. A member that is partitioned from the list alone comes
+	// back; one that leaves without notice serves for some more seconds.
+	unlistedGrace = 6 * time.Second
+	// retentionTime is how long the planner keeps the state of a formation that no
+	// listed server reports. It is much longer than a partitioned server of the
+	// formation could go on serving.
+	retentionTime = time.Minute
+	// minNeedRatio is the minimum ratio of a model's need to the highest need at
+	// which the model gets more groups. The servers left over remain spares.
+	minNeedRatio = 0.5
 )
 
-// Input is what a planner decides on.
+// Input is the state that one call of Plan decides on.
 type Input struct {
 	Now       time.Duration
 	Engine    *shedkeel.Engine
-	Instances []shedkeel.Instance                       // of the service, as listed
-	Dead      map[shedkeel.InstanceID]bool              // they answer no probe
-	Probed    map[shedkeel.InstanceID]bool              // whether they answer is being found out
-	Slow      map[shedkeel.InstanceID]float64           // they work, but so many times slower
-	Stalled   map[shedkeel.Assignment]bool              // groups that give their requests no sign
-	Demand    map[shedkeel.ModelID]shedkeel.ModelDemand // as measured; empty: as configured
-	Traffic   bool                                      // callers are being served, so loads are bounded
+	Instances []shedkeel.Instance                       // instances of the service, as listed
+	Dead      map[shedkeel.InstanceID]bool              // they answer no liveness probe
+	Probed    map[shedkeel.InstanceID]bool              // a liveness probe is pending
+	Slow      map[shedkeel.InstanceID]float64           // they work, but slower by this factor
+	Stalled   map[shedkeel.Assignment]bool              // groups whose requests receive no output
+	Demand    map[shedkeel.ModelID]shedkeel.ModelDemand // as measured; if empty, the configured shares apply
+	Traffic   bool                                      // callers are being served, so loads are limited
 }
 
-// Planner plans the groups of one service. Its exported fields are set before
-// the first Plan. Its methods must not be called at once.
+// Planner plans the groups of one service. Set its exported fields before the first
+// call of Plan. Its methods are not safe for concurrent use.
 type Planner struct {
 	NextEpoch func() uint64
 
-	seen     map[shedkeel.InstanceID]time.Duration // when first listed
-	newest   map[shedkeel.DomainID]time.Duration   // when the last one entered
-	sent     map[orderKey]time.Duration
-	forming  map[shedkeel.GroupID]*formingGroup
-	told     map[shedkeel.Assignment]time.Duration               // when a listed server told of it last
-	headless map[shedkeel.Assignment]time.Duration               // head missing since
-	placed   map[shedkeel.Assignment]map[int]shedkeel.InstanceID // who the members were when last seen, by rank
-	left     map[shedkeel.Assignment]time.Duration               // when their heads confirmed that they left
-	reserved map[shedkeel.InstanceID]time.Duration               // of formations that were given up; not used elsewhere until then
-	absent   map[shedkeel.Assignment]time.Duration               // a member missing since
-	loads    []time.Duration                                     // when load orders were given
-	loading  map[shedkeel.InstanceID]loading                     // ordered to load onto the host
-	pending  map[shedkeel.ServerID][]pendingJoin                 // orders to join without an answer
-	silent   map[shedkeel.InstanceID]int                         // orders in a row without an answer
-	passed   map[shedkeel.InstanceID]time.Duration               // passed over until then
-	warmed   map[shedkeel.InstanceID]time.Duration               // spares ordered to wait as standbys, and when
-	indexes  int
-	// A model that has too many groups gives some up, a domain at a time.
-	yieldings  map[shedkeel.DomainID]*yielding
-	givenUp    map[shedkeel.Assignment]bool // their members are free
-	unbalanced time.Duration                // since when one has too many; 0: none has
-	yielded    time.Duration                // when the last one was given up; 0: never
-	last       *round                       // the latest planning, for Usage and Waits
+	firstListed        map[shedkeel.InstanceID]time.Duration // when the instance was first listed
+	lastArrival        map[shedkeel.DomainID]time.Duration   // when the last instance joined the domain
+	sentAt             map[orderKey]time.Duration            // when the order was last sent
+	forming            map[shedkeel.GroupID]*formingGroup
+	lastReported       map[shedkeel.Assignment]time.Duration               // when a listed server last reported the formation
+	headMissingSince   map[shedkeel.Assignment]time.Duration               // when the head became unusable
+	lastMembers        map[shedkeel.Assignment]map[int]shedkeel.InstanceID // the members when last listed, by rank
+	leftAt             map[shedkeel.Assignment]time.Duration               // when the head confirmed that it left
+	reservedUntil      map[shedkeel.InstanceID]time.Duration               // members of abandoned formations; not used elsewhere before this time
+	memberMissingSince map[shedkeel.Assignment]time.Duration               // when a member was first no longer listed
+	loadStarts         []time.Duration                                     // when load orders were sent
+	loading            map[shedkeel.InstanceID]loading                     // loads onto hosts that were ordered and have not finished
+	pendingJoins       map[shedkeel.ServerID][]pendingJoin                 // unanswered join orders
+	unanswered         map[shedkeel.InstanceID]int                         // consecutive unanswered orders
+	skippedUntil       map[shedkeel.InstanceID]time.Duration               // not used before this time
+	standbyOrderedAt   map[shedkeel.InstanceID]time.Duration               // when the spare was ordered to go on standby
+	lastGroupIndex     int                                                 // index in the name of the group that was named last
+	// Reallocation of servers from a model with too many groups to another model, at
+	// most one per domain at a time.
+	reallocations    map[shedkeel.DomainID]*reallocation
+	released         map[shedkeel.Assignment]bool // released formations; their members are free
+	imbalanceSince   time.Duration                // when the models became imbalanced; 0: they are balanced
+	lastReallocation time.Duration                // when the last reallocation ended; 0: never
+	lastRound        *round                       // the latest call of Plan, for Usage and Waits
 }
 
-// loading is a load onto a host that was ordered.
+// loading is an ordered load of a model's weights onto a host.
 type loading struct {
 	model     shedkeel.ModelID
-	until     time.Duration // given up then
-	confirmed bool          // the server has said that it loads
+	deadline  time.Duration // no longer waited for after this time
+	confirmed bool          // the server has confirmed the order
 }
 
-// pendingJoin is an order to join that may still be carried out, by a later start of
-// the server too.
+// pendingJoin is an unanswered join order. The server may still carry it out, even
+// after a restart.
 type pendingJoin struct {
 	to         shedkeel.InstanceID
 	assignment shedkeel.Assignment
 	until      time.Duration
 }
 
+// orderKey identifies an order, to limit how often it is sent.
 type orderKey struct {
 	kind  shedkeel.GroupOrderKind
 	to    shedkeel.InstanceID
 	epoch uint64
 }
 
-// formingGroup is a formation that was ordered and is not open yet.
+// formingGroup is a formation that was ordered and whose members are not all ready.
 type formingGroup struct {
-	epoch    uint64
-	model    shedkeel.ModelID
-	members  []shedkeel.InstanceID
-	headDone bool // the head has confirmed; the others may be ordered
-	done     map[shedkeel.InstanceID]bool
+	epoch         uint64
+	model         shedkeel.ModelID
+	members       []shedkeel.InstanceID
+	headConfirmed bool                         // the other members may be ordered to join
+	confirmed     map[shedkeel.InstanceID]bool // members that confirmed their order to join
 }
 
-// Action is one step of a plan with its reason, for the log.
+// Action is an order with its reason, for the log.
 type Action struct {
 	Order  shedkeel.GroupOrder
 	Reason string
 }
 
-// Plan returns the orders to give now.
+// Plan returns the orders to send now.
 func (planner *Planner) Plan(input Input) []Action {
-	planner.begin(input)
-	round := &round{planner: planner, input: input, byID: map[shedkeel.InstanceID]*shedkeel.Instance{}, used: map[shedkeel.InstanceID]bool{}, promised: map[shedkeel.InstanceID]bool{}, waits: map[waitKey]Wait{}}
-	round.shares = shares(input.Engine, input.Demand)
-	round.index()
-	round.observe()
+	planner.update(input)
+	round := &round{planner: planner, input: input, byID: map[shedkeel.InstanceID]*shedkeel.Instance{}, reserved: map[shedkeel.InstanceID]bool{}, inForming: map[shedkeel.InstanceID]bool{}, waits: map[waitKey]Wait{}}
+	round.shares = workShares(input.Engine, input.Demand)
+	round.indexInstances()
+	round.observeGroups()
 	round.continueForming()
-	round.mendGroups()
-	round.yieldGroups()
-	round.formNew()
+	round.reconcileGroups()
+	round.reallocateGroups()
+	round.formNewGroups()
 	round.stageSpares()
-	round.warmSpares()
-	round.waitForServers()
-	planner.last = round
+	round.orderStandbys()
+	round.recordServerWaits()
+	planner.lastRound = round
 	return round.actions
 }
 
-// Confirm tells that an engine took the order.
+// Confirm records that an engine accepted the order.
 func (planner *Planner) Confirm(order shedkeel.GroupOrder) {
-	delete(planner.silent, order.To)
+	delete(planner.unanswered, order.To)
 	planner.confirmLoad(order)
 	if order.Kind == shedkeel.OrderLeave {
 		assignment := shedkeel.Assignment{Group: order.Group, Epoch: order.Epoch}
-		planner.left[assignment] = planner.now()
-		for _, yielding := range planner.yieldings {
-			if yielding.group == assignment {
-				planner.givenUp[assignment] = true
+		planner.leftAt[assignment] = planner.lastPlanTime()
+		for _, reallocation := range planner.reallocations {
+			if reallocation.group == assignment {
+				planner.released[assignment] = true
 			}
 		}
 	}
@@ -183,12 +192,13 @@
 	if forming == nil || order.Kind != shedkeel.OrderJoin || forming.epoch != order.Epoch {
 		return
 	}
-	forming.done[order.To] = true
+	forming.confirmed[order.To] = true
 	if order.To == forming.members[0] {
-		forming.headDone = true
+		forming.headConfirmed = true
 	}
 }
 
+// confirmLoad records that a server accepted an order to load weights.
 func (planner *Planner) confirmLoad(order shedkeel.GroupOrder) {
 	if known, busy := planner.loading[order.To]; busy && order.Kind == shedkeel.OrderStage && known.model == order.Model {
 		known.confirmed = true
@@ -196,8 +206,8 @@
 	}
 }
 
-// Loading returns the models that servers were ordered to load onto their
-// hosts and have not yet.
+// Loading returns the models that servers were ordered to load onto their hosts and
+// have not finished loading.
 func (planner *Planner) Loading() map[shedkeel.InstanceID]shedkeel.ModelID {
 	found := map[shedkeel.InstanceID]shedkeel.ModelID{}
 	for id, loading := range planner.loading {
@@ -206,32 +216,33 @@
 	return found
 }
 
-// Adopt takes over the loads that a former planner ordered: another order
-// would begin them anew. It is called before the first Plan.
+// Adopt takes over the loads that a previous planner ordered. Ordering them again
+// would restart them. Call it before the first call of Plan.
 func (planner *Planner) Adopt(models map[shedkeel.InstanceID]shedkeel.ModelID, engine *shedkeel.Engine, now time.Duration) {
 	planner.loading = map[shedkeel.InstanceID]loading{}
 	for id, model := range models {
 		if known := engine.Model(model); known != nil {
-			planner.loading[id] = loading{model: model, until: now + known.Load + known.Load/4, confirmed: true}
+			planner.loading[id] = loading{model: model, deadline: now + known.Load + known.Load/4, confirmed: true}
 		}
 	}
 }
 
-// Unanswered tells that the answer to an order did not come; the order may
-// still be carried out.
+// Unanswered records that an order was not answered. The server may still carry it
+// out.
 func (planner *Planner) Unanswered(order shedkeel.GroupOrder, now time.Duration) {
 	if order.Kind == shedkeel.OrderJoin {
-		join := pendingJoin{order.To, shedkeel.Assignment{Group: order.Group, Epoch: order.Epoch}, now + lateTime}
-		planner.pending[order.To.Server()] = append(planner.pending[order.To.Server()], join)
+		join := pendingJoin{order.To, shedkeel.Assignment{Group: order.Group, Epoch: order.Epoch}, now + lateOrderTime}
+		planner.pendingJoins[order.To.Server()] = append(planner.pendingJoins[order.To.Server()], join)
 	}
-	planner.silent[order.To]++
-	if planner.silent[order.To] >= unansweredMax {
-		delete(planner.silent, order.To)
-		planner.passed[order.To] = now + unreachableTime
+	planner.unanswered[order.To]++
+	if planner.unanswered[order.To] >= maxUnanswered {
+		delete(planner.unanswered, order.To)
+		planner.skippedUntil[order.To] = now + unreachableBackoff
 	}
 }
 
-// Refuse tells that an engine said that an order does not fit its state.
+// Refuse records that an engine refused the order because it does not fit the
+// engine's state.
 func (planner *Planner) Refuse(order shedkeel.GroupOrder) {
 	if order.Kind == shedkeel.OrderStage {
 		planner.confirmLoad(order) // it is loading already, by an order whose answer was lost
@@ -240,86 +251,87 @@
 	forming := planner.forming[order.Group]
 	if forming != nil && order.Kind == shedkeel.OrderJoin && forming.epoch == order.Epoch {
 		// The engine has seen a higher epoch; the next formation gets one.
-		planner.giveUp(order.Group)
+		planner.abandonForming(order.Group)
 	}
 }
 
-// now is when the planner planned last.
-func (planner *Planner) now() time.Duration {
-	if planner.last == nil {
+// lastPlanTime returns the time of the latest call of Plan.
+func (planner *Planner) lastPlanTime() time.Duration {
+	if planner.lastRound == nil {
 		return 0
 	}
-	return planner.last.input.Now
+	return planner.lastRound.input.Now
 }
 
-// giveUp gives up a formation that was ordered. The list is late, so it may not
-// tell yet which of its members have joined: ordered elsewhere at once, a member
-// was taken out of its group, which had come about after all, by that order's
-// late execution.
-func (planner *Planner) giveUp(group shedkeel.GroupID) {
+// abandonForming abandons a formation that was ordered. It reserves the members for
+// listDelay, because the list may not show yet which of them have joined. Without
+// that, a member was ordered elsewhere immediately; it carried out that order late
+// and so left its group, which had formed after all.
+func (planner *Planner) abandonForming(group shedkeel.GroupID) {
 	for _, member := range planner.forming[group].members {
-		planner.reserved[member] = planner.now() + listedTime
+		planner.reservedUntil[member] = planner.lastPlanTime() + listDelay
 	}
 	delete(planner.forming, group)
 }
 
-func (planner *Planner) begin(input Input) {
-	if planner.seen == nil {
-		planner.seen = map[shedkeel.InstanceID]time.Duration{}
-		planner.newest = map[shedkeel.DomainID]time.Duration{}
-		planner.sent = map[orderKey]time.Duration{}
+// update brings the planner's state up to date with the input, before planning.
+func (planner *Planner) update(input Input) {
+	if planner.firstListed == nil {
+		planner.firstListed = map[shedkeel.InstanceID]time.Duration{}
+		planner.lastArrival = map[shedkeel.DomainID]time.Duration{}
+		planner.sentAt = map[orderKey]time.Duration{}
 		planner.forming = map[shedkeel.GroupID]*formingGroup{}
-		planner.told = map[shedkeel.Assignment]time.Duration{}
-		planner.headless = map[shedkeel.Assignment]time.Duration{}
-		planner.placed = map[shedkeel.Assignment]map[int]shedkeel.InstanceID{}
-		planner.left = map[shedkeel.Assignment]time.Duration{}
-		planner.reserved = map[shedkeel.InstanceID]time.Duration{}
-		planner.absent = map[shedkeel.Assignment]time.Duration{}
-		planner.pending = map[shedkeel.ServerID][]pendingJoin{}
-		planner.silent = map[shedkeel.InstanceID]int{}
-		planner.passed = map[shedkeel.InstanceID]time.Duration{}
-		planner.yieldings = map[shedkeel.DomainID]*yielding{}
-		planner.givenUp = map[shedkeel.Assignment]bool{}
-		planner.warmed = map[shedkeel.InstanceID]time.Duration{}
+		planner.lastReported = map[shedkeel.Assignment]time.Duration{}
+		planner.headMissingSince = map[shedkeel.Assignment]time.Duration{}
+		planner.lastMembers = map[shedkeel.Assignment]map[int]shedkeel.InstanceID{}
+		planner.leftAt = map[shedkeel.Assignment]time.Duration{}
+		planner.reservedUntil = map[shedkeel.InstanceID]time.Duration{}
+		planner.memberMissingSince = map[shedkeel.Assignment]time.Duration{}
+		planner.pendingJoins = map[shedkeel.ServerID][]pendingJoin{}
+		planner.unanswered = map[shedkeel.InstanceID]int{}
+		planner.skippedUntil = map[shedkeel.InstanceID]time.Duration{}
+		planner.reallocations = map[shedkeel.DomainID]*reallocation{}
+		planner.released = map[shedkeel.Assignment]bool{}
+		planner.standbyOrderedAt = map[shedkeel.InstanceID]time.Duration{}
 	}
 	if planner.loading == nil {
 		planner.loading = map[shedkeel.InstanceID]loading{}
 	}
 	for _, instance := range input.Instances {
-		if _, known := planner.seen[instance.ID]; !known {
-			planner.seen[instance.ID] = input.Now
-			planner.newest[instance.Domain] = input.Now
+		if _, known := planner.firstListed[instance.ID]; !known {
+			planner.firstListed[instance.ID] = input.Now
+			planner.lastArrival[instance.Domain] = input.Now
 		}
 		if loading, busy := planner.loading[instance.ID]; busy && instance.HasStaged(loading.model) {
 			delete(planner.loading, instance.ID)
 		}
 	}
-	maps.DeleteFunc(planner.loading, func(_ shedkeel.InstanceID, loading loading) bool { return input.Now >= loading.until })
-	maps.DeleteFunc(planner.reserved, func(_ shedkeel.InstanceID, until time.Duration) bool { return input.Now >= until })
-	planner.loads = slices.DeleteFunc(planner.loads, func(at time.Duration) bool { return input.Now-at > loadWindow })
-	planner.forget(input.Now)
+	maps.DeleteFunc(planner.loading, func(_ shedkeel.InstanceID, loading loading) bool { return input.Now >= loading.deadline })
+	maps.DeleteFunc(planner.reservedUntil, func(_ shedkeel.InstanceID, until time.Duration) bool { return input.Now >= until })
+	planner.loadStarts = slices.DeleteFunc(planner.loadStarts, func(at time.Duration) bool { return input.Now-at > loadWindow })
+	planner.expire(input.Now)
 }
 
-// forget forgets orders, standbys and formations of long ago.
-func (planner *Planner) forget(now time.Duration) {
-	maps.DeleteFunc(planner.sent, func(_ orderKey, at time.Duration) bool { return now-at > forgetTime })
-	for server, joins := range planner.pending {
+// expire removes the state of orders, standbys and formations that is out of date.
+func (planner *Planner) expire(now time.Duration) {
+	maps.DeleteFunc(planner.sentAt, func(_ orderKey, at time.Duration) bool { return now-at > retentionTime })
+	for server, joins := range planner.pendingJoins {
 		joins = slices.DeleteFunc(joins, func(join pendingJoin) bool { return now >= join.until })
-		planner.pending[server] = joins
+		planner.pendingJoins[server] = joins
 		if len(joins) == 0 {
-			delete(planner.pending, server)
+			delete(planner.pendingJoins, server)
 		}
 	}
-	maps.DeleteFunc(planner.warmed, func(_ shedkeel.InstanceID, at time.Duration) bool { return now-at > warmAgain })
-	for assignment, at := range planner.told {
-		if now-at <= forgetTime {
+	maps.DeleteFunc(planner.standbyOrderedAt, func(_ shedkeel.InstanceID, at time.Duration) bool { return now-at > standbyRetryInterval })
+	for assignment, at := range planner.lastReported {
+		if now-at <= retentionTime {
 			continue
 		}
-		delete(planner.told, assignment)
-		delete(planner.placed, assignment)
-		delete(planner.headless, assignment)
-		delete(planner.left, assignment)
-		delete(planner.givenUp, assignment)
-		delete(planner.absent, assignment)
+		delete(planner.lastReported, assignment)
+		delete(planner.lastMembers, assignment)
+		delete(planner.headMissingSince, assignment)
+		delete(planner.leftAt, assignment)
+		delete(planner.released, assignment)
+		delete(planner.memberMissingSince, assignment)
 	}
 }
--- /dev/null
+++ b/formation/reallocate.go
@@ -0,0 +1,262 @@
+package formation
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"shedkeel.org/shedkeel"
+)
+
+const (
+	// reallocationNeedRatio is the minimum ratio of a model's need to that of
+	// another model, after that released a group, at which the group is released. A
+	// group is not available for some seconds, and a smaller imbalance is corrected
+	// when the next group is lost.
+	reallocationNeedRatio = 1.3
+	// excessGroups is the number of groups above its fair share from which a model
+	// releases one for a model whose demand is not raised. That the other has lost
+	// groups is not sufficient: its servers come back.
+	excessGroups = 1.5
+	// imbalanceTime is how long the imbalance must have lasted.
+	imbalanceTime = 3 * time.Second
+	// reallocationPause is the minimum time between reallocations, so that the
+	// effect of the previous one is visible.
+	reallocationPause = 6 * time.Second
+	// releaseTimeout is the longest time that the release of one group may take. Its
+	// hosts load the other model meanwhile, while the group serves.
+	releaseTimeout = 40 * time.Second
+)
+
+// reallocation moves servers of a domain from one model to another: it releases groups
+// of one model, one after the other, to make room for a group of the other.
+type reallocation struct {
+	from       shedkeel.ModelID
+	to         shedkeel.ModelID
+	domain     shedkeel.DomainID
+	group      shedkeel.Assignment // the one being released
+	groupsLeft int                 // groups to release, the current one included
+	committed  bool                // the first group was ordered to close; the rest follow even if the imbalance ends
+	since      time.Duration       // start of the current group's release
+}
+
+// reallocateGroups has a model with more groups than its work needs release some for a
+// model that lacks groups. The hosts load the other model while the groups serve, then
+// the groups close and their members are free. Each domain has at most one reallocation
+// at a time.
+func (round *round) reallocateGroups() {
+	planner := round.planner
+	counts := round.groupCounts()
+	_, to := round.imbalance(counts)
+	for domain, reallocation := range planner.reallocations {
+		if to == nil && !reallocation.committed {
+			delete(planner.reallocations, domain) // the imbalance has ended
+			continue
+		}
+		round.donor = reallocation.from
+		if !round.continueReallocation(reallocation) {
+			delete(planner.reallocations, domain)
+			planner.lastReallocation = round.input.Now
+		}
+	}
+	round.beginReallocations(counts)
+}
+
+// beginReallocations starts reallocations once the models have been imbalanced for
+// imbalanceTime, as many as restore the balance.
+func (round *round) beginReallocations(counts map[shedkeel.ModelID]int) {
+	planner := round.planner
+	for _, reallocation := range planner.reallocations {
+		counts[reallocation.from] -= reallocation.groupsLeft
+		counts[reallocation.to]++
+	}
+	from, to := round.imbalance(counts)
+	if to == nil || !round.input.Traffic {
+		planner.imbalanceSince = 0
+		return
+	}
+	if planner.imbalanceSince == 0 {
+		planner.imbalanceSince = round.input.Now
+	}
+	if round.input.Now-planner.imbalanceSince < imbalanceTime || planner.lastReallocation > 0 && round.input.Now-planner.lastReallocation < reallocationPause {
+		return
+	}
+	for to != nil && round.mayPrefetch() {
+		group, groups := round.groupToRelease(from, to)
+		if group == nil {
+			return
+		}
+		reallocation := &reallocation{from: from.ID, to: to.ID, domain: group.domain, group: group.assignment(), groupsLeft: groups, since: round.input.Now}
+		planner.reallocations[group.domain] = reallocation
+		counts[from.ID] -= groups
+		counts[to.ID]++
+		round.continueReallocation(reallocation)
+		from, to = round.imbalance(counts)
+	}
+}
+
+// imbalance returns the model that can release a group and the model that needs one
+// most, or nil for both if the models are balanced. The donor keeps at least minGroups.
+// The other's need must exceed the donor's by reallocationNeedRatio after the release.
+// Either the donor has excessGroups more than its fair share, or the other's demand is
+// raised.
+func (round *round) imbalance(counts map[shedkeel.ModelID]int) (from, to *shedkeel.Model) {
+	models := round.input.Engine.Models
+	for index := range models {
+		donor := &models[index]
+		if counts[donor.ID] <= minGroups {
+			continue
+		}
+		excess := float64(counts[donor.ID]) >= round.fairShare(donor)+excessGroups
+		counts[donor.ID]--
+		needAfter := round.groupNeed(donor, counts)
+		counts[donor.ID]++
+		for other := range models {
+			recipient := &models[other]
+			need := round.groupNeed(recipient, counts)
+			if recipient.ID == donor.ID || need < reallocationNeedRatio*needAfter || !excess && !round.demandIsRaised(recipient) {
+				continue
+			}
+			if to == nil || need > round.groupNeed(to, counts) {
+				from, to = donor, recipient
+			}
+		}
+	}
+	return from, to
+}
+
+// demandIsRaised reports whether the measured share of a model exceeds its configured
+// share by sameDemandRatio.
+func (round *round) demandIsRaised(model *shedkeel.Model) bool {
+	return round.shares[model.ID] >= sameDemandRatio*model.Share
+}
+
+// fairShare returns how many groups a model would have if all servers except the spares
+// were divided in proportion to the models' work.
+func (round *round) fairShare(model *shedkeel.Model) float64 {
+	boxes := 0
+	for _, domain := range round.domains {
+		boxes += max(len(round.byDomain[domain])-round.minSparesOf(domain), 0)
+	}
+	total := 0.0
+	for _, share := range round.shares {
+		total += share
+	}
+	return float64(boxes) * round.shares[model.ID] / max(total, math.SmallestNonzeroFloat64) / float64(max(model.Size, 1))
+}
+
+// groupToRelease returns an open group of a model to release for a group of another,
+// and how many groups its domain has to release for that, or nil if no domain can. The
+// domain's free servers count, except its spares. It chooses the domain and the group
+// that need the fewest released groups and loads.
+func (round *round) groupToRelease(from, to *shedkeel.Model) (group *observedGroup, groups int) {
+	var best *observedGroup
+	var lowestCost, groupCount int
+	for _, group := range round.groups {
+		if group.model != from || group.headState() != shedkeel.MemberOpen || slices.Contains(group.members, nil) || round.planner.reallocations[group.domain] != nil {
+			continue
+		}
+		missing := to.Size + round.minSparesOf(group.domain) - len(round.free(group.domain))
+		groups := max((missing+from.Size-1)/from.Size, 1)
+		if groups > round.openGroups(from, group.domain) {
+			continue
+		}
+		cost := groups*len(round.byDomain[group.domain]) + len(round.membersWithoutModel(group, to.ID))
+		if best == nil || cost < lowestCost {
+			best, lowestCost, groupCount = group, cost, groups
+		}
+	}
+	return best, groupCount
+}
+
+// openGroups returns how many open groups of a model a domain has.
+func (round *round) openGroups(model *shedkeel.Model, domain shedkeel.DomainID) int {
+	count := 0
+	for _, group := range round.groups {
+		if group.model == model && group.domain == domain && group.headState() == shedkeel.MemberOpen {
+			count++
+		}
+	}
+	return count
+}
+
+// membersWithoutModel returns the members of a group that would have to load the other
+// model from the weight store.
+func (round *round) membersWithoutModel(group *observedGroup, to shedkeel.ModelID) []*shedkeel.Instance {
+	return slices.DeleteFunc(slices.Clone(group.members), func(member *shedkeel.Instance) bool {
+		return member == nil || joinCost(member, to) < costLoad
+	})
+}
+
+// continueReallocation orders the next step of a reallocation: the members load the
+// other model, the head closes, then it leaves. It returns false when the reallocation
+// is complete, is no longer possible or has timed out.
+func (round *round) continueReallocation(reallocation *reallocation) bool {
+	if round.hasLeft(reallocation.group) && !round.nextRelease(reallocation) {
+		return false
+	}
+	group := round.byName[reallocation.group.Group]
+	if !round.canRelease(group, reallocation) || round.input.Now-reallocation.since > releaseTimeout {
+		return false
+	}
+	lacking := round.membersWithoutModel(group, reallocation.to)
+	switch state := group.headState(); {
+	case state == shedkeel.MemberOpen && len(lacking) > 0:
+		round.stageMembers(lacking, reallocation.to)
+	case state == shedkeel.MemberOpen:
+		reallocation.committed = true
+		round.orderHead(group, shedkeel.OrderClose, "its model has more groups than its work needs")
+	case state == shedkeel.MemberReady:
+		round.orderHead(group, shedkeel.OrderLeave, "its model has more groups than its work needs")
+	}
+	return true
+}
+
+// nextRelease moves on to the next group to release, the one that needs the fewest
+// loads. It returns false if there is none.
+func (round *round) nextRelease(reallocation *reallocation) bool {
+	reallocation.groupsLeft--
+	if reallocation.groupsLeft <= 0 {
+		return false
+	}
+	var best *observedGroup
+	fewest := 0
+	for _, group := range round.groups {
+		if group.domain != reallocation.domain || group.model == nil || group.model.ID != reallocation.from || group.headState() != shedkeel.MemberOpen {
+			continue
+		}
+		lacking := len(round.membersWithoutModel(group, reallocation.to))
+		if best == nil || lacking < fewest {
+			best, fewest = group, lacking
+		}
+	}
+	if best == nil {
+		return false
+	}
+	reallocation.group = best.assignment()
+	reallocation.since = round.input.Now
+	return true
+}
+
+// canRelease reports whether the group being released is unchanged and complete, and
+// its head is usable.
+func (round *round) canRelease(group *observedGroup, reallocation *reallocation) bool {
+	return group != nil && group.assignment() == reallocation.group && round.input.Engine.Model(reallocation.to) != nil &&
+		!slices.Contains(group.members, nil) && round.usable(group.head())
+}
+
+// stageMembers has members load the weights of another model, within the limit for
+// loads ahead of need.
+func (round *round) stageMembers(members []*shedkeel.Instance, model shedkeel.ModelID) {
+	for _, member := range members {
+		if round.mayPrefetch() {
+			round.orderStage(member, model, "its group makes room for another model")
+		}
+	}
+}
+
+// isBeingReleased reports whether the group is being released.
+func (round *round) isBeingReleased(group *observedGroup) bool {
+	reallocation := round.planner.reallocations[group.domain]
+	return reallocation != nil && reallocation.group == group.assignment()
+}
--- /dev/null
+++ b/formation/repair.go
@@ -0,0 +1,376 @@
+package formation
+
+import (
+	"slices"
+	"time"
+
+	"shedkeel.org/shedkeel"
+)
+
+// continueForming sends the join orders of formations in progress, to the head
+// first. It abandons formations that can no longer complete.
+func (round *round) continueForming() {
+	for id, forming := range round.planner.forming {
+		if !round.stillForming(id, forming) {
+			round.planner.abandonForming(id)
+			continue
+		}
+		for _, member := range forming.members {
+			round.reserved[member] = true
+			round.inForming[member] = true
+		}
+		if model := round.input.Engine.Model(forming.model); model != nil {
+			round.recordWait(Wait{Group: id, Domain: DomainOf(id), Reason: WaitJoin, Bound: joinTimeout(model)})
+		}
+		for rank, member := range forming.members {
+			if rank > 0 && !forming.headConfirmed {
+				break
+			}
+			instance := round.byID[member]
+			if hasJoined(instance, id, forming.epoch) || forming.confirmed[member] && round.input.Now-round.planner.sentAt[orderKey{shedkeel.OrderJoin, member, forming.epoch}] < 2*orderRetryInterval {
+				continue
+			}
+			round.addOrder(shedkeel.GroupOrder{Kind: shedkeel.OrderJoin, To: member, Group: id, Epoch: forming.epoch, Model: forming.model, Members: forming.members}, "forming")
+		}
+	}
+}
+
+// stillForming reports whether a formation is still in progress: not all members
+// are ready yet, and all can still join.
+func (round *round) stillForming(id shedkeel.GroupID, forming *formingGroup) bool {
+	allReady := true
+	for _, member := range forming.members {
+		instance := round.byID[member]
+		if !round.usable(instance) {
+			return false
+		}
+		if hasJoined(instance, id, forming.epoch) {
+			if instance.Member.Rank == 0 {
+				forming.headConfirmed = true
+			}
+			allReady = allReady && instance.Member.State != shedkeel.MemberJoining
+			continue
+		}
+		allReady = false
+		if instance.Member != nil && instance.Member.Epoch > forming.epoch {
+			return false // another planner has ordered a later formation
+		}
+	}
+	return !allReady
+}
+
+// hasJoined reports whether the instance is in the given formation.
+func hasJoined(instance *shedkeel.Instance, id shedkeel.GroupID, epoch uint64) bool {
+	return instance != nil && instance.Member != nil && instance.Member.Group == id && instance.Member.Epoch == epoch
+}
+
+// reconcileGroups reconciles the observed groups: it opens those that are ready and
+// repairs or releases those that lost a member.
+func (round *round) reconcileGroups() {
+	for id := range round.planner.reservedUntil {
+		round.reserved[id] = true
+	}
+	round.reserveRestarted()
+	for _, group := range round.groups {
+		if _, forming := round.planner.forming[group.id]; forming || group.model == nil || group.members == nil {
+			continue
+		}
+		round.reconcile(group)
+	}
+	round.dismissFormerHeads()
+}
+
+// reserveRestarted reserves servers that have restarted while an order to an earlier
+// start may still be carried out. Engines identify themselves by server name and lose
+// the highest epoch on a restart, so the new start may already be a member of a serving
+// group before the list shows it.
+func (round *round) reserveRestarted() {
+	for index := range round.input.Instances {
+		instance := &round.input.Instances[index]
+		for _, join := range round.planner.pendingJoins[instance.ID.Server()] {
+			if join.to != instance.ID && round.formerHeadMayServe(join.assignment) {
+				round.reserved[instance.ID] = true
+			}
+		}
+	}
+}
+
+// replaceSlow forms an open group again without its slow members if there are
+// substitutes for all of them. The slowest member sets the speed of its group.
+func (round *round) replaceSlow(group *observedGroup) {
+	fast := slices.DeleteFunc(slices.Clone(group.members), func(member *shedkeel.Instance) bool {
+		_, slow := round.input.Slow[member.ID]
+		return slow
+	})
+	_, slowHead := round.input.Slow[group.head().ID]
+	missing := len(group.members) - len(fast)
+	substitutes := round.substitutes(group.domain, group.model, missing)
+	switch {
+	case missing == 0 || len(substitutes) < missing:
+		return // a slow group is better than none
+	case slowHead:
+		round.orderHead(group, shedkeel.OrderLeave, "it is slow, and its group is formed anew without it")
+	default:
+		round.beginForming(group.id, group.model, append(fast, substitutes...))
+	}
+}
+
+// reconcile decides on one group: whether to leave it, open it, close it, wait for it
+// or repair it. Members of a group that it does not reserve are free for other groups.
+func (round *round) reconcile(group *observedGroup) {
+	assignment := group.assignment()
+	intact, draining := true, false
+	for _, member := range group.members {
+		intact = intact && member != nil && !round.input.Dead[member.ID]
+		draining = draining || member != nil && member.Draining
+	}
+	if intact {
+		delete(round.planner.memberMissingSince, assignment)
+	}
+	state := group.headState()
+	if round.usable(group.head()) {
+		delete(round.planner.headMissingSince, assignment)
+	} else {
+		round.headMissingSince(assignment)
+	}
+	switch {
+	case round.planner.released[assignment]:
+		// Its members are free.
+	case intact && !draining && round.isBeingReleased(group):
+		round.reserveMembers(group) // until the head has left
+	case intact && !draining && state == shedkeel.MemberOpen:
+		round.reserveMembers(group)
+		round.replaceSlow(group)
+	case intact && draining && state == shedkeel.MemberOpen:
+		round.reserveMembers(group)
+		if round.canRepair(group) {
+			round.orderHead(group, shedkeel.OrderClose, "a member drains")
+		}
+	case intact && state == shedkeel.MemberClosing:
+		round.reserveMembers(group)
+		round.recordGroupWait(group, WaitDrained, drainTimeout)
+	case intact && !draining && state == shedkeel.MemberReady && allReady(group):
+		round.reserveMembers(group)
+		round.orderHead(group, shedkeel.OrderOpen, "all members are ready")
+	case intact && !draining && anyJoining(group):
+		round.reserveMembers(group)
+		round.recordGroupWait(group, WaitJoin, joinTimeout(group.model))
+	case round.hasProbePending(group):
+		round.reserveMembers(group) // until it is known which members are lost
+		round.recordGroupWait(group, WaitProbe, probeTimeout)
+	case round.leaveWorking(group, intact):
+		round.reserveMembers(group)
+		round.recordGroupWait(group, WaitListed, unlistedGrace+drainTimeout)
+	default:
+		round.repair(group)
+	}
+}
+
+// hasProbePending reports whether a liveness probe of a member is pending.
+//
+// Servers that share a fault are lost at the same moment, but their probes time out
+// one after the other. A group that was formed again at the first result had others
+// of the lost servers among its members, and waited 0.3 to 3 s for them.
+func (round *round) hasProbePending(group *observedGroup) bool {
+	return slices.ContainsFunc(group.members, func(member *shedkeel.Instance) bool {
+		return member != nil && round.isBeingProbed(member)
+	})
+}
+
+// leaveWorking reports whether an open group with an unlisted member is left alone
+// for now. After unlistedGrace it orders the head to close if there are substitutes.
+func (round *round) leaveWorking(group *observedGroup, intact bool) bool {
+	assignment := group.assignment()
+	if intact || round.input.Stalled[assignment] || !round.usable(group.head()) || group.headState() != shedkeel.MemberOpen {
+		return false
+	}
+	for rank, member := range group.members {
+		if member != nil && !round.usable(member) || member == nil && round.restarted(round.planner.lastMembers[assignment][rank]) {
+			return false
+		}
+	}
+	since, known := round.planner.memberMissingSince[assignment]
+	if !known {
+		since = round.input.Now
+		round.planner.memberMissingSince[assignment] = since
+	}
+	if round.input.Now-since < unlistedGrace {
+		return true
+	}
+	round.reserve(round.survivors(group))
+	if round.canRepair(group) {
+		round.orderHead(group, shedkeel.OrderClose, "a member is no longer listed")
+	}
+	return true
+}
+
+// allReady reports whether all members are ready. All must be listed.
+func allReady(group *observedGroup) bool {
+	return !slices.ContainsFunc(group.members, func(member *shedkeel.Instance) bool {
+		return member.Member.State != shedkeel.MemberReady
+	})
+}
+
+// anyJoining reports whether any member is joining. All must be listed.
+func anyJoining(group *observedGroup) bool {
+	return slices.ContainsFunc(group.members, func(member *shedkeel.Instance) bool {
+		return member.Member.State == shedkeel.MemberJoining
+	})
+}
+
+// reserveMembers reserves the members of a group in this round.
+func (round *round) reserveMembers(group *observedGroup) {
+	for _, member := range group.members {
+		if member != nil {
+			round.reserved[member.ID] = true
+		}
+	}
+}
+
+// orderHead adds an order to the head of a group.
+func (round *round) orderHead(group *observedGroup, kind shedkeel.GroupOrderKind, reason string) {
+	round.addOrder(shedkeel.GroupOrder{Kind: kind, To: group.head().ID, Group: group.id, Epoch: group.epoch}, reason)
+}
+
+// survivors returns the usable members in order of rank, except those that are in a
+// formation in progress.
+//
+// A list that lags still shows members in the group after they were ordered into
+// another formation. When they were treated as free, they were ordered into a third
+// one, and a late execution of that order took a server out of the second while it
+// served. This round's formations count too: a member whose head had restarted
+// was free, became a substitute in one group, and was ordered into its own group's new
+// formation in the same round.
+func (round *round) survivors(group *observedGroup) []*shedkeel.Instance {
+	var found []*shedkeel.Instance
+	for _, member := range group.members {
+		if round.usable(member) && !round.inForming[member.ID] {
+			found = append(found, member)
+		}
+	}
+	return found
+}
+
+// canRepair reports whether there are substitutes for all lost members of a group.
+func (round *round) canRepair(group *observedGroup) bool {
+	missing := group.model.Size - len(round.survivors(group))
+	return len(round.substitutes(group.domain, group.model, missing)) == missing
+}
+
+// reserve reserves servers in this round.
+func (round *round) reserve(members []*shedkeel.Instance) {
+	for _, member := range members {
+		round.reserved[member.ID] = true
+	}
+}
+
+// repair forms the group again from its survivors and substitutes, under the same name
+// and a new epoch. Without enough substitutes it releases the group.
+func (round *round) repair(group *observedGroup) {
+	members := round.survivors(group)
+	round.reserve(members) // so that they are not chosen as substitutes
+	substitutes := round.substitutes(group.domain, group.model, group.model.Size-len(members))
+	if complete := append(members, substitutes...); len(complete) == group.model.Size { //nolint:gocritic // survivors returns a new slice
+		round.beginForming(group.id, group.model, complete)
+		return
+	}
+	for _, member := range members {
+		delete(round.reserved, member.ID)
+	}
+	switch {
+	case !round.headMayServe(group):
+		// Its members are free.
+	case round.awaitsProbeResults(group.domain):
+		round.reserveMembers(group) // a substitute may be among them
+		round.recordGroupWait(group, WaitProbe, probeTimeout)
+	case round.usable(group.head()):
+		round.reserveMembers(group)
+		round.orderHead(group, shedkeel.OrderLeave, "a member is lost and there is no substitute")
+	default:
+		round.reserveMembers(group)
+		round.recordGroupWait(group, WaitHead, headTimeout)
+	}
+}
+
+// headMayServe reports whether the head of a group may be serving, or stalled while
+// open, as far as its engine knows. A head that is listed as ready may be opening by an
+// order in transit, even one of a previous planner.
+func (round *round) headMayServe(group *observedGroup) bool {
+	if round.headHasEnded(group.assignment()) {
+		return false
+	}
+	if round.usable(group.head()) {
+		return group.headState() != shedkeel.MemberBroken
+	}
+	return round.input.Now-round.headMissingSince(group.assignment()) < headTimeout
+}
+
+// headHasEnded reports whether the head of a formation has left it or its server has
+// restarted. The engine then has no state of the formation.
+func (round *round) headHasEnded(assignment shedkeel.Assignment) bool {
+	return round.hasLeft(assignment) || round.restarted(round.planner.lastMembers[assignment][0])
+}
+
+// hasLeft reports whether the head of a formation has confirmed that it left and is not
+// listed in it again. It can join again if it carries out an earlier join order late.
+func (round *round) hasLeft(assignment shedkeel.Assignment) bool {
+	_, left := round.planner.leftAt[assignment]
+	return left
+}
+
+// formerHeadMayServe is headMayServe for a formation that a later one of the same group
+// has replaced. Its head was considered lost, and may be outside the later formation and
+// still serve.
+func (round *round) formerHeadMayServe(former shedkeel.Assignment) bool {
+	if round.headHasEnded(former) {
+		return false
+	}
+	head := round.byID[round.planner.lastMembers[former][0]]
+	switch {
+	case head != nil && (head.Member == nil || head.Member.Assignment() != former):
+		return false // it is in another formation, or in none
+	case round.usable(head):
+		return head.Member.State != shedkeel.MemberBroken
+	}
+	return round.input.Now-round.headMissingSince(former) < headTimeout
+}
+
+// dismissFormerHeads orders heads to leave formations that were replaced without them.
+func (round *round) dismissFormerHeads() {
+	for index := range round.input.Instances {
+		instance := &round.input.Instances[index]
+		member := instance.Member
+		if member == nil || member.Rank != 0 || member.Epoch == round.byName[member.Group].epoch || round.reserved[instance.ID] || !round.usable(instance) {
+			continue
+		}
+		if round.formerHeadMayServe(member.Assignment()) {
+			round.addOrder(shedkeel.GroupOrder{Kind: shedkeel.OrderLeave, To: instance.ID, Group: member.Group, Epoch: member.Epoch}, "its group was formed anew without it")
+		}
+	}
+}
+
+// headMissingSince returns the time since which a formation's head is not usable, and
+// stores the current time if none is stored.
+func (round *round) headMissingSince(assignment shedkeel.Assignment) time.Duration {
+	since, known := round.planner.headMissingSince[assignment]
+	if !known {
+		since = round.input.Now
+		round.planner.headMissingSince[assignment] = since
+	}
+	return since
+}
+
+// beginForming starts a formation with a new epoch and orders its head to join.
+func (round *round) beginForming(id shedkeel.GroupID, model *shedkeel.Model, members []*shedkeel.Instance) {
+	forming := &formingGroup{epoch: round.planner.NextEpoch(), model: model.ID, confirmed: map[shedkeel.InstanceID]bool{}}
+	for _, member := range members {
+		forming.members = append(forming.members, member.ID)
+		round.reserved[member.ID] = true
+		round.inForming[member.ID] = true
+		if !member.HasStaged(model.ID) && !slices.Contains(member.Models, model.ID) {
+			round.planner.loadStarts = append(round.planner.loadStarts, round.input.Now)
+		}
+	}
+	round.planner.forming[id] = forming
+	round.addOrder(shedkeel.GroupOrder{Kind: shedkeel.OrderJoin, To: forming.members[0], Group: id, Epoch: forming.epoch, Model: model.ID, Members: forming.members}, "forming")
+}
--- a/formation/round.go
+++ b/formation/round.go
@@ -8,73 +8,76 @@
 	"shedkeel.org/shedkeel"
 )
 
-// round is one planning.
+// round is one call of Plan: its input, indexes of it, and the orders so far.
 type round struct {
-	planner  *Planner
-	input    Input
-	shares   map[shedkeel.ModelID]float64 // of the work, as boxes do it
-	giver    shedkeel.ModelID             // has more groups than its work needs, and gets no new ones; "": none
-	byID     map[shedkeel.InstanceID]*shedkeel.Instance
-	starts   map[shedkeel.ServerID]shedkeel.InstanceID // the listed start of each server
-	byDomain map[shedkeel.DomainID][]*shedkeel.Instance
-	domains  []shedkeel.DomainID // by name
-	groups   []*observed
-	byName   map[shedkeel.GroupID]*observed // the same
-	used     map[shedkeel.InstanceID]bool   // in a group, forming or held back
-	promised map[shedkeel.InstanceID]bool   // to a formation that is not open yet
-	actions  []Action
-	waits    map[waitKey]Wait
+	planner      *Planner
+	input        Input
+	shares       map[shedkeel.ModelID]float64 // each model's share of the work, in box time
+	donor        shedkeel.ModelID             // the model that releases groups and gets no new ones; "": none
+	byID         map[shedkeel.InstanceID]*shedkeel.Instance
+	listedStarts map[shedkeel.ServerID]shedkeel.InstanceID // the listed instance of each server
+	byDomain     map[shedkeel.DomainID][]*shedkeel.Instance
+	domains      []shedkeel.DomainID                 // sorted
+	groups       []*observedGroup                    // sorted by name
+	byName       map[shedkeel.GroupID]*observedGroup // groups by name
+	reserved     map[shedkeel.InstanceID]bool        // not available in this round: in a group, forming or held back
+	inForming    map[shedkeel.InstanceID]bool        // in a formation whose members are not all ready
+	actions      []Action
+	waits        map[waitKey]Wait
 }
 
-// index sorts the backend servers by name and by domain.
-func (round *round) index() {
+// indexInstances indexes the backend servers by instance, server and domain.
+func (round *round) indexInstances() {
 	round.byDomain = map[shedkeel.DomainID][]*shedkeel.Instance{}
-	round.starts = map[shedkeel.ServerID]shedkeel.InstanceID{}
+	round.listedStarts = map[shedkeel.ServerID]shedkeel.InstanceID{}
 	for index := range round.input.Instances {
 		instance := &round.input.Instances[index]
 		round.byID[instance.ID] = instance
-		round.starts[instance.ID.Server()] = instance.ID
+		round.listedStarts[instance.ID.Server()] = instance.ID
 		round.byDomain[instance.Domain] = append(round.byDomain[instance.Domain], instance)
 	}
 	round.domains = slices.Sorted(maps.Keys(round.byDomain))
 }
 
+// usable reports whether an instance is listed, answers probes and orders, and is
+// not draining.
 func (round *round) usable(instance *shedkeel.Instance) bool {
-	return instance != nil && !instance.Draining && !round.input.Dead[instance.ID] && round.planner.passed[instance.ID] <= round.input.Now
+	return instance != nil && !instance.Draining && !round.input.Dead[instance.ID] && round.planner.skippedUntil[instance.ID] <= round.input.Now
 }
 
-// observed is a group as its members tell of it.
-type observed struct {
+// observedGroup is a group as its members report it.
+type observedGroup struct {
 	id      shedkeel.GroupID
-	epoch   uint64 // the highest that any member tells of
+	epoch   uint64 // the highest that a member reports
 	domain  shedkeel.DomainID
 	model   *shedkeel.Model
 	members []*shedkeel.Instance // by rank; nil: not listed in this epoch
 }
 
-// head returns the first member, or nil.
-func (group *observed) head() *shedkeel.Instance {
+// head returns the member of rank 0, or nil if it is not listed.
+func (group *observedGroup) head() *shedkeel.Instance {
 	if len(group.members) == 0 {
 		return nil
 	}
 	return group.members[0]
 }
 
-// assignment names the group in its epoch.
-func (group *observed) assignment() shedkeel.Assignment {
+// assignment returns the group's name with its epoch.
+func (group *observedGroup) assignment() shedkeel.Assignment {
 	return shedkeel.Assignment{Group: group.id, Epoch: group.epoch}
 }
 
-func (group *observed) headState() shedkeel.MemberState {
+// headState returns the state of the head, or "" if the head is not listed.
+func (group *observedGroup) headState() shedkeel.MemberState {
 	if head := group.head(); head != nil {
 		return head.Member.State
 	}
 	return ""
 }
 
-// observe puts together the groups that the engines tell of.
-func (round *round) observe() {
-	byName := map[shedkeel.GroupID]*observed{}
+// observeGroups builds the groups from what the engines report.
+func (round *round) observeGroups() {
+	byName := map[shedkeel.GroupID]*observedGroup{}
 	round.byName = byName
 	epochs := LatestEpochs(slices.Values(round.input.Instances))
 	for index := range round.input.Instances {
@@ -84,15 +87,15 @@
 		}
 		group := byName[instance.Member.Group]
 		if group == nil {
-			group = &observed{id: instance.Member.Group, model: round.modelOf(instance.Member.Group), domain: instance.Domain}
+			group = &observedGroup{id: instance.Member.Group, model: round.modelOfGroup(instance.Member.Group), domain: instance.Domain}
 			byName[group.id] = group
 			round.groups = append(round.groups, group)
 		}
-		round.planner.told[instance.Member.Assignment()] = round.input.Now
+		round.planner.lastReported[instance.Member.Assignment()] = round.input.Now
 		group.epoch = epochs[group.id]
-		round.place(instance)
-		if at, left := round.planner.left[instance.Member.Assignment()]; left && instance.Member.Rank == 0 && round.input.Now-at > listedTime {
-			delete(round.planner.left, instance.Member.Assignment()) // it has joined again
+		round.recordMember(instance)
+		if at, known := round.planner.leftAt[instance.Member.Assignment()]; known && instance.Member.Rank == 0 && round.input.Now-at > listDelay {
+			delete(round.planner.leftAt, instance.Member.Assignment()) // it has joined again
 		}
 	}
 	for index := range round.input.Instances {
@@ -109,38 +112,40 @@
 		}
 		group.members[instance.Member.Rank] = instance
 	}
-	slices.SortFunc(round.groups, func(a, b *observed) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(round.groups, func(a, b *observedGroup) int { return cmp.Compare(a.id, b.id) })
 }
 
-// place remembers who holds a rank of a formation.
-func (round *round) place(instance *shedkeel.Instance) {
+// recordMember stores which instance has a rank of a formation.
+func (round *round) recordMember(instance *shedkeel.Instance) {
 	assignment := instance.Member.Assignment()
-	if round.planner.placed[assignment] == nil {
-		round.planner.placed[assignment] = map[int]shedkeel.InstanceID{}
+	if round.planner.lastMembers[assignment] == nil {
+		round.planner.lastMembers[assignment] = map[int]shedkeel.InstanceID{}
 	}
-	round.planner.placed[assignment][instance.Member.Rank] = instance.ID
+	round.planner.lastMembers[assignment][instance.Member.Rank] = instance.ID
 }
 
-// startedAgain reports whether the server of an instance is listed with a later
-// start: the instance itself is gone for good, whatever it last said.
-func (round *round) startedAgain(id shedkeel.InstanceID) bool {
-	now, listed := round.starts[id.Server()]
-	return listed && now.Born() > id.Born()
+// restarted reports whether a later start of the instance's server is listed. The
+// instance itself has then ended, whatever it last reported.
+func (round *round) restarted(id shedkeel.InstanceID) bool {
+	current, listed := round.listedStarts[id.Server()]
+	return listed && current.Born() > id.Born()
 }
 
-// modelOf returns the model that a group's name tells, or nil.
-func (round *round) modelOf(id shedkeel.GroupID) *shedkeel.Model {
-	name, _ := parseGroup(id)
+// modelOfGroup returns the model in a group's name, or nil if the engine has no
+// such model.
+func (round *round) modelOfGroup(id shedkeel.GroupID) *shedkeel.Model {
+	name, _ := parseGroupName(id)
 	return round.input.Engine.Model(name)
 }
 
-// give adds an order unless it was given lately.
-func (round *round) give(order shedkeel.GroupOrder, reason string) {
+// addOrder adds an order to the plan unless the same order was sent within
+// orderRetryInterval.
+func (round *round) addOrder(order shedkeel.GroupOrder, reason string) {
 	key := orderKey{kind: order.Kind, to: order.To, epoch: order.Epoch}
-	if at, before := round.planner.sent[key]; before && round.input.Now-at < orderRepeat {
+	if at, before := round.planner.sentAt[key]; before && round.input.Now-at < orderRetryInterval {
 		return
 	}
-	round.planner.sent[key] = round.input.Now
+	round.planner.sentAt[key] = round.input.Now
 	order.Address = round.byID[order.To].Address
 	round.actions = append(round.actions, Action{Order: order, Reason: reason})
 }
--- a/formation/slow_test.go
+++ b/formation/slow_test.go
@@ -26,11 +26,11 @@
 		kind      shedkeel.GroupOrderKind // of the first order; "": none
 		members   []shedkeel.InstanceID
 	}{
-		"none is slow":           {append(slices.Clone(group), spare), "", "", nil},
-		"a member":               {append(slices.Clone(group), spare), "a1", shedkeel.OrderJoin, []shedkeel.InstanceID{"a0", "s"}},
-		"the head":               {append(slices.Clone(group), spare), "a0", shedkeel.OrderLeave, nil},
-		"without a substitute":   {group, "a1", "", nil},
-		"the substitute is slow": {append(slices.Clone(group), spare), "s", "", nil},
+		"no slow server":  {append(slices.Clone(group), spare), "", "", nil},
+		"slow member":     {append(slices.Clone(group), spare), "a1", shedkeel.OrderJoin, []shedkeel.InstanceID{"a0", "s"}},
+		"slow head":       {append(slices.Clone(group), spare), "a0", shedkeel.OrderLeave, nil},
+		"no substitute":   {group, "a1", "", nil},
+		"slow substitute": {append(slices.Clone(group), spare), "s", "", nil},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/formation/spares_test.go
+++ b/formation/spares_test.go
@@ -9,9 +9,9 @@
 	"shedkeel.org/shedkeel"
 )
 
-func TestLeastSpares(t *testing.T) {
+func TestMinSpares(t *testing.T) {
 	for name, test := range map[string]struct{ servers, spares int }{
-		"nobody":           {0, 0},
+		"none":             {0, 0},
 		"one":              {1, 1},
 		"fewer than eight": {6, 1},
 		"eight":            {8, 1},
@@ -22,32 +22,32 @@
 		"27":               {27, 3},
 		"37":               {37, 4},
 	} {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, leastSpares(test.servers), test.spares) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, minSpares(test.servers), test.spares) })
 	}
 }
 
-// TestNoRoomIsLostBetweenGroupsAndSpares covers domains of 27 servers with groups
-// of 12 and 6: with an eighth rounded up nine of each stayed free, a third.
-func TestNoRoomIsLostBetweenGroupsAndSpares(t *testing.T) {
+// TestSparesLeaveRoomForWholeGroups covers domains of 27 servers with groups of 12 and 6:
+// when an eighth was rounded up, nine servers of each stayed free, a third.
+func TestSparesLeaveRoomForWholeGroups(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(1, 3, 27)
 	fleet.engine.Models[0].Size, fleet.engine.Models[1].Size = 12, 6
 	fleet.engine.Models[0].Share, fleet.engine.Models[1].Share = 0.5, 0.5
-	fleet.play(newPlanner(1), 30*time.Second, false)
+	fleet.run(newPlanner(1), 30*time.Second, false)
 	serving := fleet.serving()
 	assert.Equal(t, 12*serving["large"]+6*serving["small"], 3*24, "%v", serving)
 	assert.DeepEqual(t, serving, map[shedkeel.ModelID]int{"large": 3, "small": 6})
 }
 
-// TestPairsOfLossesAreReplaced has two members of one domain of ten lost at once:
-// with one spare, the second group stood again only after a load of 12 s or more.
+// TestPairsOfLossesAreReplaced kills two members in one domain of ten at once: with one
+// spare, the second group recovered only after a load of 12 s or more.
 func TestPairsOfLossesAreReplaced(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(3, 3, 10)
 	fleet.engine.Models[0].Size, fleet.engine.Models[1].Size = 6, 3
 	planner := newPlanner(1)
-	fleet.play(planner, time.Minute, false)
-	whole := fleet.serving()
+	fleet.run(planner, time.Minute, false)
+	before := fleet.serving()
 	killed := 0
 	for _, id := range fleet.living() {
 		server := fleet.servers[id]
@@ -56,7 +56,7 @@
 			killed++
 		}
 	}
-	fleet.play(planner, 3*time.Second, true)
-	assert.DeepEqual(t, fleet.serving(), whole)
-	assert.Equal(t, len(fleet.broken), 0, "%v", fleet.broken)
+	fleet.run(planner, 3*time.Second, true)
+	assert.DeepEqual(t, fleet.serving(), before)
+	assert.Equal(t, len(fleet.violations), 0, "%v", fleet.violations)
 }
--- a/formation/usage.go
+++ b/formation/usage.go
@@ -2,44 +2,45 @@
 
 import "shedkeel.org/shedkeel"
 
-// DomainUsage is what the backend servers of a domain are used for, so that
-// logs can tell why some serve nobody.
+// DomainUsage counts a domain's backend servers by what they are used for. Logs
+// show from it why some of them serve nobody.
 type DomainUsage struct {
 	Domain  shedkeel.DomainID
-	Serving map[shedkeel.ModelID]int // in groups that stand or are forming
+	Serving map[shedkeel.ModelID]int // members of active or forming groups
 	Spare   map[shedkeel.ModelID]int // free, by the model on their hosts
-	Loading int                      // free and loading weights
-	Empty   int                      // free without weights
-	Lost    int                      // drain, are dead or leave orders unanswered
+	Loading int                      // free, loading weights
+	Empty   int                      // free, without weights
+	Lost    int                      // draining, dead, or skipped because they leave orders unanswered
 }
 
-// Usage returns what the servers were used for in the last plan, by domain.
+// Usage returns what the servers were used for in the latest plan, by domain.
 func (planner *Planner) Usage() []DomainUsage {
-	if planner.last == nil {
+	if planner.lastRound == nil {
 		return nil
 	}
-	return planner.last.usage()
+	return planner.lastRound.usage()
 }
 
-// usage sums up the round.
+// usage counts the servers of each domain.
 func (round *round) usage() []DomainUsage {
 	var found []DomainUsage
 	for _, domain := range round.domains {
 		usage := DomainUsage{Domain: domain, Serving: map[shedkeel.ModelID]int{}, Spare: map[shedkeel.ModelID]int{}}
 		for _, instance := range round.byDomain[domain] {
-			round.count(&usage, instance)
+			round.countInstance(&usage, instance)
 		}
 		found = append(found, usage)
 	}
 	return found
 }
 
-func (round *round) count(domain *DomainUsage, instance *shedkeel.Instance) {
+// countInstance adds an instance to the counts of its domain.
+func (round *round) countInstance(domain *DomainUsage, instance *shedkeel.Instance) {
 	_, loads := round.planner.loading[instance.ID]
 	switch {
 	case !round.usable(instance):
 		domain.Lost++
-	case !IsFree(instance) && (round.used[instance.ID] || round.inStandingGroup(instance)):
+	case !IsFree(instance) && (round.reserved[instance.ID] || round.inActiveGroup(instance)):
 		domain.Serving[ModelOf(instance.Member.Group)]++
 	case loads:
 		domain.Loading++
--- a/formation/wait.go
+++ b/formation/wait.go
@@ -25,32 +25,32 @@
 )
 
 const (
-	// probeTime is the longest that a planner waits to learn who answers: two
-	// probes and those of witnesses, with their queue.
-	probeTime = 2 * time.Second
-	// drainTime is the longest that a group takes to finish what runs: callers
-	// wait no longer for an answer.
-	drainTime = 30 * time.Second
-	// slowLoads is how many times longer than at full speed loads may take.
-	slowLoads = 2
+	// probeTimeout is the longest wait for the results of liveness probes: two probes
+	// and those of the witnesses, including their queues.
+	probeTimeout = 2 * time.Second
+	// drainTimeout is the longest time that a group takes to finish running requests.
+	// Callers wait no longer for an answer.
+	drainTimeout = 30 * time.Second
+	// slowLoadFactor is how many times longer than at full speed a load may take.
+	slowLoadFactor = 2
 )
 
-// Wait is something that a planner waits for.
+// Wait is a condition that a planner waits for.
 type Wait struct {
-	Group  shedkeel.GroupID    // "": none
-	Server shedkeel.InstanceID // "": it concerns the group as a whole
+	Group  shedkeel.GroupID    // "": a server or a domain
+	Server shedkeel.InstanceID // "": the group or the domain as a whole
 	Domain shedkeel.DomainID
 	Reason WaitReason
 	Since  time.Duration
-	Bound  time.Duration // the longest that it may last; 0: none is stated
+	Bound  time.Duration // the longest expected duration; 0: not bounded
 }
 
-// Overdue reports whether the wait lasts for longer than it may.
+// Overdue reports whether the wait has lasted longer than its bound.
 func (wait Wait) Overdue(now time.Duration) bool {
 	return wait.Bound > 0 && now-wait.Since > wait.Bound
 }
 
-// waitKey names a wait from one planning to the next.
+// waitKey identifies a wait across calls of Plan.
 type waitKey struct {
 	group  shedkeel.GroupID
 	server shedkeel.InstanceID
@@ -58,22 +58,23 @@
 	reason WaitReason
 }
 
-// Waits returns what the planner waited for in the last plan, the longest wait
+// Waits returns what the planner waits for as of the latest plan, the longest wait
 // first.
 func (planner *Planner) Waits() []Wait {
-	if planner.last == nil {
+	if planner.lastRound == nil {
 		return nil
 	}
-	return slices.SortedFunc(maps.Values(planner.last.waits), func(a, b Wait) int {
+	return slices.SortedFunc(maps.Values(planner.lastRound.waits), func(a, b Wait) int {
 		return cmp.Or(cmp.Compare(a.Since, b.Since), cmp.Compare(a.Group, b.Group), cmp.Compare(a.Server, b.Server), cmp.Compare(a.Domain, b.Domain), cmp.Compare(a.Reason, b.Reason))
 	})
 }
 
-// wait notes what is waited for, since when, and for how long at most.
-func (round *round) wait(wait Wait) {
+// recordWait records a wait. Its Since stays that of the previous plan if the
+// planner already waited for the same condition then.
+func (round *round) recordWait(wait Wait) {
 	key := waitKey{wait.Group, wait.Server, wait.Domain, wait.Reason}
 	wait.Since = round.input.Now
-	if last := round.planner.last; last != nil {
+	if last := round.planner.lastRound; last != nil {
 		if before, lasts := last.waits[key]; lasts {
 			wait.Since = before.Since
 		}
@@ -81,28 +82,28 @@
 	round.waits[key] = wait
 }
 
-// waitFor notes what is waited for about a group.
-func (round *round) waitFor(group *observed, reason WaitReason, bound time.Duration) {
-	round.wait(Wait{Group: group.id, Domain: group.domain, Reason: reason, Bound: bound})
+// recordGroupWait records a wait that concerns a group as a whole.
+func (round *round) recordGroupWait(group *observedGroup, reason WaitReason, bound time.Duration) {
+	round.recordWait(Wait{Group: group.id, Domain: group.domain, Reason: reason, Bound: bound})
 }
 
-// waitForServers notes what is waited for about single servers.
-func (round *round) waitForServers() {
-	for id, until := range round.planner.passed {
+// recordServerWaits records the waits for single servers.
+func (round *round) recordServerWaits() {
+	for id, until := range round.planner.skippedUntil {
 		if instance := round.byID[id]; instance != nil && until > round.input.Now {
-			round.wait(Wait{Server: id, Domain: instance.Domain, Reason: WaitAnswer, Bound: unreachableTime})
+			round.recordWait(Wait{Server: id, Domain: instance.Domain, Reason: WaitAnswer, Bound: unreachableBackoff})
 		}
 	}
 	for id, loading := range round.planner.loading {
 		instance, model := round.byID[id], round.input.Engine.Model(loading.model)
 		if instance != nil && model != nil {
-			round.wait(Wait{Server: id, Domain: instance.Domain, Reason: WaitLoad, Bound: slowLoads * model.Load})
+			round.recordWait(Wait{Server: id, Domain: instance.Domain, Reason: WaitLoad, Bound: slowLoadFactor * model.Load})
 		}
 	}
 }
 
-// joinTime is how long a formation of a model may take: its longest join, and
-// orders that are given again.
-func joinTime(model *shedkeel.Model) time.Duration {
-	return slowLoads*model.Load + unreachableTime
+// joinTimeout returns the longest time that a formation of a model may take: its
+// slowest join, and orders that are sent again.
+func joinTimeout(model *shedkeel.Model) time.Duration {
+	return slowLoadFactor*model.Load + unreachableBackoff
 }
--- a/formation/wait_test.go
+++ b/formation/wait_test.go
@@ -11,13 +11,13 @@
 	"shedkeel.org/shedkeel"
 )
 
-// standTime is the bound within which a group must stand wherever a whole
-// group's servers are up and can be reached: a head that was out of reach may
-// have to be waited for, then weights are loaded, six servers at once.
-const standTime = goneTime + 80*time.Second
+// recoveryTime is the bound within which a group must serve in each domain with enough
+// reachable servers for one. The planner may have to wait for an unreachable head; then
+// weights are loaded, on six servers at once.
+const recoveryTime = headTimeout + 80*time.Second
 
-// trouble has one mishap befall the fleet, of all that a planner has to wait for.
-func (fleet *fakeFleet) trouble(planner *Planner) *Planner {
+// injectFault injects one random fault of those that a planner has to wait for.
+func (fleet *fakeFleet) injectFault(planner *Planner) *Planner {
 	living := fleet.living()
 	if len(living) == 0 {
 		return planner
@@ -29,80 +29,79 @@
 	case 2:
 		fleet.restart(id)
 	case 3:
-		fleet.servers[id].mute = fleet.now + time.Duration(fleet.random.Int64N(int64(8*time.Second)))
+		fleet.servers[id].unreachableUntil = fleet.now + time.Duration(fleet.random.Int64N(int64(8*time.Second)))
 	case 4:
-		fleet.servers[id].cutAt, fleet.servers[id].cutTill = fleet.now, fleet.now+time.Duration(fleet.random.Int64N(int64(10*time.Second)))
+		fleet.servers[id].partitionedAt, fleet.servers[id].partitionedUntil = fleet.now, fleet.now+time.Duration(fleet.random.Int64N(int64(10*time.Second)))
 	case 5:
-		fleet.add(shedkeel.DomainID([]string{"d0", "d1", "d2", "d3", "d4", "d5"}[fleet.random.IntN(6)]))
+		fleet.addServer(shedkeel.DomainID([]string{"d0", "d1", "d2", "d3", "d4", "d5"}[fleet.random.IntN(6)]))
 	default:
-		fleet.terms++
-		next := newPlanner(1 + fleet.terms)
-		next.Adopt(planner.Loading(), fleet.engine, fleet.now) // as it stands in the record of loads
+		fleet.laterTerms++
+		next := newPlanner(1 + fleet.laterTerms)
+		next.Adopt(planner.Loading(), fleet.engine, fleet.now) // as read from the stored record of loads
 		return next
 	}
 	return planner
 }
 
-// TestGroupsStandWhereTheirServersAre plays histories with all at once that a
-// planner waits for: orders that are lost or late, servers that die, start again,
-// can't be reached or are not listed, and planners that take over. Whatever came
-// before, a group stands within standTime in each domain that has the servers (or
-// did so in the last seconds, where it makes room for one of another model), and
-// no wait lasts for longer than its bound.
-func TestGroupsStandWhereTheirServersAre(t *testing.T) {
+// TestGroupServesWhereverServersSuffice simulates histories with all faults that a planner
+// waits for: orders lost or late, servers that die, restart, are unreachable or are not
+// listed, and planners that take over. In each domain with enough servers, a group must
+// serve within recoveryTime of the last fault, or have served within the 20 s after that,
+// since a group may close to make room for one of another model. No wait may exceed its bound.
+func TestGroupServesWhereverServersSuffice(t *testing.T) {
 	t.Parallel()
 	for seed := range *histories {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
-			playWaits(t, seed)
+			runWaitHistory(t, seed)
 		})
 	}
 }
 
-// TestWaitsThatFailed plays each history of the same kind that ever failed.
+// TestWaitsThatFailed repeats each history of this kind that has failed.
 func TestWaitsThatFailed(t *testing.T) {
 	t.Parallel()
 	for name, seed := range map[string]int{
-		"three servers are kept for a model that has no room anywhere":              66,
-		"a member whose head started again is ordered into two groups in one plan":  174,
-		"a member of a formation that was given up is ordered to wait as a standby": 87,
-		"the same, of a server that started again":                                  298,
-		"a domain's only group makes room for one of another model at the end":      210,
+		"three servers are kept for a model that fits in no domain":                66,
+		"a member whose head restarted is ordered into two groups in one plan":     174,
+		"a member of an abandoned formation is ordered to go on standby":           87,
+		"a restarted member of an abandoned formation is ordered to go on standby": 298,
+		"a domain's only group closes at the end to make room for another model":   210,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			playWaits(t, seed)
+			runWaitHistory(t, seed)
 		})
 	}
 }
 
-// playWaits plays one history of mishaps, then calm for standTime.
-func playWaits(t *testing.T, seed int) {
+// runWaitHistory simulates one history of faults, then recoveryTime without faults.
+func runWaitHistory(t *testing.T, seed int) {
 	t.Helper()
 	fleet := newFakeFleet(uint64(seed), 6, 8)
 	planner := newPlanner(1)
-	fleet.lag = seed % 4
-	fleet.play(planner, 30*time.Second, false)
+	fleet.lagSteps = seed % 4
+	fleet.run(planner, 30*time.Second, false)
 	for round := range 30 {
-		fleet.loses = []float64{0, 0.35}[round%2]
-		fleet.play(planner, time.Duration(fleet.random.Int64N(int64(2*time.Second))), true)
+		fleet.answerLoss = []float64{0, 0.35}[round%2]
+		fleet.run(planner, time.Duration(fleet.random.Int64N(int64(2*time.Second))), true)
 		for range 2 {
-			planner = fleet.trouble(planner)
+			planner = fleet.injectFault(planner)
 		}
 	}
-	fleet.loses = 0
-	fleet.play(planner, standTime, true)
-	stood := map[shedkeel.DomainID]bool{}
+	fleet.answerLoss = 0
+	fleet.run(planner, recoveryTime, true)
+	served := map[shedkeel.DomainID]bool{}
 	for range 20 {
-		fleet.play(planner, time.Second, true)
-		for domain := range fleet.up() {
-			stood[domain] = stood[domain] || fleet.standing(domain) > 0
+		fleet.run(planner, time.Second, true)
+		for domain := range fleet.livingPerDomain() {
+			served[domain] = served[domain] || fleet.openGroups(domain) > 0
 		}
 	}
-	assert.Equal(t, len(fleet.broken), 0, "seed %d: %v", seed, fleet.broken)
-	for domain, count := range fleet.up() {
-		if count >= 2+leastSpares(count) {
-			assert.Assert(t, stood[domain], "seed %d: %d servers of %s are up, and no group stands: %+v", seed, count, domain, planner.Waits())
+	assert.Equal(t, len(fleet.violations), 0, "seed %d: %v", seed, fleet.violations)
+	for domain, count := range fleet.livingPerDomain() {
+		if count >= 2+minSpares(count) {
+			assert.Assert(t, served[domain], "seed %d: %d servers of %s are alive, but no group serves: %+v", seed, count, domain, planner.Waits())
 		}
 	}
 	for _, wait := range planner.Waits() {
@@ -110,8 +109,8 @@
 	}
 }
 
-// up returns how many servers of each domain live and can be reached.
-func (fleet *fakeFleet) up() map[shedkeel.DomainID]int {
+// livingPerDomain returns how many servers of each domain are alive.
+func (fleet *fakeFleet) livingPerDomain() map[shedkeel.DomainID]int {
 	found := map[shedkeel.DomainID]int{}
 	for _, server := range fleet.servers {
 		if server.diedAt == 0 {
@@ -121,23 +120,23 @@
 	return found
 }
 
-// standing returns how many groups of a domain serve.
-func (fleet *fakeFleet) standing(domain shedkeel.DomainID) int {
+// openGroups returns how many groups of a domain serve.
+func (fleet *fakeFleet) openGroups(domain shedkeel.DomainID) int {
 	count := 0
 	for _, server := range fleet.servers {
-		if server.Domain == domain && server.diedAt == 0 && server.Member != nil && server.Member.State == shedkeel.MemberOpen && server.stalled == 0 {
+		if server.Domain == domain && server.diedAt == 0 && server.Member != nil && server.Member.State == shedkeel.MemberOpen && server.stalledSince == 0 {
 			count++
 		}
 	}
 	return count
 }
 
-// TestWaits has a planner wait for one thing after the other, and tell since
-// when and for how long at most.
+// TestWaits has a planner wait for a lost head, and checks that the wait ends within its
+// bound.
 func TestWaits(t *testing.T) {
 	fleet := newFakeFleet(3, 1, 8)
 	planner := newPlanner(1)
-	fleet.play(planner, time.Minute, false)
+	fleet.run(planner, time.Minute, false)
 	assert.Equal(t, len(planner.Waits()), 0, "%+v", planner.Waits())
 	var lost shedkeel.InstanceID
 	for _, server := range fleet.listed() {
@@ -147,12 +146,12 @@
 	}
 	for id, server := range fleet.servers {
 		if server.Member == nil || isStandby(server.Member.Group) {
-			fleet.servers[id].diedAt = fleet.now // there is no substitute
+			fleet.servers[id].diedAt = fleet.now // leaves no substitute
 		}
 	}
-	fleet.play(planner, 6*time.Second, true)
-	fleet.servers[lost].cutAt, fleet.servers[lost].cutTill = fleet.now, fleet.now+time.Hour
-	fleet.play(planner, 6*time.Second, true)
+	fleet.run(planner, 6*time.Second, true)
+	fleet.servers[lost].partitionedAt, fleet.servers[lost].partitionedUntil = fleet.now, fleet.now+time.Hour
+	fleet.run(planner, 6*time.Second, true)
 	reasons := func() []WaitReason {
 		var found []WaitReason
 		for _, wait := range planner.Waits() {
@@ -161,8 +160,8 @@
 		return found
 	}
 	assert.Assert(t, slices.Contains(reasons(), WaitHead), "%+v", planner.Waits())
-	fleet.play(planner, goneTime, true)
-	assert.Assert(t, !slices.Contains(reasons(), WaitHead), "the head is waited for for ever: %+v", planner.Waits())
+	fleet.run(planner, headTimeout, true)
+	assert.Assert(t, !slices.Contains(reasons(), WaitHead), "the wait for the head does not end: %+v", planner.Waits())
 	assert.Assert(t, Wait{Since: time.Second, Bound: time.Second}.Overdue(2100*time.Millisecond))
 	assert.Assert(t, !Wait{Since: time.Second}.Overdue(time.Hour), "no bound")
 }
--- a/mutants_test.go
+++ b/mutants_test.go
@@ -241,10 +241,10 @@
 		"node/member.go", "return !membership.stands() && since >= listedRetry", "return false", "TestWatchedMembership", "./node",
 	},
 	"lost together: a group is formed anew by the first word": {
-		"formation/mend.go", "	case round.isProbed(group):\n", "	case false:\n", "TestServersLostTogether", "./formation",
+		"formation/repair.go", "	case round.hasProbePending(group):\n", "	case false:\n", "TestServersLostTogether", "./formation",
 	},
 	"loads: more at once than the store serves": {
-		"formation/stage.go", "float64(round.loadsUnderWay()) >= part*float64(engine.LoadsAtOnce) {", "false {", "TestLoadsAreBoundedUnderTraffic", "./formation",
+		"formation/stage.go", "float64(round.activeLoads()) >= part*float64(engine.LoadsAtOnce) {", "false {", "TestLoadsAreBoundedUnderTraffic", "./formation",
 	},
 	"box list: a member that answers is lost with its entry": {
 		"keeper/plan.go", "if unlisted[id] && (view.Seen < 0", "if unlisted[id] && (true || view.Seen < 0", "TestScenarios/box_list", ".",
@@ -286,7 +286,7 @@
 		"dispatch/spread.go", "best.assigned.reading += best.reading(query.Prompt)", "best.assigned.reading += 0", "TestSpread$|TestSpreadKeepsPromptsApart", "./dispatch",
 	},
 	"nodes: a head out of reach is soon taken for gone": {
-		"formation/planner.go", "goneTime = 20 * time.Second", "goneTime = 5500 * time.Millisecond", "TestRulesHoldWhileServersAreCutOff", "./formation",
+		"formation/planner.go", "headTimeout = 20 * time.Second", "headTimeout = 5500 * time.Millisecond", "TestRulesHoldWhileServersArePartitioned", "./formation",
 	},
 	"nodes: what runs on groups is not told": {
 		"dispatch/spread.go", "max(known.assigned.running+change, 0)", "max(known.assigned.running+0*change, 0)", "TestSpreadByWhatRuns", "./dispatch",
@@ -316,25 +316,25 @@
 		"serve/stream.go", "if err := stream.start(ctx); err != nil {\n\t\toutcome", "silent.stalled = true\n\tif err := stream.start(ctx); err != nil {\n\t\toutcome", "TestSilentStreamAsksAgain", "./serve",
 	},
 	"nodes: a group opens before all members are ready": {
-		"formation/mend.go", "state == shedkeel.MemberReady && allReady(group):", "state == shedkeel.MemberReady:", "TestRulesHoldUnderFaults", "./formation",
+		"formation/repair.go", "state == shedkeel.MemberReady && allReady(group):", "state == shedkeel.MemberReady:", "TestRulesHoldUnderFaults", "./formation",
 	},
 	"nodes: a spare's host holds what its server has loaded": {
-		"formation/stage.go", "if !round.hostIsSpent(instance) ||", "if true ||", "TestSparesReplaceMembersOfEitherModel", "./formation",
+		"formation/stage.go", "if !round.hostCopyIsRedundant(instance) ||", "if true ||", "TestSparesReplaceMembersOfEitherModel", "./formation",
 	},
 	"nodes: demand is not heeded": {
-		"formation/planner.go", "shares(input.Engine, input.Demand)", "shares(input.Engine, nil)", "TestGroupsFollowDemand", "./formation",
+		"formation/planner.go", "workShares(input.Engine, input.Demand)", "workShares(input.Engine, nil)", "TestGroupsFollowDemand", "./formation",
 	},
 	"nodes: losses move groups": {
-		"formation/yield.go", "!excess && !round.wanted(taker)", "!excess && false && !round.wanted(taker)", "TestLossesMoveNoGroups", "./formation",
+		"formation/reallocate.go", "!excess && !round.demandIsRaised(recipient)", "!excess && false && !round.demandIsRaised(recipient)", "TestLossesMoveNoGroups", "./formation",
 	},
 	"nodes: a group that was given up is formed anew": {
-		"formation/mend.go", "case round.planner.givenUp[assignment]:", "case false:", "TestGroupsFollowDemand", "./formation",
+		"formation/repair.go", "case round.planner.released[assignment]:", "case false:", "TestGroupsFollowDemand", "./formation",
 	},
 	"nodes: a difference is taken of any value": {
 		"transfer/difference.go", "if known.Revision != base ||", "if known.Revision.Era != base.Era ||", "TestDiffer", "./transfer",
 	},
 	"nodes: former formations are remembered": {
-		"formation/planner.go", "if now-at <= forgetTime {", "if now-at <= 1000*forgetTime {", "TestFormerFormationsAreForgotten", "./formation",
+		"formation/planner.go", "if now-at <= retentionTime {", "if now-at <= 1000*retentionTime {", "TestFormerFormationsAreForgotten", "./formation",
 	},
 }
 
