--- a/formation/demand.go
+++ b/formation/demand.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// configuredWeight is the number of measured requests at which configured and
-	// measured shares have equal weight.
+	// configuredWeight is the number of measured requests at which measured and
+	// configured shares have equal weight.
 	configuredWeight = 200.0
 	// sameDemandRatio is the ratio up to which a measured share counts as equal to
 	// the configured one. At a steady 130 requests a second, measured shares vary
@@ -17,10 +17,11 @@
 	sameDemandRatio = 1.5
 )
 
-// workShares returns each model's share of the total work, measured in box time.
-// It returns the configured shares if few requests were measured or if all
-// measured shares are within sameDemandRatio of them, else a weighted mean of both.
-// Configured shares are only the estimate before any request arrives.
+// workShares returns each model's share of the total work, measured in box time. It
+// returns the configured shares if the measurement is not usable or all measured shares
+// are within sameDemandRatio of them. Otherwise it returns the mean of both, weighted by
+// the number of measured requests. The configured shares are only an estimate from before
+// any request arrives.
 func workShares(engine *shedkeel.Engine, demand map[shedkeel.ModelID]shedkeel.ModelDemand) map[shedkeel.ModelID]float64 {
 	configured := map[shedkeel.ModelID]float64{}
 	total, work, requests := 0.0, 0.0, 0.0
@@ -53,10 +54,10 @@
 // boxWork returns the box time, in seconds, that the demand on a model takes:
 // reading the prompts, and what each request adds to the decoding steps. It leaves
 // out the base time of a step, which all running requests share.
-func boxWork(engine *shedkeel.Engine, model *shedkeel.Model, asked shedkeel.ModelDemand) float64 {
+func boxWork(engine *shedkeel.Engine, model *shedkeel.Model, demand shedkeel.ModelDemand) float64 {
 	if engine.ReadPerSecond <= 0 {
 		return 0
 	}
-	seconds := asked.PromptTokens/engine.ReadPerSecond + asked.AnswerTokens*engine.StepEach.Seconds()
+	seconds := demand.PromptTokens/engine.ReadPerSecond + demand.AnswerTokens*engine.StepEach.Seconds()
 	return seconds * model.Slowdown() * float64(model.Size)
 }
--- a/formation/demand_test.go
+++ b/formation/demand_test.go
@@ -139,8 +139,9 @@
 	}
 }
 
-// TestHostsOfSmallGroupsStageLargeModel checks that hosts load, before callers come, what a shift of
-// demand would need, and that groups then follow the shift faster than a load takes.
+// TestHostsOfSmallGroupsStageLargeModel checks that hosts load, before traffic starts,
+// what a shift of demand would need, and that groups then follow the shift faster than a
+// load takes.
 func TestHostsOfSmallGroupsStageLargeModel(t *testing.T) {
 	fleet := newFakeFleet(3, 6, 8)
 	fleet.engine.Models[0].Share, fleet.engine.Models[1].Share = 0.33, 0.67 // swapped
--- a/formation/fake_test.go
+++ b/formation/fake_test.go
@@ -308,12 +308,13 @@
 				server.Staged = []shedkeel.ModelID{server.lastModel}
 			}
 		}
-		fleet.stall(server)
+		fleet.checkStalled(server)
 	}
 }
 
-// stall marks an open group as broken when a member has been missing for five seconds.
-func (fleet *fakeFleet) stall(head *fakeServer) {
+// checkStalled marks the head of an open group as broken when a member has been missing
+// for five seconds.
+func (fleet *fakeFleet) checkStalled(head *fakeServer) {
 	if head.Member.State != shedkeel.MemberOpen {
 		head.stalledSince = 0
 		return
--- a/formation/planner.go
+++ b/formation/planner.go
@@ -6,7 +6,9 @@
 // member of rank 0 is the head, which serves requests while it is open. To stage a
 // model is to load its weights onto a host. A spare is a free backend server that is
 // kept as a substitute for lost members; it is on standby while it waits, warmed up,
-// in a formation of its own.
+// in a formation of its own. To release a group is to close it and have its head
+// leave, so that its members are free. The list is the platform's list of backend
+// servers with their memberships (Input.Instances); it lags.
 //
 // Three rules keep groups consistent even if orders are lost or carried out late:
 //
--- a/formation/stage.go
+++ b/formation/stage.go
@@ -49,7 +49,7 @@
 }
 
 // stageSecondModel has hosts whose copy is redundant load another model: those of the
-// candidates, which are spares, and, before callers come, those of expendableMembers.
+// candidates, which are spares, and, before traffic starts, those of expendableMembers.
 //
 // A spare then replaces a member of either of two models. Otherwise the second loss of
 // a model in a domain waits 12 to 16 s for a load.
@@ -72,8 +72,8 @@
 // except one group. Releasing such a group costs least. The hosts of the excepted group
 // keep their own model's weights, so that a domain that restarts as a whole can form it.
 //
-// Before callers come, a load takes a tenth of the time. What these hosts load then saves
-// 12 to 16 s when the demand for another model exceeds its configured share.
+// Before traffic starts, a load takes a tenth of the time. What these hosts load then
+// saves 12 to 16 s when the demand for another model exceeds its configured share.
 func (round *round) expendableMembers(domain shedkeel.DomainID) []*shedkeel.Instance {
 	var found []*shedkeel.Instance
 	excepted := false
@@ -119,7 +119,7 @@
 func (round *round) mayLoad() bool { return round.mayLoadWithin(1) }
 
 // mayLoadWithin reports whether another load may begin within a part of the limits.
-// Before callers come there is no limit.
+// Before traffic starts there is no limit.
 func (round *round) mayLoadWithin(part float64) bool {
 	if !round.input.Traffic {
 		return true
