--- a/formation/repair.go
+++ b/formation/repair.go
@@ -158,7 +158,7 @@
 	case round.hasProbePending(group):
 		round.reserveMembers(group) // until it is known which members are lost
 		round.recordGroupWait(group, WaitProbe, probeTimeout)
-	case round.leaveWorking(group, intact):
+	case round.toleratesUnlisted(group, intact):
 		round.reserveMembers(group)
 		round.recordGroupWait(group, WaitListed, unlistedGrace+drainTimeout)
 	default:
@@ -177,9 +177,10 @@
 	})
 }
 
-// leaveWorking reports whether an open group with an unlisted member is left alone
-// for now. After unlistedGrace it orders the head to close if there are substitutes.
-func (round *round) leaveWorking(group *observedGroup, intact bool) bool {
+// toleratesUnlisted reports whether an open group that works is left unchanged for now
+// although a member is not listed. After unlistedGrace it orders the head to close if
+// there are substitutes.
+func (round *round) toleratesUnlisted(group *observedGroup, intact bool) bool {
 	assignment := group.assignment()
 	if intact || round.input.Stalled[assignment] || !round.usable(group.head()) || group.headState() != shedkeel.MemberOpen {
 		return false
