--- a/mirror/start_test.go
+++ b/mirror/bootstrap_test.go
@@ -16,38 +16,38 @@
 
 // link is the service's link. Lists go through it one after the other, also
 // those that nobody waits for any more.
-type link struct {
-	each     time.Duration // that one list takes
-	patience time.Duration // after which a process gives a list up that does not come, and loses what it had
+type sharedLink struct {
+	listTime     time.Duration // that one list takes
+	clientTimeout time.Duration // after which a process gives a list up that does not come, and loses what it had
 
 	mutex sync.Mutex
-	free  time.Time // when all that was asked for is through
-	asked int
+	idleAt  time.Time // when all that was asked for is through
+	listed int
 }
 
-func (link *link) List(ctx context.Context, _ string) ([]shedkeel.Record, shedkeel.Revision, error) {
-	link.mutex.Lock()
-	link.asked++
+func (sharedLink *sharedLink) List(ctx context.Context, _ string) ([]shedkeel.Record, shedkeel.Revision, error) {
+	sharedLink.mutex.Lock()
+	sharedLink.listed++
 	now := time.Now()
-	if link.free.Before(now) {
-		link.free = now
+	if sharedLink.idleAt.Before(now) {
+		sharedLink.idleAt = now
 	}
-	link.free = link.free.Add(link.each)
-	through := link.free.Sub(now)
-	link.mutex.Unlock()
-	timer.Sleep(ctx, min(through, link.patience))
-	if through > link.patience {
+	sharedLink.idleAt = sharedLink.idleAt.Add(sharedLink.listTime)
+	remaining := sharedLink.idleAt.Sub(now)
+	sharedLink.mutex.Unlock()
+	timer.Sleep(ctx, min(remaining, sharedLink.clientTimeout))
+	if remaining > sharedLink.clientTimeout {
 		return nil, shedkeel.Revision{}, errors.New("it took too long")
 	}
 	return []shedkeel.Record{record("a", 7)}, shedkeel.Revision{Number: 7}, nil
 }
 
-func (link *link) Changes(ctx context.Context, _ string, since shedkeel.Revision, wait time.Duration) (shedkeel.Changes, error) {
+func (sharedLink *sharedLink) Changes(ctx context.Context, _ string, since shedkeel.Revision, wait time.Duration) (shedkeel.Changes, error) {
 	timer.Sleep(ctx, wait)
 	return shedkeel.Changes{At: since}, nil
 }
 
-func (link *link) GetStale(ctx context.Context, key string) (shedkeel.Record, error) {
+func (sharedLink *sharedLink) GetStale(ctx context.Context, key string) (shedkeel.Record, error) {
 	timer.Sleep(ctx, 4*time.Millisecond)
 	return shedkeel.Record{Key: key}, nil
 }
@@ -55,11 +55,11 @@
 // latePeer is a peer whose socket is not open until then.
 type latePeer struct {
 	peer
-	from time.Time
+	openAt time.Time
 }
 
 func (peer *latePeer) Knows(ctx context.Context, wait time.Duration) (bool, error) {
-	if time.Now().Before(peer.from) {
+	if time.Now().Before(peer.openAt) {
 		return false, errors.New("connection refused")
 	}
 	return peer.peer.Knows(ctx, wait)
@@ -68,7 +68,7 @@
 // TestStartOfAllAtOnce has all processes of a fleet start at one moment, as after
 // a loss of power. Each list takes 12 ms of the service's link, so that 58 come
 // through in 0.7 s of those that are asked for together.
-func TestStartOfAllAtOnce(t *testing.T) {
+func TestSimultaneousStart(t *testing.T) {
 	const processes, seeds = 300, 3 // the seeds are advised to list
 	cases := map[string]struct {
 		seedsLive bool
@@ -84,25 +84,25 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			service := &link{each: 12 * time.Millisecond, patience: test.patience}
+			service := &sharedLink{listTime: 12 * time.Millisecond, clientTimeout: test.patience}
 			clock := &timer.System{}
 			began := time.Now()
 			var mirrors []*Mirror
-			var known []Peer
+			var seedPeers []Peer
 			for range processes {
 				mirrors = append(mirrors, &Mirror{})
 			}
 			for _, mirror := range mirrors[:seeds] {
-				known = append(known, Peer(silentPeer{}))
+				seedPeers = append(seedPeers, Peer(silentPeer{}))
 				if test.seedsLive {
-					known[len(known)-1] = &latePeer{peer{mirror: mirror, now: clock.Now}, began.Add(test.seedsFrom)}
+					seedPeers[len(seedPeers)-1] = &latePeer{peer{mirror: mirror, now: clock.Now}, began.Add(test.seedsFrom)}
 				}
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			var running sync.WaitGroup
 			for index, own := range mirrors {
 				follower := &Follower{
-					Mirror: own, Source: service, Timers: clock, Choose: func() Peer { return known[0] }, Others: func() []Peer { return known },
+					Mirror: own, Source: service, Timers: clock, Choose: func() Peer { return seedPeers[0] }, Others: func() []Peer { return seedPeers },
 					Advise:    func(context.Context) (Advice, error) { return Advice{List: index < seeds, First: test.first}, nil },
 					Processes: func() int { return processes }, Random: rand.NewPCG(uint64(index), 8),
 				}
@@ -128,19 +128,19 @@
 				}
 				return count
 			}
-			wanted := processes
+			expected := processes
 			if !test.seedsLive {
-				wanted -= seeds
+				expected -= seeds
 			}
-			for informed() < wanted && time.Since(began) < test.within {
+			for informed() < expected && time.Since(began) < test.within {
 				time.Sleep(5 * time.Millisecond)
 			}
 			took := time.Since(began)
 			cancel()
 			running.Wait()
-			t.Logf("%d of %d informed after %s, %d lists asked for", informed(), wanted, took, service.asked)
-			assert.Equal(t, informed(), wanted, "after %s", took)
-			assert.Assert(t, service.asked <= test.asked, "%d lists were asked for", service.asked)
+			t.Logf("%d of %d informed after %s, %d lists asked for", informed(), expected, took, service.listed)
+			assert.Equal(t, informed(), expected, "after %s", took)
+			assert.Assert(t, service.listed <= test.asked, "%d lists were asked for", service.listed)
 		})
 	}
 }
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -31,33 +31,33 @@
 	staleAge = 2*watchWait + 2*RelayWait + 200*time.Millisecond
 	// awayTime is for how long a process whose peer is out of the service's reach
 	// asks the service and any other process, as if its copy were stale.
-	awayTime = time.Second
+	upstreamDisconnectedTime = time.Second
 	// proofWait is how long a watch waits that is to prove the age of a copy
 	// that has become stale.
-	proofWait = 50 * time.Millisecond
+	ageProofWait = 50 * time.Millisecond
 	// gatherEach, minGather and maxGather are how long changes are let gather after
 	// some have come: each answer costs a call, and the more records there are, the
 	// more often one changes. 260 records let them gather for 0.1 s. Among 3,300
 	// records of 300 boxes a change of the configuration would wait 1.3 s by that,
 	// of the 3 s in which it must be in force.
-	gatherEach = 400 * time.Microsecond
-	minGather  = 25 * time.Millisecond
-	maxGather  = 250 * time.Millisecond
+	batchDelayPerRecord = 400 * time.Microsecond
+	minBatchDelay  = 25 * time.Millisecond
+	maxBatchDelay  = 250 * time.Millisecond
 	// askEach is how long after the question of one process to the service
 	// the next one's may come on average, when many have nobody to follow:
 	// without a bound, 79 of them cost 200 calls a second in an outage.
 	// A process that finds its copy stale in a fleet of up to askFreely asks
 	// at once.
-	askEach   = 50 * time.Millisecond
-	askFreely = 12
+	sourceQueryInterval   = 50 * time.Millisecond
+	unpacedProcesses = 12
 	// startPause is the same in startTime, while all processes of a fleet and
 	// its backend servers may be recording themselves.
-	startPause = 150 * time.Millisecond
-	startTime  = 4 * time.Second
+	startupBatchDelay = 150 * time.Millisecond
+	startupTime  = 4 * time.Second
 	// retryPause is the pause after a failed question; it doubles up to
 	// maxRetryPause while they fail, once something is known.
-	retryPause    = 100 * time.Millisecond
-	maxRetryPause = 400 * time.Millisecond
+	retryDelay    = 100 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
 )
 
 // Peer is the mirror of another process.
@@ -94,20 +94,20 @@
 	Processes func() int
 	Random    shedkeel.Random // is not used elsewhere
 
-	outage   outage
-	start    start
-	awayTill atomic.Int64 // until when the peer to follow counts as out of the service's reach
-	drawing  sync.Mutex   // held while Random is used
+	health   health
+	bootstrap    bootstrap
+	upstreamDisconnectedUntil atomic.Int64 // until when the peer to follow counts as out of the service's reach
+	randomMutex  sync.Mutex   // held while Random is used
 	running  sync.WaitGroup
-	followed string        // whose copy was followed last, for the log
-	away     bool          // the service did not answer the last question
-	turn     time.Duration // when a process that is to follow a peer may ask the service; 0: not set
+	upstream string        // whose copy was followed last, for the log
+	sourceFailing     bool          // the service did not answer the last question
+	nextQuery     time.Duration // when a process that is to follow a peer may ask the service; 0: not set
 }
 
 // Run follows until the context ends.
 func (follower *Follower) Run(ctx context.Context) {
-	follower.start.begin(follower)
-	follower.askAtStart(ctx, follower.Others())
+	follower.bootstrap.begin(follower)
+	follower.bootstrapFrom(ctx, follower.Others())
 	follower.running.Go(func() { follower.runPeers(ctx) })
 	follower.runSource(ctx)
 	follower.running.Wait()
@@ -117,49 +117,49 @@
 // what peers tell is too old.
 func (follower *Follower) runSource(ctx context.Context) {
 	follower.runAdvice(ctx)
-	failPause := retryPause
+	failureDelay := retryDelay
 	started := follower.Timers.Now()
 	for ctx.Err() == nil {
 		state := follower.Mirror.State()
-		if !follower.mayAsk(state) {
-			timer.Sleep(ctx, follower.askPause(state))
+		if !follower.mayQuerySource(state) {
+			timer.Sleep(ctx, follower.sourceQueryPause(state))
 			continue
 		}
-		more, err := follower.askSource(ctx, state)
-		follower.outage.take(err)
-		follower.note(ctx, err)
+		more, err := follower.querySource(ctx, state)
+		follower.health.endQuery(err)
+		follower.logSourceState(ctx, err)
 		if err != nil {
 			if !state.Known {
-				follower.start.failed(follower)
+				follower.bootstrap.noteFailedList(follower)
 			}
-			timer.Sleep(ctx, failPause)
+			timer.Sleep(ctx, failureDelay)
 			if state.Known { // a process that knows nothing can serve nobody
-				failPause = min(2*failPause, maxRetryPause)
+				failureDelay = min(2*failureDelay, maxRetryDelay)
 			}
 			continue
 		}
-		failPause = retryPause
+		failureDelay = retryDelay
 		if more || follower.Mirror.State().At == state.At {
 			continue
 		}
-		pause := gatherPause(follower.Mirror.Len())
-		if follower.Timers.Now()-started < startTime {
-			pause = startPause
+		delay := batchDelay(follower.Mirror.Len())
+		if follower.Timers.Now()-started < startupTime {
+			delay = startupBatchDelay
 		}
-		timer.Sleep(ctx, pause)
+		timer.Sleep(ctx, delay)
 	}
 }
 
 // gatherPause is how long the changes of so many records are let gather.
-func gatherPause(records int) time.Duration {
-	return min(max(minGather, time.Duration(records)*gatherEach), maxGather)
+func batchDelay(records int) time.Duration {
+	return min(max(minBatchDelay, time.Duration(records)*batchDelayPerRecord), maxBatchDelay)
 }
 
 // fresh reports whether the copy is as new as it should be, and whom it comes from
 // within reach of the service.
 func (follower *Follower) fresh(state State) bool {
 	now := follower.Timers.Now()
-	return state.Known && now-state.AsOf < follower.staleAge() && now >= time.Duration(follower.awayTill.Load())
+	return state.Known && now-state.AsOf < follower.staleAge() && now >= time.Duration(follower.upstreamDisconnectedUntil.Load())
 }
 
 // staleAge returns the age from which the copy of this process is stale.
@@ -173,64 +173,64 @@
 // mayAsk reports whether this process may ask the service now: it follows the
 // service itself, or the copy that it is to have from a peer is stale and it is
 // its turn. The turns of all processes are spread at random.
-func (follower *Follower) mayAsk(state State) bool {
+func (follower *Follower) mayQuerySource(state State) bool {
 	if !state.Known {
-		return follower.start.mayAsk(follower)
+		return follower.bootstrap.mayList(follower)
 	}
 	if follower.Choose() == nil {
 		return true
 	}
 	if follower.fresh(state) {
-		follower.turn = 0
+		follower.nextQuery = 0
 		return false
 	}
 	now := follower.Timers.Now()
-	if follower.turn == 0 {
-		follower.turn = now + follower.share()
+	if follower.nextQuery == 0 {
+		follower.nextQuery = now + follower.randomQueryDelay()
 	}
-	if now < follower.turn {
+	if now < follower.nextQuery {
 		return false
 	}
-	follower.turn = now + follower.share()
+	follower.nextQuery = now + follower.randomQueryDelay()
 	return true
 }
 
 // askPause is how long a process waits that may not ask the service yet. One
 // that knows nothing looks more often: its turn is a matter of milliseconds.
-func (follower *Follower) askPause(state State) time.Duration {
+func (follower *Follower) sourceQueryPause(state State) time.Duration {
 	if !state.Known {
-		return startRetry / 2
+		return bootstrapRetryDelay / 2
 	}
-	return retryPause
+	return retryDelay
 }
 
 // share returns a random time, of which the mean is askEach for each process.
-func (follower *Follower) share() time.Duration {
+func (follower *Follower) randomQueryDelay() time.Duration {
 	processes := follower.Processes()
-	if processes <= askFreely {
+	if processes <= unpacedProcesses {
 		return 0
 	}
-	return time.Duration(follower.draw(uint64(2 * askEach * time.Duration(processes))))
+	return time.Duration(follower.randomBelow(uint64(2 * sourceQueryInterval * time.Duration(processes))))
 }
 
 // askSource asks the service once. It reports whether the answer was full, so
 // that the next question must come at once: an answer holds some hundred
 // changes, and 3,000 servers of 300 boxes make more of them in a second.
-func (follower *Follower) askSource(ctx context.Context, state State) (more bool, err error) {
+func (follower *Follower) querySource(ctx context.Context, state State) (more bool, err error) {
 	sent := follower.Timers.Now()
 	if !state.Known {
-		follower.outage.ask(sent, 0)
-		return false, follower.list(ctx, sent)
+		follower.health.beginQuery(sent, 0)
+		return false, follower.listSource(ctx, sent)
 	}
 	wait := watchWait
 	if sent-state.AsOf > follower.staleAge() {
-		wait = proofWait // prove the age first, then wait for changes
+		wait = ageProofWait // prove the age first, then wait for changes
 	}
-	follower.outage.ask(sent, wait)
+	follower.health.beginQuery(sent, wait)
 	changes, err := follower.Source.Changes(ctx, "", state.At, wait)
-	var gone *shedkeel.HistoryGoneError
-	if errors.As(err, &gone) {
-		return false, follower.list(ctx, sent)
+	var historyGone *shedkeel.HistoryGoneError
+	if errors.As(err, &historyGone) {
+		return false, follower.listSource(ctx, sent)
 	}
 	if err != nil {
 		return false, err
@@ -246,7 +246,7 @@
 	return changes.More, nil
 }
 
-func (follower *Follower) list(ctx context.Context, sent time.Duration) error {
+func (follower *Follower) listSource(ctx context.Context, sent time.Duration) error {
 	records, at, err := follower.Source.List(ctx, "")
 	if err != nil {
 		return err
@@ -256,11 +256,11 @@
 }
 
 // note logs that the service went away or came back.
-func (follower *Follower) note(ctx context.Context, err error) {
-	if ctx.Err() != nil || (err != nil) == follower.away {
+func (follower *Follower) logSourceState(ctx context.Context, err error) {
+	if ctx.Err() != nil || (err != nil) == follower.sourceFailing {
 		return
 	}
-	follower.away = err != nil
+	follower.sourceFailing = err != nil
 	state := follower.Mirror.State()
 	fields := []slog.Attr{slog.String("revision", state.At.String()), slog.Duration("age", follower.Timers.Now()-state.AsOf)}
 	if err != nil {
@@ -276,30 +276,30 @@
 	for ctx.Err() == nil {
 		state := follower.Mirror.State()
 		if !state.Known {
-			timer.Sleep(ctx, retryPause)
+			timer.Sleep(ctx, retryDelay)
 			continue
 		}
 		peer, wait := follower.Choose(), RelayWait
 		stale := !follower.fresh(state) || follower.Away()
 		if stale {
 			// What reaches one process passes through all that wait on it at once.
-			peer, wait = follower.other(), retryPause
+			peer, wait = follower.randomPeer(), retryDelay
 		}
-		follower.noteFollowed(peer, state, stale)
+		follower.logUpstream(peer, state, stale)
 		sent := follower.Timers.Now()
-		answered, away := follower.relay(ctx, peer, state, wait)
-		if away && !stale {
-			follower.awayTill.Store(int64(follower.Timers.Now() + awayTime))
+		answered, disconnected := follower.relayFrom(ctx, peer, state, wait)
+		if disconnected && !stale {
+			follower.upstreamDisconnectedUntil.Store(int64(follower.Timers.Now() + upstreamDisconnectedTime))
 		}
 		if !answered || stale {
-			timer.Sleep(ctx, retryPause-(follower.Timers.Now()-sent))
+			timer.Sleep(ctx, retryDelay-(follower.Timers.Now()-sent))
 		}
 	}
 }
 
 // noteFollowed logs whose copy this process follows now, if it is another one than
 // before.
-func (follower *Follower) noteFollowed(peer Peer, state State, stale bool) {
+func (follower *Follower) logUpstream(peer Peer, state State, stale bool) {
 	name := "the service"
 	switch {
 	case stale:
@@ -307,39 +307,39 @@
 	case peer != nil:
 		name = peer.Name()
 	}
-	if name == follower.followed {
+	if name == follower.upstream {
 		return
 	}
-	follower.followed = name
+	follower.upstream = name
 	follower.Log.Write(event.Followed, slog.String("of", name), slog.Duration("age", follower.Timers.Now()-state.AsOf))
 }
 
 // draw returns a random number below the bound.
-func (follower *Follower) draw(bound uint64) uint64 {
-	follower.drawing.Lock()
-	defer follower.drawing.Unlock()
+func (follower *Follower) randomBelow(bound uint64) uint64 {
+	follower.randomMutex.Lock()
+	defer follower.randomMutex.Unlock()
 	return follower.Random.Uint64() % bound
 }
 
 // other returns a peer at random, or nil if there is none.
-func (follower *Follower) other() Peer {
+func (follower *Follower) randomPeer() Peer {
 	others := follower.Others()
 	if len(others) == 0 {
 		return nil
 	}
-	return others[follower.draw(uint64(len(others)))]
+	return others[follower.randomBelow(uint64(len(others)))]
 }
 
 // relay asks a peer, if there is one, once. It reports whether it answered, and
 // whether it is out of the service's reach though it is to follow it.
-func (follower *Follower) relay(ctx context.Context, peer Peer, state State, wait time.Duration) (answered, away bool) {
+func (follower *Follower) relayFrom(ctx context.Context, peer Peer, state State, wait time.Duration) (answered, disconnected bool) {
 	if peer == nil {
 		return false, false
 	}
 	sent := follower.Timers.Now()
 	update, err := peer.Relay(ctx, state.At, wait)
 	if err == nil || errors.Is(err, ErrNothingKnown) {
-		follower.outage.hear(follower.Timers.Now())
+		follower.health.notePeerResponse(follower.Timers.Now())
 	}
 	if err != nil {
 		return false, false // the copy's age shows it, and the service or another peer is asked
--- a/mirror/outage.go
+++ b/mirror/health.go
@@ -13,70 +13,70 @@
 	// answerTime is how long an answer of the service may take before it
 	// counts as away: 4 ms are usual, and some 300 ms when it is slow, which a
 	// caller who is refused meanwhile waits for no longer than for its return.
-	answerTime = 150 * time.Millisecond
+	responseTimeout = 150 * time.Millisecond
 	// heardTime is for how long a peer counts as within reach after it
 	// answered: those that know nothing are asked each 0.4 s at most.
-	heardTime = time.Second
+	peerReachableTime = time.Second
 	// awayFails is how many questions in a row fail until the service counts as out
 	// of this process's reach: one answer is lost now and then.
-	awayFails = 2
+	unreachableFailures = 2
 )
 
 // outage is what a process sees of an outage of the service. The zero value is
 // none.
-type outage struct {
+type health struct {
 	mutex   sync.Mutex
-	sent    time.Duration // when the question that is open was sent; 0: none is
-	due     time.Duration // when its answer is due
-	failing time.Duration // since when questions fail; 0: the last one was answered
-	fails   int           // questions that have failed in a row
-	heard   time.Duration // when a peer answered last; 0: never
-	proven  time.Duration // when the question was sent that the service answered last; 0: never
+	querySent    time.Duration // when the question that is open was sent; 0: none is
+	responseDue     time.Duration // when its answer is due
+	failingSince time.Duration // since when questions fail; 0: the last one was answered
+	failures   int           // questions that have failed in a row
+	peerResponded   time.Duration // when a peer answered last; 0: never
+	confirmedAt  time.Duration // when the question was sent that the service answered last; 0: never
 }
 
 // ask notes a question to the service that may wait for so long.
-func (outage *outage) ask(now, wait time.Duration) {
-	outage.mutex.Lock()
-	defer outage.mutex.Unlock()
-	outage.sent, outage.due = now, now+wait+answerTime
+func (health *health) beginQuery(now, wait time.Duration) {
+	health.mutex.Lock()
+	defer health.mutex.Unlock()
+	health.querySent, health.responseDue = now, now+wait+responseTimeout
 }
 
 // take notes the end of the question.
-func (outage *outage) take(err error) {
-	outage.mutex.Lock()
-	defer outage.mutex.Unlock()
+func (health *health) endQuery(err error) {
+	health.mutex.Lock()
+	defer health.mutex.Unlock()
 	switch {
 	case err == nil:
-		outage.failing, outage.proven, outage.fails = 0, outage.sent, 0
-	case outage.failing == 0:
-		outage.failing, outage.fails = outage.sent, 1
+		health.failingSince, health.confirmedAt, health.failures = 0, health.querySent, 0
+	case health.failingSince == 0:
+		health.failingSince, health.failures = health.querySent, 1
 	default:
-		outage.fails++
+		health.failures++
 	}
-	outage.sent = 0
+	health.querySent = 0
 }
 
 // hear notes that a peer answered.
-func (outage *outage) hear(now time.Duration) {
-	outage.mutex.Lock()
-	defer outage.mutex.Unlock()
-	outage.heard = now
+func (health *health) notePeerResponse(now time.Duration) {
+	health.mutex.Lock()
+	defer health.mutex.Unlock()
+	health.peerResponded = now
 }
 
 // answered reports whether a peer has ever answered.
-func (outage *outage) answered() bool {
-	outage.mutex.Lock()
-	defer outage.mutex.Unlock()
-	return outage.heard != 0
+func (health *health) anyPeerResponded() bool {
+	health.mutex.Lock()
+	defer health.mutex.Unlock()
+	return health.peerResponded != 0
 }
 
 // since returns since when the service has given no answer.
-func (outage *outage) since(now time.Duration) (since time.Duration, away bool) {
+func (health *health) unresponsiveSince(now time.Duration) (since time.Duration, unresponsive bool) {
 	switch {
-	case outage.failing != 0:
-		return outage.failing, true
-	case outage.sent != 0 && now >= outage.due:
-		return outage.sent, true
+	case health.failingSince != 0:
+		return health.failingSince, true
+	case health.querySent != 0 && now >= health.responseDue:
+		return health.querySent, true
 	}
 	return 0, false
 }
@@ -87,19 +87,19 @@
 	if follower.Choose() != nil {
 		return false
 	}
-	outage := &follower.outage
+	outage := &follower.health
 	outage.mutex.Lock()
 	defer outage.mutex.Unlock()
-	return outage.fails >= awayFails || outage.sent != 0 && now >= outage.due
+	return outage.failures >= unreachableFailures || outage.querySent != 0 && now >= outage.responseDue
 }
 
 // Answered returns when the question was sent that the service itself answered
 // last, not a peer; 0: it never did.
 func (follower *Follower) Answered() time.Duration {
-	outage := &follower.outage
+	outage := &follower.health
 	outage.mutex.Lock()
 	defer outage.mutex.Unlock()
-	return outage.proven
+	return outage.confirmedAt
 }
 
 // Outage returns since when the service is away for all, as far as this
@@ -109,15 +109,15 @@
 // those that were asked first: for its callers that is the same.
 func (follower *Follower) Outage() (since time.Duration, away bool) {
 	now := follower.Timers.Now()
-	alone := len(follower.Others()) == 0
-	outage := &follower.outage
+	noPeers := len(follower.Others()) == 0
+	outage := &follower.health
 	outage.mutex.Lock()
 	defer outage.mutex.Unlock()
-	if !alone && (outage.heard == 0 || now-outage.heard > heardTime) {
+	if !noPeers && (outage.peerResponded == 0 || now-outage.peerResponded > peerReachableTime) {
 		return 0, false
 	}
-	if since, away := outage.since(now); away {
+	if since, away := outage.unresponsiveSince(now); away {
 		return since, true
 	}
-	return follower.starting(now)
+	return follower.bootstrappingSince(now)
 }
--- a/mirror/rest_test.go
+++ b/mirror/idle_test.go
@@ -25,17 +25,17 @@
 
 // followed is a follower as a peer: it answers once its copy changes, or after the
 // whole wait.
-type followed struct {
+type followerPeer struct {
 	*Follower
-	asked atomic.Int64
+	relayed atomic.Int64
 }
 
-func (*followed) Name() string { return "followed" }
+func (*followerPeer) Name() string { return "followed" }
 
-func (followed *followed) Relay(ctx context.Context, since shedkeel.Revision, wait time.Duration) (Update, error) {
-	followed.asked.Add(1)
-	changed := followed.Mirror.Changed()
-	if away := followed.Away(); !away && !followed.Mirror.State().At.After(since) {
+func (followerPeer *followerPeer) Relay(ctx context.Context, since shedkeel.Revision, wait time.Duration) (Update, error) {
+	followerPeer.relayed.Add(1)
+	changed := followerPeer.Mirror.Changed()
+	if away := followerPeer.Away(); !away && !followerPeer.Mirror.State().At.After(since) {
 		select {
 		case <-ctx.Done():
 			return Update{}, ctx.Err()
@@ -43,42 +43,42 @@
 		case <-time.After(wait):
 		}
 	}
-	update := followed.Mirror.Since(since)
-	update.AsOf -= followed.Timers.Now()
-	update.Away = followed.Away()
+	update := followerPeer.Mirror.Since(since)
+	update.AsOf -= followerPeer.Timers.Now()
+	update.Away = followerPeer.Away()
 	return update, nil
 }
 
-func (followed *followed) Knows(context.Context, time.Duration) (bool, error) { return true, nil }
+func (followerPeer *followerPeer) Knows(context.Context, time.Duration) (bool, error) { return true, nil }
 
 // restingFleet is a follower of the service and followers of it, none of whose
 // records change.
-type restingFleet struct {
-	first     *followed
+type idleFleet struct {
+	first     *followerPeer
 	source    *source // of the first
-	others    *source // of its followers, the same service
+	followerSource    *source // of its followers, the same service
 	followers []*Follower
 }
 
-func newRestingFleet(t *testing.T, followers int) *restingFleet {
+func newIdleFleet(t *testing.T, followers int) *idleFleet {
 	t.Helper()
 	store := standin.NewStore()
 	_, err := store.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: "a", Value: []byte("v")}}})
 	assert.NilError(t, err)
-	fleet := &restingFleet{source: &source{Store: store}, others: &source{Store: store}}
+	fleet := &idleFleet{source: &source{Store: store}, followerSource: &source{Store: store}}
 	clock := &timer.System{}
-	fleet.first = &followed{Follower: &Follower{
+	fleet.first = &followerPeer{Follower: &Follower{
 		Mirror: &Mirror{}, Source: fleet.source, Timers: clock, Choose: func() Peer { return nil }, Others: func() []Peer { return nil },
 		Processes: func() int { return followers + 1 }, Random: rand.NewPCG(1, 2),
 	}}
 	var peers []Peer
 	for index := range followers {
 		follower := &Follower{
-			Mirror: &Mirror{}, Source: &choosySource{RecordSource: fleet.others}, Timers: clock, Choose: func() Peer { return fleet.first },
+			Mirror: &Mirror{}, Source: &refusingSource{RecordSource: fleet.followerSource}, Timers: clock, Choose: func() Peer { return fleet.first },
 			Processes: func() int { return followers + 1 }, Random: rand.NewPCG(uint64(index), 2),
 		}
 		fleet.followers = append(fleet.followers, follower)
-		peers = append(peers, &followed{Follower: follower})
+		peers = append(peers, &followerPeer{Follower: follower})
 	}
 	for _, follower := range append(fleet.followers, fleet.first.Follower) {
 		follower.Others = func() []Peer { return peers }
@@ -95,15 +95,15 @@
 	for _, follower := range fleet.followers {
 		eventually(t, "what the service has", func() bool { return follower.Mirror.State().Known })
 	}
-	time.Sleep(startTime / 4)
+	time.Sleep(startupTime / 4)
 	return fleet
 }
 
 // TestCopiesAreFreshAtRest checks that followers have no reason to leave whom they
 // follow while nothing changes.
-func TestCopiesAreFreshAtRest(t *testing.T) {
-	fleet := newRestingFleet(t, 20)
-	before := fleet.others.asked()
+func TestCopiesStayFreshWhenIdle(t *testing.T) {
+	fleet := newIdleFleet(t, 20)
+	queries := fleet.followerSource.callCount()
 	oldest := time.Duration(0)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for _, follower := range fleet.followers {
@@ -111,14 +111,14 @@
 		}
 	}
 	assert.Assert(t, oldest < staleAge, "a copy was %s old", oldest)
-	assert.Equal(t, fleet.others.asked(), before, "followers ask the service")
+	assert.Equal(t, fleet.followerSource.callCount(), queries, "followers ask the service")
 }
 
 // TestFollowersLeaveOneThatIsTurnedAway checks that followers learn of a change
 // soon though the one that they follow, which answers them, is turned away by the
 // service: before their copies are stale. The service may turn a third of them
 // away as well.
-func TestFollowersLeaveOneThatIsTurnedAway(t *testing.T) {
+func TestFollowersLeaveRefusedUpstream(t *testing.T) {
 	cases := map[string]struct {
 		followers int
 		refused   int // of them that the service turns away
@@ -129,10 +129,10 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			fleet := newRestingFleet(t, test.followers)
-			fleet.source.set(errTurnedAway)
+			fleet := newIdleFleet(t, test.followers)
+			fleet.source.setErr(errRefused)
 			for _, follower := range fleet.followers[:test.refused] {
-				follower.Source.(*choosySource).refuse()
+				follower.Source.(*refusingSource).refuse()
 			}
 			began := time.Now()
 			time.Sleep(100 * time.Millisecond)
@@ -149,9 +149,9 @@
 
 // TestTurnedAwayAsksOthers checks that a process which is to follow the service, and is
 // turned away by it alone, keeps its copy fresh by the copies of others.
-func TestTurnedAwayAsksOthers(t *testing.T) {
-	fleet := newRestingFleet(t, 20)
-	fleet.source.set(errTurnedAway)
+func TestRefusedUpstreamAsksPeers(t *testing.T) {
+	fleet := newIdleFleet(t, 20)
+	fleet.source.setErr(errRefused)
 	time.Sleep(staleAge)
 	oldest := time.Duration(0)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -160,20 +160,20 @@
 	assert.Assert(t, oldest < staleAge, "the copy was %s old", oldest)
 }
 
-var errTurnedAway = errors.New("turned away")
+var errRefused = errors.New("turned away")
 
 // choosySource is the service to one of several that share it: it may turn this one
 // away.
-type choosySource struct {
+type refusingSource struct {
 	shedkeel.RecordSource
 	refused atomic.Bool
 }
 
-func (source *choosySource) refuse() { source.refused.Store(true) }
+func (refusingSource *refusingSource) refuse() { refusingSource.refused.Store(true) }
 
-func (source *choosySource) Changes(ctx context.Context, prefix string, since shedkeel.Revision, wait time.Duration) (shedkeel.Changes, error) {
-	if source.refused.Load() {
-		return shedkeel.Changes{}, errTurnedAway
+func (refusingSource *refusingSource) Changes(ctx context.Context, prefix string, since shedkeel.Revision, wait time.Duration) (shedkeel.Changes, error) {
+	if refusingSource.refused.Load() {
+		return shedkeel.Changes{}, errRefused
 	}
-	return source.RecordSource.Changes(ctx, prefix, since, wait)
+	return refusingSource.RecordSource.Changes(ctx, prefix, since, wait)
 }
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -18,26 +18,26 @@
 
 // maxGone is how many removed keys are remembered, so that others can be told
 // of them one by one. Who asks for older changes gets the whole copy.
-const maxGone = 4096
+const maxTombstones = 4096
 
 // maxBefore is up to which size the former value of a record is kept, in
 // bytes. Backend servers write records of half a kilobyte each second that
 // differ by a number.
-const maxBefore = 4 << 10
+const maxPreviousValue = 4 << 10
 
 // Mirror is a copy of all records. The zero value is empty and proves nothing.
 type Mirror struct {
 	mutex     sync.Mutex
 	records   map[string]shedkeel.Record
-	before    map[string]shedkeel.Record // former values of small records
-	gone      []shedkeel.Record          // removed keys, oldest first
-	goneFloor shedkeel.Revision          // removals up to this revision may be forgotten
+	previous    map[string]shedkeel.Record // former values of small records
+	tombstones      []shedkeel.Record          // removed keys, oldest first
+	tombstoneFloor shedkeel.Revision          // removals up to this revision may be forgotten
 	at        shedkeel.Revision          // the store's revision that the copy has reached
 	known     bool
 	asOf      time.Duration // the copy is what the store held then, or later
 	changed   chan struct{} // closed at the next change
 	listeners []func([]shedkeel.Record)
-	restored  []func(Restore)
+	restoreListeners  []func(Restore)
 }
 
 // Update is what brings a mirror up to date.
@@ -53,8 +53,8 @@
 
 // Listen has told called with the records of each change, in order, one call
 // at a time. It must be called before the first Apply.
-func (mirror *Mirror) Listen(told func([]shedkeel.Record)) {
-	mirror.listeners = append(mirror.listeners, told)
+func (mirror *Mirror) Listen(listener func([]shedkeel.Record)) {
+	mirror.listeners = append(mirror.listeners, listener)
 }
 
 // Restore is that the service has come back from an older copy of itself, as a mirror
@@ -67,7 +67,7 @@
 // ListenRestored has the listener called with each restore, before Listen's functions
 // are with what changed by it. It must be called before the first Apply.
 func (mirror *Mirror) ListenRestored(listener func(Restore)) {
-	mirror.restored = append(mirror.restored, listener)
+	mirror.restoreListeners = append(mirror.restoreListeners, listener)
 }
 
 // Apply takes an update in. Older records never replace newer ones, and what is of an
@@ -78,31 +78,31 @@
 	defer mirror.mutex.Unlock()
 	if mirror.records == nil {
 		mirror.records = map[string]shedkeel.Record{}
-		mirror.before = map[string]shedkeel.Record{}
+		mirror.previous = map[string]shedkeel.Record{}
 	}
-	rises := mirror.known && update.At.Era > mirror.at.Era
-	if update.At.Exists() && update.At.Era < mirror.at.Era || rises && !update.Whole {
+	newEra := mirror.known && update.At.Era > mirror.at.Era
+	if update.At.Exists() && update.At.Era < mirror.at.Era || newEra && !update.Whole {
 		return
 	}
-	from := mirror.at
+	previous := mirror.at
 	mirror.at = shedkeel.LaterRevision(mirror.at, update.At)
-	news := mirror.merge(update.Records)
+	changed := mirror.merge(update.Records)
 	if update.Whole {
-		news = append(news, mirror.dropAbsent(update, rises)...)
-		mirror.goneFloor = shedkeel.LaterRevision(mirror.goneFloor, update.At)
+		changed = append(changed, mirror.removeAbsent(update, newEra)...)
+		mirror.tombstoneFloor = shedkeel.LaterRevision(mirror.tombstoneFloor, update.At)
 	}
 	first := !mirror.known
 	mirror.known = mirror.known || update.Whole
 	mirror.asOf = max(mirror.asOf, update.AsOf)
-	if rises {
-		clear(mirror.before) // they are of another history
-		mirror.notifyRestored(from, news)
+	if newEra {
+		clear(mirror.previous) // they are of another history
+		mirror.notifyRestored(previous, changed)
 	}
-	if len(news) == 0 && !first && !rises {
+	if len(changed) == 0 && !first && !newEra {
 		return
 	}
-	for _, told := range mirror.listeners {
-		told(news)
+	for _, listener := range mirror.listeners {
+		listener(changed)
 	}
 	if mirror.changed != nil {
 		close(mirror.changed)
@@ -110,43 +110,43 @@
 	}
 }
 
-func (mirror *Mirror) notifyRestored(from shedkeel.Revision, news []shedkeel.Record) {
+func (mirror *Mirror) notifyRestored(from shedkeel.Revision, changed []shedkeel.Record) {
 	restore := Restore{From: from, To: mirror.at}
-	for _, record := range news {
+	for _, record := range changed {
 		if record.Lost {
 			restore.Lost++
 		}
 	}
-	for _, listener := range mirror.restored {
+	for _, listener := range mirror.restoreListeners {
 		listener(restore)
 	}
 }
 
 // merge takes in the records that are newer than the copy's and returns them.
 func (mirror *Mirror) merge(records []shedkeel.Record) []shedkeel.Record {
-	var news []shedkeel.Record
+	var changed []shedkeel.Record
 	for _, record := range records {
-		late := record.Revision.Era < mirror.at.Era
-		if late || !record.Revision.After(mirror.records[record.Key].Revision) || mirror.removedSince(record) {
+		earlierEra := record.Revision.Era < mirror.at.Era
+		if earlierEra || !record.Revision.After(mirror.records[record.Key].Revision) || mirror.removedSince(record) {
 			continue
 		}
-		news = append(news, record)
+		changed = append(changed, record)
 		if record.Gone {
 			mirror.remove(record)
 		} else {
 			mirror.replace(record)
 		}
 	}
-	return news
+	return changed
 }
 
 // replace keeps a newer record, and the one that it replaces if it is small.
 func (mirror *Mirror) replace(record shedkeel.Record) {
 	former, found := mirror.records[record.Key]
-	if found && len(former.Value) <= maxBefore {
-		mirror.before[record.Key] = former
+	if found && len(former.Value) <= maxPreviousValue {
+		mirror.previous[record.Key] = former
 	} else {
-		delete(mirror.before, record.Key)
+		delete(mirror.previous, record.Key)
 	}
 	mirror.records[record.Key] = record
 }
@@ -154,38 +154,38 @@
 // removedSince reports whether the key was removed at a later revision than
 // the record's.
 func (mirror *Mirror) removedSince(record shedkeel.Record) bool {
-	return slices.ContainsFunc(mirror.gone, func(gone shedkeel.Record) bool {
-		return gone.Key == record.Key && !record.Revision.After(gone.Revision)
+	return slices.ContainsFunc(mirror.tombstones, func(tombstone shedkeel.Record) bool {
+		return tombstone.Key == record.Key && !record.Revision.After(tombstone.Revision)
 	})
 }
 
 func (mirror *Mirror) remove(record shedkeel.Record) {
 	delete(mirror.records, record.Key)
-	delete(mirror.before, record.Key)
-	mirror.gone = append(mirror.gone, shedkeel.Record{Key: record.Key, Revision: record.Revision, Gone: true})
-	if len(mirror.gone) > maxGone {
-		mirror.goneFloor = shedkeel.LaterRevision(mirror.goneFloor, mirror.gone[0].Revision)
-		mirror.gone = mirror.gone[1:]
+	delete(mirror.previous, record.Key)
+	mirror.tombstones = append(mirror.tombstones, shedkeel.Record{Key: record.Key, Revision: record.Revision, Gone: true})
+	if len(mirror.tombstones) > maxTombstones {
+		mirror.tombstoneFloor = shedkeel.LaterRevision(mirror.tombstoneFloor, mirror.tombstones[0].Revision)
+		mirror.tombstones = mirror.tombstones[1:]
 	}
 }
 
 // dropAbsent removes the keys that a whole copy lacks. They are lost where it begins
 // an era.
-func (mirror *Mirror) dropAbsent(update Update, lost bool) []shedkeel.Record {
+func (mirror *Mirror) removeAbsent(update Update, lost bool) []shedkeel.Record {
 	present := map[string]bool{}
 	for _, record := range update.Records {
 		present[record.Key] = true
 	}
-	var news []shedkeel.Record
+	var removed []shedkeel.Record
 	for key, record := range mirror.records {
 		if present[key] || record.Revision.After(update.At) {
 			continue
 		}
-		removed := shedkeel.Record{Key: key, Revision: update.At, Gone: true, Lost: lost}
-		mirror.remove(removed)
-		news = append(news, removed)
+		tombstone := shedkeel.Record{Key: key, Revision: update.At, Gone: true, Lost: lost}
+		mirror.remove(tombstone)
+		removed = append(removed, tombstone)
 	}
-	return news
+	return removed
 }
 
 // State is how far a mirror has come.
@@ -225,7 +225,7 @@
 func (mirror *Mirror) Before(key string) shedkeel.Record {
 	mirror.mutex.Lock()
 	defer mirror.mutex.Unlock()
-	return mirror.before[key]
+	return mirror.previous[key]
 }
 
 // Below returns the records whose keys begin with the prefix, sorted by key.
@@ -248,7 +248,7 @@
 	mirror.mutex.Lock()
 	defer mirror.mutex.Unlock()
 	era, known := mirror.at.Era, revision.Number
-	whole := mirror.goneFloor.After(revision) || revision.Era < era
+	whole := mirror.tombstoneFloor.After(revision) || revision.Era < era
 	if whole {
 		known = 0
 	}
@@ -265,7 +265,7 @@
 	if whole {
 		return update
 	}
-	for _, record := range mirror.gone {
+	for _, record := range mirror.tombstones {
 		if record.Revision.Number > known && record.Revision.Era == era {
 			update.Records = append(update.Records, record)
 		}
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -124,38 +124,38 @@
 type source struct {
 	*standin.Store
 	mutex sync.Mutex
-	fails error
+	err error
 	calls int
-	most  int // records of an answer; 0: all
+	maxRecords  int // records of an answer; 0: all
 }
 
-func (source *source) enter() error {
+func (source *source) beginCall() error {
 	source.mutex.Lock()
 	defer source.mutex.Unlock()
 	source.calls++
-	return source.fails
+	return source.err
 }
 
-func (source *source) asked() int {
+func (source *source) callCount() int {
 	source.mutex.Lock()
 	defer source.mutex.Unlock()
 	return source.calls
 }
 
-func (source *source) failing() error {
+func (source *source) currentErr() error {
 	source.mutex.Lock()
 	defer source.mutex.Unlock()
-	return source.fails
+	return source.err
 }
 
-func (source *source) set(err error) {
+func (source *source) setErr(err error) {
 	source.mutex.Lock()
 	defer source.mutex.Unlock()
-	source.fails = err
+	source.err = err
 }
 
 func (source *source) List(_ context.Context, prefix string) ([]shedkeel.Record, shedkeel.Revision, error) {
-	if err := source.enter(); err != nil {
+	if err := source.beginCall(); err != nil {
 		return nil, shedkeel.Revision{}, err
 	}
 	records, at := source.Store.List(prefix)
@@ -163,21 +163,21 @@
 }
 
 func (source *source) Changes(ctx context.Context, prefix string, since shedkeel.Revision, wait time.Duration) (shedkeel.Changes, error) {
-	if err := source.enter(); err != nil {
+	if err := source.beginCall(); err != nil {
 		return shedkeel.Changes{}, err
 	}
 	records, at, err := source.Store.Changes(ctx, prefix, since, wait)
-	if failed := source.failing(); failed != nil {
+	if failed := source.currentErr(); failed != nil {
 		return shedkeel.Changes{}, failed // it was cut while it waited
 	}
-	if most := source.most; most > 0 && len(records) > most {
-		return shedkeel.Changes{Records: records[:most], At: records[most-1].Revision, More: true}, err
+	if limit := source.maxRecords; limit > 0 && len(records) > limit {
+		return shedkeel.Changes{Records: records[:limit], At: records[limit-1].Revision, More: true}, err
 	}
 	return shedkeel.Changes{Records: records, At: at}, err
 }
 
 func (source *source) GetStale(_ context.Context, key string) (shedkeel.Record, error) {
-	return source.Record(key), source.enter()
+	return source.Record(key), source.beginCall()
 }
 
 // peer relays another mirror.
@@ -222,13 +222,13 @@
 // TestStartInAnOutage has a process start while the service is away: it learns
 // what another process knows within some tens of milliseconds, as old as that
 // one says, though another peer knows nothing and a third does not answer.
-func TestStartInAnOutage(t *testing.T) {
+func TestBootstrapDuringOutage(t *testing.T) {
 	from := &source{Store: standin.NewStore()}
-	from.set(errors.New("away"))
+	from.setErr(errors.New("away"))
 	clock := &timer.System{}
 	informed, own := &Mirror{}, &Mirror{}
-	proved := clock.Now() - 3*time.Second
-	informed.Apply(Update{Whole: true, At: shedkeel.Revision{Number: 7}, AsOf: proved, Records: []shedkeel.Record{record("a", 7)}})
+	provenAt := clock.Now() - 3*time.Second
+	informed.Apply(Update{Whole: true, At: shedkeel.Revision{Number: 7}, AsOf: provenAt, Records: []shedkeel.Record{record("a", 7)}})
 	others := []Peer{&peer{now: clock.Now}, &peer{mirror: informed, now: clock.Now}, silentPeer{}}
 	follower := &Follower{
 		Mirror: own, Source: from, Timers: clock, Choose: func() Peer { return nil }, Others: func() []Peer { return others },
@@ -240,7 +240,7 @@
 	running.Go(func() { follower.Run(ctx) })
 	eventually(t, "what the peer knows", func() bool { return own.Get("a").Revision.Number == 7 })
 	assert.Assert(t, clock.Now()-began < 200*time.Millisecond, "it took %s", clock.Now()-began)
-	assert.Assert(t, own.State().AsOf <= proved, "it looks younger than the peer's copy")
+	assert.Assert(t, own.State().AsOf <= provenAt, "it looks younger than the peer's copy")
 	cancel()
 	running.Wait()
 }
@@ -267,7 +267,7 @@
 	const processes = 40
 	store := standin.NewStore()
 	from := &source{Store: store}
-	from.set(errors.New("away"))
+	from.setErr(errors.New("away"))
 	clock := &timer.System{}
 	dead := &peer{mirror: &Mirror{}, now: clock.Now}
 	var all []Peer
@@ -288,8 +288,8 @@
 	}
 	const outage = 2 * time.Second
 	time.Sleep(outage)
-	assert.Assert(t, from.asked() <= 2*int(outage/askEach), "%d questions", from.asked())
-	assert.Assert(t, from.asked() > 0)
+	assert.Assert(t, from.callCount() <= 2*int(outage/sourceQueryInterval), "%d questions", from.callCount())
+	assert.Assert(t, from.callCount() > 0)
 
 	followers[0].Mirror.Apply(Update{Records: []shedkeel.Record{record("a", 2)}, At: shedkeel.Revision{Number: 2}, AsOf: clock.Now()})
 	eventually(t, "all to learn it", func() bool {
@@ -306,7 +306,7 @@
 
 // TestSmallFleetAsksAtOnce covers a stale follower whose peers know nothing
 // newer: in a small fleet it must not wait for its turn.
-func TestSmallFleetAsksAtOnce(t *testing.T) {
+func TestSmallFleetQueriesSourceAtOnce(t *testing.T) {
 	store := standin.NewStore()
 	_, err := store.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: "a", Value: []byte("v")}}})
 	assert.NilError(t, err)
@@ -322,7 +322,7 @@
 	began := clock.Now()
 	running.Go(func() { follower.Run(ctx) })
 	eventually(t, "the newest record", func() bool { return own.Get("a").Revision.Number > 0 })
-	assert.Assert(t, clock.Now()-began < 3*retryPause, "it took %s", clock.Now()-began)
+	assert.Assert(t, clock.Now()-began < 3*retryDelay, "it took %s", clock.Now()-began)
 	cancel()
 	running.Wait()
 }
@@ -351,14 +351,14 @@
 	put("a")
 	eventually(t, "the first copy", func() bool { return own.Get("a").Revision.Number > 0 })
 
-	from.set(errors.New("away"))
+	from.setErr(errors.New("away"))
 	put("b")
 	store.Forget()
-	time.Sleep(2 * retryPause)
-	from.set(nil)
+	time.Sleep(2 * retryDelay)
+	from.setErr(nil)
 	eventually(t, "what changed while the service was away and forgot", func() bool { return own.Get("b").Revision.Number > 0 })
 
-	from.set(errors.New("away"))
+	from.setErr(errors.New("away"))
 	age := clock.Now() - own.State().AsOf
 	records, at := store.List("")
 	other.Apply(Update{Records: append(records, record("c", at.Number+1)), Whole: true, At: shedkeel.Revision{Number: at.Number + 1}, AsOf: clock.Now()})
@@ -379,7 +379,7 @@
 // as fresh all the while.
 func TestCopyKeepsUpWithManyChanges(t *testing.T) {
 	store := standin.NewStore()
-	from := &source{Store: store, most: 50}
+	from := &source{Store: store, maxRecords: 50}
 	clock := &timer.System{}
 	own := &Mirror{}
 	follower := &Follower{Mirror: own, Source: from, Timers: clock, Choose: func() Peer { return nil }, Others: func() []Peer { return nil }, Processes: func() int { return 1 }, Random: rand.NewPCG(1, 2)}
@@ -403,22 +403,22 @@
 		assert.Assert(t, clock.Now()-began < 5*time.Second, "the copy is %d changes behind", behind)
 		time.Sleep(time.Millisecond)
 	}
-	assert.Assert(t, clock.Now()-written < startPause+maxGather+250*time.Millisecond, "it took %s", clock.Now()-written)
+	assert.Assert(t, clock.Now()-written < startupBatchDelay+maxBatchDelay+250*time.Millisecond, "it took %s", clock.Now()-written)
 	cancel()
 	running.Wait()
 }
 
-func TestGatherPause(t *testing.T) {
+func TestBatchDelay(t *testing.T) {
 	for name, test := range map[string]struct {
 		records int
 		pause   time.Duration
 	}{
-		"few records":   {10, minGather},
+		"few records":   {10, minBatchDelay},
 		"260 records":   {260, 104 * time.Millisecond},
-		"3,300 records": {3300, maxGather},
+		"3,300 records": {3300, maxBatchDelay},
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, gatherPause(test.records), test.pause)
+			assert.Equal(t, batchDelay(test.records), test.pause)
 		})
 	}
 }
--- a/mirror/restore_test.go
+++ b/mirror/restore_test.go
@@ -23,25 +23,25 @@
 var sizes = flag.Bool("sizes", false, "measure how all processes come through a restore, at all sizes")
 
 // in returns the record as it is in an era of the service.
-func in(era int64, record shedkeel.Record) shedkeel.Record {
+func inEra(era int64, record shedkeel.Record) shedkeel.Record {
 	record.Revision.Era = era
 	return record
 }
 
 // whole returns a whole update of an era.
-func whole(era, at int64, asOf time.Duration, records ...shedkeel.Record) Update {
+func fullUpdate(era, at int64, asOf time.Duration, records ...shedkeel.Record) Update {
 	update := Update{Whole: true, At: shedkeel.Revision{Era: era, Number: at}, AsOf: asOf}
 	for _, record := range records {
-		update.Records = append(update.Records, in(era, record))
+		update.Records = append(update.Records, inEra(era, record))
 	}
 	return update
 }
 
 // TestEras checks what a copy holds after the service came back from an older one.
 func TestEras(t *testing.T) {
-	before := whole(0, 9, 1, record("a", 3), record("b", 9))
-	after := whole(1, 5, 2, record("a", 3))
-	later := Update{At: shedkeel.Revision{Era: 1, Number: 6}, AsOf: 3, Records: []shedkeel.Record{in(1, record("c", 6))}}
+	before := fullUpdate(0, 9, 1, record("a", 3), record("b", 9))
+	after := fullUpdate(1, 5, 2, record("a", 3))
+	later := Update{At: shedkeel.Revision{Era: 1, Number: 6}, AsOf: 3, Records: []shedkeel.Record{inEra(1, record("c", 6))}}
 	cases := map[string]struct {
 		updates []Update
 		want    map[string]string
@@ -52,25 +52,25 @@
 		"restored":                     {[]Update{before, after}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
 		"and changed":                  {[]Update{before, after, later}, map[string]string{"a": "1:3", "c": "1:6"}, "1:6", 3, 1},
 		"an answer of before, late":    {[]Update{before, after, {At: shedkeel.Revision{Number: 12}, AsOf: 7, Records: []shedkeel.Record{record("b", 12)}}}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
-		"a list of before, late":       {[]Update{before, after, whole(0, 12, 7, record("b", 12))}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
+		"a list of before, late":       {[]Update{before, after, fullUpdate(0, 12, 7, record("b", 12))}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
 		"a write of before, late":      {[]Update{before, after, {Records: []shedkeel.Record{record("b", 12)}}}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
 		"a first write, late":          {[]Update{before, after, {Records: []shedkeel.Record{record("z", 12)}}}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
 		"a change before its list":     {[]Update{before, later}, map[string]string{"a": "3", "b": "9"}, "9", 1, 0},
-		"an own write before its list": {[]Update{before, {Records: []shedkeel.Record{in(1, record("b", 4))}}, after}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
-		"an own write after its list":  {[]Update{before, after, {Records: []shedkeel.Record{in(1, record("b", 6))}}}, map[string]string{"a": "1:3", "b": "1:6"}, "1:5", 2, 1},
-		"twice":                        {[]Update{before, after, whole(3, 2, 5, record("d", 1))}, map[string]string{"d": "3:1"}, "3:2", 5, 2},
-		"a value of the same number":   {[]Update{whole(0, 9, 1, record("a", 3), record("b", 9)), whole(1, 9, 2, record("a", 3), record("b", 9))}, map[string]string{"a": "1:3", "b": "1:9"}, "1:9", 2, 0},
+		"an own write before its list": {[]Update{before, {Records: []shedkeel.Record{inEra(1, record("b", 4))}}, after}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
+		"an own write after its list":  {[]Update{before, after, {Records: []shedkeel.Record{inEra(1, record("b", 6))}}}, map[string]string{"a": "1:3", "b": "1:6"}, "1:5", 2, 1},
+		"twice":                        {[]Update{before, after, fullUpdate(3, 2, 5, record("d", 1))}, map[string]string{"d": "3:1"}, "3:2", 5, 2},
+		"a value of the same number":   {[]Update{fullUpdate(0, 9, 1, record("a", 3), record("b", 9)), fullUpdate(1, 9, 2, record("a", 3), record("b", 9))}, map[string]string{"a": "1:3", "b": "1:9"}, "1:9", 2, 0},
 		"its start is in a later era":  {[]Update{after}, map[string]string{"a": "1:3"}, "1:5", 2, 0},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			mirror := &Mirror{}
-			lost, told := 0, 0
+			lost, deleted := 0, 0
 			mirror.ListenRestored(func(restore Restore) { lost += restore.Lost })
 			mirror.Listen(func(records []shedkeel.Record) {
 				for _, record := range records {
 					if record.Lost {
-						told++
+						deleted++
 					}
 				}
 			})
@@ -84,7 +84,7 @@
 			assert.DeepEqual(t, found, test.want)
 			assert.Equal(t, mirror.State().At.String(), test.at)
 			assert.Equal(t, mirror.State().AsOf, test.asOf)
-			assert.Equal(t, told, test.lost)
+			assert.Equal(t, deleted, test.lost)
 			assert.Equal(t, lost, test.lost)
 		})
 	}
@@ -93,7 +93,7 @@
 // TestRelayOverEras has mirrors follow each other in random order while the service goes
 // back to older copies, and checks that each ends with what the service holds and that
 // none goes back within an era or to an earlier one.
-func TestRelayOverEras(t *testing.T) {
+func TestRelayAcrossEras(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 5))
 		store := standin.NewStore()
@@ -145,7 +145,7 @@
 
 // TestFollowerListsALaterEra has a service come back from an older copy whose numbers
 // have passed the known ones, so that a watch is answered as if nothing had happened.
-func TestFollowerListsALaterEra(t *testing.T) {
+func TestFollowerListsNewEra(t *testing.T) {
 	store := standin.NewStore()
 	put := func(key string) {
 		_, err := store.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: key, Value: []byte("v")}}})
@@ -199,24 +199,24 @@
 // TestRestoreIsFollowed has a service that was away come back from an older copy, and
 // compares how processes come to follow it: each by itself, or one from which the others
 // copy. The second way stands.
-func TestRestoreIsFollowed(t *testing.T) {
-	type way struct {
+func TestFollowRestore(t *testing.T) {
+	type scenario struct {
 		processes int
 		alone     bool
 		within    time.Duration
 	}
-	cases := map[string]way{"9, one tells the others": {9, false, 500 * time.Millisecond}}
+	cases := map[string]scenario{"9, one tells the others": {9, false, 500 * time.Millisecond}}
 	if *sizes {
 		for _, processes := range []int{9, 66, 300} {
-			cases[fmt.Sprintf("%d, each by itself", processes)] = way{processes, true, time.Second}
-			cases[fmt.Sprintf("%d, one tells the others", processes)] = way{processes, false, time.Second}
+			cases[fmt.Sprintf("%d, each by itself", processes)] = scenario{processes, true, time.Second}
+			cases[fmt.Sprintf("%d, one tells the others", processes)] = scenario{processes, false, time.Second}
 		}
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			for _, passed := range []bool{false, true} {
-				took, lists, calls := restoreFleet(t, test.processes, test.alone, passed)
-				t.Logf("revisions passed: %t; all follow after %s; %d lists, %d calls", passed, took, lists, calls)
+			for _, overtaken := range []bool{false, true} {
+				took, lists, calls := measureRestore(t, test.processes, test.alone, overtaken)
+				t.Logf("revisions passed: %t; all follow after %s; %d lists, %d calls", overtaken, took, lists, calls)
 				assert.Assert(t, took < test.within, "it took %s", took)
 			}
 		})
@@ -225,7 +225,7 @@
 
 // restoreFleet returns how long it takes from the return of the service until all
 // processes follow it, and how often they list it and call it meanwhile.
-func restoreFleet(t *testing.T, processes int, alone, passed bool) (took time.Duration, lists, calls int64) {
+func measureRestore(t *testing.T, processes int, independent, overtaken bool) (took time.Duration, lists, calls int64) {
 	t.Helper()
 	store := standin.NewStore()
 	change := func(count int) {
@@ -243,7 +243,7 @@
 		follower := &Follower{
 			Mirror: &Mirror{}, Source: from, Timers: clock, Processes: func() int { return processes }, Random: rand.NewPCG(uint64(index), 3),
 			Choose: func() Peer {
-				if alone || index == 0 {
+				if independent || index == 0 {
 					return nil
 				}
 				return peers[0]
@@ -251,7 +251,7 @@
 			Others: func() []Peer { return peers },
 		}
 		followers = append(followers, follower)
-		peers = append(peers, &followed{Follower: follower})
+		peers = append(peers, &followerPeer{Follower: follower})
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
@@ -274,15 +274,15 @@
 	store.Snapshot()
 	change(50)
 	time.Sleep(time.Second)
-	from.set(errors.New("away"))
+	from.setErr(errors.New("away"))
 	time.Sleep(500 * time.Millisecond)
 	store.Restore()
-	if passed {
+	if overtaken {
 		change(100)
 	}
-	asked, listed := from.asked(), from.lists.Load()
+	asked, listed := from.callCount(), from.lists.Load()
 	returned := clock.Now()
-	from.set(nil)
+	from.setErr(nil)
 	eventually(t, "all follow", reached(1))
-	return clock.Now() - returned, from.lists.Load() - listed, int64(from.asked() - asked)
+	return clock.Now() - returned, from.lists.Load() - listed, int64(from.callCount() - asked)
 }
--- a/mutants_test.go
+++ b/mutants_test.go
@@ -58,7 +58,7 @@
 		"node/fleet.go", "until = max(until, since+service.ColdTime)", "until = max(until, 0*since)", "TestColdServersGetLittle", "./node",
 	},
 	"start of a fleet: nobody waits for the seeds": {
-		"mirror/start.go", "|| start.first.Load()", "", "TestStartOfAllAtOnce", "./mirror",
+		"mirror/bootstrap.go", "|| bootstrap.firstStart.Load()", "", "TestSimultaneousStart", "./mirror",
 	},
 	"start of a fleet: the first election does not wait": {
 		"node/election.go", "if term.Revision.Exists() {\n\t\treturn place", "if true {\n\t\treturn place", "TestFirstElectionIsOfFew", "./node",
@@ -67,7 +67,7 @@
 		"node/registrar.go", "timer := time.NewTimer(registerGather)", "timer := time.NewTimer(0)", "TestRegistrationsAreWrittenTogether", "./node",
 	},
 	"restored store: eras are not compared": {
-		"revision.go", "if revision.Era != other.Era {", "if false {", "TestEras|TestRelayOverEras", "./mirror",
+		"revision.go", "if revision.Era != other.Era {", "if false {", "TestEras|TestRelayAcrossEras", "./mirror",
 	},
 	"restored store: a watch of a later era is believed": {
 		"platform/store.go", "|| err == nil && era != since.Era {", "{", "TestRestoredService", "./platform",
@@ -76,7 +76,7 @@
 		"mirror/mirror.go", "update.At.Exists() && update.At.Era < mirror.at.Era ||", "", "TestEras", "./mirror",
 	},
 	"restored store: late writes count": {
-		"mirror/mirror.go", "late := record.Revision.Era < mirror.at.Era", "late := false", "TestEras", "./mirror",
+		"mirror/mirror.go", "earlierEra := record.Revision.Era < mirror.at.Era", "earlierEra := false", "TestEras", "./mirror",
 	},
 	"restored store: conditions hold by chance": {
 		"platform/era.go", "if condition.Revision.Exists() && condition.Revision.Era < store.Era() {", "if false {", "TestRestoredService", "./platform",
@@ -136,10 +136,10 @@
 		"serve/budget.go", "bound+budget.Lot {", "bound+0*budget.Lot {", "TestRepeatsOfNodesThatStartAgain", "./serve",
 	},
 	"copies: who is turned away follows the service alone": {
-		"mirror/follower.go", "!follower.fresh(state) || follower.Away()", "!follower.fresh(state)", "TestTurnedAwayAsksOthers", "./mirror",
+		"mirror/follower.go", "!follower.fresh(state) || follower.Away()", "!follower.fresh(state)", "TestRefusedUpstreamAsksPeers", "./mirror",
 	},
 	"copies: questions to any process do not wait": {
-		"mirror/follower.go", "peer, wait = follower.other(), retryPause", "peer, wait = follower.other(), 0", "TestFollowersLeaveOneThatIsTurnedAway", "./mirror",
+		"mirror/follower.go", "peer, wait = follower.randomPeer(), retryDelay", "peer, wait = follower.randomPeer(), 0", "TestFollowersLeaveRefusedUpstream", "./mirror",
 	},
 	"suspended box: limits go by the runtime's timers": {
 		"serve/guard.go", "if now > exchange.limit {", "if false {", "TestSuspendedBox", "./serve",
@@ -205,7 +205,7 @@
 		"node/fleetsize.go", "return mirror.Advice{Peers: peers.startFrom(size.Relays)}, nil", "return mirror.Advice{List: true}, nil", "TestAdvice", "./node",
 	},
 	"size: who has no advice to list does so at once": {
-		"mirror/start.go", "if start.lists.Load() || len(follower.Others()) == 0 {", "if true {", "TestStartOfAllAtOnce", "./mirror",
+		"mirror/bootstrap.go", "if bootstrap.listsSource.Load() || len(follower.Others()) == 0 {", "if true {", "TestSimultaneousStart", "./mirror",
 	},
 	"size: all follow one node": {
 		"node/follow.go", "return nodes > directFollowers }", "return nodes < 0 }", "TestFollowers", "./node",
@@ -301,10 +301,10 @@
 		"serve/retryafter.go", "return max(retryOutage, now-since)", "return min(retrySoon, now-since)", "TestRetryAfter|TestRefusedWhileAll", "./serve",
 	},
 	"nodes: a node that is cut off takes it for an outage of all": {
-		"mirror/outage.go", "if !alone && (", "if !alone && false && (", "TestOutage", "./mirror",
+		"mirror/health.go", "if !noPeers && (", "if !noPeers && false && (", "TestOutage", "./mirror",
 	},
 	"nodes: seeds are not asked": {
-		"mirror/start.go", "follower.runStartFrom(ctx, peer)\n", "_ = peer\n", "TestStartInAnOutage", "./mirror",
+		"mirror/bootstrap.go", "follower.runBootstrap(ctx, peer)\n", "_ = peer\n", "TestBootstrapDuringOutage", "./mirror",
 	},
 	"nodes: a failure outweighs any wait": {
 		"dispatch/spread.go", "return 1 / max(1-failing, 1.0/mostSendings)", "return 1 + mostSendings*failing", "TestSpread$|TestWish", "./dispatch",
