--- a/mirror/bench_test.go
+++ b/mirror/bench_test.go
@@ -7,7 +7,7 @@
 	"shedkeel.org/shedkeel"
 )
 
-// benchRecords returns the records of so many servers.
+// benchRecords returns the records of count backend servers.
 func benchRecords(count int) []shedkeel.Record {
 	var records []shedkeel.Record
 	for index := range count {
@@ -16,7 +16,7 @@
 	return records
 }
 
-// BenchmarkApply takes one change into a copy of 3,300 records.
+// BenchmarkApply applies one change to a copy of 3,300 records.
 func BenchmarkApply(b *testing.B) {
 	const count = 3300
 	mirror := &Mirror{}
@@ -32,7 +32,7 @@
 	}
 }
 
-// BenchmarkSince tells one change of a copy of 3,300 records on.
+// BenchmarkSince collects one change of a copy of 3,300 records.
 func BenchmarkSince(b *testing.B) {
 	const count = 3300
 	mirror := &Mirror{}
--- a/mirror/bootstrap.go
+++ b/mirror/bootstrap.go
@@ -10,67 +10,67 @@
 )
 
 const (
-	// startRetry is the first pause after a peer was asked in vain by a process
-	// that knows nothing; it doubles up to maxRetryPause.
+	// bootstrapRetryDelay is the first delay after a process without a copy has
+	// queried a peer without success; it doubles up to maxRetryDelay.
 	bootstrapRetryDelay = 50 * time.Millisecond
-	// startStagger is how much later each further peer is asked at the start: an
-	// answer takes some milliseconds, so the next one is asked where a peer is
-	// down.
+	// bootstrapStagger is the delay between the queries to successive peers at the
+	// start. A response takes some milliseconds, so the next peer is usually queried
+	// only where the one before is down.
 	bootstrapStagger = 40 * time.Millisecond
-	// startWait is how long a peer that knows nothing yet may wait with its
-	// answer until it does.
+	// bootstrapWait is how long a peer that has no copy yet may delay its response
+	// until it has one.
 	bootstrapWait = 300 * time.Millisecond
-	// startTurn is after how long a process asks the service itself, if no peer
-	// answers; up to as much again is drawn.
+	// listFallbackDelay is how long after its start a process lists the service's
+	// records itself if no peer responds; up to as much again is added at random.
 	listFallbackDelay = 100 * time.Millisecond
-	// startPatience is the same where peers answer that they know nothing either, or
-	// the fleet starts for the first time: those that list the service's records are
-	// about to have them.
+	// extendedListFallbackDelay replaces listFallbackDelay where peers respond that
+	// they have no copy either, or where the fleet starts for the first time: the
+	// processes that list the service's records are about to have them.
 	extendedListFallbackDelay = 1500 * time.Millisecond
-	// startWindow is within what time a process asks the service again that it
-	// asked in vain; it doubles with each failure up to maxStartWindow. All lists
-	// go through the service's one link: when 295 processes read 1.5 MB each and
-	// gave up and began anew together, none came to its end in 20 s.
+	// listRetryWindow is the time within which a process repeats a failed list, at a
+	// random moment; it doubles with each failure up to maxListRetryWindow. All lists
+	// share the network link of the service: when 295 processes read 1.5 MB each,
+	// gave up and retried together, no list completed in 20 s.
 	listRetryWindow    = 400 * time.Millisecond
 	maxListRetryWindow = 6400 * time.Millisecond
 )
 
-// Advice is how a process begins that knows nothing.
+// Advice says how a process without a copy gets one.
 type Advice struct {
-	// List says that it is one of those that list the service's records at once:
-	// others ask it, or there are so few processes that all may.
+	// List says that the process lists the service's records at once, because others
+	// will query it or because there are so few processes that all may list.
 	List bool
-	// First says that the fleet starts for the first time: no caller waits, and the
-	// peers may all be about to start.
+	// First says that the fleet starts for the first time: no callers wait, and all
+	// peers may still be starting.
 	First bool
-	// Peers are asked besides those that were known without the advice.
+	// Peers are queried besides those that were known without the advice.
 	Peers []Peer
 }
 
-// start is how a process comes to know anything. In a large fleet a few list the
-// service's records at once and tell the others, which do so only when none can
-// tell them: a fleet whose processes all start at one moment then lists them a
-// few times, however many they are.
+// bootstrap is how a process gets its first copy. In a large fleet a few processes
+// list the service's records at once. The others copy from them, and list the records
+// themselves only if no peer has a copy. A fleet whose processes all start at one
+// moment then lists the records only a few times, whatever its size.
 type bootstrap struct {
 	startedAt   atomic.Int64 // when Run was called
-	copyMutex sync.Mutex   // held while a whole copy is asked for
-	listsSource   atomic.Bool  // it lists at once, as advised
-	firstStart   atomic.Bool  // the fleet starts for the first time, as advised
+	copyMutex   sync.Mutex   // held while a full copy is requested
+	listsSource atomic.Bool  // the process lists at once, as advised
+	firstStart  atomic.Bool  // the fleet starts for the first time, as advised
 
-	// Only the loop that asks the service uses these.
-	jitter    float64       // from 0 to 1, the process's own
-	nextList   time.Duration // when the service may be asked again that was asked in vain
-	retryWindow time.Duration // within which the next turn is drawn; 0: no question has failed
+	// Only the loop that queries the service uses these.
+	jitter      float64       // random, from 0 to 1; fixed for the process
+	nextList    time.Duration // when a failed list may be repeated
+	retryWindow time.Duration // within which the next list is repeated; 0: no list has failed
 }
 
-// begin notes the start of the process.
+// begin records the start of the process and draws its jitter.
 func (bootstrap *bootstrap) begin(follower *Follower) {
 	const steps = 1 << 20
 	bootstrap.jitter = float64(follower.randomBelow(steps)) / steps
 	bootstrap.startedAt.Store(int64(follower.Timers.Now()))
 }
 
-// runAdvice asks the service how to begin until it answers or anything is known.
+// runAdvice requests the advice until the service responds or the process has a copy.
 func (follower *Follower) runAdvice(ctx context.Context) {
 	if follower.Advise == nil {
 		follower.bootstrap.listsSource.Store(true)
@@ -93,7 +93,7 @@
 	}
 }
 
-// mayAsk reports whether a process that knows nothing may ask the service now.
+// mayList reports whether a process without a copy may list the service's records now.
 func (bootstrap *bootstrap) mayList(follower *Follower) bool {
 	if bootstrap.listsSource.Load() || len(follower.Others()) == 0 {
 		return true
@@ -110,14 +110,14 @@
 	return now >= allowedAt
 }
 
-// failed notes that the service was asked in vain.
+// noteFailedList schedules the next list after a failed one.
 func (bootstrap *bootstrap) noteFailedList(follower *Follower) {
 	bootstrap.retryWindow = min(max(2*bootstrap.retryWindow, listRetryWindow), maxListRetryWindow)
 	bootstrap.nextList = follower.Timers.Now() + time.Duration(follower.randomBelow(uint64(bootstrap.retryWindow)))
 }
 
-// askAtStart asks peers until anything is known: the service may be away, and
-// the peer's copy is what others serve by. It is as old as the peer says.
+// bootstrapFrom queries peers until the process has a copy: the service may be down,
+// and other processes serve by the peer's copy. The copy is as old as the peer says.
 func (follower *Follower) bootstrapFrom(ctx context.Context, peers []Peer) {
 	for index, peer := range peers {
 		follower.running.Go(func() {
@@ -127,10 +127,10 @@
 	}
 }
 
-// runStartFrom asks one peer whether it knows anything, then for its copy. The
-// copy is asked of one peer at a time: it is large.
+// runBootstrap asks one peer whether it has a copy, and then requests it. Only one peer
+// at a time is asked for its copy, which is large.
 func (follower *Follower) runBootstrap(ctx context.Context, peer Peer) {
-	delay, wait := bootstrapRetryDelay, time.Duration(0) // the first answer shows at once whether it lives
+	delay, wait := bootstrapRetryDelay, time.Duration(0) // the first response comes at once and shows whether the peer is running
 	for ctx.Err() == nil && !follower.Mirror.State().Known {
 		knows, err := peer.Knows(ctx, wait)
 		if err != nil {
@@ -146,8 +146,8 @@
 	}
 }
 
-// copyFrom takes over a peer's whole copy if nothing is known still, and reports
-// whether anything is known then.
+// fetchCopy requests a peer's full copy unless the process has one by then. It reports
+// whether the process has a copy afterwards.
 func (follower *Follower) fetchCopy(ctx context.Context, peer Peer) bool {
 	follower.bootstrap.copyMutex.Lock()
 	defer follower.bootstrap.copyMutex.Unlock()
@@ -158,8 +158,8 @@
 	return answered
 }
 
-// starting returns since when this process knows nothing, as others do that it
-// has asked.
+// bootstrappingSince returns when this process started, if it still has no copy and
+// has left the listing of the service's records to others.
 func (follower *Follower) bootstrappingSince(now time.Duration) (since time.Duration, bootstrapping bool) {
 	startedAt := time.Duration(follower.bootstrap.startedAt.Load())
 	if startedAt == 0 || follower.bootstrap.listsSource.Load() || follower.Mirror.State().Known || now-startedAt < responseTimeout {
--- a/mirror/bootstrap_test.go
+++ b/mirror/bootstrap_test.go
@@ -14,20 +14,20 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// link is the service's link. Lists go through it one after the other, also
-// those that nobody waits for any more.
+// sharedLink is the network link of the service. Lists pass through it one after the
+// other, including those whose caller has timed out.
 type sharedLink struct {
-	listTime     time.Duration // that one list takes
-	clientTimeout time.Duration // after which a process gives a list up that does not come, and loses what it had
+	listTime      time.Duration // that one list takes
+	clientTimeout time.Duration // after which a process abandons a list and loses what it has read
 
-	mutex sync.Mutex
-	idleAt  time.Time // when all that was asked for is through
-	listed int
+	mutex  sync.Mutex
+	idleAt time.Time // when all lists so far are through
+	lists  int
 }
 
 func (sharedLink *sharedLink) List(ctx context.Context, _ string) ([]shedkeel.Record, shedkeel.Revision, error) {
 	sharedLink.mutex.Lock()
-	sharedLink.listed++
+	sharedLink.lists++
 	now := time.Now()
 	if sharedLink.idleAt.Before(now) {
 		sharedLink.idleAt = now
@@ -37,7 +37,7 @@
 	sharedLink.mutex.Unlock()
 	timer.Sleep(ctx, min(remaining, sharedLink.clientTimeout))
 	if remaining > sharedLink.clientTimeout {
-		return nil, shedkeel.Revision{}, errors.New("it took too long")
+		return nil, shedkeel.Revision{}, errors.New("the list took longer than the client timeout")
 	}
 	return []shedkeel.Record{record("a", 7)}, shedkeel.Revision{Number: 7}, nil
 }
@@ -52,7 +52,7 @@
 	return shedkeel.Record{Key: key}, nil
 }
 
-// latePeer is a peer whose socket is not open until then.
+// latePeer is a peer that refuses connections until openAt.
 type latePeer struct {
 	peer
 	openAt time.Time
@@ -65,26 +65,26 @@
 	return peer.peer.Knows(ctx, wait)
 }
 
-// TestStartOfAllAtOnce has all processes of a fleet start at one moment, as after
-// a loss of power. Each list takes 12 ms of the service's link, so that 58 come
-// through in 0.7 s of those that are asked for together.
+// TestSimultaneousStart starts all processes of a fleet at one moment, as after a loss
+// of power. Each list takes 12 ms of the service's link, so that of the lists that are
+// requested together 58 complete in 0.7 s.
 func TestSimultaneousStart(t *testing.T) {
 	const processes, seeds = 300, 3 // the seeds are advised to list
 	cases := map[string]struct {
-		seedsLive bool
-		seedsFrom time.Duration // until then their sockets are not open
-		first     bool          // as all processes are advised
-		patience  time.Duration
-		within    time.Duration
-		asked     int // most lists
+		seedsRun      bool
+		seedsStart    time.Duration // when the seeds start
+		first         bool          // the advice that all processes get
+		clientTimeout time.Duration
+		limit         time.Duration
+		maxLists      int
 	}{
-		"the seeds start too":                               {true, 0, false, 700 * time.Millisecond, 700 * time.Millisecond, 2 * seeds},
-		"the seeds start last of a fleet that is new":       {true, 300 * time.Millisecond, true, 700 * time.Millisecond, time.Second, 2 * seeds},
-		"the seeds are down, and lists that come are taken": {false, 0, false, 10 * time.Second, 5 * time.Second, processes},
+		"the seeds start at the same time":               {true, 0, false, 700 * time.Millisecond, 700 * time.Millisecond, 2 * seeds},
+		"the seeds of a new fleet start last":            {true, 300 * time.Millisecond, true, 700 * time.Millisecond, time.Second, 2 * seeds},
+		"the seeds are down and slow lists are accepted": {false, 0, false, 10 * time.Second, 5 * time.Second, processes},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			service := &sharedLink{listTime: 12 * time.Millisecond, clientTimeout: test.patience}
+			service := &sharedLink{listTime: 12 * time.Millisecond, clientTimeout: test.clientTimeout}
 			clock := &timer.System{}
 			began := time.Now()
 			var mirrors []*Mirror
@@ -94,8 +94,8 @@
 			}
 			for _, mirror := range mirrors[:seeds] {
 				seedPeers = append(seedPeers, Peer(silentPeer{}))
-				if test.seedsLive {
-					seedPeers[len(seedPeers)-1] = &latePeer{peer{mirror: mirror, now: clock.Now}, began.Add(test.seedsFrom)}
+				if test.seedsRun {
+					seedPeers[len(seedPeers)-1] = &latePeer{peer{mirror: mirror, now: clock.Now}, began.Add(test.seedsStart)}
 				}
 			}
 			ctx, cancel := context.WithCancel(t.Context())
@@ -108,18 +108,18 @@
 				}
 				if index < seeds {
 					follower.Choose = func() Peer { return nil }
-					if !test.seedsLive {
+					if !test.seedsRun {
 						continue
 					}
 				}
 				running.Go(func() {
 					if index < seeds {
-						timer.Sleep(ctx, test.seedsFrom)
+						timer.Sleep(ctx, test.seedsStart)
 					}
 					follower.Run(ctx)
 				})
 			}
-			informed := func() int {
+			withCopy := func() int {
 				count := 0
 				for _, own := range mirrors {
 					if own.State().Known {
@@ -129,18 +129,18 @@
 				return count
 			}
 			expected := processes
-			if !test.seedsLive {
+			if !test.seedsRun {
 				expected -= seeds
 			}
-			for informed() < expected && time.Since(began) < test.within {
+			for withCopy() < expected && time.Since(began) < test.limit {
 				time.Sleep(5 * time.Millisecond)
 			}
 			took := time.Since(began)
 			cancel()
 			running.Wait()
-			t.Logf("%d of %d informed after %s, %d lists asked for", informed(), expected, took, service.listed)
-			assert.Equal(t, informed(), expected, "after %s", took)
-			assert.Assert(t, service.listed <= test.asked, "%d lists were asked for", service.listed)
+			t.Logf("%d of %d processes have a copy after %s, %d lists requested", withCopy(), expected, took, service.lists)
+			assert.Equal(t, withCopy(), expected, "after %s", took)
+			assert.Assert(t, service.lists <= test.maxLists, "%d lists were requested", service.lists)
 		})
 	}
 }
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -14,97 +14,101 @@
 )
 
 const (
-	// watchWait is how long a watch of the service waits when nothing
-	// changes. Its end proves the copy's age, as of its beginning: just before
-	// the next one ends, the copy is twice as old. A watch may hang in silence;
-	// with its time-out and a follower's patience, a change must still reach
-	// every node within the two seconds that the platform gives for a server
-	// that leaves.
+	// watchWait is how long the service holds a watch while nothing changes. The
+	// response proves the age of the copy as of the time when the watch began, so
+	// just before the next response the copy is up to twice that old. A watch may
+	// get no response at all: together with its time-out and the delay before a
+	// follower turns to other peers, a change must still reach every node within
+	// the 2 s that the platform allows for a server that leaves.
 	watchWait = 350 * time.Millisecond
-	// RelayWait is the same for a question to another mirror.
+	// RelayWait is how long another mirror holds a request while nothing changes.
 	RelayWait = 300 * time.Millisecond
-	// staleAge is the age from which a follower of another mirror asks the
-	// service itself: two watches of the other and two questions to it, which
-	// come at any moment of the watch, and their answers. Where the other follows
-	// a mirror too, one more question is under way. At rest no copy is older: if
-	// it were, processes would leave whom they follow and call the service.
+	// staleAge is the age at which the copy of a process that follows a peer counts
+	// as stale; the process then queries the service itself. It covers two watches
+	// by the peer, two requests to the peer, which arrive at any moment of a watch,
+	// and their responses. Where the peer follows another peer, one more request is
+	// added (see Follower.staleAge). While nothing changes no copy may get this old:
+	// otherwise idle processes would leave their upstream and call the service.
 	staleAge = 2*watchWait + 2*RelayWait + 200*time.Millisecond
-	// awayTime is for how long a process whose peer is out of the service's reach
-	// asks the service and any other process, as if its copy were stale.
+	// upstreamDisconnectedTime is for how long a process treats its copy as stale,
+	// and queries the service and random peers, after its upstream has reported that
+	// it cannot reach the service.
 	upstreamDisconnectedTime = time.Second
-	// proofWait is how long a watch waits that is to prove the age of a copy
-	// that has become stale.
+	// ageProofWait is how long the service holds a watch that is sent to prove the
+	// age of a stale copy.
 	ageProofWait = 50 * time.Millisecond
-	// gatherEach, minGather and maxGather are how long changes are let gather after
-	// some have come: each answer costs a call, and the more records there are, the
-	// more often one changes. 260 records let them gather for 0.1 s. Among 3,300
-	// records of 300 boxes a change of the configuration would wait 1.3 s by that,
-	// of the 3 s in which it must be in force.
+	// batchDelayPerRecord, minBatchDelay and maxBatchDelay set how long a process
+	// waits after changes before it queries again, so that more changes come with
+	// one response: each response costs a call, and the more records there are, the
+	// more often one changes. 260 records give a delay of 0.1 s. Without the upper
+	// bound, the 3,300 records of 300 boxes would delay a change of the
+	// configuration by 1.3 s of the 3 s within which it must be in force.
 	batchDelayPerRecord = 400 * time.Microsecond
-	minBatchDelay  = 25 * time.Millisecond
-	maxBatchDelay  = 250 * time.Millisecond
-	// askEach is how long after the question of one process to the service
-	// the next one's may come on average, when many have nobody to follow:
-	// without a bound, 79 of them cost 200 calls a second in an outage.
-	// A process that finds its copy stale in a fleet of up to askFreely asks
-	// at once.
-	sourceQueryInterval   = 50 * time.Millisecond
+	minBatchDelay       = 25 * time.Millisecond
+	maxBatchDelay       = 250 * time.Millisecond
+	// sourceQueryInterval is the mean time between the queries of all processes to
+	// the service while their copies are stale. Without this limit, 79 processes
+	// made 200 calls a second in an outage.
+	sourceQueryInterval = 50 * time.Millisecond
+	// unpacedProcesses is the size of a fleet up to which a process with a stale
+	// copy queries the service at once.
 	unpacedProcesses = 12
-	// startPause is the same in startTime, while all processes of a fleet and
-	// its backend servers may be recording themselves.
+	// startupBatchDelay replaces the batch delay during startupTime, while all
+	// processes of a fleet and its backend servers may be registering.
 	startupBatchDelay = 150 * time.Millisecond
-	startupTime  = 4 * time.Second
-	// retryPause is the pause after a failed question; it doubles up to
-	// maxRetryPause while they fail, once something is known.
+	startupTime       = 4 * time.Second
+	// retryDelay is the delay after a failed query. Once the process has a copy, the
+	// delay doubles up to maxRetryDelay while queries fail.
 	retryDelay    = 100 * time.Millisecond
 	maxRetryDelay = 400 * time.Millisecond
 )
 
 // Peer is the mirror of another process.
 type Peer interface {
-	// Name names the process.
+	// Name returns the name of the process.
 	Name() string
-	// Relay asks for what changed since the revision, and waits for a change
-	// for as long as wait. The update's AsOf is the age of the other's copy,
-	// counted back from zero.
+	// Relay requests the changes after the revision, and waits up to wait for a
+	// change. The update's AsOf is minus the age of the peer's copy.
 	Relay(ctx context.Context, since shedkeel.Revision, wait time.Duration) (Update, error)
-	// Knows asks whether the other's copy has anything at all. While it has not,
-	// the answer waits for as long as wait.
+	// Knows reports whether the peer has a copy. While it has none, the response is
+	// delayed by up to wait.
 	Knows(ctx context.Context, wait time.Duration) (bool, error)
 }
 
-// Follower keeps a mirror up to date. Its exported fields are set before Run.
+// Follower keeps a mirror up to date. Its exported fields must be set before Run.
 type Follower struct {
 	Mirror *Mirror
 	Source shedkeel.RecordSource
 	Timers shedkeel.Timers
 	Log    *event.Log
-	// Choose returns the peer to follow, or nil to follow the service.
+	// Choose returns the upstream, which is the peer to follow, or nil to follow
+	// the service.
 	Choose func() Peer
-	// Others returns all peers. While the copy is stale any of them is asked,
-	// whoever is to be followed; those that are known at the start are asked
-	// until anything is known.
+	// Others returns all peers. A process with a stale copy queries any of them,
+	// whatever its upstream is. The peers present at the start are queried until
+	// the process has a copy.
 	Others func() []Peer
-	// Advise reads from the service how a process that knows nothing is to begin.
-	// nil: it lists the service's records at once.
+	// Advise reads from the service how a process without a copy is to get one. If
+	// it is nil, the process lists the service's records at once.
 	Advise func(ctx context.Context) (Advice, error)
-	// Hops returns through how many other processes a copy may come here. nil: 1.
+	// Hops returns the largest number of other processes that a copy passes through
+	// on its way from the service to this one. If it is nil, the number is 1.
 	Hops func() int
 	// Processes returns how many processes follow the service or each other.
 	Processes func() int
-	Random    shedkeel.Random // is not used elsewhere
+	Random    shedkeel.Random // must not be shared
 
-	health   health
-	bootstrap    bootstrap
-	upstreamDisconnectedUntil atomic.Int64 // until when the peer to follow counts as out of the service's reach
-	randomMutex  sync.Mutex   // held while Random is used
-	running  sync.WaitGroup
-	upstream string        // whose copy was followed last, for the log
-	sourceFailing     bool          // the service did not answer the last question
-	nextQuery     time.Duration // when a process that is to follow a peer may ask the service; 0: not set
+	health                    health
+	bootstrap                 bootstrap
+	upstreamDisconnectedUntil atomic.Int64 // until when the upstream counts as unable to reach the service
+	randomMutex               sync.Mutex   // guards Random
+	running                   sync.WaitGroup
+	upstream                  string        // the process or service followed last, for the log
+	sourceFailing             bool          // the last query to the service failed
+	nextQuery                 time.Duration // when a process with a stale copy may query the service; 0: not set
 }
 
-// Run follows until the context ends.
+// Run keeps the mirror up to date until the context ends.
 func (follower *Follower) Run(ctx context.Context) {
 	follower.bootstrap.begin(follower)
 	follower.bootstrapFrom(ctx, follower.Others())
@@ -113,8 +117,7 @@
 	follower.running.Wait()
 }
 
-// runSource follows the service while no peer is to be followed, or while
-// what peers tell is too old.
+// runSource follows the service while there is no upstream or the copy is stale.
 func (follower *Follower) runSource(ctx context.Context) {
 	follower.runAdvice(ctx)
 	failureDelay := retryDelay
@@ -133,7 +136,7 @@
 				follower.bootstrap.noteFailedList(follower)
 			}
 			timer.Sleep(ctx, failureDelay)
-			if state.Known { // a process that knows nothing can serve nobody
+			if state.Known { // without a copy the process can serve nobody, so the delay stays short
 				failureDelay = min(2*failureDelay, maxRetryDelay)
 			}
 			continue
@@ -150,19 +153,19 @@
 	}
 }
 
-// gatherPause is how long the changes of so many records are let gather.
+// batchDelay returns how long to wait for further changes among so many records.
 func batchDelay(records int) time.Duration {
 	return min(max(minBatchDelay, time.Duration(records)*batchDelayPerRecord), maxBatchDelay)
 }
 
-// fresh reports whether the copy is as new as it should be, and whom it comes from
-// within reach of the service.
+// fresh reports whether the copy is recent enough and the upstream can reach the
+// service.
 func (follower *Follower) fresh(state State) bool {
 	now := follower.Timers.Now()
 	return state.Known && now-state.AsOf < follower.staleAge() && now >= time.Duration(follower.upstreamDisconnectedUntil.Load())
 }
 
-// staleAge returns the age from which the copy of this process is stale.
+// staleAge returns the age at which the copy of this process is stale.
 func (follower *Follower) staleAge() time.Duration {
 	if follower.Hops == nil {
 		return staleAge
@@ -170,9 +173,9 @@
 	return staleAge + time.Duration(follower.Hops()-1)*RelayWait
 }
 
-// mayAsk reports whether this process may ask the service now: it follows the
-// service itself, or the copy that it is to have from a peer is stale and it is
-// its turn. The turns of all processes are spread at random.
+// mayQuerySource reports whether this process may query the service now. It may if
+// it has no upstream, or if its copy is stale and its randomly chosen time has
+// come; the random times spread the queries of all processes.
 func (follower *Follower) mayQuerySource(state State) bool {
 	if !state.Known {
 		return follower.bootstrap.mayList(follower)
@@ -195,8 +198,9 @@
 	return true
 }
 
-// askPause is how long a process waits that may not ask the service yet. One
-// that knows nothing looks more often: its turn is a matter of milliseconds.
+// sourceQueryPause returns how long a process waits that may not query the service
+// yet. A process without a copy checks more often, as it may query within
+// milliseconds.
 func (follower *Follower) sourceQueryPause(state State) time.Duration {
 	if !state.Known {
 		return bootstrapRetryDelay / 2
@@ -204,7 +208,8 @@
 	return retryDelay
 }
 
-// share returns a random time, of which the mean is askEach for each process.
+// randomQueryDelay returns a random delay whose mean is sourceQueryInterval times
+// the number of processes, or 0 in a small fleet.
 func (follower *Follower) randomQueryDelay() time.Duration {
 	processes := follower.Processes()
 	if processes <= unpacedProcesses {
@@ -213,8 +218,8 @@
 	return time.Duration(follower.randomBelow(uint64(2 * sourceQueryInterval * time.Duration(processes))))
 }
 
-// askSource asks the service once. It reports whether the answer was full, so
-// that the next question must come at once: an answer holds some hundred
+// querySource sends one query to the service. It reports whether more changes are
+// left, so that the next query must follow at once: a response holds some hundred
 // changes, and 3,000 servers of 300 boxes make more of them in a second.
 func (follower *Follower) querySource(ctx context.Context, state State) (more bool, err error) {
 	sent := follower.Timers.Now()
@@ -237,15 +242,16 @@
 	}
 	update := Update{Records: changes.Records, At: changes.At, AsOf: sent}
 	if changes.More {
-		// What the service held when it was asked may not all be here. Taken for a
-		// proof, a copy that was 8 s behind counted as fresh, and routes that had
-		// been added were refused by it.
+		// The response may lack changes that the service held when it was asked, so it
+		// proves no age. When it counted as a proof, a copy that was 8 s behind counted
+		// as fresh, and requests for newly added routes were refused.
 		update.AsOf = 0
 	}
 	follower.Mirror.Apply(update)
 	return changes.More, nil
 }
 
+// listSource replaces the copy by a list of all records of the service.
 func (follower *Follower) listSource(ctx context.Context, sent time.Duration) error {
 	records, at, err := follower.Source.List(ctx, "")
 	if err != nil {
@@ -255,7 +261,7 @@
 	return nil
 }
 
-// note logs that the service went away or came back.
+// logSourceState logs when queries to the service begin to fail or succeed again.
 func (follower *Follower) logSourceState(ctx context.Context, err error) {
 	if ctx.Err() != nil || (err != nil) == follower.sourceFailing {
 		return
@@ -270,8 +276,8 @@
 	follower.Log.Write(event.StoreBack, fields...)
 }
 
-// runPeers follows another mirror while there is one to follow, and asks any
-// other while the copy is stale.
+// runPeers follows the upstream while there is one, and queries random peers while
+// the copy is stale or this process itself cannot reach the service.
 func (follower *Follower) runPeers(ctx context.Context) {
 	for ctx.Err() == nil {
 		state := follower.Mirror.State()
@@ -282,7 +288,7 @@
 		peer, wait := follower.Choose(), RelayWait
 		stale := !follower.fresh(state) || follower.Away()
 		if stale {
-			// What reaches one process passes through all that wait on it at once.
+			// A peer that receives a change passes it at once to all whose requests wait.
 			peer, wait = follower.randomPeer(), retryDelay
 		}
 		follower.logUpstream(peer, state, stale)
@@ -297,8 +303,7 @@
 	}
 }
 
-// noteFollowed logs whose copy this process follows now, if it is another one than
-// before.
+// logUpstream logs a change of the process or service whose copy is followed.
 func (follower *Follower) logUpstream(peer Peer, state State, stale bool) {
 	name := "the service"
 	switch {
@@ -314,14 +319,14 @@
 	follower.Log.Write(event.Followed, slog.String("of", name), slog.Duration("age", follower.Timers.Now()-state.AsOf))
 }
 
-// draw returns a random number below the bound.
+// randomBelow returns a random number below the bound.
 func (follower *Follower) randomBelow(bound uint64) uint64 {
 	follower.randomMutex.Lock()
 	defer follower.randomMutex.Unlock()
 	return follower.Random.Uint64() % bound
 }
 
-// other returns a peer at random, or nil if there is none.
+// randomPeer returns a peer at random, or nil if there is none.
 func (follower *Follower) randomPeer() Peer {
 	others := follower.Others()
 	if len(others) == 0 {
@@ -330,8 +335,9 @@
 	return others[follower.randomBelow(uint64(len(others)))]
 }
 
-// relay asks a peer, if there is one, once. It reports whether it answered, and
-// whether it is out of the service's reach though it is to follow it.
+// relayFrom sends one request to a peer, if it is not nil, and applies the response.
+// It reports whether the peer responded with an update, and whether the peer follows
+// the service and gets no response from it.
 func (follower *Follower) relayFrom(ctx context.Context, peer Peer, state State, wait time.Duration) (answered, disconnected bool) {
 	if peer == nil {
 		return false, false
@@ -342,7 +348,7 @@
 		follower.health.notePeerResponse(follower.Timers.Now())
 	}
 	if err != nil {
-		return false, false // the copy's age shows it, and the service or another peer is asked
+		return false, false // the age of the copy grows, and the service or another peer is queried
 	}
 	update.AsOf += sent
 	follower.Mirror.Apply(update)
--- a/mirror/health.go
+++ b/mirror/health.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// ErrNothingKnown says that a peer lives and knows nothing yet.
-var ErrNothingKnown = errors.New("the other process knows nothing yet")
+// ErrNothingKnown means that a peer is running and has no copy yet.
+var ErrNothingKnown = errors.New("peer has no copy of the records yet")
 
 const (
-	// answerTime is how long an answer of the service may take before it
-	// counts as away: 4 ms are usual, and some 300 ms when it is slow, which a
-	// caller who is refused meanwhile waits for no longer than for its return.
+	// responseTimeout is how long the service may take to respond before it counts
+	// as not responding. 4 ms are usual and some 300 ms when it is slow. A caller
+	// that is refused after this time waits no longer than until the service is back.
 	responseTimeout = 150 * time.Millisecond
-	// heardTime is for how long a peer counts as within reach after it
-	// answered: those that know nothing are asked each 0.4 s at most.
+	// peerReachableTime is for how long a peer counts as reachable after a response.
+	// A process without a copy queries its peers at least every 0.4 s.
 	peerReachableTime = time.Second
-	// awayFails is how many questions in a row fail until the service counts as out
-	// of this process's reach: one answer is lost now and then.
+	// unreachableFailures is how many queries in a row must fail until this process
+	// reports that it cannot reach the service: single responses get lost.
 	unreachableFailures = 2
 )
 
-// outage is what a process sees of an outage of the service. The zero value is
-// none.
+// health tracks whether the service and the peers respond to this process. All times
+// are Timers time. The zero value means that nothing has been queried.
 type health struct {
-	mutex   sync.Mutex
-	querySent    time.Duration // when the question that is open was sent; 0: none is
-	responseDue     time.Duration // when its answer is due
-	failingSince time.Duration // since when questions fail; 0: the last one was answered
-	failures   int           // questions that have failed in a row
-	peerResponded   time.Duration // when a peer answered last; 0: never
-	confirmedAt  time.Duration // when the question was sent that the service answered last; 0: never
+	mutex         sync.Mutex
+	querySent     time.Duration // when the open query was sent; 0: none is open
+	responseDue   time.Duration // when its response is due
+	failingSince  time.Duration // when the first failed query was sent; 0: the last one succeeded
+	failures      int           // consecutive failed queries
+	peerResponded time.Duration // when a peer responded last; 0: never
+	confirmedAt   time.Duration // when the last successful query was sent; 0: never
 }
 
-// ask notes a question to the service that may wait for so long.
+// beginQuery records a query to the service, which may hold it for up to wait.
 func (health *health) beginQuery(now, wait time.Duration) {
 	health.mutex.Lock()
 	defer health.mutex.Unlock()
 	health.querySent, health.responseDue = now, now+wait+responseTimeout
 }
 
-// take notes the end of the question.
+// endQuery records the result of the query.
 func (health *health) endQuery(err error) {
 	health.mutex.Lock()
 	defer health.mutex.Unlock()
@@ -56,21 +56,21 @@
 	health.querySent = 0
 }
 
-// hear notes that a peer answered.
+// notePeerResponse records that a peer responded.
 func (health *health) notePeerResponse(now time.Duration) {
 	health.mutex.Lock()
 	defer health.mutex.Unlock()
 	health.peerResponded = now
 }
 
-// answered reports whether a peer has ever answered.
+// anyPeerResponded reports whether a peer has ever responded.
 func (health *health) anyPeerResponded() bool {
 	health.mutex.Lock()
 	defer health.mutex.Unlock()
 	return health.peerResponded != 0
 }
 
-// since returns since when the service has given no answer.
+// unresponsiveSince returns since when the service has not responded, if it does not.
 func (health *health) unresponsiveSince(now time.Duration) (since time.Duration, unresponsive bool) {
 	switch {
 	case health.failingSince != 0:
@@ -81,42 +81,44 @@
 	return 0, false
 }
 
-// Away reports whether this process is to follow the service and gets no answer.
+// Away reports whether this process is to follow the service and gets no response
+// from it.
 func (follower *Follower) Away() bool {
 	now := follower.Timers.Now()
 	if follower.Choose() != nil {
 		return false
 	}
-	outage := &follower.health
-	outage.mutex.Lock()
-	defer outage.mutex.Unlock()
-	return outage.failures >= unreachableFailures || outage.querySent != 0 && now >= outage.responseDue
+	health := &follower.health
+	health.mutex.Lock()
+	defer health.mutex.Unlock()
+	return health.failures >= unreachableFailures || health.querySent != 0 && now >= health.responseDue
 }
 
-// Answered returns when the question was sent that the service itself answered
-// last, not a peer; 0: it never did.
+// Answered returns when the last query was sent to which the service itself responded,
+// not a peer; 0 if it never did.
 func (follower *Follower) Answered() time.Duration {
-	outage := &follower.health
-	outage.mutex.Lock()
-	defer outage.mutex.Unlock()
-	return outage.confirmedAt
+	health := &follower.health
+	health.mutex.Lock()
+	defer health.mutex.Unlock()
+	return health.confirmedAt
 }
 
-// Outage returns since when the service is away for all, as far as this
-// process can tell: it gets no answer, and peers that it reaches have no news
-// either. A process that reaches no peer may be the only one that is cut off.
-// One that has started and knows nothing, as its peers do, leaves the service to
-// those that were asked first: for its callers that is the same.
-func (follower *Follower) Outage() (since time.Duration, away bool) {
+// Outage reports whether the service is down for all processes, as far as this one can
+// tell, and since when. It is if this process gets no response from the service and
+// has recently reached a peer: a process that reaches no peer may itself be cut off. A
+// process that has no peers relies on its own queries. A process that has started and
+// has no copy, as the peers that it reaches, reports an outage too though it leaves
+// queries to the service to others: for its callers the effect is the same.
+func (follower *Follower) Outage() (since time.Duration, unresponsive bool) {
 	now := follower.Timers.Now()
 	noPeers := len(follower.Others()) == 0
-	outage := &follower.health
-	outage.mutex.Lock()
-	defer outage.mutex.Unlock()
-	if !noPeers && (outage.peerResponded == 0 || now-outage.peerResponded > peerReachableTime) {
+	health := &follower.health
+	health.mutex.Lock()
+	defer health.mutex.Unlock()
+	if !noPeers && (health.peerResponded == 0 || now-health.peerResponded > peerReachableTime) {
 		return 0, false
 	}
-	if since, away := outage.unresponsiveSince(now); away {
+	if since, unresponsive := health.unresponsiveSince(now); unresponsive {
 		return since, true
 	}
 	return follower.bootstrappingSince(now)
--- a/mirror/idle_test.go
+++ b/mirror/idle_test.go
@@ -16,26 +16,25 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// In a fleet at rest, where no record changed, the copies of all followers were up
-// to 1.7 s old, and counted as stale from 1.5 s on: each cycle of the watch all 65
-// followers of 66 nodes left the one that they followed and asked the service and
-// each other in turns, with "of":"any process" in their logs 60 times each half
-// second. So a change of the configuration was late where the service then turned
-// some of them away.
-
-// followed is a follower as a peer: it answers once its copy changes, or after the
-// whole wait.
+// These tests cover a fleet in which no record changes. When the copies of followers
+// became up to 1.7 s old and counted as stale from 1.5 s on, all 65 followers of 66 nodes
+// left their upstream during each watch and queried the service and each other in turn;
+// their logs named "any process" as upstream 60 times each half second. A change of the
+// configuration then came late where the service refused some of them.
+
+// followerPeer makes a follower available as a peer. It responds once its copy changes,
+// or after the whole wait.
 type followerPeer struct {
 	*Follower
-	relayed atomic.Int64
+	requests atomic.Int64
 }
 
 func (*followerPeer) Name() string { return "followed" }
 
 func (followerPeer *followerPeer) Relay(ctx context.Context, since shedkeel.Revision, wait time.Duration) (Update, error) {
-	followerPeer.relayed.Add(1)
+	followerPeer.requests.Add(1)
 	changed := followerPeer.Mirror.Changed()
-	if away := followerPeer.Away(); !away && !followerPeer.Mirror.State().At.After(since) {
+	if disconnected := followerPeer.Away(); !disconnected && !followerPeer.Mirror.State().At.After(since) {
 		select {
 		case <-ctx.Done():
 			return Update{}, ctx.Err()
@@ -49,17 +48,20 @@
 	return update, nil
 }
 
-func (followerPeer *followerPeer) Knows(context.Context, time.Duration) (bool, error) { return true, nil }
+func (followerPeer *followerPeer) Knows(context.Context, time.Duration) (bool, error) {
+	return true, nil
+}
 
-// restingFleet is a follower of the service and followers of it, none of whose
-// records change.
+// idleFleet is a follower of the service and the followers of this follower. None of
+// their records change.
 type idleFleet struct {
-	first     *followerPeer
-	source    *source // of the first
-	followerSource    *source // of its followers, the same service
-	followers []*Follower
+	first          *followerPeer
+	source         *source // the service as the first follower reaches it
+	followerSource *source // the same service as the others reach it
+	followers      []*Follower
 }
 
+// newIdleFleet starts the fleet and waits until all have a copy.
 func newIdleFleet(t *testing.T, followers int) *idleFleet {
 	t.Helper()
 	store := standin.NewStore()
@@ -93,14 +95,14 @@
 		running.Wait()
 	})
 	for _, follower := range fleet.followers {
-		eventually(t, "what the service has", func() bool { return follower.Mirror.State().Known })
+		eventually(t, "the service's records", func() bool { return follower.Mirror.State().Known })
 	}
 	time.Sleep(startupTime / 4)
 	return fleet
 }
 
-// TestCopiesAreFreshAtRest checks that followers have no reason to leave whom they
-// follow while nothing changes.
+// TestCopiesStayFreshWhenIdle checks that followers have no reason to leave their
+// upstream while nothing changes.
 func TestCopiesStayFreshWhenIdle(t *testing.T) {
 	fleet := newIdleFleet(t, 20)
 	queries := fleet.followerSource.callCount()
@@ -111,21 +113,20 @@
 		}
 	}
 	assert.Assert(t, oldest < staleAge, "a copy was %s old", oldest)
-	assert.Equal(t, fleet.followerSource.callCount(), queries, "followers ask the service")
+	assert.Equal(t, fleet.followerSource.callCount(), queries, "followers query the service")
 }
 
-// TestFollowersLeaveOneThatIsTurnedAway checks that followers learn of a change
-// soon though the one that they follow, which answers them, is turned away by the
-// service: before their copies are stale. The service may turn a third of them
-// away as well.
+// TestFollowersLeaveRefusedUpstream checks that followers receive a change before their
+// copies become stale, though the service refuses their upstream, which still responds to
+// them. The service may refuse a third of the followers as well.
 func TestFollowersLeaveRefusedUpstream(t *testing.T) {
 	cases := map[string]struct {
 		followers int
-		refused   int // of them that the service turns away
+		refused   int // of them, by the service
 	}{
-		"21 nodes":                      {20, 0},
-		"66 nodes":                      {65, 0},
-		"66 nodes, a third turned away": {65, 22},
+		"21 nodes":                  {20, 0},
+		"66 nodes":                  {65, 0},
+		"66 nodes, a third refused": {65, 22},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -147,8 +148,8 @@
 	}
 }
 
-// TestTurnedAwayAsksOthers checks that a process which is to follow the service, and is
-// turned away by it alone, keeps its copy fresh by the copies of others.
+// TestRefusedUpstreamAsksPeers checks that a process which follows the service, and alone
+// is refused by it, keeps its copy fresh from the copies of its peers.
 func TestRefusedUpstreamAsksPeers(t *testing.T) {
 	fleet := newIdleFleet(t, 20)
 	fleet.source.setErr(errRefused)
@@ -160,10 +161,10 @@
 	assert.Assert(t, oldest < staleAge, "the copy was %s old", oldest)
 }
 
-var errRefused = errors.New("turned away")
+var errRefused = errors.New("refused by the service")
 
-// choosySource is the service to one of several that share it: it may turn this one
-// away.
+// refusingSource is the service as one of several processes reaches it: it can refuse this
+// one alone.
 type refusingSource struct {
 	shedkeel.RecordSource
 	refused atomic.Bool
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -1,10 +1,10 @@
 // Package mirror keeps a copy of the records of the key-value service in each
-// process and knows how old the copy may be. It follows the service itself or
-// the mirror of another process, so that few processes cost the service calls.
+// process and tracks how old the copy may be. A copy follows the service itself or
+// the mirror of another process, so that only a few processes call the service.
 //
-// Age is only ever proved by asking: what an answer says held at some moment
-// after the question was sent, so the copy counts as being as old as the
-// question. A mirror asked by another adds its own age to its answer.
+// Only a response proves the age of a copy: its content was current at some moment
+// after the request was sent, so the copy counts as being as old as the request. A
+// mirror that answers another one adds the age of its own copy.
 package mirror
 
 import (
@@ -16,63 +16,66 @@
 	"shedkeel.org/shedkeel"
 )
 
-// maxGone is how many removed keys are remembered, so that others can be told
-// of them one by one. Who asks for older changes gets the whole copy.
+// maxTombstones bounds the deleted keys that are remembered in order to send
+// deletions one by one. A mirror that asks for older changes receives a full copy.
 const maxTombstones = 4096
 
-// maxBefore is up to which size the former value of a record is kept, in
-// bytes. Backend servers write records of half a kilobyte each second that
-// differ by a number.
+// maxPreviousValue is the size in bytes up to which the previous value of a record
+// is kept, so that a small change can be sent as a difference. Backend servers write
+// records of half a kilobyte each second that differ by a number.
 const maxPreviousValue = 4 << 10
 
-// Mirror is a copy of all records. The zero value is empty and proves nothing.
+// Mirror is a copy of all records. The zero value is an empty mirror that has no
+// copy yet.
 type Mirror struct {
-	mutex     sync.Mutex
-	records   map[string]shedkeel.Record
-	previous    map[string]shedkeel.Record // former values of small records
-	tombstones      []shedkeel.Record          // removed keys, oldest first
-	tombstoneFloor shedkeel.Revision          // removals up to this revision may be forgotten
-	at        shedkeel.Revision          // the store's revision that the copy has reached
-	known     bool
-	asOf      time.Duration // the copy is what the store held then, or later
-	changed   chan struct{} // closed at the next change
-	listeners []func([]shedkeel.Record)
-	restoreListeners  []func(Restore)
+	mutex            sync.Mutex
+	records          map[string]shedkeel.Record
+	previous         map[string]shedkeel.Record // previous versions of small records
+	tombstones       []shedkeel.Record          // deleted keys, oldest first
+	tombstoneFloor   shedkeel.Revision          // deletions up to this revision may be forgotten
+	at               shedkeel.Revision          // the service's revision that the copy has reached
+	known            bool                       // a full update has been applied
+	asOf             time.Duration              // Timers time; the copy is what the service held then or later
+	changed          chan struct{}              // closed at the next change; nil: nobody waits
+	listeners        []func([]shedkeel.Record)
+	restoreListeners []func(Restore)
 }
 
-// Update is what brings a mirror up to date.
+// Update is a set of changes, or a full copy, that a mirror applies.
 type Update struct {
-	Records []shedkeel.Record // as they now stand, or gone
-	Whole   bool              // Records are all there are; others are gone
+	Records []shedkeel.Record // present or deleted records
+	Whole   bool              // Records is a full copy: keys that it lacks are deleted
 	At      shedkeel.Revision
-	AsOf    time.Duration // when the question was sent that this answers
-	// Away says that the peer that told it is to follow the service and gets no
-	// answer: the next change will not come from it.
+	AsOf    time.Duration // when the request was sent that this update answers
+	// Away says that the sending peer follows the service and gets no response from
+	// it, so that the next change will not come from this peer.
 	Away bool
 }
 
-// Listen has told called with the records of each change, in order, one call
-// at a time. It must be called before the first Apply.
+// Listen registers a function that is called with the changed records of each
+// update, in order, one call at a time. It must be called before the first Apply.
+// The listener must not call the mirror, which is locked meanwhile.
 func (mirror *Mirror) Listen(listener func([]shedkeel.Record)) {
 	mirror.listeners = append(mirror.listeners, listener)
 }
 
-// Restore is that the service has come back from an older copy of itself, as a mirror
-// learns of it: by its first update of the new era.
+// Restore describes a restore of the service from an older copy of itself, as the
+// mirror sees it in the first full update of the new era.
 type Restore struct {
 	From, To shedkeel.Revision
 	Lost     int // records that the older copy lacks
 }
 
-// ListenRestored has the listener called with each restore, before Listen's functions
-// are with what changed by it. It must be called before the first Apply.
+// ListenRestored registers a function that is called at each restore, before the
+// functions of Listen receive the changed records. It must be called before the first
+// Apply.
 func (mirror *Mirror) ListenRestored(listener func(Restore)) {
 	mirror.restoreListeners = append(mirror.restoreListeners, listener)
 }
 
-// Apply takes an update in. Older records never replace newer ones, and what is of an
-// earlier era changes nothing. A later era begins with a whole update, since records
-// may be gone without a change that says so.
+// Apply applies an update. Older records never replace newer ones, and updates of an
+// earlier era are ignored. A new era begins with a full update, since records may have
+// been lost without a change that deletes them.
 func (mirror *Mirror) Apply(update Update) {
 	mirror.mutex.Lock()
 	defer mirror.mutex.Unlock()
@@ -95,7 +98,7 @@
 	mirror.known = mirror.known || update.Whole
 	mirror.asOf = max(mirror.asOf, update.AsOf)
 	if newEra {
-		clear(mirror.previous) // they are of another history
+		clear(mirror.previous) // they belong to the earlier era
 		mirror.notifyRestored(previous, changed)
 	}
 	if len(changed) == 0 && !first && !newEra {
@@ -110,6 +113,7 @@
 	}
 }
 
+// notifyRestored calls the restore listeners.
 func (mirror *Mirror) notifyRestored(from shedkeel.Revision, changed []shedkeel.Record) {
 	restore := Restore{From: from, To: mirror.at}
 	for _, record := range changed {
@@ -122,7 +126,7 @@
 	}
 }
 
-// merge takes in the records that are newer than the copy's and returns them.
+// merge applies the records that are newer than the copy's and returns them.
 func (mirror *Mirror) merge(records []shedkeel.Record) []shedkeel.Record {
 	var changed []shedkeel.Record
 	for _, record := range records {
@@ -140,7 +144,7 @@
 	return changed
 }
 
-// replace keeps a newer record, and the one that it replaces if it is small.
+// replace stores a newer record, and keeps the one that it replaces if it is small.
 func (mirror *Mirror) replace(record shedkeel.Record) {
 	former, found := mirror.records[record.Key]
 	if found && len(former.Value) <= maxPreviousValue {
@@ -151,14 +155,14 @@
 	mirror.records[record.Key] = record
 }
 
-// removedSince reports whether the key was removed at a later revision than
-// the record's.
+// removedSince reports whether the key was deleted at the record's revision or later.
 func (mirror *Mirror) removedSince(record shedkeel.Record) bool {
 	return slices.ContainsFunc(mirror.tombstones, func(tombstone shedkeel.Record) bool {
 		return tombstone.Key == record.Key && !record.Revision.After(tombstone.Revision)
 	})
 }
 
+// remove deletes a record and keeps its tombstone.
 func (mirror *Mirror) remove(record shedkeel.Record) {
 	delete(mirror.records, record.Key)
 	delete(mirror.previous, record.Key)
@@ -169,8 +173,8 @@
 	}
 }
 
-// dropAbsent removes the keys that a whole copy lacks. They are lost where it begins
-// an era.
+// removeAbsent deletes the keys that a full update lacks and returns their tombstones,
+// which are marked as lost where the update begins an era.
 func (mirror *Mirror) removeAbsent(update Update, lost bool) []shedkeel.Record {
 	present := map[string]bool{}
 	for _, record := range update.Records {
@@ -188,14 +192,15 @@
 	return removed
 }
 
-// State is how far a mirror has come.
+// State is the state of a mirror's copy: whether there is one, the revision that it
+// has reached, and the time as of which it is proven.
 type State struct {
 	Known bool
 	At    shedkeel.Revision
 	AsOf  time.Duration
 }
 
-// State returns how far the mirror has come.
+// State returns the state of the copy.
 func (mirror *Mirror) State() State {
 	mirror.mutex.Lock()
 	defer mirror.mutex.Unlock()
@@ -209,7 +214,8 @@
 	return len(mirror.records)
 }
 
-// Get returns a record of the copy. One that does not exist has no revision.
+// Get returns a record of the copy. If the key does not exist, the record has the zero
+// revision.
 func (mirror *Mirror) Get(key string) shedkeel.Record {
 	mirror.mutex.Lock()
 	defer mirror.mutex.Unlock()
@@ -220,8 +226,8 @@
 	return record
 }
 
-// Before returns the record that the newest one of the key replaced. One that is not
-// kept has no revision.
+// Before returns the record that the current one of the key replaced. If it was not
+// kept, it has the zero revision.
 func (mirror *Mirror) Before(key string) shedkeel.Record {
 	mirror.mutex.Lock()
 	defer mirror.mutex.Unlock()
@@ -242,8 +248,8 @@
 	return found
 }
 
-// Since returns what another mirror needs that has reached the revision: all of the
-// era that this one has reached, if that is a later one.
+// Since returns the update for a mirror that has reached the revision. It is a full
+// copy if that mirror is of an earlier era or older than the tombstones.
 func (mirror *Mirror) Since(revision shedkeel.Revision) Update {
 	mirror.mutex.Lock()
 	defer mirror.mutex.Unlock()
@@ -254,10 +260,11 @@
 	}
 	update := Update{At: mirror.at, AsOf: mirror.asOf, Whole: whole}
 	if revision.Era > era {
-		return update // who asks has what came after
+		return update // the other mirror is in a later era
 	}
 	for _, record := range mirror.records {
-		// One of a later era was written by this process, which has not seen the era begin.
+		// A record of a later era was written by this process before it received the
+		// era's first update.
 		if record.Revision.Number > known && record.Revision.Era == era {
 			update.Records = append(update.Records, record)
 		}
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -20,7 +20,7 @@
 	return shedkeel.Record{Key: key, Value: []byte(fmt.Sprint(revision)), Revision: shedkeel.Revision{Number: revision}}
 }
 
-func gone(key string, revision int64) shedkeel.Record {
+func deleted(key string, revision int64) shedkeel.Record {
 	return shedkeel.Record{Key: key, Revision: shedkeel.Revision{Number: revision}, Gone: true}
 }
 
@@ -39,19 +39,19 @@
 			updates: []Update{{Records: []shedkeel.Record{record("a", 3)}, At: shedkeel.Revision{Number: 3}, AsOf: 2}, {Records: []shedkeel.Record{record("a", 1)}, At: shedkeel.Revision{Number: 1}, AsOf: 1}},
 			want:    map[string]int64{"a": 3}, at: 3, asOf: 2,
 		},
-		"a removed key does not come back": {
-			updates: []Update{{Records: []shedkeel.Record{record("a", 1)}, At: shedkeel.Revision{Number: 1}}, {Records: []shedkeel.Record{gone("a", 2)}, At: shedkeel.Revision{Number: 2}}, {Records: []shedkeel.Record{record("a", 1)}, At: shedkeel.Revision{Number: 1}}},
+		"a deleted key is not restored by an older record": {
+			updates: []Update{{Records: []shedkeel.Record{record("a", 1)}, At: shedkeel.Revision{Number: 1}}, {Records: []shedkeel.Record{deleted("a", 2)}, At: shedkeel.Revision{Number: 2}}, {Records: []shedkeel.Record{record("a", 1)}, At: shedkeel.Revision{Number: 1}}},
 			want:    map[string]int64{}, at: 2,
 		},
-		"a key may be made anew": {
-			updates: []Update{{Records: []shedkeel.Record{gone("a", 2)}, At: shedkeel.Revision{Number: 2}}, {Records: []shedkeel.Record{record("a", 3)}, At: shedkeel.Revision{Number: 3}}},
+		"a deleted key may be created again": {
+			updates: []Update{{Records: []shedkeel.Record{deleted("a", 2)}, At: shedkeel.Revision{Number: 2}}, {Records: []shedkeel.Record{record("a", 3)}, At: shedkeel.Revision{Number: 3}}},
 			want:    map[string]int64{"a": 3}, at: 3,
 		},
-		"a whole copy removes what it lacks": {
+		"a full copy deletes the keys that it lacks": {
 			updates: []Update{{Records: []shedkeel.Record{record("a", 1), record("b", 2)}, At: shedkeel.Revision{Number: 2}}, {Records: []shedkeel.Record{record("b", 2)}, Whole: true, At: shedkeel.Revision{Number: 5}}},
 			want:    map[string]int64{"b": 2}, at: 5,
 		},
-		"a whole copy leaves what is newer": {
+		"a full copy keeps newer records": {
 			updates: []Update{{Records: []shedkeel.Record{record("a", 9)}, At: shedkeel.Revision{Number: 9}}, {Whole: true, At: shedkeel.Revision{Number: 5}}},
 			want:    map[string]int64{"a": 9}, at: 9,
 		},
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestRelay has mirrors follow each other in random order and checks that each
-// ends with what the service holds, and that none ever steps back.
+// TestRelay lets mirrors follow each other in random order. In the end each must hold
+// what the service holds, and no record may go back to an older revision.
 func TestRelay(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 3))
@@ -108,6 +108,7 @@
 	}
 }
 
+// change commits a random change to the store.
 func change(t *testing.T, store *standin.Store, random *rand.Rand) {
 	t.Helper()
 	key := fmt.Sprint("k", random.IntN(5))
@@ -123,10 +124,10 @@
 // source is a service that can be made to fail.
 type source struct {
 	*standin.Store
-	mutex sync.Mutex
-	err error
-	calls int
-	maxRecords  int // records of an answer; 0: all
+	mutex      sync.Mutex
+	err        error
+	calls      int
+	maxRecords int // per response; 0: unlimited
 }
 
 func (source *source) beginCall() error {
@@ -168,7 +169,7 @@
 	}
 	records, at, err := source.Store.Changes(ctx, prefix, since, wait)
 	if failed := source.currentErr(); failed != nil {
-		return shedkeel.Changes{}, failed // it was cut while it waited
+		return shedkeel.Changes{}, failed // the connection was lost during the watch
 	}
 	if limit := source.maxRecords; limit > 0 && len(records) > limit {
 		return shedkeel.Changes{Records: records[:limit], At: records[limit-1].Revision, More: true}, err
@@ -180,7 +181,7 @@
 	return source.Record(key), source.beginCall()
 }
 
-// peer relays another mirror.
+// peer is the mirror of another process.
 type peer struct {
 	mirror *Mirror
 	now    func() time.Duration
@@ -191,7 +192,7 @@
 func (peer *peer) Relay(_ context.Context, since shedkeel.Revision, wait time.Duration) (Update, error) {
 	time.Sleep(min(wait, 5*time.Millisecond))
 	if peer.mirror == nil {
-		return Update{}, errors.New("it knows nothing yet")
+		return Update{}, errors.New("the peer has no copy yet")
 	}
 	update := peer.mirror.Since(since)
 	update.AsOf -= peer.now()
@@ -207,6 +208,7 @@
 
 func (peer *peer) knows() bool { return peer.mirror != nil && peer.mirror.State().Known }
 
+// eventually waits up to 5 s until the condition holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -214,17 +216,15 @@
 			return
 		}
 	}
-	t.Fatal("it never came about: " + what)
+	t.Fatal("timed out waiting for " + what)
 }
 
-// TestFollower covers an outage of the service, a history that is gone, and a
-// peer that takes the service's place.
-// TestStartInAnOutage has a process start while the service is away: it learns
-// what another process knows within some tens of milliseconds, as old as that
-// one says, though another peer knows nothing and a third does not answer.
+// TestBootstrapDuringOutage starts a process while the service is down. Within 200 ms
+// it must have the copy of a peer, with the age that the peer reports, though another
+// peer has no copy and a third does not respond.
 func TestBootstrapDuringOutage(t *testing.T) {
 	from := &source{Store: standin.NewStore()}
-	from.setErr(errors.New("away"))
+	from.setErr(errors.New("service unavailable"))
 	clock := &timer.System{}
 	informed, own := &Mirror{}, &Mirror{}
 	provenAt := clock.Now() - 3*time.Second
@@ -238,14 +238,14 @@
 	var running sync.WaitGroup
 	began := clock.Now()
 	running.Go(func() { follower.Run(ctx) })
-	eventually(t, "what the peer knows", func() bool { return own.Get("a").Revision.Number == 7 })
+	eventually(t, "the peer's copy", func() bool { return own.Get("a").Revision.Number == 7 })
 	assert.Assert(t, clock.Now()-began < 200*time.Millisecond, "it took %s", clock.Now()-began)
-	assert.Assert(t, own.State().AsOf <= provenAt, "it looks younger than the peer's copy")
+	assert.Assert(t, own.State().AsOf <= provenAt, "the copy counts as newer than the peer's")
 	cancel()
 	running.Wait()
 }
 
-// silentPeer never answers.
+// silentPeer never responds.
 type silentPeer struct{}
 
 func (silentPeer) Name() string { return "silent" }
@@ -260,16 +260,16 @@
 	return false, ctx.Err()
 }
 
-// TestStaleFollowers has many processes whose copies grow old while the
-// service is away: together they ask it only so often, and the first that
-// learns something new tells the others though nobody follows it.
+// TestStaleFollowers lets the copies of many processes become stale while the service
+// is down. Together they may query it only at a limited rate, and the first process
+// that receives a change must pass it on to the others though it is nobody's upstream.
 func TestStaleFollowers(t *testing.T) {
 	const processes = 40
 	store := standin.NewStore()
 	from := &source{Store: store}
-	from.setErr(errors.New("away"))
+	from.setErr(errors.New("service unavailable"))
 	clock := &timer.System{}
-	dead := &peer{mirror: &Mirror{}, now: clock.Now}
+	emptyPeer := &peer{mirror: &Mirror{}, now: clock.Now}
 	var all []Peer
 	var followers []*Follower
 	for index := range processes {
@@ -277,7 +277,7 @@
 		own.Apply(Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: clock.Now() - staleAge})
 		all = append(all, &peer{mirror: own, now: clock.Now})
 		followers = append(followers, &Follower{
-			Mirror: own, Source: from, Timers: clock, Choose: func() Peer { return dead }, Others: func() []Peer { return all },
+			Mirror: own, Source: from, Timers: clock, Choose: func() Peer { return emptyPeer }, Others: func() []Peer { return all },
 			Processes: func() int { return processes }, Random: rand.NewPCG(uint64(index), 4),
 		})
 	}
@@ -288,11 +288,11 @@
 	}
 	const outage = 2 * time.Second
 	time.Sleep(outage)
-	assert.Assert(t, from.callCount() <= 2*int(outage/sourceQueryInterval), "%d questions", from.callCount())
+	assert.Assert(t, from.callCount() <= 2*int(outage/sourceQueryInterval), "%d queries", from.callCount())
 	assert.Assert(t, from.callCount() > 0)
 
 	followers[0].Mirror.Apply(Update{Records: []shedkeel.Record{record("a", 2)}, At: shedkeel.Revision{Number: 2}, AsOf: clock.Now()})
-	eventually(t, "all to learn it", func() bool {
+	eventually(t, "the change in all copies", func() bool {
 		for _, follower := range followers {
 			if follower.Mirror.Get("a").Revision.Number == 0 {
 				return false
@@ -304,17 +304,17 @@
 	running.Wait()
 }
 
-// TestSmallFleetAsksAtOnce covers a stale follower whose peers know nothing
-// newer: in a small fleet it must not wait for its turn.
+// TestSmallFleetQueriesSourceAtOnce checks that a process of a small fleet, whose copy
+// is stale and whose peers have nothing newer, queries the service without a delay.
 func TestSmallFleetQueriesSourceAtOnce(t *testing.T) {
 	store := standin.NewStore()
 	_, err := store.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: "a", Value: []byte("v")}}})
 	assert.NilError(t, err)
 	clock := &timer.System{}
-	own, dead := &Mirror{}, &peer{mirror: &Mirror{}, now: clock.Now}
+	own, emptyPeer := &Mirror{}, &peer{mirror: &Mirror{}, now: clock.Now}
 	own.Apply(Update{Whole: true, AsOf: clock.Now() - staleAge})
 	follower := &Follower{
-		Mirror: own, Source: &source{Store: store}, Timers: clock, Choose: func() Peer { return dead }, Others: func() []Peer { return nil },
+		Mirror: own, Source: &source{Store: store}, Timers: clock, Choose: func() Peer { return emptyPeer }, Others: func() []Peer { return nil },
 		Processes: func() int { return 9 }, Random: rand.NewPCG(1, 2),
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -327,6 +327,8 @@
 	running.Wait()
 }
 
+// TestFollower covers an outage of the service, a history that the service no longer
+// has, and a peer that becomes the upstream.
 func TestFollower(t *testing.T) {
 	store := standin.NewStore()
 	from := &source{Store: store}
@@ -351,32 +353,31 @@
 	put("a")
 	eventually(t, "the first copy", func() bool { return own.Get("a").Revision.Number > 0 })
 
-	from.setErr(errors.New("away"))
+	from.setErr(errors.New("service unavailable"))
 	put("b")
 	store.Forget()
 	time.Sleep(2 * retryDelay)
 	from.setErr(nil)
-	eventually(t, "what changed while the service was away and forgot", func() bool { return own.Get("b").Revision.Number > 0 })
+	eventually(t, "changes from the outage, whose history the service lost", func() bool { return own.Get("b").Revision.Number > 0 })
 
-	from.setErr(errors.New("away"))
+	from.setErr(errors.New("service unavailable"))
 	age := clock.Now() - own.State().AsOf
 	records, at := store.List("")
 	other.Apply(Update{Records: append(records, record("c", at.Number+1)), Whole: true, At: shedkeel.Revision{Number: at.Number + 1}, AsOf: clock.Now()})
 	mutex.Lock()
 	followed = &peer{mirror: other, now: clock.Now}
 	mutex.Unlock()
-	eventually(t, "what the peer has", func() bool { return own.Get("c").Revision.Number > 0 })
+	eventually(t, "the peer's records", func() bool { return own.Get("c").Revision.Number > 0 })
 	assert.Assert(t, clock.Now()-own.State().AsOf < age+5*time.Second)
-	assert.Assert(t, own.State().AsOf <= clock.Now(), "proof from the future")
+	assert.Assert(t, own.State().AsOf <= clock.Now(), "the copy is proven for a future time")
 	cancel()
 	running.Wait()
 }
 
-// TestCopyKeepsUpWithManyChanges has the records of 3,000 servers change while
-// an answer holds 50: the copy must be whole within the time that one round of
-// changes may gather, and never count as fresh before it is. With a pause after
-// each answer, a change of the configuration came 8 s late, and the copy counted
-// as fresh all the while.
+// TestCopyKeepsUpWithManyChanges changes the records of 3,000 servers while a response
+// holds 50. The copy must be complete within the batch delay of one round, and must not
+// count as fresh before. With a delay after each response, a change of the configuration
+// came 8 s late while the copy counted as fresh.
 func TestCopyKeepsUpWithManyChanges(t *testing.T) {
 	store := standin.NewStore()
 	from := &source{Store: store, maxRecords: 50}
@@ -399,7 +400,7 @@
 	for last.After(own.State().At) {
 		state := own.State()
 		behind := last.Number - state.At.Number
-		assert.Assert(t, behind <= 0 || state.AsOf <= written, "a copy %d changes behind counts as fresh", behind)
+		assert.Assert(t, behind <= 0 || state.AsOf <= written, "a copy that is %d changes behind counts as fresh", behind)
 		assert.Assert(t, clock.Now()-began < 5*time.Second, "the copy is %d changes behind", behind)
 		time.Sleep(time.Millisecond)
 	}
--- a/mirror/restore_test.go
+++ b/mirror/restore_test.go
@@ -19,16 +19,16 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// sizes has TestRestoreIsFollowed play all sizes.
-var sizes = flag.Bool("sizes", false, "measure how all processes come through a restore, at all sizes")
+// sizes makes TestFollowRestore run all fleet sizes.
+var sizes = flag.Bool("sizes", false, "measure how all processes follow a restored service, at all sizes")
 
-// in returns the record as it is in an era of the service.
+// inEra returns the record with the era set.
 func inEra(era int64, record shedkeel.Record) shedkeel.Record {
 	record.Revision.Era = era
 	return record
 }
 
-// whole returns a whole update of an era.
+// fullUpdate returns a full update of an era.
 func fullUpdate(era, at int64, asOf time.Duration, records ...shedkeel.Record) Update {
 	update := Update{Whole: true, At: shedkeel.Revision{Era: era, Number: at}, AsOf: asOf}
 	for _, record := range records {
@@ -37,7 +37,7 @@
 	return update
 }
 
-// TestEras checks what a copy holds after the service came back from an older one.
+// TestEras checks what a copy holds after the service was restored from an older copy.
 func TestEras(t *testing.T) {
 	before := fullUpdate(0, 9, 1, record("a", 3), record("b", 9))
 	after := fullUpdate(1, 5, 2, record("a", 3))
@@ -47,30 +47,30 @@
 		want    map[string]string
 		at      string
 		asOf    time.Duration
-		lost    int // records that were told as lost
+		lost    int // records reported as lost
 	}{
-		"restored":                     {[]Update{before, after}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
-		"and changed":                  {[]Update{before, after, later}, map[string]string{"a": "1:3", "c": "1:6"}, "1:6", 3, 1},
-		"an answer of before, late":    {[]Update{before, after, {At: shedkeel.Revision{Number: 12}, AsOf: 7, Records: []shedkeel.Record{record("b", 12)}}}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
-		"a list of before, late":       {[]Update{before, after, fullUpdate(0, 12, 7, record("b", 12))}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
-		"a write of before, late":      {[]Update{before, after, {Records: []shedkeel.Record{record("b", 12)}}}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
-		"a first write, late":          {[]Update{before, after, {Records: []shedkeel.Record{record("z", 12)}}}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
-		"a change before its list":     {[]Update{before, later}, map[string]string{"a": "3", "b": "9"}, "9", 1, 0},
-		"an own write before its list": {[]Update{before, {Records: []shedkeel.Record{inEra(1, record("b", 4))}}, after}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
-		"an own write after its list":  {[]Update{before, after, {Records: []shedkeel.Record{inEra(1, record("b", 6))}}}, map[string]string{"a": "1:3", "b": "1:6"}, "1:5", 2, 1},
-		"twice":                        {[]Update{before, after, fullUpdate(3, 2, 5, record("d", 1))}, map[string]string{"d": "3:1"}, "3:2", 5, 2},
-		"a value of the same number":   {[]Update{fullUpdate(0, 9, 1, record("a", 3), record("b", 9)), fullUpdate(1, 9, 2, record("a", 3), record("b", 9))}, map[string]string{"a": "1:3", "b": "1:9"}, "1:9", 2, 0},
-		"its start is in a later era":  {[]Update{after}, map[string]string{"a": "1:3"}, "1:5", 2, 0},
+		"restored":                                         {[]Update{before, after}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
+		"restored, then changed":                           {[]Update{before, after, later}, map[string]string{"a": "1:3", "c": "1:6"}, "1:6", 3, 1},
+		"late response from the earlier era":               {[]Update{before, after, {At: shedkeel.Revision{Number: 12}, AsOf: 7, Records: []shedkeel.Record{record("b", 12)}}}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
+		"late list from the earlier era":                   {[]Update{before, after, fullUpdate(0, 12, 7, record("b", 12))}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
+		"late own write from the earlier era":              {[]Update{before, after, {Records: []shedkeel.Record{record("b", 12)}}}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
+		"late own write of a new key from the earlier era": {[]Update{before, after, {Records: []shedkeel.Record{record("z", 12)}}}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
+		"change of the new era before its list":            {[]Update{before, later}, map[string]string{"a": "3", "b": "9"}, "9", 1, 0},
+		"own write in the new era before its list":         {[]Update{before, {Records: []shedkeel.Record{inEra(1, record("b", 4))}}, after}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
+		"own write in the new era after its list":          {[]Update{before, after, {Records: []shedkeel.Record{inEra(1, record("b", 6))}}}, map[string]string{"a": "1:3", "b": "1:6"}, "1:5", 2, 1},
+		"restored twice":                                   {[]Update{before, after, fullUpdate(3, 2, 5, record("d", 1))}, map[string]string{"d": "3:1"}, "3:2", 5, 2},
+		"the same revision numbers in both eras":           {[]Update{fullUpdate(0, 9, 1, record("a", 3), record("b", 9)), fullUpdate(1, 9, 2, record("a", 3), record("b", 9))}, map[string]string{"a": "1:3", "b": "1:9"}, "1:9", 2, 0},
+		"the first update is of a later era":               {[]Update{after}, map[string]string{"a": "1:3"}, "1:5", 2, 0},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			mirror := &Mirror{}
-			lost, deleted := 0, 0
+			lost, lostRecords := 0, 0
 			mirror.ListenRestored(func(restore Restore) { lost += restore.Lost })
 			mirror.Listen(func(records []shedkeel.Record) {
 				for _, record := range records {
 					if record.Lost {
-						deleted++
+						lostRecords++
 					}
 				}
 			})
@@ -84,15 +84,15 @@
 			assert.DeepEqual(t, found, test.want)
 			assert.Equal(t, mirror.State().At.String(), test.at)
 			assert.Equal(t, mirror.State().AsOf, test.asOf)
-			assert.Equal(t, deleted, test.lost)
+			assert.Equal(t, lostRecords, test.lost)
 			assert.Equal(t, lost, test.lost)
 		})
 	}
 }
 
-// TestRelayOverEras has mirrors follow each other in random order while the service goes
-// back to older copies, and checks that each ends with what the service holds and that
-// none goes back within an era or to an earlier one.
+// TestRelayAcrossEras lets mirrors follow each other in random order while the service is
+// restored from older copies. In the end each must hold what the service holds, and no
+// record may go back within an era or to an earlier one.
 func TestRelayAcrossEras(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 5))
@@ -125,7 +125,7 @@
 	}
 }
 
-// step has a mirror follow the service or another mirror once.
+// step lets a random mirror follow the service or another mirror once.
 func step(t *testing.T, store *standin.Store, mirrors []*Mirror, random *rand.Rand) {
 	t.Helper()
 	index, from := random.IntN(len(mirrors)), random.IntN(len(mirrors)+1)
@@ -143,8 +143,9 @@
 	own.Apply(Update{Records: records, Whole: true, At: at})
 }
 
-// TestFollowerListsALaterEra has a service come back from an older copy whose numbers
-// have passed the known ones, so that a watch is answered as if nothing had happened.
+// TestFollowerListsNewEra restores the service from an older copy and writes until its
+// revision numbers have passed those that the follower knows. The service then answers a
+// watch as if nothing had happened.
 func TestFollowerListsNewEra(t *testing.T) {
 	store := standin.NewStore()
 	put := func(key string) {
@@ -169,14 +170,14 @@
 	for range 9 {
 		put("above")
 	}
-	eventually(t, "what was written below the known number", func() bool { return own.Get("below").Revision.Exists() })
+	eventually(t, "a record written at a number below the known one", func() bool { return own.Get("below").Revision.Exists() })
 	assert.Assert(t, !own.Get("lost").Revision.Exists())
 	cancel()
 	<-ended
 }
 
-// eraSource answers watches as the service does whose numbers have passed the asked one,
-// tells of another era as its client does, and counts lists.
+// eraSource answers watches like a restored service whose revision numbers have passed the
+// requested one, reports a new era as the client of the service does, and counts lists.
 type eraSource struct {
 	*source
 	lists *atomic.Int64
@@ -190,41 +191,41 @@
 	return changes, err
 }
 
-// List lists the service's records.
 func (source *eraSource) List(ctx context.Context, prefix string) ([]shedkeel.Record, shedkeel.Revision, error) {
 	source.lists.Add(1)
 	return source.source.List(ctx, prefix)
 }
 
-// TestRestoreIsFollowed has a service that was away come back from an older copy, and
-// compares how processes come to follow it: each by itself, or one from which the others
-// copy. The second way stands.
+// TestFollowRestore restores a service from an older copy during an outage, and measures
+// how processes come to follow it: each by itself, or one that passes its copy to the
+// others, which is the way in use.
 func TestFollowRestore(t *testing.T) {
 	type scenario struct {
 		processes int
 		alone     bool
 		within    time.Duration
 	}
-	cases := map[string]scenario{"9, one tells the others": {9, false, 500 * time.Millisecond}}
+	cases := map[string]scenario{"9, one passes its copy on": {9, false, 500 * time.Millisecond}}
 	if *sizes {
 		for _, processes := range []int{9, 66, 300} {
 			cases[fmt.Sprintf("%d, each by itself", processes)] = scenario{processes, true, time.Second}
-			cases[fmt.Sprintf("%d, one tells the others", processes)] = scenario{processes, false, time.Second}
+			cases[fmt.Sprintf("%d, one passes its copy on", processes)] = scenario{processes, false, time.Second}
 		}
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			for _, overtaken := range []bool{false, true} {
 				took, lists, calls := measureRestore(t, test.processes, test.alone, overtaken)
-				t.Logf("revisions passed: %t; all follow after %s; %d lists, %d calls", overtaken, took, lists, calls)
+				t.Logf("revisions overtaken: %t; all follow after %s; %d lists, %d calls", overtaken, took, lists, calls)
 				assert.Assert(t, took < test.within, "it took %s", took)
 			}
 		})
 	}
 }
 
-// restoreFleet returns how long it takes from the return of the service until all
-// processes follow it, and how often they list it and call it meanwhile.
+// measureRestore returns how long it takes from the end of the outage until all processes
+// follow the restored service, and how often they list and call it meanwhile. If overtaken
+// is set, the service's revision numbers have passed the known ones by then.
 func measureRestore(t *testing.T, processes int, independent, overtaken bool) (took time.Duration, lists, calls int64) {
 	t.Helper()
 	store := standin.NewStore()
@@ -274,15 +275,15 @@
 	store.Snapshot()
 	change(50)
 	time.Sleep(time.Second)
-	from.setErr(errors.New("away"))
+	from.setErr(errors.New("service unavailable"))
 	time.Sleep(500 * time.Millisecond)
 	store.Restore()
 	if overtaken {
 		change(100)
 	}
-	asked, listed := from.callCount(), from.lists.Load()
+	callsBefore, listsBefore := from.callCount(), from.lists.Load()
 	returned := clock.Now()
 	from.setErr(nil)
-	eventually(t, "all follow", reached(1))
-	return clock.Now() - returned, from.lists.Load() - listed, int64(from.callCount() - asked)
+	eventually(t, "all processes to follow the new era", reached(1))
+	return clock.Now() - returned, from.lists.Load() - listsBefore, int64(from.callCount() - callsBefore)
 }
