--- a/mirror/bootstrap_test.go
+++ b/mirror/bootstrap_test.go
@@ -20,14 +20,14 @@
 	listTime      time.Duration // that one list takes
 	clientTimeout time.Duration // after which a process abandons a list and loses what it has read
 
-	mutex  sync.Mutex
-	idleAt time.Time // when all lists so far are through
-	lists  int
+	mutex     sync.Mutex
+	idleAt    time.Time // when all lists so far are through
+	listCount int
 }
 
 func (sharedLink *sharedLink) List(ctx context.Context, _ string) ([]shedkeel.Record, shedkeel.Revision, error) {
 	sharedLink.mutex.Lock()
-	sharedLink.lists++
+	sharedLink.listCount++
 	now := time.Now()
 	if sharedLink.idleAt.Before(now) {
 		sharedLink.idleAt = now
@@ -138,9 +138,9 @@
 			took := time.Since(began)
 			cancel()
 			running.Wait()
-			t.Logf("%d of %d processes have a copy after %s, %d lists requested", withCopy(), expected, took, service.lists)
+			t.Logf("%d of %d processes have a copy after %s, %d lists requested", withCopy(), expected, took, service.listCount)
 			assert.Equal(t, withCopy(), expected, "after %s", took)
-			assert.Assert(t, service.lists <= test.maxLists, "%d lists were requested", service.lists)
+			assert.Assert(t, service.listCount <= test.maxLists, "%d lists were requested", service.listCount)
 		})
 	}
 }
--- a/mirror/idle_test.go
+++ b/mirror/idle_test.go
@@ -167,13 +167,13 @@
 // one alone.
 type refusingSource struct {
 	shedkeel.RecordSource
-	refused atomic.Bool
+	refusing atomic.Bool
 }
 
-func (refusingSource *refusingSource) refuse() { refusingSource.refused.Store(true) }
+func (refusingSource *refusingSource) refuse() { refusingSource.refusing.Store(true) }
 
 func (refusingSource *refusingSource) Changes(ctx context.Context, prefix string, since shedkeel.Revision, wait time.Duration) (shedkeel.Changes, error) {
-	if refusingSource.refused.Load() {
+	if refusingSource.refusing.Load() {
 		return shedkeel.Changes{}, errRefused
 	}
 	return refusingSource.RecordSource.Changes(ctx, prefix, since, wait)
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -87,11 +87,11 @@
 	if update.At.Exists() && update.At.Era < mirror.at.Era || newEra && !update.Whole {
 		return
 	}
-	previous := mirror.at
+	oldRevision := mirror.at
 	mirror.at = shedkeel.LaterRevision(mirror.at, update.At)
-	changed := mirror.merge(update.Records)
+	changes := mirror.merge(update.Records)
 	if update.Whole {
-		changed = append(changed, mirror.removeAbsent(update, newEra)...)
+		changes = append(changes, mirror.removeAbsent(update, newEra)...)
 		mirror.tombstoneFloor = shedkeel.LaterRevision(mirror.tombstoneFloor, update.At)
 	}
 	first := !mirror.known
@@ -99,13 +99,13 @@
 	mirror.asOf = max(mirror.asOf, update.AsOf)
 	if newEra {
 		clear(mirror.previous) // they belong to the earlier era
-		mirror.notifyRestored(previous, changed)
+		mirror.notifyRestored(oldRevision, changes)
 	}
-	if len(changed) == 0 && !first && !newEra {
+	if len(changes) == 0 && !first && !newEra {
 		return
 	}
 	for _, listener := range mirror.listeners {
-		listener(changed)
+		listener(changes)
 	}
 	if mirror.changed != nil {
 		close(mirror.changed)
@@ -114,9 +114,9 @@
 }
 
 // notifyRestored calls the restore listeners.
-func (mirror *Mirror) notifyRestored(from shedkeel.Revision, changed []shedkeel.Record) {
-	restore := Restore{From: from, To: mirror.at}
-	for _, record := range changed {
+func (mirror *Mirror) notifyRestored(oldRevision shedkeel.Revision, changes []shedkeel.Record) {
+	restore := Restore{From: oldRevision, To: mirror.at}
+	for _, record := range changes {
 		if record.Lost {
 			restore.Lost++
 		}
@@ -128,20 +128,20 @@
 
 // merge applies the records that are newer than the copy's and returns them.
 func (mirror *Mirror) merge(records []shedkeel.Record) []shedkeel.Record {
-	var changed []shedkeel.Record
+	var changes []shedkeel.Record
 	for _, record := range records {
 		earlierEra := record.Revision.Era < mirror.at.Era
 		if earlierEra || !record.Revision.After(mirror.records[record.Key].Revision) || mirror.removedSince(record) {
 			continue
 		}
-		changed = append(changed, record)
+		changes = append(changes, record)
 		if record.Gone {
 			mirror.remove(record)
 		} else {
 			mirror.replace(record)
 		}
 	}
-	return changed
+	return changes
 }
 
 // replace stores a newer record, and keeps the one that it replaces if it is small.
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -125,7 +125,7 @@
 type source struct {
 	*standin.Store
 	mutex      sync.Mutex
-	err        error
+	failure    error
 	calls      int
 	maxRecords int // per response; 0: unlimited
 }
@@ -134,7 +134,7 @@
 	source.mutex.Lock()
 	defer source.mutex.Unlock()
 	source.calls++
-	return source.err
+	return source.failure
 }
 
 func (source *source) callCount() int {
@@ -146,13 +146,13 @@
 func (source *source) currentErr() error {
 	source.mutex.Lock()
 	defer source.mutex.Unlock()
-	return source.err
+	return source.failure
 }
 
 func (source *source) setErr(err error) {
 	source.mutex.Lock()
 	defer source.mutex.Unlock()
-	source.err = err
+	source.failure = err
 }
 
 func (source *source) List(_ context.Context, prefix string) ([]shedkeel.Record, shedkeel.Revision, error) {
