--- a/mutants_test.go
+++ b/mutants_test.go
@@ -331,7 +331,7 @@
 		"formation/mend.go", "case round.planner.givenUp[assignment]:", "case false:", "TestGroupsFollowDemand", "./formation",
 	},
 	"nodes: a difference is taken of any value": {
-		"transfer/difference.go", "if known.Revision != base ||", "if known.Revision.Era != base.Era ||", "TestDiffer", "./transfer",
+		"transfer/difference.go", "if base.Revision != baseRevision ||", "if base.Revision.Era != baseRevision.Era ||", "TestDiffer", "./transfer",
 	},
 	"nodes: former formations are remembered": {
 		"formation/planner.go", "if now-at <= forgetTime {", "if now-at <= 1000*forgetTime {", "TestFormerFormationsAreForgotten", "./formation",
--- a/transfer/batches.go
+++ b/transfer/batches.go
@@ -11,66 +11,67 @@
 )
 
 const (
-	// BatchMin is from how many records on changes are compressed together. Records that
-	// are alike compress well; a few are not worth the time.
+	// BatchMin is the number of records from which changes are compressed together.
+	// Similar records compress well; a few are not worth the time.
 	BatchMin = 32
-	// batchKeep is how many batches are kept: those who follow one process ask for the
-	// same changes, or for the ones before.
-	batchKeep = 4
+	// maxCachedBatches is how many compressed batches are kept. Processes that follow
+	// the same one request the same changes, or the ones just before.
+	maxCachedBatches = 4
 )
 
-// Batch names the changes after a revision up to another one.
+// Batch identifies the changes after one revision up to another.
 type Batch struct {
 	Since, At   shedkeel.Revision
-	Differences bool // who asks takes differences
+	Differences bool // the receiver accepts differences
 }
 
-// Batches compresses changes of many records, each batch once for all that ask for it.
-// The zero value is ready for use.
+// Batches compresses batches of changes, each one once for all processes that request
+// it. The zero value is ready for use.
 type Batches struct {
-	mutex sync.Mutex
-	kept  []packedBatch // the newest last
+	mutex  sync.Mutex
+	cached []compressedBatch // newest last
 }
 
-type packedBatch struct {
-	batch  Batch
-	packed []byte
+// compressedBatch is a batch and its compressed records.
+type compressedBatch struct {
+	batch Batch
+	data  []byte
 }
 
-// Tell puts the records of a batch into the reply, as encode returns them if they are
-// not kept.
+// Tell puts the records of a batch into the reply. It calls encode for them unless the
+// batch is cached.
 func (batches *Batches) Tell(reply *wire.RelayReply, batch Batch, encode func() []*wire.StoreRecord) {
 	batches.mutex.Lock()
 	defer batches.mutex.Unlock()
-	for _, kept := range batches.kept {
-		if kept.batch == batch {
-			reply.Packed = kept.packed
+	for _, cached := range batches.cached {
+		if cached.batch == batch {
+			reply.Packed = cached.data
 			return
 		}
 	}
 	records := encode()
-	packed := packRecords(records)
-	if packed == nil {
+	data := compressRecords(records)
+	if data == nil {
 		reply.Records = records
 		return
 	}
-	if len(batches.kept) == batchKeep {
-		batches.kept = slices.Delete(batches.kept, 0, 1)
+	if len(batches.cached) == maxCachedBatches {
+		batches.cached = slices.Delete(batches.cached, 0, 1)
 	}
-	batches.kept = append(batches.kept, packedBatch{batch, packed})
-	reply.Packed = packed
+	batches.cached = append(batches.cached, compressedBatch{batch, data})
+	reply.Packed = data
 }
 
-// packRecords compresses records together, or returns nil where they are to be told as
-// they are.
-func packRecords(records []*wire.StoreRecord) []byte {
-	text, err := proto.Marshal(&wire.RelayReply{Records: records})
+// compressRecords compresses records together. It returns nil if that fails, and the
+// records are then sent uncompressed.
+func compressRecords(records []*wire.StoreRecord) []byte {
+	message, err := proto.Marshal(&wire.RelayReply{Records: records})
 	if err != nil {
 		return nil
 	}
-	packed, err := Deflate(text)
+	data, err := Deflate(message)
 	if err != nil {
-		return nil // memory never fails to be written to
+		return nil // cannot happen: writes to memory do not fail
 	}
-	return packed
+	return data
 }
--- a/transfer/copies.go
+++ b/transfer/copies.go
@@ -12,75 +12,78 @@
 )
 
 const (
-	// copyKeep is for how long a whole copy that was compressed is told again,
-	// though more has changed since: that is asked for next.
-	copyKeep = 500 * time.Millisecond
-	// copyMax bounds a whole copy, in bytes.
-	copyMax = 32 << 20
+	// snapshotMaxAge is for how long a compressed snapshot is sent again although
+	// records have changed since. The receiver requests those changes next.
+	snapshotMaxAge = 500 * time.Millisecond
+	// maxSnapshotSize bounds a decompressed reply, in bytes.
+	maxSnapshotSize = 32 << 20
 )
 
-// Copies compresses whole copies of a mirror for processes that know nothing, each
-// once for all that ask within copyKeep. The zero value is ready for use.
+// Copies compresses snapshots of a mirror for processes that have no copy, each snapshot
+// once for all requests within snapshotMaxAge. The zero value is ready for use.
 type Copies struct {
-	mutex  sync.Mutex
-	made   time.Duration
-	kept   mirror.Update // without its records
-	packed []byte        // nil: none is kept
+	mutex        sync.Mutex
+	compressedAt time.Duration
+	snapshot     mirror.Update // without its records
+	data         []byte        // compressed records of the snapshot; nil: there is none
 }
 
-// Tell returns the update as it is sent, or an older one that is still good. Records
-// that are alike compress well together.
+// Tell returns the reply with the full update, or with an older snapshot that may still
+// be sent. The records are compressed together, as similar records compress well.
 func (copies *Copies) Tell(update mirror.Update, now time.Duration) *wire.RelayReply {
 	copies.mutex.Lock()
 	defer copies.mutex.Unlock()
-	outdated := now-copies.made >= copyKeep && update.At != copies.kept.At || update.At.Era != copies.kept.At.Era
-	if copies.packed == nil || outdated {
-		copies.pack(update, now)
+	expired := now-copies.compressedAt >= snapshotMaxAge && update.At != copies.snapshot.At || update.At.Era != copies.snapshot.At.Era
+	if copies.data == nil || expired {
+		copies.compress(update, now)
 	}
-	if copies.packed == nil {
+	if copies.data == nil {
 		reply := Reply(update, now)
-		reply.Records = plainRecords(update.Records)
+		reply.Records = uncompressedRecords(update.Records)
 		return reply
 	}
-	if copies.kept.At == update.At {
-		copies.kept.AsOf = update.AsOf
+	if copies.snapshot.At == update.At {
+		copies.snapshot.AsOf = update.AsOf
 	}
-	reply := Reply(copies.kept, now)
-	reply.Packed = copies.packed
+	reply := Reply(copies.snapshot, now)
+	reply.Packed = copies.data
 	return reply
 }
 
-func (copies *Copies) pack(update mirror.Update, now time.Duration) {
-	copies.packed = packRecords(plainRecords(update.Records))
-	copies.made = now
-	copies.kept = mirror.Update{Whole: update.Whole, At: update.At, AsOf: update.AsOf}
+// compress replaces the snapshot by the update.
+func (copies *Copies) compress(update mirror.Update, now time.Duration) {
+	copies.data = compressRecords(uncompressedRecords(update.Records))
+	copies.compressedAt = now
+	copies.snapshot = mirror.Update{Whole: update.Whole, At: update.At, AsOf: update.AsOf}
 }
 
-func plainRecords(records []shedkeel.Record) []*wire.StoreRecord {
-	var plain []*wire.StoreRecord
+// uncompressedRecords encodes the records one by one.
+func uncompressedRecords(records []shedkeel.Record) []*wire.StoreRecord {
+	var messages []*wire.StoreRecord
 	for _, record := range records {
-		plain = append(plain, plainRecord(record))
+		messages = append(messages, uncompressedRecord(record))
 	}
-	return plain
+	return messages
 }
 
-// Records returns the records that a reply tells.
+// Records returns the records of a reply, decompressed if needed.
 func Records(reply *wire.RelayReply) ([]*wire.StoreRecord, error) {
 	if len(reply.GetPacked()) == 0 {
 		return reply.GetRecords(), nil
 	}
-	text, err := Inflate(reply.GetPacked(), copyMax)
+	message, err := Inflate(reply.GetPacked(), maxSnapshotSize)
 	if err != nil {
 		return nil, err
 	}
-	var whole wire.RelayReply
-	if err := proto.Unmarshal(text, &whole); err != nil {
+	var unpacked wire.RelayReply
+	if err := proto.Unmarshal(message, &unpacked); err != nil {
 		return nil, err
 	}
-	return whole.GetRecords(), nil
+	return unpacked.GetRecords(), nil
 }
 
-// Reply tells of an update, but for its records.
+// Reply encodes an update without its records. The age is rounded up to a full
+// millisecond.
 func Reply(update mirror.Update, now time.Duration) *wire.RelayReply {
 	age := now - update.AsOf
 	return &wire.RelayReply{Whole: update.Whole, Era: update.At.Era, At: update.At.Number, AgeMs: uint64(age.Milliseconds()) + 1, Known: true}
--- a/transfer/copies_test.go
+++ b/transfer/copies_test.go
@@ -11,8 +11,9 @@
 	"shedkeel.org/shedkeel/mirror"
 )
 
-// TestCopyIsKept covers a copy that is told again while more changes.
-func TestCopyIsKept(t *testing.T) {
+// TestSnapshotIsReused checks that a snapshot is sent again for a while after a record
+// has changed, with its own revision and age.
+func TestSnapshotIsReused(t *testing.T) {
 	var records []shedkeel.Record
 	for number := range int64(3) {
 		records = append(records, shedkeel.Record{Key: fmt.Sprint("servers/", number), Value: []byte("v"), Revision: shedkeel.Revision{Number: number + 1}})
@@ -23,8 +24,8 @@
 	now := time.Minute + time.Second
 	assert.Equal(t, copies.Tell(own.Since(shedkeel.Revision{}), now).GetAgeMs(), uint64(1001))
 	own.Apply(mirror.Update{At: shedkeel.Revision{Number: 9}, AsOf: now, Records: []shedkeel.Record{{Key: "a", Revision: shedkeel.Revision{Number: 9}}}})
-	kept := copies.Tell(own.Since(shedkeel.Revision{}), now+copyKeep/2)
-	assert.Equal(t, kept.GetAt(), int64(3), "the kept one is good for a while")
-	assert.Equal(t, kept.GetAgeMs(), uint64(1001+copyKeep.Milliseconds()/2), "as old as it is")
-	assert.Equal(t, copies.Tell(own.Since(shedkeel.Revision{}), now+copyKeep).GetAt(), int64(9))
+	cached := copies.Tell(own.Since(shedkeel.Revision{}), now+snapshotMaxAge/2)
+	assert.Equal(t, cached.GetAt(), int64(3), "the snapshot is sent again")
+	assert.Equal(t, cached.GetAgeMs(), uint64(1001+snapshotMaxAge.Milliseconds()/2), "the age counts from the snapshot")
+	assert.Equal(t, copies.Tell(own.Since(shedkeel.Revision{}), now+snapshotMaxAge).GetAt(), int64(9))
 }
--- a/transfer/difference.go
+++ b/transfer/difference.go
@@ -7,25 +7,26 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// differenceMin is how many bytes a record must have in common with its former
-// value to be told by the difference, which takes some twelve bytes.
-const differenceMin = 32
-
-// ErrOtherBase says that a record was told by how it differs from a value that
-// is not known here.
-var ErrOtherBase = errors.New("the record differs from a value that is not known here")
-
-// Differ tells a record by how it differs from the value that it replaced, or
-// nil if it has too little in common with it.
-func Differ(record, former shedkeel.Record) *wire.StoreRecord {
-	prefix := commonPrefix(record.Value, former.Value)
-	suffix := commonSuffix(record.Value[prefix:], former.Value[prefix:])
-	if prefix+suffix < differenceMin {
+// minCommonBytes is how many bytes a record must have in common with its previous value
+// to be sent as a difference, whose fields take some twelve bytes.
+const minCommonBytes = 32
+
+// ErrOtherBase means that a difference applies to another revision of the record than
+// the receiver has, or does not fit its value.
+var ErrOtherBase = errors.New("the difference applies to a value that this process does not have")
+
+// Differ encodes a record as its difference from the value that it replaced: the common
+// prefix and suffix, and the bytes between. It returns nil if they have too little in
+// common.
+func Differ(record, base shedkeel.Record) *wire.StoreRecord {
+	prefix := commonPrefix(record.Value, base.Value)
+	suffix := commonSuffix(record.Value[prefix:], base.Value[prefix:])
+	if prefix+suffix < minCommonBytes {
 		return nil
 	}
 	return &wire.StoreRecord{
 		Key: record.Key, Revision: record.Revision.Number, Value: record.Value[prefix : len(record.Value)-suffix],
-		Base: former.Revision.Number, Prefix: uint32(prefix), Suffix: uint32(suffix),
+		Base: base.Revision.Number, Prefix: uint32(prefix), Suffix: uint32(suffix),
 	}
 }
 
@@ -45,16 +46,17 @@
 	return count
 }
 
-// Undiffer returns the whole record of the era. Known is the one that this process has.
-func Undiffer(sent *wire.StoreRecord, era int64, known shedkeel.Record) (shedkeel.Record, error) {
-	record := shedkeel.Record{Key: sent.GetKey(), Revision: shedkeel.Revision{Era: era, Number: sent.GetRevision()}}
-	base := shedkeel.Revision{Era: era, Number: sent.GetBase()}
-	prefix, suffix := int(sent.GetPrefix()), int(sent.GetSuffix())
-	if known.Revision != base || prefix+suffix > len(known.Value) {
+// Undiffer restores a record of the era from its difference. The base is the record that
+// this process has; ErrOtherBase is returned if it is not the one that the sender used.
+func Undiffer(delta *wire.StoreRecord, era int64, base shedkeel.Record) (shedkeel.Record, error) {
+	record := shedkeel.Record{Key: delta.GetKey(), Revision: shedkeel.Revision{Era: era, Number: delta.GetRevision()}}
+	baseRevision := shedkeel.Revision{Era: era, Number: delta.GetBase()}
+	prefix, suffix := int(delta.GetPrefix()), int(delta.GetSuffix())
+	if base.Revision != baseRevision || prefix+suffix > len(base.Value) {
 		return record, ErrOtherBase
 	}
-	record.Value = append(record.Value, known.Value[:prefix]...)
-	record.Value = append(record.Value, sent.GetValue()...)
-	record.Value = append(record.Value, known.Value[len(known.Value)-suffix:]...)
+	record.Value = append(record.Value, base.Value[:prefix]...)
+	record.Value = append(record.Value, delta.GetValue()...)
+	record.Value = append(record.Value, base.Value[len(base.Value)-suffix:]...)
 	return record, nil
 }
--- a/transfer/packer.go
+++ b/transfer/packer.go
@@ -1,6 +1,6 @@
-// Package transfer encodes records of the key-value service for other processes: large
-// ones and whole copies compressed, small changes by how a value differs from the one
-// before.
+// Package transfer encodes records of the key-value service for other processes. It
+// compresses large records and full copies, and sends small changes as differences from
+// the previous value.
 package transfer
 
 import (
@@ -15,59 +15,59 @@
 )
 
 const (
-	// packMin is the size of a record from which it is compressed for other
-	// nodes, in bytes: a configuration of many routes would fill a slow link.
-	packMin = 4 << 10
-	// MaxValue bounds a value that was compressed, in bytes: the service takes values
-	// of a megabyte.
+	// minCompressedSize is the size in bytes from which a record is compressed for
+	// other nodes: an uncompressed configuration of many routes would fill a slow
+	// link.
+	minCompressedSize = 4 << 10
+	// MaxValue bounds a decompressed value, in bytes. The service accepts values of
+	// one megabyte.
 	MaxValue = 4 << 20
 )
 
-// Packer compresses large records, each revision once. The zero value is ready
-// for use.
+// Packer compresses large records, each revision once. The zero value is ready for use.
 type Packer struct {
-	mutex sync.Mutex
-	kept  map[string]packedRecord // by key, the latest revision that was asked for
+	mutex  sync.Mutex
+	cached map[string]compressedRecord // by key, the latest revision that was encoded
 }
 
-// packedRecord is a record as it is sent.
-type packedRecord struct {
+// compressedRecord is a revision of a record in its compressed form.
+type compressedRecord struct {
 	revision shedkeel.Revision
-	sent     *wire.StoreRecord
+	message  *wire.StoreRecord
 }
 
-// Pack returns the record as it is sent to other nodes.
+// Pack encodes a record for other nodes.
 func (packer *Packer) Pack(record shedkeel.Record) *wire.StoreRecord {
-	plain := plainRecord(record)
-	if len(record.Value) < packMin {
-		return plain
+	uncompressed := uncompressedRecord(record)
+	if len(record.Value) < minCompressedSize {
+		return uncompressed
 	}
 	packer.mutex.Lock()
 	defer packer.mutex.Unlock()
-	if known := packer.kept[record.Key]; known.sent != nil && known.revision == record.Revision {
-		return known.sent
+	if cached := packer.cached[record.Key]; cached.message != nil && cached.revision == record.Revision {
+		return cached.message
 	}
 	value, err := Deflate(record.Value)
 	if err != nil {
-		return plain // memory never fails to be written to, and plain is right too
+		return uncompressed // cannot happen: writes to memory do not fail
 	}
-	if packer.kept == nil {
-		packer.kept = map[string]packedRecord{}
+	if packer.cached == nil {
+		packer.cached = map[string]compressedRecord{}
 	}
-	packed := &wire.StoreRecord{Key: record.Key, Value: value, Revision: record.Revision.Number, Packed: true}
-	packer.kept[record.Key] = packedRecord{record.Revision, packed}
-	return packed
+	message := &wire.StoreRecord{Key: record.Key, Value: value, Revision: record.Revision.Number, Packed: true}
+	packer.cached[record.Key] = compressedRecord{record.Revision, message}
+	return message
 }
 
-// plainRecord returns the record as it is.
-func plainRecord(record shedkeel.Record) *wire.StoreRecord {
+// uncompressedRecord encodes a record as it is.
+func uncompressedRecord(record shedkeel.Record) *wire.StoreRecord {
 	return &wire.StoreRecord{Key: record.Key, Value: record.Value, Revision: record.Revision.Number, Gone: record.Gone}
 }
 
 // Deflate compresses a value.
 func Deflate(value []byte) ([]byte, error) {
-	var packed bytes.Buffer
-	writer, err := flate.NewWriter(&packed, flate.BestSpeed)
+	var compressed bytes.Buffer
+	writer, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err != nil {
 		return nil, err
 	}
@@ -77,31 +77,31 @@
 	if err := writer.Close(); err != nil {
 		return nil, err
 	}
-	return packed.Bytes(), nil
+	return compressed.Bytes(), nil
 }
 
-// Unpack returns a record of the era as the service has it.
-func Unpack(sent *wire.StoreRecord, era int64) (shedkeel.Record, error) {
-	record := shedkeel.Record{Key: sent.GetKey(), Value: sent.GetValue(), Revision: shedkeel.Revision{Era: era, Number: sent.GetRevision()}, Gone: sent.GetGone()}
-	if !sent.GetPacked() {
+// Unpack decodes a record of the era that Pack encoded, and decompresses it if needed.
+func Unpack(message *wire.StoreRecord, era int64) (shedkeel.Record, error) {
+	record := shedkeel.Record{Key: message.GetKey(), Value: message.GetValue(), Revision: shedkeel.Revision{Era: era, Number: message.GetRevision()}, Gone: message.GetGone()}
+	if !message.GetPacked() {
 		return record, nil
 	}
 	value, err := Inflate(record.Value, MaxValue)
 	if err != nil {
-		return record, fmt.Errorf("record %s of another node: %w", record.Key, err)
+		return record, fmt.Errorf("record %s from another node: %w", record.Key, err)
 	}
 	record.Value = value
 	return record, nil
 }
 
-// Inflate returns what was compressed, of at most so many bytes.
-func Inflate(packed []byte, most int64) ([]byte, error) {
-	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), most+1))
+// Inflate decompresses a value. It fails if the value has more bytes than the limit.
+func Inflate(compressed []byte, limit int64) ([]byte, error) {
+	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), limit+1))
 	if err != nil {
 		return nil, err
 	}
-	if int64(len(value)) > most {
-		return nil, fmt.Errorf("it has more than %d bytes", most)
+	if int64(len(value)) > limit {
+		return nil, fmt.Errorf("decompressed value exceeds %d bytes", limit)
 	}
 	return value, nil
 }
--- a/transfer/packer_test.go
+++ b/transfer/packer_test.go
@@ -20,23 +20,23 @@
 		record shedkeel.Record
 		packed bool
 	}{
-		"a small one": {shedkeel.Record{Key: "a", Value: []byte("v"), Revision: shedkeel.Revision{Number: 3}}, false},
-		"a large one": {shedkeel.Record{Key: "a", Value: routes.Bytes(), Revision: shedkeel.Revision{Number: 3}}, true},
-		"a gone one":  {shedkeel.Record{Key: "a", Revision: shedkeel.Revision{Number: 3}, Gone: true}, false},
+		"small record":   {shedkeel.Record{Key: "a", Value: []byte("v"), Revision: shedkeel.Revision{Number: 3}}, false},
+		"large record":   {shedkeel.Record{Key: "a", Value: routes.Bytes(), Revision: shedkeel.Revision{Number: 3}}, true},
+		"deleted record": {shedkeel.Record{Key: "a", Revision: shedkeel.Revision{Number: 3}, Gone: true}, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			packer := &Packer{}
-			sent := packer.Pack(test.record)
-			assert.Equal(t, sent.GetPacked(), test.packed)
+			message := packer.Pack(test.record)
+			assert.Equal(t, message.GetPacked(), test.packed)
 			if test.packed {
-				assert.Assert(t, len(sent.GetValue())*5 < len(test.record.Value), "%d bytes", len(sent.GetValue()))
-				assert.Assert(t, packer.Pack(test.record) == sent, "the same revision was compressed twice")
+				assert.Assert(t, len(message.GetValue())*5 < len(test.record.Value), "%d bytes", len(message.GetValue()))
+				assert.Assert(t, packer.Pack(test.record) == message, "the same revision was compressed twice")
 				newer := test.record
 				newer.Revision.Number++
 				assert.Equal(t, packer.Pack(newer).GetRevision(), newer.Revision.Number)
 			}
-			record, err := Unpack(sent, 0)
+			record, err := Unpack(message, 0)
 			assert.NilError(t, err)
 			assert.DeepEqual(t, record, test.record)
 		})
@@ -46,7 +46,7 @@
 func TestUnpackRefuses(t *testing.T) {
 	bomb, err := Deflate(make([]byte, MaxValue+1))
 	assert.NilError(t, err)
-	for name, value := range map[string][]byte{"no such format": []byte("xyz"), "too much": bomb} {
+	for name, value := range map[string][]byte{"not compressed data": []byte("xyz"), "exceeds the limit": bomb} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Unpack(&wire.StoreRecord{Key: "a", Value: value, Packed: true}, 0)
 			assert.ErrorContains(t, err, "record a")
