--- a/transfer/batches_test.go
+++ b/transfer/batches_test.go
@@ -33,8 +33,8 @@
 	at := func(number int64) shedkeel.Revision { return shedkeel.Revision{Number: number} }
 	first := Batch{Since: at(1), At: at(9), Differences: true}
 	cases := map[string]struct {
-		asked   []Batch
-		encoded int
+		requests  []Batch
+		encodings int
 	}{
 		"the same batch":         {[]Batch{first, first, first}, 1},
 		"since another revision": {[]Batch{first, {Since: at(2), At: at(9), Differences: true}, first}, 2},
@@ -47,7 +47,7 @@
 		t.Run(name, func(t *testing.T) {
 			batches := &Batches{}
 			encoded := 0
-			for _, batch := range test.asked {
+			for _, batch := range test.requests {
 				reply := &wire.RelayReply{}
 				batches.Tell(reply, batch, func() []*wire.StoreRecord {
 					encoded++
@@ -58,7 +58,7 @@
 				assert.Equal(t, len(records), 1)
 				assert.Equal(t, records[0].GetKey(), fmt.Sprint(batch), "the reply holds another batch")
 			}
-			assert.Equal(t, encoded, test.encoded)
+			assert.Equal(t, encoded, test.encodings)
 		})
 	}
 }
--- a/transfer/copies.go
+++ b/transfer/copies.go
@@ -28,8 +28,8 @@
 	data         []byte        // compressed records of the snapshot; nil: there is none
 }
 
-// Tell returns the reply with the full update, or with an older snapshot that may still
-// be sent. The records are compressed together, as similar records compress well.
+// Tell returns the reply with the full update, or with an older snapshot of the same
+// era that may still be sent. The records are compressed together, as similar records compress well.
 func (copies *Copies) Tell(update mirror.Update, now time.Duration) *wire.RelayReply {
 	copies.mutex.Lock()
 	defer copies.mutex.Unlock()
@@ -82,8 +82,8 @@
 	return unpacked.GetRecords(), nil
 }
 
-// Reply encodes an update without its records. The age is rounded up to a full
-// millisecond.
+// Reply encodes an update without its records. The age in milliseconds is never less
+// than the copy's.
 func Reply(update mirror.Update, now time.Duration) *wire.RelayReply {
 	age := now - update.AsOf
 	return &wire.RelayReply{Whole: update.Whole, Era: update.At.Era, At: update.At.Number, AgeMs: uint64(age.Milliseconds()) + 1, Known: true}
--- a/transfer/difference_test.go
+++ b/transfer/difference_test.go
@@ -17,8 +17,8 @@
 func TestDiffer(t *testing.T) {
 	long := bytes.Repeat([]byte("server "), 20)
 	cases := map[string]struct {
-		former, value []byte
-		told          bool
+		base, value []byte
+		encoded     bool
 	}{
 		"a number changes":   {append(long, "\"seq\":9,\"state\":\"ready\""...), append(long, "\"seq\":10,\"state\":\"ready\""...), true},
 		"the same value":     {long, long, true},
@@ -31,10 +31,10 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			base := shedkeel.Record{Key: "k", Value: bytes.Clone(test.former), Revision: shedkeel.Revision{Number: 3}}
+			base := shedkeel.Record{Key: "k", Value: bytes.Clone(test.base), Revision: shedkeel.Revision{Number: 3}}
 			record := shedkeel.Record{Key: "k", Value: bytes.Clone(test.value), Revision: shedkeel.Revision{Number: 8}}
 			delta := Differ(record, base)
-			assert.Equal(t, delta != nil, test.told)
+			assert.Equal(t, delta != nil, test.encoded)
 			if delta == nil {
 				return
 			}
--- a/transfer/packer.go
+++ b/transfer/packer.go
@@ -44,8 +44,8 @@
 	}
 	packer.mutex.Lock()
 	defer packer.mutex.Unlock()
-	if cached := packer.cached[record.Key]; cached.message != nil && cached.revision == record.Revision {
-		return cached.message
+	if entry := packer.cached[record.Key]; entry.message != nil && entry.revision == record.Revision {
+		return entry.message
 	}
 	value, err := Deflate(record.Value)
 	if err != nil {
