--- a/mutants_test.go
+++ b/mutants_test.go
@@ -223,16 +223,16 @@
 		"node/remover.go", "node.stopping.Load() || node.gossip.isolated()", "node.stopping.Load()", "TestRemoverTakes", "./node",
 	},
 	"lives: a node that hears nobody takes all for dead": {
-		"swim/detector.go", "if peer.liveness == shedkeel.Alive && !detector.Isolated(now) {", "if peer.liveness == shedkeel.Alive {", "TestCuts|TestIsolated", "./swim",
+		"swim/detector.go", "if peer.liveness == shedkeel.Alive && !detector.Isolated(now) {", "if peer.liveness == shedkeel.Alive {", "TestPartitions|TestIsolated", "./swim",
 	},
 	"lives: a suspicion is not refuted": {
-		"swim/receive.go", "if detector.leaving || update.Liveness", "if true || detector.leaving || update.Liveness", "TestShortStandstills|TestLeaving", "./swim",
+		"swim/receive.go", "if detector.leaving || update.Liveness", "if true || detector.leaving || update.Liveness", "TestStalledNodes|TestLeaving", "./swim",
 	},
 	"lives: one ping in a period, however many have no answer": {
-		"swim/probe.go", "if next == nil || detector.more >= mostMore {", "if true {", "TestDeadNodesAreFound", "./swim",
+		"swim/probe.go", "if next == nil || detector.extraPings >= maxExtraPings {", "if true {", "TestDeadNodesAreDetected", "./swim",
 	},
 	"lives: who is listed late is alive at once": {
-		"swim/detector.go", "case peer.proven == never && !peer.trusted && !gone(peer):", "case false:", "TestListedLater", "./swim",
+		"swim/detector.go", "case peer.lastAlive == never && !peer.presumedAlive && !deadOrLeft(peer):", "case false:", "TestLateListedNodes", "./swim",
 	},
 	"lives: a hangup ends a node that stops": {
 		"program/node.go", "case <-ctx.Done():\n\t\t\treturn\n", "case <-ctx.Done():\n\t\t\tsignal.Reset(syscall.SIGHUP)\n\t\t\treturn\n", "TestSignalsWhileStopping", "./soak",
--- a/swim/detector.go
+++ b/swim/detector.go
@@ -1,10 +1,10 @@
-// Package swim finds out which nodes of a fleet live, as the SWIM protocol does:
-// each node pings another one at random a few times a second, asks others to ping
-// one that does not answer, and tells what it finds with the pings that it sends
-// anyway. A suspected node refutes that by raising its incarnation.
+// Package swim is a failure detector for the nodes of a fleet, by the SWIM protocol.
+// Each node pings a random other node a few times a second and asks others to ping a
+// node that does not answer (an indirect ping). Each message carries updates about
+// other nodes. A suspected node refutes the suspicion by raising its incarnation.
 //
-// What a node has to do is the same in a fleet of any size, no node has a duty
-// alone, and the platform's key-value service has no part in it.
+// The load of a node does not depend on the size of the fleet, no node has a special
+// role, and the detector does not use the platform's key-value service.
 package swim
 
 import (
@@ -18,265 +18,271 @@
 )
 
 const (
-	// period is the pause between two pings. Among many nodes each is pinged 0.63
-	// times in a period at least, so that one in a hundred deaths is first noticed
-	// after 4.6 periods.
-	period = 200 * time.Millisecond
-	// ackTime is how long the answer to a ping may take before others are asked:
-	// 3 ms are usual, and a box that has used up its share of a core stands still
+	// pingInterval is the time between two pings. In a large fleet at least 0.63 pings
+	// on average reach each node per interval, so that one in a hundred failures is
+	// first noticed after 4.6 intervals.
+	pingInterval = 200 * time.Millisecond
+	// ackTimeout is how long a node may take to answer a ping before others are asked
+	// to ping it. 3 ms are usual, and a box that has used up its share of a core stalls
 	// for up to 100 ms.
-	ackTime = 150 * time.Millisecond
-	// helpTime is how much longer it may take by way of others.
-	helpTime = 250 * time.Millisecond
-	// helpers is how many others are asked to ping a node that does not answer:
-	// with three datagrams in a hundred lost, one ping in 11,000 has no answer by any
-	// way.
-	helpers = 3
-	// suspectTime is for how long a node may refute a suspicion. With the times
-	// above no node is dead that stood still for less than 2 s.
-	suspectTime = 1600 * time.Millisecond
-	// refuteTime is how long after it has heard of a suspicion a node waits at
-	// least, however old the suspicion is: in that time a refutation comes from any
-	// of 300 nodes. Without it, a node that was cut off told others of suspicions
-	// that were old enough to count at once.
-	refuteTime = 800 * time.Millisecond
-	// isolatedTime is after how long without a datagram a node takes itself for
-	// cut off, and judges nobody.
-	isolatedTime = 700 * time.Millisecond
-	// stillTime is the pause between two ticks from which on a node has itself
-	// stood still: it was suspected meanwhile, and what it waits for came to nothing.
-	stillTime = 600 * time.Millisecond
-	// trustTime is for how long after its own start a node takes for alive who comes to
-	// be listed: all of a fleet may start together. Who is listed later is alive once
-	// somebody hears it: a record that was written late, or read from an old copy, is
-	// that of a dead node, which was named for another 2.3 s.
-	trustTime = 3 * time.Second
-	// announced is to how many nodes a node sends at once what it says of itself.
-	announced = 5
-	// mostMore is how many more pings a node sends in a period when there are some
-	// without an answer.
-	mostMore = 8
-	// deadEach is how many pings one goes to a node that is dead or has left, which
-	// others may have forgotten to tell that it is listed: after a cut both sides
-	// find each other by it.
-	deadEach = 4
-	// mostUpdates bounds a message to what one datagram holds, 1.1 kB.
-	mostUpdates = 50
-	// tellingsEach, times the logarithm of the number of nodes, is how often an update
-	// is told.
-	tellingsEach = 3
+	ackTimeout = 150 * time.Millisecond
+	// indirectTimeout is how much longer the node may take to answer an indirect ping
+	// before it is suspected.
+	indirectTimeout = 250 * time.Millisecond
+	// indirectProbes is how many nodes are asked to ping a node that does not answer.
+	// If 3 in 100 datagrams are lost, one ping in 11,000 then has no answer, direct or
+	// indirect.
+	indirectProbes = 3
+	// suspicionTimeout is for how long a node may refute a suspicion. With the timeouts
+	// above, no node that stalls for less than 2 s is declared dead.
+	suspicionTimeout = 1600 * time.Millisecond
+	// refutationTime is the minimum time between the receipt of a suspicion and the
+	// declaration of a death, however old the suspicion is: within it a refutation
+	// arrives from any of 300 nodes. Without it, a node that had been cut off spread
+	// suspicions that were old enough to take effect at once.
+	refutationTime = 800 * time.Millisecond
+	// isolationTimeout is the time without a datagram after which a node counts itself
+	// as cut off. It then neither suspects others nor declares them dead.
+	isolationTimeout = 700 * time.Millisecond
+	// stallThreshold is the time between two ticks from which on a node has itself
+	// stalled: others may suspect it, and its open probes prove nothing.
+	stallThreshold = 600 * time.Millisecond
+	// startupTrustTime is for how long after its own start a node presumes newly listed
+	// nodes to be alive, as all of a fleet may start together. A node that is listed
+	// later counts as alive once any node has received a message from it: a record that
+	// was written late, or read from an old copy, may be that of a dead node, and such
+	// a node counted as alive for another 2.3 s.
+	startupTrustTime = 3 * time.Second
+	// announceFanout is to how many nodes a node sends an update about itself at once.
+	announceFanout = 5
+	// maxExtraPings bounds the additional pings per interval that a node sends when
+	// some have no answer, or when a dead node is heard again.
+	maxExtraPings = 8
+	// deadPingInterval is the number of pings of which one more goes to a node that
+	// is dead or has left. Regular pings skip such a node, which may be alive without
+	// knowing how others list it. After a network partition both sides find each
+	// other by these pings.
+	deadPingInterval = 4
+	// maxUpdates bounds the updates of a message to what one datagram of 1.1 kB holds.
+	maxUpdates = 50
+	// retransmitFactor, times the logarithm of the number of nodes, is how often an
+	// update is sent.
+	retransmitFactor = 3
 )
 
-// Detector is the failure detector of one node. Its exported fields are set
-// before its first use.
+// Detector is the failure detector of one node. Its exported fields must be set before
+// its first use.
 type Detector struct {
 	Self   shedkeel.NodeID
-	Random shedkeel.Random // is not used elsewhere
+	Random shedkeel.Random // must not be shared
 
-	peers       map[shedkeel.NodeID]*peer
-	names       map[uint64]*peer // by HashNode
-	listed      []*peer          // in the order of their hashes, so that a seed gives one course
-	order       []*peer          // still to be pinged in this round
-	incarnation uint32
-	leaving     bool
-	ownUntold   int // how often what it says of itself is still to be told
-	probes      map[uint64]*probe
-	relayed     map[uint64]relayed
-	sequence    uint64
-	began       time.Duration // when Tick was called first
-	ticked      time.Duration // when Tick was called last; 0: never
-	due         time.Duration // when the next ping is
-	pings       int
-	more        int           // pings of this period beside the one that is due
-	heard       time.Duration // when a datagram came last
-	connected   time.Duration // when something else answered last
-	changes     uint64
+	peers            map[shedkeel.NodeID]*peer
+	byHash           map[uint64]*peer // by HashNode
+	sortedPeers      []*peer          // by hash, so that a seed always gives the same run
+	round            []*peer          // still to be pinged in this round
+	incarnation      uint32
+	leaving          bool
+	ownTransmitsLeft int // how often the update about this node is still to be sent
+	probes           map[uint64]*probe
+	relayedPings     map[uint64]relayedPing
+	sequence         uint64
+	startedAt        time.Duration // when Tick was called first
+	lastTick         time.Duration // when Tick was called last; 0: never
+	nextPingAt       time.Duration // when the next ping is due
+	pingRounds       int
+	extraPings       int           // pings of this interval beside the regular one
+	lastReceived     time.Duration // when a datagram came last
+	lastConnected    time.Duration // when something other than a peer responded last
+	changes          uint64
 }
 
-// peer is what is known of another node.
+// peer is the state of another node as this node knows it.
 type peer struct {
-	id          shedkeel.NodeID
-	hash        uint64
-	liveness    shedkeel.Liveness
-	incarnation uint32
-	accused     bool          // it is to be told that it is suspected, or that it left
-	since       time.Duration // when the suspicion began
-	learned     time.Duration // when this node heard of it
-	heard       time.Duration // when a datagram came from it last
-	proven      time.Duration // when this node learned last that it lived
-	trusted     bool          // it counts as alive though nothing proves it
-	untold      int           // how often how it stands is still to be told
+	id               shedkeel.NodeID
+	hash             uint64
+	liveness         shedkeel.Liveness
+	incarnation      uint32
+	noticePending    bool          // the node is to be informed that it is suspected or counts as left
+	suspectedAt      time.Duration // when the suspicion began
+	suspicionHeardAt time.Duration // when this node received or raised the suspicion
+	lastReceived     time.Duration // when a datagram came from it last
+	lastAlive        time.Duration // the last time at which this node knew it to be alive
+	presumedAlive    bool          // listed during this node's start: counts as alive though nothing confirms it
+	transmitsLeft    int           // how often the update about it is still to be sent
 }
 
-// probe is a ping that is not answered yet.
+// probe is a ping without an answer so far.
 type probe struct {
-	target *peer
-	sent   time.Duration
-	helped bool // others were asked
+	target   *peer
+	sent     time.Duration
+	indirect bool // others were asked to ping the target
 }
 
-// relayed is a ping that is sent in the place of another node.
-type relayed struct {
-	origin   shedkeel.NodeID
-	sequence uint64
+// relayedPing is a ping that this node sends on behalf of another one.
+type relayedPing struct {
+	origin   shedkeel.NodeID // who asked for it
+	sequence uint64          // of the origin's request
 	sent     time.Duration
 }
 
-// never is when something was heard that was never heard.
+// never is the time of an event that has not happened.
 const never = math.MinInt64 / 2
 
-// SetPeers makes these the nodes that are judged. What was known of others is
-// forgotten.
+// SetPeers sets the nodes to be monitored. The state of all others is dropped.
 func (detector *Detector) SetPeers(ids []shedkeel.NodeID) {
-	before := detector.peers
+	oldPeers := detector.peers
 	detector.peers = make(map[shedkeel.NodeID]*peer, len(ids))
-	detector.names = make(map[uint64]*peer, len(ids))
+	detector.byHash = make(map[uint64]*peer, len(ids))
 	for _, id := range ids {
 		if id == detector.Self {
 			continue
 		}
-		known := before[id]
+		known := oldPeers[id]
 		if known == nil {
-			known = &peer{id: id, hash: shedkeel.HashNode(id), heard: never, proven: never, trusted: detector.trusting()}
+			known = &peer{id: id, hash: shedkeel.HashNode(id), lastReceived: never, lastAlive: never, presumedAlive: detector.startingUp()}
 		}
 		detector.peers[id] = known
-		detector.names[known.hash] = known
+		detector.byHash[known.hash] = known
 	}
-	detector.listed = slices.SortedFunc(maps.Values(detector.peers), func(a, b *peer) int { return cmp.Compare(a.hash, b.hash) })
-	detector.order = slices.DeleteFunc(detector.order, func(peer *peer) bool { return detector.peers[peer.id] != peer })
+	detector.sortedPeers = slices.SortedFunc(maps.Values(detector.peers), func(a, b *peer) int { return cmp.Compare(a.hash, b.hash) })
+	detector.round = slices.DeleteFunc(detector.round, func(peer *peer) bool { return detector.peers[peer.id] != peer })
 }
 
-// Connect notes that something other than a peer has answered this node.
+// Connect records that something other than a peer has responded to this node, which is
+// therefore not cut off.
 func (detector *Detector) Connect(now time.Duration) {
-	detector.connected = max(detector.connected, now)
+	detector.lastConnected = max(detector.lastConnected, now)
 }
 
-// Liveness returns how a node stands.
+// Liveness returns the liveness of a node. A node that is not monitored is alive.
 func (detector *Detector) Liveness(id shedkeel.NodeID) shedkeel.Liveness {
 	peer := detector.peers[id]
 	switch {
 	case peer == nil:
 		return shedkeel.Alive
-	case peer.proven == never && !peer.trusted && !gone(peer):
+	case peer.lastAlive == never && !peer.presumedAlive && !deadOrLeft(peer):
 		return shedkeel.Unheard
 	}
 	return peer.liveness
 }
 
-// trusting reports whether this node has just started.
-func (detector *Detector) trusting() bool {
-	return detector.ticked == 0 || detector.ticked-detector.began < trustTime
+// startingUp reports whether this node has just started.
+func (detector *Detector) startingUp() bool {
+	return detector.lastTick == 0 || detector.lastTick-detector.startedAt < startupTrustTime
 }
 
-// Changes returns how often how a node stands has changed.
+// Changes returns how many times the liveness of any node has changed.
 func (detector *Detector) Changes() uint64 { return detector.changes }
 
-// stand notes how a node stands.
-func (detector *Detector) stand(peer *peer, liveness shedkeel.Liveness) {
+// setLiveness sets the liveness of a node and counts the change.
+func (detector *Detector) setLiveness(peer *peer, liveness shedkeel.Liveness) {
 	if peer.liveness != liveness {
 		peer.liveness = liveness
 		detector.changes++
 	}
 }
 
-// Isolated reports whether this node hears nobody.
+// Isolated reports whether this node is cut off: it receives nothing, neither from peers
+// nor from anything else.
 func (detector *Detector) Isolated(now time.Duration) bool {
-	return now-max(detector.heard, detector.connected) > isolatedTime
+	return now-max(detector.lastReceived, detector.lastConnected) > isolationTimeout
 }
 
-// Leave tells others that this node stops.
+// Leave announces to others that this node stops.
 func (detector *Detector) Leave(now time.Duration) []shedkeel.GossipDatagram {
 	detector.leaving = true
 	return detector.announce(now)
 }
 
-// Tick does what is due.
+// Tick checks open probes and suspicions, pings the next node if it is time, and returns
+// the datagrams to send.
 func (detector *Detector) Tick(now time.Duration) []shedkeel.GossipDatagram {
-	detector.prepare()
+	detector.init()
 	var sent []shedkeel.GossipDatagram
-	if detector.ticked == 0 || now-detector.ticked > stillTime {
-		sent = detector.wake(now)
+	if detector.lastTick == 0 || now-detector.lastTick > stallThreshold {
+		sent = detector.resume(now)
 	}
-	if detector.ticked == 0 {
-		detector.began = now
+	if detector.lastTick == 0 {
+		detector.startedAt = now
 	}
-	detector.ticked = now
+	detector.lastTick = now
 	sent = append(sent, detector.checkProbes(now)...)
 	detector.checkSuspects(now)
-	if now >= detector.due {
-		detector.due = now + period
-		detector.more = 0
+	if now >= detector.nextPingAt {
+		detector.nextPingAt = now + pingInterval
+		detector.extraPings = 0
 		sent = append(sent, detector.pingNext(now)...)
 	}
 	return sent
 }
 
-// prepare makes the tables.
-func (detector *Detector) prepare() {
+// init makes the tables.
+func (detector *Detector) init() {
 	if detector.probes == nil {
 		detector.probes = map[uint64]*probe{}
-		detector.relayed = map[uint64]relayed{}
+		detector.relayedPings = map[uint64]relayedPing{}
 	}
 }
 
-// wake begins anew after a start, or after this node stood still: others may
-// suspect it, and what did not answer meanwhile proves nothing.
-func (detector *Detector) wake(now time.Duration) []shedkeel.GossipDatagram {
+// resume resets the detector at its start and after this node has stalled: others may
+// suspect it, and its open probes prove nothing.
+func (detector *Detector) resume(now time.Duration) []shedkeel.GossipDatagram {
 	clear(detector.probes)
-	clear(detector.relayed)
-	detector.heard = now
-	for _, peer := range detector.listed {
+	clear(detector.relayedPings)
+	detector.lastReceived = now
+	for _, peer := range detector.sortedPeers {
 		if peer.liveness == shedkeel.Suspected {
-			peer.learned = now
+			peer.suspicionHeardAt = now
 		}
 	}
-	if detector.ticked != 0 && !detector.leaving {
+	if detector.lastTick != 0 && !detector.leaving {
 		detector.incarnation++
 	}
 	return detector.announce(now)
 }
 
-// announce sends what this node says of itself to some others at once.
+// announce sends the update about this node to some others at once.
 func (detector *Detector) announce(now time.Duration) []shedkeel.GossipDatagram {
-	detector.prepare()
-	detector.ownUntold = detector.tellings()
+	detector.init()
+	detector.ownTransmitsLeft = detector.transmitLimit()
 	var sent []shedkeel.GossipDatagram
-	for _, peer := range detector.some(announced, nil) {
+	for _, peer := range detector.randomAlivePeers(announceFanout, nil) {
 		sent = append(sent, detector.ping(now, peer))
 	}
 	return sent
 }
 
-// suspect raises a suspicion, unless this node may be the one that is cut off.
+// suspect raises a suspicion, unless this node itself may be cut off.
 func (detector *Detector) suspect(now time.Duration, peer *peer) {
 	if peer.liveness == shedkeel.Alive && !detector.Isolated(now) {
-		detector.takeSuspicion(now, peer, now)
+		detector.startSuspicion(now, peer, now)
 	}
 }
 
-func (detector *Detector) takeSuspicion(now time.Duration, peer *peer, since time.Duration) {
-	detector.stand(peer, shedkeel.Suspected)
-	peer.since, peer.learned, peer.accused = since, now, true
-	peer.untold = detector.tellings()
+// startSuspicion marks a node as suspected and has others informed.
+func (detector *Detector) startSuspicion(now time.Duration, peer *peer, since time.Duration) {
+	detector.setLiveness(peer, shedkeel.Suspected)
+	peer.suspectedAt, peer.suspicionHeardAt, peer.noticePending = since, now, true
+	peer.transmitsLeft = detector.transmitLimit()
 }
 
-// checkSuspects takes nodes for dead that have not refuted a suspicion in time.
+// checkSuspects declares nodes dead that have not refuted a suspicion in time.
 func (detector *Detector) checkSuspects(now time.Duration) {
 	isolated := detector.Isolated(now)
-	for _, peer := range detector.listed {
+	for _, peer := range detector.sortedPeers {
 		if peer.liveness != shedkeel.Suspected {
 			continue
 		}
 		if isolated {
-			peer.learned = now // a refutation could not come
+			peer.suspicionHeardAt = now // no refutation could arrive
 		}
-		if now-peer.since >= suspectTime && now-peer.learned >= refuteTime {
-			detector.stand(peer, shedkeel.Dead)
+		if now-peer.suspectedAt >= suspicionTimeout && now-peer.suspicionHeardAt >= refutationTime {
+			detector.setLiveness(peer, shedkeel.Dead)
 		}
 	}
 }
 
-// tellings returns how often an update is told.
-func (detector *Detector) tellings() int {
-	return tellingsEach * int(math.Ceil(math.Log2(float64(len(detector.peers)+2))))
+// transmitLimit returns how often an update is sent.
+func (detector *Detector) transmitLimit() int {
+	return retransmitFactor * int(math.Ceil(math.Log2(float64(len(detector.peers)+2))))
 }
--- a/swim/fleet_test.go
+++ b/swim/fleet_test.go
@@ -11,39 +11,39 @@
 )
 
 const (
-	// tickEach is how often a node of the emulated fleet calls Tick.
-	tickEach = 50 * time.Millisecond
-	// datagramBytes is what a datagram has beside its updates, and updateBytes
-	// what an update takes, as they are sent.
-	datagramBytes = 96
-	updateBytes   = 18
+	// tickInterval is how often a node of the emulated fleet calls Tick.
+	tickInterval = 50 * time.Millisecond
+	// datagramOverhead is the size of a datagram on the network without its updates,
+	// and updateBytes the size of an update.
+	datagramOverhead = 96
+	updateBytes      = 18
 )
 
-// fleet is a fleet of nodes in virtual time, whose datagrams take a few
-// milliseconds and may be lost.
+// fleet is a fleet of nodes in virtual time. Its datagrams take a few milliseconds and
+// may be lost.
 type fleet struct {
-	random *rand.Rand
-	now    time.Duration
-	nodes  []*node
-	byName map[shedkeel.NodeID]*node
-	queue  events
-	serial int
-	loss   float64
-	cut    func(from, to *node) bool // nil: none
-	sent   int                       // bytes
+	random    *rand.Rand
+	now       time.Duration
+	nodes     []*node
+	byName    map[shedkeel.NodeID]*node
+	queue     events
+	serial    int
+	loss      float64
+	blocked   func(from, to *node) bool // whether a link drops all datagrams; nil: no link does
+	bytesSent int                       // by all nodes
 }
 
 // node is one node of the fleet.
 type node struct {
-	id       shedkeel.NodeID
-	detector shedkeel.FailureDetector
-	dead     bool
-	frozen   bool
-	cutOff   bool                     // reaches no other node
-	inbox    []shedkeel.GossipMessage // came while it stood still
+	id           shedkeel.NodeID
+	detector     shedkeel.FailureDetector
+	dead         bool
+	stalled      bool
+	disconnected bool                     // reaches no other node and is reached by none
+	inbox        []shedkeel.GossipMessage // received while it was stalled
 }
 
-// event is a tick of a node, or a message that reaches it.
+// event is a tick of a node, or the arrival of a message.
 type event struct {
 	at      time.Duration
 	serial  int
@@ -57,8 +57,8 @@
 func (events events) Less(a, b int) bool {
 	return events[a].at < events[b].at || events[a].at == events[b].at && events[a].serial < events[b].serial
 }
-func (events events) Swap(a, b int) { events[a], events[b] = events[b], events[a] }
-func (events *events) Push(one any) { *events = append(*events, one.(event)) }
+func (events events) Swap(a, b int)  { events[a], events[b] = events[b], events[a] }
+func (events *events) Push(item any) { *events = append(*events, item.(event)) }
 func (events *events) Pop() any {
 	last := (*events)[len(*events)-1]
 	*events = (*events)[:len(*events)-1]
@@ -73,53 +73,55 @@
 		names = append(names, shedkeel.NodeID(fmt.Sprintf("node-%d", index)))
 	}
 	for index, name := range names {
-		one := &node{id: name, detector: build(name, rand.NewPCG(seed, uint64(index)+2))}
-		one.detector.SetPeers(names)
-		fleet.nodes = append(fleet.nodes, one)
-		fleet.byName[name] = one
-		fleet.push(event{at: time.Second + time.Duration(fleet.random.Int64N(int64(tickEach))), node: one})
+		added := &node{id: name, detector: build(name, rand.NewPCG(seed, uint64(index)+2))}
+		added.detector.SetPeers(names)
+		fleet.nodes = append(fleet.nodes, added)
+		fleet.byName[name] = added
+		fleet.push(event{at: time.Second + time.Duration(fleet.random.Int64N(int64(tickInterval))), node: added})
 	}
 	return fleet
 }
 
-func (fleet *fleet) push(one event) {
+func (fleet *fleet) push(event event) {
 	fleet.serial++
-	one.serial = fleet.serial
-	heap.Push(&fleet.queue, one)
+	event.serial = fleet.serial
+	heap.Push(&fleet.queue, event)
 }
 
-// run lets the fleet live for so long.
+// run advances virtual time by the length.
 func (fleet *fleet) run(length time.Duration) {
 	end := fleet.now + length
 	for fleet.queue[0].at <= end {
 		one := heap.Pop(&fleet.queue).(event)
 		fleet.now = one.at
-		fleet.take(one)
+		fleet.handle(one)
 	}
 	fleet.now = end
 }
 
-func (fleet *fleet) take(one event) {
+// handle runs an event.
+func (fleet *fleet) handle(one event) {
 	node := one.node
 	switch {
 	case node.dead:
-	case one.message != nil && node.frozen:
+	case one.message != nil && node.stalled:
 		node.inbox = append(node.inbox, *one.message)
 	case one.message != nil:
 		fleet.send(node, node.detector.Receive(fleet.now, *one.message))
 	default:
-		if !node.frozen {
+		if !node.stalled {
 			fleet.send(node, node.detector.Tick(fleet.now))
 		}
-		fleet.push(event{at: fleet.now + tickEach, node: node})
+		fleet.push(event{at: fleet.now + tickInterval, node: node})
 	}
 }
 
+// send schedules the arrival of datagrams, except those that are lost.
 func (fleet *fleet) send(from *node, datagrams []shedkeel.GossipDatagram) {
 	for _, datagram := range datagrams {
-		fleet.sent += datagramBytes + updateBytes*len(datagram.Message.Updates)
+		fleet.bytesSent += datagramOverhead + updateBytes*len(datagram.Message.Updates)
 		to := fleet.byName[datagram.To]
-		lost := from.cutOff || to.cutOff || fleet.cut != nil && fleet.cut(from, to)
+		lost := from.disconnected || to.disconnected || fleet.blocked != nil && fleet.blocked(from, to)
 		if lost || fleet.random.Float64() < fleet.loss {
 			continue
 		}
@@ -128,9 +130,9 @@
 	}
 }
 
-// wake ends a node's standstill: it takes in what lay in its socket.
-func (fleet *fleet) wake(node *node) {
-	node.frozen = false
+// resume ends a node's stall. The node receives the messages that wait in its socket.
+func (fleet *fleet) resume(node *node) {
+	node.stalled = false
 	for _, message := range node.inbox {
 		fleet.send(node, node.detector.Receive(fleet.now, message))
 	}
@@ -142,30 +144,30 @@
 	return slices.DeleteFunc(slices.Clone(fleet.nodes), func(node *node) bool { return node.dead })
 }
 
-// pick returns so many living nodes at random.
+// pick returns count random nodes that are not dead.
 func (fleet *fleet) pick(count int) []*node {
 	found := fleet.living()
 	fleet.random.Shuffle(len(found), func(a, b int) { found[a], found[b] = found[b], found[a] })
 	return found[:count]
 }
 
-// until lets the fleet live until the condition holds, looked at each 50 ms, and
-// returns how long that took, or most.
-func (fleet *fleet) until(most time.Duration, holds func() bool) time.Duration {
+// runUntil runs the fleet until the condition holds, which is checked each 50 ms. It
+// returns how long that took, or about the limit if it never held.
+func (fleet *fleet) runUntil(limit time.Duration, condition func() bool) time.Duration {
 	began := fleet.now
-	for fleet.now-began < most && !holds() {
-		fleet.run(tickEach)
+	for fleet.now-began < limit && !condition() {
+		fleet.run(tickInterval)
 	}
 	return fleet.now - began
 }
 
-// views returns how the living nodes together see those: the number of views in
-// which one stands so.
-func (fleet *fleet) views(of []*node, liveness shedkeel.Liveness) int {
+// countViews returns in how many views of living nodes one of the given nodes has the
+// liveness.
+func (fleet *fleet) countViews(of []*node, liveness shedkeel.Liveness) int {
 	count := 0
 	for _, viewer := range fleet.living() {
 		for _, seen := range of {
-			if viewer != seen && !viewer.frozen && viewer.detector.Liveness(seen.id) == liveness {
+			if viewer != seen && !viewer.stalled && viewer.detector.Liveness(seen.id) == liveness {
 				count++
 			}
 		}
@@ -173,11 +175,11 @@
 	return count
 }
 
-// add adds a node that all come to know now.
+// add adds a node, which all nodes list from now on.
 func (fleet *fleet) add(name shedkeel.NodeID, build func(id shedkeel.NodeID, random shedkeel.Random) shedkeel.FailureDetector) *node {
-	one := &node{id: name, detector: build(name, rand.NewPCG(uint64(fleet.serial), 9))}
-	fleet.nodes = append(fleet.nodes, one)
-	fleet.byName[name] = one
+	added := &node{id: name, detector: build(name, rand.NewPCG(uint64(fleet.serial), 9))}
+	fleet.nodes = append(fleet.nodes, added)
+	fleet.byName[name] = added
 	var names []shedkeel.NodeID
 	for _, other := range fleet.nodes {
 		names = append(names, other.id)
@@ -185,6 +187,6 @@
 	for _, other := range fleet.nodes {
 		other.detector.SetPeers(names)
 	}
-	fleet.push(event{at: fleet.now, node: one})
-	return one
+	fleet.push(event{at: fleet.now, node: added})
+	return added
 }
--- a/swim/probe.go
+++ b/swim/probe.go
@@ -8,118 +8,122 @@
 	"shedkeel.org/shedkeel"
 )
 
-// checkProbes asks others about nodes that do not answer, and then suspects them.
+// checkProbes requests indirect pings of nodes that have not answered within ackTimeout,
+// and suspects those that have not answered by indirectTimeout after it.
 func (detector *Detector) checkProbes(now time.Duration) []shedkeel.GossipDatagram {
 	var sent []shedkeel.GossipDatagram
 	for _, sequence := range slices.Sorted(maps.Keys(detector.probes)) {
 		probe := detector.probes[sequence]
 		switch {
-		case detector.peers[probe.target.id] != probe.target || probe.target.heard > probe.sent:
+		case detector.peers[probe.target.id] != probe.target || probe.target.lastReceived > probe.sent:
 			delete(detector.probes, sequence)
-		case now-probe.sent >= ackTime+helpTime:
+		case now-probe.sent >= ackTimeout+indirectTimeout:
 			delete(detector.probes, sequence)
 			detector.suspect(now, probe.target)
-		case now-probe.sent >= ackTime && !probe.helped:
-			probe.helped = true
-			sent = append(sent, detector.pingMore(now)...)
-			for _, helper := range detector.some(helpers, probe.target) {
-				sent = append(sent, detector.message(now, helper, shedkeel.GossipMessage{Kind: shedkeel.GossipPingFor, Sequence: sequence, Target: probe.target.id}))
+		case now-probe.sent >= ackTimeout && !probe.indirect:
+			probe.indirect = true
+			sent = append(sent, detector.pingExtra(now)...)
+			for _, relay := range detector.randomAlivePeers(indirectProbes, probe.target) {
+				sent = append(sent, detector.message(now, relay, shedkeel.GossipMessage{Kind: shedkeel.GossipPingFor, Sequence: sequence, Target: probe.target.id}))
 			}
 		}
 	}
-	for sequence, relayed := range detector.relayed {
-		if now-relayed.sent >= ackTime+helpTime {
-			delete(detector.relayed, sequence)
+	for sequence, relayedPing := range detector.relayedPings {
+		if now-relayedPing.sent >= ackTimeout+indirectTimeout {
+			delete(detector.relayedPings, sequence)
 		}
 	}
 	return sent
 }
 
-// pingMore pings one more node when one has not answered. After a loss of many
-// nodes most pings go to dead ones, and one ping in a period finds them too late.
-func (detector *Detector) pingMore(now time.Duration) []shedkeel.GossipDatagram {
-	next := detector.next()
-	if next == nil || detector.more >= mostMore {
+// pingExtra pings one more node when another has not answered. After a loss of many nodes
+// most pings go to dead ones, and one ping per interval would find them too late.
+func (detector *Detector) pingExtra(now time.Duration) []shedkeel.GossipDatagram {
+	next := detector.nextTarget()
+	if next == nil || detector.extraPings >= maxExtraPings {
 		return nil
 	}
-	detector.more++
+	detector.extraPings++
 	return []shedkeel.GossipDatagram{detector.ping(now, next)}
 }
 
-// pingNext pings the next node of the round, and sometimes one that is dead. A
-// node that has heard nothing for a while also pings the one that it heard last:
-// in a fleet that has lost most of its nodes the next one seldom lives.
+// pingNext pings the next node of the round, and in some intervals also one that is dead
+// or has left. A node that has received nothing for a while also pings the one that it
+// heard last: if most nodes of the fleet are lost, the next one is seldom alive.
 func (detector *Detector) pingNext(now time.Duration) []shedkeel.GossipDatagram {
 	var sent []shedkeel.GossipDatagram
-	next := detector.next()
+	next := detector.nextTarget()
 	if next != nil {
 		sent = append(sent, detector.ping(now, next))
 	}
-	if now-detector.heard > 2*period {
-		if last := detector.heardLast(); last != nil && last != next {
-			sent = append(sent, detector.ping(now, last))
+	if now-detector.lastReceived > 2*pingInterval {
+		if lastHeard := detector.lastHeardPeer(); lastHeard != nil && lastHeard != next {
+			sent = append(sent, detector.ping(now, lastHeard))
 		}
 	}
-	detector.pings++
-	if detector.pings%deadEach == 0 {
-		if gone := detector.someGone(); gone != nil {
-			sent = append(sent, detector.ping(now, gone))
+	detector.pingRounds++
+	if detector.pingRounds%deadPingInterval == 0 {
+		if target := detector.randomDeadOrLeft(); target != nil {
+			sent = append(sent, detector.ping(now, target))
 		}
 	}
 	return sent
 }
 
-// next returns the next node to be pinged: all that are alive are within a round,
-// in an order that is another one each time. A suspected one need not be: it is
-// told of the suspicion when it pings others itself.
-func (detector *Detector) next() *peer {
+// nextTarget returns the next node to ping, or nil. Each round pings all nodes that are
+// alive, in a new random order. Suspected nodes need no ping: they learn of the suspicion
+// from the answers to their own pings.
+func (detector *Detector) nextTarget() *peer {
 	for range 2 {
-		for len(detector.order) > 0 {
-			peer := detector.order[len(detector.order)-1]
-			detector.order = detector.order[:len(detector.order)-1]
+		for len(detector.round) > 0 {
+			peer := detector.round[len(detector.round)-1]
+			detector.round = detector.round[:len(detector.round)-1]
 			if peer.liveness == shedkeel.Alive {
 				return peer
 			}
 		}
-		detector.order = detector.shuffled(alive)
+		detector.round = detector.shuffledPeers(alive)
 	}
 	return nil
 }
 
 func alive(peer *peer) bool { return peer.liveness == shedkeel.Alive }
 
-// gone reports whether it is settled that a node does not serve.
-func gone(peer *peer) bool { return peer.liveness == shedkeel.Dead || peer.liveness == shedkeel.Left }
+// deadOrLeft reports whether a node is declared dead or has left.
+func deadOrLeft(peer *peer) bool {
+	return peer.liveness == shedkeel.Dead || peer.liveness == shedkeel.Left
+}
 
-func (detector *Detector) heardLast() *peer {
-	var last *peer
-	for _, peer := range detector.listed {
-		if peer.heard != never && (last == nil || peer.heard > last.heard || peer.heard == last.heard && peer.hash > last.hash) {
-			last = peer
+// lastHeardPeer returns the node from which a datagram came last, or nil.
+func (detector *Detector) lastHeardPeer() *peer {
+	var latest *peer
+	for _, peer := range detector.sortedPeers {
+		if peer.lastReceived != never && (latest == nil || peer.lastReceived > latest.lastReceived || peer.lastReceived == latest.lastReceived && peer.hash > latest.hash) {
+			latest = peer
 		}
 	}
-	return last
+	return latest
 }
 
-// some returns so many nodes at random that are alive, without one of them.
-func (detector *Detector) some(count int, without *peer) []*peer {
-	found := detector.shuffled(func(peer *peer) bool { return alive(peer) && peer != without })
+// randomAlivePeers returns up to count random nodes that are alive, except the excluded one.
+func (detector *Detector) randomAlivePeers(count int, excluded *peer) []*peer {
+	found := detector.shuffledPeers(func(peer *peer) bool { return alive(peer) && peer != excluded })
 	return found[:min(count, len(found))]
 }
 
-// someGone returns a node at random that is dead or has left, or nil.
-func (detector *Detector) someGone() *peer {
-	if found := detector.shuffled(gone); len(found) > 0 {
+// randomDeadOrLeft returns a random node that is dead or has left, or nil.
+func (detector *Detector) randomDeadOrLeft() *peer {
+	if found := detector.shuffledPeers(deadOrLeft); len(found) > 0 {
 		return found[0]
 	}
 	return nil
 }
 
-// shuffled returns the nodes that fit in a random order.
-func (detector *Detector) shuffled(fits func(*peer) bool) []*peer {
+// shuffledPeers returns the nodes that include accepts, in a random order.
+func (detector *Detector) shuffledPeers(include func(*peer) bool) []*peer {
 	var found []*peer
-	for _, peer := range detector.listed {
-		if fits(peer) {
+	for _, peer := range detector.sortedPeers {
+		if include(peer) {
 			found = append(found, peer)
 		}
 	}
@@ -130,19 +134,20 @@
 	return found
 }
 
-// ping sends a ping and waits for its answer.
+// ping returns a ping and opens a probe for its answer.
 func (detector *Detector) ping(now time.Duration, peer *peer) shedkeel.GossipDatagram {
 	detector.sequence++
 	detector.probes[detector.sequence] = &probe{target: peer, sent: now}
 	return detector.message(now, peer, shedkeel.GossipMessage{Kind: shedkeel.GossipPing, Sequence: detector.sequence})
 }
 
-// message completes a message to a node that is known.
-func (detector *Detector) message(now time.Duration, to *peer, message shedkeel.GossipMessage) shedkeel.GossipDatagram {
-	message.Updates = detector.updates(now, to)
-	return detector.send(to.id, message)
+// message returns a datagram to a listed node, with updates added.
+func (detector *Detector) message(now time.Duration, target *peer, message shedkeel.GossipMessage) shedkeel.GossipDatagram {
+	message.Updates = detector.selectUpdates(now, target)
+	return detector.send(target.id, message)
 }
 
+// send returns a datagram with the sender's fields set.
 func (detector *Detector) send(to shedkeel.NodeID, message shedkeel.GossipMessage) shedkeel.GossipDatagram {
 	message.From, message.Incarnation = detector.Self, detector.incarnation
 	return shedkeel.GossipDatagram{To: to, Message: message}
--- a/swim/receive.go
+++ b/swim/receive.go
@@ -8,116 +8,117 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Receive takes a message in.
+// Receive handles a message and returns the datagrams to send in response.
 func (detector *Detector) Receive(now time.Duration, message shedkeel.GossipMessage) []shedkeel.GossipDatagram {
-	detector.prepare()
+	detector.init()
 	if message.From == detector.Self {
 		return nil
 	}
-	detector.heard = now
+	detector.lastReceived = now
 	var sent []shedkeel.GossipDatagram
 	if from := detector.peers[message.From]; from != nil {
 		if from.liveness == shedkeel.Dead {
-			sent = detector.pingGone(now)
+			sent = detector.pingDeadOrLeft(now)
 		}
-		detector.hear(now, from, message.Incarnation)
+		detector.handleSender(now, from, message.Incarnation)
 	}
-	sent = append(sent, detector.takeUpdates(now, message.Updates)...)
+	sent = append(sent, detector.handleUpdates(now, message.Updates)...)
 	switch message.Kind {
 	case shedkeel.GossipPing:
-		answer := shedkeel.GossipMessage{Kind: shedkeel.GossipAck, Sequence: message.Sequence, Target: detector.Self}
-		sent = append(sent, detector.answer(now, message.From, answer))
+		ack := shedkeel.GossipMessage{Kind: shedkeel.GossipAck, Sequence: message.Sequence, Target: detector.Self}
+		sent = append(sent, detector.reply(now, message.From, ack))
 	case shedkeel.GossipPingFor:
-		sent = append(sent, detector.pingFor(now, message)...)
+		sent = append(sent, detector.relayPing(now, message)...)
 	case shedkeel.GossipAck:
-		sent = append(sent, detector.takeAck(now, message)...)
+		sent = append(sent, detector.handleAck(now, message)...)
 	}
 	return sent
 }
 
-// hear notes that a node has sent something. A higher incarnation refutes what
-// others say of it. With the same one only this node knows better.
-func (detector *Detector) hear(now time.Duration, peer *peer, incarnation uint32) {
-	peer.heard = now
-	detector.prove(now, peer)
+// handleSender records that a node has sent a message. A higher incarnation refutes what
+// others report of it. With the same incarnation only this node knows that it is alive,
+// until the node learns of the suspicion and refutes it.
+func (detector *Detector) handleSender(now time.Duration, peer *peer, incarnation uint32) {
+	peer.lastReceived = now
+	detector.confirmAlive(now, peer)
 	switch {
 	case incarnation > peer.incarnation:
-		detector.revive(now, peer, incarnation)
+		detector.markAlive(now, peer, incarnation)
 	case peer.liveness == shedkeel.Suspected || peer.liveness == shedkeel.Dead:
-		detector.stand(peer, shedkeel.Alive) // and it is told that it was suspected
+		detector.setLiveness(peer, shedkeel.Alive) // noticePending stays set, so the node learns of the suspicion
 	}
 }
 
-// prove notes that a node lived just now. Others are told of one of which nothing
-// was known.
-func (detector *Detector) prove(now time.Duration, peer *peer) {
-	if peer.proven == never && !peer.trusted {
-		peer.untold = detector.tellings()
+// confirmAlive records that a node is alive now. If nothing was known of it before, others
+// are informed.
+func (detector *Detector) confirmAlive(now time.Duration, peer *peer) {
+	if peer.lastAlive == never && !peer.presumedAlive {
+		peer.transmitsLeft = detector.transmitLimit()
 		detector.changes++
 	}
-	peer.proven = now
+	peer.lastAlive = now
 }
 
-// pingGone pings another dead node when one was heard: a cut may have ended. By one
-// in four pings alone it took 300 nodes 5.3 s to find each other again.
-func (detector *Detector) pingGone(now time.Duration) []shedkeel.GossipDatagram {
-	gone := detector.someGone()
-	if gone == nil || detector.more >= mostMore {
+// pingDeadOrLeft pings another node that is dead or has left after a message from a dead
+// one: a network partition may have ended. With one ping in four intervals alone, 300
+// nodes took 5.3 s to find each other again.
+func (detector *Detector) pingDeadOrLeft(now time.Duration) []shedkeel.GossipDatagram {
+	target := detector.randomDeadOrLeft()
+	if target == nil || detector.extraPings >= maxExtraPings {
 		return nil
 	}
-	detector.more++
-	return []shedkeel.GossipDatagram{detector.ping(now, gone)}
+	detector.extraPings++
+	return []shedkeel.GossipDatagram{detector.ping(now, target)}
 }
 
-// revive takes a node for alive in an incarnation, and tells others if they may
+// markAlive marks a node as alive in an incarnation, and has others informed if they may
 // suspect it.
-func (detector *Detector) revive(now time.Duration, peer *peer, incarnation uint32) {
-	if peer.accused {
-		peer.untold = detector.tellings()
+func (detector *Detector) markAlive(now time.Duration, peer *peer, incarnation uint32) {
+	if peer.noticePending {
+		peer.transmitsLeft = detector.transmitLimit()
 	}
-	detector.prove(now, peer)
-	detector.stand(peer, shedkeel.Alive)
-	peer.incarnation, peer.accused = incarnation, false
+	detector.confirmAlive(now, peer)
+	detector.setLiveness(peer, shedkeel.Alive)
+	peer.incarnation, peer.noticePending = incarnation, false
 }
 
-// pingFor pings a node in the sender's place.
-func (detector *Detector) pingFor(now time.Duration, message shedkeel.GossipMessage) []shedkeel.GossipDatagram {
+// relayPing pings a node on behalf of the sender.
+func (detector *Detector) relayPing(now time.Duration, message shedkeel.GossipMessage) []shedkeel.GossipDatagram {
 	target := detector.peers[message.Target]
 	if target == nil {
 		return nil
 	}
 	detector.sequence++
-	detector.relayed[detector.sequence] = relayed{origin: message.From, sequence: message.Sequence, sent: now}
+	detector.relayedPings[detector.sequence] = relayedPing{origin: message.From, sequence: message.Sequence, sent: now}
 	return []shedkeel.GossipDatagram{detector.message(now, target, shedkeel.GossipMessage{Kind: shedkeel.GossipPing, Sequence: detector.sequence})}
 }
 
-// takeAck ends a probe, or passes the answer on to who asked for it.
-func (detector *Detector) takeAck(now time.Duration, message shedkeel.GossipMessage) []shedkeel.GossipDatagram {
+// handleAck closes a probe, or passes the answer on to the node that asked for the ping.
+func (detector *Detector) handleAck(now time.Duration, message shedkeel.GossipMessage) []shedkeel.GossipDatagram {
 	if probe := detector.probes[message.Sequence]; probe != nil && probe.target.id == message.Target {
 		delete(detector.probes, message.Sequence)
-		detector.hear(now, probe.target, probe.target.incarnation)
+		detector.handleSender(now, probe.target, probe.target.incarnation)
 		return nil
 	}
-	relayed, found := detector.relayed[message.Sequence]
+	relayedPing, found := detector.relayedPings[message.Sequence]
 	if !found {
 		return nil
 	}
-	delete(detector.relayed, message.Sequence)
-	answer := shedkeel.GossipMessage{Kind: shedkeel.GossipAck, Sequence: relayed.sequence, Target: message.From}
-	return []shedkeel.GossipDatagram{detector.answer(now, relayed.origin, answer)}
+	delete(detector.relayedPings, message.Sequence)
+	ack := shedkeel.GossipMessage{Kind: shedkeel.GossipAck, Sequence: relayedPing.sequence, Target: message.From}
+	return []shedkeel.GossipDatagram{detector.reply(now, relayedPing.origin, ack)}
 }
 
-// answer answers a node, which may not be listed yet.
-func (detector *Detector) answer(now time.Duration, to shedkeel.NodeID, message shedkeel.GossipMessage) shedkeel.GossipDatagram {
+// reply returns a datagram to a node that may not be listed here yet.
+func (detector *Detector) reply(now time.Duration, to shedkeel.NodeID, message shedkeel.GossipMessage) shedkeel.GossipDatagram {
 	if peer := detector.peers[to]; peer != nil {
 		return detector.message(now, peer, message)
 	}
 	return detector.send(to, message)
 }
 
-// takeUpdates takes in what another node says, and refutes what it says of this
-// one.
-func (detector *Detector) takeUpdates(now time.Duration, updates []shedkeel.GossipUpdate) []shedkeel.GossipDatagram {
+// handleUpdates applies the updates of a message, and refutes those about this node.
+func (detector *Detector) handleUpdates(now time.Duration, updates []shedkeel.GossipUpdate) []shedkeel.GossipDatagram {
 	self := shedkeel.HashNode(detector.Self)
 	var sent []shedkeel.GossipDatagram
 	for _, update := range updates {
@@ -125,14 +126,14 @@
 			sent = append(sent, detector.refute(now, update)...)
 			continue
 		}
-		if peer := detector.names[update.Node]; peer != nil {
-			detector.takeUpdate(now, peer, update)
+		if peer := detector.byHash[update.Node]; peer != nil {
+			detector.handleUpdate(now, peer, update)
 		}
 	}
 	return sent
 }
 
-// refute raises this node's incarnation if it is suspected.
+// refute raises this node's incarnation and announces it, if this node is suspected.
 func (detector *Detector) refute(now time.Duration, update shedkeel.GossipUpdate) []shedkeel.GossipDatagram {
 	if detector.leaving || update.Liveness == shedkeel.Alive || update.Incarnation < detector.incarnation {
 		return nil
@@ -141,108 +142,111 @@
 	return detector.announce(now)
 }
 
-func (detector *Detector) takeUpdate(now time.Duration, peer *peer, update shedkeel.GossipUpdate) {
+// handleUpdate applies an update about another node.
+func (detector *Detector) handleUpdate(now time.Duration, peer *peer, update shedkeel.GossipUpdate) {
 	switch update.Liveness {
 	case shedkeel.Alive:
 		switch {
 		case update.Incarnation > peer.incarnation:
-			detector.revive(now, peer, update.Incarnation)
-		case peer.proven == never:
-			detector.prove(now, peer)
+			detector.markAlive(now, peer, update.Incarnation)
+		case peer.lastAlive == never:
+			detector.confirmAlive(now, peer)
 		}
 	case shedkeel.Suspected, shedkeel.Dead:
-		detector.hearSuspicion(now, peer, update)
+		detector.handleSuspicion(now, peer, update)
 	case shedkeel.Left:
 		if update.Incarnation >= peer.incarnation && peer.liveness != shedkeel.Left {
-			detector.prove(now, peer)
-			detector.stand(peer, shedkeel.Left)
-			peer.incarnation, peer.accused = update.Incarnation, true
-			peer.untold = detector.tellings()
+			detector.confirmAlive(now, peer)
+			detector.setLiveness(peer, shedkeel.Left)
+			peer.incarnation, peer.noticePending = update.Incarnation, true
+			peer.transmitsLeft = detector.transmitLimit()
 		}
 	}
 }
 
-// hearSuspicion takes in that another node suspects one, unless this node knows of
-// a sign of life since then. Who suspects may not have heard of the newest
-// incarnation: where that alone made a suspicion void, a dead one of 300 nodes was
-// named for up to 4.9 s in place of 3.
-func (detector *Detector) hearSuspicion(now time.Duration, peer *peer, update shedkeel.GossipUpdate) {
+// handleSuspicion applies another node's suspicion, unless this node knows that the
+// suspected one was alive since then. The incarnation alone does not void a suspicion,
+// as the node that raises it may not know the newest one: when it did, a dead one of 300
+// nodes counted as alive for up to 4.9 s instead of 3 s.
+func (detector *Detector) handleSuspicion(now time.Duration, peer *peer, update shedkeel.GossipUpdate) {
 	since := now - update.Age
 	switch {
 	case peer.liveness == shedkeel.Left:
-	case peer.proven > since:
-		peer.accused = peer.accused || update.Incarnation >= peer.incarnation
+	case peer.lastAlive > since:
+		peer.noticePending = peer.noticePending || update.Incarnation >= peer.incarnation
 	case peer.liveness == shedkeel.Alive:
 		peer.incarnation = max(peer.incarnation, update.Incarnation)
-		detector.takeSuspicion(now, peer, since)
+		detector.startSuspicion(now, peer, since)
 	default:
 		peer.incarnation = max(peer.incarnation, update.Incarnation)
-		peer.since = min(peer.since, since)
+		peer.suspectedAt = min(peer.suspectedAt, since)
 	}
 }
 
-// updates returns what is told with a message: first what it says of its
-// receiver, then what is news, then who is gone, for those that have started since.
-func (detector *Detector) updates(now time.Duration, to *peer) []shedkeel.GossipUpdate {
-	var told []shedkeel.GossipUpdate
-	if detector.ownUntold > 0 {
-		detector.ownUntold--
-		told = append(told, detector.ownUpdate())
+// selectUpdates returns the updates for a message: first the one about this node and the
+// notice to the receiver, then recent updates, then nodes that are dead or have left, for
+// receivers that have started since.
+func (detector *Detector) selectUpdates(now time.Duration, to *peer) []shedkeel.GossipUpdate {
+	var updates []shedkeel.GossipUpdate
+	if detector.ownTransmitsLeft > 0 {
+		detector.ownTransmitsLeft--
+		updates = append(updates, detector.ownUpdate())
 	}
-	if to.accused {
-		told = append(told, detector.accusation(now, to))
+	if to.noticePending {
+		updates = append(updates, detector.suspicionNotice(now, to))
 	}
-	var fresh, stale []*peer
-	for _, peer := range detector.listed {
+	var recent, settled []*peer
+	for _, peer := range detector.sortedPeers {
 		switch {
 		case peer == to:
-		case peer.untold > 0:
-			fresh = append(fresh, peer)
-		case gone(peer):
-			stale = append(stale, peer)
+		case peer.transmitsLeft > 0:
+			recent = append(recent, peer)
+		case deadOrLeft(peer):
+			settled = append(settled, peer)
 		}
 	}
-	slices.SortStableFunc(fresh, func(a, b *peer) int { return cmp.Compare(b.untold, a.untold) })
-	for _, peer := range fresh[:min(len(fresh), mostUpdates)] {
-		peer.untold--
-		told = append(told, detector.update(now, peer))
+	slices.SortStableFunc(recent, func(a, b *peer) int { return cmp.Compare(b.transmitsLeft, a.transmitsLeft) })
+	for _, peer := range recent[:min(len(recent), maxUpdates)] {
+		peer.transmitsLeft--
+		updates = append(updates, detector.updateAbout(now, peer))
 	}
-	return append(told, detector.sample(now, stale, mostUpdates-len(fresh))...)
+	return append(updates, detector.sampleUpdates(now, settled, maxUpdates-len(recent))...)
 }
 
-// sample tells of so many of the nodes, those after a random one.
-func (detector *Detector) sample(now time.Duration, peers []*peer, most int) []shedkeel.GossipUpdate {
-	if most <= 0 || len(peers) == 0 {
+// sampleUpdates returns updates about up to limit of the nodes, starting at a random one.
+func (detector *Detector) sampleUpdates(now time.Duration, peers []*peer, limit int) []shedkeel.GossipUpdate {
+	if limit <= 0 || len(peers) == 0 {
 		return nil
 	}
 	first := int(detector.Random.Uint64() % uint64(len(peers)))
-	var told []shedkeel.GossipUpdate
-	for index := range min(most, len(peers)) {
-		told = append(told, detector.update(now, peers[(first+index)%len(peers)]))
+	var updates []shedkeel.GossipUpdate
+	for index := range min(limit, len(peers)) {
+		updates = append(updates, detector.updateAbout(now, peers[(first+index)%len(peers)]))
 	}
-	return told
+	return updates
 }
 
-// update says how a node stands. One that is dead is told as suspected for as long
-// as it has been.
-func (detector *Detector) update(now time.Duration, peer *peer) shedkeel.GossipUpdate {
+// updateAbout returns the update about a node. A dead node is reported as suspected, with
+// the age of the suspicion.
+func (detector *Detector) updateAbout(now time.Duration, peer *peer) shedkeel.GossipUpdate {
 	update := shedkeel.GossipUpdate{Node: peer.hash, Liveness: peer.liveness, Incarnation: peer.incarnation}
 	if peer.liveness == shedkeel.Suspected || peer.liveness == shedkeel.Dead {
-		update.Liveness, update.Age = shedkeel.Suspected, now-peer.since
+		update.Liveness, update.Age = shedkeel.Suspected, now-peer.suspectedAt
 	}
 	return update
 }
 
-// accusation tells a node what is said of it, though this one has heard it since.
-func (detector *Detector) accusation(now time.Duration, peer *peer) shedkeel.GossipUpdate {
-	update := detector.update(now, peer)
+// suspicionNotice returns the update that informs a node that it is suspected, even if this
+// node has received a message from it since.
+func (detector *Detector) suspicionNotice(now time.Duration, peer *peer) shedkeel.GossipUpdate {
+	update := detector.updateAbout(now, peer)
 	if update.Liveness == shedkeel.Alive {
 		update.Liveness = shedkeel.Suspected
 	}
 	return update
 }
 
-// ownUpdate is what this node says of itself.
+// ownUpdate returns the update about this node.
 func (detector *Detector) ownUpdate() shedkeel.GossipUpdate {
 	update := shedkeel.GossipUpdate{Node: shedkeel.HashNode(detector.Self), Incarnation: detector.incarnation}
 	if detector.leaving {
