--- a/mirror/bootstrap.go
+++ b/mirror/bootstrap.go
@@ -154,8 +154,8 @@
 	if follower.Mirror.State().Known {
 		return true
 	}
-	answered, _ := follower.relayFrom(ctx, peer, State{}, 0)
-	return answered
+	responded, _ := follower.relayFrom(ctx, peer, State{}, 0)
+	return responded
 }
 
 // bootstrappingSince returns when this process started, if it still has no copy and
--- a/mirror/bootstrap_test.go
+++ b/mirror/bootstrap_test.go
@@ -93,7 +93,7 @@
 				mirrors = append(mirrors, &Mirror{})
 			}
 			for _, mirror := range mirrors[:seeds] {
-				seedPeers = append(seedPeers, Peer(silentPeer{}))
+				seedPeers = append(seedPeers, Peer(unresponsivePeer{}))
 				if test.seedsRun {
 					seedPeers[len(seedPeers)-1] = &latePeer{peer{mirror: mirror, now: clock.Now}, began.Add(test.seedsStart)}
 				}
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -293,11 +293,11 @@
 		}
 		follower.logUpstream(peer, state, stale)
 		sent := follower.Timers.Now()
-		answered, disconnected := follower.relayFrom(ctx, peer, state, wait)
+		responded, disconnected := follower.relayFrom(ctx, peer, state, wait)
 		if disconnected && !stale {
 			follower.upstreamDisconnectedUntil.Store(int64(follower.Timers.Now() + upstreamDisconnectedTime))
 		}
-		if !answered || stale {
+		if !responded || stale {
 			timer.Sleep(ctx, retryDelay-(follower.Timers.Now()-sent))
 		}
 	}
@@ -338,7 +338,7 @@
 // relayFrom sends one request to a peer, if it is not nil, and applies the response.
 // It reports whether the peer responded with an update, and whether the peer follows
 // the service and gets no response from it.
-func (follower *Follower) relayFrom(ctx context.Context, peer Peer, state State, wait time.Duration) (answered, disconnected bool) {
+func (follower *Follower) relayFrom(ctx context.Context, peer Peer, state State, wait time.Duration) (responded, disconnected bool) {
 	if peer == nil {
 		return false, false
 	}
--- a/mirror/health.go
+++ b/mirror/health.go
@@ -11,8 +11,9 @@
 
 const (
 	// responseTimeout is how long the service may take to respond before it counts
-	// as not responding. 4 ms are usual and some 300 ms when it is slow. A caller
-	// that is refused after this time waits no longer than until the service is back.
+	// as not responding. 4 ms are usual and some 300 ms when it is slow, which then
+	// counts as an outage too: a caller that is refused meanwhile waits no longer than
+	// until the service responds again.
 	responseTimeout = 150 * time.Millisecond
 	// peerReachableTime is for how long a peer counts as reachable after a response.
 	// A process without a copy queries its peers at least every 0.4 s.
@@ -23,7 +24,7 @@
 )
 
 // health tracks whether the service and the peers respond to this process. All times
-// are Timers time. The zero value means that nothing has been queried.
+// are those of the Follower's Timers. The zero value means that nothing has been queried.
 type health struct {
 	mutex         sync.Mutex
 	querySent     time.Duration // when the open query was sent; 0: none is open
--- a/mirror/health_test.go
+++ b/mirror/health_test.go
@@ -14,7 +14,7 @@
 // itself cut off and from a slow response.
 func TestOutage(t *testing.T) {
 	errUnreachable := errors.New("service unavailable")
-	peers := []Peer{silentPeer{}}
+	peers := []Peer{unresponsivePeer{}}
 	cases := map[string]struct {
 		others       []Peer
 		events       func(health *health, now time.Duration)
--- a/mirror/idle_test.go
+++ b/mirror/idle_test.go
@@ -133,7 +133,7 @@
 			fleet := newIdleFleet(t, test.followers)
 			fleet.source.setErr(errRefused)
 			for _, follower := range fleet.followers[:test.refused] {
-				follower.Source.(*refusingSource).refuse()
+				follower.Source.(*refusingSource).startRefusing()
 			}
 			began := time.Now()
 			time.Sleep(100 * time.Millisecond)
@@ -170,7 +170,7 @@
 	refusing atomic.Bool
 }
 
-func (refusingSource *refusingSource) refuse() { refusingSource.refusing.Store(true) }
+func (refusingSource *refusingSource) startRefusing() { refusingSource.refusing.Store(true) }
 
 func (refusingSource *refusingSource) Changes(ctx context.Context, prefix string, since shedkeel.Revision, wait time.Duration) (shedkeel.Changes, error) {
 	if refusingSource.refusing.Load() {
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -35,7 +35,7 @@
 	tombstoneFloor   shedkeel.Revision          // deletions up to this revision may be forgotten
 	at               shedkeel.Revision          // the service's revision that the copy has reached
 	known            bool                       // a full update has been applied
-	asOf             time.Duration              // Timers time; the copy is what the service held then or later
+	asOf             time.Duration              // time of the Follower's Timers; the copy is what the service held then or later
 	changed          chan struct{}              // closed at the next change; nil: nobody waits
 	listeners        []func([]shedkeel.Record)
 	restoreListeners []func(Restore)
@@ -146,9 +146,9 @@
 
 // replace stores a newer record, and keeps the one that it replaces if it is small.
 func (mirror *Mirror) replace(record shedkeel.Record) {
-	former, found := mirror.records[record.Key]
-	if found && len(former.Value) <= maxPreviousValue {
-		mirror.previous[record.Key] = former
+	old, found := mirror.records[record.Key]
+	if found && len(old.Value) <= maxPreviousValue {
+		mirror.previous[record.Key] = old
 	} else {
 		delete(mirror.previous, record.Key)
 	}
@@ -192,12 +192,11 @@
 	return removed
 }
 
-// State is the state of a mirror's copy: whether there is one, the revision that it
-// has reached, and the time as of which it is proven.
+// State is the state of a mirror's copy.
 type State struct {
-	Known bool
-	At    shedkeel.Revision
-	AsOf  time.Duration
+	Known bool              // there is a copy
+	At    shedkeel.Revision // the revision that it has reached
+	AsOf  time.Duration     // it is what the service held then or later
 }
 
 // State returns the state of the copy.
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -88,7 +88,7 @@
 			}
 		})
 		for range 60 {
-			change(t, store, random)
+			commitRandomChange(t, store, random)
 			switch random.IntN(4) {
 			case 0:
 				records, at := store.List("")
@@ -108,8 +108,8 @@
 	}
 }
 
-// change commits a random change to the store.
-func change(t *testing.T, store *standin.Store, random *rand.Rand) {
+// commitRandomChange commits a random change to the store.
+func commitRandomChange(t *testing.T, store *standin.Store, random *rand.Rand) {
 	t.Helper()
 	key := fmt.Sprint("k", random.IntN(5))
 	if random.IntN(3) == 0 {
@@ -200,13 +200,13 @@
 }
 
 func (peer *peer) Knows(ctx context.Context, wait time.Duration) (bool, error) {
-	for began := time.Now(); time.Since(began) < wait && !peer.knows() && ctx.Err() == nil; {
+	for began := time.Now(); time.Since(began) < wait && !peer.hasCopy() && ctx.Err() == nil; {
 		time.Sleep(5 * time.Millisecond)
 	}
-	return peer.knows(), nil
+	return peer.hasCopy(), nil
 }
 
-func (peer *peer) knows() bool { return peer.mirror != nil && peer.mirror.State().Known }
+func (peer *peer) hasCopy() bool { return peer.mirror != nil && peer.mirror.State().Known }
 
 // eventually waits up to 5 s until the condition holds.
 func eventually(t *testing.T, what string, holds func() bool) {
@@ -223,15 +223,15 @@
 // it must have the copy of a peer, with the age that the peer reports, though another
 // peer has no copy and a third does not respond.
 func TestBootstrapDuringOutage(t *testing.T) {
-	from := &source{Store: standin.NewStore()}
-	from.setErr(errors.New("service unavailable"))
+	service := &source{Store: standin.NewStore()}
+	service.setErr(errors.New("service unavailable"))
 	clock := &timer.System{}
-	informed, own := &Mirror{}, &Mirror{}
+	peerMirror, own := &Mirror{}, &Mirror{}
 	provenAt := clock.Now() - 3*time.Second
-	informed.Apply(Update{Whole: true, At: shedkeel.Revision{Number: 7}, AsOf: provenAt, Records: []shedkeel.Record{record("a", 7)}})
-	others := []Peer{&peer{now: clock.Now}, &peer{mirror: informed, now: clock.Now}, silentPeer{}}
+	peerMirror.Apply(Update{Whole: true, At: shedkeel.Revision{Number: 7}, AsOf: provenAt, Records: []shedkeel.Record{record("a", 7)}})
+	others := []Peer{&peer{now: clock.Now}, &peer{mirror: peerMirror, now: clock.Now}, unresponsivePeer{}}
 	follower := &Follower{
-		Mirror: own, Source: from, Timers: clock, Choose: func() Peer { return nil }, Others: func() []Peer { return others },
+		Mirror: own, Source: service, Timers: clock, Choose: func() Peer { return nil }, Others: func() []Peer { return others },
 		Processes: func() int { return 3 }, Random: rand.NewPCG(1, 2),
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -245,17 +245,17 @@
 	running.Wait()
 }
 
-// silentPeer never responds.
-type silentPeer struct{}
+// unresponsivePeer never responds.
+type unresponsivePeer struct{}
 
-func (silentPeer) Name() string { return "silent" }
+func (unresponsivePeer) Name() string { return "silent" }
 
-func (silentPeer) Relay(ctx context.Context, _ shedkeel.Revision, _ time.Duration) (Update, error) {
+func (unresponsivePeer) Relay(ctx context.Context, _ shedkeel.Revision, _ time.Duration) (Update, error) {
 	<-ctx.Done()
 	return Update{}, ctx.Err()
 }
 
-func (silentPeer) Knows(ctx context.Context, _ time.Duration) (bool, error) {
+func (unresponsivePeer) Knows(ctx context.Context, _ time.Duration) (bool, error) {
 	<-ctx.Done()
 	return false, ctx.Err()
 }
@@ -266,18 +266,18 @@
 func TestStaleFollowers(t *testing.T) {
 	const processes = 40
 	store := standin.NewStore()
-	from := &source{Store: store}
-	from.setErr(errors.New("service unavailable"))
+	service := &source{Store: store}
+	service.setErr(errors.New("service unavailable"))
 	clock := &timer.System{}
 	emptyPeer := &peer{mirror: &Mirror{}, now: clock.Now}
-	var all []Peer
+	var peers []Peer
 	var followers []*Follower
 	for index := range processes {
 		own := &Mirror{}
 		own.Apply(Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: clock.Now() - staleAge})
-		all = append(all, &peer{mirror: own, now: clock.Now})
+		peers = append(peers, &peer{mirror: own, now: clock.Now})
 		followers = append(followers, &Follower{
-			Mirror: own, Source: from, Timers: clock, Choose: func() Peer { return emptyPeer }, Others: func() []Peer { return all },
+			Mirror: own, Source: service, Timers: clock, Choose: func() Peer { return emptyPeer }, Others: func() []Peer { return peers },
 			Processes: func() int { return processes }, Random: rand.NewPCG(uint64(index), 4),
 		})
 	}
@@ -288,8 +288,8 @@
 	}
 	const outage = 2 * time.Second
 	time.Sleep(outage)
-	assert.Assert(t, from.callCount() <= 2*int(outage/sourceQueryInterval), "%d queries", from.callCount())
-	assert.Assert(t, from.callCount() > 0)
+	assert.Assert(t, service.callCount() <= 2*int(outage/sourceQueryInterval), "%d queries", service.callCount())
+	assert.Assert(t, service.callCount() > 0)
 
 	followers[0].Mirror.Apply(Update{Records: []shedkeel.Record{record("a", 2)}, At: shedkeel.Revision{Number: 2}, AsOf: clock.Now()})
 	eventually(t, "the change in all copies", func() bool {
@@ -331,18 +331,18 @@
 // has, and a peer that becomes the upstream.
 func TestFollower(t *testing.T) {
 	store := standin.NewStore()
-	from := &source{Store: store}
+	service := &source{Store: store}
 	clock := &timer.System{}
 	own := &Mirror{}
 	other := &Mirror{}
-	var followed Peer
+	var upstream Peer
 	var mutex sync.Mutex
 	choose := func() Peer {
 		mutex.Lock()
 		defer mutex.Unlock()
-		return followed
+		return upstream
 	}
-	follower := &Follower{Mirror: own, Source: from, Timers: clock, Choose: choose, Others: func() []Peer { return nil }, Processes: func() int { return 1 }, Random: rand.NewPCG(1, 2)}
+	follower := &Follower{Mirror: own, Source: service, Timers: clock, Choose: choose, Others: func() []Peer { return nil }, Processes: func() int { return 1 }, Random: rand.NewPCG(1, 2)}
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	running.Go(func() { follower.Run(ctx) })
@@ -353,19 +353,19 @@
 	put("a")
 	eventually(t, "the first copy", func() bool { return own.Get("a").Revision.Number > 0 })
 
-	from.setErr(errors.New("service unavailable"))
+	service.setErr(errors.New("service unavailable"))
 	put("b")
 	store.Forget()
 	time.Sleep(2 * retryDelay)
-	from.setErr(nil)
+	service.setErr(nil)
 	eventually(t, "changes from the outage, whose history the service lost", func() bool { return own.Get("b").Revision.Number > 0 })
 
-	from.setErr(errors.New("service unavailable"))
+	service.setErr(errors.New("service unavailable"))
 	age := clock.Now() - own.State().AsOf
 	records, at := store.List("")
 	other.Apply(Update{Records: append(records, record("c", at.Number+1)), Whole: true, At: shedkeel.Revision{Number: at.Number + 1}, AsOf: clock.Now()})
 	mutex.Lock()
-	followed = &peer{mirror: other, now: clock.Now}
+	upstream = &peer{mirror: other, now: clock.Now}
 	mutex.Unlock()
 	eventually(t, "the peer's records", func() bool { return own.Get("c").Revision.Number > 0 })
 	assert.Assert(t, clock.Now()-own.State().AsOf < age+5*time.Second)
@@ -380,10 +380,10 @@
 // came 8 s late while the copy counted as fresh.
 func TestCopyKeepsUpWithManyChanges(t *testing.T) {
 	store := standin.NewStore()
-	from := &source{Store: store, maxRecords: 50}
+	service := &source{Store: store, maxRecords: 50}
 	clock := &timer.System{}
 	own := &Mirror{}
-	follower := &Follower{Mirror: own, Source: from, Timers: clock, Choose: func() Peer { return nil }, Others: func() []Peer { return nil }, Processes: func() int { return 1 }, Random: rand.NewPCG(1, 2)}
+	follower := &Follower{Mirror: own, Source: service, Timers: clock, Choose: func() Peer { return nil }, Others: func() []Peer { return nil }, Processes: func() int { return 1 }, Random: rand.NewPCG(1, 2)}
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	running.Go(func() { follower.Run(ctx) })
--- a/mirror/restore_test.go
+++ b/mirror/restore_test.go
@@ -106,14 +106,14 @@
 			}
 		})
 		for range 80 {
-			change(t, store, random)
+			commitRandomChange(t, store, random)
 			switch random.IntN(8) {
 			case 0:
 				store.Snapshot()
 			case 1:
 				store.Restore()
 			default:
-				step(t, store, mirrors, random)
+				followOnce(t, store, mirrors, random)
 			}
 		}
 		records, at := store.List("")
@@ -125,8 +125,8 @@
 	}
 }
 
-// step lets a random mirror follow the service or another mirror once.
-func step(t *testing.T, store *standin.Store, mirrors []*Mirror, random *rand.Rand) {
+// followOnce lets a random mirror follow the service or another mirror once.
+func followOnce(t *testing.T, store *standin.Store, mirrors []*Mirror, random *rand.Rand) {
 	t.Helper()
 	index, from := random.IntN(len(mirrors)), random.IntN(len(mirrors)+1)
 	own := mirrors[index]
@@ -237,12 +237,12 @@
 	}
 	change(200)
 	clock := &timer.System{}
-	from := &eraSource{source: &source{Store: store}, lists: &atomic.Int64{}}
+	service := &eraSource{source: &source{Store: store}, lists: &atomic.Int64{}}
 	var peers []Peer
 	var followers []*Follower
 	for index := range processes {
 		follower := &Follower{
-			Mirror: &Mirror{}, Source: from, Timers: clock, Processes: func() int { return processes }, Random: rand.NewPCG(uint64(index), 3),
+			Mirror: &Mirror{}, Source: service, Timers: clock, Processes: func() int { return processes }, Random: rand.NewPCG(uint64(index), 3),
 			Choose: func() Peer {
 				if independent || index == 0 {
 					return nil
@@ -275,15 +275,15 @@
 	store.Snapshot()
 	change(50)
 	time.Sleep(time.Second)
-	from.setErr(errors.New("service unavailable"))
+	service.setErr(errors.New("service unavailable"))
 	time.Sleep(500 * time.Millisecond)
 	store.Restore()
 	if overtaken {
 		change(100)
 	}
-	callsBefore, listsBefore := from.callCount(), from.lists.Load()
+	callsBefore, listsBefore := service.callCount(), service.lists.Load()
 	returned := clock.Now()
-	from.setErr(nil)
+	service.setErr(nil)
 	eventually(t, "all processes to follow the new era", reached(1))
-	return clock.Now() - returned, from.lists.Load() - listsBefore, int64(from.callCount() - callsBefore)
+	return clock.Now() - returned, service.lists.Load() - listsBefore, int64(service.callCount() - callsBefore)
 }
--- a/swim/comparison_test.go
+++ b/swim/comparison_test.go
@@ -40,9 +40,9 @@
 }
 
 // newHeartbeatDetector returns a constructor of heartbeat detectors.
-func newHeartbeatDetector(some bool) func(shedkeel.NodeID, shedkeel.Random) shedkeel.FailureDetector {
+func newHeartbeatDetector(watchersOnly bool) func(shedkeel.NodeID, shedkeel.Random) shedkeel.FailureDetector {
 	return func(id shedkeel.NodeID, _ shedkeel.Random) shedkeel.FailureDetector {
-		return &heartbeatDetector{self: id, watchersOnly: some, lastHeartbeat: map[shedkeel.NodeID]time.Duration{}, reports: map[shedkeel.NodeID]map[shedkeel.NodeID]time.Duration{}}
+		return &heartbeatDetector{self: id, watchersOnly: watchersOnly, lastHeartbeat: map[shedkeel.NodeID]time.Duration{}, reports: map[shedkeel.NodeID]map[shedkeel.NodeID]time.Duration{}}
 	}
 }
 
@@ -127,13 +127,13 @@
 	} else if watched && !heartbeatDetector.watchersOnly {
 		return shedkeel.Dead
 	}
-	accusers := 0
+	reporters := 0
 	for _, at := range heartbeatDetector.reports[peer] {
 		if heartbeatDetector.now-at < 2*heartbeatInterval {
-			accusers++
+			reporters++
 		}
 	}
-	if accusers >= 2 {
+	if reporters >= 2 {
 		return shedkeel.Dead
 	}
 	return shedkeel.Alive
--- a/swim/detector.go
+++ b/swim/detector.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// pingInterval is the time between two pings. In a large fleet at least 0.63 pings
-	// on average reach each node per interval, so that one in a hundred failures is
-	// first noticed after 4.6 intervals.
+	// pingInterval is the time between two pings. In a large fleet each node is pinged
+	// within an interval with a probability of 0.63 or more, so that one in a hundred
+	// failures is first noticed after 4.6 intervals.
 	pingInterval = 200 * time.Millisecond
 	// ackTimeout is how long a node may take to answer a ping before others are asked
 	// to ping it. 3 ms are usual, and a box that has used up its share of a core stalls
@@ -58,11 +58,11 @@
 	// maxExtraPings bounds the additional pings per interval that a node sends when
 	// some have no answer, or when a dead node is heard again.
 	maxExtraPings = 8
-	// deadPingInterval is the number of pings of which one more goes to a node that
-	// is dead or has left. Regular pings skip such a node, which may be alive without
-	// knowing how others list it. After a network partition both sides find each
-	// other by these pings.
-	deadPingInterval = 4
+	// deadPingRounds is the number of ping intervals between additional pings to a
+	// random node that is dead or has left. Regular pings skip such a node, which may
+	// be alive without knowing how others list it. After a network partition both
+	// sides find each other by these pings.
+	deadPingRounds = 4
 	// maxUpdates bounds the updates of a message to what one datagram of 1.1 kB holds.
 	maxUpdates = 50
 	// retransmitFactor, times the logarithm of the number of nodes, is how often an
@@ -154,7 +154,8 @@
 	detector.lastConnected = max(detector.lastConnected, now)
 }
 
-// Liveness returns the liveness of a node. A node that is not monitored is alive.
+// Liveness returns the liveness of a node. A node that is not monitored is Alive. One
+// that was listed after this node's start is Unheard until something shows that it lives.
 func (detector *Detector) Liveness(id shedkeel.NodeID) shedkeel.Liveness {
 	peer := detector.peers[id]
 	switch {
@@ -224,8 +225,8 @@
 	}
 }
 
-// resume resets the detector at its start and after this node has stalled: others may
-// suspect it, and its open probes prove nothing.
+// resume resets the detector at its start and after this node has stalled. After a stall
+// others may suspect this node, and its open probes prove nothing.
 func (detector *Detector) resume(now time.Duration) []shedkeel.GossipDatagram {
 	clear(detector.probes)
 	clear(detector.relayedPings)
--- a/swim/detector_test.go
+++ b/swim/detector_test.go
@@ -39,10 +39,10 @@
 // and for 3 s in 99 of 100 cases of a single dead node; the test logs that percentile.
 func TestDeadNodesAreDetected(t *testing.T) {
 	cases := map[string]struct {
-		size int
-		dead int
-		loss float64
-		most time.Duration
+		size  int
+		dead  int
+		loss  float64
+		limit time.Duration
 	}{
 		"one of 9":                              {9, 1, 0, 3500 * time.Millisecond},
 		"five of 9":                             {9, 5, 0, 5 * time.Second},
@@ -83,7 +83,7 @@
 			}
 			slices.Sort(took)
 			t.Logf("%d runs: median %s, 99th percentile %s, maximum %s", len(took), took[len(took)/2], took[len(took)*99/100], took[len(took)-1])
-			assert.Assert(t, took[len(took)-1] <= test.most, "%s", took[len(took)-1])
+			assert.Assert(t, took[len(took)-1] <= test.limit, "%s", took[len(took)-1])
 		})
 	}
 }
--- a/swim/probe.go
+++ b/swim/probe.go
@@ -62,7 +62,7 @@
 		}
 	}
 	detector.pingRounds++
-	if detector.pingRounds%deadPingInterval == 0 {
+	if detector.pingRounds%deadPingRounds == 0 {
 		if target := detector.randomDeadOrLeft(); target != nil {
 			sent = append(sent, detector.ping(now, target))
 		}
