--- /dev/null
+++ b/mirror/health.go
@@ -0,0 +1,126 @@
+package mirror
+
+import (
+	"errors"
+	"sync"
+	"time"
+)
+
+// ErrNothingKnown means that a peer is running and has no copy yet.
+var ErrNothingKnown = errors.New("peer has no copy of the records yet")
+
+const (
+	// responseTimeout is how long the service may take to respond before it counts
+	// as not responding. 4 ms are usual and some 300 ms when it is slow, which then
+	// counts as an outage too: a caller that is refused meanwhile waits no longer than
+	// until the service responds again.
+	responseTimeout = 150 * time.Millisecond
+	// peerReachableTime is for how long a peer counts as reachable after a response.
+	// A process without a copy queries its peers at least every 0.4 s.
+	peerReachableTime = time.Second
+	// unreachableFailures is how many queries in a row must fail until this process
+	// reports that it cannot reach the service: single responses get lost.
+	unreachableFailures = 2
+)
+
+// health tracks whether the service and the peers respond to this process. All times
+// are those of the Follower's Timers. The zero value means that nothing has been queried.
+type health struct {
+	mutex         sync.Mutex
+	querySent     time.Duration // when the open query was sent; 0: none is open
+	responseDue   time.Duration // when its response is due
+	failingSince  time.Duration // when the first failed query was sent; 0: the last one succeeded
+	failures      int           // consecutive failed queries
+	peerResponded time.Duration // when a peer responded last; 0: never
+	confirmedAt   time.Duration // when the last successful query was sent; 0: never
+}
+
+// beginQuery records a query to the service, which may hold it for up to wait.
+func (health *health) beginQuery(now, wait time.Duration) {
+	health.mutex.Lock()
+	defer health.mutex.Unlock()
+	health.querySent, health.responseDue = now, now+wait+responseTimeout
+}
+
+// endQuery records the result of the query.
+func (health *health) endQuery(err error) {
+	health.mutex.Lock()
+	defer health.mutex.Unlock()
+	switch {
+	case err == nil:
+		health.failingSince, health.confirmedAt, health.failures = 0, health.querySent, 0
+	case health.failingSince == 0:
+		health.failingSince, health.failures = health.querySent, 1
+	default:
+		health.failures++
+	}
+	health.querySent = 0
+}
+
+// notePeerResponse records that a peer responded.
+func (health *health) notePeerResponse(now time.Duration) {
+	health.mutex.Lock()
+	defer health.mutex.Unlock()
+	health.peerResponded = now
+}
+
+// anyPeerResponded reports whether a peer has ever responded.
+func (health *health) anyPeerResponded() bool {
+	health.mutex.Lock()
+	defer health.mutex.Unlock()
+	return health.peerResponded != 0
+}
+
+// unresponsiveSince returns since when the service has not responded, if it does not.
+func (health *health) unresponsiveSince(now time.Duration) (since time.Duration, unresponsive bool) {
+	switch {
+	case health.failingSince != 0:
+		return health.failingSince, true
+	case health.querySent != 0 && now >= health.responseDue:
+		return health.querySent, true
+	}
+	return 0, false
+}
+
+// Away reports whether this process is to follow the service and gets no response
+// from it.
+func (follower *Follower) Away() bool {
+	now := follower.Timers.Now()
+	if follower.Choose() != nil {
+		return false
+	}
+	health := &follower.health
+	health.mutex.Lock()
+	defer health.mutex.Unlock()
+	return health.failures >= unreachableFailures || health.querySent != 0 && now >= health.responseDue
+}
+
+// Answered returns when the last query was sent to which the service itself responded,
+// not a peer; 0 if it never did.
+func (follower *Follower) Answered() time.Duration {
+	health := &follower.health
+	health.mutex.Lock()
+	defer health.mutex.Unlock()
+	return health.confirmedAt
+}
+
+// Outage reports whether the service is down for all processes, as far as this one can
+// tell, and since when. It is if this process gets no response from the service and
+// has recently reached a peer: a process that reaches no peer may itself be cut off. A
+// process that has no peers relies on its own queries. A process that has started and
+// has no copy, as the peers that it reaches, reports an outage too though it leaves
+// queries to the service to others: for its callers the effect is the same.
+func (follower *Follower) Outage() (since time.Duration, unresponsive bool) {
+	now := follower.Timers.Now()
+	noPeers := len(follower.Others()) == 0
+	health := &follower.health
+	health.mutex.Lock()
+	defer health.mutex.Unlock()
+	if !noPeers && (health.peerResponded == 0 || now-health.peerResponded > peerReachableTime) {
+		return 0, false
+	}
+	if since, unresponsive := health.unresponsiveSince(now); unresponsive {
+		return since, true
+	}
+	return follower.bootstrappingSince(now)
+}
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -1,10 +1,10 @@
 // Package mirror keeps a copy of the records of the key-value service in each
-// process and knows how old the copy may be. It follows the service itself or
-// the mirror of another process, so that few processes cost the service calls.
+// process and tracks how old the copy may be. A copy follows the service itself or
+// the mirror of another process, so that only a few processes call the service.
 //
-// Age is only ever proved by asking: what an answer says held at some moment
-// after the question was sent, so the copy counts as being as old as the
-// question. A mirror asked by another adds its own age to its answer.
+// Only a response proves the age of a copy: its content was current at some moment
+// after the request was sent, so the copy counts as being as old as the request. A
+// mirror that answers another one adds the age of its own copy.
 package mirror
 
 import (
@@ -16,93 +16,96 @@
 	"shedkeel.org/shedkeel"
 )
 
-// maxGone is how many removed keys are remembered, so that others can be told
-// of them one by one. Who asks for older changes gets the whole copy.
-const maxGone = 4096
+// maxTombstones bounds the deleted keys that are remembered in order to send
+// deletions one by one. A mirror that asks for older changes receives a full copy.
+const maxTombstones = 4096
 
-// maxBefore is up to which size the former value of a record is kept, in
-// bytes. Backend servers write records of half a kilobyte each second that
-// differ by a number.
-const maxBefore = 4 << 10
+// maxPreviousValue is the size in bytes up to which the previous value of a record
+// is kept, so that a small change can be sent as a difference. Backend servers write
+// records of half a kilobyte each second that differ by a number.
+const maxPreviousValue = 4 << 10
 
-// Mirror is a copy of all records. The zero value is empty and proves nothing.
+// Mirror is a copy of all records. The zero value is an empty mirror that has no
+// copy yet.
 type Mirror struct {
-	mutex     sync.Mutex
-	records   map[string]shedkeel.Record
-	before    map[string]shedkeel.Record // former values of small records
-	gone      []shedkeel.Record          // removed keys, oldest first
-	goneFloor shedkeel.Revision          // removals up to this revision may be forgotten
-	at        shedkeel.Revision          // the store's revision that the copy has reached
-	known     bool
-	asOf      time.Duration // the copy is what the store held then, or later
-	changed   chan struct{} // closed at the next change
-	listeners []func([]shedkeel.Record)
-	restored  []func(Restore)
+	mutex            sync.Mutex
+	records          map[string]shedkeel.Record
+	previous         map[string]shedkeel.Record // previous versions of small records
+	tombstones       []shedkeel.Record          // deleted keys, oldest first
+	tombstoneFloor   shedkeel.Revision          // deletions up to this revision may be forgotten
+	at               shedkeel.Revision          // the service's revision that the copy has reached
+	known            bool                       // a full update has been applied
+	asOf             time.Duration              // time of the Follower's Timers; the copy is what the service held then or later
+	changed          chan struct{}              // closed at the next change; nil: nobody waits
+	listeners        []func([]shedkeel.Record)
+	restoreListeners []func(Restore)
 }
 
-// Update is what brings a mirror up to date.
+// Update is a set of changes, or a full copy, that a mirror applies.
 type Update struct {
-	Records []shedkeel.Record // as they now stand, or gone
-	Whole   bool              // Records are all there are; others are gone
+	Records []shedkeel.Record // present or deleted records
+	Whole   bool              // Records is a full copy: keys that it lacks are deleted
 	At      shedkeel.Revision
-	AsOf    time.Duration // when the question was sent that this answers
-	// Away says that the peer that told it is to follow the service and gets no
-	// answer: the next change will not come from it.
+	AsOf    time.Duration // when the request was sent that this update answers
+	// Away says that the sending peer follows the service and gets no response from
+	// it, so that the next change will not come from this peer.
 	Away bool
 }
 
-// Listen has told called with the records of each change, in order, one call
-// at a time. It must be called before the first Apply.
-func (mirror *Mirror) Listen(told func([]shedkeel.Record)) {
-	mirror.listeners = append(mirror.listeners, told)
+// Listen registers a function that is called with the changed records of each
+// update, in order, one call at a time. It must be called before the first Apply.
+// The listener must not call the mirror, which is locked meanwhile.
+func (mirror *Mirror) Listen(listener func([]shedkeel.Record)) {
+	mirror.listeners = append(mirror.listeners, listener)
 }
 
-// Restore is that the service has come back from an older copy of itself, as a mirror
-// learns of it: by its first update of the new era.
+// Restore describes a restore of the service from an older copy of itself, as the
+// mirror sees it in the first full update of the new era.
 type Restore struct {
 	From, To shedkeel.Revision
 	Lost     int // records that the older copy lacks
 }
 
-// ListenRestored has the listener called with each restore, before Listen's functions
-// are with what changed by it. It must be called before the first Apply.
+// ListenRestored registers a function that is called at each restore, before the
+// functions of Listen receive the changed records. It must be called before the first
+// Apply.
 func (mirror *Mirror) ListenRestored(listener func(Restore)) {
-	mirror.restored = append(mirror.restored, listener)
+	mirror.restoreListeners = append(mirror.restoreListeners, listener)
 }
 
-// Apply takes an update in. Older records never replace newer ones, and what is of an
-// earlier era changes nothing. A later era begins with a whole update, since records
-// may be gone without a change that says so.
+// Apply applies an update. Older records never replace newer ones, and updates of an
+// earlier era are ignored. A new era begins with a full update, since records may have
+// been lost without a change that deletes them.
 func (mirror *Mirror) Apply(update Update) {
 	mirror.mutex.Lock()
 	defer mirror.mutex.Unlock()
 	if mirror.records == nil {
 		mirror.records = map[string]shedkeel.Record{}
-		mirror.before = map[string]shedkeel.Record{}
+		mirror.previous = map[string]shedkeel.Record{}
 	}
-	rises := mirror.known && update.At.Era > mirror.at.Era
-	if update.At.Exists() && update.At.Era < mirror.at.Era || rises && !update.Whole {
+	newEra := mirror.known && update.At.Era > mirror.at.Era
+	if update.At.Exists() && update.At.Era < mirror.at.Era || newEra && !update.Whole {
 		return
 	}
-	from := mirror.at
+	oldRevision := mirror.at
 	mirror.at = shedkeel.LaterRevision(mirror.at, update.At)
-	news := mirror.merge(update.Records)
+	changes := mirror.merge(update.Records)
 	if update.Whole {
-		news = append(news, mirror.dropAbsent(update, rises)...)
-		mirror.goneFloor = shedkeel.LaterRevision(mirror.goneFloor, update.At)
+		changes = append(changes, mirror.removeAbsent(update, newEra)...)
+		mirror.tombstoneFloor = shedkeel.LaterRevision(mirror.tombstoneFloor, update.At)
 	}
 	first := !mirror.known
 	mirror.known = mirror.known || update.Whole
 	mirror.asOf = max(mirror.asOf, update.AsOf)
-	if rises {
-		clear(mirror.before) // they are of another history
-		mirror.notifyRestored(from, news)
+	if newEra {
+		clear(mirror.previous) // they belong to the earlier era
+		mirror.notifyRestored(oldRevision, changes)
 	}
-	if len(news) == 0 && !first && !rises {
+	if len(changes) == 0 && !first && !newEra {
 		return
 	}
-	for _, told := range mirror.listeners {
-		told(news)
+	for _, listener := range mirror.listeners {
+		listener(changes)
 	}
 	if mirror.changed != nil {
 		close(mirror.changed)
@@ -110,92 +113,93 @@
 	}
 }
 
-func (mirror *Mirror) notifyRestored(from shedkeel.Revision, news []shedkeel.Record) {
-	restore := Restore{From: from, To: mirror.at}
-	for _, record := range news {
+// notifyRestored calls the restore listeners.
+func (mirror *Mirror) notifyRestored(oldRevision shedkeel.Revision, changes []shedkeel.Record) {
+	restore := Restore{From: oldRevision, To: mirror.at}
+	for _, record := range changes {
 		if record.Lost {
 			restore.Lost++
 		}
 	}
-	for _, listener := range mirror.restored {
+	for _, listener := range mirror.restoreListeners {
 		listener(restore)
 	}
 }
 
-// merge takes in the records that are newer than the copy's and returns them.
+// merge applies the records that are newer than the copy's and returns them.
 func (mirror *Mirror) merge(records []shedkeel.Record) []shedkeel.Record {
-	var news []shedkeel.Record
+	var changes []shedkeel.Record
 	for _, record := range records {
-		late := record.Revision.Era < mirror.at.Era
-		if late || !record.Revision.After(mirror.records[record.Key].Revision) || mirror.removedSince(record) {
+		earlierEra := record.Revision.Era < mirror.at.Era
+		if earlierEra || !record.Revision.After(mirror.records[record.Key].Revision) || mirror.removedSince(record) {
 			continue
 		}
-		news = append(news, record)
+		changes = append(changes, record)
 		if record.Gone {
 			mirror.remove(record)
 		} else {
 			mirror.replace(record)
 		}
 	}
-	return news
+	return changes
 }
 
-// replace keeps a newer record, and the one that it replaces if it is small.
+// replace stores a newer record, and keeps the one that it replaces if it is small.
 func (mirror *Mirror) replace(record shedkeel.Record) {
-	former, found := mirror.records[record.Key]
-	if found && len(former.Value) <= maxBefore {
-		mirror.before[record.Key] = former
+	old, found := mirror.records[record.Key]
+	if found && len(old.Value) <= maxPreviousValue {
+		mirror.previous[record.Key] = old
 	} else {
-		delete(mirror.before, record.Key)
+		delete(mirror.previous, record.Key)
 	}
 	mirror.records[record.Key] = record
 }
 
-// removedSince reports whether the key was removed at a later revision than
-// the record's.
+// removedSince reports whether the key was deleted at the record's revision or later.
 func (mirror *Mirror) removedSince(record shedkeel.Record) bool {
-	return slices.ContainsFunc(mirror.gone, func(gone shedkeel.Record) bool {
-		return gone.Key == record.Key && !record.Revision.After(gone.Revision)
+	return slices.ContainsFunc(mirror.tombstones, func(tombstone shedkeel.Record) bool {
+		return tombstone.Key == record.Key && !record.Revision.After(tombstone.Revision)
 	})
 }
 
+// remove deletes a record and keeps its tombstone.
 func (mirror *Mirror) remove(record shedkeel.Record) {
 	delete(mirror.records, record.Key)
-	delete(mirror.before, record.Key)
-	mirror.gone = append(mirror.gone, shedkeel.Record{Key: record.Key, Revision: record.Revision, Gone: true})
-	if len(mirror.gone) > maxGone {
-		mirror.goneFloor = shedkeel.LaterRevision(mirror.goneFloor, mirror.gone[0].Revision)
-		mirror.gone = mirror.gone[1:]
+	delete(mirror.previous, record.Key)
+	mirror.tombstones = append(mirror.tombstones, shedkeel.Record{Key: record.Key, Revision: record.Revision, Gone: true})
+	if len(mirror.tombstones) > maxTombstones {
+		mirror.tombstoneFloor = shedkeel.LaterRevision(mirror.tombstoneFloor, mirror.tombstones[0].Revision)
+		mirror.tombstones = mirror.tombstones[1:]
 	}
 }
 
-// dropAbsent removes the keys that a whole copy lacks. They are lost where it begins
-// an era.
-func (mirror *Mirror) dropAbsent(update Update, lost bool) []shedkeel.Record {
+// removeAbsent deletes the keys that a full update lacks and returns their tombstones,
+// which are marked as lost where the update begins an era.
+func (mirror *Mirror) removeAbsent(update Update, lost bool) []shedkeel.Record {
 	present := map[string]bool{}
 	for _, record := range update.Records {
 		present[record.Key] = true
 	}
-	var news []shedkeel.Record
+	var removed []shedkeel.Record
 	for key, record := range mirror.records {
 		if present[key] || record.Revision.After(update.At) {
 			continue
 		}
-		removed := shedkeel.Record{Key: key, Revision: update.At, Gone: true, Lost: lost}
-		mirror.remove(removed)
-		news = append(news, removed)
+		tombstone := shedkeel.Record{Key: key, Revision: update.At, Gone: true, Lost: lost}
+		mirror.remove(tombstone)
+		removed = append(removed, tombstone)
 	}
-	return news
+	return removed
 }
 
-// State is how far a mirror has come.
+// State is the state of a mirror's copy.
 type State struct {
-	Known bool
-	At    shedkeel.Revision
-	AsOf  time.Duration
+	Known bool              // there is a copy
+	At    shedkeel.Revision // the revision that it has reached
+	AsOf  time.Duration     // it is what the service held then or later
 }
 
-// State returns how far the mirror has come.
+// State returns the state of the copy.
 func (mirror *Mirror) State() State {
 	mirror.mutex.Lock()
 	defer mirror.mutex.Unlock()
@@ -209,7 +213,8 @@
 	return len(mirror.records)
 }
 
-// Get returns a record of the copy. One that does not exist has no revision.
+// Get returns a record of the copy. If the key does not exist, the record has the zero
+// revision.
 func (mirror *Mirror) Get(key string) shedkeel.Record {
 	mirror.mutex.Lock()
 	defer mirror.mutex.Unlock()
@@ -220,12 +225,12 @@
 	return record
 }
 
-// Before returns the record that the newest one of the key replaced. One that is not
-// kept has no revision.
+// Before returns the record that the current one of the key replaced. If it was not
+// kept, it has the zero revision.
 func (mirror *Mirror) Before(key string) shedkeel.Record {
 	mirror.mutex.Lock()
 	defer mirror.mutex.Unlock()
-	return mirror.before[key]
+	return mirror.previous[key]
 }
 
 // Below returns the records whose keys begin with the prefix, sorted by key.
@@ -242,22 +247,23 @@
 	return found
 }
 
-// Since returns what another mirror needs that has reached the revision: all of the
-// era that this one has reached, if that is a later one.
+// Since returns the update for a mirror that has reached the revision. It is a full
+// copy if that mirror is of an earlier era or older than the tombstones.
 func (mirror *Mirror) Since(revision shedkeel.Revision) Update {
 	mirror.mutex.Lock()
 	defer mirror.mutex.Unlock()
 	era, known := mirror.at.Era, revision.Number
-	whole := mirror.goneFloor.After(revision) || revision.Era < era
+	whole := mirror.tombstoneFloor.After(revision) || revision.Era < era
 	if whole {
 		known = 0
 	}
 	update := Update{At: mirror.at, AsOf: mirror.asOf, Whole: whole}
 	if revision.Era > era {
-		return update // who asks has what came after
+		return update // the other mirror is in a later era
 	}
 	for _, record := range mirror.records {
-		// One of a later era was written by this process, which has not seen the era begin.
+		// A record of a later era was written by this process before it received the
+		// era's first update.
 		if record.Revision.Number > known && record.Revision.Era == era {
 			update.Records = append(update.Records, record)
 		}
@@ -265,7 +271,7 @@
 	if whole {
 		return update
 	}
-	for _, record := range mirror.gone {
+	for _, record := range mirror.tombstones {
 		if record.Revision.Number > known && record.Revision.Era == era {
 			update.Records = append(update.Records, record)
 		}
--- a/mirror/restore_test.go
+++ b/mirror/restore_test.go
@@ -19,58 +19,58 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// sizes has TestRestoreIsFollowed play all sizes.
-var sizes = flag.Bool("sizes", false, "measure how all processes come through a restore, at all sizes")
+// sizes makes TestFollowRestore run all fleet sizes.
+var sizes = flag.Bool("sizes", false, "measure how all processes follow a restored service, at all sizes")
 
-// in returns the record as it is in an era of the service.
-func in(era int64, record shedkeel.Record) shedkeel.Record {
+// inEra returns the record with the era set.
+func inEra(era int64, record shedkeel.Record) shedkeel.Record {
 	record.Revision.Era = era
 	return record
 }
 
-// whole returns a whole update of an era.
-func whole(era, at int64, asOf time.Duration, records ...shedkeel.Record) Update {
+// fullUpdate returns a full update of an era.
+func fullUpdate(era, at int64, asOf time.Duration, records ...shedkeel.Record) Update {
 	update := Update{Whole: true, At: shedkeel.Revision{Era: era, Number: at}, AsOf: asOf}
 	for _, record := range records {
-		update.Records = append(update.Records, in(era, record))
+		update.Records = append(update.Records, inEra(era, record))
 	}
 	return update
 }
 
-// TestEras checks what a copy holds after the service came back from an older one.
+// TestEras checks what a copy holds after the service was restored from an older copy.
 func TestEras(t *testing.T) {
-	before := whole(0, 9, 1, record("a", 3), record("b", 9))
-	after := whole(1, 5, 2, record("a", 3))
-	later := Update{At: shedkeel.Revision{Era: 1, Number: 6}, AsOf: 3, Records: []shedkeel.Record{in(1, record("c", 6))}}
+	before := fullUpdate(0, 9, 1, record("a", 3), record("b", 9))
+	after := fullUpdate(1, 5, 2, record("a", 3))
+	later := Update{At: shedkeel.Revision{Era: 1, Number: 6}, AsOf: 3, Records: []shedkeel.Record{inEra(1, record("c", 6))}}
 	cases := map[string]struct {
 		updates []Update
 		want    map[string]string
 		at      string
 		asOf    time.Duration
-		lost    int // records that were told as lost
+		lost    int // records reported as lost
 	}{
-		"restored":                     {[]Update{before, after}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
-		"and changed":                  {[]Update{before, after, later}, map[string]string{"a": "1:3", "c": "1:6"}, "1:6", 3, 1},
-		"an answer of before, late":    {[]Update{before, after, {At: shedkeel.Revision{Number: 12}, AsOf: 7, Records: []shedkeel.Record{record("b", 12)}}}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
-		"a list of before, late":       {[]Update{before, after, whole(0, 12, 7, record("b", 12))}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
-		"a write of before, late":      {[]Update{before, after, {Records: []shedkeel.Record{record("b", 12)}}}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
-		"a first write, late":          {[]Update{before, after, {Records: []shedkeel.Record{record("z", 12)}}}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
-		"a change before its list":     {[]Update{before, later}, map[string]string{"a": "3", "b": "9"}, "9", 1, 0},
-		"an own write before its list": {[]Update{before, {Records: []shedkeel.Record{in(1, record("b", 4))}}, after}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
-		"an own write after its list":  {[]Update{before, after, {Records: []shedkeel.Record{in(1, record("b", 6))}}}, map[string]string{"a": "1:3", "b": "1:6"}, "1:5", 2, 1},
-		"twice":                        {[]Update{before, after, whole(3, 2, 5, record("d", 1))}, map[string]string{"d": "3:1"}, "3:2", 5, 2},
-		"a value of the same number":   {[]Update{whole(0, 9, 1, record("a", 3), record("b", 9)), whole(1, 9, 2, record("a", 3), record("b", 9))}, map[string]string{"a": "1:3", "b": "1:9"}, "1:9", 2, 0},
-		"its start is in a later era":  {[]Update{after}, map[string]string{"a": "1:3"}, "1:5", 2, 0},
+		"restored":                                         {[]Update{before, after}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
+		"restored, then changed":                           {[]Update{before, after, later}, map[string]string{"a": "1:3", "c": "1:6"}, "1:6", 3, 1},
+		"late response from the earlier era":               {[]Update{before, after, {At: shedkeel.Revision{Number: 12}, AsOf: 7, Records: []shedkeel.Record{record("b", 12)}}}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
+		"late list from the earlier era":                   {[]Update{before, after, fullUpdate(0, 12, 7, record("b", 12))}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
+		"late own write from the earlier era":              {[]Update{before, after, {Records: []shedkeel.Record{record("b", 12)}}}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
+		"late own write of a new key from the earlier era": {[]Update{before, after, {Records: []shedkeel.Record{record("z", 12)}}}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
+		"change of the new era before its list":            {[]Update{before, later}, map[string]string{"a": "3", "b": "9"}, "9", 1, 0},
+		"own write in the new era before its list":         {[]Update{before, {Records: []shedkeel.Record{inEra(1, record("b", 4))}}, after}, map[string]string{"a": "1:3"}, "1:5", 2, 1},
+		"own write in the new era after its list":          {[]Update{before, after, {Records: []shedkeel.Record{inEra(1, record("b", 6))}}}, map[string]string{"a": "1:3", "b": "1:6"}, "1:5", 2, 1},
+		"restored twice":                                   {[]Update{before, after, fullUpdate(3, 2, 5, record("d", 1))}, map[string]string{"d": "3:1"}, "3:2", 5, 2},
+		"the same revision numbers in both eras":           {[]Update{fullUpdate(0, 9, 1, record("a", 3), record("b", 9)), fullUpdate(1, 9, 2, record("a", 3), record("b", 9))}, map[string]string{"a": "1:3", "b": "1:9"}, "1:9", 2, 0},
+		"the first update is of a later era":               {[]Update{after}, map[string]string{"a": "1:3"}, "1:5", 2, 0},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			mirror := &Mirror{}
-			lost, told := 0, 0
+			lost, lostRecords := 0, 0
 			mirror.ListenRestored(func(restore Restore) { lost += restore.Lost })
 			mirror.Listen(func(records []shedkeel.Record) {
 				for _, record := range records {
 					if record.Lost {
-						told++
+						lostRecords++
 					}
 				}
 			})
@@ -84,16 +84,16 @@
 			assert.DeepEqual(t, found, test.want)
 			assert.Equal(t, mirror.State().At.String(), test.at)
 			assert.Equal(t, mirror.State().AsOf, test.asOf)
-			assert.Equal(t, told, test.lost)
+			assert.Equal(t, lostRecords, test.lost)
 			assert.Equal(t, lost, test.lost)
 		})
 	}
 }
 
-// TestRelayOverEras has mirrors follow each other in random order while the service goes
-// back to older copies, and checks that each ends with what the service holds and that
-// none goes back within an era or to an earlier one.
-func TestRelayOverEras(t *testing.T) {
+// TestRelayAcrossEras lets mirrors follow each other in random order while the service is
+// restored from older copies. In the end each must hold what the service holds, and no
+// record may go back within an era or to an earlier one.
+func TestRelayAcrossEras(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 5))
 		store := standin.NewStore()
@@ -106,14 +106,14 @@
 			}
 		})
 		for range 80 {
-			change(t, store, random)
+			commitRandomChange(t, store, random)
 			switch random.IntN(8) {
 			case 0:
 				store.Snapshot()
 			case 1:
 				store.Restore()
 			default:
-				step(t, store, mirrors, random)
+				followOnce(t, store, mirrors, random)
 			}
 		}
 		records, at := store.List("")
@@ -125,8 +125,8 @@
 	}
 }
 
-// step has a mirror follow the service or another mirror once.
-func step(t *testing.T, store *standin.Store, mirrors []*Mirror, random *rand.Rand) {
+// followOnce lets a random mirror follow the service or another mirror once.
+func followOnce(t *testing.T, store *standin.Store, mirrors []*Mirror, random *rand.Rand) {
 	t.Helper()
 	index, from := random.IntN(len(mirrors)), random.IntN(len(mirrors)+1)
 	own := mirrors[index]
@@ -143,9 +143,10 @@
 	own.Apply(Update{Records: records, Whole: true, At: at})
 }
 
-// TestFollowerListsALaterEra has a service come back from an older copy whose numbers
-// have passed the known ones, so that a watch is answered as if nothing had happened.
-func TestFollowerListsALaterEra(t *testing.T) {
+// TestFollowerListsNewEra restores the service from an older copy and writes until its
+// revision numbers have passed those that the follower knows. The service then answers a
+// watch as if nothing had happened.
+func TestFollowerListsNewEra(t *testing.T) {
 	store := standin.NewStore()
 	put := func(key string) {
 		_, err := store.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: key, Value: []byte("v")}}})
@@ -169,14 +170,14 @@
 	for range 9 {
 		put("above")
 	}
-	eventually(t, "what was written below the known number", func() bool { return own.Get("below").Revision.Exists() })
+	eventually(t, "a record written at a number below the known one", func() bool { return own.Get("below").Revision.Exists() })
 	assert.Assert(t, !own.Get("lost").Revision.Exists())
 	cancel()
 	<-ended
 }
 
-// eraSource answers watches as the service does whose numbers have passed the asked one,
-// tells of another era as its client does, and counts lists.
+// eraSource answers watches like a restored service whose revision numbers have passed the
+// requested one, reports a new era as the client of the service does, and counts lists.
 type eraSource struct {
 	*source
 	lists *atomic.Int64
@@ -190,42 +191,42 @@
 	return changes, err
 }
 
-// List lists the service's records.
 func (source *eraSource) List(ctx context.Context, prefix string) ([]shedkeel.Record, shedkeel.Revision, error) {
 	source.lists.Add(1)
 	return source.source.List(ctx, prefix)
 }
 
-// TestRestoreIsFollowed has a service that was away come back from an older copy, and
-// compares how processes come to follow it: each by itself, or one from which the others
-// copy. The second way stands.
-func TestRestoreIsFollowed(t *testing.T) {
-	type way struct {
+// TestFollowRestore restores a service from an older copy during an outage, and measures
+// how processes come to follow it: each by itself, or one that passes its copy to the
+// others, which is the way in use.
+func TestFollowRestore(t *testing.T) {
+	type scenario struct {
 		processes int
 		alone     bool
 		within    time.Duration
 	}
-	cases := map[string]way{"9, one tells the others": {9, false, 500 * time.Millisecond}}
+	cases := map[string]scenario{"9, one passes its copy on": {9, false, 500 * time.Millisecond}}
 	if *sizes {
 		for _, processes := range []int{9, 66, 300} {
-			cases[fmt.Sprintf("%d, each by itself", processes)] = way{processes, true, time.Second}
-			cases[fmt.Sprintf("%d, one tells the others", processes)] = way{processes, false, time.Second}
+			cases[fmt.Sprintf("%d, each by itself", processes)] = scenario{processes, true, time.Second}
+			cases[fmt.Sprintf("%d, one passes its copy on", processes)] = scenario{processes, false, time.Second}
 		}
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			for _, passed := range []bool{false, true} {
-				took, lists, calls := restoreFleet(t, test.processes, test.alone, passed)
-				t.Logf("revisions passed: %t; all follow after %s; %d lists, %d calls", passed, took, lists, calls)
+			for _, overtaken := range []bool{false, true} {
+				took, lists, calls := measureRestore(t, test.processes, test.alone, overtaken)
+				t.Logf("revisions overtaken: %t; all follow after %s; %d lists, %d calls", overtaken, took, lists, calls)
 				assert.Assert(t, took < test.within, "it took %s", took)
 			}
 		})
 	}
 }
 
-// restoreFleet returns how long it takes from the return of the service until all
-// processes follow it, and how often they list it and call it meanwhile.
-func restoreFleet(t *testing.T, processes int, alone, passed bool) (took time.Duration, lists, calls int64) {
+// measureRestore returns how long it takes from the end of the outage until all processes
+// follow the restored service, and how often they list and call it meanwhile. If overtaken
+// is set, the service's revision numbers have passed the known ones by then.
+func measureRestore(t *testing.T, processes int, independent, overtaken bool) (took time.Duration, lists, calls int64) {
 	t.Helper()
 	store := standin.NewStore()
 	change := func(count int) {
@@ -236,14 +237,14 @@
 	}
 	change(200)
 	clock := &timer.System{}
-	from := &eraSource{source: &source{Store: store}, lists: &atomic.Int64{}}
+	service := &eraSource{source: &source{Store: store}, lists: &atomic.Int64{}}
 	var peers []Peer
 	var followers []*Follower
 	for index := range processes {
 		follower := &Follower{
-			Mirror: &Mirror{}, Source: from, Timers: clock, Processes: func() int { return processes }, Random: rand.NewPCG(uint64(index), 3),
+			Mirror: &Mirror{}, Source: service, Timers: clock, Processes: func() int { return processes }, Random: rand.NewPCG(uint64(index), 3),
 			Choose: func() Peer {
-				if alone || index == 0 {
+				if independent || index == 0 {
 					return nil
 				}
 				return peers[0]
@@ -251,7 +252,7 @@
 			Others: func() []Peer { return peers },
 		}
 		followers = append(followers, follower)
-		peers = append(peers, &followed{Follower: follower})
+		peers = append(peers, &followerPeer{Follower: follower})
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
@@ -274,15 +275,15 @@
 	store.Snapshot()
 	change(50)
 	time.Sleep(time.Second)
-	from.set(errors.New("away"))
+	service.setErr(errors.New("service unavailable"))
 	time.Sleep(500 * time.Millisecond)
 	store.Restore()
-	if passed {
+	if overtaken {
 		change(100)
 	}
-	asked, listed := from.asked(), from.lists.Load()
+	callsBefore, listsBefore := service.callCount(), service.lists.Load()
 	returned := clock.Now()
-	from.set(nil)
-	eventually(t, "all follow", reached(1))
-	return clock.Now() - returned, from.lists.Load() - listed, int64(from.asked() - asked)
+	service.setErr(nil)
+	eventually(t, "all processes to follow the new era", reached(1))
+	return clock.Now() - returned, service.lists.Load() - listsBefore, int64(service.callCount() - callsBefore)
 }
