--- a/mutants_test.go
+++ b/mutants_test.go
@@ -265,7 +265,7 @@
 		"platform/cas.go", "if mine(record.Value) {", "if false {", "TestLostReply", "./platform",
 	},
 	"nodes: a write to lead that is done late is passed over": {
-		"node/election.go", "\t\tcontroller.vacant = 0\n\t\tcontroller.adopt(lead)\n", "\t\tcontroller.vacant = 0\n", "TestLeadOfUnknownOutcome", "./node",
+		"node/election.go", "\t\tcontroller.vacantSince = 0\n\t\tcontroller.becomeLeader(lead)\n", "\t\tcontroller.vacantSince = 0\n", "TestLeadOfUnknownOutcome", "./node",
 	},
 	"nodes: the leader's record may name a former lease": {
 		"node/election.go", "lease := shedkeel.LeaseID{Era: lead.Era, Number: lead.Lease}", "lease := controller.lease.ID()", "TestLateWriteOfFormerLease", "./node",
--- a/node/controller.go
+++ b/node/controller.go
@@ -16,57 +16,63 @@
 )
 
 const (
-	// planTick is how often a leader plans.
-	planTick = 50 * time.Millisecond
-	// planAge is how old what a leader knows may be for it to give orders.
-	planAge = 2 * time.Second
-	// usageEvery is how often the use of servers is logged.
-	usageEvery = 2 * time.Second
+	// planInterval is the time between two planning rounds of a leader.
+	planInterval = 50 * time.Millisecond
+	// maxMirrorAge is the greatest age of the mirror at which a node gives orders or
+	// stands for election.
+	maxMirrorAge = 2 * time.Second
+	// usageLogInterval is the time between two logs of how servers are used.
+	usageLogInterval = 2 * time.Second
 )
 
-// controller plans replica groups while its node leads.
+// controller elects the leader among the nodes and, while its node leads, plans the
+// replica groups of all services.
 type controller struct {
 	node   *Node
 	prober prober
 	paces  paces
 	demand demands
-	lease  lease // its end ends this node's leading
+	lease  lease // the leader's lease; when it ends, this node stops leading
 
-	mutex    sync.Mutex
-	resigned bool
-	leads    bool
-	term     uint64
-	epochs   uint64
-	planners map[shedkeel.ServiceID]*formation.Planner
-	suspects map[shedkeel.Assignment]time.Duration // noticed then, not yet probed
-	followed map[shedkeel.Assignment]time.Duration // when a notice was last taken
-	probing  map[shedkeel.InstanceID]bool
-	dead     map[shedkeel.InstanceID]time.Duration // probed again then
-	vacant   time.Duration                         // since when no one leads
-	stray    time.Duration                         // since when the one that leads is not listed; 0: it is
-	told     time.Duration                         // when the use of servers was logged last
-	sized    time.Duration                         // when the size of the fleet was looked at last
-	// era is that of the key-value service that this node follows, and since is since when
-	// it does. Only the planning loop uses them.
+	mutex         sync.Mutex
+	resigned      bool
+	leads         bool
+	term          uint64
+	epochs        uint64
+	planners      map[shedkeel.ServiceID]*formation.Planner
+	suspects      map[shedkeel.Assignment]time.Duration // when a group was reported; its members are not probed yet
+	noticedAt     map[shedkeel.Assignment]time.Duration // when a notice about a group was last accepted
+	probing       map[shedkeel.InstanceID]bool          // a probe of the server is in progress
+	dead          map[shedkeel.InstanceID]time.Duration // when to probe a dead server again
+	vacantSince   time.Duration                         // since when there has been no leader; 0: not noticed yet
+	orphanedSince time.Duration                         // since when the leader record names no listed node; 0: not so
+	usageLoggedAt time.Duration                         // when the use of servers was last logged
+	sized         time.Duration                         // when the size of the fleet was last checked
+	// era is the era of the key-value service that this node follows, and since is when
+	// the node began to follow it. Only the planning loop uses them.
 	era   int64
 	since time.Duration
-	// kept are the loads as written last. Only the planning loop uses it.
-	kept map[shedkeel.ServiceID]map[shedkeel.InstanceID]shedkeel.ModelID
+	// storedLoads are the loads as last written to the key-value service. Only the
+	// planning loop uses them.
+	storedLoads map[shedkeel.ServiceID]map[shedkeel.InstanceID]shedkeel.ModelID
 }
 
+// prepare initializes the controller. It is called once, before run.
 func (controller *controller) prepare() {
-	controller.lease = lease{node: controller.node, ttl: leadTTL}
+	controller.lease = lease{node: controller.node, ttl: leaderTTL}
 	controller.planners = map[shedkeel.ServiceID]*formation.Planner{}
 	controller.suspects = map[shedkeel.Assignment]time.Duration{}
-	controller.followed = map[shedkeel.Assignment]time.Duration{}
+	controller.noticedAt = map[shedkeel.Assignment]time.Duration{}
 	controller.probing = map[shedkeel.InstanceID]bool{}
-	controller.kept = map[shedkeel.ServiceID]map[shedkeel.InstanceID]shedkeel.ModelID{}
+	controller.storedLoads = map[shedkeel.ServiceID]map[shedkeel.InstanceID]shedkeel.ModelID{}
 	controller.prober = prober{Engines: controller.node.Engines, Timers: controller.node.Timers}
 	controller.paces = paces{controller: controller, slow: map[shedkeel.InstanceID]float64{}}
 	controller.demand = demands{controller: controller}
 	controller.dead = map[shedkeel.InstanceID]time.Duration{}
 }
 
+// run plans while this node leads and stands for election while it does not, until
+// ctx ends.
 func (controller *controller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := controller.node.Timers.Now()
@@ -77,48 +83,51 @@
 		} else {
 			controller.elect(ctx, now)
 		}
-		timer.Sleep(ctx, planTick)
+		timer.Sleep(ctx, planInterval)
 	}
 }
 
-// noteEra notes since when this node follows the present era of the service, which may
-// have lost what was written.
+// noteEra records when this node began to follow the current era of the key-value
+// service. A new era begins when the service is restored from an older copy. That copy
+// may lack recent writes, so noteEra also forgets which loads are stored.
 func (controller *controller) noteEra(now time.Duration) {
 	state := controller.node.mirror.State()
 	if state.Known && (controller.since == 0 || controller.era != state.At.Era) {
 		controller.era, controller.since = state.At.Era, now
-		clear(controller.kept)
+		clear(controller.storedLoads)
 	}
 }
 
 // settled reports whether the backend servers have had the time to write their records
-// again since the service came back from an older copy. Until then an older record may
-// tell of a server as free that is a member of a group.
+// again since the key-value service was restored from an older copy. Until then, an
+// outdated record may show a server as free that is a member of a group.
 func (controller *controller) settled(now time.Duration) bool {
 	return controller.era == 0 || now-controller.since >= lapseHold
 }
 
-// nextEpoch returns an epoch that no other formation has. The mutex is held.
+// nextEpoch returns an epoch that no other formation of a group has. The caller holds
+// the mutex.
 func (controller *controller) nextEpoch() uint64 {
 	controller.epochs++
 	return controller.term*termEpochs + controller.epochs
 }
 
-// plan gives the orders that are due.
+// plan runs one planning round: it probes suspected servers and sends the orders that
+// the planner of each service returns.
 func (controller *controller) plan(ctx context.Context, now time.Duration) {
 	node := controller.node
 	view := node.fleet.view.Load()
-	if now-node.mirror.State().AsOf > planAge || view == nil {
+	if now-node.mirror.State().AsOf > maxMirrorAge || view == nil {
 		return
 	}
 	if !controller.settled(now) {
 		return
 	}
 	services := node.fleet.groupServices()
-	tellUsage := now-controller.told >= usageEvery
-	if tellUsage {
-		controller.told = now
-		controller.tellWaits(now)
+	usageDue := now-controller.usageLoggedAt >= usageLogInterval
+	if usageDue {
+		controller.usageLoggedAt = now
+		controller.logOverdueWaits(now)
 	}
 	controller.probeSuspects(ctx, slices.Concat(slices.Collect(maps.Values(services))...), now)
 	for id, instances := range services {
@@ -129,13 +138,13 @@
 			dead[instance] = true
 		}
 		slow := maps.Clone(controller.paces.slow)
-		demand := controller.demand.of(id)
+		demand := controller.demand.forService(id)
 		actions := planner.Plan(formation.Input{
-			Now: now, Engine: view.Service(id).Engine, Instances: instances, Dead: dead, Probed: maps.Clone(controller.probing), Slow: slow, Stalled: controller.stalled(now), Demand: demand, Traffic: node.front.Served() > 0,
+			Now: now, Engine: view.Service(id).Engine, Instances: instances, Dead: dead, Probed: maps.Clone(controller.probing), Slow: slow, Stalled: controller.stalledGroups(now), Demand: demand, Traffic: node.front.Served() > 0,
 		})
 		loading := planner.Loading()
-		if tellUsage {
-			controller.tellUsage(planner)
+		if usageDue {
+			controller.logUsage(planner)
 		}
 		controller.mutex.Unlock()
 		for _, action := range actions {
@@ -145,16 +154,17 @@
 	}
 }
 
-// tellUsage logs what servers are used for. The mutex is held.
-func (controller *controller) tellUsage(planner *formation.Planner) {
+// logUsage logs for each domain how many servers serve, are spare, load a model, are
+// empty or are lost. The caller holds the mutex.
+func (controller *controller) logUsage(planner *formation.Planner) {
 	for _, usage := range planner.Usage() {
 		controller.node.Log.Write(event.DomainUsage, slog.String("domain", string(usage.Domain)), slog.Any("serving", usage.Serving), slog.Any("spare", usage.Spare),
 			slog.Int("loading", usage.Loading), slog.Int("empty", usage.Empty), slog.Int("lost", usage.Lost))
 	}
 }
 
-// planner returns the planner of a service. A new one goes on with the loads
-// that its forerunner ordered. The mutex is held.
+// planner returns the planner of a service. A new planner adopts the loads that the
+// planner of the previous leader ordered. The caller holds the mutex.
 func (controller *controller) planner(id shedkeel.ServiceID, engine *shedkeel.Engine, now time.Duration) *formation.Planner {
 	if planner := controller.planners[id]; planner != nil {
 		return planner
@@ -170,16 +180,16 @@
 		return planner
 	}
 	planner.Adopt(loading, engine, now)
-	controller.kept[id] = loading
+	controller.storedLoads[id] = loading
 	return planner
 }
 
-// runOrder gives one order and tells the planner what became of it.
+// runOrder sends one order and reports the outcome to the planner.
 func (controller *controller) runOrder(ctx context.Context, planner *formation.Planner, action formation.Action) {
 	node := controller.node
 	order := action.Order
 	if !controller.lease.valid(node.Timers.Now()) {
-		return // another may lead by now
+		return // another node may lead by now
 	}
 	err := node.Engines.Order(ctx, order)
 	outcome := "taken"
--- a/node/demand.go
+++ b/node/demand.go
@@ -13,90 +13,92 @@
 )
 
 const (
-	// demandEvery is how often the node that plans asks the nodes that spread
-	// requests what was asked of each model.
+	// demandEvery is how often the leader asks the spreaders (see peers.spreader) for
+	// the demand for each model.
 	demandEvery = time.Second
-	// demandTimeout bounds each question, which takes some milliseconds.
+	// demandTimeout bounds each of these calls, which take some milliseconds.
 	demandTimeout = 300 * time.Millisecond
-	// demandTold is every how many times the demand is logged.
-	demandTold = 5
+	// demandLogRounds is the number of polls per log line.
+	demandLogRounds = 5
 )
 
-// demands is what callers ask of the models of each service, of all nodes.
+// demands holds the demand of callers for the models of each service, summed over all
+// nodes.
 type demands struct {
 	controller *controller
-	asking     sync.Mutex // held while nodes are asked
-	asked      int        // how often
+	pollMutex  sync.Mutex // held during a poll
+	rounds     int        // number of polls
 
-	mutex sync.Mutex
-	now   map[shedkeel.ServiceID]map[shedkeel.ModelID]shedkeel.ModelDemand
+	mutex  sync.Mutex
+	latest map[shedkeel.ServiceID]map[shedkeel.ModelID]shedkeel.ModelDemand
 }
 
-// of returns the demand of a service's models as it was last found out; nil if
-// it never was.
-func (demands *demands) of(service shedkeel.ServiceID) map[shedkeel.ModelID]shedkeel.ModelDemand {
+// forService returns the demand for a service's models as of the last poll; nil before
+// the first one.
+func (demands *demands) forService(service shedkeel.ServiceID) map[shedkeel.ModelID]shedkeel.ModelDemand {
 	demands.mutex.Lock()
 	defer demands.mutex.Unlock()
-	return maps.Clone(demands.now[service])
+	return maps.Clone(demands.latest[service])
 }
 
-// tick asks while the node plans.
+// tick starts a poll if this node leads and no poll is running.
 func (demands *demands) tick(now time.Duration) {
-	if demands.controller.leading(now) && demands.asking.TryLock() {
-		go demands.runAsk()
+	if demands.controller.leading(now) && demands.pollMutex.TryLock() {
+		go demands.runPoll()
 	}
 }
 
-// runAsk asks all nodes that may have spread requests. A node that does not
-// answer is left out: what counts is how models compare.
-func (demands *demands) runAsk() {
-	defer demands.asking.Unlock()
+// runPoll asks all nodes that may have spread requests. The demand of a node that does
+// not answer is left out: planners only compare the models with each other.
+func (demands *demands) runPoll() {
+	defer demands.pollMutex.Unlock()
 	node := demands.controller.node
-	found := map[shedkeel.ServiceID]map[shedkeel.ModelID]shedkeel.ModelDemand{}
+	polled := map[shedkeel.ServiceID]map[shedkeel.ModelID]shedkeel.ModelDemand{}
 	for service := range node.fleet.groupServices() {
-		found[service] = node.peers.demand(service)
+		polled[service] = node.peers.demand(service)
 	}
-	demands.asked++
-	if demands.asked%demandTold == 0 {
-		demands.tell(found)
+	demands.rounds++
+	if demands.rounds%demandLogRounds == 0 {
+		demands.logRequests(polled)
 	}
 	demands.mutex.Lock()
 	defer demands.mutex.Unlock()
-	demands.now = found
+	demands.latest = polled
 }
 
-func (demands *demands) tell(found map[shedkeel.ServiceID]map[shedkeel.ModelID]shedkeel.ModelDemand) {
-	for service, models := range found {
+// logRequests logs the number of requests for each model.
+func (demands *demands) logRequests(polled map[shedkeel.ServiceID]map[shedkeel.ModelID]shedkeel.ModelDemand) {
+	for service, models := range polled {
 		requests := map[shedkeel.ModelID]int{}
-		for model, asked := range models {
-			requests[model] = int(asked.Requests)
+		for model, demand := range models {
+			requests[model] = int(demand.Requests)
 		}
 		demands.controller.node.Log.Write(event.Demand, slog.String("service", string(service)), slog.Any("requests", requests))
 	}
 }
 
-// demand returns what was asked of the models of a service, by the requests
-// that all nodes spread.
+// demand returns the demand for the models of a service, from the requests that all
+// nodes have spread.
 func (peers *peers) demand(service shedkeel.ServiceID) map[shedkeel.ModelID]shedkeel.ModelDemand {
 	total := peers.node.table.Demand(service, peers.node.Timers.Now())
-	var adding sync.Mutex
-	var asking sync.WaitGroup
+	var totalMutex sync.Mutex
+	var queries sync.WaitGroup
 	for _, peer := range peers.spreaders(service) {
-		asking.Go(func() {
-			answer := peer.demand(service)
-			adding.Lock()
-			defer adding.Unlock()
-			for model, asked := range answer {
-				total[model] = total[model].Plus(asked)
+		queries.Go(func() {
+			part := peer.demand(service)
+			totalMutex.Lock()
+			defer totalMutex.Unlock()
+			for model, demand := range part {
+				total[model] = total[model].Plus(demand)
 			}
 		})
 	}
-	asking.Wait()
+	queries.Wait()
 	return total
 }
 
-// spreaders returns the other nodes that may have spread requests for a
-// service: those of its parts, and those that take their place.
+// spreaders returns the other nodes that may have spread requests for a service: the
+// spreader of each part, and the nodes that replace them.
 func (peers *peers) spreaders(service shedkeel.ServiceID) []*peer {
 	parts := peers.node.table.MostParts(service)
 	peers.mutex.Lock()
@@ -111,26 +113,27 @@
 	return found
 }
 
-// demand asks the node; nil if it does not answer.
+// demand asks the peer for its demand for a service's models. It returns nil if the
+// peer does not answer.
 func (peer *peer) demand(service shedkeel.ServiceID) map[shedkeel.ModelID]shedkeel.ModelDemand {
 	ctx, cancel := context.WithTimeout(context.Background(), demandTimeout)
 	defer cancel()
 	reply, err := peer.wire.Do(ctx, &wire.Call{Kind: &wire.Call_Demand{Demand: &wire.DemandCall{Service: string(service)}}})
 	if err != nil {
-		return nil // a part of the demand is enough to compare models by
+		return nil // partial demand is enough to compare models
 	}
-	found := map[shedkeel.ModelID]shedkeel.ModelDemand{}
+	demand := map[shedkeel.ModelID]shedkeel.ModelDemand{}
 	for _, model := range reply.GetDemand().GetModels() {
-		found[shedkeel.ModelID(model.GetModel())] = shedkeel.ModelDemand{Requests: model.GetRequests(), PromptTokens: model.GetPromptTokens(), AnswerTokens: model.GetAnswerTokens()}
+		demand[shedkeel.ModelID(model.GetModel())] = shedkeel.ModelDemand{Requests: model.GetRequests(), PromptTokens: model.GetPromptTokens(), AnswerTokens: model.GetAnswerTokens()}
 	}
-	return found
+	return demand
 }
 
-// takeDemand answers the node that plans.
+// takeDemand answers the leader's question for the demand on this node.
 func (peers *peers) takeDemand(call *wire.DemandCall) *wire.Reply {
 	reply := &wire.DemandReply{}
-	for model, asked := range peers.node.table.Demand(shedkeel.ServiceID(call.GetService()), peers.node.Timers.Now()) {
-		reply.Models = append(reply.Models, &wire.ModelDemand{Model: string(model), Requests: asked.Requests, PromptTokens: asked.PromptTokens, AnswerTokens: asked.AnswerTokens})
+	for model, demand := range peers.node.table.Demand(shedkeel.ServiceID(call.GetService()), peers.node.Timers.Now()) {
+		reply.Models = append(reply.Models, &wire.ModelDemand{Model: string(model), Requests: demand.Requests, PromptTokens: demand.PromptTokens, AnswerTokens: demand.AnswerTokens})
 	}
 	return &wire.Reply{Kind: &wire.Reply_Demand{Demand: reply}}
 }
--- a/node/election.go
+++ b/node/election.go
@@ -13,81 +13,87 @@
 )
 
 const (
-	// electionStep is how much later each further node tries to lead, so that
-	// they seldom write at once.
-	electionStep = 60 * time.Millisecond
-	// firstSettle is how long no node may have come before the first one is elected
-	// that plans: while a fleet starts, each node knows few others that come before it.
-	firstSettle = 500 * time.Millisecond
-	// firstPatience bounds that wait.
-	firstPatience = 3 * time.Second
-	// firstStep is electionStep in the first election: within it all know the outcome.
-	firstStep = 400 * time.Millisecond
-	// leadTTL is how long a leader leads without a renewal: long enough for two
-	// renewals to fail, short enough that a successor of a dead one acts within
-	// two seconds.
-	leadTTL = 1500 * time.Millisecond
-	// leadRenew is how often a leader renews its lease.
-	leadRenew = leadTTL / 3
-	// termEpochs is how many epochs one term of a leader has.
+	// electionStagger is how much later each further node stands for election, so that
+	// nodes seldom write at the same time.
+	electionStagger = 60 * time.Millisecond
+	// initialSettleTime is how long no further node must have been listed before the
+	// first election of a fleet: while a fleet starts, each node knows few of the nodes
+	// that precede it.
+	initialSettleTime = 500 * time.Millisecond
+	// maxInitialSettle bounds that wait.
+	maxInitialSettle = 3 * time.Second
+	// initialStagger replaces electionStagger in the first election: within it, all nodes
+	// learn the outcome.
+	initialStagger = 400 * time.Millisecond
+	// leaderTTL is the time to live of the leader's lease: long enough for two renewals
+	// to fail, short enough that a successor of a dead leader acts within two seconds.
+	leaderTTL = 1500 * time.Millisecond
+	// leaderRenewInterval is how often a leader renews its lease.
+	leaderRenewInterval = leaderTTL / 3
+	// termEpochs is the number of epochs of one term.
 	termEpochs = 1 << 20
-	// eraTerms is how many terms an era of the service has: far more than leaders begin
-	// in it, so that those of a later era are above all of an earlier one.
+	// eraTerms is the number of terms of an era of the key-value service. An era has far
+	// fewer elections, so each term of a later era is above all terms of an earlier one.
 	eraTerms = 1 << 20
-	// mostTerm is the highest term that is believed. A higher one is another
-	// writer's: its epochs would run over.
+	// mostTerm is the highest term that is accepted. A higher one was written by a
+	// foreign client: its epochs would overflow.
 	mostTerm = 1 << 40
-	// strayLeadTime is how long a record of who plans may name no listed node until
-	// another node plans: far longer than a node that lives is ever missing.
-	strayLeadTime = 5 * time.Second
+	// orphanTimeout is how long the leader record may name a node that is not listed
+	// before another node leads: far longer than a live node is ever missing from the
+	// list.
+	orphanTimeout = 5 * time.Second
 
 	leadKey = "shedkeel/lead"
 	termKey = "shedkeel/term"
 )
 
-// leadRecord says who plans. It goes with the leader's lease.
-type leadRecord struct {
+// leaderRecord is the record that names the leader. The key-value service removes it
+// when the leader's lease ends.
+type leaderRecord struct {
 	Node        shedkeel.NodeID `json:"node"`
 	Incarnation string          `json:"incarnation"`
 	Term        uint64          `json:"term"`
-	// Lease and Era name the lease that the record goes with. A write of which the
-	// outcome is unknown may be done when the node has another one already.
+	// Lease and Era identify the lease that the record was written with. A write of
+	// unknown outcome may take effect when the node has another lease already.
 	Lease int64 `json:"lease"`
 	Era   int64 `json:"era,omitempty"`
 }
 
-// leadsBy reports whether the record says that this start of the node leads,
-// for as long as the lease that it keeps.
-func (controller *controller) leadsBy(lead leadRecord) bool {
+// isOwnLead reports whether the record names this node as the leader, in its present
+// incarnation and with the lease that it holds now.
+func (controller *controller) isOwnLead(lead leaderRecord) bool {
 	node := controller.node
 	lease := shedkeel.LeaseID{Era: lead.Era, Number: lead.Lease}
 	return lead.Node == node.Settings.Node && lead.Incarnation == node.Incarnation && lease == controller.lease.ID()
 }
 
+// termRecord is the record that holds the term of the last leader.
 type termRecord struct {
 	Term uint64 `json:"term"`
 }
 
-// leading reports whether this node may give orders now.
+// leading reports whether this node may give orders now: it is the leader and its
+// lease is valid. If the leader record is no longer its own, or it has resigned,
+// leading ends its leadership.
 func (controller *controller) leading(now time.Duration) bool {
 	controller.mutex.Lock()
 	defer controller.mutex.Unlock()
 	if !controller.leads {
 		return false
 	}
-	lead, stands := controller.lead()
-	mine := stands && controller.leadsBy(lead)
-	if mine && !controller.resigned && controller.lease.valid(now) {
+	lead, exists := controller.lead()
+	own := exists && controller.isOwnLead(lead)
+	if own && !controller.resigned && controller.lease.valid(now) {
 		return true
 	}
-	if !mine || controller.resigned {
+	if !own || controller.resigned {
 		controller.leads = false
 		controller.node.Log.Write(event.LeadLost, slog.Uint64("term", controller.term))
 	}
 	return false
 }
 
-// resign has the node lead no longer, and not again.
+// resign ends the leadership of this node for good.
 func (controller *controller) resign() {
 	controller.mutex.Lock()
 	controller.resigned = true
@@ -96,10 +102,11 @@
 	if !led {
 		return
 	}
-	controller.lease.end() // the record that this node leads goes with it
+	controller.lease.end() // the leader record is removed with the lease
 }
 
-// runLease renews the leader's lease while this node leads.
+// runLease renews the leader's lease while this node leads, and releases it when ctx
+// ends.
 func (controller *controller) runLease(ctx context.Context) {
 	for ctx.Err() == nil {
 		controller.mutex.Lock()
@@ -108,113 +115,118 @@
 		if leads && controller.lease.held() {
 			controller.lease.renew(ctx)
 		}
-		timer.Sleep(ctx, leadRenew)
+		timer.Sleep(ctx, leaderRenewInterval)
 	}
 	controller.lease.end()
 }
 
-// lead returns the record of who leads, as far as is known here. One that was written
-// before the service came back from an older copy is none: its lease is over.
-func (controller *controller) lead() (lead leadRecord, stands bool) {
+// lead returns the leader record as this node's mirror has it, and whether it exists.
+// A record of an earlier era of the key-value service does not count: its lease has
+// ended. A record that can't be decoded is returned empty.
+func (controller *controller) lead() (lead leaderRecord, exists bool) {
 	mirror := &controller.node.mirror
 	record := mirror.Get(leadKey)
 	if !record.Revision.Exists() {
 		return lead, false
 	}
 	if controller.node.fleet.read(record, &lead) != nil {
-		return leadRecord{}, true // nobody leads by one that can't be read
+		return leaderRecord{}, true // it exists, but names no node
 	}
 	return lead, lead.Era >= mirror.State().At.Era
 }
 
-// leader returns the node that plans, as far as is known here, or "".
+// leader returns the node that leads, as far as this node knows, or "".
 func (controller *controller) leader() shedkeel.NodeID {
-	lead, stands := controller.lead()
-	if !stands {
+	lead, exists := controller.lead()
+	if !exists {
 		return ""
 	}
 	return lead.Node
 }
 
-// elect tries to lead where nobody does.
+// elect lets this node stand for election if there is no leader and its turn has come.
+// If the leader record names this node already, the node becomes the leader.
 func (controller *controller) elect(ctx context.Context, now time.Duration) {
 	node := controller.node
 	state := node.mirror.State()
 	controller.mutex.Lock()
 	resigned := controller.resigned
 	controller.mutex.Unlock()
-	if resigned || !state.Known || now-state.AsOf > planAge || !node.member.listed.Load() {
-		controller.vacant, controller.stray = 0, 0
+	if resigned || !state.Known || now-state.AsOf > maxMirrorAge || !node.member.listed.Load() {
+		controller.vacantSince, controller.orphanedSince = 0, 0
 		return
 	}
-	if lead, stands := controller.lead(); stands && !controller.isStray(lead, now) {
-		controller.vacant = 0
-		controller.adopt(lead)
+	if lead, exists := controller.lead(); exists && !controller.isOrphaned(lead, now) {
+		controller.vacantSince = 0
+		controller.becomeLeader(lead)
 		return
 	}
-	if controller.vacant == 0 {
-		controller.vacant = now
+	if controller.vacantSince == 0 {
+		controller.vacantSince = now
 	}
 	record, term := node.mirror.Get(leadKey), node.mirror.Get(termKey)
-	if now-controller.vacant < controller.electionTurn(term) {
+	if now-controller.vacantSince < controller.electionDelay(term) {
 		return
 	}
 	if controller.lease.valid(now) || controller.lease.grant(ctx) {
-		controller.tryLead(ctx, record.Revision, term.Revision, controller.nextTerm(term))
+		controller.campaign(ctx, record.Revision, term.Revision, controller.nextTerm(term))
 	}
 }
 
-// electionTurn returns after what time without a node that plans this one tries to:
-// those with the most capacity come first.
-func (controller *controller) electionTurn(term shedkeel.Record) time.Duration {
+// electionDelay returns how long there must be no leader before this node stands for
+// election. Nodes with more capacity come first. The first election of a fleet also
+// waits until the list of nodes has settled.
+func (controller *controller) electionDelay(term shedkeel.Record) time.Duration {
 	peers := &controller.node.peers
 	place := time.Duration(peers.place())
 	if term.Revision.Exists() {
-		return place * electionStep
+		return place * electionStagger
 	}
-	settled := min(max(peers.lastCame()-controller.vacant, 0)+firstSettle, firstPatience)
-	return settled + place*firstStep
+	settled := min(max(peers.lastCame()-controller.vacantSince, 0)+initialSettleTime, maxInitialSettle)
+	return settled + place*initialStagger
 }
 
-// isStray reports whether the record of who plans has for so long named no
-// listed node, or this one though it does not plan, that another may. Another
-// writer may have spoilt it, and it goes with no lease then: nobody planned any
-// more.
-func (controller *controller) isStray(lead leadRecord, now time.Duration) bool {
-	plans := controller.node.peers.peer(lead.Node) != nil
+// isOrphaned reports whether, for orphanTimeout, the leader record has named a node
+// that is not listed, or this node although it does not lead. Another node may lead
+// then. A foreign client may have overwritten the record: it has no lease then and
+// would never be removed, so that no node would ever lead again.
+func (controller *controller) isOrphaned(lead leaderRecord, now time.Duration) bool {
+	valid := controller.node.peers.peer(lead.Node) != nil
 	if lead.Node == controller.node.Settings.Node {
-		plans = controller.leadsBy(lead)
+		valid = controller.isOwnLead(lead)
 	}
-	if plans {
-		controller.stray = 0
+	if valid {
+		controller.orphanedSince = 0
 		return false
 	}
-	if controller.stray == 0 {
-		controller.stray = now
+	if controller.orphanedSince == 0 {
+		controller.orphanedSince = now
 	}
-	return now-controller.stray >= strayLeadTime
+	return now-controller.orphanedSince >= orphanTimeout
 }
 
-// nextTerm returns a term above all that were. What stands of it may be another
-// writer's, so the epochs that backend servers tell of count too.
+// nextTerm returns a term above all earlier ones. A foreign client may have written
+// the stored term, so the epochs that backend servers report count too.
 func (controller *controller) nextTerm(record shedkeel.Record) uint64 {
 	var term termRecord
 	if record.Revision.Exists() {
-		_ = controller.node.fleet.read(record, &term) // 0 where it can't be read
+		_ = controller.node.fleet.read(record, &term) // 0 if it can't be decoded
 	}
 	if term.Term > mostTerm {
 		term.Term = 0
 	}
-	// An older copy of the service may have forgotten terms that nobody here has seen.
+	// The service may have been restored from an older copy and have lost terms that no
+	// server here reports.
 	era := min(uint64(controller.node.mirror.State().At.Era), mostTerm/eraTerms-1)
 	return max(term.Term, controller.node.fleet.highestEpoch()/termEpochs, era*eraTerms) + 1
 }
 
-// tryLead writes that this node plans, unless another has at these revisions.
-func (controller *controller) tryLead(ctx context.Context, leadRevision, termRevision shedkeel.Revision, term uint64) {
+// campaign writes the records of the leader and the term for this node, unless these
+// have changed since the given revisions. If it succeeds, this node becomes the leader.
+func (controller *controller) campaign(ctx context.Context, leadRevision, termRevision shedkeel.Revision, term uint64) {
 	node := controller.node
 	lease := controller.lease.ID()
-	lead, err := json.Marshal(leadRecord{Node: node.Settings.Node, Incarnation: node.Incarnation, Term: term, Lease: lease.Number, Era: lease.Era})
+	lead, err := json.Marshal(leaderRecord{Node: node.Settings.Node, Incarnation: node.Incarnation, Term: term, Lease: lease.Number, Era: lease.Era})
 	if err != nil {
 		return
 	}
@@ -227,21 +239,22 @@
 		Put: []shedkeel.Put{{Key: leadKey, Value: lead, Lease: lease}, {Key: termKey, Value: next}},
 	})
 	if err != nil {
-		// Another was faster, or the outcome is unknown: if it is done after
-		// all, the mirror shows it and the node leads then.
-		controller.vacant = 0
+		// Another node was faster, or the outcome is unknown. If the write takes
+		// effect later, the mirror shows the record and elect makes this node lead.
+		controller.vacantSince = 0
 		return
 	}
 	node.mirror.Apply(mirrorUpdate(
 		shedkeel.Record{Key: leadKey, Value: lead, Revision: written}, shedkeel.Record{Key: termKey, Value: next, Revision: written}))
-	if lead, stands := controller.lead(); stands {
-		controller.adopt(lead)
+	if lead, exists := controller.lead(); exists {
+		controller.becomeLeader(lead)
 	}
 }
 
-// adopt begins to lead if the record says that this node does.
-func (controller *controller) adopt(lead leadRecord) {
-	if !controller.leadsBy(lead) || !controller.lease.valid(controller.node.Timers.Now()) {
+// becomeLeader makes this node the leader if the record and its lease say so. Within a
+// term, the numbers of epochs go on, so that none is used twice.
+func (controller *controller) becomeLeader(lead leaderRecord) {
+	if !controller.isOwnLead(lead) || !controller.lease.valid(controller.node.Timers.Now()) {
 		return
 	}
 	controller.mutex.Lock()
--- a/node/election_test.go
+++ b/node/election_test.go
@@ -60,7 +60,7 @@
 
 // elect has the node try to lead as it does while nobody leads.
 func elect(t *testing.T, node *Node, timers *timer.Manual) {
-	for _, wait := range []time.Duration{firstSettle, electionStep} {
+	for _, wait := range []time.Duration{initialSettleTime, electionStagger} {
 		node.controller.elect(t.Context(), timers.Now())
 		timers.Advance(wait)
 	}
@@ -85,8 +85,8 @@
 		leads bool
 	}{
 		"done at once":                       {0, true},
-		"done within the lease":              {leadTTL / 2, true},
-		"done when the node's lease is over": {2 * leadTTL, false},
+		"done within the lease":              {leaderTTL / 2, true},
+		"done when the node's lease is over": {2 * leaderTTL, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -117,7 +117,7 @@
 		return 0, &shedkeel.UnknownOutcomeError{What: "write"}
 	}
 	elect(t, node, timers)
-	timers.Advance(2 * leadTTL)
+	timers.Advance(2 * leaderTTL)
 	node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 	store.commit = func(shedkeel.Change) (int64, error) { return 0, &shedkeel.ConflictError{What: "lead"} }
 	elect(t, node, timers)
@@ -153,7 +153,7 @@
 	elect(t, node, timers)
 	assert.Assert(t, node.controller.leading(timers.Now()))
 	assert.Assert(t, node.controller.lease.ID() != node.member.lease.ID())
-	timers.Advance(leadTTL)
+	timers.Advance(leaderTTL)
 	assert.Assert(t, node.member.lease.valid(timers.Now()), "it is listed")
 	assert.Assert(t, !node.controller.leading(timers.Now()), "its lease was not renewed")
 	assert.Assert(t, node.controller.lease.renew(t.Context()))
--- a/node/evacuation.go
+++ b/node/evacuation.go
@@ -9,10 +9,12 @@
 	"shedkeel.org/shedkeel/event"
 )
 
-// takeEvacuation takes in that operators have an availability zone evacuated, or that
-// they have withdrawn it. It reports whether that is news. The mutex is held.
+// takeEvacuation processes the record of an availability zone: operators evacuate the
+// zone by writing the record, and end the evacuation by removing it. It reports whether
+// anything has changed. The caller holds the mutex.
 //
-// An evacuation that the key-value service has lost stays in force: nobody withdrew it.
+// An evacuation stays in force if the key-value service has lost its record, because no
+// operator has ended it.
 func (fleet *fleet) takeEvacuation(record shedkeel.Record, zone shedkeel.ZoneID) bool {
 	fields := []slog.Attr{slog.String("zone", string(zone)), slog.Int("servers", fleet.serversIn(zone))}
 	before := fleet.evacuated[zone]
@@ -36,7 +38,8 @@
 	return true
 }
 
-// serversIn counts the backend servers of an availability zone. The mutex is held.
+// serversIn counts the backend servers of an availability zone. The caller holds the
+// mutex.
 func (fleet *fleet) serversIn(zone shedkeel.ZoneID) int {
 	count := 0
 	for _, instance := range fleet.instances {
@@ -47,7 +50,7 @@
 	return count
 }
 
-// evacuations returns the evacuated availability zones by name, for operators.
+// evacuations returns the evacuated availability zones, sorted by name, for operators.
 func (fleet *fleet) evacuations() []EvacuationDump {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
--- a/node/guard.go
+++ b/node/guard.go
@@ -19,94 +19,100 @@
 )
 
 const (
-	// blamePrefix is below where stands what is held against requests, by digest.
+	// blamePrefix is the key prefix of the records of blames; the request's digest
+	// follows.
 	blamePrefix = "shedkeel/blames/"
-	// blameTimeout bounds what a node tells another of a request.
+	// blameTimeout bounds a call that sends a blame to another node.
 	blameTimeout = 500 * time.Millisecond
-	// tryTimeout bounds the question whether a request may be tried, for which its
-	// caller waits.
-	tryTimeout = 50 * time.Millisecond
-	// tryTime is after how long a try counts as over though nothing was heard of it.
-	tryTime = 10 * time.Second
-	// askedNodes is how many nodes are asked in turn to decide about a request.
-	askedNodes = 3
-	// tellAgain is how often all nodes are told again of what the key-value service
-	// does not keep yet: those that started or were cut off meanwhile don't know.
-	tellAgain = time.Second
-	// keepTick is how often is looked whether something is to be written.
-	keepTick = 100 * time.Millisecond
-	// keepTurn is how much later than the one before it a node writes what the
-	// key-value service lacks: a write is known to all long before.
+	// trialTimeout bounds the call that asks for a trial, for which the caller waits.
+	trialTimeout = 50 * time.Millisecond
+	// trialExpiry is after how long a trial counts as ended if its end is not reported.
+	trialExpiry = 10 * time.Second
+	// deciderCount is how many nodes are asked in turn to decide about a request.
+	deciderCount = 3
+	// resendInterval is how often blames that the key-value service does not store yet
+	// are sent to all nodes again: nodes that have started or were cut off meanwhile do
+	// not know them.
+	resendInterval = time.Second
+	// writeInterval is the time between two checks for blames that must be written.
+	writeInterval = 100 * time.Millisecond
+	// keepTurn is how much later each further decider writes a blame that the key-value
+	// service lacks. All nodes know of a write long before that.
 	keepTurn = time.Second
 )
 
-// guard keeps requests that end backend servers from ending more of them. What one
-// server ended under is told to the node that decides about the request; from two
-// servers on all nodes are told, and the key-value service keeps it, so that it
-// outlives the loss of all nodes.
+// guard keeps requests that terminate backend servers from terminating more of them.
+// A blame names a request and the servers that have terminated while running it. With
+// one such server, the blame is sent to the node that decides about the request. With
+// two or more, it is sent to all nodes and written to the key-value service, so that it
+// survives the loss of all nodes.
 type guard struct {
 	node   *Node
 	ledger contain.Ledger
 
-	mutex  sync.Mutex
-	tries  map[shedkeel.RequestDigest]time.Duration // this node has allowed one until then
-	unkept map[shedkeel.RequestDigest]time.Duration // not written yet as it stands, since when
+	mutex     sync.Mutex
+	trials    map[shedkeel.RequestDigest]time.Duration // until when a trial that this node has allowed counts as running
+	unwritten map[shedkeel.RequestDigest]time.Duration // blames that changed then and are not known to be written yet
 
-	told time.Duration // when all were last told again. Only the loop uses it
+	resentAt time.Duration // when unwritten blames were last sent again; only run uses it
 }
 
+// prepare initializes the guard. It is called once, before run.
 func (guard *guard) prepare() {
-	guard.tries = map[shedkeel.RequestDigest]time.Duration{}
-	guard.unkept = map[shedkeel.RequestDigest]time.Duration{}
+	guard.trials = map[shedkeel.RequestDigest]time.Duration{}
+	guard.unwritten = map[shedkeel.RequestDigest]time.Duration{}
 }
 
-// Idle reports whether nothing is held against any request.
+// Idle reports whether there is no blame for any request.
 func (guard *guard) Idle() bool { return guard.ledger.Idle() }
 
-// Judge returns what becomes of a request.
+// Judge returns how a request is to be treated.
 func (guard *guard) Judge(request shedkeel.RequestDigest) shedkeel.Judgment {
 	return contain.Judge(guard.ledger.Blame(request))
 }
 
-// Ended notes that a server has ended under a request.
+// Ended records that a server has terminated while running a request, and reports it to
+// other nodes.
 func (guard *guard) Ended(request shedkeel.RequestDigest, server shedkeel.InstanceID) {
-	blame, news := guard.ledger.Ended(request, server)
-	if news {
-		guard.changed(blame)
-		guard.spread(blame, contain.Judge(blame) != shedkeel.Unblamed)
+	blame, isNew := guard.ledger.Ended(request, server)
+	if isNew {
+		guard.blameChanged(blame)
+		guard.send(blame, contain.Judge(blame) != shedkeel.Unblamed)
 	}
 }
 
-// Answered clears a request: what a server has answered whole ends none.
+// Answered clears a request's blame: a request that a server has answered completely
+// does not terminate servers.
 func (guard *guard) Answered(request shedkeel.RequestDigest) {
 	before, now := guard.ledger.Clear(request)
 	if len(before.Servers) == 0 {
 		return
 	}
-	guard.changed(now)
-	guard.spread(now, contain.Judge(before) != shedkeel.Unblamed)
+	guard.blameChanged(now)
+	guard.send(now, contain.Judge(before) != shedkeel.Unblamed)
 }
 
-// merge takes in what another node or the key-value service holds against a
-// request, and passes on what those have not heard of.
-func (guard *guard) merge(told shedkeel.Blame) {
-	blame, news := guard.ledger.Merge(told)
-	if news {
-		guard.changed(blame)
+// merge merges a blame that another node has sent into the ledger. If this node knows
+// more than the sender, merge sends the result on.
+func (guard *guard) merge(received shedkeel.Blame) {
+	blame, isNew := guard.ledger.Merge(received)
+	if isNew {
+		guard.blameChanged(blame)
 	}
-	if len(blame.Servers) > len(told.Servers) || blame.Round > told.Round {
-		guard.spread(blame, contain.Judge(blame) != shedkeel.Unblamed)
+	if len(blame.Servers) > len(received.Servers) || blame.Round > received.Round {
+		guard.send(blame, contain.Judge(blame) != shedkeel.Unblamed)
 	}
 }
 
-// changed acts on what is held against a request now.
-func (guard *guard) changed(blame shedkeel.Blame) {
+// blameChanged handles a changed blame: it marks the blame as unwritten, logs the
+// judgment and cancels running attempts of a quarantined or contained request.
+func (guard *guard) blameChanged(blame shedkeel.Blame) {
 	judgment := contain.Judge(blame)
 	if judgment == shedkeel.Unblamed && blame.Round == 0 {
-		return // tens of requests run on each server that ends
+		return // one server proves nothing: tens of requests run on it
 	}
 	guard.mutex.Lock()
-	guard.unkept[blame.Request] = guard.node.Timers.Now()
+	guard.unwritten[blame.Request] = guard.node.Timers.Now()
 	guard.mutex.Unlock()
 	guard.node.Log.Write(event.RequestJudged, slog.String("digest", string(blame.Request)), slog.String("judgment", judgment.String()),
 		slog.Any("servers", blame.Servers), slog.Uint64("round", uint64(blame.Round)))
@@ -115,41 +121,42 @@
 	}
 }
 
-// spread tells all nodes, or only the one that decides about the request.
-func (guard *guard) spread(blame shedkeel.Blame, all bool) {
-	if !all {
-		go guard.runTellDecider(blame)
+// send sends a blame to all nodes, or only to the node that decides about the request.
+func (guard *guard) send(blame shedkeel.Blame, toAll bool) {
+	if !toAll {
+		go guard.runSendToDecider(blame)
 		return
 	}
 	for _, peer := range guard.node.peers.answering() {
-		go peer.runTell(wire.BlameCall_TELL, blame)
+		go peer.runSendBlame(wire.BlameCall_TELL, blame)
 	}
 }
 
-// runTellDecider tells the first node that answers of those that may decide about
-// the request.
-func (guard *guard) runTellDecider(blame shedkeel.Blame) {
+// runSendToDecider sends a blame to the first node that answers of those that may
+// decide about the request. It sends nothing if this node comes before them.
+func (guard *guard) runSendToDecider(blame shedkeel.Blame) {
 	for _, id := range guard.node.peers.deciders(blame.Request) {
 		if id == guard.node.Settings.Node {
 			return
 		}
-		if peer := guard.node.peers.peer(id); peer != nil && peer.runTell(wire.BlameCall_TELL, blame) {
+		if peer := guard.node.peers.peer(id); peer != nil && peer.runSendBlame(wire.BlameCall_TELL, blame) {
 			return
 		}
 	}
 }
 
-// runTell tells the node something of a request, and reports whether it has heard.
-// What all are told and one misses, it reads in the key-value service; a try whose
-// end is not heard of counts as over some time later.
-func (peer *peer) runTell(kind wire.BlameCall_Kind, blame shedkeel.Blame) bool {
+// runSendBlame sends a blame to the node and reports whether it was received. A node
+// that misses a blame sent to all reads it from the key-value service. A trial whose
+// end is not reported expires.
+func (peer *peer) runSendBlame(kind wire.BlameCall_Kind, blame shedkeel.Blame) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), blameTimeout)
 	defer cancel()
-	_, err := peer.wire.Do(ctx, peer.blameCall(kind, blame))
+	_, err := peer.wire.Do(ctx, peer.newBlameCall(kind, blame))
 	return err == nil
 }
 
-func (peer *peer) blameCall(kind wire.BlameCall_Kind, blame shedkeel.Blame) *wire.Call {
+// newBlameCall returns the call that sends a blame.
+func (peer *peer) newBlameCall(kind wire.BlameCall_Kind, blame shedkeel.Blame) *wire.Call {
 	call := &wire.BlameCall{Kind: kind, Node: string(peer.node.Settings.Node), Request: string(blame.Request), Round: blame.Round}
 	for _, server := range blame.Servers {
 		call.Servers = append(call.Servers, string(server))
@@ -157,7 +164,7 @@
 	return &wire.Call{Kind: &wire.Call_Blame{Blame: call}}
 }
 
-// take answers another node.
+// take answers a blame call of another node.
 func (guard *guard) take(call *wire.BlameCall) *wire.Reply {
 	blame := shedkeel.Blame{Request: shedkeel.RequestDigest(call.GetRequest()), Round: call.GetRound()}
 	for _, server := range call.GetServers() {
@@ -169,60 +176,65 @@
 		guard.merge(blame)
 	case wire.BlameCall_TRY:
 		guard.merge(blame)
-		allowed = guard.allow(blame.Request)
+		allowed = guard.allowTrial(blame.Request)
 	case wire.BlameCall_DONE:
-		guard.tried(blame.Request)
+		guard.endTrial(blame.Request)
 	}
 	return &wire.Reply{Kind: &wire.Reply_Blame{Blame: &wire.BlameReply{Allowed: allowed}}}
 }
 
-// Try reports whether a quarantined request may be tried at a server now: one node
-// decides for all, and allows one try at a time.
+// Try reports whether a quarantined request may be sent to a server now. One node
+// decides for all and allows one trial at a time. If the trial is allowed, the caller
+// calls done when it has ended.
 func (guard *guard) Try(ctx context.Context, request shedkeel.RequestDigest) (done func(), allowed bool) {
 	blame := guard.ledger.Blame(request)
 	for _, id := range guard.node.peers.deciders(request) {
 		if id == guard.node.Settings.Node {
-			return func() { guard.tried(request) }, guard.allow(request)
+			return func() { guard.endTrial(request) }, guard.allowTrial(request)
 		}
 		peer := guard.node.peers.peer(id)
 		if peer == nil {
 			continue
 		}
-		allowed, err := peer.mayTry(ctx, blame)
+		allowed, err := peer.requestTrial(ctx, blame)
 		if err == nil {
-			return func() { go peer.runTell(wire.BlameCall_DONE, blame) }, allowed
+			return func() { go peer.runSendBlame(wire.BlameCall_DONE, blame) }, allowed
 		}
 	}
 	return nil, false
 }
 
-func (peer *peer) mayTry(ctx context.Context, blame shedkeel.Blame) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+// requestTrial asks the peer whether it allows a trial of a request.
+func (peer *peer) requestTrial(ctx context.Context, blame shedkeel.Blame) (bool, error) {
+	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
-	reply, err := peer.asked.Do(ctx, peer.blameCall(wire.BlameCall_TRY, blame))
+	reply, err := peer.asked.Do(ctx, peer.newBlameCall(wire.BlameCall_TRY, blame))
 	return reply.GetBlame().GetAllowed(), err
 }
 
-// allow reports whether a request may be tried now, and notes that it is.
-func (guard *guard) allow(request shedkeel.RequestDigest) bool {
+// allowTrial reports whether a trial of a request may start now, and records the trial
+// if so.
+func (guard *guard) allowTrial(request shedkeel.RequestDigest) bool {
 	now := guard.node.Timers.Now()
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
-	if now < guard.tries[request] || guard.Judge(request) == shedkeel.Contained {
+	if now < guard.trials[request] || guard.Judge(request) == shedkeel.Contained {
 		return false
 	}
-	guard.tries[request] = now + tryTime
+	guard.trials[request] = now + trialExpiry
 	return true
 }
 
-func (guard *guard) tried(request shedkeel.RequestDigest) {
+// endTrial records that the trial of a request has ended.
+func (guard *guard) endTrial(request shedkeel.RequestDigest) {
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
-	delete(guard.tries, request)
+	delete(guard.trials, request)
 }
 
-// deciders returns the nodes that decide about a request, the next one where one
-// does not answer: the same at all nodes that see the same ones alive.
+// deciders returns the nodes that decide about a request, in the order in which they
+// are asked until one answers. All nodes that see the same nodes alive get the same
+// result.
 func (peers *peers) deciders(request shedkeel.RequestDigest) []shedkeel.NodeID {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
@@ -232,30 +244,31 @@
 		ids = append(ids, node.ID)
 	}
 	slices.SortFunc(ids, func(a, b shedkeel.NodeID) int { return cmp.Compare(pairHash(request, a), pairHash(request, b)) })
-	return ids[:min(len(ids), askedNodes)]
+	return ids[:min(len(ids), deciderCount)]
 }
 
-// run writes what is held against requests to the key-value service.
+// run writes blames to the key-value service until ctx ends.
 func (guard *guard) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		guard.keep(ctx, guard.node.Timers.Now())
-		timer.Sleep(ctx, keepTick)
+		timer.Sleep(ctx, writeInterval)
 	}
 }
 
-// keep writes what the key-value service lacks, in this node's turn.
+// keep writes the blames that the key-value service lacks and for which it is this
+// node's turn.
 func (guard *guard) keep(ctx context.Context, now time.Duration) {
-	guard.tellUnkept(now)
+	guard.resendUnwritten(now)
 	state := guard.node.mirror.State()
 	if !state.Known || now-state.AsOf > troubleAge {
 		return
 	}
-	for request, since := range guard.unkeptNow() {
+	for request, since := range guard.unwrittenBlames() {
 		blame := guard.ledger.Blame(request)
 		record := guard.node.mirror.Get(blamePrefix + string(request))
-		change, lacks := lacking(blame, record)
-		if !lacks {
-			guard.kept(request, since)
+		change, needed := recordChange(blame, record)
+		if !needed {
+			guard.markWritten(request, since)
 			continue
 		}
 		turn := slices.Index(guard.node.peers.deciders(request), guard.node.Settings.Node)
@@ -266,72 +279,74 @@
 	}
 }
 
-// tellUnkept tells all nodes again of requests that the key-value service should
-// keep and does not.
-func (guard *guard) tellUnkept(now time.Duration) {
-	if now-guard.told < tellAgain {
+// resendUnwritten sends to all nodes again the blames that the key-value service should
+// store and does not store yet.
+func (guard *guard) resendUnwritten(now time.Duration) {
+	if now-guard.resentAt < resendInterval {
 		return
 	}
-	guard.told = now
-	for request, since := range guard.unkeptNow() {
-		if now-since >= tellAgain {
-			guard.spread(guard.ledger.Blame(request), true)
+	guard.resentAt = now
+	for request, since := range guard.unwrittenBlames() {
+		if now-since >= resendInterval {
+			guard.send(guard.ledger.Blame(request), true)
 		}
 	}
 }
 
-// keepAgain has all that is held against requests compared with what the key-value
-// service keeps, after that has lost some of it.
+// keepAgain schedules all blames for comparison with the key-value service, after that
+// has lost some of them.
 func (guard *guard) keepAgain() {
 	now := guard.node.Timers.Now()
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
 	for _, blame := range guard.ledger.All() {
-		guard.unkept[blame.Request] = now
+		guard.unwritten[blame.Request] = now
 	}
 }
 
-func (guard *guard) unkeptNow() map[shedkeel.RequestDigest]time.Duration {
+// unwrittenBlames returns the requests whose blames may have to be written, with the
+// times at which these changed.
+func (guard *guard) unwrittenBlames() map[shedkeel.RequestDigest]time.Duration {
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
-	return maps.Clone(guard.unkept)
+	return maps.Clone(guard.unwritten)
 }
 
-// kept notes that the key-value service says what was held against the request
-// since then. More may be by now.
-func (guard *guard) kept(request shedkeel.RequestDigest, since time.Duration) {
+// markWritten records that the key-value service stores the blame that changed at that
+// time, unless the blame has changed again since.
+func (guard *guard) markWritten(request shedkeel.RequestDigest, since time.Duration) {
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
-	if guard.unkept[request] == since {
-		delete(guard.unkept, request)
+	if guard.unwritten[request] == since {
+		delete(guard.unwritten, request)
 	}
 }
 
-// lacking returns the change that makes a record say what is held against a
-// request, or false when it does. Only judged requests have a record.
-func lacking(blame shedkeel.Blame, record shedkeel.Record) (shedkeel.Change, bool) {
+// recordChange returns the change that makes a record agree with the blame, and
+// whether a change is needed. Only quarantined and contained requests have a record.
+func recordChange(blame shedkeel.Blame, record shedkeel.Record) (shedkeel.Change, bool) {
 	key := blamePrefix + string(blame.Request)
 	exists := record.Revision.Exists()
 	var written shedkeel.Blame
 	readable := exists && json.Unmarshal(record.Value, &written) == nil && written.Request == blame.Request
-	same := readable && written.Round >= blame.Round && len(written.Servers) >= len(blame.Servers)
+	current := readable && written.Round >= blame.Round && len(written.Servers) >= len(blame.Servers)
 	change := shedkeel.Change{If: []shedkeel.Condition{{Key: key, Revision: record.Revision}}}
 	switch {
 	case contain.Judge(blame) == shedkeel.Unblamed:
 		change.Remove = []string{key}
 		return change, exists && (!readable || written.Round <= blame.Round)
-	case same:
+	case current:
 		return change, false
 	}
 	value, err := json.Marshal(blame)
 	if err != nil {
-		return change, false // plain strings can always be written
+		return change, false // does not happen: a blame can always be encoded
 	}
 	change.Put = []shedkeel.Put{{Key: key, Value: value}}
 	return change, true
 }
 
-// write makes a change and takes it in. What fails is tried again.
+// write commits a change and applies it to the mirror. keep retries what fails.
 func (guard *guard) write(ctx context.Context, change shedkeel.Change) {
 	revision, err := guard.node.Store.Commit(ctx, change)
 	if err != nil {
@@ -345,7 +360,8 @@
 	guard.node.mirror.Apply(mirrorUpdate(record))
 }
 
-// judged returns the requests that are not sent as all are.
+// judged returns the quarantined and contained requests, sorted by digest, for
+// operators.
 func (guard *guard) judged() []BlameDump {
 	found := []BlameDump{}
 	for _, blame := range guard.ledger.All() {
@@ -357,16 +373,16 @@
 	return found
 }
 
-// takeRecord takes in what the key-value service keeps. A record that was removed
-// clears its request: it was answered, or an operator lets it go.
+// takeRecord processes a record of a blame from the key-value service. Removal of the
+// record clears its request: it was answered, or an operator has released it.
 func (guard *guard) takeRecord(record shedkeel.Record) {
 	request := shedkeel.RequestDigest(strings.TrimPrefix(record.Key, blamePrefix))
 	if record.Lost {
-		return // it is written again
+		return // keepAgain has it written again
 	}
 	if record.Gone {
 		if before, now := guard.ledger.Clear(request); len(before.Servers) > 0 {
-			guard.changed(now)
+			guard.blameChanged(now)
 		}
 		return
 	}
@@ -378,7 +394,7 @@
 		guard.node.fleet.skipped(record, &shedkeel.InvalidError{Where: record.Key, What: "it is not about the request that its key names", Remedy: "remove it"})
 		return
 	}
-	if merged, news := guard.ledger.Merge(blame); news {
-		guard.changed(merged)
+	if merged, isNew := guard.ledger.Merge(blame); isNew {
+		guard.blameChanged(merged)
 	}
 }
--- a/node/guard_test.go
+++ b/node/guard_test.go
@@ -29,11 +29,11 @@
 	return shedkeel.Revision{Era: store.era, Number: int64(1000 + len(store.changes))}, nil
 }
 
-func blamed(round uint32, servers ...shedkeel.InstanceID) shedkeel.Blame {
+func newBlame(round uint32, servers ...shedkeel.InstanceID) shedkeel.Blame {
 	return shedkeel.Blame{Request: "r", Round: round, Servers: servers}
 }
 
-func recordOf(t *testing.T, blame shedkeel.Blame) shedkeel.Record {
+func blameRecord(t *testing.T, blame shedkeel.Blame) shedkeel.Record {
 	t.Helper()
 	value, err := json.Marshal(blame)
 	assert.NilError(t, err)
@@ -44,32 +44,32 @@
 // request is judged otherwise than the record says, and not for each server that
 // ends under tens of requests.
 func TestLackingRecord(t *testing.T) {
-	none := shedkeel.Record{}
+	missing := shedkeel.Record{}
 	cases := map[string]struct {
 		blame  shedkeel.Blame
 		record shedkeel.Record
 		puts   int
-		gone   int
+		removes   int
 	}{
-		"one server":                       {blamed(0, "a"), none, 0, 0},
-		"two":                              {blamed(0, "a", "b"), none, 1, 0},
-		"two, written":                     {blamed(0, "a", "b"), recordOf(t, blamed(0, "a", "b")), 0, 0},
-		"three, two written":               {blamed(0, "a", "b", "c"), recordOf(t, blamed(0, "a", "b")), 1, 0},
-		"two, three written":               {blamed(0, "a", "b"), recordOf(t, blamed(0, "a", "b", "c")), 0, 0},
-		"cleared, never written":           {blamed(1), none, 0, 0},
-		"cleared, written before":          {blamed(1), recordOf(t, blamed(0, "a", "b", "c")), 0, 1},
-		"cleared, blamed anew since":       {blamed(1), recordOf(t, blamed(2, "a", "b", "c")), 0, 0},
-		"cleared, then two":                {blamed(1, "d", "e"), recordOf(t, blamed(0, "a", "b", "c")), 1, 0},
-		"three, spoilt by another writer":  {blamed(0, "a", "b", "c"), shedkeel.Record{Key: blamePrefix + "r", Value: []byte("{"), Revision: shedkeel.Revision{Number: 5}}, 1, 0},
-		"three, another request's written": {blamed(0, "a", "b", "c"), shedkeel.Record{Key: blamePrefix + "r", Value: []byte(`{"request":"q"}`), Revision: shedkeel.Revision{Number: 5}}, 1, 0},
+		"one server":                       {newBlame(0, "a"), missing, 0, 0},
+		"two":                              {newBlame(0, "a", "b"), missing, 1, 0},
+		"two, written":                     {newBlame(0, "a", "b"), blameRecord(t, newBlame(0, "a", "b")), 0, 0},
+		"three, two written":               {newBlame(0, "a", "b", "c"), blameRecord(t, newBlame(0, "a", "b")), 1, 0},
+		"two, three written":               {newBlame(0, "a", "b"), blameRecord(t, newBlame(0, "a", "b", "c")), 0, 0},
+		"cleared, never written":           {newBlame(1), missing, 0, 0},
+		"cleared, written before":          {newBlame(1), blameRecord(t, newBlame(0, "a", "b", "c")), 0, 1},
+		"cleared, blamed anew since":       {newBlame(1), blameRecord(t, newBlame(2, "a", "b", "c")), 0, 0},
+		"cleared, then two":                {newBlame(1, "d", "e"), blameRecord(t, newBlame(0, "a", "b", "c")), 1, 0},
+		"three, spoilt by another writer":  {newBlame(0, "a", "b", "c"), shedkeel.Record{Key: blamePrefix + "r", Value: []byte("{"), Revision: shedkeel.Revision{Number: 5}}, 1, 0},
+		"three, another request's written": {newBlame(0, "a", "b", "c"), shedkeel.Record{Key: blamePrefix + "r", Value: []byte(`{"request":"q"}`), Revision: shedkeel.Revision{Number: 5}}, 1, 0},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			change, lacks := lacking(test.blame, test.record)
-			assert.Equal(t, lacks, test.puts+test.gone > 0)
-			if lacks {
+			change, needed := recordChange(test.blame, test.record)
+			assert.Equal(t, needed, test.puts+test.removes > 0)
+			if needed {
 				assert.Equal(t, len(change.Put), test.puts)
-				assert.Equal(t, len(change.Remove), test.gone)
+				assert.Equal(t, len(change.Remove), test.removes)
 				assert.DeepEqual(t, change.If, []shedkeel.Condition{{Key: blamePrefix + "r", Revision: test.record.Revision}})
 			}
 		})
@@ -90,7 +90,7 @@
 	assert.Equal(t, len(store.changes), 0)
 	store.away = false
 	for range 5 {
-		timers.Advance(keepTick)
+		timers.Advance(writeInterval)
 		node.guard.keep(t.Context(), timers.Now())
 	}
 	assert.Equal(t, len(store.changes), 1)
@@ -99,7 +99,7 @@
 	node.mirror.Apply(mirrorUpdate(shedkeel.Record{Key: blamePrefix + "r", Gone: true, Revision: shedkeel.Revision{Number: 2000}}))
 	assert.Equal(t, node.guard.Judge("r"), shedkeel.Unblamed, "an operator let it go")
 	for range 5 {
-		timers.Advance(keepTick)
+		timers.Advance(writeInterval)
 		node.guard.keep(t.Context(), timers.Now())
 	}
 	assert.Equal(t, len(store.changes), 1, "it is not written again")
@@ -114,10 +114,10 @@
 	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 	node.guard.Ended("r", "a")
 	node.guard.Ended("r", "b")
-	seen := node.guard.unkeptNow()["r"]
+	changedAt := node.guard.unwrittenBlames()["r"]
 	timers.Advance(time.Millisecond)
 	node.guard.Ended("r", "c")
-	node.guard.kept("r", seen)
+	node.guard.markWritten("r", changedAt)
 	node.guard.keep(t.Context(), timers.Now())
 	assert.Equal(t, len(store.changes), 1)
 	var written shedkeel.Blame
@@ -169,7 +169,7 @@
 	assert.Assert(t, !ask(wire.BlameCall_TRY, "a", "b"))
 	done()
 	assert.Assert(t, ask(wire.BlameCall_TRY, "a", "b"))
-	timers.Advance(tryTime + time.Millisecond)
+	timers.Advance(trialExpiry + time.Millisecond)
 	assert.Assert(t, ask(wire.BlameCall_TRY, "a", "b"), "who tried it is gone")
 	ask(wire.BlameCall_DONE)
 	assert.Assert(t, !ask(wire.BlameCall_TRY, "a", "b", "c"))
@@ -185,7 +185,7 @@
 		for _, record := range fourNodes {
 			node, _ := newListedNode(t, record.ID, fourNodes)
 			deciders := node.peers.deciders(request)
-			assert.Equal(t, len(deciders), askedNodes)
+			assert.Equal(t, len(deciders), deciderCount)
 			if agreed != nil {
 				assert.DeepEqual(t, deciders, agreed)
 			}
--- a/node/limits.go
+++ b/node/limits.go
@@ -17,61 +17,64 @@
 )
 
 const (
-	// badLimitEvery is how often a server is logged that states a limit which cannot
-	// be read.
-	badLimitEvery = time.Minute
-	// permitTimeout bounds the question for a permit, for which a request waits.
+	// badLimitLogInterval is the least time between two logs of an unreadable limit of
+	// the same server.
+	badLimitLogInterval = time.Minute
+	// permitTimeout bounds a call for a permit, for which a request waits.
 	permitTimeout = 30 * time.Millisecond
-	// permitPause is for how long a server gets no requests of this node when the
-	// node that grants its permits does not answer, or is not agreed on.
-	permitPause = 200 * time.Millisecond
-	// announceEvery is how often changed limits are told to other nodes.
-	announceEvery = 50 * time.Millisecond
-	// announceTimeout bounds the call that tells them.
+	// permitRetryDelay is for how long this node sends a server no requests when the
+	// server's granter does not answer, or when nodes disagree on the granter.
+	permitRetryDelay = 200 * time.Millisecond
+	// announceInterval is how often changed limits are sent to other nodes.
+	announceInterval = 50 * time.Millisecond
+	// announceTimeout bounds a call that sends them.
 	announceTimeout = 500 * time.Millisecond
-	// neverStated is the age in milliseconds of what stands for no statement: older
-	// than any.
-	neverStated = 1 << 40
+	// neverStatedAgeMs is the age reported for a limit that the server has never stated:
+	// higher than that of any statement.
+	neverStatedAgeMs = 1 << 40
 )
 
-// limits is how a node takes part in the rate limits of backend servers, stated ones
-// and those of cold servers. Each server has one node that grants its permits, so that
-// the sum over all nodes is bounded. The node that sees a limit change tells that one,
-// which tells all others; that a server is cold all nodes see in its record.
+// limits enforces the rate limits of backend servers over all nodes: limits that
+// servers state in their answers, and the reduced rates of cold servers. Each server
+// has one node, its granter, that grants the permits to send it requests, which bounds
+// the sum over all nodes. A node that sees a stated limit change reports it to the
+// granter, which reports it to all other nodes. All nodes learn from a server's record
+// that it is cold.
 type limits struct {
 	node    *Node
 	book    ratelimit.Book
 	cold    ratelimit.Cold
 	granter ratelimit.Granter
 
-	mutex   sync.Mutex
-	bad     map[shedkeel.InstanceID]time.Duration        // when its bad limit was logged last
-	pending map[shedkeel.InstanceID]shedkeel.ServerLimit // to be told to others
+	mutex       sync.Mutex
+	badLoggedAt map[shedkeel.InstanceID]time.Duration        // when an unreadable limit of the server was last logged
+	pending     map[shedkeel.InstanceID]shedkeel.ServerLimit // to be sent to other nodes
 
-	views uint64 // of the nodes that answer, as the granter knows them. Only the loop uses it
+	peerViews uint64 // peers.views at the last update of granter; only run uses it
 }
 
-// Observe takes in what an answer of the server says.
+// Observe processes the limit that a server states in an answer. The request was sent
+// at the time sent.
 func (limits *limits) Observe(server shedkeel.InstanceID, limit shedkeel.StatedLimit, sent time.Duration) {
 	now := limits.node.Timers.Now()
 	if limit.Err != nil {
-		limits.logBad(server, limit.Err, now)
+		limits.logBadLimit(server, limit.Err, now)
 		return
 	}
 	if known, changed := limits.book.Observe(server, limit, sent, now); changed {
-		limits.changed(known, limits.node.Settings.Node)
+		limits.limitChanged(known, limits.node.Settings.Node)
 		limits.announce(known)
 	}
 }
 
-// merge takes in what another node knows. The node that grants the permits of the
-// server passes it on.
+// merge merges what another node reports of a server. If this node is the server's
+// granter, it passes a changed limit on.
 func (limits *limits) merge(reported *wire.ServerLimit, from shedkeel.NodeID) {
 	now := limits.node.Timers.Now()
-	if cold, isCold := coldOf(reported, now); isCold {
+	if cold, isCold := parseCold(reported, now); isCold {
 		limits.noteCold(cold)
 	}
-	limit, valid := limitOf(reported, now)
+	limit, valid := parseLimit(reported, now)
 	if !valid {
 		return
 	}
@@ -79,27 +82,27 @@
 	if !changed {
 		return
 	}
-	limits.changed(known, from)
-	if limits.grants(limit.Server) {
+	limits.limitChanged(known, from)
+	if limits.isGranter(limit.Server) {
 		limits.announce(known)
 	}
 }
 
-// changed has choices heed a limit.
-func (limits *limits) changed(limit shedkeel.ServerLimit, from shedkeel.NodeID) {
-	limits.heed(limit.Server)
+// limitChanged applies a changed limit to the dispatch table and logs it.
+func (limits *limits) limitChanged(limit shedkeel.ServerLimit, from shedkeel.NodeID) {
+	limits.updateTable(limit.Server)
 	limits.node.Log.Write(event.LimitChanged, slog.String("server", string(limit.Server)), slog.Float64("rate", limit.Rate),
 		slog.Bool("lifted", limit.Lifted), slog.String("from", string(from)))
 }
 
-// heed has choices heed what holds for a server now.
-func (limits *limits) heed(server shedkeel.InstanceID) {
+// updateTable sets the server's present rate limit in the dispatch table.
+func (limits *limits) updateTable(server shedkeel.InstanceID) {
 	rate, limited := limits.rate(server, limits.node.Timers.Now())
 	limits.node.table.SetLimit(server, rate, limited)
 }
 
-// rate returns how many requests a second a server takes from all nodes, and whether
-// that is bounded: it states a limit, or is cold.
+// rate returns how many requests per second a server accepts from all nodes together,
+// and whether that number is limited: the server states a limit, or it is cold.
 func (limits *limits) rate(server shedkeel.InstanceID, now time.Duration) (rate float64, limited bool) {
 	stated, limited := limits.book.Limit(server)
 	cold, isCold := limits.cold.Server(server, now)
@@ -109,13 +112,14 @@
 	return stated.Rate, limited
 }
 
-// noteCold takes in that a server is cold.
+// noteCold records that a server is cold.
 func (limits *limits) noteCold(cold shedkeel.ColdServer) {
 	if limits.cold.Note(cold) {
-		limits.heed(cold.Server)
+		limits.updateTable(cold.Server)
 	}
 }
 
+// announce queues a limit that is to be sent to other nodes.
 func (limits *limits) announce(limit shedkeel.ServerLimit) {
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
@@ -125,61 +129,63 @@
 	limits.pending[limit.Server] = limit
 }
 
-// apply has choices heed all limits, after the list of servers has changed.
+// apply sets all limits in the dispatch table again, after the list of servers has
+// changed.
 func (limits *limits) apply() {
 	for _, limit := range limits.book.All() {
-		limits.heed(limit.Server)
+		limits.updateTable(limit.Server)
 	}
 	for _, cold := range limits.cold.All(limits.node.Timers.Now()) {
-		limits.heed(cold.Server)
+		limits.updateTable(cold.Server)
 	}
 }
 
-// grants reports whether this node grants the permits of a server.
-func (limits *limits) grants(server shedkeel.InstanceID) bool {
+// isGranter reports whether this node is the granter of a server.
+func (limits *limits) isGranter(server shedkeel.InstanceID) bool {
 	granter, known := limits.node.peers.granter(server)
 	return known && granter == limits.node.Settings.Node
 }
 
-// Acquire asks for a permit to send one request, which can wait so long.
-func (limits *limits) Acquire(ctx context.Context, server shedkeel.InstanceID, patience time.Duration) shedkeel.Permit {
+// Acquire asks for a permit to send one request, which can wait for maxWait.
+func (limits *limits) Acquire(ctx context.Context, server shedkeel.InstanceID, maxWait time.Duration) shedkeel.Permit {
 	rate, limited := limits.rate(server, limits.node.Timers.Now())
 	if !limited {
 		return shedkeel.Permit{Granted: true}
 	}
 	granter, known := limits.node.peers.granter(server)
 	if known && granter == limits.node.Settings.Node {
-		return limits.grant(server, rate, patience)
+		return limits.grant(server, rate, maxWait)
 	}
 	peer := limits.node.peers.peer(granter)
 	if peer == nil {
-		return shedkeel.Permit{Wait: permitPause}
+		return shedkeel.Permit{Wait: permitRetryDelay}
 	}
-	return limits.ask(ctx, peer, server, patience)
+	return limits.requestPermit(ctx, peer, server, maxWait)
 }
 
-// grant grants a permit of a server that is this node's to grant: of the part of its
-// rate that is the part of the nodes which this one hears, since the others may grant
-// the rest of it on the other side of a cut.
-func (limits *limits) grant(server shedkeel.InstanceID, rate float64, patience time.Duration) shedkeel.Permit {
-	part, settled := limits.node.peers.heard()
-	ask := ratelimit.Ask{Server: server, Rate: rate * part, Patience: patience, Settled: settled}
+// grant decides about a permit of a server whose granter is this node. The node grants
+// only a share of the server's rate, equal to the share of the listed nodes that it
+// hears: during a network partition, the nodes on the other side may grant the rest.
+func (limits *limits) grant(server shedkeel.InstanceID, rate float64, maxWait time.Duration) shedkeel.Permit {
+	part, settledSince := limits.node.peers.heard()
+	ask := ratelimit.Ask{Server: server, Rate: rate * part, Patience: maxWait, Settled: settledSince}
 	return limits.granter.Grant(ask, limits.node.Timers.Now())
 }
 
-// ask asks another node for a permit. Where that does not answer nobody grants any:
-// two nodes that each grant the server's rate would send it twice as much.
-func (limits *limits) ask(ctx context.Context, peer *peer, server shedkeel.InstanceID, patience time.Duration) shedkeel.Permit {
+// requestPermit asks the server's granter for a permit. If that does not answer, no
+// other node grants permits in its place: two nodes that each grant the server's rate
+// would send it twice as many requests.
+func (limits *limits) requestPermit(ctx context.Context, peer *peer, server shedkeel.InstanceID, maxWait time.Duration) shedkeel.Permit {
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
 	call := &wire.PermitCall{
-		Node: string(limits.node.Settings.Node), Limit: limits.known(server),
-		PatienceMs: uint32(max(patience, 0).Milliseconds()),
+		Node: string(limits.node.Settings.Node), Limit: limits.wireState(server),
+		PatienceMs: uint32(max(maxWait, 0).Milliseconds()),
 	}
 	reply, err := peer.asked.Do(ctx, &wire.Call{Kind: &wire.Call_Permit{Permit: call}})
 	answer := reply.GetPermit()
 	if err != nil || answer == nil {
-		return shedkeel.Permit{Wait: permitPause}
+		return shedkeel.Permit{Wait: permitRetryDelay}
 	}
 	if answer.GetLimit() != nil {
 		limits.merge(answer.GetLimit(), peer.id)
@@ -191,39 +197,39 @@
 func (limits *limits) takePermit(call *wire.PermitCall) *wire.Reply {
 	limits.merge(call.GetLimit(), shedkeel.NodeID(call.GetNode()))
 	server := shedkeel.InstanceID(call.GetLimit().GetServer())
-	permit := shedkeel.Permit{Wait: permitPause}
+	permit := shedkeel.Permit{Wait: permitRetryDelay}
 	rate, limited := limits.rate(server, limits.node.Timers.Now())
 	stated, _ := limits.book.Limit(server)
 	switch {
-	case !limits.grants(server): // the sender and this node see others alive
+	case !limits.isGranter(server): // this node and the sender see different nodes alive
 	case limited:
 		permit = limits.grant(server, rate, time.Duration(call.GetPatienceMs())*time.Millisecond)
 	default:
 		permit = shedkeel.Permit{Granted: stated.Lifted}
 	}
 	return &wire.Reply{Kind: &wire.Reply_Permit{Permit: &wire.PermitReply{
-		Granted: permit.Granted, WaitMs: uint32(permit.Wait.Milliseconds()), Limit: limits.known(server),
+		Granted: permit.Granted, WaitMs: uint32(permit.Wait.Milliseconds()), Limit: limits.wireState(server),
 	}}}
 }
 
-// known returns what this node knows of a server, as it is told: nil where that is
-// nothing.
-func (limits *limits) known(server shedkeel.InstanceID) *wire.ServerLimit {
+// wireState returns what this node knows of a server's limit, in wire form; nil if it
+// knows nothing.
+func (limits *limits) wireState(server shedkeel.InstanceID) *wire.ServerLimit {
 	now := limits.node.Timers.Now()
 	stated, _ := limits.book.Limit(server)
-	told := wireLimit(stated, now)
+	state := toWireLimit(stated, now)
 	cold, isCold := limits.cold.Server(server, now)
 	if !isCold {
-		return told
+		return state
 	}
-	if told == nil {
-		told = &wire.ServerLimit{Server: string(server), Lifted: true, AgeMs: neverStated}
+	if state == nil {
+		state = &wire.ServerLimit{Server: string(server), Lifted: true, AgeMs: neverStatedAgeMs}
 	}
-	told.ColdMs, told.ColdRate = uint32((cold.Until - now).Milliseconds()), cold.Rate
-	return told
+	state.ColdMs, state.ColdRate = uint32((cold.Until - now).Milliseconds()), cold.Rate
+	return state
 }
 
-// takeLimits takes in the limits that another node tells of.
+// takeLimits processes the limits that another node has sent.
 func (limits *limits) takeLimits(call *wire.LimitCall) *wire.Reply {
 	for _, limit := range call.GetLimits() {
 		limits.merge(limit, shedkeel.NodeID(call.GetNode()))
@@ -231,22 +237,23 @@
 	return &wire.Reply{Kind: &wire.Reply_Limit{Limit: &wire.LimitReply{}}}
 }
 
-// run tells other nodes of limits that have changed.
+// run sends changed limits to other nodes until ctx ends.
 func (limits *limits) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		limits.tick()
-		timer.Sleep(ctx, announceEvery)
+		timer.Sleep(ctx, announceInterval)
 	}
 }
 
-// tick does what is due.
+// tick forgets the permits of servers that have another granter now, lifts the limits
+// of servers that are no longer cold, and sends changed limits.
 func (limits *limits) tick() {
-	if views := limits.node.peers.views.Load(); views != limits.views {
-		limits.views = views
-		limits.granter.Retain(limits.grants)
+	if views := limits.node.peers.views.Load(); views != limits.peerViews {
+		limits.peerViews = views
+		limits.granter.Retain(limits.isGranter)
 	}
 	for _, server := range limits.cold.Expire(limits.node.Timers.Now()) {
-		limits.heed(server)
+		limits.updateTable(server)
 	}
 	limits.mutex.Lock()
 	pending := limits.pending
@@ -257,35 +264,35 @@
 	}
 }
 
-// announceAll tells each limit to the node that grants the server's permits, or to all
-// nodes where this one does.
+// announceAll sends each limit to the server's granter, or to all nodes if this node is
+// the granter.
 func (limits *limits) announceAll(changed []shedkeel.ServerLimit) {
-	news := map[*peer][]shedkeel.ServerLimit{}
+	changes := map[*peer][]shedkeel.ServerLimit{}
 	for _, limit := range changed {
-		if limits.grants(limit.Server) {
+		if limits.isGranter(limit.Server) {
 			for _, peer := range limits.node.peers.answering() {
-				news[peer] = append(news[peer], limit)
+				changes[peer] = append(changes[peer], limit)
 			}
 			continue
 		}
 		if granter, _ := limits.node.peers.granter(limit.Server); limits.node.peers.peer(granter) != nil {
 			peer := limits.node.peers.peer(granter)
-			news[peer] = append(news[peer], limit)
+			changes[peer] = append(changes[peer], limit)
 		}
 	}
-	for peer, limits := range news {
+	for peer, limits := range changes {
 		go peer.runAnnounce(limits)
 	}
 }
 
-// runAnnounce tells a node of limits. One that does not hear of them sees them in
+// runAnnounce sends limits to a node. If they are lost, the node learns the limits from
 // the servers' own answers.
 func (peer *peer) runAnnounce(changed []shedkeel.ServerLimit) {
 	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
 	defer cancel()
 	call := &wire.LimitCall{Node: string(peer.node.Settings.Node)}
 	for _, limit := range changed {
-		call.Limits = append(call.Limits, wireLimit(limit, peer.node.Timers.Now()))
+		call.Limits = append(call.Limits, toWireLimit(limit, peer.node.Timers.Now()))
 	}
 	_, _ = peer.wire.Do(ctx, &wire.Call{Kind: &wire.Call_Limit{Limit: call}})
 }
@@ -295,28 +302,28 @@
 	now := limits.node.Timers.Now()
 	found := []LimitDump{}
 	for _, limit := range limits.book.All() {
-		dump := limits.dumpOf(limit.Server, limit.Rate)
+		dump := limits.dumpServer(limit.Server, limit.Rate)
 		dump.For = (now - limit.Since).Round(time.Millisecond).String()
 		found = append(found, dump)
 	}
 	for _, cold := range limits.cold.All(now) {
-		dump := limits.dumpOf(cold.Server, cold.Rate)
+		dump := limits.dumpServer(cold.Server, cold.Rate)
 		dump.Cold = (cold.Until - now).Round(time.Millisecond).String()
 		found = append(found, dump)
 	}
 	return found
 }
 
-// dumpOf returns what operators are told of any server whose permits are granted.
-func (limits *limits) dumpOf(server shedkeel.InstanceID, rate float64) LimitDump {
+// dumpServer returns the fields that limited and cold servers have in common.
+func (limits *limits) dumpServer(server shedkeel.InstanceID, rate float64) LimitDump {
 	granter, _ := limits.node.peers.granter(server)
 	usage := limits.granter.Usage(server)
 	return LimitDump{Server: server, Rate: rate, Granter: granter, Granted: usage.Granted, Refused: usage.Refused}
 }
 
-// wireLimit is how a limit is told: with ages, since nodes share no clock. It is nil
-// where nothing is known.
-func wireLimit(limit shedkeel.ServerLimit, now time.Duration) *wire.ServerLimit {
+// toWireLimit returns a limit in wire form, with ages in place of times, since nodes
+// share no clock. It returns nil for the zero limit.
+func toWireLimit(limit shedkeel.ServerLimit, now time.Duration) *wire.ServerLimit {
 	if limit.Server == "" {
 		return nil
 	}
@@ -326,8 +333,8 @@
 	}
 }
 
-// limitOf reads a limit of another node, and reports whether it is one.
-func limitOf(reported *wire.ServerLimit, now time.Duration) (shedkeel.ServerLimit, bool) {
+// parseLimit parses a limit that another node has sent, and reports whether it is valid.
+func parseLimit(reported *wire.ServerLimit, now time.Duration) (shedkeel.ServerLimit, bool) {
 	limit := shedkeel.ServerLimit{
 		Server: shedkeel.InstanceID(reported.GetServer()), Rate: reported.GetRate(), Lifted: reported.GetLifted(),
 		At: now - time.Duration(reported.GetAgeMs())*time.Millisecond, Since: now - time.Duration(reported.GetSinceMs())*time.Millisecond,
@@ -335,24 +342,26 @@
 	return limit, limit.Server != "" && limit.Rate >= 0 && !math.IsInf(limit.Rate, 0)
 }
 
-// coldOf reads that a server is cold, and reports whether it is.
-func coldOf(reported *wire.ServerLimit, now time.Duration) (shedkeel.ColdServer, bool) {
+// parseCold parses the cold state of a server that another node has sent, and reports
+// whether the server is cold.
+func parseCold(reported *wire.ServerLimit, now time.Duration) (shedkeel.ColdServer, bool) {
 	cold := shedkeel.ColdServer{
 		Server: shedkeel.InstanceID(reported.GetServer()), Rate: reported.GetColdRate(), Until: now + time.Duration(reported.GetColdMs())*time.Millisecond,
 	}
 	return cold, cold.Server != "" && reported.GetColdMs() > 0 && cold.Rate > 0 && !math.IsInf(cold.Rate, 0)
 }
 
-// logBad logs a limit that cannot be read, unless the server's was just now.
-func (limits *limits) logBad(server shedkeel.InstanceID, err error, now time.Duration) {
+// logBadLimit logs an unreadable limit, unless one of the same server was logged within
+// badLimitLogInterval.
+func (limits *limits) logBadLimit(server shedkeel.InstanceID, err error, now time.Duration) {
 	limits.mutex.Lock()
-	last, logged := limits.bad[server]
-	due := !logged || now-last >= badLimitEvery
+	last, logged := limits.badLoggedAt[server]
+	due := !logged || now-last >= badLimitLogInterval
 	if due {
-		if limits.bad == nil {
-			limits.bad = map[shedkeel.InstanceID]time.Duration{}
+		if limits.badLoggedAt == nil {
+			limits.badLoggedAt = map[shedkeel.InstanceID]time.Duration{}
 		}
-		limits.bad[server] = now
+		limits.badLoggedAt[server] = now
 	}
 	limits.mutex.Unlock()
 	if due {
@@ -360,15 +369,15 @@
 	}
 }
 
-// retain forgets the servers that are not listed any more.
+// retain forgets the servers that are no longer listed.
 func (limits *limits) retain(listed func(shedkeel.InstanceID) bool) {
 	limits.book.Retain(listed)
 	limits.granter.Retain(listed)
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
-	for server := range limits.bad {
+	for server := range limits.badLoggedAt {
 		if !listed(server) {
-			delete(limits.bad, server)
+			delete(limits.badLoggedAt, server)
 		}
 	}
 }
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -57,7 +57,7 @@
 func grantedBy(node *Node, own bool) string {
 	for {
 		server := shedkeel.InstanceID(shedkeel.NewNonce())
-		if node.limits.grants(server) == own {
+		if node.limits.isGranter(server) == own {
 			return string(server)
 		}
 	}
@@ -119,7 +119,7 @@
 	assert.Assert(t, node.limits.Acquire(t.Context(), server, 0).Granted, "it states no limit")
 	node.limits.Observe(server, shedkeel.StatedLimit{Stated: true, Rate: 2}, timers.Now())
 	permit := node.limits.Acquire(t.Context(), server, time.Second)
-	assert.Equal(t, permit, shedkeel.Permit{Wait: permitPause})
+	assert.Equal(t, permit, shedkeel.Permit{Wait: permitRetryDelay})
 }
 
 // TestHalfOfTheFleetGrantsHalf has a node hear half of the others only: it grants half
--- a/node/loads.go
+++ b/node/loads.go
@@ -9,27 +9,28 @@
 	"shedkeel.org/shedkeel/event"
 )
 
-// loadsPrefix is below where the loads under way stand, by service.
+// loadsPrefix is the key prefix of the records of loads in progress; the service
+// follows.
 const loadsPrefix = "shedkeel/loads/"
 
-// keepLoads writes which loads are under way, for the next planner.
+// keepLoads stores which loads are in progress, for the planner of the next leader.
 func (controller *controller) keepLoads(ctx context.Context, id shedkeel.ServiceID, loading map[shedkeel.InstanceID]shedkeel.ModelID) {
 	node := controller.node
-	added := false
+	hasNew := false
 	for instance, model := range loading {
-		added = added || controller.kept[id][instance] != model
+		hasNew = hasNew || controller.storedLoads[id][instance] != model
 	}
-	if !added {
-		return // one that has ended does no harm to the next planner
+	if !hasNew {
+		return // a load that has ended does not mislead the next planner
 	}
 	value, err := json.Marshal(loading)
 	if err != nil {
-		return // a map of strings can always be written
+		return // does not happen: a map of strings can always be encoded
 	}
 	_, err = node.Store.Commit(ctx, shedkeel.Change{Put: []shedkeel.Put{{Key: loadsPrefix + string(id), Value: value}}})
 	if err != nil {
 		node.Log.Write(event.LoadsNotKept, slog.String("error", err.Error()))
 		return
 	}
-	controller.kept[id] = loading
+	controller.storedLoads[id] = loading
 }
--- a/node/notice_test.go
+++ b/node/notice_test.go
@@ -51,7 +51,7 @@
 	node.Settings.Wire.Key = "k"
 	node.peers.update([]nodeRecord{{ID: "planner", Control: listener.Addr().String()}})
 	defer node.peers.close()
-	lead, err := json.Marshal(leadRecord{Node: "planner"})
+	lead, err := json.Marshal(leaderRecord{Node: "planner"})
 	assert.NilError(t, err)
 	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: leadKey, Value: lead, Revision: shedkeel.Revision{Number: 2}}}})
 	head := planner.fleet.groupServices()["s"][0]
--- a/node/notices.go
+++ b/node/notices.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// lossTime is how long a group is avoided on the word of the node that
-	// plans. It is told again each time the lost member is probed.
-	lossTime = reviveEvery + reviveEvery/2
+	// lostGroupAvoidTime is how long nodes avoid a group that the leader reports as
+	// lost. The leader repeats the notice at each failed probe of the lost member.
+	lostGroupAvoidTime = reprobeInterval + reprobeInterval/2
 	// noticeTimeout bounds the sending of a notice.
 	noticeTimeout = 500 * time.Millisecond
 )
 
-// suspect tells the node that plans that a group is silent here. It finds out
-// whether a member is lost: a group that reads long prompts is silent too, and
-// if each node told all others, all would leave it for those that remain.
+// suspect reports to the leader that a group does not respond to this node. The leader
+// finds out whether a member is lost. A group that reads long prompts does not respond
+// either: if each node told all others, all would leave it for the remaining groups.
 func (peers *peers) suspect(group shedkeel.Assignment) {
 	leader := peers.node.controller.leader()
 	if leader == peers.node.Settings.Node {
@@ -28,40 +28,42 @@
 		return
 	}
 	if peer := peers.peer(leader); peer != nil {
-		go peer.runNotice(group, 0)
+		go peer.runGroupNotice(group, 0)
 	}
 }
 
-// draining tells the node that plans that a backend server has said here that it
-// drains: the planner may send it no requests, and its record may say otherwise.
+// draining reports to the leader that a backend server has told this node that it
+// drains: the leader may send it no requests, and the server's record may not say so.
 func (peers *peers) draining(server shedkeel.InstanceID) {
 	if peer := peers.peer(peers.node.controller.leader()); peer != nil {
-		go peer.runNotify(&wire.NoticeCall{Draining: string(server)})
+		go peer.runSendNotice(&wire.NoticeCall{Draining: string(server)})
 	}
 }
 
-// lost tells the other nodes that a group has lost a member.
-func (peers *peers) lost(group shedkeel.Assignment) {
+// broadcastLoss tells the other nodes that a group has lost a member.
+func (peers *peers) broadcastLoss(group shedkeel.Assignment) {
 	for _, peer := range peers.all() {
-		go peer.runNotice(group, lossTime)
+		go peer.runGroupNotice(group, lostGroupAvoidTime)
 	}
 }
 
-// runNotice sends one notice of a group, which is to be avoided for the time; 0 says
-// that it is only suspected.
-func (peer *peer) runNotice(group shedkeel.Assignment, avoid time.Duration) {
-	peer.runNotify(&wire.NoticeCall{Group: string(group.Group), Epoch: group.Epoch, ForMs: uint32(avoid.Milliseconds())})
+// runGroupNotice sends one notice about a group, which is to be avoided for the given
+// time; 0 reports it as suspected only.
+func (peer *peer) runGroupNotice(group shedkeel.Assignment, avoid time.Duration) {
+	peer.runSendNotice(&wire.NoticeCall{Group: string(group.Group), Epoch: group.Epoch, ForMs: uint32(avoid.Milliseconds())})
 }
 
-// runNotify sends a notice. One that is lost costs the other node the time to find out
-// itself.
-func (peer *peer) runNotify(notice *wire.NoticeCall) {
+// runSendNotice sends a notice. If it is lost, the other node detects the failure
+// itself, but later.
+func (peer *peer) runSendNotice(notice *wire.NoticeCall) {
 	ctx, cancel := context.WithTimeout(context.Background(), noticeTimeout)
 	defer cancel()
 	notice.Node = string(peer.node.Settings.Node)
 	_, _ = peer.wire.Do(ctx, &wire.Call{Kind: &wire.Call_Notice{Notice: notice}})
 }
 
+// takeNotice handles a notice of another node: a server drains, or a group is to be
+// avoided or is suspected.
 func (peers *peers) takeNotice(notice *wire.NoticeCall) *wire.Reply {
 	node := peers.node
 	reply := &wire.Reply{Kind: &wire.Reply_Notice{Notice: &wire.NoticeReply{}}}
--- a/node/paces.go
+++ b/node/paces.go
@@ -11,50 +11,47 @@
 )
 
 const (
-	// paceEvery is how often the planner asks each member of a group for its
-	// pace. Each question costs what a probe costs.
+	// paceEvery is how often the leader asks each member of a group for its pace. Each
+	// call costs as much as a probe.
 	paceEvery = 2 * time.Second
-	// paceParts is into how many parts the members are split that are asked
-	// one after the other, so that the questions come evenly.
+	// paceParts is the number of batches into which the members are split, so that the
+	// calls are spread evenly over time.
 	paceParts = 10
-	// paceTimeout is how long an answer may take; a server that gives none is
-	// left to the probes.
+	// paceTimeout is how long an answer may take. Probes deal with a server that does
+	// not answer.
 	paceTimeout = 200 * time.Millisecond
-	// slowPace is the pace from which a member counts as slow. Members of one
-	// service vary by some tenths; slow ones take several times as long.
-	slowPace = 2.0
-	// soundPace is the pace below which a slow member counts as sound again.
-	soundPace = 1.3
+	// slowThreshold is the pace from which a member counts as slow. The paces of members
+	// of one service differ by some tenths; slow members take several times as long.
+	slowThreshold = 2.0
+	// recoveredThreshold is the pace below which a slow member counts as normal again.
+	recoveredThreshold = 1.3
 )
 
-// paces asks the members of groups how slow they are: a group works at the
-// pace of its slowest member, and each node alone sees few of its requests.
-//
-// The planner replaces slow members by it: 0.016 +- 0.002 of the worth of a day
-// on which servers turn slow four times (3 pairs of plays). The questions cost
-// 0.002 of the worth of any day.
+// paces asks the members of groups for their pace: 1 is normal, and a member with pace 2
+// takes twice as long. A group works at the pace of its slowest member, and each node
+// alone sees few of its requests. The planner replaces slow members.
 type paces struct {
 	controller *controller
-	part       int
-	slow       map[shedkeel.InstanceID]float64 // slow ones and their pace
+	batch      int
+	slow       map[shedkeel.InstanceID]float64 // slow servers and their paces
 }
 
-// tick asks one part of the members while the node plans.
+// tick asks one batch of the members while this node leads.
 func (paces *paces) tick(now time.Duration) {
 	controller := paces.controller
 	if !controller.leading(now) {
 		return
 	}
-	paces.part++
+	paces.batch++
 	services := controller.node.fleet.groupServices()
 	for _, instances := range services {
-		paces.askPart(instances)
+		paces.queryBatch(instances)
 	}
-	paces.forgetGone(services)
+	paces.removeUnlisted(services)
 }
 
-// forgetGone forgets slow servers that are no longer listed.
-func (paces *paces) forgetGone(services map[shedkeel.ServiceID][]shedkeel.Instance) {
+// removeUnlisted forgets slow servers that are no longer listed.
+func (paces *paces) removeUnlisted(services map[shedkeel.ServiceID][]shedkeel.Instance) {
 	listed := map[shedkeel.InstanceID]bool{}
 	for _, instances := range services {
 		for _, instance := range instances {
@@ -66,14 +63,17 @@
 	maps.DeleteFunc(paces.slow, func(id shedkeel.InstanceID, _ float64) bool { return !listed[id] })
 }
 
-func (paces *paces) askPart(instances []shedkeel.Instance) {
+// queryBatch asks the members of a service that are in the current batch, and slow
+// servers that have left their group.
+func (paces *paces) queryBatch(instances []shedkeel.Instance) {
 	for index, instance := range instances {
-		if index%paceParts == paces.part%paceParts && (instance.Member != nil || paces.isSlow(instance.ID)) {
-			go paces.runAsk(instance)
+		if index%paceParts == paces.batch%paceParts && (instance.Member != nil || paces.isSlow(instance.ID)) {
+			go paces.runQuery(instance)
 		}
 	}
 }
 
+// isSlow reports whether a server counts as slow.
 func (paces *paces) isSlow(id shedkeel.InstanceID) bool {
 	paces.controller.mutex.Lock()
 	defer paces.controller.mutex.Unlock()
@@ -81,20 +81,21 @@
 	return slow
 }
 
-func (paces *paces) runAsk(instance shedkeel.Instance) {
+// runQuery asks one server for its pace.
+func (paces *paces) runQuery(instance shedkeel.Instance) {
 	ctx, cancel := context.WithTimeout(context.Background(), paceTimeout)
 	defer cancel()
 	report, err := paces.controller.node.Engines.Report(ctx, instance.Address)
 	if err != nil || !report.From(instance.ID) {
-		return // probes find out whether it lives, once its group is silent
+		return // if its group stops responding, probes find out whether it is alive
 	}
-	paces.take(instance.ID, report.Pace)
+	paces.update(instance.ID, report.Pace)
 }
 
-// take takes in the pace that a server tells.
-func (paces *paces) take(id shedkeel.InstanceID, pace float64) {
+// update processes the pace that a server reports.
+func (paces *paces) update(id shedkeel.InstanceID, pace float64) {
 	wasSlow := paces.isSlow(id)
-	slow := pace >= slowPace || wasSlow && pace > soundPace
+	slow := pace >= slowThreshold || wasSlow && pace > recoveredThreshold
 	if slow == wasSlow {
 		return
 	}
--- a/node/paces_test.go
+++ b/node/paces_test.go
@@ -30,10 +30,10 @@
 			controller := &controller{node: &Node{Log: log}}
 			paces := &paces{controller: controller, slow: map[shedkeel.InstanceID]float64{}}
 			for _, pace := range test.told {
-				paces.take("a", pace)
+				paces.update("a", pace)
 			}
 			assert.Equal(t, paces.isSlow("a"), test.slow)
-			paces.forgetGone(map[shedkeel.ServiceID][]shedkeel.Instance{"llm": {{ID: "b"}}})
+			paces.removeUnlisted(map[shedkeel.ServiceID][]shedkeel.Instance{"llm": {{ID: "b"}}})
 			assert.Assert(t, !paces.isSlow("a"), "it is no longer listed")
 		})
 	}
--- a/node/prober.go
+++ b/node/prober.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// probeTimeout is how long a member may take to answer a probe; it
-	// answers in milliseconds when it lives.
+	// probeTimeout is how long a server may take to answer a probe; a live one answers
+	// in milliseconds.
 	probeTimeout = 200 * time.Millisecond
-	// probeSecond is after how long without an answer a second probe is sent
-	// beside the first, which may have been lost on its way.
-	probeSecond = 60 * time.Millisecond
-	// probeLate is how much later than its time-out a probe may end before
-	// this process counts as too slow itself to judge others.
-	probeLate = 60 * time.Millisecond
-	// probesAtOnce bounds the probes under way. On a box of a fifth of a core
-	// 600 at once were all late, and 67 servers that lived were taken for dead.
-	probesAtOnce = 32
-	// witnesses is how many other servers are asked before one is taken for
-	// dead: if none of them answers either, this node is cut off.
-	witnesses = 3
+	// secondProbeDelay is after how long without an answer a second probe is sent beside
+	// the first, which may have been lost.
+	secondProbeDelay = 60 * time.Millisecond
+	// maxProbeOverrun is how far a probe may exceed its time-out before this process
+	// counts as too slow to judge others.
+	maxProbeOverrun = 60 * time.Millisecond
+	// maxConcurrentProbes bounds the probes in progress. On a box with a fifth of a
+	// core, 600 concurrent probes all ended late, and 67 live servers counted as dead.
+	maxConcurrentProbes = 32
+	// witnessCount is how many other servers are asked before a server counts as dead:
+	// if none of them answers either, this node is cut off.
+	witnessCount = 3
 )
 
-// errUnsure says that a probe proves nothing, since this node may be cut off
-// or too slow.
-var errUnsure = errors.New("the probe proves nothing")
+// errInconclusive says that a probe is no evidence, since this node may be cut off or
+// too slow.
+var errInconclusive = errors.New("probe inconclusive: this node may be cut off or overloaded")
 
-// errStartedAgain says that the server that answers is not the start of it that
-// was asked for, which is gone.
-var errStartedAgain = errors.New("the server has started again and knows nothing of before")
+// errRestarted says that the server that answers was started after the one that was
+// asked for, which no longer exists.
+var errRestarted = errors.New("the server has restarted: its start time is not the recorded one")
 
-// prober finds out whether servers live. Its exported fields are set before
-// its first use.
+// prober finds out whether servers are alive. Its exported fields are set before its
+// first use.
 type prober struct {
 	Engines shedkeel.GroupEngines
 	Timers  shedkeel.Timers
@@ -46,52 +46,52 @@
 	slots chan struct{}
 }
 
-// probe returns nil if the server answers, errUnsure if nothing can be said,
-// or why it counts as dead. Others are addresses of servers that may be asked
-// whether this node reaches any.
-func (prober *prober) probe(ctx context.Context, instance shedkeel.Instance, others []string) error {
-	prober.once.Do(func() { prober.slots = make(chan struct{}, probesAtOnce) })
+// probe returns nil if the server answers, errInconclusive if the probe is no evidence,
+// or why the server counts as dead. Witnesses are the addresses of servers that show
+// whether this node reaches any server.
+func (prober *prober) probe(ctx context.Context, instance shedkeel.Instance, witnesses []string) error {
+	prober.once.Do(func() { prober.slots = make(chan struct{}, maxConcurrentProbes) })
 	prober.slots <- struct{}{}
 	defer func() { <-prober.slots }()
 	began := prober.Timers.Now()
-	report, err := prober.ask(ctx, instance.Address)
+	report, err := prober.query(ctx, instance.Address)
 	if err == nil && !report.From(instance.ID) {
-		return errStartedAgain
+		return errRestarted
 	}
 	if err == nil {
 		return nil
 	}
-	if prober.Timers.Now()-began > probeTimeout+probeLate || !prober.reachesAny(ctx, others) {
-		return errors.Join(errUnsure, err)
+	if prober.Timers.Now()-began > probeTimeout+maxProbeOverrun || !prober.reachesAny(ctx, witnesses) {
+		return errors.Join(errInconclusive, err)
 	}
 	return err
 }
 
-// probeAnswer is what became of one question of a probe.
-type probeAnswer struct {
+// probeReply is the result of one query of a probe.
+type probeReply struct {
 	report shedkeel.EngineReport
 	err    error
 }
 
-// ask probes twice, the second time beside a first one that is not answered at
-// once.
-func (prober *prober) ask(ctx context.Context, address string) (shedkeel.EngineReport, error) {
+// query asks a server for its report. If the answer takes longer than secondProbeDelay,
+// query asks a second time and takes the first answer.
+func (prober *prober) query(ctx context.Context, address string) (shedkeel.EngineReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	const tries = 2
-	answers := make(chan probeAnswer, tries)
-	go prober.runAsk(ctx, address, answers)
-	var second <-chan time.Time
-	timer := time.NewTimer(probeSecond)
+	const maxQueries = 2
+	answers := make(chan probeReply, maxQueries)
+	go prober.runQuery(ctx, address, answers)
+	var secondDue <-chan time.Time
+	timer := time.NewTimer(secondProbeDelay)
 	defer timer.Stop()
-	second = timer.C
+	secondDue = timer.C
 	var err error
 	for waiting := 1; waiting > 0; {
 		select {
-		case <-second:
-			second = nil
+		case <-secondDue:
+			secondDue = nil
 			waiting++
-			go prober.runAsk(ctx, address, answers)
+			go prober.runQuery(ctx, address, answers)
 		case answer := <-answers:
 			waiting--
 			err = answer.err
@@ -103,21 +103,23 @@
 	return shedkeel.EngineReport{}, err
 }
 
-func (prober *prober) runAsk(ctx context.Context, address string, answers chan<- probeAnswer) {
+// runQuery asks a server for its report and sends the result to answers.
+func (prober *prober) runQuery(ctx context.Context, address string, answers chan<- probeReply) {
 	report, err := prober.Engines.Report(ctx, address)
-	answers <- probeAnswer{report: report, err: err}
+	answers <- probeReply{report: report, err: err}
 }
 
-// reachesAny reports whether one of some of the other servers answers.
-func (prober *prober) reachesAny(ctx context.Context, others []string) bool {
+// reachesAny asks some of the witnesses, chosen at random, and reports whether any of
+// them answers.
+func (prober *prober) reachesAny(ctx context.Context, witnesses []string) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	asked := min(witnesses, len(others))
-	answers := make(chan probeAnswer, asked)
-	for _, index := range rand.Perm(len(others))[:asked] {
-		go prober.runAsk(ctx, others[index], answers)
+	queried := min(witnessCount, len(witnesses))
+	answers := make(chan probeReply, queried)
+	for _, index := range rand.Perm(len(witnesses))[:queried] {
+		go prober.runQuery(ctx, witnesses[index], answers)
 	}
-	for range asked {
+	for range queried {
 		if answer := <-answers; answer.err == nil {
 			return true
 		}
--- a/node/prober_test.go
+++ b/node/prober_test.go
@@ -48,7 +48,7 @@
 		"it has started again":                 {up: []string{"a"}, id: shedkeel.NewInstanceID("s", 7), born: 8, dead: true},
 		"only its record tells of a start":     {up: []string{"a"}, id: shedkeel.NewInstanceID("s", 7)},
 		"only its answer tells of a start":     {up: []string{"a"}, id: "s", born: 8},
-		"this node is slow itself":             {up: []string{"b"}, slow: 2 * probeLate, dead: true, unsure: true},
+		"this node is slow itself":             {up: []string{"b"}, slow: 2 * maxProbeOverrun, dead: true, unsure: true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -59,7 +59,7 @@
 			prober := &prober{Engines: engines, Timers: &timer.System{}}
 			err := prober.probe(t.Context(), shedkeel.Instance{ID: test.id, Address: "a"}, []string{"b", "c"})
 			assert.Equal(t, err != nil, test.dead)
-			assert.Equal(t, errors.Is(err, errUnsure), test.unsure)
+			assert.Equal(t, errors.Is(err, errInconclusive), test.unsure)
 			if !test.dead {
 				assert.Equal(t, engines.asked.Load(), int64(1), "a server that answers was asked more than once")
 			}
--- a/node/probes.go
+++ b/node/probes.go
@@ -13,52 +13,54 @@
 )
 
 const (
-	// reviveEvery is how often a dead member is probed again.
-	reviveEvery = time.Second
-	// suspectPause is how long after a group was probed further notices of it
-	// are passed over: those of all nodes come within it.
-	suspectPause = 400 * time.Millisecond
-	// stalledTime is how long a group counts as giving no sign after a notice.
-	stalledTime = 2 * time.Second
+	// reprobeInterval is how often a dead member is probed again.
+	reprobeInterval = time.Second
+	// noticeCooldown is how long after a notice of a group further notices of it are
+	// ignored: those of all nodes arrive within it.
+	noticeCooldown = 400 * time.Millisecond
+	// stallWindow is how long a group counts as stalled after a notice.
+	stallWindow = 2 * time.Second
 )
 
-// suspect has the members of a group probed.
+// suspect schedules a probe of a group's members, unless a notice of the group was
+// accepted within noticeCooldown.
 func (controller *controller) suspect(group shedkeel.Assignment) {
 	controller.mutex.Lock()
 	defer controller.mutex.Unlock()
 	now := controller.node.Timers.Now()
-	if now-controller.followed[group] < suspectPause && controller.followed[group] != 0 {
+	if now-controller.noticedAt[group] < noticeCooldown && controller.noticedAt[group] != 0 {
 		return
 	}
-	controller.followed[group] = now
+	controller.noticedAt[group] = now
 	controller.suspects[group] = now
 }
 
-// stalled returns the groups that were lately reported silent. The mutex is
-// held.
-func (controller *controller) stalled(now time.Duration) map[shedkeel.Assignment]bool {
+// stalledGroups returns the groups that were reported within stallWindow. The caller
+// holds the mutex.
+func (controller *controller) stalledGroups(now time.Duration) map[shedkeel.Assignment]bool {
 	found := map[shedkeel.Assignment]bool{}
-	for group, at := range controller.followed {
+	for group, at := range controller.noticedAt {
 		switch {
-		case now-at < stalledTime:
+		case now-at < stallWindow:
 			found[group] = true
 		case now-at > time.Minute:
-			delete(controller.followed, group)
+			delete(controller.noticedAt, group)
 		}
 	}
 	return found
 }
 
-// probeSuspects probes the members of suspected groups, and dead ones again.
+// probeSuspects probes the members of suspected groups, the free servers of their
+// domains, and dead servers that are due again.
 func (controller *controller) probeSuspects(ctx context.Context, instances []shedkeel.Instance, now time.Duration) {
 	controller.mutex.Lock()
 	defer controller.mutex.Unlock()
 	suspects := controller.suspects
-	controller.suspects = map[shedkeel.Assignment]time.Duration{} // each notice is followed up once
-	domains := domainsOf(suspects, instances)
+	controller.suspects = map[shedkeel.Assignment]time.Duration{} // each notice causes one round of probes
+	domains := suspectedDomains(suspects, instances)
 	for _, instance := range instances {
-		again, dead := controller.dead[instance.ID]
-		due := dead && now >= again
+		nextProbe, dead := controller.dead[instance.ID]
+		due := dead && now >= nextProbe
 		if instance.Member != nil && !dead {
 			_, due = suspects[instance.Member.Assignment()]
 		}
@@ -77,12 +79,12 @@
 	}
 }
 
-// domainsOf returns the domains of the suspected groups. Their free servers are
-// probed with the members: they are the substitutes, and servers that share a
-// fault are lost together. Of six groups that lost members as 38 servers were cut
-// off, three were formed with a substitute that was cut off too, and stood 0.9 s
-// later than the others.
-func domainsOf(suspects map[shedkeel.Assignment]time.Duration, instances []shedkeel.Instance) map[shedkeel.DomainID]bool {
+// suspectedDomains returns the domains of the suspected groups. Their free servers are
+// probed with the members: they are the substitutes, and servers that share a fault
+// fail together. When 38 servers were cut off and six groups lost members, three of the
+// groups were formed with a substitute that was cut off too, and were ready 0.9 s later
+// than the others.
+func suspectedDomains(suspects map[shedkeel.Assignment]time.Duration, instances []shedkeel.Instance) map[shedkeel.DomainID]bool {
 	found := map[shedkeel.DomainID]bool{}
 	for _, instance := range instances {
 		if instance.Member == nil {
@@ -95,52 +97,54 @@
 	return found
 }
 
-// witnessesFor returns the addresses of servers that tell whether this node
-// reaches any but the one that is probed. They are in other domains if there
-// are some: a whole domain may be dark at once.
+// witnessesFor returns the addresses of servers that show whether this node reaches any
+// server other than the probed one. They are in other domains if there are any: all
+// servers of a domain may fail at once.
 func witnessesFor(probed shedkeel.Instance, instances []shedkeel.Instance) []string {
-	var near, far []string
+	var sameDomain, otherDomains []string
 	for _, instance := range instances {
 		switch {
 		case instance.Domain != probed.Domain:
-			far = append(far, instance.Address)
+			otherDomains = append(otherDomains, instance.Address)
 		case instance.ID != probed.ID:
-			near = append(near, instance.Address)
+			sameDomain = append(sameDomain, instance.Address)
 		}
 	}
-	if len(far) > 0 {
-		return far
+	if len(otherDomains) > 0 {
+		return otherDomains
 	}
-	return near
+	return sameDomain
 }
 
-// runProbe finds out whether a member answers.
-func (controller *controller) runProbe(ctx context.Context, instance shedkeel.Instance, others []string) {
-	err := controller.prober.probe(ctx, instance, others)
-	controller.probed(instance, err)
+// runProbe probes one server and processes the result.
+func (controller *controller) runProbe(ctx context.Context, instance shedkeel.Instance, witnesses []string) {
+	err := controller.prober.probe(ctx, instance, witnesses)
+	controller.recordProbe(instance, err)
 	controller.mutex.Lock()
 	defer controller.mutex.Unlock()
 	delete(controller.probing, instance.ID)
 }
 
-// lost has all nodes avoid a group that lost a member.
-func (controller *controller) lost(group shedkeel.Assignment) {
+// reportLoss makes all nodes avoid a group that has lost a member.
+func (controller *controller) reportLoss(group shedkeel.Assignment) {
 	node := controller.node
-	node.table.Avoid(group, node.Timers.Now(), lossTime)
-	node.peers.lost(group)
+	node.table.Avoid(group, node.Timers.Now(), lostGroupAvoidTime)
+	node.peers.broadcastLoss(group)
 }
 
-func (controller *controller) probed(instance shedkeel.Instance, err error) {
+// recordProbe processes the result of a probe: it marks a server as dead or as alive
+// again. An inconclusive probe is only logged.
+func (controller *controller) recordProbe(instance shedkeel.Instance, err error) {
 	controller.mutex.Lock()
 	defer controller.mutex.Unlock()
 	_, dead := controller.dead[instance.ID]
 	switch {
-	case errors.Is(err, errUnsure):
+	case errors.Is(err, errInconclusive):
 		controller.node.Log.Write(event.ProbeUnsure, slog.String("server", string(instance.ID)), slog.String("error", err.Error()))
 	case err != nil:
-		controller.dead[instance.ID] = controller.node.Timers.Now() + reviveEvery
+		controller.dead[instance.ID] = controller.node.Timers.Now() + reprobeInterval
 		if instance.Member != nil {
-			controller.lost(instance.Member.Assignment())
+			controller.reportLoss(instance.Member.Assignment())
 		}
 		if !dead {
 			controller.node.Log.Write(event.MemberDead, slog.String("server", string(instance.ID)), slog.String("error", err.Error()))
--- a/node/removal.go
+++ b/node/removal.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// returnHold is for how long a server gets no requests whose record had gone and is
-	// back since the key-value service came back from an older copy. The record goes
-	// again within three heartbeats of a server that has ended.
+	// returnHold is for how long a server gets no requests after its removed record has
+	// come back with an older copy of the key-value service. If the server has
+	// terminated, its record is removed again within three heartbeats.
 	returnHold = 5 * time.Second
 	// removalKeep is for how long a removed server is remembered.
 	removalKeep = time.Minute
 )
 
-// removal is that the record of a server has gone.
+// removal says that the record of a server was removed.
 type removal struct {
-	era   int64 // of the key-value service
-	until time.Duration
-	held  bool // its record came back with an older copy, and it is not used until then
+	era   int64         // the era of the key-value service in which it was removed
+	until time.Duration // when the removal is forgotten
+	held  bool          // the record came back with an older copy; the server gets no requests until then
 }
 
-// removals are the backend servers whose records have gone lately. An older copy of the
-// key-value service brings them back, though they have ended or are about to. The
-// fleet's mutex guards them.
+// removals are the backend servers whose records were removed recently. An older copy
+// of the key-value service brings such records back, although the servers have
+// terminated or are about to. The fleet's mutex guards them.
 type removals map[shedkeel.InstanceID]removal
 
-// note notes that the record of a server has gone.
+// note records that the record of a server was removed.
 func (removals *removals) note(server shedkeel.InstanceID, era int64, now time.Duration) {
 	if *removals == nil {
 		*removals = map[shedkeel.InstanceID]removal{}
@@ -35,7 +35,7 @@
 	(*removals)[server] = removal{era: era, until: now + removalKeep}
 }
 
-// returned notes that there is a record of the server in an era.
+// returned records that the server has a record in an era.
 func (removals removals) returned(server shedkeel.InstanceID, era int64, now time.Duration) {
 	known, removed := removals[server]
 	switch {
@@ -43,14 +43,15 @@
 	case era > known.era:
 		removals[server] = removal{era: era, until: now + returnHold, held: true}
 	default:
-		delete(removals, server) // it lives
+		delete(removals, server) // the server is alive
 	}
 }
 
-// withheld reports whether the server gets no requests, though it has a record.
+// withheld reports whether the server gets no requests although it has a record.
 func (removals removals) withheld(server shedkeel.InstanceID) bool { return removals[server].held }
 
-// expire forgets what is over, and reports whether a server may be used again.
+// expire forgets the removals whose time is over, and reports whether a server may get
+// requests again.
 func (removals removals) expire(now time.Duration) (free bool) {
 	for server, removal := range removals {
 		if now >= removal.until {
--- a/node/remover.go
+++ b/node/remover.go
@@ -12,51 +12,53 @@
 )
 
 const (
-	// removerTick is how often a node looks whose records are to be removed.
+	// removerTick is how often a node checks which records it should remove.
 	removerTick = 500 * time.Millisecond
-	// removerTurn is how much later than the one before it a node removes a record.
-	// It is several times what a removal takes to be known to all.
-	removerTurn = time.Second
-	// removeAgain is how long after a node has removed a record it does so again,
-	// if the removal failed or the node wrote it anew and is dead in this one's view
-	// still.
-	removeAgain = 10 * time.Second
+	// removalStagger is how much later each further node removes a record. It is several
+	// times what all nodes need to learn of a removal.
+	removalStagger = time.Second
+	// removalRetryInterval is how long after a removal a node removes the record again,
+	// if the removal failed, or if the dead node's record was written again while the
+	// node still counts as dead here.
+	removalRetryInterval = 10 * time.Second
 )
 
-// remover removes the records of dead nodes from the key-value service, where they
-// go with no lease, so that a fleet at rest makes no calls to stay listed. Any node
-// may: for each dead one all that live have an order of their own, and the next
-// takes its turn while the record stands. Callers are not sent to dead nodes
-// meanwhile.
+// remover removes the records of dead nodes from the key-value service. They are
+// written without a lease, so that an idle fleet makes no calls to stay listed. Any
+// live node may remove them: for each dead node, the live ones have an order of their
+// own, and the next takes its turn if the record still exists. Callers are not sent to
+// dead nodes meanwhile.
 //
-// Where one node alone did it, and stood still for 4 s, ten of 66 nodes that had
-// lost power were named for 8 s.
+// When a single node was responsible, and stalled for 4 s, ten of 66 nodes that had lost
+// power stayed in the directory for 8 s.
 type remover struct {
 	node *Node
 
 	mutex sync.Mutex
-	due   map[shedkeel.NodeID]time.Duration // when this node removes the record of one
+	dueAt map[shedkeel.NodeID]time.Duration // when this node removes the record of a dead one
 }
 
-// tick removes the records whose turn has come.
+// tick removes the records that are due, unless this node is stopping, is cut off or
+// has an outdated mirror.
 func (remover *remover) tick(now time.Duration) {
 	node := remover.node
 	state := node.mirror.State()
 	if !state.Known || now-state.AsOf > troubleAge || node.stopping.Load() || node.gossip.isolated() {
 		return
 	}
-	for _, record := range remover.take(node.peers.listed(), now) {
+	for _, record := range remover.dueRecords(node.peers.listed(), now) {
 		go remover.runRemoval(record)
 	}
 }
 
-// take returns the nodes whose records this one removes now.
-func (remover *remover) take(nodes []nodeRecord, now time.Duration) []nodeRecord {
+// dueRecords returns the records of dead nodes that this node removes now, and schedules
+// when it removes the others.
+func (remover *remover) dueRecords(nodes []nodeRecord, now time.Duration) []nodeRecord {
 	remover.mutex.Lock()
 	defer remover.mutex.Unlock()
 	alive := slices.DeleteFunc(slices.Clone(nodes), func(record nodeRecord) bool { return !remover.node.gossip.serves(record.ID) })
-	before := remover.due
-	remover.due = map[shedkeel.NodeID]time.Duration{}
+	before := remover.dueAt
+	remover.dueAt = map[shedkeel.NodeID]time.Duration{}
 	var found []nodeRecord
 	for _, record := range nodes {
 		if !record.Watched || remover.node.gossip.liveness(record.ID) != shedkeel.Dead {
@@ -64,32 +66,32 @@
 		}
 		due, known := before[record.ID]
 		if !known {
-			due = now + removerTurn*time.Duration(remover.turn(alive, record.ID))
+			due = now + removalStagger*time.Duration(remover.removalRank(alive, record.ID))
 		}
 		if now >= due {
 			found = append(found, record)
-			due = now + removeAgain
+			due = now + removalRetryInterval
 		}
-		remover.due[record.ID] = due
+		remover.dueAt[record.ID] = due
 	}
 	return found
 }
 
-// turn returns how many of the nodes that live come before this one in the order
-// in which they remove a dead one's record.
-func (remover *remover) turn(alive []nodeRecord, dead shedkeel.NodeID) int {
-	rank := pairHash(dead, remover.node.Settings.Node)
-	turn := 0
+// removalRank returns how many of the live nodes precede this one in the order in which
+// they remove a dead node's record.
+func (remover *remover) removalRank(alive []nodeRecord, dead shedkeel.NodeID) int {
+	ownHash := pairHash(dead, remover.node.Settings.Node)
+	rank := 0
 	for _, record := range alive {
-		if pairHash(dead, record.ID) < rank {
-			turn++
+		if pairHash(dead, record.ID) < ownHash {
+			rank++
 		}
 	}
-	return turn
+	return rank
 }
 
-// runRemoval removes the record of a dead node, if it is the one that was seen. A
-// node that lives after all finds its record gone and writes it again.
+// runRemoval removes the record of a dead node, unless it has changed. A node that is
+// alive after all finds its record missing and writes it again.
 func (remover *remover) runRemoval(record nodeRecord) {
 	node := remover.node
 	key := nodePrefix + string(record.ID)
--- a/node/remover_test.go
+++ b/node/remover_test.go
@@ -38,7 +38,7 @@
 					}
 					node, _ := newListedNode(t, record.ID, nodes)
 					alive := slices.DeleteFunc(slices.Clone(nodes), func(record nodeRecord) bool { return record.ID == gone })
-					turns[node.remover.turn(alive, gone)]++
+					turns[node.remover.removalRank(alive, gone)]++
 				}
 				for turn := range len(nodes) - 1 {
 					assert.Equal(t, turns[turn], 1, "turn %d for %s", turn, gone)
@@ -95,7 +95,7 @@
 			for range len(nodes) {
 				node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 5}, AsOf: timers.Now() - test.age, Records: records})
 				node.remover.tick(timers.Now())
-				timers.Advance(removerTurn)
+				timers.Advance(removalStagger)
 			}
 			time.Sleep(50 * time.Millisecond) // removals are calls of their own
 			mutex.Lock()
--- a/node/spoilt_test.go
+++ b/node/spoilt_test.go
@@ -154,7 +154,7 @@
 			for range 3 { // the copy stays fresh
 				node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 4}, AsOf: timers.Now()})
 				elect(t, node, timers)
-				timers.Advance(strayLeadTime / 2)
+				timers.Advance(orphanTimeout / 2)
 			}
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 4}, AsOf: timers.Now()})
 			elect(t, node, timers)
--- a/node/spread.go
+++ b/node/spread.go
@@ -11,37 +11,38 @@
 )
 
 const (
-	// spreadTimeout is how long a request waits for the word of the node that
-	// spreads all: a link there and back takes 2 to 4 ms. Without it, the
-	// request goes where this node alone would send it.
+	// spreadTimeout is how long a request waits for the answer of the spreader; a round
+	// trip takes 2 to 4 ms. Without an answer, this node chooses the group alone.
 	spreadTimeout = 20 * time.Millisecond
-	// spreadPause is how long a node is not asked again that gave no answer, so
-	// that few requests wait in vain.
-	spreadPause = time.Second
+	// spreaderBackoff is how long a node that gave no answer is not asked again, so that
+	// few requests wait in vain.
+	spreaderBackoff = time.Second
 )
 
-// helpers is how many nodes in the first places have other work: to plan, and
-// to follow the store. They spread requests only if no other does.
+// helpers is how many of the first nodes have other work: to plan, and to follow the
+// key-value service. They spread requests only if no other node does.
 const helpers = 2
 
-// failure is when something was last found to fail. The zero value is never.
+// failure is the time at which something last failed. The zero value means never.
 type failure struct{ at atomic.Int64 }
 
+// note records a failure at the time now.
 func (failure *failure) note(now time.Duration) { failure.at.Store(int64(now)) }
 
-// within reports whether it failed within the time before now.
+// within reports whether the last failure is less than span before now.
 func (failure *failure) within(span, now time.Duration) bool {
 	at := time.Duration(failure.at.Load())
 	return at != 0 && now-at < span
 }
 
-// spread returns what the node that spreads the requests of all says of one,
-// or false when it says nothing. This node has so many others running on the
-// model's groups.
+// spread asks the spreader to which group a request is best sent, or answers itself if
+// this node is the spreader. It returns false if there is no answer. The load is what
+// this node has running on the model's groups. The groups of a model are split into
+// parts; spread picks one at random.
 func (peers *peers) spread(ctx context.Context, query dispatch.Query, load dispatch.Load) (dispatch.Advice, bool) {
 	query.Parts = peers.node.table.Parts(query.Service, query.Model)
 	if query.Parts > 1 {
-		query.Part = peers.pick(query.Parts)
+		query.Part = peers.randomPart(query.Parts)
 	}
 	peer, own := peers.spreader(query.Part, query.Now)
 	settings := &peers.node.Settings
@@ -51,7 +52,7 @@
 	if peer == nil {
 		return dispatch.Advice{}, false
 	}
-	asking, cancel := context.WithTimeout(ctx, spreadTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, spreadTimeout)
 	defer cancel()
 	call := &wire.SpreadCall{
 		Node: string(settings.Node), Zone: string(settings.Zone), Service: string(query.Service), Model: string(query.Model), Prompt: uint32(max(query.Prompt, 0)), Answer: uint32(max(query.Answer, 0)),
@@ -61,7 +62,7 @@
 	for head, running := range load.Groups {
 		call.Groups = append(call.Groups, &wire.GroupLoad{Instance: string(head), Running: uint32(running)})
 	}
-	reply, err := peer.asked.Do(asking, &wire.Call{Kind: &wire.Call_Spread{Spread: call}})
+	reply, err := peer.asked.Do(callCtx, &wire.Call{Kind: &wire.Call_Spread{Spread: call}})
 	answer := reply.GetSpread()
 	if err != nil || answer == nil {
 		if ctx.Err() == nil {
@@ -69,51 +70,54 @@
 		}
 		return dispatch.Advice{}, false
 	}
-	return dispatch.Advice{Head: shedkeel.InstanceID(answer.GetInstance()), Running: runningOf(answer.GetRunning())}, true
+	return dispatch.Advice{Head: shedkeel.InstanceID(answer.GetInstance()), Running: parseRunning(answer.GetRunning())}, true
 }
 
-func runningOf(running *wire.Running) dispatch.Running {
+// parseRunning converts the numbers of running requests from their wire form.
+func parseRunning(running *wire.Running) dispatch.Running {
 	return dispatch.Running{OnTime: int(running.GetOnTime()), Late: int(running.GetLate())}
 }
 
-// pick returns a part of groups at random.
-func (peers *peers) pick(parts int) int {
+// randomPart returns the index of a random part of so many.
+func (peers *peers) randomPart(parts int) int {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	return int(peers.random.Uint64() % uint64(parts))
 }
 
-// spreader returns the node to ask for a part of a model's groups, or whether
-// it is this one: each part has a node of its own, as far as there are enough.
+// spreader returns the spreader of a part of a model's groups, or whether it is this
+// node. A spreader assigns the requests of all nodes to the groups of a part. Each part
+// has its own as far as there are enough nodes. If it has not answered recently, the
+// first nodes (see helpers) replace it; if neither has, spreader returns nil and false.
 func (peers *peers) spreader(part int, now time.Duration) (asked *peer, own bool) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	nodes, _, _ := peers.withOwn()
-	places := []int{helpers - 1, helpers - 2}
+	candidates := []int{helpers - 1, helpers - 2}
 	if rest := len(nodes) - helpers; rest > 0 {
-		places = append([]int{helpers + part%rest}, places...)
+		candidates = append([]int{helpers + part%rest}, candidates...)
 	}
-	for _, place := range places {
+	for _, place := range candidates {
 		if place >= len(nodes) {
 			continue
 		}
 		if nodes[place].ID == peers.node.Settings.Node {
 			return nil, true
 		}
-		if peer := peers.known[nodes[place].ID]; !peer.mute.within(spreadPause, now) {
+		if peer := peers.known[nodes[place].ID]; !peer.mute.within(spreaderBackoff, now) {
 			return peer, false
 		}
 	}
 	return nil, false
 }
 
-// takeSpread answers another node's question.
+// takeSpread answers another node's question to which group a request is best sent.
 func (peers *peers) takeSpread(call *wire.SpreadCall) *wire.Reply {
 	query := dispatch.Query{
 		Service: shedkeel.ServiceID(call.GetService()), Model: shedkeel.ModelID(call.GetModel()), Prompt: int(call.GetPrompt()), Answer: int(call.GetAnswer()), Now: peers.node.Timers.Now(),
 		Part: int(call.GetPart()), Parts: int(call.GetParts()),
 	}
-	reporter := dispatch.Reporter{Process: call.GetNode(), Zone: shedkeel.ZoneID(call.GetZone()), Running: runningOf(call.GetRunning()), Groups: map[shedkeel.InstanceID]int{}}
+	reporter := dispatch.Reporter{Process: call.GetNode(), Zone: shedkeel.ZoneID(call.GetZone()), Running: parseRunning(call.GetRunning()), Groups: map[shedkeel.InstanceID]int{}}
 	for _, group := range call.GetGroups() {
 		reporter.Groups[shedkeel.InstanceID(group.GetInstance())] = int(group.GetRunning())
 	}
--- a/node/spread_test.go
+++ b/node/spread_test.go
@@ -67,7 +67,7 @@
 	advice, known := node.peers.spread(t.Context(), query, dispatch.Load{Running: dispatch.Running{OnTime: 2}})
 	assert.Assert(t, known)
 	assert.DeepEqual(t, advice, dispatch.Advice{Head: "i", Running: dispatch.Running{OnTime: 2}})
-	_, own := node.peers.spreader(0, timers.Now()+spreadPause)
+	_, own := node.peers.spreader(0, timers.Now()+spreaderBackoff)
 	assert.Assert(t, !own, "it is asked again after a while")
 }
 
--- a/node/waits.go
+++ b/node/waits.go
@@ -9,17 +9,17 @@
 	"shedkeel.org/shedkeel/formation"
 )
 
-// WaitDump is what the planner waits for.
+// WaitDump describes, for operators, something that the planner waits for.
 type WaitDump struct {
 	Group  shedkeel.GroupID     `json:"group,omitempty"`
 	Server shedkeel.InstanceID  `json:"server,omitempty"`
 	Domain shedkeel.DomainID    `json:"domain"`
 	Reason formation.WaitReason `json:"reason"`
 	For    string               `json:"for"`
-	Bound  string               `json:"bound"` // the longest that it should last
+	Bound  string               `json:"bound"` // the longest that the wait should last
 }
 
-// waits returns what this node waits for if it plans.
+// waits returns what the planners of this node wait for; nil while it does not lead.
 func (controller *controller) waits() []formation.Wait {
 	controller.mutex.Lock()
 	defer controller.mutex.Unlock()
@@ -33,8 +33,8 @@
 	return found
 }
 
-// waitsOf returns what is waited for about a group: itself, its domain or its
-// members.
+// waitsOf returns the waits that concern a group: those of the group, of its domain and
+// of its members.
 func (controller *controller) waitsOf(group shedkeel.GroupID, members []MemberDump, now time.Duration) []WaitDump {
 	servers := map[shedkeel.InstanceID]bool{}
 	for _, member := range members {
@@ -44,21 +44,22 @@
 	for _, wait := range controller.waits() {
 		ofDomain := wait.Group == "" && wait.Server == "" && wait.Domain == formation.DomainOf(group)
 		if wait.Group == group || servers[wait.Server] || ofDomain {
-			found = append(found, dumpOf(wait, now))
+			found = append(found, newWaitDump(wait, now))
 		}
 	}
 	return found
 }
 
-func dumpOf(wait formation.Wait, now time.Duration) WaitDump {
+// newWaitDump describes a wait for operators.
+func newWaitDump(wait formation.Wait, now time.Duration) WaitDump {
 	return WaitDump{
 		Group: wait.Group, Server: wait.Server, Domain: wait.Domain, Reason: wait.Reason,
 		For: (now - wait.Since).Round(time.Millisecond).String(), Bound: wait.Bound.String(),
 	}
 }
 
-// tellWaits logs the waits that last for longer than they should.
-func (controller *controller) tellWaits(now time.Duration) {
+// logOverdueWaits logs the waits that last for longer than they should.
+func (controller *controller) logOverdueWaits(now time.Duration) {
 	for _, wait := range controller.waits() {
 		if !wait.Overdue(now) {
 			continue
--- a/node/waits_test.go
+++ b/node/waits_test.go
@@ -28,7 +28,7 @@
 	engine := &shedkeel.Engine{Models: []shedkeel.Model{{ID: "m", Size: 2, Share: 1}}}
 	plan := func() {
 		planner.Plan(formation.Input{Now: timers.Now(), Engine: engine, Instances: []shedkeel.Instance{member}, Traffic: true})
-		controller.tellWaits(timers.Now())
+		controller.logOverdueWaits(timers.Now())
 	}
 	plan()
 	timers.Advance(3 * time.Second)
@@ -42,7 +42,7 @@
 	assert.Equal(t, lines.Len(), 0, lines.String())
 
 	timers.Advance(18 * time.Second) // no plan is made, so the wait stays as it was
-	controller.tellWaits(timers.Now())
+	controller.logOverdueWaits(timers.Now())
 	assert.Assert(t, strings.Contains(lines.String(), string(formation.WaitHead)), lines.String())
 	controller.leads = false
 	assert.Equal(t, len(controller.waits()), 0, "another node plans")
