--- a/node/prober_test.go
+++ b/node/prober_test.go
@@ -18,7 +18,7 @@
 	shedkeel.GroupEngines
 	up    map[string]bool
 	born  map[string]int64 // the start time that a server reports
-	slow  time.Duration // added by this node to each query without an answer
+	slow  time.Duration    // added by this node to each query without an answer
 	asked atomic.Int64
 }
 
