--- a/node/controller.go
+++ b/node/controller.go
@@ -36,9 +36,9 @@
 
 	mutex         sync.Mutex
 	resigned      bool
-	leads         bool
-	term          uint64
-	epochs        uint64
+	leads         bool   // this node has been elected; see leading
+	term          uint64 // the term in which this node leads or last led
+	epochs        uint64 // number of epochs given out in the term
 	planners      map[shedkeel.ServiceID]*formation.Planner
 	suspects      map[shedkeel.Assignment]time.Duration // when a group was reported; its members are not probed yet
 	noticedAt     map[shedkeel.Assignment]time.Duration // when a notice about a group was last accepted
--- a/node/notices.go
+++ b/node/notices.go
@@ -33,7 +33,8 @@
 }
 
 // draining reports to the leader that a backend server has told this node that it
-// drains: the leader may send it no requests, and the server's record may not say so.
+// drains. The leader may not learn it otherwise: it may send that server no requests,
+// and the server's record may not say so.
 func (peers *peers) draining(server shedkeel.InstanceID) {
 	if peer := peers.peer(peers.node.controller.leader()); peer != nil {
 		go peer.runSendNotice(&wire.NoticeCall{Draining: string(server)})
