--- a/member/exchange.go
+++ b/member/exchange.go
@@ -7,29 +7,31 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// Ask returns the call that asks another keeper for all that is newer there.
+// Ask returns the call with which a keeper asks another one for everything that
+// is newer there. It carries this node and the versions known here.
 func (table *Table) Ask(now time.Duration) *wire.ExchangeCall {
 	return &wire.ExchangeCall{
 		Self:     nodeToWire(table.Self),
 		Nodes:    table.nodeVersions(now),
-		Versions: table.versions(),
+		Versions: table.recordVersions(),
 		Digests:  table.digestVersions(),
 	}
 }
 
-// Answer takes in what a caller told of itself and returns what is newer here
-// than what it has.
+// Answer merges the calling node and returns everything that is newer here than
+// the versions in the call.
 func (table *Table) Answer(call *wire.ExchangeCall, now time.Duration) *wire.ExchangeReply {
 	table.MergeNode(nodeFromWire(call.GetSelf()), now)
 	return &wire.ExchangeReply{
-		Nodes:   table.newerNodes(call.GetNodes(), now),
-		Records: table.newerRecords(call.GetVersions()),
-		Digests: table.newerDigests(call.GetDigests(), now),
+		Nodes:   table.nodesNewerThan(call.GetNodes(), now),
+		Records: table.recordsNewerThan(call.GetVersions()),
+		Digests: table.digestsNewerThan(call.GetDigests(), now),
 	}
 }
 
-// Take merges a reply to a call that was sent at sent. The age of each digest
-// counts from then, which is no later than the reply was made.
+// Take merges the reply to a call that left at sent, and returns the records that
+// were new. The digests' ages are counted back from sent, not from the arrival of
+// the reply, so that a slow reply never makes a digest look younger than it is.
 func (table *Table) Take(reply *wire.ExchangeReply, sent, now time.Duration) (changed []Record) {
 	for _, node := range reply.GetNodes() {
 		table.MergeNode(nodeFromWire(node), now)
@@ -46,28 +48,31 @@
 	return changed
 }
 
-// AskKeeper returns an entry's call to its keeper.
+// AskKeeper returns the call with which an entry asks its keeper for everything
+// that is newer there.
 func (table *Table) AskKeeper(incarnation string, stopping bool, now time.Duration) *wire.SyncCall {
 	return &wire.SyncCall{
 		Incarnation: incarnation, Stopping: stopping,
-		Versions: table.versions(), Digests: table.digestVersions(), Nodes: table.nodeVersions(now),
+		Versions: table.recordVersions(), Digests: table.digestVersions(), Nodes: table.nodeVersions(now),
 	}
 }
 
-// AnswerEntry returns what is newer here than what an entry has.
+// AnswerEntry returns everything that is newer here than the versions in an
+// entry's call.
 func (table *Table) AnswerEntry(call *wire.SyncCall, now time.Duration) *wire.SyncReply {
 	return &wire.SyncReply{
-		Nodes:   table.newerNodes(call.GetNodes(), now),
-		Records: table.newerRecords(call.GetVersions()),
-		Digests: table.newerDigests(call.GetDigests(), now),
+		Nodes:   table.nodesNewerThan(call.GetNodes(), now),
+		Records: table.recordsNewerThan(call.GetVersions()),
+		Digests: table.digestsNewerThan(call.GetDigests(), now),
 	}
 }
 
-// TakeFromKeeper merges a keeper's reply to an entry.
+// TakeFromKeeper merges a keeper's reply to an entry. See Take.
 func (table *Table) TakeFromKeeper(reply *wire.SyncReply, sent, now time.Duration) (changed []Record) {
 	return table.Take(&wire.ExchangeReply{Nodes: reply.GetNodes(), Records: reply.GetRecords(), Digests: reply.GetDigests()}, sent, now)
 }
 
+// nodeVersions returns the versions of the live nodes.
 func (table *Table) nodeVersions(now time.Duration) []*wire.NodeVersion {
 	var versions []*wire.NodeVersion
 	for _, node := range table.Live(now) {
@@ -76,23 +81,25 @@
 	return versions
 }
 
-// newerNodes returns the live nodes that the other knows less of. Telling of
-// dead ones would only bring them back as news to each other.
-func (table *Table) newerNodes(theirs []*wire.NodeVersion, now time.Duration) []*wire.Node {
-	has := map[string]shedkeel.Node{}
+// nodesNewerThan returns the live nodes that the peer does not know or of which it
+// knows an older version. It leaves out dead nodes: nodes that have evicted them
+// would take them for new ones and spread them again.
+func (table *Table) nodesNewerThan(theirs []*wire.NodeVersion, now time.Duration) []*wire.Node {
+	peerHas := map[string]shedkeel.Node{}
 	for _, version := range theirs {
-		has[version.GetId()] = shedkeel.Node{Incarnation: version.GetIncarnation(), Heartbeat: version.GetHeartbeat()}
+		peerHas[version.GetId()] = shedkeel.Node{Incarnation: version.GetIncarnation(), Heartbeat: version.GetHeartbeat()}
 	}
 	var newer []*wire.Node
 	for _, node := range table.Live(now) {
-		if known, found := has[string(node.ID)]; !found || newerNode(node, known) {
+		if known, found := peerHas[string(node.ID)]; !found || nodeIsNewer(node, known) {
 			newer = append(newer, nodeToWire(node))
 		}
 	}
 	return newer
 }
 
-func (table *Table) versions() []*wire.Version {
+// recordVersions returns the generations of the records known here.
+func (table *Table) recordVersions() []*wire.Version {
 	var versions []*wire.Version
 	for _, record := range table.Records(KeyPrefix) {
 		versions = append(versions, &wire.Version{Key: record.Key, Version: record.Generation})
@@ -100,6 +107,7 @@
 	return versions
 }
 
+// digestVersions returns the versions of the digests known here.
 func (table *Table) digestVersions() []*wire.DigestVersion {
 	var versions []*wire.DigestVersion
 	for _, digest := range table.Digests() {
@@ -108,29 +116,32 @@
 	return versions
 }
 
-func (table *Table) newerRecords(theirs []*wire.Version) []*wire.Record {
-	has := map[string]uint64{}
+// recordsNewerThan returns the records with a higher generation than the peer's.
+func (table *Table) recordsNewerThan(theirs []*wire.Version) []*wire.Record {
+	peerHas := map[string]uint64{}
 	for _, version := range theirs {
-		has[version.GetKey()] = version.GetVersion()
+		peerHas[version.GetKey()] = version.GetVersion()
 	}
 	var newer []*wire.Record
 	for _, record := range table.Records(KeyPrefix) {
-		if record.Generation > has[record.Key] {
+		if record.Generation > peerHas[record.Key] {
 			newer = append(newer, &wire.Record{Key: record.Key, Version: record.Generation, Era: record.Revision.Era, Revision: record.Revision.Number, Value: record.Value})
 		}
 	}
 	return newer
 }
 
-func (table *Table) newerDigests(theirs []*wire.DigestVersion, now time.Duration) []*wire.Digest {
-	has := map[shedkeel.NodeID]Digest{}
+// digestsNewerThan returns the digests that the peer does not know or of which it
+// knows an older version.
+func (table *Table) digestsNewerThan(theirs []*wire.DigestVersion, now time.Duration) []*wire.Digest {
+	peerHas := map[shedkeel.NodeID]Digest{}
 	for _, version := range theirs {
 		watcher := shedkeel.NodeID(version.GetWatcher())
-		has[watcher] = Digest{Watcher: watcher, Incarnation: version.GetIncarnation(), Sequence: version.GetSequence()}
+		peerHas[watcher] = Digest{Watcher: watcher, Incarnation: version.GetIncarnation(), Sequence: version.GetSequence()}
 	}
 	var newer []*wire.Digest
 	for _, digest := range table.Digests() {
-		if known, found := has[digest.Watcher]; found && !newerDigest(digest, known) {
+		if known, found := peerHas[digest.Watcher]; found && !digestIsNewer(digest, known) {
 			continue
 		}
 		newer = append(newer, digestToWire(digest, now))
@@ -154,6 +165,8 @@
 	}
 }
 
+// digestToWire encodes a digest with its age at now, because the clocks of two
+// processes cannot be compared.
 func digestToWire(digest Digest, now time.Duration) *wire.Digest {
 	// Round the age up, so that the digest never looks younger than it is.
 	age := (now - digest.AsOf + time.Millisecond - 1) / time.Millisecond
@@ -169,6 +182,8 @@
 	return message
 }
 
+// digestFromWire decodes a digest from the reply to a call that left at sent. An
+// unknown verdict is decoded as VerdictDraining.
 func digestFromWire(message *wire.Digest, sent time.Duration) Digest {
 	digest := Digest{
 		Watcher: shedkeel.NodeID(message.GetWatcher()), Incarnation: message.GetIncarnation(), Sequence: message.GetSequence(),
--- a/member/permit.go
+++ b/member/permit.go
@@ -6,94 +6,100 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Permit says whether a group may be sent new requests, and until when unless
-// it is renewed.
+// Permit says whether a group may be sent new requests, and until when. It is a
+// lease that newer findings renew.
 type Permit struct {
 	Group   shedkeel.Group
-	Until   time.Duration // no new request from then on; 0: none now
-	Broken  bool          // known not to be whole: what runs there is given up
-	Load    int           // as reported with the newest finding
-	Reason  string        // why there is none
-	Watched time.Duration // as of when it was last found whole
+	Until   time.Duration // no new requests from then on; 0: no permit
+	Broken  bool          // the group is known not to be whole: requests running there are abandoned
+	Load    int           // requests running and queued, from the newest whole finding
+	Reason  string        // why there is no permit
+	Watched time.Duration // time of the newest whole finding
 }
 
-// Judge is what permits are worked out from.
+// Judge holds the input from which permits are computed.
 type Judge struct {
 	Now     time.Duration
-	Window  time.Duration // how old a finding may be that lets requests through
-	Drains  map[shedkeel.BoxID]bool
+	Window  time.Duration           // maximum age of a whole finding that grants a permit
+	Drains  map[shedkeel.BoxID]bool // boxes that operators drain
 	Digests []Digest
 }
 
-// leavingLasts is for how many windows a watcher's word counts that a box is
-// leaving. By then the permits that the same watcher gave have long run out.
-const leavingLasts = 10
+// leavingWindows is for how many windows a digest's list of leaving boxes counts.
+// After that time, permits from the same watcher's findings have long expired.
+const leavingWindows = 10
 
-// Permits works out the permit of every group of the placements. A group has
-// one while some watcher found every member present, under the group's epoch,
-// within the window. A newer finding that it is broken or draining takes it
-// away at once; a member's silence only stops its renewal.
+// Permits returns the permit of every group of the placements. A group has a permit
+// if a watcher found it whole, under its current epoch, within the window. A newer
+// finding that it is broken or draining revokes the permit at once. A silent
+// member only stops the renewal; a group counts as broken once it has been found
+// silent for longer than the window since it was last whole. The permit's Until
+// may be in the past.
 func (judge *Judge) Permits(placements []shedkeel.Placement) []Permit {
-	found := judge.findings()
+	findings := judge.findings()
 	leaving := judge.Leaving()
 	var permits []Permit
 	for _, placement := range placements {
 		for _, group := range placement.Groups {
-			permits = append(permits, judge.permit(group, found[group.Assignment()], leaving))
+			permits = append(permits, judge.permit(group, findings[group.Assignment()], leaving))
 		}
 	}
 	return permits
 }
 
-// finding is the newest word on a group under one epoch.
+// finding holds the time of the newest verdict of each kind on a group under one
+// epoch, over all watchers, or never.
 type finding struct {
-	whole    time.Duration
-	broken   time.Duration
-	draining time.Duration
-	silent   time.Duration
-	load     int
+	wholeAt    time.Duration
+	brokenAt   time.Duration
+	drainingAt time.Duration
+	silentAt   time.Duration
+	load       int
 }
 
+// findings combines the verdicts of all digests by group and epoch.
 func (judge *Judge) findings() map[shedkeel.Assignment]*finding {
-	found := map[shedkeel.Assignment]*finding{}
+	findings := map[shedkeel.Assignment]*finding{}
 	for _, digest := range judge.Digests {
 		for _, verdict := range digest.Verdicts {
 			key := shedkeel.Assignment{Group: verdict.Group, Epoch: verdict.Epoch}
-			known := found[key]
+			known := findings[key]
 			if known == nil {
-				known = &finding{whole: never, broken: never, draining: never, silent: never}
-				found[key] = known
+				known = &finding{wholeAt: never, brokenAt: never, drainingAt: never, silentAt: never}
+				findings[key] = known
 			}
 			known.add(verdict, digest.AsOf)
 		}
 	}
-	return found
+	return findings
 }
 
+// add takes in a verdict from a digest of the given time.
 func (finding *finding) add(verdict GroupVerdict, asOf time.Duration) {
 	switch verdict.Verdict {
 	case shedkeel.VerdictWhole:
-		if asOf > finding.whole {
-			finding.whole = asOf
+		if asOf > finding.wholeAt {
+			finding.wholeAt = asOf
 			finding.load = verdict.Load
 		}
 	case shedkeel.VerdictBroken:
-		finding.broken = max(finding.broken, asOf)
+		finding.brokenAt = max(finding.brokenAt, asOf)
 	case shedkeel.VerdictDraining:
-		finding.draining = max(finding.draining, asOf)
+		finding.drainingAt = max(finding.drainingAt, asOf)
 	case shedkeel.VerdictSilent:
-		finding.silent = max(finding.silent, asOf)
+		finding.silentAt = max(finding.silentAt, asOf)
 	}
 }
 
-// never stands for the time of what was not found.
+// never is the time of a verdict that no watcher has reported.
 const never = -1
 
-// Leaving returns the boxes that operators drain or that a watcher saw leaving.
+// Leaving returns the boxes that operators drain and those that a watcher reported
+// as leaving within leavingWindows.
 func (judge *Judge) Leaving() map[shedkeel.BoxID]bool {
 	leaving := map[shedkeel.BoxID]bool{}
 	for _, digest := range judge.Digests {
-		if judge.Now-digest.AsOf > leavingLasts*judge.Window {
+		if judge.Now-digest.AsOf > leavingWindows*judge.Window {
 			continue
 		}
 		for _, box := range digest.Leaving {
@@ -106,6 +112,8 @@
 	return leaving
 }
 
+// permit computes the permit of one group; finding is nil if no watcher has
+// reported on it under its epoch.
 func (judge *Judge) permit(group shedkeel.Group, finding *finding, leaving map[shedkeel.BoxID]bool) Permit {
 	permit := Permit{Group: group}
 	if group.Draining {
@@ -121,20 +129,22 @@
 	switch {
 	case finding == nil:
 		permit.Reason = "no watcher has reported on it yet"
-	case finding.broken > finding.whole:
+	case finding.brokenAt > finding.wholeAt:
 		permit.Broken = true
 		permit.Reason = "a member is missing"
-	case finding.draining > finding.whole:
+	case finding.drainingAt > finding.wholeAt:
 		permit.Reason = "a member reports that it is leaving"
-	case finding.silent > finding.whole+judge.Window:
-		// Watchers have looked all the while and got no answer.
+	case finding.silentAt > finding.wholeAt+judge.Window:
+		// Watchers have probed the group throughout the window and a member
+		// did not answer. A group that was never whole counts from the start
+		// of the local clock.
 		permit.Broken = true
 		permit.Reason = "a member does not answer"
-	case finding.whole == never:
+	case finding.wholeAt == never:
 		permit.Reason = "a member does not answer"
 	default:
-		permit.Until = finding.whole + judge.Window
-		permit.Watched = finding.whole
+		permit.Until = finding.wholeAt + judge.Window
+		permit.Watched = finding.wholeAt
 		permit.Load = finding.load
 	}
 	return permit
--- a/member/permit_test.go
+++ b/member/permit_test.go
@@ -12,16 +12,20 @@
 
 const window = 3 * time.Second
 
+// oneGroup returns a placement with group g of boxes a and b under epoch 4.
 func oneGroup(draining bool) []shedkeel.Placement {
 	return []shedkeel.Placement{{Zone: "z", Groups: []shedkeel.Group{{
 		ID: "g", Service: "s", Epoch: 4, Draining: draining, Members: []shedkeel.Member{{Box: "a"}, {Box: "b"}},
 	}}}}
 }
 
-func found(watcher shedkeel.NodeID, epoch uint64, verdict shedkeel.Verdict, asOf time.Duration) Digest {
+// foundBy returns a watcher's digest with one verdict on group g.
+func foundBy(watcher shedkeel.NodeID, epoch uint64, verdict shedkeel.Verdict, asOf time.Duration) Digest {
 	return Digest{Watcher: watcher, AsOf: asOf, Verdicts: []GroupVerdict{{Group: "g", Epoch: epoch, Verdict: verdict}}}
 }
 
+// TestPermits checks when a group has a permit, until when, and when it counts as
+// broken.
 func TestPermits(t *testing.T) {
 	const now = 100 * time.Second
 	whole, silent, broken, draining := shedkeel.VerdictWhole, shedkeel.VerdictSilent, shedkeel.VerdictBroken, shedkeel.VerdictDraining
@@ -30,24 +34,24 @@
 		drains   map[shedkeel.BoxID]bool
 		draining bool
 		until    time.Duration // 0: no permit
-		lost     bool
+		broken   bool
 	}{
-		"nobody has looked":              {nil, nil, false, 0, false},
-		"whole":                          {[]Digest{found("w1", 4, whole, now)}, nil, false, now + window, false},
-		"whole under another epoch":      {[]Digest{found("w1", 3, whole, now)}, nil, false, 0, false},
-		"whole long ago":                 {[]Digest{found("w1", 4, whole, now-2*window)}, nil, false, now - window, false},
-		"the newer of two whole":         {[]Digest{found("w1", 4, whole, now-time.Second), found("w2", 4, whole, now)}, nil, false, now + window, false},
-		"broken after whole":             {[]Digest{found("w1", 4, whole, now-1), found("w2", 4, broken, now)}, nil, false, 0, true},
-		"whole after broken":             {[]Digest{found("w1", 4, whole, now), found("w2", 4, broken, now-1)}, nil, false, now + window, false},
-		"silence alone only ages":        {[]Digest{found("w1", 4, whole, now-time.Second), found("w2", 4, silent, now)}, nil, false, now - time.Second + window, false},
-		"silence through the window":     {[]Digest{found("w1", 4, whole, now-2*window), found("w2", 4, silent, now)}, nil, false, 0, true},
-		"never whole yet":                {[]Digest{found("w1", 4, silent, now)}, nil, false, 0, true},
-		"a member says it leaves":        {[]Digest{found("w1", 4, whole, now-1), found("w2", 4, draining, now)}, nil, false, 0, false},
-		"an operator drains a member":    {[]Digest{found("w1", 4, whole, now)}, map[shedkeel.BoxID]bool{"b": true}, false, 0, false},
-		"the list has a member leaving":  {[]Digest{found("w1", 4, whole, now), {Watcher: "w2", AsOf: now, Leaving: []shedkeel.BoxID{"a"}}}, nil, false, 0, false},
-		"another box leaves":             {[]Digest{found("w1", 4, whole, now), {Watcher: "w2", AsOf: now, Leaving: []shedkeel.BoxID{"c"}}}, nil, false, now + window, false},
-		"an old word that a member left": {[]Digest{found("w1", 4, whole, now), {Watcher: "w2", AsOf: now - 20*window, Leaving: []shedkeel.BoxID{"a"}}}, nil, false, now + window, false},
-		"the group is draining":          {[]Digest{found("w1", 4, whole, now)}, nil, true, 0, false},
+		"no findings":                        {nil, nil, false, 0, false},
+		"whole":                              {[]Digest{foundBy("w1", 4, whole, now)}, nil, false, now + window, false},
+		"whole under another epoch":          {[]Digest{foundBy("w1", 3, whole, now)}, nil, false, 0, false},
+		"whole long ago":                     {[]Digest{foundBy("w1", 4, whole, now-2*window)}, nil, false, now - window, false},
+		"the newer of two whole":             {[]Digest{foundBy("w1", 4, whole, now-time.Second), foundBy("w2", 4, whole, now)}, nil, false, now + window, false},
+		"broken after whole":                 {[]Digest{foundBy("w1", 4, whole, now-1), foundBy("w2", 4, broken, now)}, nil, false, 0, true},
+		"whole after broken":                 {[]Digest{foundBy("w1", 4, whole, now), foundBy("w2", 4, broken, now-1)}, nil, false, now + window, false},
+		"silence stops the renewal":          {[]Digest{foundBy("w1", 4, whole, now-time.Second), foundBy("w2", 4, silent, now)}, nil, false, now - time.Second + window, false},
+		"silence through the window":         {[]Digest{foundBy("w1", 4, whole, now-2*window), foundBy("w2", 4, silent, now)}, nil, false, 0, true},
+		"never whole yet":                    {[]Digest{foundBy("w1", 4, silent, now)}, nil, false, 0, true},
+		"a member reports that it leaves":    {[]Digest{foundBy("w1", 4, whole, now-1), foundBy("w2", 4, draining, now)}, nil, false, 0, false},
+		"an operator drains a member":        {[]Digest{foundBy("w1", 4, whole, now)}, map[shedkeel.BoxID]bool{"b": true}, false, 0, false},
+		"a watcher reports a leaving member": {[]Digest{foundBy("w1", 4, whole, now), {Watcher: "w2", AsOf: now, Leaving: []shedkeel.BoxID{"a"}}}, nil, false, 0, false},
+		"another box leaves":                 {[]Digest{foundBy("w1", 4, whole, now), {Watcher: "w2", AsOf: now, Leaving: []shedkeel.BoxID{"c"}}}, nil, false, now + window, false},
+		"an old report of a leaving member":  {[]Digest{foundBy("w1", 4, whole, now), {Watcher: "w2", AsOf: now - 20*window, Leaving: []shedkeel.BoxID{"a"}}}, nil, false, now + window, false},
+		"the group is draining":              {[]Digest{foundBy("w1", 4, whole, now)}, nil, true, 0, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -55,14 +59,12 @@
 			permits := judge.Permits(oneGroup(test.draining))
 			assert.Equal(t, len(permits), 1)
 			assert.Equal(t, permits[0].Until, test.until, permits[0].Reason)
-			assert.Equal(t, permits[0].Broken, test.lost, permits[0].Reason)
+			assert.Equal(t, permits[0].Broken, test.broken, permits[0].Reason)
 		})
 	}
 }
 
-// TestPermitsAgainstNaive holds permits against the naive rule, worked out
-// from the list of all findings: a permit needs a whole finding within the
-// window, and no newer one that contradicts it.
+// TestPermitsAgainstNaive compares permits with referenceAllowed on random digests.
 func TestPermitsAgainstNaive(t *testing.T) {
 	allowed := 0
 	for seed := range uint64(5000) {
@@ -71,19 +73,22 @@
 		var digests []Digest
 		for range 1 + random.IntN(5) {
 			age := time.Duration(random.IntN(5000)) * time.Millisecond
-			digests = append(digests, found(shedkeel.NodeID(rune('a'+random.IntN(4))), 3+uint64(random.IntN(2)), shedkeel.Verdict(random.IntN(4)), now-age))
+			digests = append(digests, foundBy(shedkeel.NodeID(rune('a'+random.IntN(4))), 3+uint64(random.IntN(2)), shedkeel.Verdict(random.IntN(4)), now-age))
 		}
 		judge := Judge{Now: now, Window: window, Digests: digests}
-		got := judge.Permits(oneGroup(false))[0].Until > now
-		assert.Equal(t, got, naiveMayServe(digests, now), "seed %d: %v", seed, digests)
-		if got {
+		allows := judge.Permits(oneGroup(false))[0].Until > now
+		assert.Equal(t, allows, referenceAllowed(digests, now), "seed %d: %v", seed, digests)
+		if allows {
 			allowed++
 		}
 	}
-	assert.Assert(t, allowed > 500, "hardly any history had a permit: %d", allowed)
+	assert.Assert(t, allowed > 500, "%d of 5000 histories had a permit, want more than 500", allowed)
 }
 
-func naiveMayServe(digests []Digest, now time.Duration) bool {
+// referenceAllowed is an independent implementation of the rule, on the list of all
+// findings: a permit needs a whole finding within the window, and no newer broken
+// or draining finding.
+func referenceAllowed(digests []Digest, now time.Duration) bool {
 	for _, digest := range digests {
 		verdict := digest.Verdicts[0]
 		if verdict.Epoch != 4 || verdict.Verdict != shedkeel.VerdictWhole || now-digest.AsOf >= window {
@@ -91,8 +96,8 @@
 		}
 		contradicted := false
 		for _, other := range digests {
-			against := other.Verdicts[0].Verdict == shedkeel.VerdictBroken || other.Verdicts[0].Verdict == shedkeel.VerdictDraining
-			if other.Verdicts[0].Epoch == 4 && against && other.AsOf > digest.AsOf {
+			contradicts := other.Verdicts[0].Verdict == shedkeel.VerdictBroken || other.Verdicts[0].Verdict == shedkeel.VerdictDraining
+			if other.Verdicts[0].Epoch == 4 && contradicts && other.AsOf > digest.AsOf {
 				contradicted = true
 			}
 		}
--- a/member/rank.go
+++ b/member/rank.go
@@ -8,18 +8,18 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Rank orders nodes for a key by rendezvous hashing: each node's place is
-// nearly independent of the others, so that one coming or going moves little.
+// Rank sorts nodes for a key by rendezvous hashing, highest score first. A node
+// that joins or leaves does not change the order of the others.
 func Rank(key string, nodes []shedkeel.Node) []shedkeel.Node {
-	type scored struct {
+	type scoredNode struct {
 		node  shedkeel.Node
 		score uint64
 	}
-	all := make([]scored, len(nodes))
+	all := make([]scoredNode, len(nodes))
 	for index, node := range nodes {
-		all[index] = scored{node: node, score: Score(key, string(node.ID))}
+		all[index] = scoredNode{node: node, score: Score(key, string(node.ID))}
 	}
-	slices.SortFunc(all, func(a, b scored) int {
+	slices.SortFunc(all, func(a, b scoredNode) int {
 		if order := cmp.Compare(b.score, a.score); order != 0 {
 			return order
 		}
@@ -32,19 +32,19 @@
 	return ranked
 }
 
-// Score returns the rendezvous weight of a candidate for a key.
+// Score returns the rendezvous score of a candidate for a key.
 func Score(key, candidate string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(key))
 	_, _ = hash.Write([]byte{0})
 	_, _ = hash.Write([]byte(candidate))
-	return mix(hash.Sum64())
+	return mixBits(hash.Sum64())
 }
 
-// mix spreads a hash over all its bits: FNV alone leaves the high bits of
-// similar names alike, which would give one node most keys. The constants are
-// those of the splitmix64 finalizer.
-func mix(value uint64) uint64 {
+// mixBits spreads the entropy of a hash over all its bits. FNV alone leaves the
+// high bits of similar names alike, so one node would get most keys. The constants
+// are those of the splitmix64 finalizer.
+func mixBits(value uint64) uint64 {
 	value ^= value >> 30
 	value *= 0xbf58476d1ce4e5b9
 	value ^= value >> 27
@@ -55,36 +55,38 @@
 // watchersPerGroup is how many nodes probe each group.
 const watchersPerGroup = 2
 
-// Watches reports whether the node should probe the group: it is one of the
-// first two that rendezvous hashing gives among the live nodes of the group's
-// zone, or among all live nodes when that zone has fewer than two.
+// Watches reports whether the node must probe the group. The watchers of a group
+// are the first watchersPerGroup nodes that Rank gives for it among the Candidates
+// of its zone.
 func Watches(self shedkeel.NodeID, group shedkeel.GroupID, zone shedkeel.ZoneID, live []shedkeel.Node) bool {
-	return slices.ContainsFunc(first(string(group), zone, live), func(node shedkeel.Node) bool { return node.ID == self })
+	return slices.ContainsFunc(assignedNodes(string(group), zone, live), func(node shedkeel.Node) bool { return node.ID == self })
 }
 
-// first returns the nodes that do a zone's work for the key.
-func first(key string, zone shedkeel.ZoneID, live []shedkeel.Node) []shedkeel.Node {
+// assignedNodes returns the first watchersPerGroup of the zone's candidates, ranked
+// for the key.
+func assignedNodes(key string, zone shedkeel.ZoneID, live []shedkeel.Node) []shedkeel.Node {
 	candidates := Candidates(zone, live)
 	ranked := Rank(key, candidates)
 	return ranked[:min(watchersPerGroup, len(ranked))]
 }
 
-// Candidates returns the live nodes that may work for a zone.
+// Candidates returns the live nodes that may work for a zone: those in the zone,
+// or all live nodes if the zone has fewer than watchersPerGroup.
 func Candidates(zone shedkeel.ZoneID, live []shedkeel.Node) []shedkeel.Node {
-	var local []shedkeel.Node
+	var inZone []shedkeel.Node
 	for _, node := range live {
 		if node.Zone == zone {
-			local = append(local, node)
+			inZone = append(inZone, node)
 		}
 	}
-	if len(local) < watchersPerGroup {
+	if len(inZone) < watchersPerGroup {
 		return live
 	}
-	return local
+	return inZone
 }
 
-// Place returns the node's place among those that may work for a zone under
-// the key, or false when it is none of them.
+// Place returns the node's rank for the key, from 0, among the candidates of a
+// zone, or false if it is not a candidate.
 func Place(self shedkeel.NodeID, key string, zone shedkeel.ZoneID, live []shedkeel.Node) (int, bool) {
 	for place, node := range Rank(key, Candidates(zone, live)) {
 		if node.ID == self {
--- a/member/spread_test.go
+++ b/member/spread_test.go
@@ -17,147 +17,151 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-var sizes = flag.Bool("sizes", false, "measure the spread between keepers at all sizes, up to 380")
-
-// spread is a fleet of keepers in virtual time that exchange what they know,
-// as keeper.tickExchange does.
-type spread struct {
-	tables []*Table
-	random *rand.Rand
-	now    time.Duration
-	loss   float64
-	apart  func(a, b int) bool // whether two nodes cannot reach each other
-	groups int
-	bytes  int // sent by all
-	calls  int
+var allSizes = flag.Bool("sizes", false, "measure the gossip between keepers at all sizes, up to 380")
+
+// gossip simulates keepers in virtual time that exchange their tables as
+// keeper.tickExchange does.
+type gossip struct {
+	tables      []*Table
+	random      *rand.Rand
+	now         time.Duration
+	loss        float64
+	partitioned func(a, b int) bool // reports whether two nodes cannot reach each other
+	groups      int
+	bytes       int // sent by all nodes
+	calls       int
 }
 
 const (
-	spreadTick = 500 * time.Millisecond
-	allPeers   = 4 // as in package keeper
-	somePeers  = 3
+	gossipTick  = 500 * time.Millisecond
+	maxAllPeers = 4 // with more peers than this, only randomPeers are asked; as in package keeper
+	randomPeers = 3
 )
 
-func newSpread(nodes, groups int, seed uint64) *spread {
-	spread := &spread{tables: newTables(nodes), random: rand.New(rand.NewPCG(seed, 9)), groups: groups, apart: func(int, int) bool { return false }}
-	for _, table := range spread.tables {
-		for _, other := range spread.tables {
+// newGossip returns a fleet in which every node knows all others.
+func newGossip(nodes, groups int, seed uint64) *gossip {
+	gossip := &gossip{tables: newTables(nodes), random: rand.New(rand.NewPCG(seed, 9)), groups: groups, partitioned: func(int, int) bool { return false }}
+	for _, table := range gossip.tables {
+		for _, other := range gossip.tables {
 			table.MergeNode(other.Self, 0)
 		}
 	}
-	return spread
+	return gossip
 }
 
-// tick lets every node probe, beat and ask its peers once.
-func (spread *spread) tick() {
-	spread.now += spreadTick
-	for index, table := range spread.tables {
-		table.Beat(spread.now)
-		table.MergeDigest(spread.digest(index))
-	}
-	for index := range spread.tables {
-		for _, peer := range spread.peers(index) {
-			spread.exchange(index, peer)
+// tick makes every node advance its heartbeat, store a new digest of its own and
+// ask its peers once.
+func (gossip *gossip) tick() {
+	gossip.now += gossipTick
+	for index, table := range gossip.tables {
+		table.Beat(gossip.now)
+		table.MergeDigest(gossip.digest(index))
+	}
+	for index := range gossip.tables {
+		for _, peer := range gossip.peers(index) {
+			gossip.exchange(index, peer)
 		}
 	}
 }
 
-// digest is what a node found: each group is watched by two nodes.
-func (spread *spread) digest(index int) Digest {
-	digest := Digest{Watcher: spread.tables[index].Self.ID, Incarnation: "1", Sequence: uint64(spread.now / spreadTick), AsOf: spread.now}
-	for group := range spread.groups {
-		if group%len(spread.tables) == index || (group+1)%len(spread.tables) == index {
+// digest returns a node's current findings. Each group is watched by two nodes.
+func (gossip *gossip) digest(index int) Digest {
+	digest := Digest{Watcher: gossip.tables[index].Self.ID, Incarnation: "1", Sequence: uint64(gossip.now / gossipTick), AsOf: gossip.now}
+	for group := range gossip.groups {
+		if group%len(gossip.tables) == index || (group+1)%len(gossip.tables) == index {
 			digest.Verdicts = append(digest.Verdicts, GroupVerdict{Group: shedkeel.GroupID(fmt.Sprintf("zone-%d-%d", index%7, group)), Epoch: uint64(group), Verdict: shedkeel.VerdictWhole, Load: 40})
 		}
 	}
 	return digest
 }
 
-func (spread *spread) peers(index int) []int {
+// peers returns the nodes that a node asks in this tick.
+func (gossip *gossip) peers(index int) []int {
 	var peers []int
-	for peer := range spread.tables {
+	for peer := range gossip.tables {
 		if peer != index {
 			peers = append(peers, peer)
 		}
 	}
-	if len(peers) > allPeers {
-		spread.random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-		peers = peers[:somePeers]
+	if len(peers) > maxAllPeers {
+		gossip.random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
+		peers = peers[:randomPeers]
 	}
 	return peers
 }
 
-func (spread *spread) exchange(asks, answers int) {
-	if spread.apart(asks, answers) || spread.random.Float64() < spread.loss {
+// exchange runs one exchange, unless it is lost or the nodes are partitioned.
+func (gossip *gossip) exchange(caller, callee int) {
+	if gossip.partitioned(caller, callee) || gossip.random.Float64() < gossip.loss {
 		return
 	}
-	call := spread.tables[asks].Ask(spread.now)
-	reply := spread.tables[answers].Answer(call, spread.now)
-	spread.bytes += proto.Size(call) + proto.Size(reply)
-	spread.calls++
-	spread.tables[asks].Take(reply, spread.now, spread.now)
+	call := gossip.tables[caller].Ask(gossip.now)
+	reply := gossip.tables[callee].Answer(call, gossip.now)
+	gossip.bytes += proto.Size(call) + proto.Size(reply)
+	gossip.calls++
+	gossip.tables[caller].Take(reply, gossip.now, gossip.now)
 }
 
-// reach puts a new configuration in force on one node and returns how long it
-// took to be in force on all that can be reached.
-func (spread *spread) reach(generation uint64) time.Duration {
-	began := spread.now
-	spread.tables[0].MergeRecord(Record{Key: KeyConfig, Generation: generation, Value: make([]byte, 4096)})
-	for spread.now-began < time.Minute {
-		spread.tick()
-		everywhere := true
-		for index, table := range spread.tables {
-			if !spread.apart(0, index) && table.Record(KeyConfig).Generation != generation {
-				everywhere = false
+// timeToAll stores a new configuration on node 0 and returns how long it takes to
+// arrive at all nodes that node 0 can reach, at most a minute.
+func (gossip *gossip) timeToAll(generation uint64) time.Duration {
+	start := gossip.now
+	gossip.tables[0].MergeRecord(Record{Key: KeyConfig, Generation: generation, Value: make([]byte, 4096)})
+	for gossip.now-start < time.Minute {
+		gossip.tick()
+		reachedAll := true
+		for index, table := range gossip.tables {
+			if !gossip.partitioned(0, index) && table.Record(KeyConfig).Generation != generation {
+				reachedAll = false
 			}
 		}
-		if everywhere {
-			return spread.now - began
+		if reachedAll {
+			return gossip.now - start
 		}
 	}
 	return time.Minute
 }
 
-// age returns how old the oldest digest is at the worst node but one in a
-// hundred.
-func (spread *spread) age() time.Duration {
+// digestAge returns the 99th percentile of the ages of all digests on all nodes.
+func (gossip *gossip) digestAge() time.Duration {
 	var ages []time.Duration
-	for _, table := range spread.tables {
+	for _, table := range gossip.tables {
 		for _, digest := range table.Digests() {
-			ages = append(ages, spread.now-digest.AsOf)
+			ages = append(ages, gossip.now-digest.AsOf)
 		}
 	}
 	slices.Sort(ages)
 	return ages[len(ages)*99/100]
 }
 
-// TestSpread measures time to everywhere, age of findings, bytes and calls. It
-// prints its table with -v.
+// TestSpread measures how fast a configuration reaches all nodes, the age of the
+// digests, and the bytes and calls sent. A configuration must reach all nodes
+// within 12 s, with and without message loss. The table is printed with -v.
 func TestSpread(t *testing.T) {
 	counts := []int{9, 50}
-	if *sizes {
+	if *allSizes {
 		counts = []int{9, 16, 17, 50, 100, 380}
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(table, "keepers\tgroups\tloss\tto everywhere\tdigest age p99\tsent bytes/s a node\tcalls/s a node")
+	_, _ = fmt.Fprintln(table, "keepers\tgroups\tloss\ttime to all\tdigest age p99\tsent bytes/s a node\tcalls/s a node")
 	for _, count := range counts {
 		for _, loss := range []float64{0, 0.2} {
 			groups := max(50, count*600/380)
-			spread := newSpread(count, groups, uint64(count))
-			spread.loss = loss
+			gossip := newGossip(count, groups, uint64(count))
+			gossip.loss = loss
 			for range 12 {
-				spread.tick()
+				gossip.tick()
 			}
-			spread.bytes, spread.calls = 0, 0
-			began := spread.now
+			gossip.bytes, gossip.calls = 0, 0
+			start := gossip.now
 			worst := time.Duration(0)
 			for generation := range uint64(2) {
-				worst = max(worst, spread.reach(generation+1))
+				worst = max(worst, gossip.timeToAll(generation+1))
 			}
-			seconds := (spread.now - began).Seconds()
+			seconds := (gossip.now - start).Seconds()
 			perNode := float64(count) * seconds
-			_, _ = fmt.Fprintf(table, "%d\t%d\t%.0f%%\t%s\t%s\t%.0f\t%.1f\n", count, groups, loss*100, worst, spread.age(), float64(spread.bytes)/perNode, float64(spread.calls)/perNode)
-			assert.Assert(t, worst <= 12*time.Second, "%d keepers: %s to everywhere", count, worst)
+			_, _ = fmt.Fprintf(table, "%d\t%d\t%.0f%%\t%s\t%s\t%.0f\t%.1f\n", count, groups, loss*100, worst, gossip.digestAge(), float64(gossip.bytes)/perNode, float64(gossip.calls)/perNode)
+			assert.Assert(t, worst <= 12*time.Second, "%d keepers: a configuration took %s to reach all, want at most 12s", count, worst)
 		}
 	}
 	if testing.Verbose() {
@@ -165,59 +169,60 @@
 	}
 }
 
-// TestSpreadApart shows that a configuration reaches all of a part while the
-// fleet is in two, and the other part within seconds of their meeting again.
+// TestSpreadApart checks that, while the fleet is partitioned in two, a
+// configuration reaches all nodes of its part within 12 s, and the other part
+// within 12 s after the partition heals.
 func TestSpreadApart(t *testing.T) {
-	spread := newSpread(30, 50, 1)
-	together := false
-	spread.apart = func(a, b int) bool { return !together && (a < 15) != (b < 15) }
+	gossip := newGossip(30, 50, 1)
+	healed := false
+	gossip.partitioned = func(a, b int) bool { return !healed && (a < 15) != (b < 15) }
 	for range 20 {
-		spread.tick()
+		gossip.tick()
 	}
-	assert.Assert(t, spread.reach(1) <= 12*time.Second)
-	assert.Equal(t, spread.tables[20].Record(KeyConfig).Generation, uint64(0))
-	together = true
-	began := spread.now
-	for spread.now-began < 12*time.Second {
-		spread.tick()
+	assert.Assert(t, gossip.timeToAll(1) <= 12*time.Second)
+	assert.Equal(t, gossip.tables[20].Record(KeyConfig).Generation, uint64(0))
+	healed = true
+	start := gossip.now
+	for gossip.now-start < 12*time.Second {
+		gossip.tick()
 	}
-	for index, table := range spread.tables {
+	for index, table := range gossip.tables {
 		assert.Equal(t, table.Record(KeyConfig).Generation, uint64(1), "node %d", index)
 	}
 }
 
-// BenchmarkExchange measures one exchange, both sides with their encoding.
+// BenchmarkExchange measures one exchange, with encoding and decoding on both sides.
 func BenchmarkExchange(b *testing.B) {
 	for _, count := range []int{9, 50, 380} {
 		b.Run(fmt.Sprintf("keepers=%d", count), func(b *testing.B) {
-			spread := newSpread(count, max(50, count*600/380), 1)
+			gossip := newGossip(count, max(50, count*600/380), 1)
 			for range 12 {
-				spread.tick()
+				gossip.tick()
 			}
 			for b.Loop() {
 				b.StopTimer()
-				spread.now += spreadTick
-				for index := range spread.tables {
-					spread.tables[1].MergeDigest(spread.digest(index))
+				gossip.now += gossipTick
+				for index := range gossip.tables {
+					gossip.tables[1].MergeDigest(gossip.digest(index))
 				}
 				b.StartTimer()
-				call, err := proto.Marshal(spread.tables[0].Ask(spread.now))
+				call, err := proto.Marshal(gossip.tables[0].Ask(gossip.now))
 				if err != nil {
 					b.Fatal(err)
 				}
-				asked := &wire.ExchangeCall{}
-				if err := proto.Unmarshal(call, asked); err != nil {
+				receivedCall := &wire.ExchangeCall{}
+				if err := proto.Unmarshal(call, receivedCall); err != nil {
 					b.Fatal(err)
 				}
-				reply, err := proto.Marshal(spread.tables[1].Answer(asked, spread.now))
+				reply, err := proto.Marshal(gossip.tables[1].Answer(receivedCall, gossip.now))
 				if err != nil {
 					b.Fatal(err)
 				}
-				answered := &wire.ExchangeReply{}
-				if err := proto.Unmarshal(reply, answered); err != nil {
+				receivedReply := &wire.ExchangeReply{}
+				if err := proto.Unmarshal(reply, receivedReply); err != nil {
 					b.Fatal(err)
 				}
-				spread.tables[0].Take(answered, spread.now, spread.now)
+				gossip.tables[0].Take(receivedReply, gossip.now, gossip.now)
 			}
 		})
 	}
--- a/member/table.go
+++ b/member/table.go
@@ -1,6 +1,7 @@
-// Package member keeps what one process knows of the fleet: its nodes, the
-// agreed records and what watchers found, and merges what others tell so that
-// order, repeats and partitions do no harm.
+// Package member holds what one process knows of the fleet: the nodes, the agreed
+// records and the watchers' findings. Processes exchange this state by gossip.
+// Merging depends only on versions, so messages may arrive late, repeated or out
+// of order, also after a partition.
 package member
 
 import (
@@ -18,22 +19,22 @@
 	KeyConfig     = KeyPrefix + "config"
 	KeyPlacements = KeyPrefix + "placement/"
 	KeyLeases     = KeyPrefix + "lease/"
-	KeyFallbacks  = KeyPrefix + "fallback/" // spread only, never written
-	KeyClaims     = "shedkeel-claims/"      // outside KeyPrefix: not spread
+	KeyFallbacks  = KeyPrefix + "fallback/" // spread by gossip only, never written to the key-value service
+	KeyClaims     = "shedkeel-claims/"      // outside KeyPrefix: not spread by gossip
 )
 
-// DefaultLiveTime is how long a node is taken for live that is not heard of.
+// DefaultLiveTime is how long a node counts as live after its last new heartbeat.
 const DefaultLiveTime = 6 * time.Second
 
-// Record is an agreed record as this process knows it.
+// Record is a record of the key-value service as this process knows it.
 type Record struct {
 	Key        string
-	Generation uint64            // from its value; a process only moves to a higher one
+	Generation uint64            // read from its value; a process never goes back to a lower one
 	Revision   shedkeel.Revision // of the key-value service, for the next compare-and-swap
 	Value      []byte
 }
 
-// GroupVerdict is what a watcher found of one group.
+// GroupVerdict is a watcher's verdict on one group.
 type GroupVerdict struct {
 	Group   shedkeel.GroupID
 	Epoch   uint64
@@ -41,57 +42,59 @@
 	Load    int // requests running and queued on its first member, as reported
 }
 
-// Digest is all that one watcher found in one round of probes.
+// Digest holds all findings of one watcher from one round of probes.
 type Digest struct {
 	Watcher     shedkeel.NodeID
 	Incarnation string
 	Sequence    uint64
-	AsOf        time.Duration // on the local clock, no later than the probes were sent
+	AsOf        time.Duration // when the probes were sent, on the local clock, or earlier
 	Verdicts    []GroupVerdict
 	Leaving     []shedkeel.BoxID // boxes that are listed as leaving
 }
 
-// NodeState is a node and when it was last heard of, at first or second hand.
+// NodeState is a node and the time of its last new heartbeat, received from the
+// node itself or through others.
 type NodeState struct {
 	Node     shedkeel.Node
-	Advanced time.Duration // when its heartbeat last grew here
+	Advanced time.Duration // local time at which its heartbeat or incarnation last advanced
 }
 
-// Table is the knowledge of one process. Its exported fields are set before
-// use; its methods must not be called at once.
+// Table is the state that one process knows. Its exported fields are set before
+// use. It must not be used concurrently.
 type Table struct {
-	Self     shedkeel.Node // the zero Node in a process that is no node
-	LiveTime time.Duration // a node unheard of for longer is taken for dead; zero: 6 s
+	Self     shedkeel.Node // zero in a process that is not a node
+	LiveTime time.Duration // a node without a new heartbeat for this long counts as dead; zero: DefaultLiveTime
 
 	nodes   map[shedkeel.NodeID]*NodeState
 	records map[string]Record
 	digests map[shedkeel.NodeID]Digest
 
-	// config and placements are what the records of these generations say.
-	// Reading a placement's JSON takes about a millisecond, and they are
-	// asked for several times a tick.
-	config       shedkeel.Config
-	configOf     uint64
-	placements   []shedkeel.Placement
-	placementsOf map[string]uint64
+	// config and placements cache the decoded records of the generations beside
+	// them. Decoding a placement takes about a millisecond, and callers ask for
+	// both several times a tick.
+	config               shedkeel.Config
+	configGeneration     uint64
+	placements           []shedkeel.Placement
+	placementGenerations map[string]uint64
 }
 
-// beatEvery is how often a node's heartbeat advances while nothing else about
-// it changes. Each advance is told to every node.
-const beatEvery = 1500 * time.Millisecond
+// heartbeatInterval is how often a node advances its heartbeat while nothing else
+// about it changes. Each advance is sent to every node.
+const heartbeatInterval = 1500 * time.Millisecond
 
-// Beat advances this node's own heartbeat if it is due or the node has
-// changed. It is called on every tick.
+// Beat advances this node's own heartbeat if heartbeatInterval has passed or the
+// node has changed. It is called on every tick.
 func (table *Table) Beat(now time.Duration) {
 	known := table.nodes[table.Self.ID]
-	if known != nil && known.Node == table.Self && now-known.Advanced < beatEvery {
+	if known != nil && known.Node == table.Self && now-known.Advanced < heartbeatInterval {
 		return
 	}
 	table.Self.Heartbeat++
 	table.MergeNode(table.Self, now)
 }
 
-// MergeNode takes in what is told of a node.
+// MergeNode stores a node if it is newer than the one known. It ignores this
+// node under another incarnation, which is an earlier process of its own.
 func (table *Table) MergeNode(node shedkeel.Node, now time.Duration) {
 	if table.nodes == nil {
 		table.nodes = map[shedkeel.NodeID]*NodeState{}
@@ -104,21 +107,24 @@
 		table.nodes[node.ID] = &NodeState{Node: node, Advanced: now}
 		return
 	}
-	if newerNode(node, known.Node) {
+	if nodeIsNewer(node, known.Node) {
 		known.Node = node
 		known.Advanced = now
 	}
 }
 
-func newerNode(node, known shedkeel.Node) bool {
+// nodeIsNewer reports whether node is newer than known: by incarnation first, then
+// by heartbeat.
+func nodeIsNewer(node, known shedkeel.Node) bool {
 	if node.Incarnation != known.Incarnation {
 		return node.Incarnation > known.Incarnation
 	}
 	return node.Heartbeat > known.Heartbeat
 }
 
-// MergeRecord takes in a record if it is newer than the one known, and reports
-// whether it was. An older one is never taken.
+// MergeRecord stores a record if its generation is higher than the known one's, and
+// reports whether it did. For the same generation it only takes over a later
+// revision.
 func (table *Table) MergeRecord(record Record) bool {
 	if table.records == nil {
 		table.records = map[string]Record{}
@@ -126,8 +132,8 @@
 	known, found := table.records[record.Key]
 	if found && record.Generation <= known.Generation {
 		if record.Generation == known.Generation && record.Revision.After(known.Revision) {
-			// The same write stands at another revision after the
-			// service was restored and healed.
+			// After the service was restored from older data and the record
+			// was written back, the same value has a later revision.
 			known.Revision = record.Revision
 			table.records[record.Key] = known
 		}
@@ -137,26 +143,28 @@
 	return true
 }
 
-// MergeDigest takes in what a watcher found if it is newer than what is known.
+// MergeDigest stores a watcher's digest if it is newer than the known one.
 func (table *Table) MergeDigest(digest Digest) {
 	if table.digests == nil {
 		table.digests = map[shedkeel.NodeID]Digest{}
 	}
 	known, found := table.digests[digest.Watcher]
-	if found && !newerDigest(digest, known) {
+	if found && !digestIsNewer(digest, known) {
 		return
 	}
 	table.digests[digest.Watcher] = digest
 }
 
-func newerDigest(digest, known Digest) bool {
+// digestIsNewer reports whether digest is newer than known: by incarnation first,
+// then by sequence.
+func digestIsNewer(digest, known Digest) bool {
 	if digest.Incarnation != known.Incarnation {
 		return digest.Incarnation > known.Incarnation
 	}
 	return digest.Sequence > known.Sequence
 }
 
-// Record returns a record; its Generation is 0 when none is known.
+// Record returns the record of the key, or one with Generation 0 if none is known.
 func (table *Table) Record(key string) Record {
 	record, found := table.records[key]
 	if !found {
@@ -165,7 +173,7 @@
 	return record
 }
 
-// Records returns all records whose key begins with the prefix, by key.
+// Records returns the records whose key begins with the prefix, sorted by key.
 func (table *Table) Records(prefix string) []Record {
 	var records []Record
 	for key, record := range table.records {
@@ -177,7 +185,7 @@
 	return records
 }
 
-// Digests returns what each watcher found last, by watcher.
+// Digests returns the last digest of each watcher, sorted by watcher.
 func (table *Table) Digests() []Digest {
 	digests := make([]Digest, 0, len(table.digests))
 	for _, digest := range table.digests {
@@ -187,7 +195,7 @@
 	return digests
 }
 
-// Nodes returns all nodes known, by name.
+// Nodes returns all known nodes, sorted by ID.
 func (table *Table) Nodes() []NodeState {
 	nodes := make([]NodeState, 0, len(table.nodes))
 	for _, state := range table.nodes {
@@ -197,18 +205,21 @@
 	return nodes
 }
 
-// Live returns the nodes heard of lately, by name.
+// Live returns the live nodes, sorted by ID. This node is always among them if
+// the table knows it.
 func (table *Table) Live(now time.Duration) []shedkeel.Node {
 	var live []shedkeel.Node
 	for _, state := range table.Nodes() {
-		if table.alive(state, now) {
+		if table.isLive(state, now) {
 			live = append(live, state.Node)
 		}
 	}
 	return live
 }
 
-func (table *Table) alive(state NodeState, now time.Duration) bool {
+// isLive reports whether the node is this one or had a new heartbeat within
+// LiveTime.
+func (table *Table) isLive(state NodeState, now time.Duration) bool {
 	liveTime := table.LiveTime
 	if liveTime == 0 {
 		liveTime = DefaultLiveTime
@@ -216,55 +227,59 @@
 	return state.Node.ID == table.Self.ID || now-state.Advanced < liveTime
 }
 
-// forgetAfter is how many live times a node that is gone is still told of.
-const forgetAfter = 60
+// evictAfter is for how many times DefaultLiveTime a dead node stays in the
+// table.
+const evictAfter = 60
 
-// Forget drops nodes and digests that are long out of date.
+// Forget evicts nodes that have been dead for evictAfter times DefaultLiveTime,
+// and their digests.
 func (table *Table) Forget(now time.Duration) {
 	for id, state := range table.nodes {
-		if !table.alive(*state, now-forgetAfter*DefaultLiveTime) {
+		if !table.isLive(*state, now-evictAfter*DefaultLiveTime) {
 			delete(table.nodes, id)
 			delete(table.digests, id)
 		}
 	}
 }
 
-// Config returns the configuration in force, or false when none is known. It is
-// shared with later calls and must not be changed.
+// Config returns the configuration in force, or false if none is known or it cannot
+// be decoded. The result is shared between calls and must not be changed.
 func (table *Table) Config() (shedkeel.Config, bool) {
 	record := table.Record(KeyConfig)
 	if record.Generation == 0 {
 		return shedkeel.Config{}, false
 	}
-	if record.Generation != table.configOf {
+	if record.Generation != table.configGeneration {
 		var config shedkeel.Config
 		if json.Unmarshal(record.Value, &config) != nil {
 			return config, false
 		}
-		table.config, table.configOf = config, record.Generation
+		table.config, table.configGeneration = config, record.Generation
 	}
 	return table.config, true
 }
 
-// Placements returns the agreed placements of all zones, by zone, with the
-// reserves that are in use. They are shared with later calls and must not be
-// changed.
+// Placements returns the agreed placements of all zones, sorted by record key, with
+// the fallbacks applied that put reserves to use. Records that cannot be decoded
+// are left out. The result is shared between calls and must not be changed.
 func (table *Table) Placements() []shedkeel.Placement {
 	records := append(table.Records(KeyPlacements), table.Records(KeyFallbacks)...)
-	if table.placementsCurrent(records) {
+	if table.placementsUpToDate(records) {
 		return table.placements
 	}
 	table.placements = nil
-	table.placementsOf = map[string]uint64{}
+	table.placementGenerations = map[string]uint64{}
 	for _, record := range records {
-		table.readPlacement(record)
-		table.placementsOf[record.Key] = record.Generation
+		table.applyPlacementRecord(record)
+		table.placementGenerations[record.Key] = record.Generation
 	}
 	return table.placements
 }
 
-// readPlacement takes in a placement, or a fallback about one before it.
-func (table *Table) readPlacement(record Record) {
+// applyPlacementRecord decodes a placement and appends it, or decodes a fallback
+// and applies it to the placements read before. It ignores records that cannot
+// be decoded.
+func (table *Table) applyPlacementRecord(record Record) {
 	if strings.HasPrefix(record.Key, KeyPlacements) {
 		var placement shedkeel.Placement
 		if json.Unmarshal(record.Value, &placement) == nil {
@@ -281,29 +296,31 @@
 	}
 }
 
-func (table *Table) placementsCurrent(records []Record) bool {
-	if len(records) != len(table.placementsOf) {
+// placementsUpToDate reports whether the cached placements come from exactly these
+// records.
+func (table *Table) placementsUpToDate(records []Record) bool {
+	if len(records) != len(table.placementGenerations) {
 		return false
 	}
 	for _, record := range records {
-		if table.placementsOf[record.Key] != record.Generation {
+		if table.placementGenerations[record.Key] != record.Generation {
 			return false
 		}
 	}
 	return true
 }
 
-// stamp is the part that all agreed records have.
-type stamp struct {
+// generationHeader is the field that the JSON of every agreed record has.
+type generationHeader struct {
 	Generation uint64 `json:"generation"`
 }
 
-// ParseRecord returns a record of the key-value service as a Record, or an
-// InvalidError when its value is none of ours.
+// ParseRecord converts a record of the key-value service to a Record. It returns an
+// InvalidError if the value is not JSON with a generation above 0.
 func ParseRecord(stored shedkeel.Record) (Record, error) {
-	var stamp stamp
-	if err := json.Unmarshal(stored.Value, &stamp); err != nil || stamp.Generation == 0 {
+	var header generationHeader
+	if err := json.Unmarshal(stored.Value, &header); err != nil || header.Generation == 0 {
 		return Record{}, &shedkeel.InvalidError{Where: "key " + stored.Key, What: "its value is no record with a generation", Remedy: "restore the key from a state dump of any keeper"}
 	}
-	return Record{Key: stored.Key, Generation: stamp.Generation, Revision: stored.Revision, Value: stored.Value}, nil
+	return Record{Key: stored.Key, Generation: header.Generation, Revision: stored.Revision, Value: stored.Value}, nil
 }
--- a/member/table_test.go
+++ b/member/table_test.go
@@ -11,12 +11,14 @@
 	"shedkeel.org/shedkeel"
 )
 
-// exchange lets one table ask another, as keepers do.
-func exchange(asks, answers *Table, asksNow, answersNow time.Duration) {
-	reply := answers.Answer(asks.Ask(asksNow), answersNow)
-	asks.Take(reply, asksNow, asksNow)
+// exchange makes the caller ask the callee and merge its reply, as keepers do.
+// Each has its own clock.
+func exchange(caller, callee *Table, callerNow, calleeNow time.Duration) {
+	reply := callee.Answer(caller.Ask(callerNow), calleeNow)
+	caller.Take(reply, callerNow, callerNow)
 }
 
+// newTables returns tables of as many nodes, spread over three zones.
 func newTables(count int) []*Table {
 	tables := make([]*Table, count)
 	for index := range tables {
@@ -25,26 +27,26 @@
 	return tables
 }
 
-// TestNeverAnOlderRecord exchanges in random order over partitions, with
-// repeats, while writers go on, and asserts that no node's generation ever
-// falls and that all meet in the end.
+// TestNeverAnOlderRecord exchanges records in random order, with repeats, partitions
+// and concurrent writers. No node's generation may ever fall, and all nodes must
+// have the newest one in the end.
 func TestNeverAnOlderRecord(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		tables := newTables(7)
-		inForce := make([]uint64, len(tables))
+		known := make([]uint64, len(tables))
 		var newest uint64
 		check := func() {
 			for index, table := range tables {
 				generation := table.Record(KeyConfig).Generation
-				assert.Assert(t, generation >= inForce[index], "seed %d: node %d went from %d back to %d", seed, index, inForce[index], generation)
-				inForce[index] = generation
+				assert.Assert(t, generation >= known[index], "seed %d: node %d went from %d back to %d", seed, index, known[index], generation)
+				known[index] = generation
 			}
 		}
 		for now := range 200 {
 			if random.IntN(5) == 0 {
 				newest++
-				// An older write may arrive late, and at a reader that has a newer one.
+				// An older record may arrive late, at a node that has a newer one.
 				generation := newest - uint64(random.IntN(int(min(newest, 3))))
 				tables[random.IntN(len(tables))].MergeRecord(Record{Key: KeyConfig, Generation: max(generation, 1), Value: []byte("{}")})
 				tables[0].MergeRecord(Record{Key: KeyConfig, Generation: newest, Value: []byte("{}")})
@@ -68,9 +70,9 @@
 	}
 }
 
-// TestDigestNeverLooksYounger passes digests over nodes whose clocks have
-// nothing in common and whose messages are slow, and holds the age that each
-// node takes them for against the true one.
+// TestDigestNeverLooksYounger passes digests between nodes with unrelated clocks and
+// slow messages. No node may take a digest for younger than it is, because it
+// would then keep a group's permit for too long.
 func TestDigestNeverLooksYounger(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 3))
@@ -79,13 +81,13 @@
 		for index := range offsets {
 			offsets[index] = time.Duration(random.IntN(1_000_000)) * time.Millisecond
 		}
-		madeAt := map[uint64]time.Duration{}
+		createdAt := map[uint64]time.Duration{}
 		var sequence uint64
 		now := time.Duration(0)
 		for range 300 {
 			now += time.Duration(random.IntN(700)) * time.Millisecond
 			sequence++
-			madeAt[sequence] = now
+			createdAt[sequence] = now
 			tables[0].MergeDigest(Digest{Watcher: "n00", Incarnation: "1", Sequence: sequence, AsOf: now + offsets[0]})
 			a, b := random.IntN(len(tables)), random.IntN(len(tables))
 			if a == b {
@@ -95,49 +97,53 @@
 			ask := tables[a].Ask(sent + offsets[a])
 			now += time.Duration(random.IntN(2000)) * time.Millisecond
 			reply := tables[b].Answer(ask, now+offsets[b])
-			now += time.Duration(random.IntN(5000)) * time.Millisecond // frozen before it reads the reply
+			now += time.Duration(random.IntN(5000)) * time.Millisecond // the caller is paused before it reads the reply
 			tables[a].Take(reply, sent+offsets[a], now+offsets[a])
 			for index, table := range tables {
 				for _, digest := range table.Digests() {
-					takenFor := now + offsets[index] - digest.AsOf
-					truly := now - madeAt[digest.Sequence]
-					assert.Assert(t, takenFor >= truly, "seed %d: node %d takes a digest of age %s for %s", seed, index, truly, takenFor)
+					assumedAge := now + offsets[index] - digest.AsOf
+					trueAge := now - createdAt[digest.Sequence]
+					assert.Assert(t, assumedAge >= trueAge, "seed %d: node %d has a digest of age %s and takes its age for %s", seed, index, trueAge, assumedAge)
 				}
 			}
 		}
 	}
 }
 
+// TestLiveNodes checks which nodes count as live: a repeated heartbeat does not
+// count, a new incarnation does, and an earlier process of this node is ignored.
 func TestLiveNodes(t *testing.T) {
 	table := &Table{Self: shedkeel.Node{ID: "self", Incarnation: "1"}}
 	table.Beat(0)
 	table.MergeNode(shedkeel.Node{ID: "other", Incarnation: "1", Heartbeat: 5}, 0)
 	table.MergeNode(shedkeel.Node{ID: "other", Incarnation: "1", Heartbeat: 5}, 5*time.Second)
 	assert.Equal(t, len(table.Live(5*time.Second)), 2)
-	assert.Equal(t, len(table.Live(7*time.Second)), 1, "a repeated heartbeat is no sign of life")
+	assert.Equal(t, len(table.Live(7*time.Second)), 1, "a repeated heartbeat must not keep a node live")
 	table.MergeNode(shedkeel.Node{ID: "other", Incarnation: "2", Heartbeat: 1}, 7*time.Second)
-	assert.Equal(t, len(table.Live(7*time.Second)), 2, "a new incarnation begins to count anew")
+	assert.Equal(t, len(table.Live(7*time.Second)), 2, "a new incarnation starts with a lower heartbeat and must count as live")
 	table.MergeNode(shedkeel.Node{ID: "self", Incarnation: "0", Heartbeat: 99, Stopping: true}, 7*time.Second)
-	assert.Assert(t, !table.Live(7 * time.Second)[1].Stopping, "an earlier self must not speak for this one")
+	assert.Assert(t, !table.Live(7 * time.Second)[1].Stopping, "an earlier incarnation of this node must not replace it")
 }
 
+// TestRankMovesLittle checks that only the keys of a removed node change their first
+// node, and that keys spread evenly.
 func TestRankMovesLittle(t *testing.T) {
 	var nodes []shedkeel.Node
 	for index := range 10 {
 		nodes = append(nodes, shedkeel.Node{ID: shedkeel.NodeID(fmt.Sprintf("n%d", index))})
 	}
 	counts := map[shedkeel.NodeID]int{}
-	moved := 0
+	changed := 0
 	const keys = 2000
 	for key := range keys {
 		name := fmt.Sprintf("group-%d", key)
 		first := Rank(name, nodes)[0].ID
 		counts[first]++
 		if Rank(name, nodes[1:])[0].ID != first {
-			moved++
+			changed++
 		}
 	}
-	assert.Equal(t, moved, counts["n0"], "only the keys of the node that left may move")
+	assert.Equal(t, changed, counts["n0"], "only the keys of the removed node may change")
 	for id, count := range counts {
 		assert.Assert(t, count > keys/10/2 && count < keys/10*2, "%s has %d of %d keys", id, count, keys)
 	}
