--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -19,6 +19,7 @@
 
 var nonces atomic.Int64
 
+// newCommitter returns a committer with a batch interval of 1 ms.
 func newCommitter(store shedkeel.Store) *Committer {
 	committer := NewCommitter()
 	committer.Store = store
@@ -30,15 +31,16 @@
 	return committer
 }
 
-// operation is a claim as a history records it.
+// operation is the input of one claim in a history.
 type operation struct {
 	key     string
 	attempt string
 }
 
-// rights is the naive version: a map from key to the attempt that has it. A
-// claim that was refused may stand all the same, or not.
-var rights = porcupine.NondeterministicModel{
+// claimModel is the specification for the linearizability check: each key is held
+// by at most one attempt. A claim that ended with an error (status 0) may or may
+// not have been stored.
+var claimModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
 		for _, operation := range history {
@@ -54,16 +56,16 @@
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
 		holder := state.(string)
-		claimed := input.(operation)
-		decided := output.(Result)
+		requested := input.(operation)
+		result := output.(Result)
 		switch {
-		case decided.Status == 0 && holder == "":
-			return []any{"", claimed.attempt}
-		case decided.Status == 0:
+		case result.Status == 0 && holder == "":
+			return []any{"", requested.attempt}
+		case result.Status == 0:
 			return []any{holder}
-		case decided.Status == Granted && (holder == "" || holder == claimed.attempt):
-			return []any{claimed.attempt}
-		case decided.Status == Taken && holder == decided.Claim.Attempt && holder != claimed.attempt:
+		case result.Status == Granted && (holder == "" || holder == requested.attempt):
+			return []any{requested.attempt}
+		case result.Status == Taken && holder == result.Claim.Attempt && holder != requested.attempt:
 			return []any{holder}
 		}
 		return nil
@@ -72,9 +74,9 @@
 
 func operationOf(recorded porcupine.Operation) operation { return recorded.Input.(operation) }
 
-// TestOneRightForEachKey lets three committers, each sure that it writes the
-// shard, decide claims at once while replies are lost and the service goes
-// away, and holds the history against the naive version.
+// TestOneRightForEachKey runs three committers on the same shard concurrently, while
+// replies are lost and the key-value service has outages. The history must be
+// linearizable under claimModel: no key is granted to two attempts.
 func TestOneRightForEachKey(t *testing.T) {
 	for seed := range uint64(40) {
 		store := standin.NewStore()
@@ -85,15 +87,17 @@
 			committers[index] = newCommitter(store)
 			running.Go(func() { committers[index].Run(ctx) })
 		}
-		history := claimAtOnce(ctx, t, committers, store, seed)
+		history := claimConcurrently(ctx, t, committers, store, seed)
 		cancel()
 		running.Wait()
-		model := rights.ToModel()
-		assert.Assert(t, porcupine.CheckOperations(model, history), "seed %d: some key was granted twice", seed)
+		model := claimModel.ToModel()
+		assert.Assert(t, porcupine.CheckOperations(model, history), "seed %d: the history is not linearizable, so some key was granted to two attempts", seed)
 	}
 }
 
-func claimAtOnce(ctx context.Context, t *testing.T, committers []*Committer, store *standin.Store, seed uint64) []porcupine.Operation {
+// claimConcurrently runs 8 clients with 12 claims each on 4 keys, with random faults,
+// and returns the history.
+func claimConcurrently(ctx context.Context, t *testing.T, committers []*Committer, store *standin.Store, seed uint64) []porcupine.Operation {
 	t.Helper()
 	var mutex sync.Mutex
 	var history []porcupine.Operation
@@ -106,15 +110,15 @@
 				if client == 0 && random.IntN(3) == 0 {
 					store.SetFaults(standin.Faults{LoseReplies: random.IntN(3), Outage: random.IntN(6) == 0})
 				}
-				claimed := operation{key: fmt.Sprintf("%02x", random.IntN(4)), attempt: fmt.Sprintf("%d-%d", client, try)}
-				called := clock.Add(1)
-				result, err := committers[random.IntN(len(committers))].Claim(ctx, Request{Key: claimed.key, Attempt: claimed.attempt})
+				requested := operation{key: fmt.Sprintf("%02x", random.IntN(4)), attempt: fmt.Sprintf("%d-%d", client, try)}
+				callTime := clock.Add(1)
+				result, err := committers[random.IntN(len(committers))].Claim(ctx, Request{Key: requested.key, Attempt: requested.attempt})
 				if err != nil {
 					result = Result{}
 				}
-				returned := clock.Add(1)
+				returnTime := clock.Add(1)
 				mutex.Lock()
-				history = append(history, porcupine.Operation{ClientId: client, Input: claimed, Output: result, Call: called, Return: returned})
+				history = append(history, porcupine.Operation{ClientId: client, Input: requested, Output: result, Call: callTime, Return: returnTime})
 				mutex.Unlock()
 			}
 		})
@@ -123,6 +127,8 @@
 	return history
 }
 
+// TestDecisions checks the decision on a second request for each relation to the
+// first.
 func TestDecisions(t *testing.T) {
 	standing := Request{Key: "aa", Attempt: "first", Holder: "box/1", Digest: "d"}
 	cases := map[string]struct {
@@ -140,8 +146,8 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			committer := newCommitter(standin.NewStore())
-			running := runCommitter(t, committer)
-			defer running()
+			stop := runCommitter(t, committer)
+			defer stop()
 			first, err := committer.Claim(t.Context(), standing)
 			assert.NilError(t, err)
 			assert.Equal(t, first.Status, Granted)
@@ -152,6 +158,7 @@
 	}
 }
 
+// runCommitter runs a committer until stop is called.
 func runCommitter(t *testing.T, committer *Committer) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -163,8 +170,8 @@
 	}
 }
 
-// TestOutage shows that in an outage nothing new is granted, that the refusal
-// comes at once, and that what was claimed before is still known.
+// TestOutage checks that a new claim is refused with an UnavailableError during an
+// outage, and that an earlier claim is still known after it.
 func TestOutage(t *testing.T) {
 	store := standin.NewStore()
 	committer := newCommitter(store)
@@ -181,14 +188,14 @@
 	assert.Equal(t, again.Status, Taken)
 }
 
-// TestSealed shows that a claim is still known after its head was sealed, to a
-// committer that begins anew too.
+// TestSealed checks that a new committer still knows claims that were moved to a
+// segment.
 func TestSealed(t *testing.T) {
 	store := standin.NewStore()
 	committer := newCommitter(store)
 	stop := runCommitter(t, committer)
 	var callers sync.WaitGroup
-	for number := range sealAt + 500 {
+	for number := range sealThreshold + 500 {
 		callers.Go(func() {
 			_, err := committer.Claim(t.Context(), Request{Key: fmt.Sprintf("%04x", number), Attempt: "first"})
 			assert.Check(t, err)
@@ -196,8 +203,8 @@
 	}
 	callers.Wait()
 	stop()
-	head := committer.book.head
-	assert.Assert(t, len(head.Sealed) > 0, "nothing was sealed")
+	head := committer.shard.head
+	assert.Assert(t, len(head.Sealed) > 0, "no claims were moved to a segment")
 	other := newCommitter(store)
 	defer runCommitter(t, other)()
 	for _, key := range []string{"0000", "07d0", "09c3"} {
@@ -207,8 +214,8 @@
 	}
 }
 
-// TestRestored shows that a committer puts its claims back into a service that
-// was restored from older data.
+// TestRestored checks that a committer writes its claims back to a key-value service
+// that was restored from older data.
 func TestRestored(t *testing.T) {
 	store := standin.NewStore()
 	committer := newCommitter(store)
@@ -227,9 +234,10 @@
 	defer runCommitter(t, other)()
 	result, err := other.Claim(t.Context(), Request{Key: "bb", Attempt: "second"})
 	assert.NilError(t, err)
-	assert.Equal(t, result.Status, Taken, "the claim that the restore lost must stand again")
+	assert.Equal(t, result.Status, Taken, "the claim that the restore lost must be written back")
 }
 
+// TestRetention checks that only segments older than the retention time are dropped.
 func TestRetention(t *testing.T) {
 	head := Head{Sealed: []Segment{{Key: "old", Newest: 100}, {Key: "new", Newest: 200}}}
 	dropped := head.expire(230, time.Hour)
@@ -237,8 +245,8 @@
 	assert.DeepEqual(t, head.Sealed, []Segment{{Key: "new", Newest: 200}})
 }
 
-// BenchmarkClaims measures what a claim costs when many come at once, and how
-// many writes they take.
+// BenchmarkClaims measures concurrent claims on one committer, and the writes per
+// claim.
 func BenchmarkClaims(b *testing.B) {
 	store := standin.NewStore()
 	committer := newCommitter(store)
--- a/claim/committer.go
+++ b/claim/committer.go
@@ -12,61 +12,65 @@
 )
 
 const (
-	// sealAt is how many claims a head holds before they are sealed into a
-	// segment: about 400 KB, well within the service's megabyte.
-	sealAt = 2000
-	// maxTries bounds how often a batch is tried against other writers.
+	// sealThreshold is the number of claims above which a head's claims move to
+	// a segment. They take about 400 KB; the service's limit is 1 MB.
+	sealThreshold = 2000
+	// maxTries limits how often a batch is tried when other writers conflict.
 	maxTries = 5
-	// maxBatch bounds how many requests one write decides.
+	// maxBatch limits the requests decided with one write.
 	maxBatch = 1000
-	// queueLength bounds how many requests wait; more are refused at once.
+	// queueLength limits the waiting requests; further ones are refused at once.
 	queueLength = 4000
 )
 
-// Committer decides the requests of one shard in batches, one write each.
+// Committer decides the requests for one shard in batches, with at most one write
+// to the head per try of a batch. Its exported fields are set before Run.
 type Committer struct {
 	Store     shedkeel.Store
-	Prefix    string // of the shard's keys
-	Batch     time.Duration
-	Retention time.Duration
-	Nonce     func() string    // a new name for each write
-	Wall      func() time.Time // to forget old claims by
+	Prefix    string           // of the keys of the shard's records
+	Batch     time.Duration    // minimum time between two batches
+	Retention time.Duration    // how long claims are kept at least
+	Nonce     func() string    // returns a new unique string for each write
+	Wall      func() time.Time // wall clock, for the expiry of claims
 
-	queue chan waiting
-	book  *book
-	// revision of the head; unknown is set when the head must be read.
-	revision shedkeel.Revision
-	unknown  bool
+	queue chan pendingRequest
+	shard *shard
+	// revision is that of the stored head. headStale is set if the head must be
+	// read before the next batch.
+	revision  shedkeel.Revision
+	headStale bool
 }
 
-type waiting struct {
+// pendingRequest is a request in the queue and the channel for its outcome.
+type pendingRequest struct {
 	request Request
-	answer  chan decided
+	answer  chan outcome
 }
 
-type decided struct {
+// outcome is the result of a request, or the error with which it was refused.
+type outcome struct {
 	result Result
 	err    error
 }
 
-// NewCommitter returns a committer whose fields are still to be set.
+// NewCommitter returns a committer. The caller must set its exported fields.
 func NewCommitter() *Committer {
-	return &Committer{queue: make(chan waiting, queueLength), book: newBook(), unknown: true}
+	return &Committer{queue: make(chan pendingRequest, queueLength), shard: newShard(), headStale: true}
 }
 
-// Claim asks for the right to run a call and waits for the write that grants
-// it. With an UnavailableError nothing was granted that the attempt may use;
-// the claim may stand all the same, so the attempt must never run.
+// Claim requests the right to run a call and waits until the claim is decided and
+// written. On an UnavailableError the attempt must never run; its claim may
+// nevertheless have been stored.
 func (committer *Committer) Claim(ctx context.Context, request Request) (Result, error) {
-	waiting := waiting{request: request, answer: make(chan decided, 1)}
+	pending := pendingRequest{request: request, answer: make(chan outcome, 1)}
 	select {
-	case committer.queue <- waiting:
+	case committer.queue <- pending:
 	default:
 		return Result{}, &shedkeel.UnavailableError{What: "claims", RetryAfter: time.Second, Cause: errors.New("too many wait")}
 	}
 	select {
-	case decided := <-waiting.answer:
-		return decided.result, decided.err
+	case outcome := <-pending.answer:
+		return outcome.result, outcome.err
 	case <-ctx.Done():
 		return Result{}, &shedkeel.UnavailableError{What: "claims", RetryAfter: time.Second, Cause: ctx.Err()}
 	}
@@ -79,16 +83,17 @@
 		case <-ctx.Done():
 			return
 		case first := <-committer.queue:
-			batch := committer.collect(first)
+			batch := committer.collectBatch(first)
 			committer.commit(ctx, batch)
-			committer.rest(ctx)
+			committer.waitInterval(ctx)
 		}
 	}
 }
 
-// collect takes what waits behind the first request.
-func (committer *Committer) collect(first waiting) []waiting {
-	batch := []waiting{first}
+// collectBatch returns the first request with those that are waiting behind it, up
+// to maxBatch.
+func (committer *Committer) collectBatch(first pendingRequest) []pendingRequest {
+	batch := []pendingRequest{first}
 	for len(batch) < maxBatch {
 		select {
 		case next := <-committer.queue:
@@ -100,9 +105,9 @@
 	return batch
 }
 
-// rest keeps to the least time between two writes. The first request after a
-// quiet time does not wait.
-func (committer *Committer) rest(ctx context.Context) {
+// waitInterval waits for the minimum time between two batches. It runs after a
+// batch, so the first request after an idle time does not wait.
+func (committer *Committer) waitInterval(ctx context.Context) {
 	timer := time.NewTimer(committer.Batch)
 	defer timer.Stop()
 	select {
@@ -111,24 +116,26 @@
 	}
 }
 
-// commit decides a batch. Requests that need no write are answered also when
-// the service is away, from what is known: a claim that stands is never taken
-// back but by InsteadOf.
-func (committer *Committer) commit(ctx context.Context, batch []waiting) {
+// commit decides a batch and answers its requests. After a conflict it reads the
+// head again and decides anew. A batch that grants nothing needs no write, so while
+// the head is known it is answered also when the key-value service is not
+// available. That is safe, because a claim is only ever replaced through
+// InsteadOf.
+func (committer *Committer) commit(ctx context.Context, batch []pendingRequest) {
 	var err error
 	for range maxTries {
-		if committer.unknown {
-			if err = committer.load(ctx); err != nil {
+		if committer.headStale {
+			if err = committer.loadHead(ctx); err != nil {
 				break
 			}
 		}
-		committer.book.begin()
+		committer.shard.beginBatch()
 		results := make([]Result, len(batch))
-		for index, waiting := range batch {
-			results[index] = committer.book.decide(waiting.request, committer.minute())
+		for index, pending := range batch {
+			results[index] = committer.shard.decide(pending.request, committer.currentMinute())
 		}
-		if len(committer.book.unsaved) > 0 {
-			err = committer.write(ctx)
+		if len(committer.shard.pending) > 0 {
+			err = committer.writeHead(ctx)
 			var conflict *shedkeel.ConflictError
 			if errors.As(err, &conflict) {
 				continue
@@ -137,27 +144,30 @@
 				break
 			}
 		}
-		for index, waiting := range batch {
-			waiting.answer <- decided{result: results[index]}
+		for index, pending := range batch {
+			pending.answer <- outcome{result: results[index]}
 		}
 		return
 	}
 	committer.refuse(batch, err)
 }
 
-func (committer *Committer) refuse(batch []waiting, err error) {
+// refuse answers all requests of a batch with an UnavailableError.
+func (committer *Committer) refuse(batch []pendingRequest, err error) {
 	refusal := &shedkeel.UnavailableError{What: "claims", RetryAfter: 2 * time.Second, Cause: err}
-	for _, waiting := range batch {
-		waiting.answer <- decided{err: refusal}
+	for _, pending := range batch {
+		pending.answer <- outcome{err: refusal}
 	}
 }
 
-func (committer *Committer) minute() int64 { return committer.Wall().Unix() / 60 }
+// currentMinute returns the wall clock in minutes since the Unix epoch.
+func (committer *Committer) currentMinute() int64 { return committer.Wall().Unix() / 60 }
 
 func (committer *Committer) headKey() string { return committer.Prefix + "head" }
 
-// load reads the head and the segments not yet known.
-func (committer *Committer) load(ctx context.Context) error {
+// loadHead reads the head and the segments that are not yet in memory. If the head
+// is older than the known one, it recovers the claims that are missing in it.
+func (committer *Committer) loadHead(ctx context.Context) error {
 	record, err := committer.Store.Get(ctx, committer.headKey())
 	if err != nil {
 		return err
@@ -168,19 +178,20 @@
 			return &shedkeel.InvalidError{Where: "key " + record.Key, What: err.Error(), Remedy: "restore the key; claims are refused until then"}
 		}
 	}
-	if head.Generation < committer.book.head.Generation {
-		head = committer.book.rescue(head)
+	if head.Generation < committer.shard.head.Generation {
+		head = committer.shard.recoverClaims(head)
 	}
-	for _, segment := range committer.book.adopt(head) {
+	for _, segment := range committer.shard.setHead(head) {
 		if err := committer.loadSegment(ctx, segment); err != nil {
 			return err
 		}
 	}
 	committer.revision = record.Revision
-	committer.unknown = false
+	committer.headStale = false
 	return nil
 }
 
+// loadSegment reads the claims of a segment. Claims already in memory are kept.
 func (committer *Committer) loadSegment(ctx context.Context, segment Segment) error {
 	record, err := committer.Store.Get(ctx, segment.Key)
 	if err != nil {
@@ -191,22 +202,24 @@
 		return &shedkeel.InvalidError{Where: "key " + segment.Key, What: err.Error(), Remedy: "restore the key; claims are refused until then"}
 	}
 	for _, claim := range claims {
-		if _, newer := committer.book.claims[claim.Key]; !newer {
-			committer.book.claims[claim.Key] = claim
+		if _, known := committer.shard.claims[claim.Key]; !known {
+			committer.shard.claims[claim.Key] = claim
 		}
 	}
-	committer.book.sealed[segment.Key] = true
+	committer.shard.loadedSegments[segment.Key] = true
 	return nil
 }
 
-// write makes the batch stand.
-func (committer *Committer) write(ctx context.Context) error {
+// writeHead writes the head with the batch's claims, by compare-and-swap against the
+// known revision. It removes expired segments and seals the claims if there are
+// more than sealThreshold. On an error the head must be read again.
+func (committer *Committer) writeHead(ctx context.Context) error {
 	nonce := committer.Nonce()
-	next := committer.book.next(nonce)
-	dropped := next.expire(committer.minute(), committer.Retention)
-	if len(next.Claims) > sealAt {
+	next := committer.shard.nextHead(nonce)
+	dropped := next.expire(committer.currentMinute(), committer.Retention)
+	if len(next.Claims) > sealThreshold {
 		if err := committer.seal(ctx, &next); err != nil {
-			committer.unknown = true
+			committer.headStale = true
 			return err
 		}
 	}
@@ -214,34 +227,34 @@
 	if err != nil {
 		return err
 	}
-	mine := func(stored []byte) bool {
+	writtenByUs := func(stored []byte) bool {
 		var head Head
 		return json.Unmarshal(stored, &head) == nil && head.Nonce == nonce
 	}
-	revision, err := platform.SettleSwap(ctx, committer.Store, committer.headKey(), committer.revision, value, mine)
+	revision, err := platform.SettleSwap(ctx, committer.Store, committer.headKey(), committer.revision, value, writtenByUs)
 	if err != nil {
-		committer.unknown = true
+		committer.headStale = true
 		return err
 	}
 	committer.revision = revision
-	committer.keep(next)
-	committer.empty(ctx, dropped)
+	committer.applyWrite(next)
+	committer.clearSegments(ctx, dropped)
 	return nil
 }
 
-// keep takes the head just written.
-func (committer *Committer) keep(head Head) {
-	for key, claim := range committer.book.unsaved {
-		committer.book.claims[key] = claim
+// applyWrite makes the head just written the known one.
+func (committer *Committer) applyWrite(head Head) {
+	for key, claim := range committer.shard.pending {
+		committer.shard.claims[key] = claim
 	}
 	for _, segment := range head.Sealed {
-		committer.book.sealed[segment.Key] = true
+		committer.shard.loadedSegments[segment.Key] = true
 	}
-	committer.book.head = head
+	committer.shard.head = head
 }
 
-// seal moves the head's claims into a segment. The segment's key is new, so
-// that a segment whose head was never written harms nobody.
+// seal moves the head's claims into a new segment. The segment's key is unique, so
+// a segment whose head is never written has no effect.
 func (committer *Committer) seal(ctx context.Context, head *Head) error {
 	value, err := json.Marshal(head.Claims)
 	if err != nil {
@@ -259,9 +272,9 @@
 	return nil
 }
 
-// empty gives back the room of dropped segments and forgets their claims. A
-// failure costs room only.
-func (committer *Committer) empty(ctx context.Context, dropped []Segment) {
+// clearSegments removes the claims of dropped segments from memory and empties
+// their records to free space. A failure only leaves space in use.
+func (committer *Committer) clearSegments(ctx context.Context, dropped []Segment) {
 	for _, segment := range dropped {
 		record, err := committer.Store.Get(ctx, segment.Key)
 		if err != nil || !record.Revision.Exists() {
@@ -270,12 +283,12 @@
 		var claims []Claim
 		if json.Unmarshal(record.Value, &claims) == nil {
 			for _, claim := range claims {
-				if committer.book.claims[claim.Key].Attempt == claim.Attempt {
-					delete(committer.book.claims, claim.Key)
+				if committer.shard.claims[claim.Key].Attempt == claim.Attempt {
+					delete(committer.shard.claims, claim.Key)
 				}
 			}
 		}
 		_, _ = committer.Store.Swap(ctx, segment.Key, record.Revision, []byte("[]"))
-		delete(committer.book.sealed, segment.Key)
+		delete(committer.shard.loadedSegments, segment.Key)
 	}
 }
--- a/claim/head.go
+++ b/claim/head.go
@@ -1,8 +1,8 @@
-// Package claim keeps, in the platform's key-value service, which calls that
-// must not be repeated have been claimed, by which attempt. Claims are spread
-// over shards; the claims of a shard are one record that changes only by
-// compare-and-swap, so that two writers can never both grant one key. Who
-// writes which shard is a matter of cost alone.
+// Package claim records in the platform's key-value service which attempt has
+// claimed each call that must run at most once. Claims are spread over shards. The
+// head record of a shard changes only by compare-and-swap, so two writers can
+// never both grant one key. Correctness does not depend on which process writes
+// a shard; a single writer only avoids conflicts.
 package claim
 
 import (
@@ -15,51 +15,54 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Shards is how many records share the claims. More shards take more writes a
-// second in all, since each is written at most once in a batch time.
+// Shards is the number of shards. Each shard is written at most once per batch
+// interval, so more shards allow more writes a second in total.
 const Shards = 4
 
 // Request asks for the right to run a call.
 type Request struct {
-	Key       string // of KeyOf
-	Attempt   string // names this try; unique in the fleet
-	Holder    string // the entry that makes it
+	Key       string // as KeyOf returns it
+	Attempt   string // ID of the attempt; unique in the fleet
+	Holder    string // the entry that makes the attempt
 	Digest    string // of the request
-	InsteadOf string // an attempt that its holder knows will never run
+	InsteadOf string // ID of an attempt that its holder knows will never run; its claim may be replaced
 }
 
-// Status is the answer to a request.
+// Status is the decision on a request.
 type Status int
 
-// The answers.
+// The decisions.
 const (
 	Granted  Status = iota + 1 // the attempt, and no other, may run the call
-	Taken                      // another attempt has the right
+	Taken                      // another attempt holds the claim
 	Mismatch                   // the key was used for another request
 )
 
-// Result is the answer to a request and the claim that stands.
+// Result is the decision on a request and the claim now in force for its key.
 type Result struct {
 	Status Status
 	Claim  Claim
 }
 
-// Claim is one key's right, as it stands in a record.
+// Claim is the right of one attempt to run the call of one key, as stored in a
+// record.
 type Claim struct {
 	Key     string `json:"k"`
 	Attempt string `json:"a"`
 	Holder  string `json:"h"`
 	Digest  string `json:"d"`
-	Minute  int64  `json:"t"` // wall clock of the writer, to forget it by
+	Minute  int64  `json:"t"` // when it was granted, in minutes since the Unix epoch by the writer's clock; it expires by this
 }
 
-// Segment is a full record of claims that does not change any more.
+// Segment refers to a record that holds claims moved out of the head. The record
+// does not change until it expires.
 type Segment struct {
 	Key    string `json:"key"`
-	Newest int64  `json:"newest"` // minute of its newest claim
+	Newest int64  `json:"newest"` // Minute of its newest claim
 }
 
-// Head is the record of a shard that changes.
+// Head is the record of a shard that each batch changes. It holds the newest claims
+// and lists the segments with older ones.
 type Head struct {
 	Generation uint64    `json:"generation"`
 	Nonce      string    `json:"nonce"`
@@ -67,17 +70,18 @@
 	Claims     []Claim   `json:"claims"`
 }
 
-// keyBytes is how much of the SHA-256 names a key: enough that no two keys of
-// the retention time meet by chance.
+// keyBytes is the length of the SHA-256 prefix that identifies a key. It makes a
+// chance collision within the retention time practically impossible.
 const keyBytes = 16
 
-// KeyOf names a caller's key in records. Keys of different accounts differ.
+// KeyOf returns the name under which records store a client account's idempotency
+// key. Equal keys of different accounts have different names.
 func KeyOf(account shedkeel.AccountID, idempotencyKey string) string {
 	sum := sha256.Sum256([]byte(string(account) + "\x00" + idempotencyKey))
 	return hex.EncodeToString(sum[:keyBytes])
 }
 
-// ShardOf returns the shard of a key of KeyOf.
+// ShardOf returns the shard of a key that KeyOf returned.
 func ShardOf(key string) int {
 	raw, err := hex.DecodeString(key)
 	if err != nil || len(raw) == 0 {
@@ -86,93 +90,98 @@
 	return int(raw[0]) % Shards
 }
 
-// ShardName names a shard in keys and in the choice of who writes it.
+// ShardName returns the name of a shard, used in record keys and in the choice of
+// the process that writes it.
 func ShardName(shard int) string { return string(rune('a' + shard)) }
 
-// book is a shard's claims in memory.
-type book struct {
-	head    Head
-	claims  map[string]Claim // of the head and of all sealed segments
-	sealed  map[string]bool  // keys of the segments that claims holds
-	unsaved map[string]Claim // granted by the batch being made
+// shard holds a shard's claims in memory.
+type shard struct {
+	head           Head
+	claims         map[string]Claim // of the head and of all sealed segments
+	loadedSegments map[string]bool  // keys of the segments whose claims are in claims
+	pending        map[string]Claim // granted in the current batch and not yet written
 }
 
-func newBook() *book {
-	return &book{claims: map[string]Claim{}, sealed: map[string]bool{}}
+func newShard() *shard {
+	return &shard{claims: map[string]Claim{}, loadedSegments: map[string]bool{}}
 }
 
-// begin forgets the batch that was being made.
-func (book *book) begin() { book.unsaved = map[string]Claim{} }
+// beginBatch starts a batch and discards what an unwritten one granted.
+func (shard *shard) beginBatch() { shard.pending = map[string]Claim{} }
 
-// decide answers one request on top of the claims and the batch so far.
-func (book *book) decide(request Request, minute int64) Result {
-	standing, found := book.unsaved[request.Key]
+// decide decides one request given the claims and what the batch has granted so
+// far. A repeated request of the attempt that holds the claim is granted again.
+func (shard *shard) decide(request Request, nowMinute int64) Result {
+	current, found := shard.pending[request.Key]
 	if !found {
-		standing, found = book.claims[request.Key]
+		current, found = shard.claims[request.Key]
 	}
 	switch {
-	case found && standing.Digest != request.Digest:
-		return Result{Status: Mismatch, Claim: standing}
-	case found && standing.Attempt == request.Attempt:
-		return Result{Status: Granted, Claim: standing}
-	case found && (request.InsteadOf == "" || standing.Attempt != request.InsteadOf):
-		return Result{Status: Taken, Claim: standing}
+	case found && current.Digest != request.Digest:
+		return Result{Status: Mismatch, Claim: current}
+	case found && current.Attempt == request.Attempt:
+		return Result{Status: Granted, Claim: current}
+	case found && (request.InsteadOf == "" || current.Attempt != request.InsteadOf):
+		return Result{Status: Taken, Claim: current}
 	}
-	claim := Claim{Key: request.Key, Attempt: request.Attempt, Holder: request.Holder, Digest: request.Digest, Minute: minute}
-	book.unsaved[request.Key] = claim
+	claim := Claim{Key: request.Key, Attempt: request.Attempt, Holder: request.Holder, Digest: request.Digest, Minute: nowMinute}
+	shard.pending[request.Key] = claim
 	return Result{Status: Granted, Claim: claim}
 }
 
-// next returns the head that holds the batch too.
-func (book *book) next(nonce string) Head {
-	next := Head{Generation: book.head.Generation + 1, Nonce: nonce, Sealed: slices.Clone(book.head.Sealed)}
-	for _, claim := range book.head.Claims {
-		if _, replaced := book.unsaved[claim.Key]; !replaced {
+// nextHead returns the head that follows the known one: with the batch's claims,
+// which replace claims of the same keys.
+func (shard *shard) nextHead(nonce string) Head {
+	next := Head{Generation: shard.head.Generation + 1, Nonce: nonce, Sealed: slices.Clone(shard.head.Sealed)}
+	for _, claim := range shard.head.Claims {
+		if _, replaced := shard.pending[claim.Key]; !replaced {
 			next.Claims = append(next.Claims, claim)
 		}
 	}
-	for _, key := range slices.Sorted(maps.Keys(book.unsaved)) {
-		next.Claims = append(next.Claims, book.unsaved[key])
+	for _, key := range slices.Sorted(maps.Keys(shard.pending)) {
+		next.Claims = append(next.Claims, shard.pending[key])
 	}
 	return next
 }
 
-// adopt takes a head that has been read or written, and reports which of its
-// segments must still be read.
-func (book *book) adopt(head Head) (missing []Segment) {
-	book.head = head
+// setHead makes a head that was read the known one, adds its claims, and returns
+// those of its segments that must still be loaded.
+func (shard *shard) setHead(head Head) (missing []Segment) {
+	shard.head = head
 	for _, segment := range head.Sealed {
-		if !book.sealed[segment.Key] {
+		if !shard.loadedSegments[segment.Key] {
 			missing = append(missing, segment)
 		}
 	}
 	for _, claim := range head.Claims {
-		book.claims[claim.Key] = claim
+		shard.claims[claim.Key] = claim
 	}
 	return missing
 }
 
-// rescue puts claims that were known here into a head that is older than the
-// one known: the service was restored from older data.
-func (book *book) rescue(older Head) Head {
-	have := map[string]bool{}
+// recoverClaims returns the head to use when the stored head is older than the known
+// one because the service was restored from older data: the stored head with all
+// claims added that are known here and missing in it. The next write stores it.
+func (shard *shard) recoverClaims(older Head) Head {
+	present := map[string]bool{}
 	for _, claim := range older.Claims {
-		have[claim.Key] = true
+		present[claim.Key] = true
 	}
-	rescued := older
-	rescued.Generation = book.head.Generation
-	rescued.Claims = slices.Clone(older.Claims)
-	for _, key := range slices.Sorted(maps.Keys(book.claims)) {
-		if !have[key] {
-			rescued.Claims = append(rescued.Claims, book.claims[key])
+	recovered := older
+	recovered.Generation = shard.head.Generation
+	recovered.Claims = slices.Clone(older.Claims)
+	for _, key := range slices.Sorted(maps.Keys(shard.claims)) {
+		if !present[key] {
+			recovered.Claims = append(recovered.Claims, shard.claims[key])
 		}
 	}
-	return rescued
+	return recovered
 }
 
-// expire drops the segments whose newest claim is older than the retention.
-func (head *Head) expire(minute int64, retention time.Duration) (dropped []Segment) {
-	oldest := minute - int64(retention/time.Minute)
+// expire removes from the head the segments whose newest claim is older than the
+// retention time, and returns them. The minute is the current one.
+func (head *Head) expire(nowMinute int64, retention time.Duration) (dropped []Segment) {
+	oldest := nowMinute - int64(retention/time.Minute)
 	kept := make([]Segment, 0, len(head.Sealed))
 	for _, segment := range head.Sealed {
 		if segment.Newest < oldest {
