--- a/group/planner.go
+++ b/group/planner.go
@@ -109,14 +109,14 @@
 	planner        *Planner
 	input          shedkeel.PlanInput
 	next           shedkeel.Placement
-	ids            []shedkeel.BoxID // of all listed boxes, sorted
-	assigned       map[shedkeel.BoxID]bool
-	operatorDrains map[shedkeel.BoxID]bool
+	ids            []shedkeel.BoxID                         // of all listed boxes, sorted
+	assigned       map[shedkeel.BoxID]bool                  // members of any group of next
+	operatorDrains map[shedkeel.BoxID]bool                  // boxes that operators drain
 	free           map[shedkeel.DomainID][]shedkeel.BoxView // usable boxes in no group, sorted by ID
-	silentDomains  map[shedkeel.DomainID]bool
-	prefetch       map[shedkeel.BoxID]shedkeel.ServiceID
-	shortGroups    []shortage
-	changed        bool
+	silentDomains  map[shedkeel.DomainID]bool               // see findSilentDomains
+	prefetch       map[shedkeel.BoxID]shedkeel.ServiceID    // the service whose weights a box must load before it joins a group
+	shortGroups    []shortage                               // groups that could not be repaired
+	changed        bool                                     // next differs from the placement in the input
 	decisions      []shedkeel.Decision
 }
 
--- a/group/planner_test.go
+++ b/group/planner_test.go
@@ -243,8 +243,8 @@
 // referenceWhole for every group.
 func TestAgainstNaive(t *testing.T) {
 	planners := map[string]func() shedkeel.Planner{
-		"ours":  func() shedkeel.Planner { return &Planner{} },
-		"naive": func() shedkeel.Planner { return &Naive{} },
+		"planner": func() shedkeel.Planner { return &Planner{} },
+		"naive":   func() shedkeel.Planner { return &Naive{} },
 	}
 	for name, planner := range planners {
 		t.Run(name, func(t *testing.T) {
--- a/group/reconcile.go
+++ b/group/reconcile.go
@@ -72,7 +72,7 @@
 // connection. The group is broken if a member refused, or answered under another
 // boot or assignment, or is not ready; otherwise silent if a member did not
 // answer; otherwise draining if a member reports that it is leaving; and
-// otherwise whole.
+// otherwise whole: every member is ready under the group's assignment.
 func Inspect(group shedkeel.Group, answers map[shedkeel.BoxID]shedkeel.BoxState, refused map[shedkeel.BoxID]bool) shedkeel.Verdict {
 	verdict := shedkeel.VerdictWhole
 	for _, member := range group.Members {
--- a/group/reserve.go
+++ b/group/reserve.go
@@ -13,9 +13,9 @@
 
 // assignReserves gives each group a reserve: a free box of its domain, as far as
 // there are any, which is agreed in advance so that it can replace a lost member
-// while the key-value service is not available. Groups of unfenced services get
-// no reserve, because their engines would also obey a planner that has been
-// superseded.
+// while the key-value service is not available. Groups that span domains get none.
+// Groups of unfenced services get none either, because their engines would also
+// obey a planner that has been superseded.
 func (round *round) assignReserves() {
 	reserved := map[shedkeel.BoxID]bool{}
 	for index := range round.next.Groups {
