--- a/mutants_test.go
+++ b/mutants_test.go
@@ -146,7 +146,7 @@
 		"serve/guard.go", "if now > exchange.deadline {", "if false {", "TestExpireAfterBoxSuspension", "./serve",
 	},
 	"1 whole groups only: permits do not run out": {
-		"member/permit.go", "permit.Until = finding.whole + judge.Window", "permit.Until = finding.whole + 1000*judge.Window", "TestScenarios/whole_groups", ".",
+		"member/permit.go", "permit.Until = finding.wholeAt + judge.Window", "permit.Until = finding.wholeAt + 1000*judge.Window", "TestScenarios/whole_groups", ".",
 	},
 	"1 whole groups only: the permit is not asked again before sending": {
 		"entry/send.go", "if try.entry.Timers.Now() >= try.choice.Until {", "if false {", "TestFrozenBetweenChoiceAndSend", "./entry",
@@ -158,7 +158,7 @@
 		"member/exchange.go", "digestFromWire(digest, sent)", "digestFromWire(digest, now)", "TestDigestNeverLooksYounger", "./member",
 	},
 	"2 one group a box: a taken box counts as free": {
-		"group/planner.go", "if !round.taken[id] && round.usable(view) {", "if round.usable(view) {", "TestOneGroupForEachBox", "./group",
+		"group/planner.go", "if !round.assigned[id] && round.usable(view) {", "if round.usable(view) {", "TestOneGroupForEachBox", "./group",
 	},
 	"2 one group a box: the lease counts from the reply": {
 		"lease/lease.go", "lease.until = lease.sentAt + lease.TTL - lease.Margin", "lease.until = lease.sentAt + 2*lease.TTL", "TestNeverTwoHolders", "./lease",
@@ -188,13 +188,13 @@
 		"entry/plain.go", "earlier, err := entry.claim(ctx, call, key)", "var earlier *answer\n\tvar err error\n\t_ = key\n\t_ = entry.claim", "TestScenarios/at_most_once", ".",
 	},
 	"5 at most once: claims are not compared and swapped": {
-		"claim/committer.go", "committer.headKey(), committer.revision, value, mine)", "committer.headKey(), func() shedkeel.Revision { r, _ := committer.Store.Get(ctx, committer.headKey()); return r.Revision }(), value, mine)", "TestOneRightForEachKey", "./claim",
+		"claim/committer.go", "committer.headKey(), committer.revision, value, writtenByUs)", "committer.headKey(), func() shedkeel.Revision { r, _ := committer.Store.Get(ctx, committer.headKey()); return r.Revision }(), value, writtenByUs)", "TestOneRightForEachKey", "./claim",
 	},
 	"6 leaving: the word that a box leaves is not heeded": {
 		"member/permit.go", "if leaving[member.Box] {", "if false && leaving[member.Box] {", "TestScenarios/leaving", ".",
 	},
 	"6 leaving: a group is changed while it runs requests": {
-		"group/mend.go", "if len(must) == 0 && !round.closed(*group) {", "if false {", "TestLeavingMemberIsReplacedQuietly", "./group",
+		"group/repair.go", "if len(failed) == 0 && !round.isDrained(*group) {", "if false {", "TestLeavingMemberIsReplacedQuietly", "./group",
 	},
 	"outage: reserves are not used": {
 		"keeper/plan.go", "if zone.mayFallBack(", "if false && zone.mayFallBack(", "TestScenarios/outage", ".",
