--- a/mutants_test.go
+++ b/mutants_test.go
@@ -52,7 +52,7 @@
 		"node/evacuation.go", "case record.Lost && before:", "case false && before:", "TestEvacuationsFollowRecords", "./node",
 	},
 	"cold servers: their records are not heeded": {
-		"node/fleet.go", "until := fleet.cold[key]", "until := 0 * fleet.cold[key]", "TestColdServersGetLittle", "./node",
+		"node/fleet.go", "until := fleet.coldUntil[key]", "until := 0 * fleet.coldUntil[key]", "TestColdServersGetLittle", "./node",
 	},
 	"cold servers: they count as warm after an evacuation": {
 		"node/fleet.go", "until = max(until, since+service.ColdTime)", "until = max(until, 0*since)", "TestColdServersGetLittle", "./node",
@@ -64,7 +64,7 @@
 		"node/election.go", "if term.Revision.Exists() {\n\t\treturn place", "if true {\n\t\treturn place", "TestFirstElectionIsOfFew", "./node",
 	},
 	"start of a fleet: each record is written alone": {
-		"node/registrar.go", "timer := time.NewTimer(registerGather)", "timer := time.NewTimer(0)", "TestRegistrationsAreWrittenTogether", "./node",
+		"node/registrar.go", "timer := time.NewTimer(registerBatchDelay)", "timer := time.NewTimer(0)", "TestRegistrationsAreWrittenTogether", "./node",
 	},
 	"restored store: eras are not compared": {
 		"revision.go", "if revision.Era != other.Era {", "if false {", "TestEras|TestRelayOverEras", "./mirror",
@@ -97,13 +97,13 @@
 		"node/removal.go", "case era > known.era:", "case false:", "TestServersAfterARestore", "./node",
 	},
 	"restored store: lost records are not believed": {
-		"node/restore.go", "fleet.troubled = fleet.node.Timers.Now() + lapseHold", "", "TestServersAfterARestore", "./node",
+		"node/restore.go", "fleet.outageUntil = fleet.node.Timers.Now() + lapseHold", "", "TestServersAfterARestore", "./node",
 	},
 	"restored store: orders go back": {
 		"node/fleet.go", "(wasReady || instance.Sequence < known.Sequence)", "wasReady", "TestOrdersAreKnownAfterARestore", "./node",
 	},
 	"restored store: nodes that start go by the older configuration": {
-		"node/config.go", "if version >= fleet.version() || !fleet.kept.unwritten.Load() {", "if true {", "TestNodeThatStartsAfterARestore", "./node",
+		"node/config.go", "if version >= fleet.configVersion() || !fleet.activeConfig.newerThanStore.Load() {", "if true {", "TestNodeThatStartsAfterARestore", "./node",
 	},
 	"restored store: the planner goes by older records": {
 		"node/controller.go", "return controller.era == 0 || now-controller.since >= lapseHold", "return true", "TestPlannerWaitsForRecordsAfterARestore", "./node",
@@ -202,13 +202,13 @@
 		"platform/store.go", "func() { silence.Reset(store.Timeout) })", "func() {})", "TestTransfers", "./platform",
 	},
 	"size: all nodes of a large fleet list the service's records": {
-		"node/fleetsize.go", "return mirror.Advice{Peers: peers.startFrom(size.Relays)}, nil", "return mirror.Advice{List: true}, nil", "TestAdvice", "./node",
+		"node/fleetsize.go", "return mirror.Advice{Peers: peers.dialStartupRelays(size.Relays)}, nil", "return mirror.Advice{List: true}, nil", "TestAdvice", "./node",
 	},
 	"size: who has no advice to list does so at once": {
 		"mirror/start.go", "if start.lists.Load() || len(follower.Others()) == 0 {", "if true {", "TestStartOfAllAtOnce", "./mirror",
 	},
 	"size: all follow one node": {
-		"node/follow.go", "return nodes > directFollowers }", "return nodes < 0 }", "TestFollowers", "./node",
+		"node/follow.go", "return nodes > maxDirectFollowers }", "return nodes < 0 }", "TestFollowers", "./node",
 	},
 	"lives: the directory asks nobody who lives": {
 		"node/nodes.go", "!own && !node.gossip.serves(other.ID)", "false", "TestDirectoryLeavesOutDeadNodes", "./node",
@@ -238,7 +238,7 @@
 		"program/node.go", "case <-ctx.Done():\n\t\t\treturn\n", "case <-ctx.Done():\n\t\t\tsignal.Reset(syscall.SIGHUP)\n\t\t\treturn\n", "TestSignalsWhileStopping", "./soak",
 	},
 	"size: a node that lives stays removed": {
-		"node/member.go", "return !membership.stands() && since >= listedRetry", "return false", "TestWatchedMembership", "./node",
+		"node/member.go", "return !membership.isRecordCurrent() && since >= listedRetry", "return false", "TestWatchedMembership", "./node",
 	},
 	"lost together: a group is formed anew by the first word": {
 		"formation/mend.go", "	case round.isProbed(group):\n", "	case false:\n", "TestServersLostTogether", "./formation",
@@ -271,7 +271,7 @@
 		"node/election.go", "lease := shedkeel.LeaseID{Era: lead.Era, Number: lead.Lease}", "lease := controller.lease.ID()", "TestLateWriteOfFormerLease", "./node",
 	},
 	"nodes: a source that failed is followed on": {
-		"node/follow.go", "if !followed.failed.within(failTime, peers.node.Timers.Now()) {", "if true {", "TestChoose", "./node",
+		"node/follow.go", "if !followed.failed.within(followBackoff, peers.node.Timers.Now()) {", "if true {", "TestChoose", "./node",
 	},
 	"nodes: renewals go on in an outage": {
 		"node/member.go", "\treturn maxListedRetry\n", "\treturn listedRetry\n", "TestRenewalsInAnOutage", "./node",
--- a/node/admin.go
+++ b/node/admin.go
@@ -64,10 +64,10 @@
 
 // Why callers are not sent to a node that is listed.
 const (
-	reasonStopping = "it stops, as its record says"
-	reasonLeft     = "it stops, as it told other nodes"
-	reasonUnheard  = "it was listed a while ago at most, and no node has heard it since"
-	reasonDead     = "no node hears it; look at its box and its way to the others"
+	reasonStopping   = "it stops, as its record says"
+	reasonLeft       = "it stops, as it told other nodes"
+	reasonNeverHeard = "it was listed a while ago at most, and no node has heard it since"
+	reasonDead       = "no node hears it; look at its box and its way to the others"
 )
 
 // GroupDump is what a node believes of a replica group.
@@ -100,17 +100,17 @@
 	if view := node.fleet.view.Load(); view != nil {
 		dump.Config = view.Config.Version
 	}
-	node.fleet.describe(&dump)
+	node.fleet.addFleet(&dump)
 	dump.Isolated = node.gossip.isolated()
-	dump.Unnamed = node.unnamed()
+	dump.Unnamed = node.excludedNodes()
 	dump.Judged = node.guard.judged()
 	dump.Limited = node.limits.dump()
 	dump.Evacuated = node.fleet.evacuations()
 	return dump
 }
 
-// unnamed returns the listed nodes to which callers are not sent.
-func (node *Node) unnamed() []UnnamedDump {
+// excludedNodes returns the listed nodes to which callers are not sent.
+func (node *Node) excludedNodes() []UnnamedDump {
 	found := []UnnamedDump{}
 	for _, record := range node.peers.listed() {
 		liveness := node.gossip.liveness(record.ID)
@@ -120,7 +120,7 @@
 		case liveness == shedkeel.Left:
 			found = append(found, UnnamedDump{record.ID, reasonLeft})
 		case liveness == shedkeel.Unheard:
-			found = append(found, UnnamedDump{record.ID, reasonUnheard})
+			found = append(found, UnnamedDump{record.ID, reasonNeverHeard})
 		case record.Stopping:
 			found = append(found, UnnamedDump{record.ID, reasonStopping})
 		}
@@ -128,8 +128,8 @@
 	return found
 }
 
-// describe adds what the fleet is made of.
-func (fleet *fleet) describe(dump *Dump) {
+// addFleet adds what the fleet is made of.
+func (fleet *fleet) addFleet(dump *Dump) {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
 	for _, node := range fleet.sortedNodes() {
--- a/node/config.go
+++ b/node/config.go
@@ -15,49 +15,49 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// keptConfig is the configuration in force as operators wrote it. The key-value service
+// activeConfigCopy is the configuration in force as operators wrote it. The key-value service
 // may have an older one, when it has come back from a copy and they have not written
 // theirs again; nodes that start then are told by others. The zero value is none.
-type keptConfig struct {
-	mutex  sync.Mutex
-	value  []byte
-	packed []byte // the same compressed; nil: not yet
+type activeConfigCopy struct {
+	mutex      sync.Mutex
+	value      []byte
+	compressed []byte // the same compressed; nil: not yet
 
-	unwritten atomic.Bool // the service has an older one
-	fetching  atomic.Bool // another node is being asked for a newer one
+	newerThanStore atomic.Bool // the service has an older one
+	fetching       atomic.Bool // another node is being asked for a newer one
 }
 
-func (kept *keptConfig) set(value []byte) {
+func (kept *activeConfigCopy) set(value []byte) {
 	kept.mutex.Lock()
 	defer kept.mutex.Unlock()
-	kept.value, kept.packed = value, nil
+	kept.value, kept.compressed = value, nil
 }
 
-// pack returns the configuration as it is told, or nil if there is none.
-func (kept *keptConfig) pack() []byte {
+// compress returns the configuration as it is told, or nil if there is none.
+func (kept *activeConfigCopy) compress() []byte {
 	kept.mutex.Lock()
 	defer kept.mutex.Unlock()
-	if kept.packed == nil && kept.value != nil {
+	if kept.compressed == nil && kept.value != nil {
 		packed, err := transfer.Deflate(kept.value)
 		if err != nil {
 			return nil // memory never fails to be written to
 		}
-		kept.packed = packed
+		kept.compressed = packed
 	}
-	return kept.packed
+	return kept.compressed
 }
 
-// version returns the version of the configuration in force; 0: none.
-func (fleet *fleet) version() int64 {
+// configVersion returns the configVersion of the configuration in force; 0: none.
+func (fleet *fleet) configVersion() int64 {
 	if view := fleet.view.Load(); view != nil {
 		return view.Config.Version
 	}
 	return 0
 }
 
-// takeConfig takes in the configuration that the key-value service has, and reports
+// applyConfigRecord takes in the configuration that the key-value service has, and reports
 // whether it is in force now.
-func (fleet *fleet) takeConfig(record shedkeel.Record) bool {
+func (fleet *fleet) applyConfigRecord(record shedkeel.Record) bool {
 	if record.Gone {
 		fleet.skipped(record, &shedkeel.InvalidError{Where: record.Key, What: "it was removed", Remedy: "write a configuration"})
 		return false
@@ -67,19 +67,19 @@
 		fleet.skipped(record, err)
 		return false
 	}
-	fleet.kept.unwritten.Store(config.Version < fleet.version())
-	return fleet.enforce(config, record)
+	fleet.activeConfig.newerThanStore.Store(config.Version < fleet.configVersion())
+	return fleet.activateConfig(config, record)
 }
 
-// enforce puts a configuration in force if it is newer than the one that is. The mutex
+// activateConfig puts a configuration in force if it is newer than the one that is. The mutex
 // is held.
-func (fleet *fleet) enforce(config *shedkeel.ServingConfig, record shedkeel.Record) bool {
-	if fleet.view.Load() != nil && config.Version <= fleet.version() {
+func (fleet *fleet) activateConfig(config *shedkeel.ServingConfig, record shedkeel.Record) bool {
+	if fleet.view.Load() != nil && config.Version <= fleet.configVersion() {
 		fleet.skipped(record, &shedkeel.InvalidError{Where: record.Key, What: "its version is not newer than the one in force", Remedy: "raise it"})
 		return false
 	}
 	fleet.view.Store(serve.NewView(config))
-	fleet.kept.set(record.Value)
+	fleet.activeConfig.set(record.Value)
 	fleet.node.Log.Write(event.ViewChanged, slog.Int64("version", config.Version), slog.String("revision", record.Revision.String()), slog.Int("routes", len(config.Routes)))
 	return true
 }
@@ -87,10 +87,10 @@
 // newerConfig returns the configuration in force, compressed, for a node that has an
 // older one, where the key-value service has an older one too. Otherwise nil.
 func (fleet *fleet) newerConfig(version int64) []byte {
-	if version >= fleet.version() || !fleet.kept.unwritten.Load() {
+	if version >= fleet.configVersion() || !fleet.activeConfig.newerThanStore.Load() {
 		return nil
 	}
-	return fleet.kept.pack()
+	return fleet.activeConfig.compress()
 }
 
 // receiveConfig takes in the configuration that another node has in force.
@@ -109,31 +109,31 @@
 	}
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
-	if fleet.enforce(config, record) {
-		fleet.kept.unwritten.Store(true)
-		fleet.refresh(true, false)
+	if fleet.activateConfig(config, record) {
+		fleet.activeConfig.newerThanStore.Store(true)
+		fleet.propagate(true, false)
 	}
 }
 
 // fetchConfig asks a node that has a newer configuration in force for it.
 func (peers *peers) fetchConfig(id shedkeel.NodeID, version int64) {
 	fleet := &peers.node.fleet
-	own := fleet.version()
-	if own == 0 || version <= own || !fleet.kept.fetching.CompareAndSwap(false, true) {
+	own := fleet.configVersion()
+	if own == 0 || version <= own || !fleet.activeConfig.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	peer := peers.peer(id)
 	if peer == nil {
-		fleet.kept.fetching.Store(false)
+		fleet.activeConfig.fetching.Store(false)
 		return
 	}
 	go peer.runFetchConfig()
 }
 
 func (peer *peer) runFetchConfig() {
-	defer peer.node.fleet.kept.fetching.Store(false)
+	defer peer.node.fleet.activeConfig.fetching.Store(false)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	at := peer.node.mirror.State().At
-	_, _ = peer.askRelay(ctx, &wire.RelayCall{SinceEra: at.Era, Since: at.Number}) // what it tells else is followed elsewhere
+	_, _ = peer.requestUpdate(ctx, &wire.RelayCall{SinceEra: at.Era, Since: at.Number}) // what it tells else is followed elsewhere
 }
--- a/node/config_test.go
+++ b/node/config_test.go
@@ -24,7 +24,7 @@
 // accepted keys that had been removed.
 func TestNodeThatStartsAfterARestore(t *testing.T) {
 	cases := map[string]struct {
-		follows bool // the new node follows the other one, and not the other way round
+		newNodeAsks bool // the new node follows the other one, and not the other way round
 	}{
 		"it follows another": {true},
 		"another follows it": {false},
@@ -51,18 +51,18 @@
 				peers[from] = nodes[from].peers.peer(record.ID)
 				t.Cleanup(nodes[from].peers.close)
 			}
-			assert.Equal(t, nodes["new"].fleet.version(), int64(6))
+			assert.Equal(t, nodes["new"].fleet.configVersion(), int64(6))
 			from := "old"
-			if test.follows {
+			if test.newNodeAsks {
 				from = "new"
 			}
 			_, err := peers[from].Relay(t.Context(), nodes[from].mirror.State().At, 0)
 			assert.NilError(t, err)
-			for end := time.Now().Add(5 * time.Second); nodes["new"].fleet.version() != 7 && time.Now().Before(end); {
+			for end := time.Now().Add(5 * time.Second); nodes["new"].fleet.configVersion() != 7 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
-			assert.Equal(t, nodes["new"].fleet.version(), int64(7))
-			assert.Equal(t, nodes["old"].fleet.version(), int64(7))
+			assert.Equal(t, nodes["new"].fleet.configVersion(), int64(7))
+			assert.Equal(t, nodes["old"].fleet.configVersion(), int64(7))
 			assert.Assert(t, nodes["new"].fleet.newerConfig(6) != nil, "it tells others")
 
 			again := configRecord(7, 1, 8)
@@ -97,7 +97,7 @@
 			first := configRecord(6, 0, 3)
 			node.mirror.Apply(mirror.Update{Whole: true, At: first.Revision, Records: []shedkeel.Record{first}})
 			node.fleet.receiveConfig(test.packed, "other")
-			assert.Equal(t, node.fleet.version(), test.want)
+			assert.Equal(t, node.fleet.configVersion(), test.want)
 		})
 	}
 }
--- a/node/copies_test.go
+++ b/node/copies_test.go
@@ -13,9 +13,9 @@
 	"shedkeel.org/shedkeel/mirror"
 )
 
-// recordsOfFleet are the records of a fleet: servers in groups, nodes, and a
+// fleetRecords are the records of a fleet: servers in groups, nodes, and a
 // configuration of so many routes.
-func recordsOfFleet(servers, nodes, routes int) []shedkeel.Record {
+func fleetRecords(servers, nodes, routes int) []shedkeel.Record {
 	random := rand.New(rand.NewPCG(1, 2))
 	var records []shedkeel.Record
 	add := func(key string, value []byte) {
@@ -47,7 +47,7 @@
 	source, timers := newTestNode(t)
 	stop := serveWire(t, listener, &source.peers)
 	defer stop()
-	records := recordsOfFleet(925, 295, 1520)
+	records := fleetRecords(925, 295, 1520)
 	own, _ := newTestNode(t)
 	own.Settings.Wire.Key = "k"
 	peer := own.peers.dial("source", listener.Addr().String())
--- a/node/directory_test.go
+++ b/node/directory_test.go
@@ -16,11 +16,11 @@
 	"shedkeel.org/shedkeel/node"
 )
 
-// offPrefix begins the names of the nodes that lose power.
-const offPrefix = "off-"
+// deadPrefix begins the names of the nodes that lose power.
+const deadPrefix = "off-"
 
-// unnamedWithin is how long after a node went the directory may still name it.
-const unnamedWithin = 5 * time.Second
+// exclusionDelay is how long after a node went the directory may still name it.
+const exclusionDelay = 5 * time.Second
 
 // TestDirectoryLeavesOutDeadNodes has nodes lose power while what tells of it is
 // out of order. The directory named whatever its copy of the store listed: it
@@ -33,8 +33,8 @@
 // until 15.9 s.
 func TestDirectoryLeavesOutDeadNodes(t *testing.T) {
 	cases := map[string]struct {
-		dead   int
-		happen func(world *world, keys []string) // at the moment at which they go
+		deadNodes int
+		fault     func(world *world, keys []string) // at the moment at which they go
 	}{
 		"their records stand, and the store is away": {2, func(world *world, _ []string) {
 			world.data.SetFaults(standin.Faults{Outage: true})
@@ -54,9 +54,9 @@
 		t.Run(name, func(t *testing.T) {
 			world := newWorld(t, 2)
 			world.eventually("both nodes are named", func() bool { return len(world.addresses(0)) == 2 && len(world.addresses(1)) == 2 })
-			keys, callers := world.listDeadNodes(test.dead)
-			test.happen(world, keys)
-			time.Sleep(unnamedWithin)
+			keys, callers := world.listDeadNodes(test.deadNodes)
+			test.fault(world, keys)
+			time.Sleep(exclusionDelay)
 			for range 10 {
 				for index, running := range world.nodes {
 					named := world.addresses(index)
@@ -68,7 +68,7 @@
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
-			world.expectUnnamed()
+			world.checkExcluded()
 		})
 	}
 }
@@ -78,7 +78,7 @@
 func (world *world) listDeadNodes(count int) (keys, callers []string) {
 	var change shedkeel.Change
 	for index := range count {
-		id := fmt.Sprint(offPrefix, index)
+		id := fmt.Sprint(deadPrefix, index)
 		address := closedAddress(world.t)
 		record := map[string]any{"id": id, "incarnation": "i", "zone": "z", "callers": address, "control": address, "gossip": address, "capacity": 0, "stopping": false, "watched": true}
 		value, err := json.Marshal(record)
@@ -90,18 +90,18 @@
 	_, err := world.data.Commit(change)
 	assert.NilError(world.t, err)
 	for index := range world.nodes {
-		world.eventually("they are known", func() bool { return slices.Contains(world.status(index).Nodes, shedkeel.NodeID(offPrefix+"0")) })
+		world.eventually("they are known", func() bool { return slices.Contains(world.status(index).Nodes, shedkeel.NodeID(deadPrefix+"0")) })
 	}
 	return keys, callers
 }
 
-// expectUnnamed checks that operators are told why callers are not sent to those of
+// checkExcluded checks that operators are told why callers are not sent to those of
 // the dead nodes that are listed still, and of no others.
-func (world *world) expectUnnamed() {
+func (world *world) checkExcluded() {
 	status := world.status(0)
 	var listed, unnamed []shedkeel.NodeID
 	for _, id := range status.Nodes {
-		if strings.HasPrefix(string(id), offPrefix) {
+		if strings.HasPrefix(string(id), deadPrefix) {
 			listed = append(listed, id)
 		}
 	}
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -39,24 +39,24 @@
 // fleet is what a node makes of the records: the configuration, the servers
 // and groups that requests may be sent to, and the other nodes.
 type fleet struct {
-	node *Node
-	view atomic.Pointer[serve.View]
-	kept keptConfig
+	node         *Node
+	view         atomic.Pointer[serve.View]
+	activeConfig activeConfigCopy
 
-	mutex     sync.Mutex
-	instances map[string]shedkeel.Instance      // by key
-	nodes     map[string]nodeRecord             // by key
-	lapsed    map[string]time.Duration          // gone while the service was away, believed until then
-	evacuated map[shedkeel.ZoneID]bool          // their backend servers get nothing
-	cold      map[string]time.Duration          // servers that have said so are cold until then, by key
-	takenBack map[shedkeel.ZoneID]time.Duration // when an evacuation was withdrawn last
-	removed   removals
-	doubted   map[string]time.Duration // servers whose records can't be read, and until when they keep their places
-	unread    atomic.Int64             // records that were not used
-	copied    bool                     // the records that come are of an older copy of the service
-	troubled  time.Duration            // the service was away until then, or is
-	proven    atomic.Int64             // when the copy was proven last, as a time.Duration
-	counts    map[string]int           // servers and groups that may be sent to, as logged last
+	mutex        sync.Mutex
+	instances    map[string]shedkeel.Instance      // by key
+	nodes        map[string]nodeRecord             // by key
+	retained     map[string]time.Duration          // gone while the service was away, believed until then
+	evacuated    map[shedkeel.ZoneID]bool          // their backend servers get nothing
+	coldUntil    map[string]time.Duration          // servers that have said so are cold until then, by key
+	takenBack    map[shedkeel.ZoneID]time.Duration // when an evacuation was withdrawn last
+	removals     removals
+	unreadable   map[string]time.Duration // servers whose records can't be read, and until when they keep their places
+	unread       atomic.Int64             // records that were not used
+	afterRestore bool                     // the records that come are of an older copy of the service
+	outageUntil  time.Duration            // the service was away until then, or is
+	verifiedAt   atomic.Int64             // when the copy was proven last, as a time.Duration
+	loggedCounts map[string]int           // servers and groups that may be sent to, as logged last
 }
 
 // changed takes in changed records. The mirror calls it one at a time.
@@ -66,10 +66,10 @@
 	if fleet.instances == nil {
 		fleet.instances = map[string]shedkeel.Instance{}
 		fleet.nodes = map[string]nodeRecord{}
-		fleet.lapsed = map[string]time.Duration{}
-		fleet.doubted = map[string]time.Duration{}
+		fleet.retained = map[string]time.Duration{}
+		fleet.unreadable = map[string]time.Duration{}
 		fleet.evacuated = map[shedkeel.ZoneID]bool{}
-		fleet.cold = map[string]time.Duration{}
+		fleet.coldUntil = map[string]time.Duration{}
 		fleet.takenBack = map[shedkeel.ZoneID]time.Duration{}
 	}
 	now := fleet.node.Timers.Now()
@@ -77,11 +77,11 @@
 	for _, record := range records {
 		switch {
 		case record.Key == fleet.node.Decoder.ConfigKey():
-			servers = fleet.takeConfig(record) || servers
+			servers = fleet.applyConfigRecord(record) || servers
 		case strings.HasPrefix(record.Key, fleet.node.Decoder.InstancePrefix()):
-			servers = fleet.takeInstance(record, now) || servers
+			servers = fleet.applyInstance(record, now) || servers
 		case strings.HasPrefix(record.Key, nodePrefix):
-			nodes = fleet.takeNode(record, now) || nodes
+			nodes = fleet.applyNode(record, now) || nodes
 		case strings.HasPrefix(record.Key, blamePrefix):
 			fleet.node.guard.takeRecord(record)
 		default:
@@ -90,8 +90,8 @@
 			}
 		}
 	}
-	fleet.copied = false
-	fleet.refresh(servers, nodes)
+	fleet.afterRestore = false
+	fleet.propagate(servers, nodes)
 }
 
 // skipped notes a record that is not used. The mutex may be held.
@@ -109,85 +109,85 @@
 	return err
 }
 
-// takeInstance takes in a backend server's record, and reports whether it changes what
+// applyInstance takes in a backend server's record, and reports whether it changes what
 // requests may be sent to. Gone ones are believed a while where the service was away,
 // and never in a state they had left.
-func (fleet *fleet) takeInstance(record shedkeel.Record, now time.Duration) bool {
+func (fleet *fleet) applyInstance(record shedkeel.Record, now time.Duration) bool {
 	if record.Gone {
-		return fleet.takeGone(record.Key, now, func() { fleet.drop(record.Key, record.Revision.Era, now) })
+		return fleet.removeOrRetain(record.Key, now, func() { fleet.removeInstance(record.Key, record.Revision.Era, now) })
 	}
 	instance, err := fleet.node.Decoder.Instance(record.Key, record.Value)
 	if err != nil {
 		fleet.skipped(record, err)
-		return fleet.doubt(record.Key, now)
+		return fleet.markUnreadable(record.Key, now)
 	}
 	known, listed := fleet.instances[record.Key]
-	if listed && fleet.older(&instance, &known) {
+	if listed && fleet.isOutdated(&instance, &known) {
 		fleet.skipped(record, &shedkeel.InvalidError{Where: record.Key, What: "the server wrote it before what is known of it", Remedy: "none is needed: it writes its record again"})
 		return false
 	}
-	_, wasDoubted := fleet.doubted[record.Key]
-	fleet.removed.returned(instance.ID, record.Revision.Era, now)
-	delete(fleet.lapsed, record.Key)
-	delete(fleet.doubted, record.Key)
+	_, wasDoubted := fleet.unreadable[record.Key]
+	fleet.removals.returned(instance.ID, record.Revision.Era, now)
+	delete(fleet.retained, record.Key)
+	delete(fleet.unreadable, record.Key)
 	fleet.instances[record.Key] = instance
-	fleet.cold[record.Key] = now + instance.ColdFor
+	fleet.coldUntil[record.Key] = now + instance.ColdFor
 	// A heartbeat changes nothing but its sequence: thousands of them come a second.
 	return !listed || wasDoubted || !instance.Same(&known)
 }
 
-// older reports whether a record of a server is older than what is known of it: of a
-// former start, or in an older copy of the key-value service with a lower sequence or
+// isOutdated reports whether a record of a server is isOutdated than what is known of it: of a
+// former start, or in an isOutdated copy of the key-value service with a lower sequence or
 // from before it drained.
-func (fleet *fleet) older(instance, known *shedkeel.Instance) bool {
+func (fleet *fleet) isOutdated(instance, known *shedkeel.Instance) bool {
 	born, knownBorn := instance.ID.Born(), known.ID.Born()
 	if born != knownBorn {
 		return born != 0 && born < knownBorn
 	}
 	wasReady := known.Draining && !instance.Draining
-	return fleet.copied && (wasReady || instance.Sequence < known.Sequence)
+	return fleet.afterRestore && (wasReady || instance.Sequence < known.Sequence)
 }
 
-// doubt has a server that was good get no requests, now that its record can't be
+// markUnreadable has a server that was good get no requests, now that its record can't be
 // read, and keep its place in its group for a while. It reports whether that is
 // news.
-func (fleet *fleet) doubt(key string, now time.Duration) bool {
+func (fleet *fleet) markUnreadable(key string, now time.Duration) bool {
 	_, listed := fleet.instances[key]
-	_, doubted := fleet.doubted[key]
+	_, doubted := fleet.unreadable[key]
 	if !listed || doubted {
 		return false
 	}
-	fleet.doubted[key] = now + doubtHold
+	fleet.unreadable[key] = now + doubtHold
 	return true
 }
 
-// drop forgets a server that is gone in an era of the key-value service.
-func (fleet *fleet) drop(key string, era int64, now time.Duration) {
+// removeInstance forgets a server that is gone in an era of the key-value service.
+func (fleet *fleet) removeInstance(key string, era int64, now time.Duration) {
 	if instance, listed := fleet.instances[key]; listed {
-		fleet.removed.note(instance.ID, era, now)
+		fleet.removals.note(instance.ID, era, now)
 	}
 	delete(fleet.instances, key)
-	delete(fleet.doubted, key)
-	delete(fleet.cold, key)
+	delete(fleet.unreadable, key)
+	delete(fleet.coldUntil, key)
 }
 
-// takeGone takes in that a record went. While the service was away leases may have
+// removeOrRetain takes in that a record went. While the service was away leases may have
 // run out, so what may have written it is believed for a while.
-func (fleet *fleet) takeGone(key string, now time.Duration, remove func()) bool {
-	if now >= fleet.troubled || !fleet.mayReturn(key) {
+func (fleet *fleet) removeOrRetain(key string, now time.Duration, remove func()) bool {
+	if now >= fleet.outageUntil || !fleet.writerMayReturn(key) {
 		remove()
 		return true
 	}
-	fleet.lapsed[key] = fleet.troubled
+	fleet.retained[key] = fleet.outageUntil
 	if id, isNode := strings.CutPrefix(key, nodePrefix); isNode {
-		fleet.node.Log.Write(event.NodeHeld, slog.String("of", id), slog.Duration("until", fleet.troubled-now), slog.Duration("age", fleet.copyAge()))
+		fleet.node.Log.Write(event.NodeHeld, slog.String("of", id), slog.Duration("until", fleet.outageUntil-now), slog.Duration("age", fleet.mirrorAge()))
 	}
 	return false
 }
 
-// mayReturn reports whether what wrote a record may write it again. A node that
+// writerMayReturn reports whether what wrote a record may write it again. A node that
 // others find dead may not.
-func (fleet *fleet) mayReturn(key string) bool {
+func (fleet *fleet) writerMayReturn(key string) bool {
 	id, isNode := strings.CutPrefix(key, nodePrefix)
 	return !isNode || fleet.node.gossip.serves(shedkeel.NodeID(id))
 }
@@ -196,56 +196,56 @@
 // long enough.
 func (fleet *fleet) tick(now time.Duration) {
 	state := fleet.node.mirror.State()
-	fleet.proven.Store(int64(state.AsOf))
+	fleet.verifiedAt.Store(int64(state.AsOf))
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
 	if state.Known && now-state.AsOf > troubleAge {
-		fleet.troubled = now + lapseHold
+		fleet.outageUntil = now + lapseHold
 	}
 	servers, nodes := false, false
-	for key, until := range fleet.lapsed {
-		away := now < fleet.troubled && now-state.AsOf > troubleAge
-		if fleet.mayReturn(key) && (now < until || away) {
+	for key, until := range fleet.retained {
+		away := now < fleet.outageUntil && now-state.AsOf > troubleAge
+		if fleet.writerMayReturn(key) && (now < until || away) {
 			continue
 		}
-		delete(fleet.lapsed, key)
+		delete(fleet.retained, key)
 		if strings.HasPrefix(key, nodePrefix) {
 			delete(fleet.nodes, key)
 			nodes = true
 		} else {
-			fleet.drop(key, state.At.Era, now)
+			fleet.removeInstance(key, state.At.Era, now)
 			servers = true
 		}
 	}
-	for key, until := range fleet.doubted {
+	for key, until := range fleet.unreadable {
 		if now >= until {
-			fleet.drop(key, state.At.Era, now)
+			fleet.removeInstance(key, state.At.Era, now)
 			servers = true
 		}
 	}
-	servers = fleet.removed.expire(now) || servers
-	fleet.refresh(servers, nodes)
+	servers = fleet.removals.expire(now) || servers
+	fleet.propagate(servers, nodes)
 }
 
-// copyAge returns how old the copy of the records was at the last tick. Unlike
+// mirrorAge returns how old the copy of the records was at the last tick. Unlike
 // the mirror's state it can be asked while the mirror tells of a change.
-func (fleet *fleet) copyAge() time.Duration {
-	return fleet.node.Timers.Now() - time.Duration(fleet.proven.Load())
+func (fleet *fleet) mirrorAge() time.Duration {
+	return fleet.node.Timers.Now() - time.Duration(fleet.verifiedAt.Load())
 }
 
-// refresh passes on what has changed. The mutex is held.
-func (fleet *fleet) refresh(servers, nodes bool) {
+// propagate passes on what has changed. The mutex is held.
+func (fleet *fleet) propagate(servers, nodes bool) {
 	if servers {
-		fleet.rebuild()
+		fleet.rebuildTable()
 	}
 	if nodes {
 		fleet.node.peers.update(fleet.sortedNodes())
 	}
 }
 
-// rebuild makes the table of servers that requests may be sent to. The mutex
+// rebuildTable makes the table of servers that requests may be sent to. The mutex
 // is held.
-func (fleet *fleet) rebuild() {
+func (fleet *fleet) rebuildTable() {
 	view := fleet.view.Load()
 	if view == nil {
 		return
@@ -261,28 +261,28 @@
 	var servers []dispatch.Server
 	for key, instance := range fleet.instances {
 		service := view.Service(instance.Service)
-		fleet.noteCold(key, &instance, service)
-		_, doubted := fleet.doubted[key]
+		fleet.reportCold(key, &instance, service)
+		_, doubted := fleet.unreadable[key]
 		switch {
-		case service == nil || instance.Draining || doubted || fleet.removed.withheld(instance.ID) || fleet.evacuated[instance.Zone]:
+		case service == nil || instance.Draining || doubted || fleet.removals.withheld(instance.ID) || fleet.evacuated[instance.Zone]:
 		case service.Engine == nil:
 			servers = append(servers, serverOf(&instance))
-		case headServes(instance.Member, epochs):
-			servers = append(servers, groupOf(&instance, service.Engine))
+		case isOpenHead(instance.Member, epochs):
+			servers = append(servers, groupServerOf(&instance, service.Engine))
 		}
 	}
 	fleet.node.table.Replace(servers)
 	fleet.node.limits.apply()
-	fleet.logServers(servers)
+	fleet.logServerCounts(servers)
 }
 
-// noteCold tells the limits of a server that is cold. After an evacuation a server is
+// reportCold tells the limits of a server that is cold. After an evacuation a server is
 // taken to be: its record says so only some time after requests may come again.
-func (fleet *fleet) noteCold(key string, instance *shedkeel.Instance, service *shedkeel.RoutedService) {
+func (fleet *fleet) reportCold(key string, instance *shedkeel.Instance, service *shedkeel.RoutedService) {
 	if service == nil || service.ColdRate <= 0 {
 		return
 	}
-	until := fleet.cold[key]
+	until := fleet.coldUntil[key]
 	if since, was := fleet.takenBack[instance.Zone]; was {
 		until = max(until, since+service.ColdTime)
 	}
@@ -291,9 +291,9 @@
 	}
 }
 
-// headServes reports whether a member is the open head of its group. One whose
+// isOpenHead reports whether a member is the open head of its group. One whose
 // group was formed anew without it may be open still.
-func headServes(member *shedkeel.Membership, epochs map[shedkeel.GroupID]uint64) bool {
+func isOpenHead(member *shedkeel.Membership, epochs map[shedkeel.GroupID]uint64) bool {
 	return member != nil && member.Rank == 0 && member.State == shedkeel.MemberOpen && member.Epoch == epochs[member.Group]
 }
 
@@ -302,8 +302,8 @@
 	return dispatch.Server{Service: instance.Service, Instance: instance.ID, Address: instance.Address, Zone: instance.Zone, Slots: instance.Slots}
 }
 
-// groupOf returns a replica group, by its head, as requests are sent to it.
-func groupOf(head *shedkeel.Instance, engine *shedkeel.Engine) dispatch.Server {
+// groupServerOf returns a replica group, by its head, as requests are sent to it.
+func groupServerOf(head *shedkeel.Instance, engine *shedkeel.Engine) dispatch.Server {
 	server := serverOf(head)
 	server.Model = formation.ModelOf(head.Member.Group)
 	server.Group = head.Member.Assignment()
@@ -320,16 +320,16 @@
 	return server
 }
 
-// logServers logs how many servers and groups may be sent to.
-func (fleet *fleet) logServers(servers []dispatch.Server) {
+// logServerCounts logs how many servers and groups may be sent to.
+func (fleet *fleet) logServerCounts(servers []dispatch.Server) {
 	counts := map[string]int{}
 	for _, server := range servers {
 		counts[strings.Trim(string(server.Service)+"/"+string(server.Model), "/")]++
 	}
-	if maps.Equal(counts, fleet.counts) {
+	if maps.Equal(counts, fleet.loggedCounts) {
 		return
 	}
-	fleet.counts = counts
+	fleet.loggedCounts = counts
 	fields := []slog.Attr{slog.Int("instances", len(fleet.instances))}
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		fields = append(fields, slog.Int(name, counts[name]))
@@ -350,7 +350,7 @@
 	found := map[shedkeel.ServiceID][]shedkeel.Instance{}
 	for _, instance := range fleet.instances {
 		if service := view.Service(instance.Service); service != nil && service.Engine != nil {
-			instance.Draining = instance.Draining || draining[instance.ID] || fleet.removed.withheld(instance.ID)
+			instance.Draining = instance.Draining || draining[instance.ID] || fleet.removals.withheld(instance.ID)
 			found[instance.Service] = append(found[instance.Service], instance)
 		}
 	}
--- a/node/fleetsize.go
+++ b/node/fleetsize.go
@@ -15,52 +15,52 @@
 const (
 	// sizeKey is where the node that plans writes how large the fleet is.
 	sizeKey = "shedkeel/fleet"
-	// sizeEvery is how often it looks whether what stands there is still right.
-	sizeEvery = 2 * time.Second
-	// sizeChange is the part by which the number of nodes must have changed for
+	// sizeCheckInterval is how often it looks whether what stands there is still right.
+	sizeCheckInterval = 2 * time.Second
+	// sizeTolerance is the part by which the number of nodes must have changed for
 	// it to be written again: only its magnitude matters.
-	sizeChange = 0.25
-	// startPeers is how many relays a node asks at its start, those of its own
+	sizeTolerance = 0.25
+	// maxStartupRelays is how many relays a node asks at its start, those of its own
 	// availability zone first.
-	startPeers = 4
+	maxStartupRelays = 4
 )
 
 // sizeRecord tells a node that starts, and knows nothing else, how large its
 // fleet is and who lists the service's records for the others.
 type sizeRecord struct {
-	Nodes  int          `json:"nodes"`
-	Relays []startRelay `json:"relays"` // none in a small fleet
+	Nodes  int            `json:"nodes"`
+	Relays []startupRelay `json:"relays"` // none in a small fleet
 }
 
-// startRelay is a node that others ask at their start.
-type startRelay struct {
+// startupRelay is a node that others ask at their start.
+type startupRelay struct {
 	Zone    shedkeel.ZoneID `json:"zone"`
 	Control string          `json:"control"`
 }
 
-// sizeOf returns what stands for a fleet of these nodes.
-func sizeOf(nodes []nodeRecord) sizeRecord {
+// newSizeRecord returns what stands for a fleet of these nodes.
+func newSizeRecord(nodes []nodeRecord) sizeRecord {
 	size := sizeRecord{Nodes: len(nodes)}
 	if !hasRelays(len(nodes)) {
 		return size
 	}
-	for _, place := range append(relaysOf(nodes), sources[:]...) {
-		size.Relays = append(size.Relays, startRelay{Zone: nodes[place].Zone, Control: nodes[place].Control})
+	for _, place := range append(relayIndexes(nodes), sourceIndexes[:]...) {
+		size.Relays = append(size.Relays, startupRelay{Zone: nodes[place].Zone, Control: nodes[place].Control})
 	}
 	return size
 }
 
-// near reports whether what stands is still near enough to what is.
-func (size sizeRecord) near(now sizeRecord) bool {
+// isCloseTo reports whether what stands is still isCloseTo enough to what is.
+func (size sizeRecord) isCloseTo(now sizeRecord) bool {
 	change := float64(now.Nodes - size.Nodes)
-	return slices.Equal(size.Relays, now.Relays) && max(change, -change) <= sizeChange*float64(size.Nodes)
+	return slices.Equal(size.Relays, now.Relays) && max(change, -change) <= sizeTolerance*float64(size.Nodes)
 }
 
 // keepSize writes how large the fleet is, if that is no longer what stands. It
 // is called while this node leads.
 func (controller *controller) keepSize(ctx context.Context, now time.Duration) {
 	node := controller.node
-	if now-controller.sized < sizeEvery {
+	if now-controller.sized < sizeCheckInterval {
 		return
 	}
 	first := controller.sized == 0
@@ -73,8 +73,8 @@
 	if record.Revision.Exists() {
 		_ = node.fleet.read(record, &standing) // one that can't be read is written anew
 	}
-	size := sizeOf(node.peers.listed())
-	if standing.near(size) {
+	size := newSizeRecord(node.peers.listed())
+	if standing.isCloseTo(size) {
 		return
 	}
 	value, err := json.Marshal(size)
@@ -103,26 +103,26 @@
 		return mirror.Advice{List: true}, nil
 	}
 	node.member.hint.Store(max(node.member.hint.Load(), int64(size.Nodes)))
-	isRelay := slices.ContainsFunc(size.Relays, func(relay startRelay) bool { return relay.Control == node.Settings.Listen.Control })
+	isRelay := slices.ContainsFunc(size.Relays, func(relay startupRelay) bool { return relay.Control == node.Settings.Listen.Control })
 	if isRelay || len(size.Relays) == 0 {
 		return mirror.Advice{List: true}, nil
 	}
-	return mirror.Advice{Peers: peers.startFrom(size.Relays)}, nil
+	return mirror.Advice{Peers: peers.dialStartupRelays(size.Relays)}, nil
 }
 
-// startFrom returns relays to be asked at the start, the best first. They are
+// dialStartupRelays returns relays to be asked at the start, the best first. They are
 // kept like seeds.
-func (peers *peers) startFrom(relays []startRelay) []mirror.Peer {
+func (peers *peers) dialStartupRelays(relays []startupRelay) []mirror.Peer {
 	own := peers.node.Settings
-	slices.SortFunc(relays, func(a, b startRelay) int {
+	slices.SortFunc(relays, func(a, b startupRelay) int {
 		return compareRelays(own.Node, a.Zone != own.Zone, b.Zone != own.Zone, shedkeel.NodeID(a.Control), shedkeel.NodeID(b.Control))
 	})
 	var found []mirror.Peer
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
-	for _, relay := range relays[:min(startPeers, len(relays))] {
+	for _, relay := range relays[:min(maxStartupRelays, len(relays))] {
 		peer := peers.dial(shedkeel.NodeID(relay.Control), relay.Control)
-		peers.started = append(peers.started, peer)
+		peers.startupRelays = append(peers.startupRelays, peer)
 		found = append(found, peer)
 	}
 	return found
--- a/node/fleetsize_test.go
+++ b/node/fleetsize_test.go
@@ -22,8 +22,8 @@
 	return store.record, nil
 }
 
-// controlled gives the nodes of a fleet addresses.
-func controlled(nodes []nodeRecord) []nodeRecord {
+// withControlAddresses gives the nodes of a fleet addresses.
+func withControlAddresses(nodes []nodeRecord) []nodeRecord {
 	for index := range nodes {
 		nodes[index].Control = string(nodes[index].ID) + ":1"
 	}
@@ -32,9 +32,9 @@
 
 // TestAdvice covers how a node begins that knows nothing.
 func TestAdvice(t *testing.T) {
-	large, err := json.Marshal(sizeOf(controlled(fleetOf(300, 3))))
+	large, err := json.Marshal(newSizeRecord(withControlAddresses(fleetOf(300, 3))))
 	assert.NilError(t, err)
-	small, err := json.Marshal(sizeOf(controlled(fleetOf(9, 3))))
+	small, err := json.Marshal(newSizeRecord(withControlAddresses(fleetOf(9, 3))))
 	assert.NilError(t, err)
 	cases := map[string]struct {
 		own   string
@@ -48,7 +48,7 @@
 		"the same, a seed":               {"z0-000:1", []string{"z0-000:1"}, nil, true, 0, 0},
 		"the same, there are no seeds":   {"z3-050:1", nil, nil, true, 0, 0},
 		"a small fleet":                  {"z3-050:1", []string{"z0-000:1"}, small, true, 0, 9},
-		"a large one":                    {"z3-050:1", []string{"z0-000:1"}, large, false, startPeers, 300},
+		"a large one":                    {"z3-050:1", []string{"z0-000:1"}, large, false, maxStartupRelays, 300},
 		"a large one, a relay":           {"z3-000:1", []string{"z0-000:1"}, large, true, 0, 300},
 		"what stands there is no record": {"z3-050:1", []string{"z0-000:1"}, []byte("{"), true, 0, 0},
 	}
@@ -89,21 +89,21 @@
 	}}
 	look := func(nodes []nodeRecord) {
 		node.peers.update(nodes)
-		timers.Advance(sizeEvery)
+		timers.Advance(sizeCheckInterval)
 		node.controller.keepSize(t.Context(), timers.Now())
 	}
 	look(fleetOf(200, 3))
 	assert.Equal(t, len(stands), 0, "others may not be listed yet")
-	look(controlled(fleetOf(300, 3)))
-	look(controlled(fleetOf(295, 3)))
+	look(withControlAddresses(fleetOf(300, 3)))
+	look(withControlAddresses(fleetOf(295, 3)))
 	assert.Equal(t, len(stands), 1, "it is about as large")
 	assert.Equal(t, len(stands[0].Relays), 15)
-	look(controlled(fleetOf(295, 2)))
+	look(withControlAddresses(fleetOf(295, 2)))
 	assert.Equal(t, len(stands), 2, "there are other relays")
-	look(controlled(fleetOf(9, 2)))
+	look(withControlAddresses(fleetOf(9, 2)))
 	assert.Equal(t, len(stands), 3)
 	assert.Equal(t, len(stands[2].Relays), 0)
-	timers.Advance(sizeEvery - time.Millisecond)
+	timers.Advance(sizeCheckInterval - time.Millisecond)
 	node.controller.keepSize(t.Context(), timers.Now())
 	assert.Equal(t, len(stands), 3)
 }
--- a/node/follow.go
+++ b/node/follow.go
@@ -11,40 +11,40 @@
 )
 
 const (
-	// failTime is how long a node is not followed that has not answered, or with
+	// followBackoff is how long a node is not followed that has not answered, or with
 	// a copy that was too old.
-	failTime = 2 * time.Second
-	// sourceAge is how old the copy of a node may be that others follow: its
+	followBackoff = 2 * time.Second
+	// maxSourceAge is how old the copy of a node may be that others follow: its
 	// copy is up to two watches old, and what has changed is let gather for 0.1 s.
-	sourceAge = 1200 * time.Millisecond
-	// relayAge is the same for a relay, which follows the source by questions
+	maxSourceAge = 1200 * time.Millisecond
+	// maxRelayAge is the same for a relay, which follows the source by questions
 	// that wait.
-	relayAge = sourceAge + mirror.RelayWait
-	// directFollowers is up to how many nodes all follow the source itself.
+	maxRelayAge = maxSourceAge + mirror.RelayWait
+	// maxDirectFollowers is up to how many nodes all follow the source itself.
 	// Beyond it relays stand between: a change of all servers of 295 boxes, 0.1
 	// MB, then leaves the source 13 times in place of 294, and its link of 200
 	// Mbit/s takes 0.05 s for it in place of 1.2.
-	directFollowers = 96
-	// relayFollowers is how many nodes of an availability zone one relay is for.
-	relayFollowers = 24
-	// relayCapacity is the least that a relay has of the capacity of the node
+	maxDirectFollowers = 96
+	// followersPerRelay is how many nodes of an availability zone one relay is for.
+	followersPerRelay = 24
+	// minRelayCapacity is the least that a relay has of the capacity of the node
 	// with most: small boxes have a tenth of a large one's link too.
-	relayCapacity = 0.5
+	minRelayCapacity = 0.5
 )
 
-// sources are the places of the nodes that relays, or in a small fleet all, may
+// sourceIndexes are the places of the nodes that relays, or in a small fleet all, may
 // follow. It follows the key-value service itself, so that calls don't grow with
 // nodes. The node in the first place plans already.
-var sources = [...]int{1, 0}
+var sourceIndexes = [...]int{1, 0}
 
 // hasRelays reports whether relays stand between the source and the others in a
 // fleet of so many nodes.
-func hasRelays(nodes int) bool { return nodes > directFollowers }
+func hasRelays(nodes int) bool { return nodes > maxDirectFollowers }
 
-// relaysOf returns the places of the nodes that others follow in the place of
+// relayIndexes returns the places of the nodes that others follow in the place of
 // the source: of each availability zone the first in order that are large
 // enough, none of them with work for all.
-func relaysOf(nodes []nodeRecord) []int {
+func relayIndexes(nodes []nodeRecord) []int {
 	if !hasRelays(len(nodes)) {
 		return nil
 	}
@@ -55,8 +55,8 @@
 	taken := map[shedkeel.ZoneID]int{}
 	var relays []int
 	for place, node := range nodes {
-		wanted := (inZone[node.Zone] + relayFollowers - 1) / relayFollowers
-		fit := node.Capacity >= relayCapacity*nodes[0].Capacity && !node.Stopping
+		wanted := (inZone[node.Zone] + followersPerRelay - 1) / followersPerRelay
+		fit := node.Capacity >= minRelayCapacity*nodes[0].Capacity && !node.Stopping
 		if place < helpers || !fit || taken[node.Zone] >= wanted {
 			continue
 		}
@@ -72,22 +72,22 @@
 // answers; each node has an order of its own, so that the followers of a relay
 // that is lost spread over the others.
 func followOrder(nodes []nodeRecord, own int) []int {
-	return followOrderOf(nodes, relaysOf(nodes), own)
+	return followOrderWithRelays(nodes, relayIndexes(nodes), own)
 }
 
-// followOrderOf is followOrder where the relays are known.
-func followOrderOf(nodes []nodeRecord, relays []int, own int) []int {
+// followOrderWithRelays is followOrder where the relays are known.
+func followOrderWithRelays(nodes []nodeRecord, relays []int, own int) []int {
 	if place := slices.Index(relays, own); own < helpers || place >= 0 {
 		// Where neither source has a way to the service, the first relay does, and
 		// the others follow it.
-		return slices.Concat(sources[:], relays[:place+1])
+		return slices.Concat(sourceIndexes[:], relays[:place+1])
 	}
 	far := func(place int) bool { return nodes[place].Zone != nodes[own].Zone }
 	relays = slices.Clone(relays)
 	slices.SortFunc(relays, func(a, b int) int {
 		return compareRelays(nodes[own].ID, far(a), far(b), nodes[a].ID, nodes[b].ID)
 	})
-	return append(relays, sources[:]...)
+	return append(relays, sourceIndexes[:]...)
 }
 
 // compareRelays orders two relays for a node: those of its own availability zone
@@ -126,10 +126,10 @@
 			continue
 		}
 		if place == own {
-			return peers.atStart(listed && len(nodes) >= peers.node.member.expected()/2)
+			return peers.startupSeed(listed && len(nodes) >= peers.node.member.expectedNodes()/2)
 		}
 		followed := peers.known[nodes[place].ID]
-		if !followed.failed.within(failTime, peers.node.Timers.Now()) {
+		if !followed.failed.within(followBackoff, peers.node.Timers.Now()) {
 			return followed
 		}
 		if first == nil {
@@ -139,14 +139,14 @@
 	return first // none answers; the copy will be stale, and its turn to ask the service comes
 }
 
-// atStart returns whom a node follows that would follow the service itself: a seed
+// startupSeed returns whom a node follows that would follow the service itself: a seed
 // while this node is not listed or knows few of the others, and so not its place.
-func (peers *peers) atStart(settled bool) mirror.Peer {
+func (peers *peers) startupSeed(settled bool) mirror.Peer {
 	if settled || peers.isSeed() {
 		return nil
 	}
 	for _, seed := range peers.seeds {
-		if !seed.failed.within(failTime, peers.node.Timers.Now()) {
+		if !seed.failed.within(followBackoff, peers.node.Timers.Now()) {
 			return seed
 		}
 	}
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -53,19 +53,19 @@
 // when one in the middle is lost.
 func TestFollowers(t *testing.T) {
 	cases := map[string]struct {
-		nodes  []nodeRecord
-		down   []int
-		source int // most that follow the source
-		relay  int // most that follow any other
+		nodes     []nodeRecord
+		down      []int
+		maxSource int // most that follow the source
+		maxOther  int // most that follow any other
 	}{
 		"a small fleet":                    {fleetOf(9, 3), nil, 8, 0},
-		"the largest without relays":       {fleetOf(directFollowers, 3), nil, directFollowers - 1, 0},
+		"the largest without relays":       {fleetOf(maxDirectFollowers, 3), nil, maxDirectFollowers - 1, 0},
 		"300 boxes, 15 large":              {fleetOf(300, 3), nil, 20, 60}, // in one zone two of three large ones have other work
 		"300 boxes, 15 large, one is lost": {fleetOf(300, 3), []int{4}, 20, 60},
 		"300 boxes, the source is lost":    {fleetOf(300, 3), []int{1}, 20, 60},
-		"300 boxes of one size":            {fleetOf(300, 0), nil, 20, 2 * relayFollowers},
+		"300 boxes of one size":            {fleetOf(300, 0), nil, 20, 2 * followersPerRelay},
 		"1000 boxes, 15 large":             {fleetOf(1000, 3), nil, 20, 200},
-		"1000 boxes of one size":           {fleetOf(1000, 0), nil, 50, 2 * relayFollowers},
+		"1000 boxes of one size":           {fleetOf(1000, 0), nil, 50, 2 * followersPerRelay},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -82,8 +82,8 @@
 			}
 			t.Logf("%d follow the source, at most %d another, %d the service", followers[source], most, followers[-1])
 			assert.Equal(t, followers[-1], 1)
-			assert.Assert(t, followers[source] <= test.source)
-			assert.Assert(t, most <= test.relay)
+			assert.Assert(t, followers[source] <= test.maxSource)
+			assert.Assert(t, most <= test.maxOther)
 		})
 	}
 }
@@ -94,7 +94,7 @@
 	nodes := fleetOf(300, 3)
 	for own := range nodes {
 		first := followOrder(nodes, own)[0]
-		if first != sources[0] {
+		if first != sourceIndexes[0] {
 			assert.Equal(t, nodes[first].Zone, nodes[own].Zone)
 		}
 	}
@@ -104,10 +104,10 @@
 // few others: it must not follow the service itself, as 295 did that started together.
 func TestUnlistedFollowsSeed(t *testing.T) {
 	cases := map[string]struct {
-		seeds  []string
-		listed []nodeRecord
-		hint   int64 // how many nodes there are, as a seed has told
-		follow string
+		seeds        []string
+		listed       []nodeRecord
+		hint         int64 // how many nodes there are, as a seed has told
+		wantFollowed string
 	}{
 		"it knows nobody":              {[]string{"seed:1"}, nil, 0, "seed:1"},
 		"it would be the second":       {[]string{"seed:1"}, []nodeRecord{{ID: "a", Capacity: 0.8}}, 0, "seed:1"},
@@ -121,7 +121,7 @@
 		t.Run(name, func(t *testing.T) {
 			node, timers := newTestNode(t)
 			node.Settings.Node, node.Settings.Capacity = "d", 0.2
-			node.member.began.Store(int64(timers.Now()))
+			node.member.startedAt.Store(int64(timers.Now()))
 			node.member.hint.Store(test.hint)
 			node.Settings.Listen.Control = "own:1"
 			node.Settings.Seeds = test.seeds
@@ -131,7 +131,7 @@
 			if peer := node.peers.choose(); peer != nil {
 				followed = peer.Name()
 			}
-			assert.Equal(t, followed, test.follow)
+			assert.Equal(t, followed, test.wantFollowed)
 		})
 	}
 }
@@ -140,9 +140,9 @@
 // answers as soon as it is suspected: whom others follow, and who spreads requests.
 func TestDutiesPassOn(t *testing.T) {
 	cases := map[string]struct {
-		silent   []int // places
-		follows  int
-		spreader int
+		suspected    []int // places
+		wantFollowed int
+		wantSpreader int
 	}{
 		"all answer":            {nil, 1, 2},
 		"the source does not":   {[]int{1}, 2, 3},
@@ -154,15 +154,15 @@
 			nodes := fleetOf(20, 0)
 			node, timers := newListedNode(t, nodes[12].ID, nodes)
 			found := &judged{liveness: map[shedkeel.NodeID]shedkeel.Liveness{}}
-			for _, place := range test.silent {
+			for _, place := range test.suspected {
 				found.liveness[nodes[place].ID] = shedkeel.Suspected
 			}
 			node.gossip.detector = found
-			node.peers.judge()
-			assert.Equal(t, node.peers.choose().Name(), string(nodes[test.follows].ID))
+			node.peers.refreshAlive()
+			assert.Equal(t, node.peers.choose().Name(), string(nodes[test.wantFollowed].ID))
 			asked, own := node.peers.spreader(0, timers.Now())
 			assert.Assert(t, !own)
-			assert.Equal(t, asked.Name(), string(nodes[test.spreader].ID))
+			assert.Equal(t, asked.Name(), string(nodes[test.wantSpreader].ID))
 			for _, other := range node.peers.others() {
 				assert.Equal(t, found.liveness[shedkeel.NodeID(other.Name())], shedkeel.Alive, "a stale copy is asked of %s", other.Name())
 			}
@@ -174,7 +174,7 @@
 // node follows another relay each time, and the source when none is left.
 func TestRelayPassesOn(t *testing.T) {
 	nodes := fleetOf(300, 9)
-	relays := relaysOf(nodes)
+	relays := relayIndexes(nodes)
 	assert.Assert(t, len(relays) > 3)
 	own := nodes[250]
 	node, _ := newListedNode(t, own.ID, nodes)
@@ -182,12 +182,12 @@
 	node.gossip.detector = found
 	followed := map[string]bool{}
 	for range len(relays) {
-		node.peers.judge()
+		node.peers.refreshAlive()
 		name := node.peers.choose().Name()
 		assert.Assert(t, !followed[name], "%s is suspected", name)
 		followed[name] = true
 		found.liveness[shedkeel.NodeID(name)] = shedkeel.Suspected
 	}
-	node.peers.judge()
+	node.peers.refreshAlive()
 	assert.Assert(t, !followed[node.peers.choose().Name()])
 }
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -19,8 +19,8 @@
 	// gossipTick is how often the failure detector is called. Its shortest time is
 	// 150 ms.
 	gossipTick = 50 * time.Millisecond
-	// readPause is the pause after a datagram could not be read.
-	readPause = 100 * time.Millisecond
+	// readRetryDelay is the pause after a datagram could not be read.
+	readRetryDelay = 100 * time.Millisecond
 )
 
 // gossip is the shell around a node's failure detector: its socket, its clock and
@@ -29,11 +29,11 @@
 	node *Node
 	conn net.PacketConn // nil: none, and nobody is judged
 
-	mutex     sync.Mutex
-	detector  shedkeel.FailureDetector
-	addresses map[shedkeel.NodeID]netip.AddrPort
-	changes   uint64                                // of the detector, as the node's peers know them
-	reported  map[shedkeel.NodeID]shedkeel.Liveness // those that do not serve, as logged last
+	mutex          sync.Mutex
+	detector       shedkeel.FailureDetector
+	addresses      map[shedkeel.NodeID]netip.AddrPort
+	seenChanges    uint64                                // of the detector, as the node's peers know them
+	loggedExcluded map[shedkeel.NodeID]shedkeel.Liveness // those that do not serve, as logged last
 }
 
 // prepare makes the failure detector.
@@ -70,16 +70,16 @@
 		}
 		if err != nil {
 			gossip.node.Log.Write(event.GossipFailed, slog.String("error", err.Error()))
-			time.Sleep(readPause)
+			time.Sleep(readRetryDelay)
 			continue
 		}
-		gossip.take(buffer[:count], from)
+		gossip.handleDatagram(buffer[:count], from)
 	}
 }
 
-// take takes one datagram in. Forged ones are dropped: what sends them is no node
+// handleDatagram takes one datagram in. Forged ones are dropped: what sends them is no node
 // of this fleet.
-func (gossip *gossip) take(datagram []byte, from net.Addr) {
+func (gossip *gossip) handleDatagram(datagram []byte, from net.Addr) {
 	message, err := wire.OpenGossip(gossip.node.Settings.Wire.Key, datagram)
 	if err != nil {
 		gossip.node.Log.Write(event.GossipFailed, slog.String("from", from.String()), slog.String("error", err.Error()))
@@ -87,10 +87,10 @@
 	}
 	gossip.mutex.Lock()
 	sent := gossip.detector.Receive(gossip.node.Timers.Now(), message)
-	changed := gossip.changed()
+	changed := gossip.livenessChanged()
 	gossip.mutex.Unlock()
 	if changed {
-		gossip.node.peers.judge()
+		gossip.node.peers.refreshAlive()
 	}
 	for _, datagram := range sent {
 		if datagram.To == message.From {
@@ -110,20 +110,20 @@
 	gossip.mutex.Lock()
 	gossip.detector.Connect(answered)
 	sent := gossip.detector.Tick(now)
-	changed := gossip.changed()
+	changed := gossip.livenessChanged()
 	gossip.mutex.Unlock()
 	if changed {
-		gossip.node.peers.judge()
+		gossip.node.peers.refreshAlive()
 	}
 	gossip.sendAll(sent)
 }
 
-// changed reports whether a node stands otherwise than it did when this was last
+// livenessChanged reports whether a node stands otherwise than it did when this was last
 // asked. The mutex is held.
-func (gossip *gossip) changed() bool {
+func (gossip *gossip) livenessChanged() bool {
 	now := gossip.detector.Changes()
-	changed := now != gossip.changes
-	gossip.changes = now
+	changed := now != gossip.seenChanges
+	gossip.seenChanges = now
 	return changed
 }
 
@@ -171,8 +171,8 @@
 	return gossip.detector.Liveness(id)
 }
 
-// alive returns those of the nodes that are neither suspected nor gone.
-func (gossip *gossip) alive(nodes []nodeRecord) []nodeRecord {
+// filterAlive returns those of the nodes that are neither suspected nor gone.
+func (gossip *gossip) filterAlive(nodes []nodeRecord) []nodeRecord {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
 	return slices.DeleteFunc(slices.Clone(nodes), func(record nodeRecord) bool { return gossip.detector.Liveness(record.ID) != shedkeel.Alive })
@@ -180,9 +180,9 @@
 
 // serves reports whether callers may be sent to a node: one that is alive, or
 // suspected, since it may only stand still for a moment.
-func (gossip *gossip) serves(id shedkeel.NodeID) bool { return servesAs(gossip.liveness(id)) }
+func (gossip *gossip) serves(id shedkeel.NodeID) bool { return mayServe(gossip.liveness(id)) }
 
-func servesAs(liveness shedkeel.Liveness) bool {
+func mayServe(liveness shedkeel.Liveness) bool {
 	return liveness == shedkeel.Alive || liveness == shedkeel.Suspected
 }
 
@@ -193,17 +193,17 @@
 	return gossip.detector.Isolated(gossip.node.Timers.Now())
 }
 
-// report logs which nodes are not named any more, and which are again.
-func (gossip *gossip) report(nodes []nodeRecord) {
+// logExclusions logs which nodes are not named any more, and which are again.
+func (gossip *gossip) logExclusions(nodes []nodeRecord) {
 	gossip.mutex.Lock()
 	now := map[shedkeel.NodeID]shedkeel.Liveness{}
 	for _, record := range nodes {
-		if liveness := gossip.detector.Liveness(record.ID); !servesAs(liveness) {
+		if liveness := gossip.detector.Liveness(record.ID); !mayServe(liveness) {
 			now[record.ID] = liveness
 		}
 	}
-	before := gossip.reported
-	gossip.reported = now
+	before := gossip.loggedExcluded
+	gossip.loggedExcluded = now
 	gossip.mutex.Unlock()
 	lost, back := changedKeys(before, now)
 	if len(lost)+len(back) > 0 {
--- a/node/heartbeat_test.go
+++ b/node/heartbeat_test.go
@@ -12,18 +12,18 @@
 	"shedkeel.org/shedkeel/serve"
 )
 
-// beatDecoder decodes records that are instances as JSON.
-type beatDecoder struct{ listDecoder }
+// heartbeatDecoder decodes records that are instances as JSON.
+type heartbeatDecoder struct{ keyDecoder }
 
-func (beatDecoder) Instance(key string, value []byte) (shedkeel.Instance, error) {
+func (heartbeatDecoder) Instance(key string, value []byte) (shedkeel.Instance, error) {
 	var instance shedkeel.Instance
 	err := json.Unmarshal(value, &instance)
 	instance.ID = shedkeel.InstanceID(strings.TrimPrefix(key, "servers/"))
 	return instance, err
 }
 
-// beats returns the heartbeats of so many servers with a sequence.
-func beats(t testing.TB, servers int, sequence int64) []shedkeel.Record {
+// heartbeats returns the heartbeats of so many servers with a sequence.
+func heartbeats(t testing.TB, servers int, sequence int64) []shedkeel.Record {
 	t.Helper()
 	var records []shedkeel.Record
 	for index := range servers {
@@ -35,13 +35,13 @@
 	return records
 }
 
-// beatingNode returns a node that knows so many servers.
-func beatingNode(t testing.TB, servers int) *Node {
+// newHeartbeatNode returns a node that knows so many servers.
+func newHeartbeatNode(t testing.TB, servers int) *Node {
 	t.Helper()
 	node, _ := newTestNode(t)
-	node.Decoder = beatDecoder{}
+	node.Decoder = heartbeatDecoder{}
 	node.fleet.view.Store(serve.NewView(&shedkeel.ServingConfig{Services: []shedkeel.RoutedService{{ID: "s"}}}))
-	node.fleet.changed(beats(t, servers, 1))
+	node.fleet.changed(heartbeats(t, servers, 1))
 	return node
 }
 
@@ -49,31 +49,31 @@
 // requests may be sent to anew, at every node of the fleet.
 func TestHeartbeatsChangeNoTable(t *testing.T) {
 	const servers = 100
-	node := beatingNode(t, servers)
+	node := newHeartbeatNode(t, servers)
 	fleet := &node.fleet
 	now := node.Timers.Now()
-	for _, beat := range beats(t, servers, 2) {
-		assert.Assert(t, !fleet.takeInstance(beat, now), beat.Key)
+	for _, beat := range heartbeats(t, servers, 2) {
+		assert.Assert(t, !fleet.applyInstance(beat, now), beat.Key)
 	}
 	assert.Equal(t, fleet.instances["servers/7"].Sequence, int64(2), "the heartbeat is known")
 
-	drains := beats(t, 1, 3)[0]
+	drains := heartbeats(t, 1, 3)[0]
 	drains.Value = []byte(strings.Replace(string(drains.Value), `"Draining":false`, `"Draining":true`, 1))
-	assert.Assert(t, fleet.takeInstance(drains, now))
-	fleet.doubt("servers/1", now)
-	assert.Assert(t, fleet.takeInstance(beats(t, 2, 4)[1], now), "its record can be read again")
-	fleet.drop("servers/2", 0, now)
-	assert.Assert(t, fleet.takeInstance(beats(t, 3, 5)[2], now), "it is back")
+	assert.Assert(t, fleet.applyInstance(drains, now))
+	fleet.markUnreadable("servers/1", now)
+	assert.Assert(t, fleet.applyInstance(heartbeats(t, 2, 4)[1], now), "its record can be read again")
+	fleet.removeInstance("servers/2", 0, now)
+	assert.Assert(t, fleet.applyInstance(heartbeats(t, 3, 5)[2], now), "it is back")
 }
 
 // BenchmarkHeartbeats takes in what a quarter of a second brings of a large fleet's
 // servers.
 func BenchmarkHeartbeats(b *testing.B) {
 	const servers, each = 2793, 580
-	node := beatingNode(b, servers)
+	node := newHeartbeatNode(b, servers)
 	for sequence := int64(2); b.Loop(); sequence++ {
 		b.StopTimer()
-		records := beats(b, each, sequence)
+		records := heartbeats(b, each, sequence)
 		b.StartTimer()
 		node.fleet.changed(records)
 	}
--- a/node/lapse_test.go
+++ b/node/lapse_test.go
@@ -16,8 +16,8 @@
 // two nodes whose copies were 1.7 s old kept a server that had left for 2 s.
 func TestGoneServers(t *testing.T) {
 	cases := map[string]struct {
-		age  time.Duration // that the copy reached
-		held bool
+		age      time.Duration // that the copy reached
+		retained bool
 	}{
 		"a fresh copy":               {300 * time.Millisecond, false},
 		"an old one in a calm fleet": {2 * time.Second, false},
@@ -30,7 +30,7 @@
 			timers.Advance(test.age)
 			node.fleet.tick(timers.Now())
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: "servers/a", Revision: shedkeel.Revision{Number: 2}, Gone: true}}})
-			assert.Equal(t, len(node.fleet.instances) == 1, test.held)
+			assert.Equal(t, len(node.fleet.instances) == 1, test.retained)
 
 			timers.Advance(lapseHold)
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now()})
@@ -45,9 +45,9 @@
 // again; one that does not answer was kept as well, and named for 2.3 s more.
 func TestGoneNodes(t *testing.T) {
 	cases := map[string]struct {
-		before shedkeel.Liveness // when its record goes
-		after  shedkeel.Liveness // a tick later
-		held   bool              // after that tick
+		before   shedkeel.Liveness // when its record goes
+		after    shedkeel.Liveness // a tick later
+		retained bool              // after that tick
 	}{
 		"it answers":                        {shedkeel.Alive, shedkeel.Alive, true},
 		"it is suspected":                   {shedkeel.Suspected, shedkeel.Suspected, true},
@@ -70,7 +70,7 @@
 			found.liveness["b"] = test.after
 			timers.Advance(fleetTick)
 			node.fleet.tick(timers.Now())
-			assert.Equal(t, len(node.peers.listed()) == 1, test.held)
+			assert.Equal(t, len(node.peers.listed()) == 1, test.retained)
 			timers.Advance(lapseHold)
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now()})
 			node.fleet.tick(timers.Now())
--- a/node/lease.go
+++ b/node/lease.go
@@ -11,9 +11,9 @@
 	"shedkeel.org/shedkeel/event"
 )
 
-// leaseMargin is what two clocks may drift apart over a lease, and what an
+// leaseSafetyMargin is what two clocks may drift apart over a lease, and what an
 // order takes to leave.
-const leaseMargin = 300 * time.Millisecond
+const leaseSafetyMargin = 300 * time.Millisecond
 
 // lease is a lease of the key-value service that a node keeps. The records
 // written with it go when it has not been renewed for its time.
@@ -21,8 +21,8 @@
 	node *Node
 	ttl  time.Duration
 
-	id    atomic.Pointer[shedkeel.LeaseID] // nil: none
-	until atomic.Int64                     // it lasts at least until then, on this node's clock
+	id         atomic.Pointer[shedkeel.LeaseID] // nil: none
+	validUntil atomic.Int64                     // it lasts at least until then, on this node's clock
 }
 
 // valid reports whether the lease surely still lasts. It does not in another era of the
@@ -31,7 +31,7 @@
 	if !lease.held() || lease.ID().Era < lease.node.mirror.State().At.Era {
 		return false
 	}
-	return now < time.Duration(lease.until.Load())-leaseMargin
+	return now < time.Duration(lease.validUntil.Load())-leaseSafetyMargin
 }
 
 // ID names the lease to the service.
@@ -51,7 +51,7 @@
 	sent := lease.node.Timers.Now()
 	err := lease.node.Store.Renew(ctx, lease.ID())
 	if err == nil {
-		lease.until.Store(int64(sent + lease.ttl))
+		lease.validUntil.Store(int64(sent + lease.ttl))
 		return true
 	}
 	var gone *shedkeel.LeaseGoneError
@@ -70,7 +70,7 @@
 		lease.node.Log.Write(event.LeaseRenewFail, slog.String("error", err.Error()))
 		return false
 	}
-	lease.until.Store(int64(sent + min(ttl, lease.ttl)))
+	lease.validUntil.Store(int64(sent + min(ttl, lease.ttl)))
 	lease.id.Store(&granted)
 	return true
 }
@@ -80,7 +80,7 @@
 	if !lease.held() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), leaseMargin)
+	ctx, cancel := context.WithTimeout(context.Background(), leaseSafetyMargin)
 	defer cancel()
 	_ = lease.node.Store.Release(ctx, lease.ID()) // it runs out by itself
 	lease.id.Store(nil)
--- a/node/member_test.go
+++ b/node/member_test.go
@@ -15,15 +15,15 @@
 // one its record goes over to a lease that ends sooner.
 func TestListedByFleetSize(t *testing.T) {
 	cases := map[string]struct {
-		nodes int
-		ttl   time.Duration
-		lease int64 // that the record goes with in the end; 0: none
-		asked int64 // leases that were asked for
+		nodes      int
+		ttl        time.Duration
+		wantLease  int64 // that the record goes with in the end; 0: none
+		wantGrants int64 // leases that were asked for
 	}{
-		"none is known yet": {0, longTTL, 1, 1},
-		"a small fleet":     {9, shortTTL, 2, 2},
-		"a larger fleet":    {watchedFrom - 1, longTTL, 1, 1},
-		"a large fleet":     {watchedFrom, longTTL, 0, 1},
+		"none is known yet": {0, largeFleetTTL, 1, 1},
+		"a small fleet":     {9, smallFleetTTL, 2, 2},
+		"a larger fleet":    {watchedFrom - 1, largeFleetTTL, 1, 1},
+		"a large fleet":     {watchedFrom, largeFleetTTL, 0, 1},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -35,7 +35,7 @@
 			}}
 			node.Store = store
 			assert.Assert(t, node.member.step(t.Context()))
-			assert.Equal(t, node.member.lease.ttl, longTTL, "it knows no other node yet")
+			assert.Equal(t, node.member.lease.ttl, largeFleetTTL, "it knows no other node yet")
 			node.fleet.nodes = map[string]nodeRecord{}
 			for number := range test.nodes {
 				node.fleet.nodes[fmt.Sprint(number)] = nodeRecord{}
@@ -44,8 +44,8 @@
 				assert.Assert(t, node.member.step(t.Context()))
 			}
 			assert.Equal(t, node.member.lease.ttl, test.ttl)
-			assert.Equal(t, lease.Number, test.lease)
-			assert.Equal(t, store.granted.Number, test.asked, "a lease was asked for in vain")
+			assert.Equal(t, lease.Number, test.wantLease)
+			assert.Equal(t, store.granted.Number, test.wantGrants, "a lease was asked for in vain")
 		})
 	}
 }
@@ -54,8 +54,8 @@
 // node tries seldom, and soon after it has answered anybody.
 func TestRenewalsInAnOutage(t *testing.T) {
 	cases := map[string]struct {
-		answers time.Duration // after the failure, when another node had an answer; 0: never
-		tries   time.Duration // when the node tries again
+		answeredAfter  time.Duration // after the failure, when another node had an answer; 0: never
+		wantRetryAfter time.Duration // when the node tries again
 	}{
 		"the service is away":              {0, maxListedRetry},
 		"it is away for this node only":    {10 * time.Millisecond, listedRetry},
@@ -69,19 +69,19 @@
 			node.Store = store
 			node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 			node.member.tick(t.Context())
-			timers.Advance(longTTL / renewals)
+			timers.Advance(largeFleetTTL / renewalsPerTTL)
 			store.away = true
 			node.member.tick(t.Context())
 			failed := timers.Now()
 			calls := store.calls
 			for store.calls == calls && timers.Now() < failed+time.Minute {
 				timers.Advance(memberTick)
-				if answered := failed + test.answers; test.answers > 0 && timers.Now() >= answered {
+				if answered := failed + test.answeredAfter; test.answeredAfter > 0 && timers.Now() >= answered {
 					node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 1}, AsOf: answered})
 				}
 				node.member.tick(t.Context())
 			}
-			assert.Equal(t, timers.Now()-failed, test.tries)
+			assert.Equal(t, timers.Now()-failed, test.wantRetryAfter)
 		})
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -29,31 +29,31 @@
 	// Some keep it three times as long. A stopping node serves on until then;
 	// what it takes up later could not end within the grace time.
 	DirectoryKeep = time.Second
-	// keptTimes is how many times longer some callers keep an answer.
-	keptTimes = 3
+	// maxDirectoryKeepFactor is how many times longer some callers keep an answer.
+	maxDirectoryKeepFactor = 3
 	// stopMargin is how long before the end of the grace time a stopping node
 	// gives up what still runs.
 	stopMargin = 400 * time.Millisecond
-	// budgetCare is the part of the bound on repeats that is used: windows
+	// retryBudgetFraction is the part of the bound on repeats that is used: windows
 	// slide, and requests of a second ago count less than fully.
-	budgetCare = 0.7
-	// proofShare is the part of the revocation bound for which a proof of the
+	retryBudgetFraction = 0.7
+	// proofAgeFraction is the part of the revocation bound for which a proof of the
 	// configuration is good. A watch may miss changes for a second, which with
 	// it stays within a bound of five. A proof is up to 1.1 s old at rest, so a
 	// smaller part refuses what the platform still counts as in touch.
-	proofShare = 0.76
+	proofAgeFraction = 0.76
 	// silenceTick is how often running requests are checked for silence.
 	silenceTick = 20 * time.Millisecond
 	// expiryTick is how often requests are checked whose limit is over by the clock
 	// that also runs while the box is suspended.
 	expiryTick = 100 * time.Millisecond
-	// callerIdle is how long a caller's connection may rest; longer than what
+	// callerIdleTimeout is how long a caller's connection may rest; longer than what
 	// the platform's configurations allow its callers.
-	callerIdle = 60 * time.Second
+	callerIdleTimeout = 60 * time.Second
 	// headerTimeout is how long a caller may take to send a request's head.
 	headerTimeout = 10 * time.Second
-	// maxHeader bounds a request's head, in bytes.
-	maxHeader = 64 << 10
+	// maxHeaderBytes bounds a request's head, in bytes.
+	maxHeaderBytes = 64 << 10
 	// assumedNodes is how many nodes share the bounds while none is known.
 	assumedNodes = 16
 )
@@ -107,7 +107,7 @@
 	limits      limits
 	controller  controller
 	stopping    atomic.Bool
-	running     sync.WaitGroup
+	goroutines  sync.WaitGroup
 }
 
 // Listeners are the sockets that a node serves, and what answers on those that
@@ -134,10 +134,10 @@
 	bounds := node.Settings.Bounds
 	node.front = serve.Front{
 		Protocol: node.Protocol, Backend: node.Backend, Table: &node.table, Timers: node.Timers, Log: node.Log,
-		Budget:  &serve.Budget{Ratio: bounds.RetryRatio, Window: time.Duration(bounds.RetryWindow), Slack: bounds.RetrySlack, Careful: budgetCare, Began: node.Timers.Now(), Lot: rand.New(node.Random).Float64()},
-		Believe: node.believe, Spread: node.peers.spread, Nodes: node.fleet.nodeCount, Serving: node.fleet.serving,
+		Budget:  &serve.Budget{Ratio: bounds.RetryRatio, Window: time.Duration(bounds.RetryWindow), Slack: bounds.RetrySlack, Careful: retryBudgetFraction, Began: node.Timers.Now(), Lot: rand.New(node.Random).Float64()},
+		Believe: node.believe, Spread: node.peers.spread, Nodes: node.fleet.nodeCount, Serving: node.fleet.servingCount,
 		Guard: &node.guard, Limits: &node.limits, Draining: node.peers.draining, Check: node.Check, DigestKey: []byte(node.Settings.Wire.Key),
-		ProofAge: time.Duration(float64(bounds.Revoke) * proofShare), RefuseStaleKeys: bounds.RefuseStaleKeys, MaxBackoff: time.Duration(bounds.MaxBackoff), Outage: node.follower.Outage,
+		ProofAge: time.Duration(float64(bounds.Revoke) * proofAgeFraction), RefuseStaleKeys: bounds.RefuseStaleKeys, MaxBackoff: time.Duration(bounds.MaxBackoff), Outage: node.follower.Outage,
 	}
 	if node.Metrics != nil {
 		node.front.Meter = serve.NewMeter(node.Metrics.Scope)
@@ -154,10 +154,10 @@
 	node.limits.node = node
 	node.guard.node = node
 	node.guard.prepare()
-	node.member.lease = lease{node: node, ttl: longTTL}
+	node.member.lease = lease{node: node, ttl: largeFleetTTL}
 	node.controller.node = node
 	node.controller.prepare()
-	node.mirror.ListenRestored(node.restored)
+	node.mirror.ListenRestored(node.handleRestore)
 	node.mirror.Listen(node.fleet.changed)
 	node.follower = mirror.Follower{Mirror: &node.mirror, Source: node.Store, Timers: node.Timers, Log: node.Log, Choose: node.peers.choose, Others: node.peers.others,
 		Advise: node.peers.advise, Hops: node.peers.hops, Processes: node.fleet.nodeCount, Random: rand.NewPCG(node.Random.Uint64(), node.Random.Uint64())}
@@ -166,28 +166,28 @@
 // Run serves until the context ends, then stops as planned.
 func (node *Node) Run(ctx context.Context, listeners Listeners, faces Faces) error {
 	node.Log.Write(event.Started, slog.String("incarnation", node.Incarnation))
-	callers := &http.Server{Handler: &node.front, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdle, MaxHeaderBytes: maxHeader, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
+	callers := &http.Server{Handler: &node.front, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
 	servers := []*http.Server{
-		node.serve(listeners.Directory, faces.Directory),
-		node.serve(listeners.Readiness, faces.Readiness),
+		node.startServer(listeners.Directory, faces.Directory),
+		node.startServer(listeners.Readiness, faces.Readiness),
 	}
 	if listeners.Metrics != nil {
-		servers = append(servers, node.serve(listeners.Metrics, node.adminHandler()))
+		servers = append(servers, node.startServer(listeners.Metrics, node.adminHandler()))
 	}
-	node.running.Go(func() { _ = callers.Serve(listeners.Callers) })
+	node.goroutines.Go(func() { _ = callers.Serve(listeners.Callers) })
 	control := &wire.Server{Key: node.Settings.Wire.Key, Handler: &node.peers}
-	node.running.Go(func() { _ = control.Run(listeners.Control) })
+	node.goroutines.Go(func() { _ = control.Run(listeners.Control) })
 	node.gossip.conn = listeners.Gossip
-	node.running.Go(node.gossip.run)
+	node.goroutines.Go(node.gossip.run)
 
 	working, cancelWork := context.WithCancel(context.Background())
-	node.running.Go(func() { node.follower.Run(working) })
-	node.running.Go(func() { node.member.run(working) })
-	node.running.Go(func() { node.guard.run(working) })
-	node.running.Go(func() { node.limits.run(working) })
-	node.running.Go(func() { node.controller.run(working) })
-	node.running.Go(func() { node.controller.runLease(working) })
-	cancelSilence := node.Timers.Subscribe(silenceTick, node.watchSilence)
+	node.goroutines.Go(func() { node.follower.Run(working) })
+	node.goroutines.Go(func() { node.member.run(working) })
+	node.goroutines.Go(func() { node.guard.run(working) })
+	node.goroutines.Go(func() { node.limits.run(working) })
+	node.goroutines.Go(func() { node.controller.run(working) })
+	node.goroutines.Go(func() { node.controller.runLease(working) })
+	cancelSilence := node.Timers.Subscribe(silenceTick, node.reportSilentServers)
 	cancelReport := node.Timers.Subscribe(time.Second, node.report)
 	cancelPaces := node.Timers.Subscribe(paceEvery/paceParts, node.controller.paces.tick)
 	cancelDemand := node.Timers.Subscribe(demandEvery, node.controller.demand.tick)
@@ -213,13 +213,13 @@
 	_ = listeners.Control.Close()
 	_ = listeners.Gossip.Close()
 	node.peers.close()
-	node.running.Wait()
+	node.goroutines.Wait()
 	return err
 }
 
-func (node *Node) serve(listener net.Listener, handler http.Handler) *http.Server {
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdle}
-	node.running.Go(func() { _ = server.Serve(listener) })
+func (node *Node) startServer(listener net.Listener, handler http.Handler) *http.Server {
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout}
+	node.goroutines.Go(func() { _ = server.Serve(listener) })
 	return server
 }
 
@@ -231,10 +231,10 @@
 	node.stopping.Store(true)
 	node.front.Stop()
 	node.controller.resign()
-	node.member.update()
+	node.member.requestWrite()
 	node.gossip.leave()
 	grace := time.Duration(node.Settings.Bounds.Grace)
-	forgotten := min(keptTimes*DirectoryKeep, grace*3/8)
+	forgotten := min(maxDirectoryKeepFactor*DirectoryKeep, grace*3/8)
 	time.Sleep(forgotten)
 	node.front.Refuse()
 	left := grace - stopMargin - (node.Timers.Now() - begun)
@@ -261,9 +261,9 @@
 	return !node.front.RefuseStaleKeys || age < node.front.ProofAge
 }
 
-// watchSilence finds servers that have gone silent and tells the node that
+// reportSilentServers finds servers that have gone silent and tells the node that
 // plans of groups.
-func (node *Node) watchSilence(now time.Duration) {
+func (node *Node) reportSilentServers(now time.Duration) {
 	for _, silence := range node.table.FindSilent(now) {
 		node.Log.Write(event.ServerSilent, slog.String("server", string(silence.Server.Instance)), slog.String("group", string(silence.Server.Group.Group)),
 			slog.Uint64("epoch", silence.Server.Group.Epoch), slog.Duration("silent", silence.For), slog.Int("running", silence.Running))
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -88,8 +88,8 @@
 	assert.NilError(world.t, err)
 }
 
-// backTime is how long a server that a deadly request ended is away.
-const backTime = 300 * time.Millisecond
+// restartDelay is how long a server that a deadly request ended is away.
+const restartDelay = 300 * time.Millisecond
 
 // serve serves a server at an address of its own. When a deadly request ends it,
 // it starts again there after a while.
@@ -100,7 +100,7 @@
 	running := world.runServer(server, listener)
 	server.End = func() {
 		_ = running.Close()
-		time.AfterFunc(backTime, func() {
+		time.AfterFunc(restartDelay, func() {
 			again, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", server.Address)
 			if err != nil {
 				world.t.Errorf("server %s does not start again: %v", server.ID, err)
@@ -261,11 +261,11 @@
 	status, _ = world.send(world.nodes[1].callers, "a2", "/none/x", "key-1", 0)
 	assert.Equal(t, status, 404)
 
-	world.loseMember()
-	world.startAgain()
-	world.spoilRecords()
+	world.killMembers()
+	world.restartMembers()
+	world.addInvalidRecords()
 	world.removeKey()
-	world.loseStore()
+	world.interruptStore()
 	world.stopNode()
 }
 
@@ -288,19 +288,19 @@
 	assert.Assert(t, world.nodes[2].Ready())
 }
 
-// loseMember kills a member of each group but one while streams run.
-func (world *world) loseMember() {
+// killMembers kills a member of each group but one while streams run.
+func (world *world) killMembers() {
 	heads := world.fleet.Serving()["m0"]
 	victims := map[string]bool{}
 	for _, head := range heads[1:] {
 		victims[head.Members()[1]] = true
 	}
-	world.disturb("lost-", func() {
+	world.interruptStreams("lost-", func() {
 		for victim := range victims {
 			world.fleet.Kill(victim)
 		}
 	})
-	for index := range disturbed {
+	for index := range interruptedStreams {
 		assert.Assert(world.t, world.fleet.Ran(fmt.Sprint("lost-", index)) <= 2)
 	}
 	for victim := range victims {
@@ -309,13 +309,13 @@
 	world.eventually("the groups are whole again", func() bool { return len(world.fleet.Serving()["m0"]) >= len(heads) })
 }
 
-// disturbed is how many streams run while something happens to their groups.
-const disturbed = 12
+// interruptedStreams is how many streams run while something happens to their groups.
+const interruptedStreams = 12
 
-// disturb has something happen while streams run, all of which must come whole.
-func (world *world) disturb(prefix string, happen func()) {
+// interruptStreams has something happen while streams run, all of which must come whole.
+func (world *world) interruptStreams(prefix string, happen func()) {
 	var calls sync.WaitGroup
-	results := make([]string, disturbed)
+	results := make([]string, interruptedStreams)
 	for index := range results {
 		calls.Go(func() {
 			status, body := world.send(world.nodes[index%3].callers, fmt.Sprint(prefix, index), "/copy/a", "key-1", 200)
@@ -330,11 +330,11 @@
 	}
 }
 
-// startAgain has a member of each group start again under its name while streams
+// restartMembers has a member of each group start again under its name while streams
 // run: it is in no group any more, and no stream may be taken for whole by it.
-func (world *world) startAgain() {
+func (world *world) restartMembers() {
 	heads := world.fleet.Serving()["m0"]
-	world.disturb("again-", func() {
+	world.interruptStreams("again-", func() {
 		for _, head := range heads[1:] {
 			world.fleet.Restart(head.Members()[1])
 		}
@@ -343,9 +343,9 @@
 	assert.Equal(world.t, len(world.fleet.Broken()), 0, "%v", world.fleet.Broken())
 }
 
-// spoilRecords has another writer add records that name no server: the others
+// addInvalidRecords has another writer add records that name no server: the others
 // serve on.
-func (world *world) spoilRecords() {
+func (world *world) addInvalidRecords() {
 	for index, value := range []string{"", "\x00\x01", "null", "[]", `{"service":"plain"}`, `{"service":"plain","address":"127.0.0.1:1","zone":"z","version":"v1","slots":8,"state":"resting","cold_remaining_ms":0,"seq":1}`} {
 		_, err := world.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: fmt.Sprint("servers/odd-", index), Value: []byte(value)}}})
 		assert.NilError(world.t, err)
@@ -367,9 +367,9 @@
 	}
 }
 
-// loseStore takes the store away: what is proved serves on for a while, then
+// interruptStore takes the store away: what is proved serves on for a while, then
 // keys are refused with 503, and its return brings all back.
-func (world *world) loseStore() {
+func (world *world) interruptStore() {
 	world.data.SetFaults(standin.Faults{Outage: true})
 	status, _ := world.send(world.nodes[0].callers, "store-1", "/look/x", "key-2", 0)
 	assert.Equal(world.t, status, 200, "an outage is no reason to refuse at once")
--- a/node/nodes.go
+++ b/node/nodes.go
@@ -26,44 +26,44 @@
 	Watched bool `json:"watched"`
 }
 
-// same reports whether two records say the same of a node, whichever start of it
+// equalsExceptIncarnation reports whether two records say the equalsExceptIncarnation of a node, whichever start of it
 // wrote them.
-func (record nodeRecord) same(other nodeRecord) bool {
+func (record nodeRecord) equalsExceptIncarnation(other nodeRecord) bool {
 	record.Incarnation = other.Incarnation
 	return record == other
 }
 
-func (fleet *fleet) takeNode(record shedkeel.Record, now time.Duration) bool {
+func (fleet *fleet) applyNode(record shedkeel.Record, now time.Duration) bool {
 	if record.Gone {
-		return fleet.takeGone(record.Key, now, func() { delete(fleet.nodes, record.Key) })
+		return fleet.removeOrRetain(record.Key, now, func() { delete(fleet.nodes, record.Key) })
 	}
-	node, err := fleet.readNode(record)
+	node, err := fleet.decodeNode(record)
 	if err != nil {
 		if record.Key == fleet.node.member.key() {
-			fleet.node.member.changed.Store(true) // another writer spoilt it
+			fleet.node.member.dirty.Store(true) // another writer spoilt it
 		}
 		return false // what was known of the node stays
 	}
-	delete(fleet.lapsed, record.Key)
+	delete(fleet.retained, record.Key)
 	fleet.nodes[record.Key] = node
 	return true
 }
 
-// readNode reads what a node tells of itself, and logs what can't be used.
-func (fleet *fleet) readNode(record shedkeel.Record) (nodeRecord, error) {
+// decodeNode reads what a node tells of itself, and logs what can't be used.
+func (fleet *fleet) decodeNode(record shedkeel.Record) (nodeRecord, error) {
 	var node nodeRecord
 	if err := fleet.read(record, &node); err != nil {
 		return node, err
 	}
-	if err := node.check(record.Key); err != nil {
+	if err := node.validate(record.Key); err != nil {
 		fleet.skipped(record, err)
 		return node, err
 	}
 	return node, nil
 }
 
-// check returns why nothing may be sent to the node by this record, or nil.
-func (record nodeRecord) check(key string) error {
+// validate returns why nothing may be sent to the node by this record, or nil.
+func (record nodeRecord) validate(key string) error {
 	invalid := &shedkeel.InvalidError{Where: key, Remedy: "none is needed: the node writes it again if it lives"}
 	switch {
 	case record.ID == "" || key != nodePrefix+string(record.ID):
@@ -106,8 +106,8 @@
 	return len(fleet.nodes)
 }
 
-// serving returns how many nodes callers are sent to.
-func (fleet *fleet) serving() int {
+// servingCount returns how many nodes callers are sent to.
+func (fleet *fleet) servingCount() int {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
 	count := 0
--- a/node/peers.go
+++ b/node/peers.go
@@ -16,23 +16,23 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// mostLogged is how many nodes that came or went are named in a line.
-const mostLogged = 8
+// maxLoggedNodes is how many nodes that came or went are named in a line.
+const maxLoggedNodes = 8
 
 // peers are the other nodes, as far as they are known.
 type peers struct {
 	node *Node
 
-	mutex    sync.Mutex
-	nodes    []nodeRecord                            // as compareNodes orders them, this node among them
-	alive    []nodeRecord                            // those of them that answer
-	views    atomic.Uint64                           // how often these have changed
-	settled  time.Duration                           // when they changed last
-	came     time.Duration                           // when a node was listed last that was not before
-	granters map[shedkeel.InstanceID]shedkeel.NodeID // of servers that were asked about, while they don't
-	known    map[shedkeel.NodeID]*peer
-	seeds    []*peer // from the settings: asked while no nodes are known
-	started  []*peer // relays that were asked at the start
+	mutex         sync.Mutex
+	nodes         []nodeRecord                            // as compareNodes orders them, this node among them
+	alive         []nodeRecord                            // those of them that answer
+	views         atomic.Uint64                           // how often these have changed
+	aliveSince    time.Duration                           // when they changed last
+	lastJoin      time.Duration                           // when a node was listed last that was not before
+	granters      map[shedkeel.InstanceID]shedkeel.NodeID // of servers that were asked about, while they don't
+	known         map[shedkeel.NodeID]*peer
+	seeds         []*peer // from the settings: asked while no nodes are known
+	startupRelays []*peer // relays that were asked at the start
 	// random is not used elsewhere, and only with the mutex held.
 	random shedkeel.Random
 
@@ -91,35 +91,35 @@
 		}
 	}
 	peers.node.gossip.setPeers(nodes)
-	peers.setAlive(peers.node.gossip.alive(nodes))
+	peers.setAlive(peers.node.gossip.filterAlive(nodes))
 	came, went := changedKeys(before, peers.known)
 	if len(came) > 0 {
-		peers.came = peers.node.Timers.Now()
+		peers.lastJoin = peers.node.Timers.Now()
 	}
-	peers.node.Log.Write(event.NodesChanged, slog.Int("nodes", len(nodes)), slog.Any("came", came), slog.Any("went", went), slog.Duration("age", peers.node.fleet.copyAge()))
+	peers.node.Log.Write(event.NodesChanged, slog.Int("nodes", len(nodes)), slog.Any("came", came), slog.Any("went", went), slog.Duration("age", peers.node.fleet.mirrorAge()))
 }
 
 // changedKeys returns which nodes came and which went, as far as they are logged.
 func changedKeys[Value any](before, after map[shedkeel.NodeID]Value) (came, went []shedkeel.NodeID) {
-	return missing(after, before), missing(before, after)
+	return missingKeys(after, before), missingKeys(before, after)
 }
 
-// missing returns some of the nodes of one map that another lacks.
-func missing[Value any](of, in map[shedkeel.NodeID]Value) []shedkeel.NodeID {
+// missingKeys returns some of the nodes of one map that another lacks.
+func missingKeys[Value any](of, in map[shedkeel.NodeID]Value) []shedkeel.NodeID {
 	var found []shedkeel.NodeID
 	for id := range of {
-		if _, has := in[id]; !has && len(found) < mostLogged {
+		if _, has := in[id]; !has && len(found) < maxLoggedNodes {
 			found = append(found, id)
 		}
 	}
 	return found
 }
 
-// judge takes in that other nodes answer than did.
-func (peers *peers) judge() {
+// refreshAlive takes in that other nodes answer than did.
+func (peers *peers) refreshAlive() {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
-	peers.setAlive(peers.node.gossip.alive(peers.nodes))
+	peers.setAlive(peers.node.gossip.filterAlive(peers.nodes))
 }
 
 // setAlive makes these the nodes that answer. The mutex is held.
@@ -129,7 +129,7 @@
 	}
 	peers.alive = alive
 	peers.granters = nil
-	peers.settled = peers.node.Timers.Now()
+	peers.aliveSince = peers.node.Timers.Now()
 	peers.views.Add(1)
 }
 
@@ -146,7 +146,7 @@
 		}
 		return count
 	}
-	return float64(goesOn(peers.alive)) / float64(max(goesOn(peers.nodes), 1)), peers.settled
+	return float64(goesOn(peers.alive)) / float64(max(goesOn(peers.nodes), 1)), peers.aliveSince
 }
 
 // granter returns the node that grants the permits of a backend server, the same at
@@ -176,7 +176,7 @@
 //
 // What one node does for all passes to the next as soon as it is suspected.
 func (peers *peers) withOwn() (nodes []nodeRecord, own int, listed bool) {
-	record := peers.node.record()
+	record := peers.node.ownRecord()
 	place, listed := slices.BinarySearchFunc(peers.alive, record, compareNodes)
 	if listed {
 		return peers.alive, place, true
@@ -205,7 +205,7 @@
 func (peers *peers) lastCame() time.Duration {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
-	return peers.came
+	return peers.lastJoin
 }
 
 // listed returns the nodes in order.
@@ -246,7 +246,7 @@
 }
 
 func (peers *peers) close() {
-	for _, peer := range slices.Concat(peers.all(), peers.seeds, peers.started) {
+	for _, peer := range slices.Concat(peers.all(), peers.seeds, peers.startupRelays) {
 		peer.close()
 	}
 }
@@ -263,7 +263,7 @@
 func (peers *peers) Handle(ctx context.Context, call *wire.Call) *wire.Reply {
 	switch kind := call.GetKind().(type) {
 	case *wire.Call_Relay:
-		return peers.relay(ctx, kind.Relay)
+		return peers.handleRelay(ctx, kind.Relay)
 	case *wire.Call_Notice:
 		return peers.takeNotice(kind.Notice)
 	case *wire.Call_Spread:
@@ -277,7 +277,7 @@
 	case *wire.Call_Limit:
 		return peers.node.limits.takeLimits(kind.Limit)
 	case *wire.Call_Register:
-		return peers.node.registrar.take(ctx, kind.Register)
+		return peers.node.registrar.handle(ctx, kind.Register)
 	}
 	return &wire.Reply{Error: "a node answers relays, notices, spreads, demands, blames, permits, limits and registrations only; upgrade one side"}
 }
--- a/node/peers_test.go
+++ b/node/peers_test.go
@@ -11,10 +11,10 @@
 // TestChoose has a node of each place find out whose copy to follow.
 func TestChoose(t *testing.T) {
 	cases := map[string]struct {
-		own    shedkeel.NodeID
-		nodes  []nodeRecord // others and itself, as listed
-		failed []shedkeel.NodeID
-		follow string // "": the key-value service
+		own          shedkeel.NodeID
+		nodes        []nodeRecord // others and itself, as listed
+		failed       []shedkeel.NodeID
+		wantFollowed string // "": the key-value service
 	}{
 		"alone":                             {"a", fourNodes[:1], nil, ""},
 		"not listed yet, and none is":       {"a", nil, nil, ""},
@@ -37,10 +37,10 @@
 			if peer := node.peers.choose(); peer != nil {
 				followed = peer.Name()
 			}
-			assert.Equal(t, followed, test.follow)
+			assert.Equal(t, followed, test.wantFollowed)
 
-			timers.Advance(failTime)
-			if peer := node.peers.choose(); peer != nil && test.follow != "" {
+			timers.Advance(followBackoff)
+			if peer := node.peers.choose(); peer != nil && test.wantFollowed != "" {
 				assert.Equal(t, peer.Name(), "b", "a failure is held against a node for a while only")
 			}
 		})
--- a/node/registrar.go
+++ b/node/registrar.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// registerGather is for how long the records of nodes are let gather that start
+	// registerBatchDelay is for how long the records of nodes are let gather that start
 	// together: each write costs a call, however many records it has.
-	registerGather = 100 * time.Millisecond
-	// registerWrite bounds the write.
-	registerWrite = time.Second
+	registerBatchDelay = 100 * time.Millisecond
+	// registerWriteTimeout bounds the write.
+	registerWriteTimeout = time.Second
 	// registerTimeout bounds a node's question to have its record written. Later it
 	// does so itself.
-	registerTimeout = registerGather + registerWrite + 200*time.Millisecond
+	registerTimeout = registerBatchDelay + registerWriteTimeout + 200*time.Millisecond
 )
 
 // registrar writes the records of nodes that follow this one to the key-value
@@ -27,12 +27,12 @@
 type registrar struct {
 	node *Node
 
-	mutex sync.Mutex
-	open  *registration // still takes records; nil: there is none
+	mutex   sync.Mutex
+	pending *registrationBatch // still takes records; nil: there is none
 }
 
-// registration is one write of several records.
-type registration struct {
+// registrationBatch is one write of several records.
+type registrationBatch struct {
 	registrar *registrar
 	puts      map[string]shedkeel.Put // by key; the registrar's mutex guards it
 	full      chan struct{}           // closed once it takes no more
@@ -41,13 +41,13 @@
 	err       error
 }
 
-// take answers a node that asks to have its record written.
-func (registrar *registrar) take(ctx context.Context, call *wire.RegisterCall) *wire.Reply {
+// handle answers a node that asks to have its record written.
+func (registrar *registrar) handle(ctx context.Context, call *wire.RegisterCall) *wire.Reply {
 	record := shedkeel.Record{Key: nodePrefix + call.GetNode(), Value: call.GetRecord()}
-	if _, err := registrar.node.fleet.readNode(record); err != nil {
+	if _, err := registrar.node.fleet.decodeNode(record); err != nil {
 		return &wire.Reply{Error: err.Error()}
 	}
-	registration := registrar.join(shedkeel.Put{Key: record.Key, Value: record.Value})
+	registration := registrar.enqueue(shedkeel.Put{Key: record.Key, Value: record.Value})
 	select {
 	case <-ctx.Done():
 		return &wire.Reply{Error: "the outcome of the write is not known yet"}
@@ -60,38 +60,38 @@
 	return &wire.Reply{Kind: &wire.Reply_Register{Register: &wire.RegisterReply{Written: true, Era: revision.Era, Revision: revision.Number}}}
 }
 
-// join has a record written with the next write, and returns that.
-func (registrar *registrar) join(put shedkeel.Put) *registration {
+// enqueue has a record written with the next write, and returns that.
+func (registrar *registrar) enqueue(put shedkeel.Put) *registrationBatch {
 	registrar.mutex.Lock()
 	defer registrar.mutex.Unlock()
-	joined := registrar.open
+	joined := registrar.pending
 	if joined == nil {
-		joined = &registration{registrar: registrar, puts: map[string]shedkeel.Put{}, full: make(chan struct{}), done: make(chan struct{})}
-		registrar.open = joined
+		joined = &registrationBatch{registrar: registrar, puts: map[string]shedkeel.Put{}, full: make(chan struct{}), done: make(chan struct{})}
+		registrar.pending = joined
 		go joined.run()
 	}
 	joined.puts[put.Key] = put
 	if len(joined.puts) == shedkeel.MaxEntries {
 		close(joined.full)
-		registrar.open = nil
+		registrar.pending = nil
 	}
 	return joined
 }
 
 // run writes the records once they have gathered.
-func (registration *registration) run() {
-	timer := time.NewTimer(registerGather)
+func (registration *registrationBatch) run() {
+	timer := time.NewTimer(registerBatchDelay)
 	select {
 	case <-timer.C:
 	case <-registration.full:
 	}
 	timer.Stop()
 	change := shedkeel.Change{}
-	for _, put := range registration.close() {
+	for _, put := range registration.seal() {
 		change.Put = append(change.Put, put)
 	}
 	node := registration.registrar.node
-	ctx, cancel := context.WithTimeout(context.Background(), registerWrite)
+	ctx, cancel := context.WithTimeout(context.Background(), registerWriteTimeout)
 	defer cancel()
 	registration.revision, registration.err = node.Store.Commit(ctx, change)
 	if registration.err == nil {
@@ -105,13 +105,13 @@
 	close(registration.done)
 }
 
-// close ends the gathering and returns what is to be written.
-func (registration *registration) close() map[string]shedkeel.Put {
+// seal ends the gathering and returns what is to be written.
+func (registration *registrationBatch) seal() map[string]shedkeel.Put {
 	registrar := registration.registrar
 	registrar.mutex.Lock()
 	defer registrar.mutex.Unlock()
-	if registrar.open == registration {
-		registrar.open = nil
+	if registrar.pending == registration {
+		registrar.pending = nil
 	}
 	return registration.puts
 }
--- a/node/registrar_test.go
+++ b/node/registrar_test.go
@@ -14,8 +14,8 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// registeredRecord returns a record that a node may have written.
-func registeredRecord(t *testing.T, id shedkeel.NodeID) []byte {
+// newRegisteredRecord returns a record that a node may have written.
+func newRegisteredRecord(t *testing.T, id shedkeel.NodeID) []byte {
 	t.Helper()
 	value, err := json.Marshal(nodeRecord{ID: id, Zone: "z", Callers: "10.0.0.1:1", Control: "10.0.0.1:2", Watched: true})
 	assert.NilError(t, err)
@@ -26,10 +26,10 @@
 // records: each wrote its own, which was most of the calls of a fleet that starts.
 func TestRegistrationsAreWrittenTogether(t *testing.T) {
 	cases := map[string]struct {
-		nodes  int
-		bad    int // nodes that ask for a record of another one
-		fails  bool
-		writes int
+		nodes      int
+		mismatched int // nodes that ask for a record of another one
+		fails      bool
+		writes     int
 	}{
 		"one":                    {1, 0, false, 1},
 		"as many as a write has": {32, 0, false, 1},
@@ -61,12 +61,12 @@
 			written := make([]bool, test.nodes)
 			for index := range test.nodes {
 				id := shedkeel.NodeID(fmt.Sprint("n-", index))
-				record := registeredRecord(t, id)
-				if index < test.bad {
-					record = registeredRecord(t, "n-other")
+				record := newRegisteredRecord(t, id)
+				if index < test.mismatched {
+					record = newRegisteredRecord(t, "n-other")
 				}
 				asking.Go(func() {
-					reply := node.registrar.take(t.Context(), &wire.RegisterCall{Node: string(id), Record: record})
+					reply := node.registrar.handle(t.Context(), &wire.RegisterCall{Node: string(id), Record: record})
 					written[index] = reply.GetRegister().GetWritten() && reply.GetRegister().GetRevision() == 7
 				})
 			}
@@ -74,7 +74,7 @@
 			assert.Equal(t, writes, test.writes)
 			for index, told := range written {
 				key := nodePrefix + fmt.Sprint("n-", index)
-				assert.Equal(t, told, !test.fails && index >= test.bad, key)
+				assert.Equal(t, told, !test.fails && index >= test.mismatched, key)
 				assert.Equal(t, listed[key] == 1, told, "a node is told that it is listed only if it is: %s", key)
 			}
 		})
@@ -85,9 +85,9 @@
 // in each way: the node writes it itself.
 func TestNodeIsListedWithoutRegistrar(t *testing.T) {
 	cases := map[string]struct {
-		handler  func(*Node) wire.Handler // of the node that is followed; nil: it is down
-		stopping bool
-		own      int // writes of the node itself
+		handler       func(*Node) wire.Handler // of the node that is followed; nil: it is down
+		stopping      bool
+		wantOwnWrites int // writes of the node itself
 	}{
 		"it writes":       {func(other *Node) wire.Handler { return &other.peers }, false, 0},
 		"this node stops": {func(other *Node) wire.Handler { return &other.peers }, true, 1},
@@ -123,12 +123,12 @@
 				return 9, nil
 			}}
 			node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
-			node.member.began.Store(int64(timers.Now()))
+			node.member.startedAt.Store(int64(timers.Now()))
 			node.member.hint.Store(watchedFrom)
 			began := time.Now()
 			assert.Assert(t, node.member.step(t.Context()))
-			assert.Equal(t, own, test.own)
-			assert.Assert(t, node.member.stands(), "it knows that it is listed")
+			assert.Equal(t, own, test.wantOwnWrites)
+			assert.Assert(t, node.member.isRecordCurrent(), "it knows that it is listed")
 			assert.Assert(t, time.Since(began) < registerTimeout)
 		})
 	}
--- a/node/relay.go
+++ b/node/relay.go
@@ -12,50 +12,50 @@
 )
 
 const (
-	// relayMargin is how much longer than its wait a question to another
+	// relayTimeoutMargin is how much longer than its wait a question to another
 	// mirror may take.
-	relayMargin = 400 * time.Millisecond
-	// copyTimeout is the same for a whole copy, which many nodes that start together
+	relayTimeoutMargin = 400 * time.Millisecond
+	// copyTimeoutMargin is the same for a whole copy, which many nodes that start together
 	// ask of a few.
-	copyTimeout = 3 * time.Second
+	copyTimeoutMargin = 3 * time.Second
 )
 
 // Relay asks the node's mirror.
 func (peer *peer) Relay(ctx context.Context, since shedkeel.Revision, wait time.Duration) (mirror.Update, error) {
-	update, err := peer.relay(ctx, since, wait)
-	if err != nil && ctx.Err() == nil || err == nil && (update.Away || -update.AsOf > peer.mostAge()) {
+	update, err := peer.fetchUpdate(ctx, since, wait)
+	if err != nil && ctx.Err() == nil || err == nil && (update.Away || -update.AsOf > peer.maxCopyAge()) {
 		peer.failed.note(peer.node.Timers.Now())
 	}
 	return update, err
 }
 
-// mostAge is how old the node's copy may be for it to be followed.
-func (peer *peer) mostAge() time.Duration {
+// maxCopyAge is how old the node's copy may be for it to be followed.
+func (peer *peer) maxCopyAge() time.Duration {
 	if peer.node.peers.hops() > 1 {
-		return relayAge
+		return maxRelayAge
 	}
-	return sourceAge
+	return maxSourceAge
 }
 
-// relay asks for differences first. What it has may be another value than they
+// fetchUpdate asks for differences first. What it has may be another value than they
 // are of, where the service itself told it something meanwhile.
-func (peer *peer) relay(ctx context.Context, since shedkeel.Revision, wait time.Duration) (mirror.Update, error) {
-	margin := relayMargin
+func (peer *peer) fetchUpdate(ctx context.Context, since shedkeel.Revision, wait time.Duration) (mirror.Update, error) {
+	margin := relayTimeoutMargin
 	if !since.Exists() {
-		margin = copyTimeout
+		margin = copyTimeoutMargin
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+margin)
 	defer cancel()
-	update, err := peer.askRelay(ctx, &wire.RelayCall{SinceEra: since.Era, Since: since.Number, WaitMs: uint32(wait.Milliseconds()), Differences: true})
+	update, err := peer.requestUpdate(ctx, &wire.RelayCall{SinceEra: since.Era, Since: since.Number, WaitMs: uint32(wait.Milliseconds()), Differences: true})
 	if errors.Is(err, transfer.ErrOtherBase) {
-		return peer.askRelay(ctx, &wire.RelayCall{SinceEra: since.Era, Since: since.Number})
+		return peer.requestUpdate(ctx, &wire.RelayCall{SinceEra: since.Era, Since: since.Number})
 	}
 	return update, err
 }
 
 // Knows asks whether the node's mirror has anything.
 func (peer *peer) Knows(ctx context.Context, wait time.Duration) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+relayMargin)
+	ctx, cancel := context.WithTimeout(ctx, wait+relayTimeoutMargin)
 	defer cancel()
 	reply, err := peer.callRelay(ctx, &wire.RelayCall{WaitMs: uint32(wait.Milliseconds()), OnlyKnown: true})
 	if err != nil {
@@ -66,8 +66,8 @@
 	return reply.GetKnown(), nil
 }
 
-func (peer *peer) askRelay(ctx context.Context, call *wire.RelayCall) (mirror.Update, error) {
-	call.Config = peer.node.fleet.version()
+func (peer *peer) requestUpdate(ctx context.Context, call *wire.RelayCall) (mirror.Update, error) {
+	call.Config = peer.node.fleet.configVersion()
 	relay, err := peer.callRelay(ctx, call)
 	if err != nil {
 		return mirror.Update{}, err
@@ -85,7 +85,7 @@
 		return mirror.Update{}, err
 	}
 	for _, record := range records {
-		unpacked, err := peer.whole(record, at.Era)
+		unpacked, err := peer.decodeRecord(record, at.Era)
 		if err != nil {
 			return mirror.Update{}, err
 		}
@@ -100,17 +100,17 @@
 	return reply.GetRelay(), err
 }
 
-// whole returns a record of the era as the service has it.
-func (peer *peer) whole(sent *wire.StoreRecord, era int64) (shedkeel.Record, error) {
+// decodeRecord returns a record of the era as the service has it.
+func (peer *peer) decodeRecord(sent *wire.StoreRecord, era int64) (shedkeel.Record, error) {
 	if sent.GetBase() != 0 {
 		return transfer.Undiffer(sent, era, peer.node.mirror.Get(sent.GetKey()))
 	}
 	return transfer.Unpack(sent, era)
 }
 
-func (peers *peers) relay(ctx context.Context, call *wire.RelayCall) *wire.Reply {
+func (peers *peers) handleRelay(ctx context.Context, call *wire.RelayCall) *wire.Reply {
 	own := &peers.node.mirror
-	peers.node.subscribers.hear(shedkeel.NodeID(call.GetNode()), peers.node.Timers.Now())
+	peers.node.subscribers.note(shedkeel.NodeID(call.GetNode()), peers.node.Timers.Now())
 	changed := own.Changed()
 	state := own.State()
 	since := shedkeel.Revision{Era: call.GetSinceEra(), Number: call.GetSince()}
@@ -126,7 +126,7 @@
 		timer.Stop()
 	}
 	if call.GetOnlyKnown() || !own.State().Known {
-		return &wire.Reply{Kind: &wire.Reply_Relay{Relay: &wire.RelayReply{Known: own.State().Known, Nodes: peers.heardOf()}}}
+		return &wire.Reply{Kind: &wire.Reply_Relay{Relay: &wire.RelayReply{Known: own.State().Known, Nodes: peers.knownNodeCount()}}}
 	}
 	update := own.Since(since)
 	config := peers.node.fleet.newerConfig(call.GetConfig())
@@ -138,7 +138,7 @@
 	}
 	reply := transfer.Reply(update, now)
 	reply.Away, reply.Config = away, config
-	encode := func() []*wire.StoreRecord { return peers.tellAll(update.Records, since, call.GetDifferences()) }
+	encode := func() []*wire.StoreRecord { return peers.encodeRecords(update.Records, since, call.GetDifferences()) }
 	if len(update.Records) < transfer.BatchMin {
 		reply.Records = encode()
 	} else {
@@ -147,16 +147,16 @@
 	return &wire.Reply{Kind: &wire.Reply_Relay{Relay: reply}}
 }
 
-func (peers *peers) tellAll(records []shedkeel.Record, since shedkeel.Revision, differences bool) []*wire.StoreRecord {
+func (peers *peers) encodeRecords(records []shedkeel.Record, since shedkeel.Revision, differences bool) []*wire.StoreRecord {
 	var told []*wire.StoreRecord
 	for _, record := range records {
-		told = append(told, peers.tell(record, since, differences))
+		told = append(told, peers.encodeRecord(record, since, differences))
 	}
 	return told
 }
 
-// heardOf returns of how many nodes this one has heard.
-func (peers *peers) heardOf() uint32 {
+// knownNodeCount returns of how many nodes this one has heard.
+func (peers *peers) knownNodeCount() uint32 {
 	listed := 0
 	if peers.node.mirror.State().Known {
 		listed = peers.node.fleet.nodeCount()
@@ -164,10 +164,10 @@
 	return uint32(max(listed, peers.node.subscribers.count(peers.node.Timers.Now())))
 }
 
-// tell returns a record as it is sent to a node that asks: by the difference if
+// encodeRecord returns a record as it is sent to a node that asks: by the difference if
 // that is what it has the former value of, else whole.
 // A heartbeat of a server changes one number.
-func (peers *peers) tell(record shedkeel.Record, since shedkeel.Revision, differences bool) *wire.StoreRecord {
+func (peers *peers) encodeRecord(record shedkeel.Record, since shedkeel.Revision, differences bool) *wire.StoreRecord {
 	former := peers.node.mirror.Before(record.Key)
 	usable := former.Revision.Exists() && !former.Revision.After(since) && record.Revision.After(former.Revision)
 	if differences && !record.Gone && usable {
--- a/node/relay_test.go
+++ b/node/relay_test.go
@@ -40,9 +40,9 @@
 	follow()
 	since := shedkeel.Revision{Number: 2}
 	write(source, 9, false)
-	sent := source.peers.tell(source.mirror.Get("servers/a"), since, true)
+	sent := source.peers.encodeRecord(source.mirror.Get("servers/a"), since, true)
 	assert.Assert(t, sent.GetBase() == 2 && len(sent.GetValue()) < 4, "%v", sent)
 	write(own, 5, false) // the service told it something that the source has not heard of
 	follow()
-	assert.Equal(t, source.peers.tell(source.mirror.Get("servers/a"), since, false).GetBase(), int64(0), "who does not ask for differences gets the whole")
+	assert.Equal(t, source.peers.encodeRecord(source.mirror.Get("servers/a"), since, false).GetBase(), int64(0), "who does not ask for differences gets the whole")
 }
--- a/node/report.go
+++ b/node/report.go
@@ -12,7 +12,7 @@
 // report logs and counts once a second what has no event of its own.
 func (node *Node) report(now time.Duration) {
 	node.Log.Report()
-	node.gossip.report(node.peers.listed())
+	node.gossip.logExclusions(node.peers.listed())
 	if node.Metrics == nil {
 		return
 	}
@@ -21,7 +21,7 @@
 	scope.Gauge("mirror_age_seconds").Update((now - node.mirror.State().AsOf).Seconds())
 	scope.Gauge("records_skipped").Update(float64(node.fleet.unread.Load()))
 	scope.Gauge("nodes").Update(float64(node.fleet.nodeCount()))
-	scope.Gauge("nodes_unnamed").Update(float64(len(node.unnamed())))
+	scope.Gauge("nodes_unnamed").Update(float64(len(node.excludedNodes())))
 	scope.Gauge("planner_waits").Update(float64(len(node.controller.waits())))
 	node.reportLimits(scope)
 	scope.Gauge("zones_evacuated").Update(float64(len(node.fleet.evacuations())))
@@ -59,13 +59,13 @@
 	scope.Gauge("permits_refused").Update(float64(refused))
 }
 
-// unlistedHead is the state of a group whose head is not listed.
-const unlistedHead = "headless"
+// headlessState is the state of a group whose head is not listed.
+const headlessState = "headless"
 
 // groupStates counts the replica groups by the state of their heads, each
 // state that there is.
 func (fleet *fleet) groupStates() map[string]int {
-	counts := map[string]int{unlistedHead: 0}
+	counts := map[string]int{headlessState: 0}
 	for _, state := range []shedkeel.MemberState{shedkeel.MemberJoining, shedkeel.MemberReady, shedkeel.MemberOpen, shedkeel.MemberClosing, shedkeel.MemberBroken} {
 		counts[string(state)] = 0
 	}
@@ -75,7 +75,7 @@
 	for _, group := range groups {
 		state := string(group.State)
 		if _, known := counts[state]; !known {
-			state = unlistedHead
+			state = headlessState
 		}
 		counts[state]++
 	}
--- a/node/restore.go
+++ b/node/restore.go
@@ -7,22 +7,22 @@
 	"shedkeel.org/shedkeel/mirror"
 )
 
-// restored acts on the key-value service having come back from an older copy of
+// handleRestore acts on the key-value service having come back from an older copy of
 // itself. What this node has written may be lost there, and leases with it. The mirror
 // calls it before it tells what has changed.
-func (node *Node) restored(restore mirror.Restore) {
+func (node *Node) handleRestore(restore mirror.Restore) {
 	node.Log.Write(event.StoreRestored, slog.String("from", restore.From.String()), slog.String("to", restore.To.String()), slog.Int("lost", restore.Lost))
-	node.fleet.holdLost()
-	node.member.update()
+	node.fleet.retainLostRecords()
+	node.member.requestWrite()
 	node.guard.keepAgain()
 }
 
-// holdLost has records that an older copy of the key-value service lacks be believed
+// retainLostRecords has records that an older copy of the key-value service lacks be believed
 // until their owners have written them again, and those that it has be compared with what
 // is known.
-func (fleet *fleet) holdLost() {
+func (fleet *fleet) retainLostRecords() {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
-	fleet.troubled = fleet.node.Timers.Now() + lapseHold
-	fleet.copied = true
+	fleet.outageUntil = fleet.node.Timers.Now() + lapseHold
+	fleet.afterRestore = true
 }
--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -14,14 +14,14 @@
 	"shedkeel.org/shedkeel/serve"
 )
 
-// plainServer is the record of a plain server as the platform's servers write it.
-func plainServer(revision shedkeel.Revision, state string, sequence int) shedkeel.Record {
+// plainServerRecord is the record of a plain server as the platform's servers write it.
+func plainServerRecord(revision shedkeel.Revision, state string, sequence int) shedkeel.Record {
 	value := fmt.Sprintf(`{"service":"p","address":"10.0.0.9:1","zone":"z","version":"v1","slots":8,"state":%q,"cold_remaining_ms":0,"seq":%d,"born":7}`, state, sequence)
 	return shedkeel.Record{Key: "servers/i-9", Value: []byte(value), Revision: revision}
 }
 
-// viewOf returns a configuration with a service.
-func viewOf(service shedkeel.RoutedService) *serve.View {
+// newServiceView returns a configuration with a service.
+func newServiceView(service shedkeel.RoutedService) *serve.View {
 	return serve.NewView(&shedkeel.ServingConfig{Services: []shedkeel.RoutedService{service}})
 }
 
@@ -32,39 +32,39 @@
 	restored, again := shedkeel.Revision{Era: 1, Number: 1}, shedkeel.Revision{Era: 1, Number: 3}
 	gone := shedkeel.Record{Key: "servers/i-9", Revision: lost, Gone: true}
 	cases := map[string]struct {
-		before []shedkeel.Record // one after the other
-		copied []shedkeel.Record // what the older copy has
-		after  []shedkeel.Record // written later
-		usable [3]int            // after the restore, after the later write, and after all holds
+		before     []shedkeel.Record // one after the other
+		restored   []shedkeel.Record // what the older copy has
+		after      []shedkeel.Record // written later
+		wantUsable [3]int            // after the restore, after the later write, and after all holds
 	}{
-		"nothing was lost":        {[]shedkeel.Record{plainServer(old, "ready", 1)}, []shedkeel.Record{plainServer(restored, "ready", 1)}, nil, [3]int{1, 1, 1}},
-		"its drain was lost":      {[]shedkeel.Record{plainServer(old, "ready", 1), plainServer(lost, "draining", 1)}, []shedkeel.Record{plainServer(restored, "ready", 1)}, nil, [3]int{0, 0, 0}},
-		"its end was lost":        {[]shedkeel.Record{plainServer(old, "ready", 1), gone}, []shedkeel.Record{plainServer(restored, "ready", 1)}, nil, [3]int{0, 0, 1}},
-		"its start was lost":      {[]shedkeel.Record{plainServer(lost, "ready", 1)}, nil, []shedkeel.Record{plainServer(again, "ready", 1)}, [3]int{1, 1, 1}},
-		"its start, and it ended": {[]shedkeel.Record{plainServer(lost, "ready", 1)}, nil, nil, [3]int{1, 1, 0}},
-		"an order was lost":       {[]shedkeel.Record{plainServer(old, "ready", 1), plainServer(lost, "ready", 2)}, []shedkeel.Record{plainServer(restored, "ready", 1)}, nil, [3]int{1, 1, 1}},
+		"nothing was lost":        {[]shedkeel.Record{plainServerRecord(old, "ready", 1)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{1, 1, 1}},
+		"its drain was lost":      {[]shedkeel.Record{plainServerRecord(old, "ready", 1), plainServerRecord(lost, "draining", 1)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{0, 0, 0}},
+		"its end was lost":        {[]shedkeel.Record{plainServerRecord(old, "ready", 1), gone}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{0, 0, 1}},
+		"its start was lost":      {[]shedkeel.Record{plainServerRecord(lost, "ready", 1)}, nil, []shedkeel.Record{plainServerRecord(again, "ready", 1)}, [3]int{1, 1, 1}},
+		"its start, and it ended": {[]shedkeel.Record{plainServerRecord(lost, "ready", 1)}, nil, nil, [3]int{1, 1, 0}},
+		"an order was lost":       {[]shedkeel.Record{plainServerRecord(old, "ready", 1), plainServerRecord(lost, "ready", 2)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{1, 1, 1}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			node, timers := newTestNode(t)
 			node.Decoder = platform.Decoder{}
-			node.fleet.view.Store(viewOf(shedkeel.RoutedService{ID: "p"}))
+			node.fleet.view.Store(newServiceView(shedkeel.RoutedService{ID: "p"}))
 			node.mirror.Apply(mirror.Update{Whole: true, At: old, AsOf: timers.Now()})
 			for _, record := range test.before {
 				node.mirror.Apply(mirror.Update{At: record.Revision, AsOf: timers.Now(), Records: []shedkeel.Record{record}})
 				node.fleet.tick(timers.Now())
 			}
 			usable := func() int { return node.table.Load("p", "", timers.Now()).Usable }
-			node.mirror.Apply(mirror.Update{Whole: true, At: restored, AsOf: timers.Now(), Records: test.copied})
+			node.mirror.Apply(mirror.Update{Whole: true, At: restored, AsOf: timers.Now(), Records: test.restored})
 			node.fleet.tick(timers.Now())
-			assert.Equal(t, usable(), test.usable[0])
+			assert.Equal(t, usable(), test.wantUsable[0])
 			node.mirror.Apply(mirror.Update{At: again, AsOf: timers.Now(), Records: test.after})
 			node.fleet.tick(timers.Now())
-			assert.Equal(t, usable(), test.usable[1])
+			assert.Equal(t, usable(), test.wantUsable[1])
 			timers.Advance(max(lapseHold, returnHold))
 			node.mirror.Apply(mirror.Update{At: again, AsOf: timers.Now()})
 			node.fleet.tick(timers.Now())
-			assert.Equal(t, usable(), test.usable[2])
+			assert.Equal(t, usable(), test.wantUsable[2])
 		})
 	}
 }
@@ -74,7 +74,7 @@
 func TestOrdersAreKnownAfterARestore(t *testing.T) {
 	node, timers := newTestNode(t)
 	node.Decoder = platform.Decoder{}
-	node.fleet.view.Store(viewOf(shedkeel.RoutedService{ID: "s", Engine: &shedkeel.Engine{}}))
+	node.fleet.view.Store(newServiceView(shedkeel.RoutedService{ID: "s", Engine: &shedkeel.Engine{}}))
 	member := func(revision shedkeel.Revision, epoch, orders int) shedkeel.Record {
 		value := fmt.Sprintf(`{"service":"s","address":"10.0.0.1:1","zone":"z","version":"v1","slots":8,"state":"ready","cold_remaining_ms":0,"seq":%d,"born":7,"domain":"d",`+
 			`"group":{"name":"m/d/1","epoch":%d,"rank":0,"state":"open"}}`, orders, epoch)
@@ -119,8 +119,8 @@
 	node, timers, store := electedNode(t)
 	writes := 0
 	store.commit = func(shedkeel.Change) (int64, error) { writes++; return 3, nil }
-	node.member.tried = timers.Now()
-	node.member.changed.Store(false)
+	node.member.lastAttempt = timers.Now()
+	node.member.dirty.Store(false)
 	node.member.tick(t.Context())
 	assert.Equal(t, writes, 0, "it is listed")
 	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Era: 1, Number: 1}, AsOf: timers.Now()})
@@ -134,7 +134,7 @@
 	node, timers := newTestNode(t)
 	store := &blameStore{}
 	node.Store = store
-	node.peers.update([]nodeRecord{node.record()})
+	node.peers.update([]nodeRecord{node.ownRecord()})
 	for _, server := range []shedkeel.InstanceID{"a", "b", "c"} {
 		node.guard.Ended("r", server)
 	}
@@ -176,9 +176,9 @@
 // TestRemovals checks for how long a removed server is remembered and kept from use.
 func TestRemovals(t *testing.T) {
 	cases := map[string]struct {
-		era  int64 // in which it is back
-		at   time.Duration
-		held bool
+		era      int64 // in which it is back
+		at       time.Duration
+		withheld bool
 	}{
 		"in the same era":       {0, time.Second, false},
 		"in a later one":        {1, time.Second, true},
@@ -190,8 +190,8 @@
 			removals.note("a", 0, 0)
 			removals.expire(test.at)
 			removals.returned("a", test.era, test.at)
-			assert.Equal(t, removals.withheld("a"), test.held)
-			assert.Equal(t, removals.expire(test.at+returnHold), test.held)
+			assert.Equal(t, removals.withheld("a"), test.withheld)
+			assert.Equal(t, removals.expire(test.at+returnHold), test.withheld)
 			assert.Assert(t, !removals.withheld("a"))
 			removals.returned("a", test.era, test.at+returnHold)
 			assert.Assert(t, !removals.withheld("a"), "it writes its record still")
--- a/node/restored_service_test.go
+++ b/node/restored_service_test.go
@@ -16,8 +16,8 @@
 // that they drain.
 
 const (
-	// applyBound is within what a change must be in force at all nodes.
-	applyBound = 2 * time.Second
+	// maxApplyDelay is within what a change must be in force at all nodes.
+	maxApplyDelay = 2 * time.Second
 	// lostChanges is how many changes the service loses.
 	lostChanges = 300
 )
@@ -27,9 +27,9 @@
 func TestRestoredServiceIsFollowed(t *testing.T) {
 	cases := map[string]struct {
 		restores int
-		// passed has the service change so often before nodes reach it that its revisions
-		// have passed those that they know.
-		passed bool
+		// overtaken has the service change so often before nodes reach it that its revisions
+		// have overtaken those that they know.
+		overtaken bool
 	}{
 		"revisions below those known": {1, false},
 		"revisions have passed them":  {1, true},
@@ -39,28 +39,28 @@
 		t.Run(name, func(t *testing.T) {
 			world := newServingWorld(t)
 			world.data.Snapshot()
-			world.change(lostChanges)
+			world.changeUnusedRecords(lostChanges)
 			world.configure(2, `"key-1","key-lost"`)
-			world.eventually("the lost configuration is in force", func() bool { return world.served("key-lost") == len(world.nodes) })
+			world.eventually("the lost configuration is in force", func() bool { return world.acceptingNodes("key-lost") == len(world.nodes) })
 			for range test.restores {
 				world.data.SetFaults(standin.Faults{Outage: true})
 				time.Sleep(time.Second)
 				world.data.Restore()
-				if !test.passed {
+				if !test.overtaken {
 					world.data.SetFaults(standin.Faults{})
 					time.Sleep(500 * time.Millisecond)
 				}
 			}
 			world.configure(3, `"key-3"`)
 			world.fleet.Drain("plain-0")
-			if test.passed {
-				world.change(2 * lostChanges)
+			if test.overtaken {
+				world.changeUnusedRecords(2 * lostChanges)
 				world.data.SetFaults(standin.Faults{})
 			}
 			began := time.Now()
-			world.eventually("the new key is known", func() bool { return world.served("key-3") == len(world.nodes) })
-			assert.Assert(t, time.Since(began) < applyBound, "it took %s", time.Since(began))
-			time.Sleep(applyBound - time.Since(began))
+			world.eventually("the new key is known", func() bool { return world.acceptingNodes("key-3") == len(world.nodes) })
+			assert.Assert(t, time.Since(began) < maxApplyDelay, "it took %s", time.Since(began))
+			time.Sleep(maxApplyDelay - time.Since(began))
 			came := world.fleet.Came("plain-0")
 			for range 20 {
 				for _, node := range world.nodes {
@@ -77,16 +77,16 @@
 	}
 }
 
-// change makes so many changes of records that nobody uses.
-func (world *world) change(count int) {
+// changeUnusedRecords makes so many changes of records that nobody uses.
+func (world *world) changeUnusedRecords(count int) {
 	for index := range count {
 		_, err := world.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: fmt.Sprint("other/", index%7), Value: fmt.Append(nil, index)}}})
 		assert.NilError(world.t, err)
 	}
 }
 
-// served returns how many nodes serve a request with the key.
-func (world *world) served(key string) int {
+// acceptingNodes returns how many nodes serve a request with the key.
+func (world *world) acceptingNodes(key string) int {
 	count := 0
 	for _, node := range world.nodes {
 		if status, _ := world.send(node.callers, shedkeel.NewNonce(), "/look/x", key, 0); status == 200 {
--- a/node/testnode_test.go
+++ b/node/testnode_test.go
@@ -16,16 +16,16 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// listDecoder takes the keys of records for the names of backend servers.
-type listDecoder struct{ Decoder }
+// keyDecoder takes the keys of records for the names of backend servers.
+type keyDecoder struct{ Decoder }
 
-func (listDecoder) ConfigKey() string      { return "config" }
-func (listDecoder) InstancePrefix() string { return "servers/" }
-func (listDecoder) EvacuatedZone(key string) (shedkeel.ZoneID, bool) {
+func (keyDecoder) ConfigKey() string      { return "config" }
+func (keyDecoder) InstancePrefix() string { return "servers/" }
+func (keyDecoder) EvacuatedZone(key string) (shedkeel.ZoneID, bool) {
 	zone, found := strings.CutPrefix(key, "evacuated/")
 	return shedkeel.ZoneID(zone), found
 }
-func (listDecoder) Instance(key string, _ []byte) (shedkeel.Instance, error) {
+func (keyDecoder) Instance(key string, _ []byte) (shedkeel.Instance, error) {
 	return shedkeel.Instance{ID: shedkeel.InstanceID(key)}, nil
 }
 
@@ -36,7 +36,7 @@
 	log, err := event.NewLog(io.Discard, "info")
 	assert.NilError(t, err)
 	timers := &timer.Manual{}
-	node := &Node{Log: log, Timers: timers, Random: rand.NewPCG(1, 2), Decoder: listDecoder{}, Engines: &answering{}}
+	node := &Node{Log: log, Timers: timers, Random: rand.NewPCG(1, 2), Decoder: keyDecoder{}, Engines: &answering{}}
 	node.Settings.Node = "node-1"
 	node.Incarnation = "first"
 	node.Prepare()
