--- a/node/admin.go
+++ b/node/admin.go
@@ -7,10 +7,10 @@
 	"shedkeel.org/shedkeel/formation"
 )
 
-// Process is what a node calls itself to operators' clients.
+// Process identifies a node to operators' clients.
 const Process = "node"
 
-// Dump is the state of a node, without secrets.
+// Dump is a node's state for operators. It contains no secrets.
 type Dump struct {
 	Process     string            `json:"process"`
 	Node        shedkeel.NodeID   `json:"node"`
@@ -18,51 +18,51 @@
 	Stopping    bool              `json:"stopping"`
 	Leads       bool              `json:"leads"`
 	Leader      shedkeel.NodeID   `json:"leader"`
-	Config      int64             `json:"config"`   // version in force
-	Revision    string            `json:"revision"` // of the store, as far as is known here
-	Age         string            `json:"age"`      // of the proof that nothing is newer
+	Config      int64             `json:"config"`   // version of the active configuration
+	Revision    string            `json:"revision"` // latest revision of the store that this node knows
+	Age         string            `json:"age"`      // time since the latest proof that the node's copy is current
 	Served      int64             `json:"served"`
 	Nodes       []shedkeel.NodeID `json:"nodes"`
-	Unnamed     []UnnamedDump     `json:"unnamed"`   // listed nodes to which callers are not sent
-	Isolated    bool              `json:"isolated"`  // this node hears nobody, so it judges nobody
-	Judged      []BlameDump       `json:"judged"`    // requests that are kept from servers, since servers ended under them
+	Unnamed     []UnnamedDump     `json:"unnamed"`   // listed nodes that the directory leaves out
+	Isolated    bool              `json:"isolated"`  // this node receives nothing from others, so it judges none of them dead
+	Judged      []BlameDump       `json:"judged"`    // requests withheld from servers because servers ended while running them
 	Limited     []LimitDump       `json:"limited"`   // servers that limit the rate of their requests
-	Evacuated   []EvacuationDump  `json:"evacuated"` // availability zones whose servers get nothing
+	Evacuated   []EvacuationDump  `json:"evacuated"` // availability zones whose servers get no requests
 	Groups      []GroupDump       `json:"groups"`
 	Servers     []ServerDump      `json:"servers"`
 }
 
-// BlameDump is a request that is kept from servers.
+// BlameDump is a request that is withheld from servers.
 type BlameDump struct {
 	Request  shedkeel.RequestDigest `json:"request"`
 	Judgment string                 `json:"judgment"`
-	Servers  []shedkeel.InstanceID  `json:"servers"` // the starts of servers that ended under it
+	Servers  []shedkeel.InstanceID  `json:"servers"` // incarnations of the servers that ended while running it
 }
 
-// LimitDump is a server that limits the rate of its requests.
+// LimitDump is a server whose request rate is limited.
 type LimitDump struct {
 	Server  shedkeel.InstanceID `json:"server"`
-	Rate    float64             `json:"rate"`    // requests a second from all nodes together
-	For     string              `json:"for"`     // how long this node has known it; empty: the server is cold
-	Cold    string              `json:"cold"`    // how much longer it is cold; empty: it states a limit
-	Granter shedkeel.NodeID     `json:"granter"` // grants the permits; empty: no node is known
-	Granted int64               `json:"granted"` // permits, by this node since it grants them
+	Rate    float64             `json:"rate"`    // requests per second of all nodes together
+	For     string              `json:"for"`     // how long this node has known the limit; empty: the server is cold
+	Cold    string              `json:"cold"`    // how much longer the server stays cold; empty: it reported a limit
+	Granter shedkeel.NodeID     `json:"granter"` // the node that grants the permits; empty: no node is known
+	Granted int64               `json:"granted"` // permits granted by this node since it became the granter
 	Refused int64               `json:"refused"`
 }
 
-// EvacuationDump is an availability zone that operators have evacuated.
+// EvacuationDump is an availability zone that operators evacuated.
 type EvacuationDump struct {
 	Zone    shedkeel.ZoneID `json:"zone"`
-	Servers int             `json:"servers"` // listed there; 0 may be a misspelled zone
+	Servers int             `json:"servers"` // listed in the zone; 0 may mean that its name is misspelled
 }
 
-// UnnamedDump is a listed node to which callers are not sent, and why.
+// UnnamedDump is a listed node that the directory leaves out, and why.
 type UnnamedDump struct {
 	Node   shedkeel.NodeID `json:"node"`
 	Reason string          `json:"reason"`
 }
 
-// Why callers are not sent to a node that is listed.
+// Reasons why the directory leaves out a listed node.
 const (
 	reasonStopping   = "it stops, as its record says"
 	reasonLeft       = "it stops, as it told other nodes"
@@ -70,16 +70,16 @@
 	reasonDead       = "no node hears it; look at its box and its way to the others"
 )
 
-// GroupDump is what a node believes of a replica group.
+// GroupDump is a replica group as this node knows it.
 type GroupDump struct {
 	Group   shedkeel.GroupID      `json:"group"`
 	Epoch   uint64                `json:"epoch"`
 	Model   shedkeel.ModelID      `json:"model"`
-	State   shedkeel.MemberState  `json:"state"` // of its head; empty: not listed
+	State   shedkeel.MemberState  `json:"state"` // state of the group's head; empty: the head is not listed
 	Members []shedkeel.InstanceID `json:"members"`
 }
 
-// ServerDump is a backend server that is in no replica group.
+// ServerDump is a backend server outside of replica groups.
 type ServerDump struct {
 	Server   shedkeel.InstanceID `json:"server"`
 	Service  shedkeel.ServiceID  `json:"service"`
@@ -87,6 +87,7 @@
 	Staged   []shedkeel.ModelID  `json:"staged"`
 }
 
+// dump returns the node's state.
 func (node *Node) dump() Dump {
 	state := node.mirror.State()
 	node.controller.mutex.Lock()
@@ -109,7 +110,7 @@
 	return dump
 }
 
-// excludedNodes returns the listed nodes to which callers are not sent.
+// excludedNodes returns the listed nodes that the directory leaves out.
 func (node *Node) excludedNodes() []UnnamedDump {
 	found := []UnnamedDump{}
 	for _, record := range node.peers.listed() {
@@ -128,7 +129,7 @@
 	return found
 }
 
-// addFleet adds what the fleet is made of.
+// addFleet adds the nodes, groups and servers to a dump.
 func (fleet *fleet) addFleet(dump *Dump) {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
--- a/node/config.go
+++ b/node/config.go
@@ -15,39 +15,41 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// activeConfigCopy is the configuration in force as operators wrote it. The key-value service
-// may have an older one, when it has come back from a copy and they have not written
-// theirs again; nodes that start then are told by others. The zero value is none.
+// activeConfigCopy is the active configuration as operators wrote it. The key-value
+// service may have an older one if it was restored from a snapshot and operators have
+// not written theirs again. Nodes that start in that time get the newer one from
+// other nodes. The zero value has no configuration.
 type activeConfigCopy struct {
 	mutex      sync.Mutex
 	value      []byte
-	compressed []byte // the same compressed; nil: not yet
+	compressed []byte // value, compressed; nil: not computed yet
 
-	newerThanStore atomic.Bool // the service has an older one
-	fetching       atomic.Bool // another node is being asked for a newer one
+	newerThanStore atomic.Bool // the service has an older configuration
+	fetching       atomic.Bool // a request to another node for a newer one is running
 }
 
-func (kept *activeConfigCopy) set(value []byte) {
-	kept.mutex.Lock()
-	defer kept.mutex.Unlock()
-	kept.value, kept.compressed = value, nil
+func (active *activeConfigCopy) set(value []byte) {
+	active.mutex.Lock()
+	defer active.mutex.Unlock()
+	active.value, active.compressed = value, nil
 }
 
-// compress returns the configuration as it is told, or nil if there is none.
-func (kept *activeConfigCopy) compress() []byte {
-	kept.mutex.Lock()
-	defer kept.mutex.Unlock()
-	if kept.compressed == nil && kept.value != nil {
-		packed, err := transfer.Deflate(kept.value)
+// compress returns the compressed configuration, as it is sent to other nodes, or nil
+// if there is none.
+func (active *activeConfigCopy) compress() []byte {
+	active.mutex.Lock()
+	defer active.mutex.Unlock()
+	if active.compressed == nil && active.value != nil {
+		packed, err := transfer.Deflate(active.value)
 		if err != nil {
-			return nil // memory never fails to be written to
+			return nil // never happens: a write to memory does not fail
 		}
-		kept.compressed = packed
+		active.compressed = packed
 	}
-	return kept.compressed
+	return active.compressed
 }
 
-// configVersion returns the configVersion of the configuration in force; 0: none.
+// configVersion returns the version of the active configuration, or 0 if there is none.
 func (fleet *fleet) configVersion() int64 {
 	if view := fleet.view.Load(); view != nil {
 		return view.Config.Version
@@ -55,8 +57,8 @@
 	return 0
 }
 
-// applyConfigRecord takes in the configuration that the key-value service has, and reports
-// whether it is in force now.
+// applyConfigRecord applies the key-value service's configuration record and reports
+// whether it became the active configuration. The caller holds the mutex.
 func (fleet *fleet) applyConfigRecord(record shedkeel.Record) bool {
 	if record.Gone {
 		fleet.skipped(record, &shedkeel.InvalidError{Where: record.Key, What: "it was removed", Remedy: "write a configuration"})
@@ -71,8 +73,8 @@
 	return fleet.activateConfig(config, record)
 }
 
-// activateConfig puts a configuration in force if it is newer than the one that is. The mutex
-// is held.
+// activateConfig makes a configuration the active one if it is newer, and reports
+// whether it did. The caller holds the mutex.
 func (fleet *fleet) activateConfig(config *shedkeel.ServingConfig, record shedkeel.Record) bool {
 	if fleet.view.Load() != nil && config.Version <= fleet.configVersion() {
 		fleet.skipped(record, &shedkeel.InvalidError{Where: record.Key, What: "its version is not newer than the one in force", Remedy: "raise it"})
@@ -84,8 +86,9 @@
 	return true
 }
 
-// newerConfig returns the configuration in force, compressed, for a node that has an
-// older one, where the key-value service has an older one too. Otherwise nil.
+// newerConfig returns the active configuration, compressed, if the asking node's
+// version is older and the key-value service has an older one too. Otherwise it
+// returns nil.
 func (fleet *fleet) newerConfig(version int64) []byte {
 	if version >= fleet.configVersion() || !fleet.activeConfig.newerThanStore.Load() {
 		return nil
@@ -93,7 +96,7 @@
 	return fleet.activeConfig.compress()
 }
 
-// receiveConfig takes in the configuration that another node has in force.
+// receiveConfig applies a configuration that another node sent, if it is newer.
 func (fleet *fleet) receiveConfig(packed []byte, from shedkeel.NodeID) {
 	record := shedkeel.Record{Key: fleet.node.Decoder.ConfigKey()}
 	value, err := transfer.Inflate(packed, transfer.MaxValue)
@@ -115,7 +118,8 @@
 	}
 }
 
-// fetchConfig asks a node that has a newer configuration in force for it.
+// fetchConfig starts fetching the configuration of a node that has a newer version,
+// unless a fetch is running.
 func (peers *peers) fetchConfig(id shedkeel.NodeID, version int64) {
 	fleet := &peers.node.fleet
 	own := fleet.configVersion()
@@ -130,10 +134,11 @@
 	go peer.runFetchConfig()
 }
 
+// runFetchConfig asks the peer for an update, whose reply has its newer configuration.
 func (peer *peer) runFetchConfig() {
 	defer peer.node.fleet.activeConfig.fetching.Store(false)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	at := peer.node.mirror.State().At
-	_, _ = peer.requestUpdate(ctx, &wire.RelayCall{SinceEra: at.Era, Since: at.Number}) // what it tells else is followed elsewhere
+	_, _ = peer.requestUpdate(ctx, &wire.RelayCall{SinceEra: at.Era, Since: at.Number}) // its records are ignored: the follower gets them
 }
--- a/node/explain.go
+++ b/node/explain.go
@@ -9,32 +9,32 @@
 	"shedkeel.org/shedkeel"
 )
 
-// EventLines is the content type of log lines, one JSON object each.
+// EventLines is the content type of log lines, one JSON object per line.
 const EventLines = "application/x-ndjson"
 
-// Explanation is what a node knows of a replica group.
+// Explanation is what a node knows about a replica group.
 type Explanation struct {
 	Process string            `json:"process"`
 	Node    shedkeel.NodeID   `json:"node"`
-	Leader  shedkeel.NodeID   `json:"leader"` // plans it and has given its orders
+	Leader  shedkeel.NodeID   `json:"leader"` // the node that plans the group and sends its orders
 	Group   shedkeel.GroupID  `json:"group"`
-	Members []MemberDump      `json:"members"` // listed ones, also of former formations
-	Waits   []WaitDump        `json:"waits"`   // only the leader knows
+	Members []MemberDump      `json:"members"` // listed members, also those of former formations of the group
+	Waits   []WaitDump        `json:"waits"`   // why the planner waits; empty at nodes that don't lead
 	Events  []json.RawMessage `json:"events"`  // lines of this node's log
 }
 
-// MemberDump is a backend server that tells of a replica group.
+// MemberDump is a backend server whose record names a replica group.
 type MemberDump struct {
 	Server   shedkeel.InstanceID  `json:"server"`
 	Rank     int                  `json:"rank"`
 	Epoch    uint64               `json:"epoch"`
 	State    shedkeel.MemberState `json:"state"`
 	Draining bool                 `json:"draining"`
-	Dead     bool                 `json:"dead"` // it answers no probe; only the leader knows
-	Slow     float64              `json:"slow"` // times slower than it should be; 0: not, or not known here
+	Dead     bool                 `json:"dead"` // it does not answer probes; known only at the leader
+	Slow     float64              `json:"slow"` // how many times slower than expected; 0: not slow, or not known here
 }
 
-// adminHandler serves metrics and the state of the node.
+// adminHandler returns the handler of metrics and operators' queries.
 func (node *Node) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	if node.Metrics != nil {
@@ -47,11 +47,12 @@
 	return mux
 }
 
+// serveDump answers with the node's state.
 func (node *Node) serveDump(writer http.ResponseWriter, _ *http.Request) {
 	writeJSON(writer, http.StatusOK, node.dump())
 }
 
-// serveExplain answers what the node knows of a group.
+// serveExplain answers with what the node knows about a group.
 func (node *Node) serveExplain(writer http.ResponseWriter, request *http.Request) {
 	group := shedkeel.GroupID(request.PathValue("group"))
 	explanation := Explanation{
@@ -69,7 +70,7 @@
 	writeJSON(writer, http.StatusOK, explanation)
 }
 
-// members returns the listed servers that tell of a group.
+// members returns the listed servers whose records name the group.
 func (node *Node) members(group shedkeel.GroupID) []MemberDump {
 	node.fleet.mutex.Lock()
 	instances := node.fleet.sortedInstances()
@@ -91,7 +92,7 @@
 	return members
 }
 
-// serveRequest answers the log lines of a request.
+// serveRequest answers with the log lines of a request.
 func (node *Node) serveRequest(writer http.ResponseWriter, request *http.Request) {
 	id := request.PathValue("id")
 	lines := node.Log.Recent("request", id)
@@ -102,18 +103,20 @@
 	writer.Header().Set("Content-Type", EventLines)
 	writer.Header().Set("X-Content-Type-Options", "nosniff")
 	for _, line := range lines {
-		_, _ = writer.Write(line) //nolint:gosec // lines of JSON, and no browser takes them for more; an error says that who asked is gone
+		_, _ = writer.Write(line) //nolint:gosec // JSON lines with nosniff, so no browser interprets them; an error means that the client disconnected
 	}
 }
 
+// notFound answers 404 with an error text.
 func notFound(writer http.ResponseWriter, text string) {
 	writeJSON(writer, http.StatusNotFound, map[string]string{"error": text})
 }
 
+// writeJSON answers with the body as JSON.
 func writeJSON(writer http.ResponseWriter, status int, body any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
 	encoder := json.NewEncoder(writer)
 	encoder.SetIndent("", "  ")
-	_ = encoder.Encode(body) // who asked is gone
+	_ = encoder.Encode(body) // an error means that the client disconnected
 }
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -18,26 +18,26 @@
 )
 
 const (
-	// fleetTick is how often records are checked that are held though gone.
+	// fleetTick is how often retained and unreadable records are checked for expiry.
 	fleetTick = 100 * time.Millisecond
-	// troubleAge is the age of the mirror from which the service counts as
-	// away. A calm fleet's copies are up to 1.5 s old, and some tenths more
-	// until a stale one is renewed: taking that for trouble kept a server that
-	// had left for two seconds.
+	// troubleAge is the age of the mirror from which the key-value service counts as
+	// unavailable. In a healthy fleet copies are up to 1.5 s old, and some tenths of a
+	// second older until a stale one is renewed. When such an age counted as an outage,
+	// servers that had left stayed in use for 2 s more.
 	troubleAge = 2300 * time.Millisecond
-	// lapseHold is how long a record that went while the service was away is
-	// still believed after its return: living servers have written theirs
-	// again about two seconds after it, by the platform's pages.
+	// lapseHold is how long after the service's return a record that was deleted during
+	// the outage is still used. By the platform's documentation, live servers write
+	// their records again about 2 s after the return.
 	lapseHold = 2300 * time.Millisecond
-	// doubtHold is how long a backend server whose record can't be read any more
-	// keeps its place in its group. It gets no requests by itself meanwhile. One odd
-	// write by another writer is gone with the server's next heartbeat, by the
-	// platform's pages 1.2 s later at most; two of them and the way here fit in.
+	// doubtHold is how long a backend server whose record became unreadable keeps its
+	// place in its group. It gets no requests of its own in that time. A server's next
+	// heartbeat, by the platform's documentation at most 1.2 s later, replaces an
+	// invalid write by another writer; 3 s covers two heartbeats and their delivery.
 	doubtHold = 3 * time.Second
 )
 
-// fleet is what a node makes of the records: the configuration, the servers
-// and groups that requests may be sent to, and the other nodes.
+// fleet is the state that a node derives from the records: the configuration, the
+// servers and groups that may get requests, and the other nodes.
 type fleet struct {
 	node         *Node
 	view         atomic.Pointer[serve.View]
@@ -46,20 +46,20 @@
 	mutex        sync.Mutex
 	instances    map[string]shedkeel.Instance      // by key
 	nodes        map[string]nodeRecord             // by key
-	retained     map[string]time.Duration          // gone while the service was away, believed until then
-	evacuated    map[shedkeel.ZoneID]bool          // their backend servers get nothing
-	coldUntil    map[string]time.Duration          // servers that have said so are cold until then, by key
-	takenBack    map[shedkeel.ZoneID]time.Duration // when an evacuation was withdrawn last
+	retained     map[string]time.Duration          // deleted while the service was unavailable, used until then, by key
+	evacuated    map[shedkeel.ZoneID]bool          // zones whose backend servers get no requests
+	coldUntil    map[string]time.Duration          // for servers that reported to be cold, by key
+	takenBack    map[shedkeel.ZoneID]time.Duration // when the last evacuation of a zone was withdrawn
 	removals     removals
-	unreadable   map[string]time.Duration // servers whose records can't be read, and until when they keep their places
-	unread       atomic.Int64             // records that were not used
-	afterRestore bool                     // the records that come are of an older copy of the service
-	outageUntil  time.Duration            // the service was away until then, or is
-	verifiedAt   atomic.Int64             // when the copy was proven last, as a time.Duration
-	loggedCounts map[string]int           // servers and groups that may be sent to, as logged last
+	unreadable   map[string]time.Duration // servers with an unreadable record, and until when they keep their places
+	unread       atomic.Int64             // count of records that were skipped
+	afterRestore bool                     // the next records come from a restored, older snapshot of the service
+	outageUntil  time.Duration            // end of the latest outage of the service, with lapseHold added
+	verifiedAt   atomic.Int64             // when the copy was last proven current, as a time.Duration
+	loggedCounts map[string]int           // servers and groups that may get requests, as last logged
 }
 
-// changed takes in changed records. The mirror calls it one at a time.
+// changed applies changed records. The mirror never calls it concurrently.
 func (fleet *fleet) changed(records []shedkeel.Record) {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
@@ -73,34 +73,35 @@
 		fleet.takenBack = map[shedkeel.ZoneID]time.Duration{}
 	}
 	now := fleet.node.Timers.Now()
-	servers, nodes := false, false
+	serversChanged, nodesChanged := false, false
 	for _, record := range records {
 		switch {
 		case record.Key == fleet.node.Decoder.ConfigKey():
-			servers = fleet.applyConfigRecord(record) || servers
+			serversChanged = fleet.applyConfigRecord(record) || serversChanged
 		case strings.HasPrefix(record.Key, fleet.node.Decoder.InstancePrefix()):
-			servers = fleet.applyInstance(record, now) || servers
+			serversChanged = fleet.applyInstance(record, now) || serversChanged
 		case strings.HasPrefix(record.Key, nodePrefix):
-			nodes = fleet.applyNode(record, now) || nodes
+			nodesChanged = fleet.applyNode(record, now) || nodesChanged
 		case strings.HasPrefix(record.Key, blamePrefix):
 			fleet.node.guard.takeRecord(record)
 		default:
 			if zone, found := fleet.node.Decoder.EvacuatedZone(record.Key); found {
-				servers = fleet.takeEvacuation(record, zone) || servers
+				serversChanged = fleet.takeEvacuation(record, zone) || serversChanged
 			}
 		}
 	}
 	fleet.afterRestore = false
-	fleet.propagate(servers, nodes)
+	fleet.propagate(serversChanged, nodesChanged)
 }
 
-// skipped notes a record that is not used. The mutex may be held.
+// skipped counts and logs a record that is not used. It may be called with or without
+// the mutex.
 func (fleet *fleet) skipped(record shedkeel.Record, err error) {
 	fleet.unread.Add(1)
 	fleet.node.Log.Write(event.RecordSkipped, slog.String("key", record.Key), slog.String("revision", record.Revision.String()), slog.String("error", err.Error()))
 }
 
-// read decodes a record that nodes write, and logs one that can't be read.
+// read decodes a record that nodes write, and logs one that it can't decode.
 func (fleet *fleet) read(record shedkeel.Record, into any) error {
 	err := json.Unmarshal(record.Value, into)
 	if err != nil {
@@ -109,9 +110,9 @@
 	return err
 }
 
-// applyInstance takes in a backend server's record, and reports whether it changes what
-// requests may be sent to. Gone ones are believed a while where the service was away,
-// and never in a state they had left.
+// applyInstance applies a backend server's record and reports whether it changes which
+// servers may get requests. A deleted record is retained for a while if the service
+// was unavailable. A record that is older than the known one is skipped.
 func (fleet *fleet) applyInstance(record shedkeel.Record, now time.Duration) bool {
 	if record.Gone {
 		return fleet.removeOrRetain(record.Key, now, func() { fleet.removeInstance(record.Key, record.Revision.Era, now) })
@@ -132,13 +133,14 @@
 	delete(fleet.unreadable, record.Key)
 	fleet.instances[record.Key] = instance
 	fleet.coldUntil[record.Key] = now + instance.ColdFor
-	// A heartbeat changes nothing but its sequence: thousands of them come a second.
+	// A heartbeat changes only the sequence. Thousands arrive per second, so they must
+	// not rebuild the table.
 	return !listed || wasDoubted || !instance.Same(&known)
 }
 
-// isOutdated reports whether a record of a server is isOutdated than what is known of it: of a
-// former start, or in an isOutdated copy of the key-value service with a lower sequence or
-// from before it drained.
+// isOutdated reports whether a server's record is older than the known one: it is of
+// an earlier start of the server, or a restored snapshot has it with a lower sequence
+// or from before the server began to drain.
 func (fleet *fleet) isOutdated(instance, known *shedkeel.Instance) bool {
 	born, knownBorn := instance.ID.Born(), known.ID.Born()
 	if born != knownBorn {
@@ -148,9 +150,9 @@
 	return fleet.afterRestore && (wasReady || instance.Sequence < known.Sequence)
 }
 
-// markUnreadable has a server that was good get no requests, now that its record can't be
-// read, and keep its place in its group for a while. It reports whether that is
-// news.
+// markUnreadable stops requests to a listed server whose record became unreadable and
+// keeps its place in its group for doubtHold. It reports whether the server was
+// readable before.
 func (fleet *fleet) markUnreadable(key string, now time.Duration) bool {
 	_, listed := fleet.instances[key]
 	_, doubted := fleet.unreadable[key]
@@ -161,7 +163,8 @@
 	return true
 }
 
-// removeInstance forgets a server that is gone in an era of the key-value service.
+// removeInstance removes a server whose record was deleted in an era of the key-value
+// service.
 func (fleet *fleet) removeInstance(key string, era int64, now time.Duration) {
 	if instance, listed := fleet.instances[key]; listed {
 		fleet.removals.note(instance.ID, era, now)
@@ -171,8 +174,9 @@
 	delete(fleet.coldUntil, key)
 }
 
-// removeOrRetain takes in that a record went. While the service was away leases may have
-// run out, so what may have written it is believed for a while.
+// removeOrRetain handles a deleted record and reports whether it was removed. During an
+// outage of the service leases of live owners may have expired, so the record is
+// retained for a while if its owner may write it again.
 func (fleet *fleet) removeOrRetain(key string, now time.Duration, remove func()) bool {
 	if now >= fleet.outageUntil || !fleet.writerMayReturn(key) {
 		remove()
@@ -185,15 +189,15 @@
 	return false
 }
 
-// writerMayReturn reports whether what wrote a record may write it again. A node that
-// others find dead may not.
+// writerMayReturn reports whether the owner of a record may write it again. A node that
+// the failure detector finds dead or stopped may not.
 func (fleet *fleet) writerMayReturn(key string) bool {
 	id, isNode := strings.CutPrefix(key, nodePrefix)
 	return !isNode || fleet.node.gossip.serves(shedkeel.NodeID(id))
 }
 
-// tick notes whether the service is away, and removes what has been believed
-// long enough.
+// tick notes whether the service is unavailable, and removes retained and unreadable
+// records that have expired.
 func (fleet *fleet) tick(now time.Duration) {
 	state := fleet.node.mirror.State()
 	fleet.verifiedAt.Store(int64(state.AsOf))
@@ -202,49 +206,50 @@
 	if state.Known && now-state.AsOf > troubleAge {
 		fleet.outageUntil = now + lapseHold
 	}
-	servers, nodes := false, false
+	serversChanged, nodesChanged := false, false
 	for key, until := range fleet.retained {
-		away := now < fleet.outageUntil && now-state.AsOf > troubleAge
-		if fleet.writerMayReturn(key) && (now < until || away) {
+		unavailable := now < fleet.outageUntil && now-state.AsOf > troubleAge
+		if fleet.writerMayReturn(key) && (now < until || unavailable) {
 			continue
 		}
 		delete(fleet.retained, key)
 		if strings.HasPrefix(key, nodePrefix) {
 			delete(fleet.nodes, key)
-			nodes = true
+			nodesChanged = true
 		} else {
 			fleet.removeInstance(key, state.At.Era, now)
-			servers = true
+			serversChanged = true
 		}
 	}
 	for key, until := range fleet.unreadable {
 		if now >= until {
 			fleet.removeInstance(key, state.At.Era, now)
-			servers = true
+			serversChanged = true
 		}
 	}
-	servers = fleet.removals.expire(now) || servers
-	fleet.propagate(servers, nodes)
+	serversChanged = fleet.removals.expire(now) || serversChanged
+	fleet.propagate(serversChanged, nodesChanged)
 }
 
-// mirrorAge returns how old the copy of the records was at the last tick. Unlike
-// the mirror's state it can be asked while the mirror tells of a change.
+// mirrorAge returns the age of the mirror's copy at the last tick. Unlike the mirror's
+// state it can be read while the mirror reports a change.
 func (fleet *fleet) mirrorAge() time.Duration {
 	return fleet.node.Timers.Now() - time.Duration(fleet.verifiedAt.Load())
 }
 
-// propagate passes on what has changed. The mutex is held.
-func (fleet *fleet) propagate(servers, nodes bool) {
-	if servers {
+// propagate updates what depends on the servers or nodes that changed. The caller holds
+// the mutex.
+func (fleet *fleet) propagate(serversChanged, nodesChanged bool) {
+	if serversChanged {
 		fleet.rebuildTable()
 	}
-	if nodes {
+	if nodesChanged {
 		fleet.node.peers.update(fleet.sortedNodes())
 	}
 }
 
-// rebuildTable makes the table of servers that requests may be sent to. The mutex
-// is held.
+// rebuildTable replaces the table of servers that may get requests. The caller holds the
+// mutex.
 func (fleet *fleet) rebuildTable() {
 	view := fleet.view.Load()
 	if view == nil {
@@ -276,14 +281,15 @@
 	fleet.logServerCounts(servers)
 }
 
-// reportCold tells the limits of a server that is cold. After an evacuation a server is
-// taken to be: its record says so only some time after requests may come again.
+// reportCold reports a cold server to the limits. After an evacuation every server of
+// the zone counts as cold, because its record says so only some time after requests may
+// come again.
 func (fleet *fleet) reportCold(key string, instance *shedkeel.Instance, service *shedkeel.RoutedService) {
 	if service == nil || service.ColdRate <= 0 {
 		return
 	}
 	until := fleet.coldUntil[key]
-	if since, was := fleet.takenBack[instance.Zone]; was {
+	if since, evacuated := fleet.takenBack[instance.Zone]; evacuated {
 		until = max(until, since+service.ColdTime)
 	}
 	if until > fleet.node.Timers.Now() {
@@ -291,18 +297,18 @@
 	}
 }
 
-// isOpenHead reports whether a member is the open head of its group. One whose
-// group was formed anew without it may be open still.
+// isOpenHead reports whether a member is the open head of its group. The head of a
+// former formation may still be open, so the epoch must be the group's latest.
 func isOpenHead(member *shedkeel.Membership, epochs map[shedkeel.GroupID]uint64) bool {
 	return member != nil && member.Rank == 0 && member.State == shedkeel.MemberOpen && member.Epoch == epochs[member.Group]
 }
 
-// serverOf returns a backend server as requests are sent to it.
+// serverOf returns the dispatch entry of a backend server.
 func serverOf(instance *shedkeel.Instance) dispatch.Server {
 	return dispatch.Server{Service: instance.Service, Instance: instance.ID, Address: instance.Address, Zone: instance.Zone, Slots: instance.Slots}
 }
 
-// groupServerOf returns a replica group, by its head, as requests are sent to it.
+// groupServerOf returns the dispatch entry of a replica group, addressed by its head.
 func groupServerOf(head *shedkeel.Instance, engine *shedkeel.Engine) dispatch.Server {
 	server := serverOf(head)
 	server.Model = formation.ModelOf(head.Member.Group)
@@ -320,7 +326,7 @@
 	return server
 }
 
-// logServerCounts logs how many servers and groups may be sent to.
+// logServerCounts logs how many servers and groups may get requests, if that changed.
 func (fleet *fleet) logServerCounts(servers []dispatch.Server) {
 	counts := map[string]int{}
 	for _, server := range servers {
@@ -337,8 +343,9 @@
 	fleet.node.Log.Write(event.ServersChanged, fields...)
 }
 
-// groupServices returns the services of replica groups with their instances. Those
-// that said that they drain do so, whatever their records say now.
+// groupServices returns the services of replica groups with their instances. Those that
+// reported in an answer that they drain are marked as draining, whatever their records
+// say.
 func (fleet *fleet) groupServices() map[shedkeel.ServiceID][]shedkeel.Instance {
 	view := fleet.view.Load()
 	if view == nil {
@@ -360,7 +367,8 @@
 	return found
 }
 
-// highestEpoch returns the highest epoch that a backend server tells of.
+// highestEpoch returns the highest epoch in the backend servers' records, without those
+// of terms above mostTerm.
 func (fleet *fleet) highestEpoch() uint64 {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
@@ -373,7 +381,7 @@
 	return highest
 }
 
-// sortedInstances returns the backend servers by name. The mutex is held.
+// sortedInstances returns the backend servers ordered by ID. The caller holds the mutex.
 func (fleet *fleet) sortedInstances() []shedkeel.Instance {
 	var found []shedkeel.Instance
 	for _, instance := range fleet.instances {
@@ -383,6 +391,7 @@
 	return found
 }
 
+// sortInstances orders instances by ID.
 func sortInstances(instances []shedkeel.Instance) {
 	slices.SortFunc(instances, func(a, b shedkeel.Instance) int { return strings.Compare(string(a.ID), string(b.ID)) })
 }
--- a/node/fleetsize.go
+++ b/node/fleetsize.go
@@ -13,51 +13,52 @@
 )
 
 const (
-	// sizeKey is where the node that plans writes how large the fleet is.
+	// sizeKey is the key under which the leader writes the size of the fleet.
 	sizeKey = "shedkeel/fleet"
-	// sizeCheckInterval is how often it looks whether what stands there is still right.
+	// sizeCheckInterval is how often the leader checks whether that record is still
+	// right.
 	sizeCheckInterval = 2 * time.Second
-	// sizeTolerance is the part by which the number of nodes must have changed for
-	// it to be written again: only its magnitude matters.
+	// sizeTolerance is the relative change of the number of nodes from which the
+	// record is written again. Only the order of magnitude matters.
 	sizeTolerance = 0.25
-	// maxStartupRelays is how many relays a node asks at its start, those of its own
+	// maxStartupRelays is how many relays a starting node asks, those of its own
 	// availability zone first.
 	maxStartupRelays = 4
 )
 
-// sizeRecord tells a node that starts, and knows nothing else, how large its
-// fleet is and who lists the service's records for the others.
+// sizeRecord tells a starting node, which knows nothing else, how large its fleet is
+// and which nodes relay the service's records to others.
 type sizeRecord struct {
 	Nodes  int            `json:"nodes"`
-	Relays []startupRelay `json:"relays"` // none in a small fleet
+	Relays []startupRelay `json:"relays"` // empty in a small fleet
 }
 
-// startupRelay is a node that others ask at their start.
+// startupRelay is a node that others ask when they start.
 type startupRelay struct {
 	Zone    shedkeel.ZoneID `json:"zone"`
 	Control string          `json:"control"`
 }
 
-// newSizeRecord returns what stands for a fleet of these nodes.
+// newSizeRecord returns the size record of a fleet of these nodes.
 func newSizeRecord(nodes []nodeRecord) sizeRecord {
 	size := sizeRecord{Nodes: len(nodes)}
 	if !hasRelays(len(nodes)) {
 		return size
 	}
-	for _, place := range append(relayIndexes(nodes), sourceIndexes[:]...) {
-		size.Relays = append(size.Relays, startupRelay{Zone: nodes[place].Zone, Control: nodes[place].Control})
+	for _, index := range append(relayIndexes(nodes), sourceIndexes[:]...) {
+		size.Relays = append(size.Relays, startupRelay{Zone: nodes[index].Zone, Control: nodes[index].Control})
 	}
 	return size
 }
 
-// isCloseTo reports whether what stands is still isCloseTo enough to what is.
-func (size sizeRecord) isCloseTo(now sizeRecord) bool {
-	change := float64(now.Nodes - size.Nodes)
-	return slices.Equal(size.Relays, now.Relays) && max(change, -change) <= sizeTolerance*float64(size.Nodes)
+// isCloseTo reports whether a stored record is close enough to the current one to stay.
+func (size sizeRecord) isCloseTo(current sizeRecord) bool {
+	change := float64(current.Nodes - size.Nodes)
+	return slices.Equal(size.Relays, current.Relays) && max(change, -change) <= sizeTolerance*float64(size.Nodes)
 }
 
-// keepSize writes how large the fleet is, if that is no longer what stands. It
-// is called while this node leads.
+// keepSize writes the fleet's size if the stored record differs too much. Only the
+// leader calls it.
 func (controller *controller) keepSize(ctx context.Context, now time.Duration) {
 	node := controller.node
 	if now-controller.sized < sizeCheckInterval {
@@ -66,20 +67,20 @@
 	first := controller.sized == 0
 	controller.sized = now
 	if first {
-		return // nodes that start with this one may not be listed yet
+		return // nodes that started together with this one may not be listed yet
 	}
-	var standing sizeRecord
+	var stored sizeRecord
 	record := node.mirror.Get(sizeKey)
 	if record.Revision.Exists() {
-		_ = node.fleet.read(record, &standing) // one that can't be read is written anew
+		_ = node.fleet.read(record, &stored) // an unreadable record is overwritten
 	}
 	size := newSizeRecord(node.peers.listed())
-	if standing.isCloseTo(size) {
+	if stored.isCloseTo(size) {
 		return
 	}
 	value, err := json.Marshal(size)
 	if err != nil {
-		return // it can always be written
+		return // never happens: the record can always be encoded
 	}
 	_, err = node.Store.Commit(ctx, shedkeel.Change{If: []shedkeel.Condition{{Key: sizeKey, Revision: record.Revision}}, Put: []shedkeel.Put{{Key: sizeKey, Value: value}}})
 	if err != nil {
@@ -87,8 +88,8 @@
 	}
 }
 
-// advise tells how this node begins: as one that lists the service's records, or
-// by what others tell that do.
+// advise tells the follower how this node gets its first copy: by listing the service's
+// records itself, or from other nodes that do.
 func (peers *peers) advise(ctx context.Context) (mirror.Advice, error) {
 	node := peers.node
 	record, err := node.Store.GetStale(ctx, sizeKey)
@@ -110,8 +111,8 @@
 	return mirror.Advice{Peers: peers.dialStartupRelays(size.Relays)}, nil
 }
 
-// dialStartupRelays returns relays to be asked at the start, the best first. They are
-// kept like seeds.
+// dialStartupRelays returns the relays to ask at the start, the preferred ones first.
+// Their connections are kept until the node stops, like those of seeds.
 func (peers *peers) dialStartupRelays(relays []startupRelay) []mirror.Peer {
 	own := peers.node.Settings
 	slices.SortFunc(relays, func(a, b startupRelay) int {
--- a/node/follow.go
+++ b/node/follow.go
@@ -11,39 +11,40 @@
 )
 
 const (
-	// followBackoff is how long a node is not followed that has not answered, or with
-	// a copy that was too old.
+	// followBackoff is how long a node is not followed after it did not answer or its
+	// copy was too old.
 	followBackoff = 2 * time.Second
-	// maxSourceAge is how old the copy of a node may be that others follow: its
-	// copy is up to two watches old, and what has changed is let gather for 0.1 s.
+	// maxSourceAge is the maximum age of the copy of a node that others follow. A
+	// source's copy is up to two watches old, and changes are collected for 0.1 s.
 	maxSourceAge = 1200 * time.Millisecond
-	// maxRelayAge is the same for a relay, which follows the source by questions
-	// that wait.
+	// maxRelayAge is the same for a relay, which follows the source by long polling.
 	maxRelayAge = maxSourceAge + mirror.RelayWait
-	// maxDirectFollowers is up to how many nodes all follow the source itself.
-	// Beyond it relays stand between: a change of all servers of 295 boxes, 0.1
-	// MB, then leaves the source 13 times in place of 294, and its link of 200
-	// Mbit/s takes 0.05 s for it in place of 1.2.
+	// maxDirectFollowers is the largest fleet in which all nodes follow the source
+	// itself. In larger fleets relays stand between: a change of all servers of 295
+	// boxes, 0.1 MB, then leaves the source 13 times instead of 294, which takes its
+	// link of 200 Mbit/s 0.05 s instead of 1.2 s.
 	maxDirectFollowers = 96
-	// followersPerRelay is how many nodes of an availability zone one relay is for.
+	// followersPerRelay is how many nodes of an availability zone share one relay.
 	followersPerRelay = 24
-	// minRelayCapacity is the least that a relay has of the capacity of the node
-	// with most: small boxes have a tenth of a large one's link too.
+	// minRelayCapacity is the minimum capacity of a relay, relative to the node with
+	// the most capacity. Small boxes have a tenth of a large one's bandwidth, too.
 	minRelayCapacity = 0.5
 )
 
-// sourceIndexes are the places of the nodes that relays, or in a small fleet all, may
-// follow. It follows the key-value service itself, so that calls don't grow with
-// nodes. The node in the first place plans already.
+// sourceIndexes are the indexes, in the order of the nodes, of the sources: the nodes
+// that all others follow, or only the relays in a large fleet. The first available
+// source follows the key-value service itself, so that the calls to the service don't
+// grow with the number of nodes. The node at index 0 comes last because it already
+// leads.
 var sourceIndexes = [...]int{1, 0}
 
-// hasRelays reports whether relays stand between the source and the others in a
-// fleet of so many nodes.
+// hasRelays reports whether a fleet of so many nodes has relays between the source and
+// the other nodes.
 func hasRelays(nodes int) bool { return nodes > maxDirectFollowers }
 
-// relayIndexes returns the places of the nodes that others follow in the place of
-// the source: of each availability zone the first in order that are large
-// enough, none of them with work for all.
+// relayIndexes returns the indexes of the relays. In each availability zone these are
+// the first nodes in order that have enough capacity, don't stop and have no duties for
+// the whole fleet.
 func relayIndexes(nodes []nodeRecord) []int {
 	if !hasRelays(len(nodes)) {
 		return nil
@@ -54,35 +55,34 @@
 	}
 	taken := map[shedkeel.ZoneID]int{}
 	var relays []int
-	for place, node := range nodes {
+	for index, node := range nodes {
 		wanted := (inZone[node.Zone] + followersPerRelay - 1) / followersPerRelay
-		fit := node.Capacity >= minRelayCapacity*nodes[0].Capacity && !node.Stopping
-		if place < helpers || !fit || taken[node.Zone] >= wanted {
+		suitable := node.Capacity >= minRelayCapacity*nodes[0].Capacity && !node.Stopping
+		if index < helpers || !suitable || taken[node.Zone] >= wanted {
 			continue
 		}
 		taken[node.Zone]++
-		relays = append(relays, place)
+		relays = append(relays, index)
 	}
 	return relays
 }
 
-// followOrder returns the places of the nodes whose copies a node may follow,
-// the best first, and its own for the service itself. What is not a relay
-// follows one of its own availability zone, and another one when none there
-// answers; each node has an order of its own, so that the followers of a relay
-// that is lost spread over the others.
+// followOrder returns the indexes of the nodes whose copies a node may follow, the
+// preferred ones first. Its own index stands for the service itself. A node that is not
+// a relay prefers relays of its own availability zone to those of others. Each node has
+// a different order, so that the followers of a lost relay spread over the others.
 func followOrder(nodes []nodeRecord, own int) []int {
 	return followOrderWithRelays(nodes, relayIndexes(nodes), own)
 }
 
-// followOrderWithRelays is followOrder where the relays are known.
+// followOrderWithRelays is followOrder for known relays.
 func followOrderWithRelays(nodes []nodeRecord, relays []int, own int) []int {
-	if place := slices.Index(relays, own); own < helpers || place >= 0 {
-		// Where neither source has a way to the service, the first relay does, and
-		// the others follow it.
-		return slices.Concat(sourceIndexes[:], relays[:place+1])
+	if relay := slices.Index(relays, own); own < helpers || relay >= 0 {
+		// If neither source reaches the service, the first relay follows the service
+		// itself, and the other relays follow it.
+		return slices.Concat(sourceIndexes[:], relays[:relay+1])
 	}
-	far := func(place int) bool { return nodes[place].Zone != nodes[own].Zone }
+	far := func(index int) bool { return nodes[index].Zone != nodes[own].Zone }
 	relays = slices.Clone(relays)
 	slices.SortFunc(relays, func(a, b int) int {
 		return compareRelays(nodes[own].ID, far(a), far(b), nodes[a].ID, nodes[b].ID)
@@ -90,8 +90,8 @@
 	return append(relays, sourceIndexes[:]...)
 }
 
-// compareRelays orders two relays for a node: those of its own availability zone
-// come first, then in an order of its own.
+// compareRelays orders two relays for a node: those of its own availability zone come
+// first, then by a hash that differs from node to node.
 func compareRelays(own shedkeel.NodeID, farA, farB bool, a, b shedkeel.NodeID) int {
 	switch {
 	case farA && !farB:
@@ -102,11 +102,11 @@
 	return cmp.Compare(pairHash(own, a), pairHash(own, b))
 }
 
-// pairHash is a number of two names that is the same in all processes. The names
-// of a fleet's nodes are much alike, so the bits of the hash are mixed.
+// pairHash returns a hash of two names that is the same in all processes. The names of
+// a fleet's nodes are similar, so the bits of the hash are mixed.
 func pairHash[A, B ~string](a A, b B) uint64 {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(string(a) + "\x00" + string(b))) // it never fails
+	_, _ = hash.Write([]byte(string(a) + "\x00" + string(b))) // never fails
 	mixed := hash.Sum64()
 	mixed ^= mixed >> 33
 	mixed *= 0xff51afd7ed558ccd // the finalizer of MurmurHash3
@@ -114,21 +114,21 @@
 	return mixed
 }
 
-// choose returns the node whose mirror this node follows, or nil if it is to
-// follow the service itself.
+// choose returns the node whose mirror this node follows, or nil if it follows the
+// service itself.
 func (peers *peers) choose() mirror.Peer {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	nodes, own, listed := peers.withOwn()
 	var first *peer
-	for _, place := range followOrder(nodes, own) {
-		if place >= len(nodes) {
+	for _, index := range followOrder(nodes, own) {
+		if index >= len(nodes) {
 			continue
 		}
-		if place == own {
+		if index == own {
 			return peers.startupSeed(listed && len(nodes) >= peers.node.member.expectedNodes()/2)
 		}
-		followed := peers.known[nodes[place].ID]
+		followed := peers.known[nodes[index].ID]
 		if !followed.failed.within(followBackoff, peers.node.Timers.Now()) {
 			return followed
 		}
@@ -136,11 +136,12 @@
 			first = followed
 		}
 	}
-	return first // none answers; the copy will be stale, and its turn to ask the service comes
+	return first // none answers: the copy becomes stale, and the follower then asks other nodes or the service
 }
 
-// startupSeed returns whom a node follows that would follow the service itself: a seed
-// while this node is not listed or knows few of the others, and so not its place.
+// startupSeed returns the seed to follow in place of the service while this node is not
+// listed or knows few other nodes, so that its index is not reliable. It returns nil if
+// the node is settled or is a seed itself, or no seed answers.
 func (peers *peers) startupSeed(settled bool) mirror.Peer {
 	if settled || peers.isSeed() {
 		return nil
@@ -153,13 +154,14 @@
 	return nil
 }
 
-// isSeed reports whether other nodes ask this one at their start.
+// isSeed reports whether this node is a seed, which others ask when they start.
 func (peers *peers) isSeed() bool {
 	settings := &peers.node.Settings
 	return slices.Contains(settings.Seeds, settings.Listen.Control)
 }
 
-// hops returns through how many other processes a copy may come here.
+// hops returns the maximum number of other processes between the service and this
+// node's copy.
 func (peers *peers) hops() int {
 	if hasRelays(peers.node.fleet.nodeCount()) {
 		return 2
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -16,40 +16,40 @@
 )
 
 const (
-	// gossipTick is how often the failure detector is called. Its shortest time is
-	// 150 ms.
+	// gossipTick is how often the failure detector is called. The detector's shortest
+	// interval is 150 ms.
 	gossipTick = 50 * time.Millisecond
-	// readRetryDelay is the pause after a datagram could not be read.
+	// readRetryDelay is the delay after reading a datagram failed.
 	readRetryDelay = 100 * time.Millisecond
 )
 
-// gossip is the shell around a node's failure detector: its socket, its clock and
-// the names of its peers. The nodes' records tell where datagrams go.
+// gossip connects the failure detector to its socket, its clock and the addresses of
+// its peers, which come from the nodes' records.
 type gossip struct {
 	node *Node
-	conn net.PacketConn // nil: none, and nobody is judged
+	conn net.PacketConn // nil: no gossip, and no node is judged
 
 	mutex          sync.Mutex
 	detector       shedkeel.FailureDetector
 	addresses      map[shedkeel.NodeID]netip.AddrPort
-	seenChanges    uint64                                // of the detector, as the node's peers know them
-	loggedExcluded map[shedkeel.NodeID]shedkeel.Liveness // those that do not serve, as logged last
+	seenChanges    uint64                                // the detector's change count at the last call of livenessChanged
+	loggedExcluded map[shedkeel.NodeID]shedkeel.Liveness // nodes that may not serve, as last logged
 }
 
-// prepare makes the failure detector.
+// prepare creates the failure detector.
 func (gossip *gossip) prepare(random shedkeel.Random) {
 	gossip.detector = &swim.Detector{Self: gossip.node.Settings.Node, Random: random}
 }
 
-// setPeers makes these the nodes that are judged. One of a version that tells no
-// address for gossip is not: it counts as alive while it is listed.
+// setPeers sets the nodes that the failure detector judges. A node whose version has no
+// gossip address is not judged: it counts as alive while it is listed.
 func (gossip *gossip) setPeers(nodes []nodeRecord) {
 	addresses := map[shedkeel.NodeID]netip.AddrPort{}
 	var ids []shedkeel.NodeID
 	for _, record := range nodes {
 		address, err := netip.ParseAddrPort(record.Gossip)
 		if err != nil {
-			continue // it tells none
+			continue // it has no gossip address
 		}
 		addresses[record.ID] = address
 		ids = append(ids, record.ID)
@@ -60,7 +60,7 @@
 	gossip.detector.SetPeers(ids)
 }
 
-// run takes datagrams in until the socket is closed.
+// run receives datagrams until the socket is closed.
 func (gossip *gossip) run() {
 	buffer := make([]byte, wire.MaxDatagram)
 	for {
@@ -77,8 +77,8 @@
 	}
 }
 
-// handleDatagram takes one datagram in. Forged ones are dropped: what sends them is no node
-// of this fleet.
+// handleDatagram handles one datagram. A datagram whose authentication fails is logged
+// and dropped, because its sender is not a node of this fleet.
 func (gossip *gossip) handleDatagram(datagram []byte, from net.Addr) {
 	message, err := wire.OpenGossip(gossip.node.Settings.Wire.Key, datagram)
 	if err != nil {
@@ -94,14 +94,14 @@
 	}
 	for _, datagram := range sent {
 		if datagram.To == message.From {
-			gossip.send(datagram.Message, from) // which need not be listed here yet
+			gossip.send(datagram.Message, from) // the sender may not be listed here yet
 			continue
 		}
 		gossip.sendTo(datagram)
 	}
 }
 
-// tick has the detector do what is due.
+// tick calls the failure detector and sends its datagrams.
 func (gossip *gossip) tick(now time.Duration) {
 	if gossip.conn == nil {
 		return
@@ -118,8 +118,8 @@
 	gossip.sendAll(sent)
 }
 
-// livenessChanged reports whether a node stands otherwise than it did when this was last
-// asked. The mutex is held.
+// livenessChanged reports whether the liveness of any node has changed since the last
+// call. The caller holds the mutex.
 func (gossip *gossip) livenessChanged() bool {
 	now := gossip.detector.Changes()
 	changed := now != gossip.seenChanges
@@ -127,7 +127,7 @@
 	return changed
 }
 
-// leave tells others that this node stops.
+// leave announces to other nodes that this node stops.
 func (gossip *gossip) leave() {
 	if gossip.conn == nil {
 		return
@@ -153,7 +153,7 @@
 	}
 }
 
-// send sends a datagram. One that is lost is asked for again.
+// send sends a datagram. Errors are only logged: the failure detector tolerates loss.
 func (gossip *gossip) send(message shedkeel.GossipMessage, to net.Addr) {
 	sealed, err := wire.SealGossip(gossip.node.Settings.Wire.Key, message)
 	if err == nil {
@@ -164,36 +164,38 @@
 	}
 }
 
-// liveness returns how a node stands in the view of this one.
+// liveness returns the liveness of a node as this node sees it.
 func (gossip *gossip) liveness(id shedkeel.NodeID) shedkeel.Liveness {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
 	return gossip.detector.Liveness(id)
 }
 
-// filterAlive returns those of the nodes that are neither suspected nor gone.
+// filterAlive returns the nodes that are alive and not suspected.
 func (gossip *gossip) filterAlive(nodes []nodeRecord) []nodeRecord {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
 	return slices.DeleteFunc(slices.Clone(nodes), func(record nodeRecord) bool { return gossip.detector.Liveness(record.ID) != shedkeel.Alive })
 }
 
-// serves reports whether callers may be sent to a node: one that is alive, or
-// suspected, since it may only stand still for a moment.
+// serves reports whether callers may be sent to a node: to an alive one, and to a
+// suspected one, which may only be paused for a moment.
 func (gossip *gossip) serves(id shedkeel.NodeID) bool { return mayServe(gossip.liveness(id)) }
 
+// mayServe is serves for a known liveness.
 func mayServe(liveness shedkeel.Liveness) bool {
 	return liveness == shedkeel.Alive || liveness == shedkeel.Suspected
 }
 
-// isolated reports whether this node can judge nobody.
+// isolated reports whether this node receives nothing from others, so that it judges
+// none of them dead.
 func (gossip *gossip) isolated() bool {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
 	return gossip.detector.Isolated(gossip.node.Timers.Now())
 }
 
-// logExclusions logs which nodes are not named any more, and which are again.
+// logExclusions logs which nodes the directory now leaves out, and which it names again.
 func (gossip *gossip) logExclusions(nodes []nodeRecord) {
 	gossip.mutex.Lock()
 	now := map[shedkeel.NodeID]shedkeel.Liveness{}
--- a/node/lease.go
+++ b/node/lease.go
@@ -11,22 +11,22 @@
 	"shedkeel.org/shedkeel/event"
 )
 
-// leaseSafetyMargin is what two clocks may drift apart over a lease, and what an
-// order takes to leave.
+// leaseSafetyMargin covers the drift of two clocks over a lease, and the time in which
+// an order is sent.
 const leaseSafetyMargin = 300 * time.Millisecond
 
-// lease is a lease of the key-value service that a node keeps. The records
-// written with it go when it has not been renewed for its time.
+// lease is a lease of the key-value service that a node renews. The service deletes the
+// records written with it when it expires.
 type lease struct {
 	node *Node
 	ttl  time.Duration
 
 	id         atomic.Pointer[shedkeel.LeaseID] // nil: none
-	validUntil atomic.Int64                     // it lasts at least until then, on this node's clock
+	validUntil atomic.Int64                     // lower bound of its expiry, on this node's clock
 }
 
-// valid reports whether the lease surely still lasts. It does not in another era of the
-// service, whatever the clock says.
+// valid reports whether the lease is certainly still in force. A lease of an earlier era
+// of the service is not, whatever the clock says.
 func (lease *lease) valid(now time.Duration) bool {
 	if !lease.held() || lease.ID().Era < lease.node.mirror.State().At.Era {
 		return false
@@ -34,7 +34,7 @@
 	return now < time.Duration(lease.validUntil.Load())-leaseSafetyMargin
 }
 
-// ID names the lease to the service.
+// ID returns the lease's ID in the service; the zero value if there is none.
 func (lease *lease) ID() shedkeel.LeaseID {
 	if id := lease.id.Load(); id != nil {
 		return *id
@@ -42,11 +42,11 @@
 	return shedkeel.LeaseID{}
 }
 
-// held reports whether there is a lease that is not known to be over.
+// held reports whether there is a lease that is not known to have expired.
 func (lease *lease) held() bool { return lease.id.Load() != nil }
 
-// renew renews the lease and reports whether it lasts. One that is over is
-// forgotten.
+// renew renews the lease and reports whether that succeeded. A lease that the service
+// reports as expired is dropped.
 func (lease *lease) renew(ctx context.Context) bool {
 	sent := lease.node.Timers.Now()
 	err := lease.node.Store.Renew(ctx, lease.ID())
@@ -62,7 +62,7 @@
 	return false
 }
 
-// grant gets a new lease and reports whether it did.
+// grant acquires a new lease and reports whether that succeeded.
 func (lease *lease) grant(ctx context.Context) bool {
 	sent := lease.node.Timers.Now()
 	granted, ttl, err := lease.node.Store.Grant(ctx, lease.ttl)
@@ -75,13 +75,13 @@
 	return true
 }
 
-// end gives the lease up.
+// end releases the lease.
 func (lease *lease) end() {
 	if !lease.held() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), leaseSafetyMargin)
 	defer cancel()
-	_ = lease.node.Store.Release(ctx, lease.ID()) // it runs out by itself
+	_ = lease.node.Store.Release(ctx, lease.ID()) // on an error it expires by itself
 	lease.id.Store(nil)
 }
--- a/node/member.go
+++ b/node/member.go
@@ -13,53 +13,56 @@
 )
 
 const (
-	// largeFleetTTL is how long a node of a large fleet is listed without a renewal.
-	// Each renewal is a call to the service, and few callers are sent to a node
-	// that is dead but still listed.
+	// largeFleetTTL is the lease time of a node's record in a large fleet. Each renewal
+	// is a call to the service, and few callers are sent to any one dead node that is
+	// still listed.
 	largeFleetTTL = 4 * time.Second
-	// smallFleetTTL is the same in a small fleet, where the dead node's callers are
-	// many: long enough for two renewals to fail.
+	// smallFleetTTL is the same in a small fleet, where a dead node gets a large share of
+	// the callers. It is long enough for two failed renewals.
 	smallFleetTTL = 1500 * time.Millisecond
-	// maxSmallFleet is up to how many nodes a fleet is small.
+	// maxSmallFleet is the largest number of nodes of a small fleet.
 	maxSmallFleet = 12
-	// watchedFrom is from how many nodes on their records need no lease: others
-	// find out who is dead, and renewals would be most of the calls to the service.
+	// watchedFrom is the number of nodes from which their records have no lease. The
+	// failure detector finds dead nodes, and renewals would be most of the calls to the
+	// service.
 	watchedFrom = 48
-	// returnToLeasesAt is down to how many nodes it stays so.
+	// returnToLeasesAt is the number of nodes at which a shrinking fleet uses leases
+	// again.
 	returnToLeasesAt = watchedFrom * 3 / 4
-	// renewalsPerTTL is how often a lease is renewed in its time.
+	// renewalsPerTTL is how often a lease is renewed within its time.
 	renewalsPerTTL = 3
-	// listedRetry is how long after a failed renewal the next one comes, if the
-	// service has answered any node since; maxListedRetry is the same if it has
-	// not. A call that fails costs ten times what a renewal does, and while the
-	// service is away nothing is gained by it.
+	// listedRetry is the delay after a failed call to the service if the service has
+	// answered any node since; maxListedRetry is the delay if it has not. A call that
+	// fails costs ten times as much as a renewal, and retries during an outage have no
+	// use.
 	listedRetry    = 500 * time.Millisecond
 	maxListedRetry = 4 * time.Second
-	// hintTime is for how long after its start a node takes the word of a seed for
-	// how many nodes there are.
+	// hintTime is how long after its start a node uses the number of nodes that a seed
+	// or the size record reported.
 	hintTime = 10 * time.Second
-	// memberTick is how often a node looks whether its record has changed.
+	// memberTick is how often a node checks whether its record must be written or renewed.
 	memberTick = 20 * time.Millisecond
 )
 
-// membership keeps the node's record in the key-value service: with a lease, or
-// in a large fleet without one, where others remove that of a dead node.
+// membership maintains the node's record in the key-value service. In a large fleet the
+// record has no lease, and other nodes remove it if this node is dead.
 type membership struct {
 	node    *Node
 	lease   lease
 	dirty   atomic.Bool  // the record must be written again
-	hint    atomic.Int64 // how many nodes there are, as a seed told at the start
-	listed  atomic.Bool  // the service answered, and the node is listed as it should be
-	watched atomic.Bool  // the record needs no lease
+	hint    atomic.Int64 // number of nodes, as reported by a seed or the size record at the start
+	listed  atomic.Bool  // the last call to the service succeeded, and the record is as it should be
+	watched atomic.Bool  // the record needs no lease: other nodes watch this one
 
-	startedAt atomic.Int64 // when the node started, as a time.Duration; 0: not noted yet
+	startedAt atomic.Int64 // when the node started, as a time.Duration; 0: not set yet
 
-	lastAttempt time.Duration // when the service was called last; 0: never. Only the loop uses it
+	lastAttempt time.Duration // when the service was last called; 0: never. Only run uses it
 }
 
-// requestWrite has the record written again.
+// requestWrite has the record written again at the next tick.
 func (membership *membership) requestWrite() { membership.dirty.Store(true) }
 
+// run maintains the record until the context is canceled, and then releases the lease.
 func (membership *membership) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		membership.tick(ctx)
@@ -68,7 +71,7 @@
 	membership.lease.end()
 }
 
-// tick does what is due.
+// tick calls the service if a call is due.
 func (membership *membership) tick(ctx context.Context) {
 	now := membership.node.Timers.Now()
 	membership.startedAt.CompareAndSwap(0, int64(now))
@@ -85,7 +88,7 @@
 	state := membership.node.mirror.State()
 	switch {
 	case membership.lastAttempt == 0:
-		return state.Known // callers are sent to no node that knows nothing
+		return state.Known // a node without a copy can't serve callers, so it is not listed
 	case !membership.listed.Load():
 		return since >= membership.retryDelay(state.AsOf)
 	case membership.dirty.Load() || membership.needsNoLease() != membership.watched.Load():
@@ -96,8 +99,8 @@
 	return since >= membership.lease.ttl/renewalsPerTTL
 }
 
-// retryDelay is how long after a failure the service is called again, if it was seen
-// to answer anybody then.
+// retryDelay returns the delay after a failed call, given when the service last answered
+// any node.
 func (membership *membership) retryDelay(answered time.Duration) time.Duration {
 	if answered > membership.lastAttempt {
 		return listedRetry
@@ -105,8 +108,8 @@
 	return maxListedRetry
 }
 
-// needsNoLease reports whether the fleet is so large that its nodes watch each
-// other.
+// needsNoLease reports whether the fleet is so large that its nodes watch each other
+// with the failure detector.
 func (membership *membership) needsNoLease() bool {
 	nodes := max(membership.node.fleet.nodeCount(), membership.expectedNodes())
 	if membership.watched.Load() {
@@ -115,8 +118,8 @@
 	return nodes >= watchedFrom
 }
 
-// expectedNodes returns how many nodes there are at least, as a seed told at the start: not
-// all of them may be listed yet. It is 0 some time later.
+// expectedNodes returns a lower bound of the number of nodes, as reported at the start,
+// when not all of them may be listed yet. It is 0 once hintTime has passed.
 func (membership *membership) expectedNodes() int {
 	if membership.node.Timers.Now()-time.Duration(membership.startedAt.Load()) >= hintTime {
 		return 0
@@ -124,7 +127,8 @@
 	return int(membership.hint.Load())
 }
 
-// step makes the node listed, by what its fleet needs, and reports whether it is.
+// step makes one attempt to list the node, with or without a lease as the fleet's size
+// requires, and reports whether the node is listed.
 func (membership *membership) step(ctx context.Context) bool {
 	watched := membership.needsNoLease()
 	membership.watched.Store(watched)
@@ -138,16 +142,16 @@
 	return listed
 }
 
-// keepUnleased writes the record unless it stands as it should, as after a
-// restart. A former lease runs out when the record goes without it.
+// keepUnleased writes the record unless the service already has it, as after a restart.
+// The node forgets its former lease, which expires while the record stays.
 func (membership *membership) keepUnleased(ctx context.Context) bool {
 	membership.lease.id.Store(nil)
 	membership.dirty.Store(false)
 	return membership.isRecordCurrent() || membership.writeRecord(ctx)
 }
 
-// isRecordCurrent reports whether the service has the record as it should be, as far as
-// is known here.
+// isRecordCurrent reports whether the service has the current record, as far as this
+// node's copy shows.
 func (membership *membership) isRecordCurrent() bool {
 	record := membership.node.mirror.Get(membership.key())
 	if !record.Revision.Exists() {
@@ -157,19 +161,19 @@
 	return membership.node.fleet.read(record, &listed) == nil && listed.equalsExceptIncarnation(membership.node.ownRecord())
 }
 
+// key returns the key of the node's record.
 func (membership *membership) key() string {
 	return nodePrefix + string(membership.node.Settings.Node)
 }
 
-// keepLeased renews the lease, or gets a new one, and writes the record if
-// needed.
+// keepLeased renews the lease, or acquires a new one, and writes the record if needed.
 func (membership *membership) keepLeased(ctx context.Context) bool {
 	lease := &membership.lease
 	if lease.held() && !lease.renew(ctx) && lease.held() {
-		return false // the service does not answer
+		return false // the service did not answer
 	}
 	if ttl := membership.targetTTL(); !lease.held() || lease.ttl != ttl {
-		lease.ttl = ttl // the former lease runs out when the record goes with a new one
+		lease.ttl = ttl // the record moves to the new lease, and the former one expires
 		if !lease.grant(ctx) {
 			return false
 		}
@@ -178,8 +182,8 @@
 	return !membership.dirty.Swap(false) || membership.writeRecord(ctx)
 }
 
-// targetTTL returns how long a node is to be listed without a renewal: as in a large
-// fleet until it has found out how many there are.
+// targetTTL returns the lease time to use. A node without a lease may not know the fleet's
+// size yet and uses that of a large fleet.
 func (membership *membership) targetTTL() time.Duration {
 	if membership.lease.held() && membership.node.fleet.nodeCount() <= maxSmallFleet {
 		return smallFleetTTL
@@ -187,7 +191,7 @@
 	return largeFleetTTL
 }
 
-// ownRecord returns how the node describes itself.
+// ownRecord returns this node's record.
 func (node *Node) ownRecord() nodeRecord {
 	return nodeRecord{
 		ID: node.Settings.Node, Incarnation: node.Incarnation, Zone: node.Settings.Zone, Capacity: node.Settings.Capacity,
@@ -195,9 +199,9 @@
 	}
 }
 
-// commitRecord writes the record: in a large fleet by the node that this one follows, which
-// writes those of others with it, or itself where there is none or that fails. A node
-// that stops can't wait.
+// commitRecord writes the record. In a large fleet the node that this one follows does
+// it, which combines the records of many nodes in one write. If there is none, or it
+// fails, this node writes itself. So does a stopping node, which can't wait.
 func (membership *membership) commitRecord(ctx context.Context, put shedkeel.Put) (shedkeel.Revision, error) {
 	node := membership.node
 	if membership.watched.Load() && !node.stopping.Load() {
@@ -210,13 +214,13 @@
 	return node.Store.Commit(ctx, shedkeel.Change{Put: []shedkeel.Put{put}})
 }
 
-// writeRecord writes the record and reports whether it was. One that was not is
-// written again.
+// writeRecord writes the record and reports whether that succeeded. After a failure the
+// record is written again.
 func (membership *membership) writeRecord(ctx context.Context) bool {
 	node := membership.node
 	value, err := json.Marshal(node.ownRecord())
 	if err != nil {
-		return true // it can never be written
+		return true // never happens: the record can always be encoded
 	}
 	put := shedkeel.Put{Key: membership.key(), Value: value, Lease: membership.lease.ID()}
 	revision, err := membership.commitRecord(ctx, put)
--- a/node/node.go
+++ b/node/node.go
@@ -1,6 +1,6 @@
-// Package node is the process of an entry box of a fleet whose platform keeps
-// what must last: it serves callers, follows the key-value service, tells
-// other nodes what it sees, and plans replica groups while it leads.
+// Package node is the entry process of a fleet whose platform stores all durable
+// state. A node serves callers, follows the key-value service, exchanges its
+// observations with other nodes, and plans the replica groups while it is the leader.
 package node
 
 import (
@@ -25,67 +25,70 @@
 )
 
 const (
-	// DirectoryKeep is how long callers may keep an answer of the directory.
-	// Some keep it three times as long. A stopping node serves on until then;
-	// what it takes up later could not end within the grace time.
+	// DirectoryKeep is how long callers may cache an answer of the directory. Some
+	// cache it three times as long. A stopping node accepts requests until those
+	// caches expire; a request accepted later could not finish within the grace time.
 	DirectoryKeep = time.Second
-	// maxDirectoryKeepFactor is how many times longer some callers keep an answer.
+	// maxDirectoryKeepFactor is how many times DirectoryKeep some callers cache an answer.
 	maxDirectoryKeepFactor = 3
-	// stopMargin is how long before the end of the grace time a stopping node
-	// gives up what still runs.
+	// stopMargin is how long before the end of the grace time a stopping node aborts
+	// the requests that still run.
 	stopMargin = 400 * time.Millisecond
-	// retryBudgetFraction is the part of the bound on repeats that is used: windows
-	// slide, and requests of a second ago count less than fully.
+	// retryBudgetFraction is the fraction of the retry budget that this node uses.
+	// The budget's window slides, so requests of a second ago no longer count in full.
 	retryBudgetFraction = 0.7
-	// proofAgeFraction is the part of the revocation bound for which a proof of the
-	// configuration is good. A watch may miss changes for a second, which with
-	// it stays within a bound of five. A proof is up to 1.1 s old at rest, so a
-	// smaller part refuses what the platform still counts as in touch.
+	// proofAgeFraction is the fraction of the revocation bound for which a proof that
+	// the configuration is current stays valid. A watch may miss changes for up to
+	// 1 s; with that, the sum stays within a revocation bound of 5 s. In normal
+	// operation a proof is up to 1.1 s old, so a smaller fraction would refuse requests
+	// at nodes that the platform still counts as connected.
 	proofAgeFraction = 0.76
-	// silenceTick is how often running requests are checked for silence.
+	// silenceTick is how often backend servers with running requests are checked for
+	// silence.
 	silenceTick = 20 * time.Millisecond
-	// expiryTick is how often requests are checked whose limit is over by the clock
-	// that also runs while the box is suspended.
+	// expiryTick is how often requests are checked for an expired time limit, by the
+	// clock that also advances while the box is suspended.
 	expiryTick = 100 * time.Millisecond
-	// callerIdleTimeout is how long a caller's connection may rest; longer than what
-	// the platform's configurations allow its callers.
+	// callerIdleTimeout is how long a caller's connection may be idle. It is longer
+	// than the idle timeouts in the platform's configurations.
 	callerIdleTimeout = 60 * time.Second
-	// headerTimeout is how long a caller may take to send a request's head.
+	// headerTimeout is how long a caller may take to send a request's header.
 	headerTimeout = 10 * time.Second
-	// maxHeaderBytes bounds a request's head, in bytes.
+	// maxHeaderBytes limits the size of a request's header.
 	maxHeaderBytes = 64 << 10
-	// assumedNodes is how many nodes share the bounds while none is known.
+	// assumedNodes is the number of nodes assumed to share the limits while no node is
+	// known.
 	assumedNodes = 16
 )
 
-// Store is what a node needs of the key-value service.
+// Store is the part of the key-value service's interface that a node uses.
 type Store interface {
 	shedkeel.RecordSource
 	shedkeel.LeasedStore
 }
 
-// Decoder reads the platform's own records.
+// Decoder decodes the platform's own records.
 type Decoder interface {
 	// Config decodes the record under ConfigKey.
 	Config(value []byte) (*shedkeel.ServingConfig, error)
-	// Instance decodes a record below InstancePrefix.
+	// Instance decodes a record under InstancePrefix.
 	Instance(key string, value []byte) (shedkeel.Instance, error)
 	ConfigKey() string
 	InstancePrefix() string
-	// EvacuatedZone returns the availability zone that the record of a key asks to be
-	// evacuated, or false where the key is another one's.
+	// EvacuatedZone returns the availability zone whose evacuation the record of this
+	// key requests, or false if it is the key of another kind of record.
 	EvacuatedZone(key string) (shedkeel.ZoneID, bool)
 }
 
-// Node is one node. Its exported fields are set before Run.
+// Node is one entry process. Set its exported fields before Prepare and Run.
 type Node struct {
 	Settings    config.NodeSettings
-	Incarnation string // differs after every start
+	Incarnation string // unique to each start of the process
 	Store       Store
 	Decoder     Decoder
 	Protocol    shedkeel.CallerProtocol
 	Backend     shedkeel.Backend
-	Check       shedkeel.ServerCheck // nil: servers that end are not noticed as such
+	Check       shedkeel.ServerCheck // nil: a server that broke off a request is not checked for having ended
 	Engines     shedkeel.GroupEngines
 	Timers      shedkeel.Timers
 	Random      shedkeel.Random
@@ -110,8 +113,7 @@
 	goroutines  sync.WaitGroup
 }
 
-// Listeners are the sockets that a node serves, and what answers on those that
-// the platform asks.
+// Listeners are the sockets that a node serves.
 type Listeners struct {
 	Callers   net.Listener
 	Directory net.Listener
@@ -121,13 +123,13 @@
 	Metrics   net.Listener // nil: none
 }
 
-// Faces answer the platform's own questions.
+// Faces are the handlers of the HTTP endpoints that the platform calls.
 type Faces struct {
 	Directory http.Handler
 	Readiness http.Handler
 }
 
-// Prepare sets the node's parts up. It is called once, before Run.
+// Prepare initializes the node's parts. Call it once, before Run.
 func (node *Node) Prepare() {
 	node.table.Zone = node.Settings.Zone
 	node.table.Random = node.Random
@@ -163,7 +165,7 @@
 		Advise: node.peers.advise, Hops: node.peers.hops, Processes: node.fleet.nodeCount, Random: rand.NewPCG(node.Random.Uint64(), node.Random.Uint64())}
 }
 
-// Run serves until the context ends, then stops as planned.
+// Run serves until the context is canceled, then shuts down gracefully.
 func (node *Node) Run(ctx context.Context, listeners Listeners, faces Faces) error {
 	node.Log.Write(event.Started, slog.String("incarnation", node.Incarnation))
 	callers := &http.Server{Handler: &node.front, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
@@ -180,13 +182,13 @@
 	node.gossip.conn = listeners.Gossip
 	node.goroutines.Go(node.gossip.run)
 
-	working, cancelWork := context.WithCancel(context.Background())
-	node.goroutines.Go(func() { node.follower.Run(working) })
-	node.goroutines.Go(func() { node.member.run(working) })
-	node.goroutines.Go(func() { node.guard.run(working) })
-	node.goroutines.Go(func() { node.limits.run(working) })
-	node.goroutines.Go(func() { node.controller.run(working) })
-	node.goroutines.Go(func() { node.controller.runLease(working) })
+	workCtx, cancelWork := context.WithCancel(context.Background())
+	node.goroutines.Go(func() { node.follower.Run(workCtx) })
+	node.goroutines.Go(func() { node.member.run(workCtx) })
+	node.goroutines.Go(func() { node.guard.run(workCtx) })
+	node.goroutines.Go(func() { node.limits.run(workCtx) })
+	node.goroutines.Go(func() { node.controller.run(workCtx) })
+	node.goroutines.Go(func() { node.controller.runLease(workCtx) })
 	cancelSilence := node.Timers.Subscribe(silenceTick, node.reportSilentServers)
 	cancelReport := node.Timers.Subscribe(time.Second, node.report)
 	cancelPaces := node.Timers.Subscribe(paceEvery/paceParts, node.controller.paces.tick)
@@ -217,16 +219,18 @@
 	return err
 }
 
+// startServer serves the handler at the listener in the background.
 func (node *Node) startServer(listener net.Listener, handler http.Handler) *http.Server {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout}
 	node.goroutines.Go(func() { _ = server.Serve(listener) })
 	return server
 }
 
-// stop takes the node out of the directory, serves on while callers may still
-// hold its address, then refuses what still comes and finishes what runs.
+// stop removes the node from the directory and keeps serving while callers may
+// still have its address cached. It then refuses new requests and waits for the
+// running ones until shortly before the grace time ends.
 func (node *Node) stop(callers *http.Server) error {
-	begun := node.Timers.Now()
+	stopStarted := node.Timers.Now()
 	node.Log.Write(event.Stopping)
 	node.stopping.Store(true)
 	node.front.Stop()
@@ -234,11 +238,11 @@
 	node.member.requestWrite()
 	node.gossip.leave()
 	grace := time.Duration(node.Settings.Bounds.Grace)
-	forgotten := min(maxDirectoryKeepFactor*DirectoryKeep, grace*3/8)
-	time.Sleep(forgotten)
+	cacheExpiry := min(maxDirectoryKeepFactor*DirectoryKeep, grace*3/8)
+	time.Sleep(cacheExpiry)
 	node.front.Refuse()
-	left := grace - stopMargin - (node.Timers.Now() - begun)
-	ctx, cancel := context.WithTimeout(context.Background(), left)
+	remaining := grace - stopMargin - (node.Timers.Now() - stopStarted)
+	ctx, cancel := context.WithTimeout(context.Background(), remaining)
 	defer cancel()
 	err := callers.Shutdown(ctx)
 	if errors.Is(err, context.DeadlineExceeded) {
@@ -247,12 +251,12 @@
 	return err
 }
 
-// believe returns what is in force here.
+// believe returns the active configuration and the time of its latest proof.
 func (node *Node) believe() serve.Belief {
 	return serve.Belief{View: node.fleet.view.Load(), AsOf: node.mirror.State().AsOf}
 }
 
-// Ready reports whether callers should be sent here.
+// Ready reports whether callers should be sent to this node.
 func (node *Node) Ready() bool {
 	if node.stopping.Load() || node.fleet.view.Load() == nil {
 		return false
@@ -261,8 +265,8 @@
 	return !node.front.RefuseStaleKeys || age < node.front.ProofAge
 }
 
-// reportSilentServers finds servers that have gone silent and tells the node that
-// plans of groups.
+// reportSilentServers logs backend servers that stopped responding and reports
+// their groups as suspected to the node that plans groups.
 func (node *Node) reportSilentServers(now time.Duration) {
 	for _, silence := range node.table.FindSilent(now) {
 		node.Log.Write(event.ServerSilent, slog.String("server", string(silence.Server.Instance)), slog.String("group", string(silence.Server.Group.Group)),
@@ -274,8 +278,9 @@
 	}
 }
 
-// Reload takes in what may change in the settings while the node runs: the
-// bounds. Addresses and names hold until the next start.
+// Reload applies the settings that may change while the node runs, which are the
+// retry bounds. It logs whether other changes, such as those of addresses and names,
+// need a restart.
 func (node *Node) Reload(settings config.NodeSettings) {
 	bounds := settings.Bounds
 	node.front.Budget.Set(bounds.RetryRatio, time.Duration(bounds.RetryWindow), bounds.RetrySlack)
--- a/node/nodes.go
+++ b/node/nodes.go
@@ -8,31 +8,32 @@
 	"shedkeel.org/shedkeel"
 )
 
-// nodePrefix is below where nodes write that they live.
+// nodePrefix is the prefix of the keys of the nodes' records.
 const nodePrefix = "shedkeel/nodes/"
 
-// nodeRecord is how a node describes itself to others.
+// nodeRecord is what a node publishes about itself.
 type nodeRecord struct {
 	ID          shedkeel.NodeID `json:"id"`
 	Incarnation string          `json:"incarnation"`
 	Zone        shedkeel.ZoneID `json:"zone"`
 	Callers     string          `json:"callers"`
 	Control     string          `json:"control"`
-	Gossip      string          `json:"gossip,omitempty"` // for datagrams; empty: of a version without
-	Capacity    float64         `json:"capacity"`         // part of a processor core
+	Gossip      string          `json:"gossip,omitempty"` // UDP address; empty: the node's version has no gossip
+	Capacity    float64         `json:"capacity"`         // in processor cores
 	Stopping    bool            `json:"stopping"`
-	// Watched says that the record stays until another node finds this one dead.
-	// Without it, the record goes with a lease.
+	// Watched says that the record has no lease: it stays until another node finds this
+	// one dead.
 	Watched bool `json:"watched"`
 }
 
-// equalsExceptIncarnation reports whether two records say the equalsExceptIncarnation of a node, whichever start of it
-// wrote them.
+// equalsExceptIncarnation reports whether two records differ in nothing but the
+// incarnation.
 func (record nodeRecord) equalsExceptIncarnation(other nodeRecord) bool {
 	record.Incarnation = other.Incarnation
 	return record == other
 }
 
+// applyNode applies a node's record and reports whether the nodes have changed.
 func (fleet *fleet) applyNode(record shedkeel.Record, now time.Duration) bool {
 	if record.Gone {
 		return fleet.removeOrRetain(record.Key, now, func() { delete(fleet.nodes, record.Key) })
@@ -40,16 +41,16 @@
 	node, err := fleet.decodeNode(record)
 	if err != nil {
 		if record.Key == fleet.node.member.key() {
-			fleet.node.member.dirty.Store(true) // another writer spoilt it
+			fleet.node.member.dirty.Store(true) // another writer made it invalid
 		}
-		return false // what was known of the node stays
+		return false // the last valid record stays in use
 	}
 	delete(fleet.retained, record.Key)
 	fleet.nodes[record.Key] = node
 	return true
 }
 
-// decodeNode reads what a node tells of itself, and logs what can't be used.
+// decodeNode decodes and validates a node's record, and logs one that is invalid.
 func (fleet *fleet) decodeNode(record shedkeel.Record) (nodeRecord, error) {
 	var node nodeRecord
 	if err := fleet.read(record, &node); err != nil {
@@ -62,7 +63,7 @@
 	return node, nil
 }
 
-// validate returns why nothing may be sent to the node by this record, or nil.
+// validate returns an error if the record can't be used, or nil.
 func (record nodeRecord) validate(key string) error {
 	invalid := &shedkeel.InvalidError{Where: key, Remedy: "none is needed: the node writes it again if it lives"}
 	switch {
@@ -82,6 +83,7 @@
 	return invalid
 }
 
+// sortedNodes returns the nodes in the order of compareNodes. The caller holds the mutex.
 func (fleet *fleet) sortedNodes() []nodeRecord {
 	var found []nodeRecord
 	for _, node := range fleet.nodes {
@@ -91,12 +93,13 @@
 	return found
 }
 
-// compareNodes orders nodes by what they may do for all: those with the most
-// capacity come first.
+// compareNodes orders nodes by preference for duties that one node has for the whole
+// fleet: those with the most capacity come first.
 func compareNodes(a, b nodeRecord) int {
 	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.ID, b.ID))
 }
 
+// nodeCount returns the number of listed nodes, or assumedNodes if none is known.
 func (fleet *fleet) nodeCount() int {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
@@ -106,7 +109,8 @@
 	return len(fleet.nodes)
 }
 
-// servingCount returns how many nodes callers are sent to.
+// servingCount returns the number of listed nodes that don't stop, or assumedNodes if
+// none is known.
 func (fleet *fleet) servingCount() int {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
@@ -122,22 +126,22 @@
 	return count
 }
 
-// Addresses returns the callers' addresses of the nodes that serve, those of
-// the availability zone first, or none while too little is known.
+// Addresses returns the callers' addresses of the nodes that serve, those of the given
+// availability zone first. It is empty while this node knows too little to serve.
 //
-// That a node is listed says only that it wrote so once: while the store was away
-// or nobody removed its record, one that had lost power was named for seconds, and
-// callers went there in vain. So the nodes' own failure detector is asked.
+// A record only proves that the node wrote it at some time. During an outage of the
+// store, or when no node removed the record, a node that had lost power was named for
+// seconds and callers failed to connect. So the failure detector is asked as well.
 func (node *Node) Addresses(zone string) []string {
 	fleet := &node.fleet
 	fleet.mutex.Lock()
 	nodes := fleet.sortedNodes()
 	fleet.mutex.Unlock()
 	var near, far []string
-	self := false
+	selfListed := false
 	for _, other := range nodes {
 		own := other.ID == node.Settings.Node
-		self = self || own
+		selfListed = selfListed || own
 		if other.Stopping || own && !node.Ready() || !own && !node.gossip.serves(other.ID) {
 			continue
 		}
@@ -147,7 +151,7 @@
 			far = append(far, other.Callers)
 		}
 	}
-	if !self && node.Ready() {
+	if !selfListed && node.Ready() {
 		near = append(near, node.Settings.Listen.Callers)
 	}
 	return append(near, far...)
--- a/node/peers.go
+++ b/node/peers.go
@@ -16,24 +16,24 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// maxLoggedNodes is how many nodes that came or went are named in a line.
+// maxLoggedNodes limits how many joined or lost nodes one log line names.
 const maxLoggedNodes = 8
 
-// peers are the other nodes, as far as they are known.
+// peers are the other nodes that this one knows.
 type peers struct {
 	node *Node
 
 	mutex         sync.Mutex
-	nodes         []nodeRecord                            // as compareNodes orders them, this node among them
-	alive         []nodeRecord                            // those of them that answer
-	views         atomic.Uint64                           // how often these have changed
-	aliveSince    time.Duration                           // when they changed last
-	lastJoin      time.Duration                           // when a node was listed last that was not before
-	granters      map[shedkeel.InstanceID]shedkeel.NodeID // of servers that were asked about, while they don't
+	nodes         []nodeRecord                            // listed nodes in the order of compareNodes, including this one
+	alive         []nodeRecord                            // those of them that are alive
+	views         atomic.Uint64                           // how often alive has changed
+	aliveSince    time.Duration                           // when alive last changed
+	lastJoin      time.Duration                           // when a node was last listed that was not listed before
+	granters      map[shedkeel.InstanceID]shedkeel.NodeID // cache of granter; nil: alive has changed since
 	known         map[shedkeel.NodeID]*peer
-	seeds         []*peer // from the settings: asked while no nodes are known
+	seeds         []*peer // from the settings; used while no other nodes are known
 	startupRelays []*peer // relays that were asked at the start
-	// random is not used elsewhere, and only with the mutex held.
+	// random is used only with the mutex held, and nowhere else.
 	random shedkeel.Random
 
 	packer  transfer.Packer
@@ -41,18 +41,18 @@
 	batches transfer.Batches
 }
 
-// peer is one other node.
+// peer is the client of one other node.
 type peer struct {
 	id     shedkeel.NodeID
 	node   *Node
 	wire   *wire.Peer
-	asked  *wire.Peer // for requests, which must not wait while the other one dials
-	failed failure    // as a node to be followed
-	mute   failure    // as the node that spreads requests
+	asked  *wire.Peer // connection for calls that must not wait while wire connects
+	failed failure    // as a node to follow
+	mute   failure    // as the node that places requests for the fleet
 }
 
-// prepare makes peers of the seeds. A seed's name is its address until its
-// record tells another.
+// prepare creates the peers for the seeds. The address of a seed serves as its ID until
+// its record is known.
 func (peers *peers) prepare() {
 	settings := &peers.node.Settings
 	for _, address := range settings.Seeds {
@@ -62,13 +62,14 @@
 	}
 }
 
-// dial returns a new peer at the address. It connects when it is first asked.
+// dial returns a new peer for the address. It connects at its first call.
 func (peers *peers) dial(id shedkeel.NodeID, address string) *peer {
 	key := peers.node.Settings.Wire.Key
 	return &peer{id: id, node: peers.node, wire: &wire.Peer{Address: address, Key: key}, asked: &wire.Peer{Address: address, Key: key}}
 }
 
-// update makes these the nodes that are known.
+// update replaces the known nodes. It closes the connections to nodes that are no longer
+// listed or have another address.
 func (peers *peers) update(nodes []nodeRecord) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
@@ -79,11 +80,11 @@
 		if other.ID == peers.node.Settings.Node {
 			continue
 		}
-		same := before[other.ID]
-		if same == nil || same.wire.Address != other.Control {
-			same = peers.dial(other.ID, other.Control)
+		known := before[other.ID]
+		if known == nil || known.wire.Address != other.Control {
+			known = peers.dial(other.ID, other.Control)
 		}
-		peers.known[other.ID] = same
+		peers.known[other.ID] = known
 	}
 	for id, peer := range before {
 		if peers.known[id] != peer {
@@ -92,37 +93,38 @@
 	}
 	peers.node.gossip.setPeers(nodes)
 	peers.setAlive(peers.node.gossip.filterAlive(nodes))
-	came, went := changedKeys(before, peers.known)
-	if len(came) > 0 {
+	joined, lost := changedKeys(before, peers.known)
+	if len(joined) > 0 {
 		peers.lastJoin = peers.node.Timers.Now()
 	}
-	peers.node.Log.Write(event.NodesChanged, slog.Int("nodes", len(nodes)), slog.Any("came", came), slog.Any("went", went), slog.Duration("age", peers.node.fleet.mirrorAge()))
+	peers.node.Log.Write(event.NodesChanged, slog.Int("nodes", len(nodes)), slog.Any("came", joined), slog.Any("went", lost), slog.Duration("age", peers.node.fleet.mirrorAge()))
 }
 
-// changedKeys returns which nodes came and which went, as far as they are logged.
-func changedKeys[Value any](before, after map[shedkeel.NodeID]Value) (came, went []shedkeel.NodeID) {
+// changedKeys returns the nodes that joined and those that were lost, at most
+// maxLoggedNodes of each.
+func changedKeys[Value any](before, after map[shedkeel.NodeID]Value) (joined, lost []shedkeel.NodeID) {
 	return missingKeys(after, before), missingKeys(before, after)
 }
 
-// missingKeys returns some of the nodes of one map that another lacks.
-func missingKeys[Value any](of, in map[shedkeel.NodeID]Value) []shedkeel.NodeID {
+// missingKeys returns the nodes of one map that another lacks, at most maxLoggedNodes.
+func missingKeys[Value any](from, in map[shedkeel.NodeID]Value) []shedkeel.NodeID {
 	var found []shedkeel.NodeID
-	for id := range of {
-		if _, has := in[id]; !has && len(found) < maxLoggedNodes {
+	for id := range from {
+		if _, common := in[id]; !common && len(found) < maxLoggedNodes {
 			found = append(found, id)
 		}
 	}
 	return found
 }
 
-// refreshAlive takes in that other nodes answer than did.
+// refreshAlive updates the alive nodes after the failure detector's view has changed.
 func (peers *peers) refreshAlive() {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	peers.setAlive(peers.node.gossip.filterAlive(peers.nodes))
 }
 
-// setAlive makes these the nodes that answer. The mutex is held.
+// setAlive replaces the alive nodes. The caller holds the mutex.
 func (peers *peers) setAlive(alive []nodeRecord) {
 	if slices.Equal(peers.alive, alive) {
 		return
@@ -133,12 +135,12 @@
 	peers.views.Add(1)
 }
 
-// heard returns which part of the nodes that are listed and don't stop answers, and
-// since when the same nodes answer.
-func (peers *peers) heard() (part float64, settled time.Duration) {
+// heard returns which fraction of the listed nodes is alive, not counting stopping nodes,
+// and since when the set of alive nodes is unchanged.
+func (peers *peers) heard() (fraction float64, since time.Duration) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
-	goesOn := func(records []nodeRecord) (count int) {
+	countServing := func(records []nodeRecord) (count int) {
 		for _, record := range records {
 			if !record.Stopping {
 				count++
@@ -146,11 +148,12 @@
 		}
 		return count
 	}
-	return float64(goesOn(peers.alive)) / float64(max(goesOn(peers.nodes), 1)), peers.aliveSince
+	return float64(countServing(peers.alive)) / float64(max(countServing(peers.nodes), 1)), peers.aliveSince
 }
 
-// granter returns the node that grants the permits of a backend server, the same at
-// all nodes that see the same ones alive, or false while no node is known.
+// granter returns the node that grants the permits of a backend server, or false while no
+// node is known. All nodes with the same view of the alive nodes choose the same one, by
+// rendezvous hashing.
 func (peers *peers) granter(server shedkeel.InstanceID) (shedkeel.NodeID, bool) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
@@ -170,22 +173,23 @@
 	return first.ID, true
 }
 
-// withOwn returns the nodes that answer in order and this one's place among them,
-// though it may not be listed yet: it follows others too, once there are any. The
-// mutex is held.
+// withOwn returns the alive nodes in order and this node's index among them. This node is
+// inserted if it is not listed yet, because it follows others as well. The caller holds
+// the mutex.
 //
-// What one node does for all passes to the next as soon as it is suspected.
+// Suspected nodes are left out, so the duties of one node for the whole fleet pass to
+// the next as soon as it is suspected.
 func (peers *peers) withOwn() (nodes []nodeRecord, own int, listed bool) {
 	record := peers.node.ownRecord()
-	place, listed := slices.BinarySearchFunc(peers.alive, record, compareNodes)
+	index, listed := slices.BinarySearchFunc(peers.alive, record, compareNodes)
 	if listed {
-		return peers.alive, place, true
+		return peers.alive, index, true
 	}
-	return slices.Insert(slices.Clone(peers.alive), place, record), place, false
+	return slices.Insert(slices.Clone(peers.alive), index, record), index, false
 }
 
-// others returns the other nodes as mirrors that may be asked: those that answer,
-// if there are any.
+// others returns the other nodes whose mirrors may be asked: the alive ones if there are
+// any, else all listed ones, else the seeds.
 func (peers *peers) others() []mirror.Peer {
 	asked := peers.answering()
 	if len(asked) == 0 {
@@ -201,27 +205,28 @@
 	return found
 }
 
-// lastCame returns when a node was listed last that was not before.
+// lastCame returns when a node was last listed that was not listed before.
 func (peers *peers) lastCame() time.Duration {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	return peers.lastJoin
 }
 
-// listed returns the nodes in order.
+// listed returns the listed nodes in the order of compareNodes.
 func (peers *peers) listed() []nodeRecord {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	return peers.nodes
 }
 
-// peer returns the node of that name, or nil.
+// peer returns the client of the node with this ID, or nil if it is not listed.
 func (peers *peers) peer(id shedkeel.NodeID) *peer {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	return peers.known[id]
 }
 
+// all returns the clients of all other listed nodes.
 func (peers *peers) all() []*peer {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
@@ -232,7 +237,7 @@
 	return found
 }
 
-// answering returns the other nodes that answer.
+// answering returns the clients of the other nodes that are alive.
 func (peers *peers) answering() []*peer {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
@@ -245,6 +250,7 @@
 	return found
 }
 
+// close closes the connections to all other nodes.
 func (peers *peers) close() {
 	for _, peer := range slices.Concat(peers.all(), peers.seeds, peers.startupRelays) {
 		peer.close()
@@ -256,10 +262,10 @@
 	peer.asked.Close()
 }
 
-// Name names the node.
+// Name returns the node's ID, or its address while only that is known.
 func (peer *peer) Name() string { return string(peer.id) }
 
-// Handle answers other nodes.
+// Handle answers a call of another node.
 func (peers *peers) Handle(ctx context.Context, call *wire.Call) *wire.Reply {
 	switch kind := call.GetKind().(type) {
 	case *wire.Call_Relay:
@@ -282,7 +288,8 @@
 	return &wire.Reply{Error: "a node answers relays, notices, spreads, demands, blames, permits, limits and registrations only; upgrade one side"}
 }
 
-// place returns this node's place among the nodes.
+// place returns this node's index among the listed nodes, or their number if it is not
+// listed.
 func (peers *peers) place() int {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
--- a/node/registrar.go
+++ b/node/registrar.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	// registerBatchDelay is for how long the records of nodes are let gather that start
-	// together: each write costs a call, however many records it has.
+	// registerBatchDelay is how long the records of nodes that start together are
+	// collected. Each write costs one call, however many records it has.
 	registerBatchDelay = 100 * time.Millisecond
-	// registerWriteTimeout bounds the write.
+	// registerWriteTimeout limits the write.
 	registerWriteTimeout = time.Second
-	// registerTimeout bounds a node's question to have its record written. Later it
-	// does so itself.
+	// registerTimeout limits a node's request to have its record written. After it the
+	// node writes the record itself.
 	registerTimeout = registerBatchDelay + registerWriteTimeout + 200*time.Millisecond
 )
 
-// registrar writes the records of nodes that follow this one to the key-value
-// service, as many with one call as it takes.
+// registrar writes the records of nodes that follow this one to the key-value service,
+// in batches of as many records as one call may have.
 type registrar struct {
 	node *Node
 
 	mutex   sync.Mutex
-	pending *registrationBatch // still takes records; nil: there is none
+	pending *registrationBatch // the batch that still accepts records; nil: there is none
 }
 
 // registrationBatch is one write of several records.
 type registrationBatch struct {
 	registrar *registrar
-	puts      map[string]shedkeel.Put // by key; the registrar's mutex guards it
-	full      chan struct{}           // closed once it takes no more
+	puts      map[string]shedkeel.Put // by key; guarded by the registrar's mutex
+	full      chan struct{}           // closed once the batch accepts no more records
 	done      chan struct{}           // closed once the outcome is known
 	revision  shedkeel.Revision
 	err       error
@@ -47,77 +47,77 @@
 	if _, err := registrar.node.fleet.decodeNode(record); err != nil {
 		return &wire.Reply{Error: err.Error()}
 	}
-	registration := registrar.enqueue(shedkeel.Put{Key: record.Key, Value: record.Value})
+	batch := registrar.enqueue(shedkeel.Put{Key: record.Key, Value: record.Value})
 	select {
 	case <-ctx.Done():
 		return &wire.Reply{Error: "the outcome of the write is not known yet"}
-	case <-registration.done:
+	case <-batch.done:
 	}
-	if registration.err != nil {
-		return &wire.Reply{Error: registration.err.Error()}
+	if batch.err != nil {
+		return &wire.Reply{Error: batch.err.Error()}
 	}
-	revision := registration.revision
+	revision := batch.revision
 	return &wire.Reply{Kind: &wire.Reply_Register{Register: &wire.RegisterReply{Written: true, Era: revision.Era, Revision: revision.Number}}}
 }
 
-// enqueue has a record written with the next write, and returns that.
+// enqueue adds a record to the pending batch, or to a new one, and returns the batch.
 func (registrar *registrar) enqueue(put shedkeel.Put) *registrationBatch {
 	registrar.mutex.Lock()
 	defer registrar.mutex.Unlock()
-	joined := registrar.pending
-	if joined == nil {
-		joined = &registrationBatch{registrar: registrar, puts: map[string]shedkeel.Put{}, full: make(chan struct{}), done: make(chan struct{})}
-		registrar.pending = joined
-		go joined.run()
+	batch := registrar.pending
+	if batch == nil {
+		batch = &registrationBatch{registrar: registrar, puts: map[string]shedkeel.Put{}, full: make(chan struct{}), done: make(chan struct{})}
+		registrar.pending = batch
+		go batch.run()
 	}
-	joined.puts[put.Key] = put
-	if len(joined.puts) == shedkeel.MaxEntries {
-		close(joined.full)
+	batch.puts[put.Key] = put
+	if len(batch.puts) == shedkeel.MaxEntries {
+		close(batch.full)
 		registrar.pending = nil
 	}
-	return joined
+	return batch
 }
 
-// run writes the records once they have gathered.
-func (registration *registrationBatch) run() {
+// run writes the batch once the delay has passed or the batch is full.
+func (batch *registrationBatch) run() {
 	timer := time.NewTimer(registerBatchDelay)
 	select {
 	case <-timer.C:
-	case <-registration.full:
+	case <-batch.full:
 	}
 	timer.Stop()
 	change := shedkeel.Change{}
-	for _, put := range registration.seal() {
+	for _, put := range batch.seal() {
 		change.Put = append(change.Put, put)
 	}
-	node := registration.registrar.node
+	node := batch.registrar.node
 	ctx, cancel := context.WithTimeout(context.Background(), registerWriteTimeout)
 	defer cancel()
-	registration.revision, registration.err = node.Store.Commit(ctx, change)
-	if registration.err == nil {
+	batch.revision, batch.err = node.Store.Commit(ctx, change)
+	if batch.err == nil {
 		var records []shedkeel.Record
 		for _, put := range change.Put {
-			records = append(records, shedkeel.Record{Key: put.Key, Value: put.Value, Revision: registration.revision})
+			records = append(records, shedkeel.Record{Key: put.Key, Value: put.Value, Revision: batch.revision})
 		}
 		node.mirror.Apply(mirrorUpdate(records...))
 		node.Log.Write(event.NodesRegistered, slog.Int("nodes", len(records)))
 	}
-	close(registration.done)
+	close(batch.done)
 }
 
-// seal ends the gathering and returns what is to be written.
-func (registration *registrationBatch) seal() map[string]shedkeel.Put {
-	registrar := registration.registrar
+// seal makes the batch accept no more records and returns its records.
+func (batch *registrationBatch) seal() map[string]shedkeel.Put {
+	registrar := batch.registrar
 	registrar.mutex.Lock()
 	defer registrar.mutex.Unlock()
-	if registrar.pending == registration {
+	if registrar.pending == batch {
 		registrar.pending = nil
 	}
-	return registration.puts
+	return batch.puts
 }
 
-// register asks the node to write the record of this one, and returns the revision at
-// which it stands.
+// register asks the peer to write this node's record, and returns the revision of the
+// write.
 func (peer *peer) register(ctx context.Context, record []byte) (shedkeel.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
--- a/node/relay.go
+++ b/node/relay.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// relayTimeoutMargin is how much longer than its wait a question to another
-	// mirror may take.
+	// relayTimeoutMargin is the time for a long poll of another mirror beyond its wait.
 	relayTimeoutMargin = 400 * time.Millisecond
-	// copyTimeoutMargin is the same for a whole copy, which many nodes that start together
-	// ask of a few.
+	// copyTimeoutMargin is the same for a complete copy, which many nodes that start
+	// together request from a few.
 	copyTimeoutMargin = 3 * time.Second
 )
 
-// Relay asks the node's mirror.
+// Relay requests the changes since a revision from the node's mirror. A node that fails
+// or has an old copy is not followed for a while.
 func (peer *peer) Relay(ctx context.Context, since shedkeel.Revision, wait time.Duration) (mirror.Update, error) {
 	update, err := peer.fetchUpdate(ctx, since, wait)
 	if err != nil && ctx.Err() == nil || err == nil && (update.Away || -update.AsOf > peer.maxCopyAge()) {
@@ -29,7 +29,7 @@
 	return update, err
 }
 
-// maxCopyAge is how old the node's copy may be for it to be followed.
+// maxCopyAge returns the maximum age of the node's copy for the node to be followed.
 func (peer *peer) maxCopyAge() time.Duration {
 	if peer.node.peers.hops() > 1 {
 		return maxRelayAge
@@ -37,8 +37,9 @@
 	return maxSourceAge
 }
 
-// fetchUpdate asks for differences first. What it has may be another value than they
-// are of, where the service itself told it something meanwhile.
+// fetchUpdate requests records as differences from their former values. If this node has
+// another former value, because the service itself sent it one meanwhile, it requests
+// complete records.
 func (peer *peer) fetchUpdate(ctx context.Context, since shedkeel.Revision, wait time.Duration) (mirror.Update, error) {
 	margin := relayTimeoutMargin
 	if !since.Exists() {
@@ -53,7 +54,7 @@
 	return update, err
 }
 
-// Knows asks whether the node's mirror has anything.
+// Knows asks whether the node's mirror has a copy.
 func (peer *peer) Knows(ctx context.Context, wait time.Duration) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+relayTimeoutMargin)
 	defer cancel()
@@ -66,6 +67,8 @@
 	return reply.GetKnown(), nil
 }
 
+// requestUpdate sends one relay call and decodes its reply. A newer configuration in the
+// reply is applied.
 func (peer *peer) requestUpdate(ctx context.Context, call *wire.RelayCall) (mirror.Update, error) {
 	call.Config = peer.node.fleet.configVersion()
 	relay, err := peer.callRelay(ctx, call)
@@ -94,13 +97,15 @@
 	return update, nil
 }
 
+// callRelay sends one relay call.
 func (peer *peer) callRelay(ctx context.Context, call *wire.RelayCall) (*wire.RelayReply, error) {
 	call.Node = string(peer.node.Settings.Node)
 	reply, err := peer.wire.Do(ctx, &wire.Call{Kind: &wire.Call_Relay{Relay: call}})
 	return reply.GetRelay(), err
 }
 
-// decodeRecord returns a record of the era as the service has it.
+// decodeRecord decodes a record of the era, which may be encoded as a difference from the
+// value that this node has.
 func (peer *peer) decodeRecord(sent *wire.StoreRecord, era int64) (shedkeel.Record, error) {
 	if sent.GetBase() != 0 {
 		return transfer.Undiffer(sent, era, peer.node.mirror.Get(sent.GetKey()))
@@ -108,6 +113,8 @@
 	return transfer.Unpack(sent, era)
 }
 
+// handleRelay answers a relay call. It waits until the mirror has something new, for at
+// most the time that the call states.
 func (peers *peers) handleRelay(ctx context.Context, call *wire.RelayCall) *wire.Reply {
 	own := &peers.node.mirror
 	peers.node.subscribers.note(shedkeel.NodeID(call.GetNode()), peers.node.Timers.Now())
@@ -115,7 +122,7 @@
 	state := own.State()
 	since := shedkeel.Revision{Era: call.GetSinceEra(), Number: call.GetSince()}
 	peers.fetchConfig(shedkeel.NodeID(call.GetNode()), call.GetConfig())
-	away := own.State().Known && peers.node.follower.Away() // who asks goes on to the next node at once
+	away := own.State().Known && peers.node.follower.Away() // answered without a wait, so that the caller asks the next node at once
 	if !away && (!state.Known || !call.GetOnlyKnown() && !state.At.After(since)) {
 		timer := time.NewTimer(time.Duration(call.GetWaitMs()) * time.Millisecond)
 		select {
@@ -147,15 +154,17 @@
 	return &wire.Reply{Kind: &wire.Reply_Relay{Relay: reply}}
 }
 
+// encodeRecords encodes records for a node that asks.
 func (peers *peers) encodeRecords(records []shedkeel.Record, since shedkeel.Revision, differences bool) []*wire.StoreRecord {
-	var told []*wire.StoreRecord
+	var encoded []*wire.StoreRecord
 	for _, record := range records {
-		told = append(told, peers.encodeRecord(record, since, differences))
+		encoded = append(encoded, peers.encodeRecord(record, since, differences))
 	}
-	return told
+	return encoded
 }
 
-// knownNodeCount returns of how many nodes this one has heard.
+// knownNodeCount returns the larger of the number of listed nodes and the number of nodes
+// that asked this one recently.
 func (peers *peers) knownNodeCount() uint32 {
 	listed := 0
 	if peers.node.mirror.State().Known {
@@ -164,22 +173,21 @@
 	return uint32(max(listed, peers.node.subscribers.count(peers.node.Timers.Now())))
 }
 
-// encodeRecord returns a record as it is sent to a node that asks: by the difference if
-// that is what it has the former value of, else whole.
-// A heartbeat of a server changes one number.
+// encodeRecord encodes a record for a node that asks: as the difference from the former
+// value if the node has that, else complete. A server's heartbeat changes only one number.
 func (peers *peers) encodeRecord(record shedkeel.Record, since shedkeel.Revision, differences bool) *wire.StoreRecord {
 	former := peers.node.mirror.Before(record.Key)
 	usable := former.Revision.Exists() && !former.Revision.After(since) && record.Revision.After(former.Revision)
 	if differences && !record.Gone && usable {
-		if told := transfer.Differ(record, former); told != nil {
-			return told
+		if encoded := transfer.Differ(record, former); encoded != nil {
+			return encoded
 		}
 	}
 	return peers.packer.Pack(record)
 }
 
-// mirrorUpdate is an update with records that this node has written itself.
-// It proves nothing of their age.
+// mirrorUpdate returns a mirror update of records that this node wrote itself. It does not
+// prove that the other records are current.
 func mirrorUpdate(records ...shedkeel.Record) mirror.Update {
 	return mirror.Update{Records: records}
 }
--- a/node/report.go
+++ b/node/report.go
@@ -9,7 +9,7 @@
 	"shedkeel.org/shedkeel/formation"
 )
 
-// report logs and counts once a second what has no event of its own.
+// report logs and exports once per second the values that no event reports.
 func (node *Node) report(now time.Duration) {
 	node.Log.Report()
 	node.gossip.logExclusions(node.peers.listed())
@@ -42,8 +42,8 @@
 	}
 }
 
-// reportLimits tells how many servers limit their rate, and what has become of the
-// permits that this node grants.
+// reportLimits exports how many servers limit their rate, and how many permits this node
+// granted and refused.
 func (node *Node) reportLimits(scope tally.Scope) {
 	limited := node.limits.dump()
 	var granted, refused int64
@@ -59,11 +59,11 @@
 	scope.Gauge("permits_refused").Update(float64(refused))
 }
 
-// headlessState is the state of a group whose head is not listed.
+// headlessState is the reported state of a group whose head is not listed.
 const headlessState = "headless"
 
-// groupStates counts the replica groups by the state of their heads, each
-// state that there is.
+// groupStates counts the replica groups by the state of their heads. Every state has an
+// entry, also if its count is 0.
 func (fleet *fleet) groupStates() map[string]int {
 	counts := map[string]int{headlessState: 0}
 	for _, state := range []shedkeel.MemberState{shedkeel.MemberJoining, shedkeel.MemberReady, shedkeel.MemberOpen, shedkeel.MemberClosing, shedkeel.MemberBroken} {
--- a/node/restore.go
+++ b/node/restore.go
@@ -7,9 +7,9 @@
 	"shedkeel.org/shedkeel/mirror"
 )
 
-// handleRestore acts on the key-value service having come back from an older copy of
-// itself. What this node has written may be lost there, and leases with it. The mirror
-// calls it before it tells what has changed.
+// handleRestore reacts to the key-value service having been restored from an older
+// snapshot. What this node wrote after the snapshot may be lost, with its leases. The
+// mirror calls it before it reports the changed records.
 func (node *Node) handleRestore(restore mirror.Restore) {
 	node.Log.Write(event.StoreRestored, slog.String("from", restore.From.String()), slog.String("to", restore.To.String()), slog.Int("lost", restore.Lost))
 	node.fleet.retainLostRecords()
@@ -17,9 +17,9 @@
 	node.guard.keepAgain()
 }
 
-// retainLostRecords has records that an older copy of the key-value service lacks be believed
-// until their owners have written them again, and those that it has be compared with what
-// is known.
+// retainLostRecords retains the records that the restored snapshot lacks until their
+// owners have written them again. The records that it has are compared with the known
+// ones, which may be newer.
 func (fleet *fleet) retainLostRecords() {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
--- a/node/subscribers.go
+++ b/node/subscribers.go
@@ -7,16 +7,17 @@
 	"shedkeel.org/shedkeel"
 )
 
-// subscriberTTL is for how long a node counts that has asked this one.
+// subscriberTTL is how long a node counts after its last question.
 const subscriberTTL = 5 * time.Second
 
-// subscribers are the nodes that have asked this one lately. The zero value has none.
+// subscribers are the nodes that asked this one for records recently. The zero value is
+// empty.
 type subscribers struct {
 	mutex     sync.Mutex
-	lastAsked map[shedkeel.NodeID]time.Duration // when a node asked last
+	lastAsked map[shedkeel.NodeID]time.Duration // when each node last asked
 }
 
-// note notes that a node has asked.
+// note notes that a node asks now.
 func (subscribers *subscribers) note(id shedkeel.NodeID, now time.Duration) {
 	if id == "" {
 		return
@@ -29,7 +30,7 @@
 	subscribers.lastAsked[id] = now
 }
 
-// count returns how many nodes have asked lately, and this one.
+// count returns the number of nodes that asked recently, plus this one.
 func (subscribers *subscribers) count(now time.Duration) int {
 	subscribers.mutex.Lock()
 	defer subscribers.mutex.Unlock()
