--- a/node/config_test.go
+++ b/node/config_test.go
@@ -13,18 +13,18 @@
 	"shedkeel.org/shedkeel/transfer"
 )
 
-// configRecord is a configuration as operators write it.
+// configRecord returns the record of a configuration as operators write it.
 func configRecord(version, era, number int64) shedkeel.Record {
 	value := fmt.Appendf(nil, `{"version":%d,"routes":[],"services":[],"limits":{}}`, version)
 	return shedkeel.Record{Key: platform.ConfigKey, Value: value, Revision: shedkeel.Revision{Era: era, Number: number}}
 }
 
-// TestNodeThatStartsAfterARestore has a node start when the service has come back from a
-// copy with an older configuration, which others have newer: with the older one it
-// accepted keys that had been removed.
+// TestNodeThatStartsAfterARestore starts a node after the service was restored from a
+// snapshot with an older configuration than other nodes have. A node that kept the older
+// one would accept keys that had been removed.
 func TestNodeThatStartsAfterARestore(t *testing.T) {
 	cases := map[string]struct {
-		newNodeAsks bool // the new node follows the other one, and not the other way round
+		newNodeAsks bool // the new node asks the old one, and not the other way round
 	}{
 		"it follows another": {true},
 		"another follows it": {false},
@@ -63,16 +63,17 @@
 			}
 			assert.Equal(t, nodes["new"].fleet.configVersion(), int64(7))
 			assert.Equal(t, nodes["old"].fleet.configVersion(), int64(7))
-			assert.Assert(t, nodes["new"].fleet.newerConfig(6) != nil, "it tells others")
+			assert.Assert(t, nodes["new"].fleet.newerConfig(6) != nil, "it passes the newer configuration on")
 
-			again := configRecord(7, 1, 8)
-			nodes["old"].mirror.Apply(mirror.Update{At: again.Revision, Records: []shedkeel.Record{again}})
-			assert.Assert(t, nodes["old"].fleet.newerConfig(6) == nil, "the service has it")
+			rewritten := configRecord(7, 1, 8)
+			nodes["old"].mirror.Apply(mirror.Update{At: rewritten.Revision, Records: []shedkeel.Record{rewritten}})
+			assert.Assert(t, nodes["old"].fleet.newerConfig(6) == nil, "the service has the newer configuration")
 		})
 	}
 }
 
-// TestReceivedConfigurations checks what becomes of configurations that other nodes tell.
+// TestReceivedConfigurations checks that a configuration from another node becomes active
+// only if it is valid and newer.
 func TestReceivedConfigurations(t *testing.T) {
 	pack := func(text string) []byte {
 		packed, err := transfer.Deflate([]byte(text))
--- a/node/copies_test.go
+++ b/node/copies_test.go
@@ -13,8 +13,8 @@
 	"shedkeel.org/shedkeel/mirror"
 )
 
-// fleetRecords are the records of a fleet: servers in groups, nodes, and a
-// configuration of so many routes.
+// fleetRecords returns the records of a fleet: servers in groups, nodes, and a
+// configuration with so many routes.
 func fleetRecords(servers, nodes, routes int) []shedkeel.Record {
 	random := rand.New(rand.NewPCG(1, 2))
 	var records []shedkeel.Record
@@ -39,9 +39,9 @@
 	return records
 }
 
-// TestWholeCopyIsSmall has a node that knows nothing get the whole copy of
-// another over a real connection, small enough for three boxes to tell a hundred
-// others each in half a second, over links of 200 Mbit/s.
+// TestWholeCopyIsSmall transfers a complete copy to a node without one over a real
+// connection. The copy must be small enough for three boxes to send it to a hundred other
+// nodes each within 0.5 s over links of 200 Mbit/s.
 func TestWholeCopyIsSmall(t *testing.T) {
 	listener := listenHere(t)
 	source, timers := newTestNode(t)
@@ -54,13 +54,13 @@
 	defer peer.close()
 	known, err := peer.Knows(t.Context(), 0)
 	assert.NilError(t, err)
-	assert.Assert(t, !known, "nothing is known yet")
+	assert.Assert(t, !known, "the source has no copy yet")
 	time.AfterFunc(20*time.Millisecond, func() {
 		source.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 5000}, AsOf: timers.Now() - time.Second, Records: records})
 	})
 	known, err = peer.Knows(t.Context(), 5*time.Second)
 	assert.NilError(t, err)
-	assert.Assert(t, known, "it tells as soon as it knows")
+	assert.Assert(t, known, "the wait ends when the source has a copy")
 	update, err := peer.Relay(t.Context(), shedkeel.Revision{}, 0)
 	assert.NilError(t, err)
 	assert.Equal(t, len(update.Records), len(records))
--- a/node/directory_test.go
+++ b/node/directory_test.go
@@ -16,31 +16,29 @@
 	"shedkeel.org/shedkeel/node"
 )
 
-// deadPrefix begins the names of the nodes that lose power.
+// deadPrefix is the prefix of the IDs of the nodes that lose power.
 const deadPrefix = "off-"
 
-// exclusionDelay is how long after a node went the directory may still name it.
+// exclusionDelay is how long after a node's loss the directory may still name it.
 const exclusionDelay = 5 * time.Second
 
-// TestDirectoryLeavesOutDeadNodes has nodes lose power while what tells of it is
-// out of order. The directory named whatever its copy of the store listed: it
-// asked neither how old the copy was nor whether anybody heard the node. With 66
-// nodes one alone watched the others; it stood still from 5 to 9 s, began anew,
-// and removed the record of a node that went off at 4.0 s only at 11.71 s ("node
-// gives no answer; its record is removed"), so that 117 answers named it from
-// 10.0 s on. With 21 nodes an outage of the store held the leases of dead nodes,
-// and what went with its return was "believed though its record went" by some,
-// until 15.9 s.
+// TestDirectoryLeavesOutDeadNodes has nodes lose power while the record or the store that
+// would show it is faulty, and checks that the directory leaves them out. Without a look at
+// the failure detector and the age of the copy, it named every listed node. With 66 nodes
+// only one watched the others. It was paused from 5 to 9 s and restarted its checks, so it
+// removed the record of a node lost at 4.0 s only at 11.71 s, and 117 answers named that node
+// from 10.0 s on. With 21 nodes an outage of the store extended the leases of dead nodes, and
+// some nodes retained the records deleted at its end until 15.9 s.
 func TestDirectoryLeavesOutDeadNodes(t *testing.T) {
 	cases := map[string]struct {
 		deadNodes int
-		fault     func(world *world, keys []string) // at the moment at which they go
+		fault     func(world *world, keys []string) // called when the nodes are lost
 	}{
-		"their records stand, and the store is away": {2, func(world *world, _ []string) {
+		"their records stay, and the store is unavailable": {2, func(world *world, _ []string) {
 			world.data.SetFaults(standin.Faults{Outage: true})
 		}},
-		"most are dead, so that a watcher takes itself for cut off": {8, func(*world, []string) {}},
-		"their records go while the store seems away": {2, func(world *world, keys []string) {
+		"most nodes are dead, so that a live one may consider itself isolated": {8, func(*world, []string) {}},
+		"their records are deleted while the store seems unavailable": {2, func(world *world, keys []string) {
 			world.data.SetFaults(standin.Faults{Outage: true})
 			go func() {
 				time.Sleep(4 * time.Second)
@@ -73,8 +71,8 @@
 	}
 }
 
-// listDeadNodes lists nodes that lose power as soon as all know them, and
-// returns the keys of their records and their callers' addresses.
+// listDeadNodes adds the records of nodes that do not run. It returns the keys of the
+// records and the callers' addresses once all nodes know them.
 func (world *world) listDeadNodes(count int) (keys, callers []string) {
 	var change shedkeel.Change
 	for index := range count {
@@ -90,13 +88,13 @@
 	_, err := world.data.Commit(change)
 	assert.NilError(world.t, err)
 	for index := range world.nodes {
-		world.eventually("they are known", func() bool { return slices.Contains(world.status(index).Nodes, shedkeel.NodeID(deadPrefix+"0")) })
+		world.eventually("the dead nodes are listed", func() bool { return slices.Contains(world.status(index).Nodes, shedkeel.NodeID(deadPrefix+"0")) })
 	}
 	return keys, callers
 }
 
-// checkExcluded checks that operators are told why callers are not sent to those of
-// the dead nodes that are listed still, and of no others.
+// checkExcluded checks that a node's status has a reason for each dead node that is still
+// listed, and for no other node.
 func (world *world) checkExcluded() {
 	status := world.status(0)
 	var listed, unnamed []shedkeel.NodeID
@@ -112,7 +110,7 @@
 	assert.DeepEqual(world.t, unnamed, listed)
 }
 
-// status returns what operators are told by a node.
+// status returns the status that a node reports to operators.
 func (world *world) status(index int) node.Dump {
 	response, err := world.client.Get("http://" + world.nodes[index].admin + "/v1/status")
 	assert.NilError(world.t, err)
@@ -122,7 +120,7 @@
 	return status
 }
 
-// closedAddress returns an address at which nothing listens.
+// closedAddress returns an address on which nothing listens.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
--- a/node/fleetsize_test.go
+++ b/node/fleetsize_test.go
@@ -12,7 +12,7 @@
 	"shedkeel.org/shedkeel/mirror"
 )
 
-// staleStore answers stale reads.
+// staleStore answers stale reads with a fixed record.
 type staleStore struct {
 	leaseStore
 	record shedkeel.Record
@@ -22,7 +22,7 @@
 	return store.record, nil
 }
 
-// withControlAddresses gives the nodes of a fleet addresses.
+// withControlAddresses sets a control address for each node.
 func withControlAddresses(nodes []nodeRecord) []nodeRecord {
 	for index := range nodes {
 		nodes[index].Control = string(nodes[index].ID) + ":1"
@@ -30,7 +30,7 @@
 	return nodes
 }
 
-// TestAdvice covers how a node begins that knows nothing.
+// TestAdvice covers how a node without a copy gets its first one.
 func TestAdvice(t *testing.T) {
 	large, err := json.Marshal(newSizeRecord(withControlAddresses(fleetOf(300, 3))))
 	assert.NilError(t, err)
@@ -44,13 +44,13 @@
 		peers int
 		hint  int64
 	}{
-		"a fleet's first start":          {"z3-050:1", []string{"z0-000:1"}, nil, false, 0, 0},
-		"the same, a seed":               {"z0-000:1", []string{"z0-000:1"}, nil, true, 0, 0},
-		"the same, there are no seeds":   {"z3-050:1", nil, nil, true, 0, 0},
-		"a small fleet":                  {"z3-050:1", []string{"z0-000:1"}, small, true, 0, 9},
-		"a large one":                    {"z3-050:1", []string{"z0-000:1"}, large, false, maxStartupRelays, 300},
-		"a large one, a relay":           {"z3-000:1", []string{"z0-000:1"}, large, true, 0, 300},
-		"what stands there is no record": {"z3-050:1", []string{"z0-000:1"}, []byte("{"), true, 0, 0},
+		"a fleet's first start":       {"z3-050:1", []string{"z0-000:1"}, nil, false, 0, 0},
+		"a first start, of a seed":    {"z0-000:1", []string{"z0-000:1"}, nil, true, 0, 0},
+		"a first start without seeds": {"z3-050:1", nil, nil, true, 0, 0},
+		"a small fleet":               {"z3-050:1", []string{"z0-000:1"}, small, true, 0, 9},
+		"a large fleet":               {"z3-050:1", []string{"z0-000:1"}, large, false, maxStartupRelays, 300},
+		"a large fleet, a relay":      {"z3-000:1", []string{"z0-000:1"}, large, true, 0, 300},
+		"the size record is invalid":  {"z3-050:1", []string{"z0-000:1"}, []byte("{"), true, 0, 0},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -67,43 +67,43 @@
 			assert.Equal(t, advice.List, test.list)
 			assert.Equal(t, len(advice.Peers), test.peers)
 			assert.Equal(t, node.member.hint.Load(), test.hint)
-			for place, peer := range advice.Peers {
-				assert.Assert(t, place > 2 || peer.Name()[:2] == "z3", "%s is asked first", peer.Name())
+			for index, peer := range advice.Peers {
+				assert.Assert(t, index > 2 || peer.Name()[:2] == "z3", "%s is asked first", peer.Name())
 			}
 		})
 	}
 }
 
-// TestSizeIsKept covers when the node that plans writes the size of the fleet.
+// TestSizeIsKept covers when the leader writes the fleet's size.
 func TestSizeIsKept(t *testing.T) {
 	node, timers := newTestNode(t)
-	var stands []sizeRecord
+	var written []sizeRecord
 	revision := shedkeel.Revision{Number: 10}
 	node.Store = &leaseStore{commit: func(change shedkeel.Change) (int64, error) {
 		revision.Number++
 		var size sizeRecord
 		assert.NilError(t, json.Unmarshal(change.Put[0].Value, &size))
-		stands = append(stands, size)
+		written = append(written, size)
 		node.mirror.Apply(mirror.Update{Whole: true, At: revision, Records: []shedkeel.Record{{Key: sizeKey, Value: change.Put[0].Value, Revision: revision}}})
 		return revision.Number, nil
 	}}
-	look := func(nodes []nodeRecord) {
+	check := func(nodes []nodeRecord) {
 		node.peers.update(nodes)
 		timers.Advance(sizeCheckInterval)
 		node.controller.keepSize(t.Context(), timers.Now())
 	}
-	look(fleetOf(200, 3))
-	assert.Equal(t, len(stands), 0, "others may not be listed yet")
-	look(withControlAddresses(fleetOf(300, 3)))
-	look(withControlAddresses(fleetOf(295, 3)))
-	assert.Equal(t, len(stands), 1, "it is about as large")
-	assert.Equal(t, len(stands[0].Relays), 15)
-	look(withControlAddresses(fleetOf(295, 2)))
-	assert.Equal(t, len(stands), 2, "there are other relays")
-	look(withControlAddresses(fleetOf(9, 2)))
-	assert.Equal(t, len(stands), 3)
-	assert.Equal(t, len(stands[2].Relays), 0)
+	check(fleetOf(200, 3))
+	assert.Equal(t, len(written), 0, "no write at the first check: other nodes may not be listed yet")
+	check(withControlAddresses(fleetOf(300, 3)))
+	check(withControlAddresses(fleetOf(295, 3)))
+	assert.Equal(t, len(written), 1, "the size changed too little")
+	assert.Equal(t, len(written[0].Relays), 15)
+	check(withControlAddresses(fleetOf(295, 2)))
+	assert.Equal(t, len(written), 2, "the relays changed")
+	check(withControlAddresses(fleetOf(9, 2)))
+	assert.Equal(t, len(written), 3)
+	assert.Equal(t, len(written[2].Relays), 0)
 	timers.Advance(sizeCheckInterval - time.Millisecond)
 	node.controller.keepSize(t.Context(), timers.Now())
-	assert.Equal(t, len(stands), 3)
+	assert.Equal(t, len(written), 3)
 }
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -10,14 +10,14 @@
 	"shedkeel.org/shedkeel"
 )
 
-// fleetOf returns a fleet in five availability zones, by order, of which each
-// zone has so many large boxes.
+// fleetOf returns a fleet in five availability zones, in the order of compareNodes, with
+// so many large boxes in each zone.
 func fleetOf(count, large int) []nodeRecord {
 	var nodes []nodeRecord
 	for index := range count {
-		zone, place := index%5, index/5
-		node := nodeRecord{ID: shedkeel.NodeID(fmt.Sprintf("z%d-%03d", zone, place)), Zone: shedkeel.ZoneID(fmt.Sprint("z", zone)), Capacity: 0.2}
-		if place < large {
+		zone, number := index%5, index/5
+		node := nodeRecord{ID: shedkeel.NodeID(fmt.Sprintf("z%d-%03d", zone, number)), Zone: shedkeel.ZoneID(fmt.Sprint("z", zone)), Capacity: 0.2}
+		if number < large {
 			node.Capacity = 0.8
 		}
 		nodes = append(nodes, node)
@@ -26,41 +26,41 @@
 	return nodes
 }
 
-// followersOf returns how many nodes follow each place, -1 the service, when the
-// nodes at the places in down are not followed.
+// followersOf returns the number of followers by index, with -1 for the service itself. The
+// nodes at the indexes in down are lost.
 func followersOf(nodes []nodeRecord, down ...int) map[int]int {
 	followers := map[int]int{}
 	for own := range nodes {
 		if slices.Contains(down, own) {
 			continue
 		}
-		for _, place := range followOrder(nodes, own) {
-			if slices.Contains(down, place) {
+		for _, index := range followOrder(nodes, own) {
+			if slices.Contains(down, index) {
 				continue
 			}
-			if place == own {
-				place = -1
+			if index == own {
+				index = -1
 			}
-			followers[place]++
+			followers[index]++
 			break
 		}
 	}
 	return followers
 }
 
-// TestFollowers has each node of a fleet choose whom to follow: one follows the
-// service, and no node is followed by more than its link and core bear, also
-// when one in the middle is lost.
+// TestFollowers has each node of a fleet choose whom to follow. Exactly one node follows the
+// service, and no node has more followers than its link and processor can serve, also after
+// the loss of a source or relay.
 func TestFollowers(t *testing.T) {
 	cases := map[string]struct {
 		nodes     []nodeRecord
 		down      []int
-		maxSource int // most that follow the source
-		maxOther  int // most that follow any other
+		maxSource int // most followers of the source
+		maxOther  int // most followers of any other node
 	}{
 		"a small fleet":                    {fleetOf(9, 3), nil, 8, 0},
 		"the largest without relays":       {fleetOf(maxDirectFollowers, 3), nil, maxDirectFollowers - 1, 0},
-		"300 boxes, 15 large":              {fleetOf(300, 3), nil, 20, 60}, // in one zone two of three large ones have other work
+		"300 boxes, 15 large":              {fleetOf(300, 3), nil, 20, 60}, // in one zone two of three large boxes have other duties
 		"300 boxes, 15 large, one is lost": {fleetOf(300, 3), []int{4}, 20, 60},
 		"300 boxes, the source is lost":    {fleetOf(300, 3), []int{1}, 20, 60},
 		"300 boxes of one size":            {fleetOf(300, 0), nil, 20, 2 * followersPerRelay},
@@ -75,8 +75,8 @@
 				source = 0
 			}
 			most := 0
-			for place, count := range followers {
-				if place != source && place >= 0 {
+			for index, count := range followers {
+				if index != source && index >= 0 {
 					most = max(most, count)
 				}
 			}
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestRelaysAreNear checks that a node follows a relay of its own availability
-// zone while there is one.
+// TestRelaysAreNear checks that a node follows a relay of its own availability zone while
+// there is one.
 func TestRelaysAreNear(t *testing.T) {
 	nodes := fleetOf(300, 3)
 	for own := range nodes {
@@ -100,22 +100,22 @@
 	}
 }
 
-// TestUnlistedFollowsSeed has a node that is not listed yet, or only itself, know too
-// few others: it must not follow the service itself, as 295 did that started together.
+// TestUnlistedFollowsSeed covers nodes that are not listed or know few others. They must
+// follow a seed: 295 nodes that started together all followed the service itself.
 func TestUnlistedFollowsSeed(t *testing.T) {
 	cases := map[string]struct {
 		seeds        []string
 		listed       []nodeRecord
-		hint         int64 // how many nodes there are, as a seed has told
+		hint         int64 // number of nodes, as a seed reported
 		wantFollowed string
 	}{
-		"it knows nobody":              {[]string{"seed:1"}, nil, 0, "seed:1"},
-		"it would be the second":       {[]string{"seed:1"}, []nodeRecord{{ID: "a", Capacity: 0.8}}, 0, "seed:1"},
-		"it is listed":                 {[]string{"seed:1"}, []nodeRecord{{ID: "a", Capacity: 0.8}, {ID: "d", Capacity: 0.2}}, 2, ""},
-		"it is listed, few others are": {[]string{"seed:1"}, []nodeRecord{{ID: "a", Capacity: 0.8}, {ID: "d", Capacity: 0.2}}, 140, "seed:1"},
-		"it is a seed":                 {[]string{"seed:1", "own:1"}, nil, 0, ""},
-		"there are no seeds":           {nil, nil, 0, ""},
-		"another is to be followed":    {[]string{"seed:1"}, fourNodes[:3], 0, "b"},
+		"it knows no other node":              {[]string{"seed:1"}, nil, 0, "seed:1"},
+		"its index would be that of a source": {[]string{"seed:1"}, []nodeRecord{{ID: "a", Capacity: 0.8}}, 0, "seed:1"},
+		"it is listed":                        {[]string{"seed:1"}, []nodeRecord{{ID: "a", Capacity: 0.8}, {ID: "d", Capacity: 0.2}}, 2, ""},
+		"it is listed, few others are":        {[]string{"seed:1"}, []nodeRecord{{ID: "a", Capacity: 0.8}, {ID: "d", Capacity: 0.2}}, 140, "seed:1"},
+		"it is a seed":                        {[]string{"seed:1", "own:1"}, nil, 0, ""},
+		"there are no seeds":                  {nil, nil, 0, ""},
+		"it knows a source to follow":         {[]string{"seed:1"}, fourNodes[:3], 0, "b"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -136,57 +136,58 @@
 	}
 }
 
-// TestDutiesPassOn checks that what one node does for all passes to the next that
-// answers as soon as it is suspected: whom others follow, and who spreads requests.
+// TestDutiesPassOn checks that the duties of one node for the whole fleet pass to the next
+// alive node as soon as it is suspected: the source that others follow, and the placement of
+// requests.
 func TestDutiesPassOn(t *testing.T) {
 	cases := map[string]struct {
-		suspected    []int // places
+		suspected    []int // indexes
 		wantFollowed int
 		wantSpreader int
 	}{
-		"all answer":            {nil, 1, 2},
-		"the source does not":   {[]int{1}, 2, 3},
-		"the first two do not":  {[]int{0, 1}, 3, 4},
-		"the first four do not": {[]int{0, 1, 2, 3}, 5, 6},
+		"all are alive":                {nil, 1, 2},
+		"the source is suspected":      {[]int{1}, 2, 3},
+		"the first two are suspected":  {[]int{0, 1}, 3, 4},
+		"the first four are suspected": {[]int{0, 1, 2, 3}, 5, 6},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			nodes := fleetOf(20, 0)
 			node, timers := newListedNode(t, nodes[12].ID, nodes)
-			found := &judged{liveness: map[shedkeel.NodeID]shedkeel.Liveness{}}
-			for _, place := range test.suspected {
-				found.liveness[nodes[place].ID] = shedkeel.Suspected
+			detector := &judged{liveness: map[shedkeel.NodeID]shedkeel.Liveness{}}
+			for _, index := range test.suspected {
+				detector.liveness[nodes[index].ID] = shedkeel.Suspected
 			}
-			node.gossip.detector = found
+			node.gossip.detector = detector
 			node.peers.refreshAlive()
 			assert.Equal(t, node.peers.choose().Name(), string(nodes[test.wantFollowed].ID))
 			asked, own := node.peers.spreader(0, timers.Now())
 			assert.Assert(t, !own)
 			assert.Equal(t, asked.Name(), string(nodes[test.wantSpreader].ID))
 			for _, other := range node.peers.others() {
-				assert.Equal(t, found.liveness[shedkeel.NodeID(other.Name())], shedkeel.Alive, "a stale copy is asked of %s", other.Name())
+				assert.Equal(t, detector.liveness[shedkeel.NodeID(other.Name())], shedkeel.Alive, "suspected node %s is among the nodes to ask", other.Name())
 			}
 		})
 	}
 }
 
-// TestRelayPassesOn suspects one relay after the other in a fleet that has some: a
-// node follows another relay each time, and the source when none is left.
+// TestRelayPassesOn suspects one relay after the other. A node follows another relay each
+// time, and the source when no relay is left.
 func TestRelayPassesOn(t *testing.T) {
 	nodes := fleetOf(300, 9)
 	relays := relayIndexes(nodes)
 	assert.Assert(t, len(relays) > 3)
 	own := nodes[250]
 	node, _ := newListedNode(t, own.ID, nodes)
-	found := &judged{liveness: map[shedkeel.NodeID]shedkeel.Liveness{}}
-	node.gossip.detector = found
+	detector := &judged{liveness: map[shedkeel.NodeID]shedkeel.Liveness{}}
+	node.gossip.detector = detector
 	followed := map[string]bool{}
 	for range len(relays) {
 		node.peers.refreshAlive()
 		name := node.peers.choose().Name()
 		assert.Assert(t, !followed[name], "%s is suspected", name)
 		followed[name] = true
-		found.liveness[shedkeel.NodeID(name)] = shedkeel.Suspected
+		detector.liveness[shedkeel.NodeID(name)] = shedkeel.Suspected
 	}
 	node.peers.refreshAlive()
 	assert.Assert(t, !followed[node.peers.choose().Name()])
--- a/node/heartbeat_test.go
+++ b/node/heartbeat_test.go
@@ -12,7 +12,7 @@
 	"shedkeel.org/shedkeel/serve"
 )
 
-// heartbeatDecoder decodes records that are instances as JSON.
+// heartbeatDecoder decodes instances that are written as JSON.
 type heartbeatDecoder struct{ keyDecoder }
 
 func (heartbeatDecoder) Instance(key string, value []byte) (shedkeel.Instance, error) {
@@ -22,7 +22,7 @@
 	return instance, err
 }
 
-// heartbeats returns the heartbeats of so many servers with a sequence.
+// heartbeats returns the records of so many servers with this sequence.
 func heartbeats(t testing.TB, servers int, sequence int64) []shedkeel.Record {
 	t.Helper()
 	var records []shedkeel.Record
@@ -45,8 +45,8 @@
 	return node
 }
 
-// TestHeartbeatsChangeNoTable has servers write heartbeats: each made all that
-// requests may be sent to anew, at every node of the fleet.
+// TestHeartbeatsChangeNoTable checks that a heartbeat does not rebuild the table of servers.
+// Each heartbeat used to rebuild it at every node of the fleet.
 func TestHeartbeatsChangeNoTable(t *testing.T) {
 	const servers = 100
 	node := newHeartbeatNode(t, servers)
@@ -55,19 +55,18 @@
 	for _, beat := range heartbeats(t, servers, 2) {
 		assert.Assert(t, !fleet.applyInstance(beat, now), beat.Key)
 	}
-	assert.Equal(t, fleet.instances["servers/7"].Sequence, int64(2), "the heartbeat is known")
+	assert.Equal(t, fleet.instances["servers/7"].Sequence, int64(2), "the heartbeat is applied")
 
-	drains := heartbeats(t, 1, 3)[0]
-	drains.Value = []byte(strings.Replace(string(drains.Value), `"Draining":false`, `"Draining":true`, 1))
-	assert.Assert(t, fleet.applyInstance(drains, now))
+	draining := heartbeats(t, 1, 3)[0]
+	draining.Value = []byte(strings.Replace(string(draining.Value), `"Draining":false`, `"Draining":true`, 1))
+	assert.Assert(t, fleet.applyInstance(draining, now))
 	fleet.markUnreadable("servers/1", now)
 	assert.Assert(t, fleet.applyInstance(heartbeats(t, 2, 4)[1], now), "its record can be read again")
 	fleet.removeInstance("servers/2", 0, now)
-	assert.Assert(t, fleet.applyInstance(heartbeats(t, 3, 5)[2], now), "it is back")
+	assert.Assert(t, fleet.applyInstance(heartbeats(t, 3, 5)[2], now), "the server is listed again")
 }
 
-// BenchmarkHeartbeats takes in what a quarter of a second brings of a large fleet's
-// servers.
+// BenchmarkHeartbeats applies the heartbeats that a large fleet's servers write in 0.25 s.
 func BenchmarkHeartbeats(b *testing.B) {
 	const servers, each = 2793, 580
 	node := newHeartbeatNode(b, servers)
--- a/node/lapse_test.go
+++ b/node/lapse_test.go
@@ -11,17 +11,17 @@
 	"shedkeel.org/shedkeel/mirror"
 )
 
-// TestGoneServers has a server's record go after the copy has had some age:
-// only if the service was away may it be believed for longer. On a calm day
-// two nodes whose copies were 1.7 s old kept a server that had left for 2 s.
+// TestGoneServers deletes a server's record after the copy has reached some age. The server
+// may stay in use only if the service was unavailable. In a healthy fleet two nodes whose
+// copies were 1.7 s old kept a server that had left for 2 s.
 func TestGoneServers(t *testing.T) {
 	cases := map[string]struct {
-		age      time.Duration // that the copy reached
+		age      time.Duration // that the copy reaches
 		retained bool
 	}{
-		"a fresh copy":               {300 * time.Millisecond, false},
-		"an old one in a calm fleet": {2 * time.Second, false},
-		"the service was away":       {4 * time.Second, true},
+		"a fresh copy":                   {300 * time.Millisecond, false},
+		"an old copy in a healthy fleet": {2 * time.Second, false},
+		"the service was unavailable":    {4 * time.Second, true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -35,21 +35,21 @@
 			timers.Advance(lapseHold)
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now()})
 			node.fleet.tick(timers.Now())
-			assert.Equal(t, len(node.fleet.instances), 0, "it never came back")
+			assert.Equal(t, len(node.fleet.instances), 0, "its record was not written again")
 		})
 	}
 }
 
-// TestGoneNodes has the records of nodes go while the service seems away. Leases
-// may have run out, so nodes that answer are kept until they have written theirs
-// again; one that does not answer was kept as well, and named for 2.3 s more.
+// TestGoneNodes deletes the records of nodes while the service seems unavailable. Leases may
+// have expired, so live nodes are retained until they have written their records again. A
+// node that does not answer must not be: it was named for 2.3 s more.
 func TestGoneNodes(t *testing.T) {
 	cases := map[string]struct {
-		before   shedkeel.Liveness // when its record goes
+		before   shedkeel.Liveness // when its record is deleted
 		after    shedkeel.Liveness // a tick later
 		retained bool              // after that tick
 	}{
-		"it answers":                        {shedkeel.Alive, shedkeel.Alive, true},
+		"it is alive":                       {shedkeel.Alive, shedkeel.Alive, true},
 		"it is suspected":                   {shedkeel.Suspected, shedkeel.Suspected, true},
 		"it is dead":                        {shedkeel.Dead, shedkeel.Dead, false},
 		"it has left":                       {shedkeel.Left, shedkeel.Left, false},
@@ -58,8 +58,8 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			node, timers := newTestNode(t)
-			found := &judged{liveness: map[shedkeel.NodeID]shedkeel.Liveness{"b": test.before}}
-			node.gossip.detector = found
+			detector := &judged{liveness: map[shedkeel.NodeID]shedkeel.Liveness{"b": test.before}}
+			node.gossip.detector = detector
 			value, err := json.Marshal(nodeRecord{ID: "b", Zone: "z", Callers: "127.0.0.1:1", Control: "127.0.0.1:2", Gossip: "127.0.0.1:2"})
 			assert.NilError(t, err)
 			key := nodePrefix + "b"
@@ -67,14 +67,14 @@
 			timers.Advance(4 * time.Second)
 			node.fleet.tick(timers.Now())
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: key, Revision: shedkeel.Revision{Number: 2}, Gone: true}}})
-			found.liveness["b"] = test.after
+			detector.liveness["b"] = test.after
 			timers.Advance(fleetTick)
 			node.fleet.tick(timers.Now())
 			assert.Equal(t, len(node.peers.listed()) == 1, test.retained)
 			timers.Advance(lapseHold)
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now()})
 			node.fleet.tick(timers.Now())
-			assert.Equal(t, len(node.peers.listed()), 0, "it never came back")
+			assert.Equal(t, len(node.peers.listed()), 0, "its record was not written again")
 		})
 	}
 }
--- a/node/member_test.go
+++ b/node/member_test.go
@@ -11,14 +11,14 @@
 	"shedkeel.org/shedkeel/mirror"
 )
 
-// TestListedByFleetSize has a node find out how large its fleet is: in a small
-// one its record goes over to a lease that ends sooner.
+// TestListedByFleetSize checks that the lease of a node's record follows the size of the
+// fleet, once the node knows it: short in a small fleet, none in a large one.
 func TestListedByFleetSize(t *testing.T) {
 	cases := map[string]struct {
 		nodes      int
 		ttl        time.Duration
-		wantLease  int64 // that the record goes with in the end; 0: none
-		wantGrants int64 // leases that were asked for
+		wantLease  int64 // lease of the record in the end; 0: none
+		wantGrants int64 // leases acquired
 	}{
 		"none is known yet": {0, largeFleetTTL, 1, 1},
 		"a small fleet":     {9, smallFleetTTL, 2, 2},
@@ -45,22 +45,22 @@
 			}
 			assert.Equal(t, node.member.lease.ttl, test.ttl)
 			assert.Equal(t, lease.Number, test.wantLease)
-			assert.Equal(t, store.granted.Number, test.wantGrants, "a lease was asked for in vain")
+			assert.Equal(t, store.granted.Number, test.wantGrants, "more or fewer leases were acquired than needed")
 		})
 	}
 }
 
-// TestRenewalsInAnOutage has renewals fail: while the service answers nobody a
-// node tries seldom, and soon after it has answered anybody.
+// TestRenewalsInAnOutage has renewals fail. A node retries rarely while the service answers
+// no node, and soon after it has answered any.
 func TestRenewalsInAnOutage(t *testing.T) {
 	cases := map[string]struct {
-		answeredAfter  time.Duration // after the failure, when another node had an answer; 0: never
-		wantRetryAfter time.Duration // when the node tries again
+		answeredAfter  time.Duration // time from the failure until another node got an answer; 0: never
+		wantRetryAfter time.Duration // time from the failure until the retry
 	}{
-		"the service is away":              {0, maxListedRetry},
-		"it is away for this node only":    {10 * time.Millisecond, listedRetry},
-		"it is back after a second":        {time.Second, time.Second},
-		"it is back before the next trial": {200 * time.Millisecond, listedRetry},
+		"the service is unavailable":           {0, maxListedRetry},
+		"it is unavailable for this node only": {10 * time.Millisecond, listedRetry},
+		"it is back after a second":            {time.Second, time.Second},
+		"it is back before the next retry":     {200 * time.Millisecond, listedRetry},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -30,7 +30,8 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// world is a store, backend servers and nodes, each at an address of its own.
+// world is a store, backend servers and nodes in one process, each at an address of its
+// own.
 type world struct {
 	t      *testing.T
 	data   *standin.Store
@@ -40,6 +41,7 @@
 	client *http.Client
 }
 
+// runningNode is a node that serves, with the addresses of its endpoints.
 type runningNode struct {
 	*node.Node
 	callers   string
@@ -51,6 +53,8 @@
 	ended     sync.WaitGroup
 }
 
+// testConfig is the configuration of the tests: its version and the API keys are filled
+// in.
 const testConfig = `{"version":%d,
  "routes":[
   {"name":"r1","host":"h.example","path_prefix":"/copy/","kind":"streaming","timeout_ms":8000,"target_latency_ms":500,"gap_aim_ms":300,"max_attempts":2,"resume_streams":true,"service":"llm"},
@@ -61,6 +65,7 @@
  "limits":{"max_header_bytes":16384,"max_body_bytes":65536,"header_timeout_ms":3000,"idle_timeout_ms":15000},
  "tenants":[{"name":"shop","api_keys":[%s]}]}`
 
+// newWorld starts a store, 8 engine servers, 2 plain servers and so many nodes.
 func newWorld(t *testing.T, nodes int) *world {
 	t.Helper()
 	world := &world{t: t, data: standin.NewStore(), client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
@@ -83,16 +88,17 @@
 	return world
 }
 
+// configure writes a configuration with this version and these API keys.
 func (world *world) configure(version int, keys string) {
 	_, err := world.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: "op/config", Value: fmt.Appendf(nil, testConfig, version, keys)}}})
 	assert.NilError(world.t, err)
 }
 
-// restartDelay is how long a server that a deadly request ended is away.
+// restartDelay is how long a server that a request crashed stays down.
 const restartDelay = 300 * time.Millisecond
 
-// serve serves a server at an address of its own. When a deadly request ends it,
-// it starts again there after a while.
+// serve serves a server at an address of its own. A server that a request crashes
+// starts again at the same address after restartDelay.
 func (world *world) serve(server *platformstandin.Server) {
 	listener := listen(world.t)
 	server.Address = listener.Addr().String()
@@ -101,17 +107,18 @@
 	server.End = func() {
 		_ = running.Close()
 		time.AfterFunc(restartDelay, func() {
-			again, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", server.Address)
+			restarted, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", server.Address)
 			if err != nil {
 				world.t.Errorf("server %s does not start again: %v", server.ID, err)
 				return
 			}
-			running = world.runServer(server, again)
+			running = world.runServer(server, restarted)
 			world.fleet.Restart(server.ID)
 		})
 	}
 }
 
+// runServer serves a server at the listener until the test ends.
 func (world *world) runServer(server *platformstandin.Server, listener net.Listener) *http.Server {
 	running := &http.Server{Handler: server, ReadHeaderTimeout: time.Second}
 	go func() { _ = running.Serve(listener) }()
@@ -133,7 +140,7 @@
 	return conn
 }
 
-// start starts a node. It asks those at the seeds while it knows nothing.
+// start starts a node with these seeds.
 func (world *world) start(index int, seeds ...string) {
 	t := world.t
 	listeners := node.Listeners{Callers: listen(t), Directory: listen(t), Readiness: listen(t), Control: listen(t), Gossip: listenDatagrams(t), Metrics: listen(t)}
@@ -181,13 +188,13 @@
 	})
 }
 
-// send sends one request and returns its status and body; 0 if the answer did
-// not come whole.
+// send sends one request and returns the status and body of the answer. The status is 0
+// if the answer was incomplete.
 func (world *world) send(address, id, path, key string, tokens int) (int, string) {
 	return world.sendBody(address, id, path, key, "x", tokens)
 }
 
-// sendBody is send with that body.
+// sendBody is send with a given request body.
 func (world *world) sendBody(address, id, path, key, sent string, tokens int) (int, string) {
 	request, err := http.NewRequestWithContext(world.t.Context(), http.MethodPost, "http://"+address+path, strings.NewReader(sent))
 	assert.NilError(world.t, err)
@@ -207,6 +214,7 @@
 	return response.StatusCode, string(body)
 }
 
+// eventually waits until the condition holds, and fails the test after 15 s.
 func (world *world) eventually(what string, holds func() bool) {
 	world.t.Helper()
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -214,9 +222,10 @@
 			return
 		}
 	}
-	world.t.Fatal("it never came about: " + what)
+	world.t.Fatal("condition did not hold within 15 s: " + what)
 }
 
+// wholeStream returns the complete body of a stream with so many events.
 func wholeStream(events int) string {
 	var text strings.Builder
 	for number := 1; number <= events; number++ {
@@ -225,6 +234,7 @@
 	return text.String()
 }
 
+// addresses returns the directory's answer of a node.
 func (world *world) addresses(index int) []string {
 	response, err := world.client.Get("http://" + world.nodes[index].directory + "/shedkeel/resolve?name=h.example&zone=z")
 	if err != nil {
@@ -240,18 +250,18 @@
 	return answer.Addresses
 }
 
-// TestWholePath covers, over the platform's protocol: groups are formed, calls
-// are answered, a member is lost in mid-stream, a key is removed, the store is
-// away, and a node stops as planned.
+// TestWholePath covers, over the platform's protocol, the forming of groups, answers to
+// requests, the loss of members during streams, the removal of a key, an outage of the
+// store, and a node's graceful shutdown.
 func TestWholePath(t *testing.T) {
 	world := newWorld(t, 3)
-	world.eventually("groups that serve", func() bool { return len(world.fleet.Serving()["m0"]) >= 2 })
-	world.eventually("a stream", func() bool {
+	world.eventually("two groups serve", func() bool { return len(world.fleet.Serving()["m0"]) >= 2 })
+	world.eventually("a stream is complete", func() bool {
 		status, body := world.send(world.nodes[0].callers, shedkeel.NewNonce(), "/copy/a", "key-1", 50)
 		return status == 200 && body == wholeStream(10)
 	})
 	for _, node := range world.nodes {
-		world.eventually("a plain call", func() bool {
+		world.eventually("a plain request is answered", func() bool {
 			status, body := world.send(node.callers, shedkeel.NewNonce(), "/look/a%2Fb?x=1", "key-2", 0)
 			return status == 200 && body == "POST /look/a%2Fb?x=1 for shop"
 		})
@@ -269,8 +279,8 @@
 	world.stopNode()
 }
 
-// TestStartsWhileTheStoreIsAway has a node restart in an outage of the store: it
-// must serve by what the nodes at its seeds know, one of which is down.
+// TestStartsWhileTheStoreIsAway starts a node during an outage of the store, with two
+// seeds of which one is down. The node must serve from the other seed's copy.
 func TestStartsWhileTheStoreIsAway(t *testing.T) {
 	world := newWorld(t, 2)
 	serves := func(node *runningNode) bool {
@@ -283,12 +293,13 @@
 	assert.NilError(t, down.Close())
 	began := time.Now()
 	world.start(2, down.Addr().String(), world.nodes[1].control)
-	world.eventually("the third serves", func() bool { return serves(world.nodes[2]) })
+	world.eventually("the third node serves", func() bool { return serves(world.nodes[2]) })
 	assert.Assert(t, time.Since(began) < time.Second, "it took %s", time.Since(began))
 	assert.Assert(t, world.nodes[2].Ready())
 }
 
-// killMembers kills a member of each group but one while streams run.
+// killMembers kills a member of each group but one while streams run. Each stream must be
+// complete and run at most twice, and the groups must be complete again afterwards.
 func (world *world) killMembers() {
 	heads := world.fleet.Serving()["m0"]
 	victims := map[string]bool{}
@@ -306,14 +317,15 @@
 	for victim := range victims {
 		assert.NilError(world.t, world.fleet.Lapse(victim))
 	}
-	world.eventually("the groups are whole again", func() bool { return len(world.fleet.Serving()["m0"]) >= len(heads) })
+	world.eventually("as many groups serve again", func() bool { return len(world.fleet.Serving()["m0"]) >= len(heads) })
 }
 
-// interruptedStreams is how many streams run while something happens to their groups.
+// interruptedStreams is how many streams run during a fault.
 const interruptedStreams = 12
 
-// interruptStreams has something happen while streams run, all of which must come whole.
-func (world *world) interruptStreams(prefix string, happen func()) {
+// interruptStreams injects a fault while streams run, and checks that all of them are
+// complete.
+func (world *world) interruptStreams(prefix string, fault func()) {
 	var calls sync.WaitGroup
 	results := make([]string, interruptedStreams)
 	for index := range results {
@@ -323,15 +335,16 @@
 		})
 	}
 	time.Sleep(150 * time.Millisecond)
-	happen()
+	fault()
 	calls.Wait()
 	for index, result := range results {
 		assert.Equal(world.t, result, "200 "+wholeStream(40), "stream %d", index)
 	}
 }
 
-// restartMembers has a member of each group start again under its name while streams
-// run: it is in no group any more, and no stream may be taken for whole by it.
+// restartMembers restarts a member of each group but one under its former ID while
+// streams run. The restarted member is in no group, and no stream that breaks off there
+// may count as complete.
 func (world *world) restartMembers() {
 	heads := world.fleet.Serving()["m0"]
 	world.interruptStreams("again-", func() {
@@ -339,12 +352,12 @@
 			world.fleet.Restart(head.Members()[1])
 		}
 	})
-	world.eventually("the groups are whole again", func() bool { return len(world.fleet.Serving()["m0"]) >= len(heads) })
+	world.eventually("as many groups serve again", func() bool { return len(world.fleet.Serving()["m0"]) >= len(heads) })
 	assert.Equal(world.t, len(world.fleet.Broken()), 0, "%v", world.fleet.Broken())
 }
 
-// addInvalidRecords has another writer add records that name no server: the others
-// serve on.
+// addInvalidRecords has another writer add invalid server records. The other servers must
+// stay in use.
 func (world *world) addInvalidRecords() {
 	for index, value := range []string{"", "\x00\x01", "null", "[]", `{"service":"plain"}`, `{"service":"plain","address":"127.0.0.1:1","zone":"z","version":"v1","slots":8,"state":"resting","cold_remaining_ms":0,"seq":1}`} {
 		_, err := world.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: fmt.Sprint("servers/odd-", index), Value: []byte(value)}}})
@@ -356,7 +369,7 @@
 	}
 }
 
-// removeKey removes a key: no node may accept it any more.
+// removeKey removes an API key. No node may accept it afterwards.
 func (world *world) removeKey() {
 	world.configure(2, `"key-2"`)
 	for _, node := range world.nodes {
@@ -367,13 +380,14 @@
 	}
 }
 
-// interruptStore takes the store away: what is proved serves on for a while, then
-// keys are refused with 503, and its return brings all back.
+// interruptStore makes the store unavailable. Nodes serve while their proof of the
+// configuration is valid, and then refuse keys with 503. After the store's return they
+// accept keys again.
 func (world *world) interruptStore() {
 	world.data.SetFaults(standin.Faults{Outage: true})
 	status, _ := world.send(world.nodes[0].callers, "store-1", "/look/x", "key-2", 0)
-	assert.Equal(world.t, status, 200, "an outage is no reason to refuse at once")
-	world.eventually("keys are refused without proof", func() bool {
+	assert.Equal(world.t, status, 200, "requests are served at the start of an outage")
+	world.eventually("keys are refused once the proof has expired", func() bool {
 		status, _ := world.send(world.nodes[0].callers, shedkeel.NewNonce(), "/look/x", "key-2", 0)
 		return status == 503
 	})
@@ -386,11 +400,11 @@
 	}
 }
 
-// stopNode stops a node as planned: it leaves the directory at once, serves on
-// a while, and finishes what runs.
+// stopNode stops a node gracefully. It must leave the directory, serve callers that still
+// have its address, and complete its running stream.
 func (world *world) stopNode() {
 	stopping := world.nodes[2]
-	world.eventually("all nodes are told", func() bool { return len(world.addresses(0)) == 3 })
+	world.eventually("the directory names all nodes", func() bool { return len(world.addresses(0)) == 3 })
 	var calls sync.WaitGroup
 	calls.Go(func() {
 		status, body := world.send(stopping.callers, "stop-1", "/copy/a", "key-2", 200)
@@ -399,7 +413,7 @@
 	})
 	time.Sleep(50 * time.Millisecond)
 	stopping.stop()
-	world.eventually("it is not ready", func() bool {
+	world.eventually("the stopping node is not ready", func() bool {
 		response, err := world.client.Get("http://" + stopping.readiness + "/shedkeel/ready")
 		if err != nil {
 			return true
@@ -409,7 +423,7 @@
 	})
 	status, _ := world.send(stopping.callers, "stop-2", "/look/x", "key-2", 0)
 	assert.Equal(world.t, status, 200, "callers may still hold its address")
-	world.eventually("the others no longer name it", func() bool { return len(world.addresses(0)) == 2 })
+	world.eventually("the directory no longer names the stopping node", func() bool { return len(world.addresses(0)) == 2 })
 	calls.Wait()
 	stopping.ended.Wait()
 }
--- a/node/operator_test.go
+++ b/node/operator_test.go
@@ -13,14 +13,14 @@
 	"shedkeel.org/shedkeel/operator"
 )
 
-// TestOperatorsClient asks running nodes with the operators' client for the
-// fleet, for a group, for a request that failed, and for what they don't know.
+// TestOperatorsClient queries running nodes with the operators' client: the status, a group,
+// a failed request, and IDs that the nodes don't know.
 func TestOperatorsClient(t *testing.T) {
 	world := newWorld(t, 2)
-	world.eventually("groups that serve", func() bool { return len(world.fleet.Serving()["m0"]) >= 2 })
+	world.eventually("two groups serve", func() bool { return len(world.fleet.Serving()["m0"]) >= 2 })
 	client := &operator.Client{Keeper: world.nodes[0].admin}
 	var status bytes.Buffer
-	world.eventually("the node's view of open groups", func() bool {
+	world.eventually("the node shows open groups", func() bool {
 		answer, err := client.Status(t.Context())
 		assert.NilError(t, err)
 		assert.Assert(t, answer.Keeper == nil)
@@ -29,7 +29,7 @@
 		return strings.Contains(status.String(), "groups: ") && !strings.Contains(status.String(), "groups: 0 open")
 	})
 	assert.Assert(t, strings.Contains(status.String(), "2 nodes, planned by node-"), status.String())
-	assert.Assert(t, strings.Contains(status.String(), "plain-0"), "a server in no group")
+	assert.Assert(t, strings.Contains(status.String(), "plain-0"), "a server outside of groups")
 
 	leader := client
 	view, err := client.Status(t.Context())
@@ -48,14 +48,14 @@
 	assert.Equal(t, len(explanation.Node.Members), 2)
 
 	id := shedkeel.NewNonce()
-	world.eventually("a refusal by a node that knows its configuration", func() bool {
+	world.eventually("a node that has its configuration refuses an unknown key", func() bool {
 		code, _ := world.send(world.nodes[0].callers, id, "/copy/a", "unknown-key", 5)
 		return code == http.StatusUnauthorized
 	})
-	story, err := client.Request(t.Context(), id)
+	log, err := client.Request(t.Context(), id)
 	assert.NilError(t, err)
 	printed.Reset()
-	operator.PrintRequest(&printed, story)
+	operator.PrintRequest(&printed, log)
 	assert.Assert(t, strings.Contains(printed.String(), "the key belongs to no client account"), printed.String())
 
 	trace := &operator.Trace{Request: id}
--- a/node/peers_test.go
+++ b/node/peers_test.go
@@ -8,11 +8,11 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestChoose has a node of each place find out whose copy to follow.
+// TestChoose covers whose copy a node follows, by its position in the order of nodes.
 func TestChoose(t *testing.T) {
 	cases := map[string]struct {
 		own          shedkeel.NodeID
-		nodes        []nodeRecord // others and itself, as listed
+		nodes        []nodeRecord // listed nodes, including itself
 		failed       []shedkeel.NodeID
 		wantFollowed string // "": the key-value service
 	}{
@@ -41,7 +41,7 @@
 
 			timers.Advance(followBackoff)
 			if peer := node.peers.choose(); peer != nil && test.wantFollowed != "" {
-				assert.Equal(t, peer.Name(), "b", "a failure is held against a node for a while only")
+				assert.Equal(t, peer.Name(), "b", "a failed node is followed again after the backoff")
 			}
 		})
 	}
--- a/node/registrar_test.go
+++ b/node/registrar_test.go
@@ -14,7 +14,7 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// newRegisteredRecord returns a record that a node may have written.
+// newRegisteredRecord returns a valid node record.
 func newRegisteredRecord(t *testing.T, id shedkeel.NodeID) []byte {
 	t.Helper()
 	value, err := json.Marshal(nodeRecord{ID: id, Zone: "z", Callers: "10.0.0.1:1", Control: "10.0.0.1:2", Watched: true})
@@ -22,21 +22,21 @@
 	return value
 }
 
-// TestRegistrationsAreWrittenTogether has many nodes ask one at once to write their
-// records: each wrote its own, which was most of the calls of a fleet that starts.
+// TestRegistrationsAreWrittenTogether has many nodes ask one at once to write their records.
+// Separate writes were most of the calls to the service when a fleet started.
 func TestRegistrationsAreWrittenTogether(t *testing.T) {
 	cases := map[string]struct {
 		nodes      int
-		mismatched int // nodes that ask for a record of another one
+		mismatched int // nodes whose record is that of another node
 		fails      bool
 		writes     int
 	}{
-		"one":                    {1, 0, false, 1},
-		"as many as a write has": {32, 0, false, 1},
-		"more":                   {70, 0, false, 3},
-		"some ask for another's": {33, 3, false, 1},
-		"the service does not":   {40, 0, true, 2},
-		"all ask for another's":  {5, 5, false, 0},
+		"one":                         {1, 0, false, 1},
+		"as many as fit in one write": {32, 0, false, 1},
+		"more":                        {70, 0, false, 3},
+		"some send another's record":  {33, 3, false, 1},
+		"the service fails":           {40, 0, true, 2},
+		"all send another's record":   {5, 5, false, 0},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -72,22 +72,22 @@
 			}
 			asking.Wait()
 			assert.Equal(t, writes, test.writes)
-			for index, told := range written {
+			for index, confirmed := range written {
 				key := nodePrefix + fmt.Sprint("n-", index)
-				assert.Equal(t, told, !test.fails && index >= test.mismatched, key)
-				assert.Equal(t, listed[key] == 1, told, "a node is told that it is listed only if it is: %s", key)
+				assert.Equal(t, confirmed, !test.fails && index >= test.mismatched, key)
+				assert.Equal(t, listed[key] == 1, confirmed, "a write is confirmed exactly if the record was written: %s", key)
 			}
 		})
 	}
 }
 
-// TestNodeIsListedWithoutRegistrar has the node that is to write this one's record fail
-// in each way: the node writes it itself.
+// TestNodeIsListedWithoutRegistrar has the write by the followed node fail in each way. The
+// node must then write its record itself.
 func TestNodeIsListedWithoutRegistrar(t *testing.T) {
 	cases := map[string]struct {
-		handler       func(*Node) wire.Handler // of the node that is followed; nil: it is down
+		handler       func(*Node) wire.Handler // of the followed node; nil: it is down
 		stopping      bool
-		wantOwnWrites int // writes of the node itself
+		wantOwnWrites int // writes by the node itself
 	}{
 		"it writes":       {func(other *Node) wire.Handler { return &other.peers }, false, 0},
 		"this node stops": {func(other *Node) wire.Handler { return &other.peers }, true, 1},
@@ -125,11 +125,11 @@
 			node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 			node.member.startedAt.Store(int64(timers.Now()))
 			node.member.hint.Store(watchedFrom)
-			began := time.Now()
+			started := time.Now()
 			assert.Assert(t, node.member.step(t.Context()))
 			assert.Equal(t, own, test.wantOwnWrites)
 			assert.Assert(t, node.member.isRecordCurrent(), "it knows that it is listed")
-			assert.Assert(t, time.Since(began) < registerTimeout)
+			assert.Assert(t, time.Since(started) < registerTimeout)
 		})
 	}
 }
--- a/node/relay_test.go
+++ b/node/relay_test.go
@@ -11,9 +11,9 @@
 	"shedkeel.org/shedkeel/mirror"
 )
 
-// TestRelayByDifferences has a node follow another over a real connection: it
-// comes to have the same records, also where it was told another value
-// meanwhile, and what is sent for a server's heartbeat is small.
+// TestRelayByDifferences has a node follow another over a real connection. It must get the
+// same records, also if it has another former value of a record, and the update for a
+// server's heartbeat must be small.
 func TestRelayByDifferences(t *testing.T) {
 	listener := listenHere(t)
 	source, timers := newTestNode(t)
@@ -42,7 +42,7 @@
 	write(source, 9, false)
 	sent := source.peers.encodeRecord(source.mirror.Get("servers/a"), since, true)
 	assert.Assert(t, sent.GetBase() == 2 && len(sent.GetValue()) < 4, "%v", sent)
-	write(own, 5, false) // the service told it something that the source has not heard of
+	write(own, 5, false) // the service sent it a value that the source never had
 	follow()
-	assert.Equal(t, source.peers.encodeRecord(source.mirror.Get("servers/a"), since, false).GetBase(), int64(0), "who does not ask for differences gets the whole")
+	assert.Equal(t, source.peers.encodeRecord(source.mirror.Get("servers/a"), since, false).GetBase(), int64(0), "without differences the complete record is sent")
 }
--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -14,35 +14,35 @@
 	"shedkeel.org/shedkeel/serve"
 )
 
-// plainServerRecord is the record of a plain server as the platform's servers write it.
+// plainServerRecord returns the record of a plain server as the platform's servers write it.
 func plainServerRecord(revision shedkeel.Revision, state string, sequence int) shedkeel.Record {
 	value := fmt.Sprintf(`{"service":"p","address":"10.0.0.9:1","zone":"z","version":"v1","slots":8,"state":%q,"cold_remaining_ms":0,"seq":%d,"born":7}`, state, sequence)
 	return shedkeel.Record{Key: "servers/i-9", Value: []byte(value), Revision: revision}
 }
 
-// newServiceView returns a configuration with a service.
+// newServiceView returns the view of a configuration with one service.
 func newServiceView(service shedkeel.RoutedService) *serve.View {
 	return serve.NewView(&shedkeel.ServingConfig{Services: []shedkeel.RoutedService{service}})
 }
 
-// TestServersAfterARestore checks where requests go after the service has come back from
-// a copy that is older than what a server has said.
+// TestServersAfterARestore checks which servers get requests after the service was restored
+// from a snapshot that is older than what a server has written.
 func TestServersAfterARestore(t *testing.T) {
 	old, lost := shedkeel.Revision{Number: 1}, shedkeel.Revision{Number: 5}
-	restored, again := shedkeel.Revision{Era: 1, Number: 1}, shedkeel.Revision{Era: 1, Number: 3}
-	gone := shedkeel.Record{Key: "servers/i-9", Revision: lost, Gone: true}
+	restored, rewritten := shedkeel.Revision{Era: 1, Number: 1}, shedkeel.Revision{Era: 1, Number: 3}
+	deleted := shedkeel.Record{Key: "servers/i-9", Revision: lost, Gone: true}
 	cases := map[string]struct {
-		before     []shedkeel.Record // one after the other
-		restored   []shedkeel.Record // what the older copy has
-		after      []shedkeel.Record // written later
-		wantUsable [3]int            // after the restore, after the later write, and after all holds
+		before     []shedkeel.Record // written one after the other before the restore
+		restored   []shedkeel.Record // content of the snapshot
+		after      []shedkeel.Record // written after the restore
+		wantUsable [3]int            // after the restore, after the later write, and after the holds have expired
 	}{
-		"nothing was lost":        {[]shedkeel.Record{plainServerRecord(old, "ready", 1)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{1, 1, 1}},
-		"its drain was lost":      {[]shedkeel.Record{plainServerRecord(old, "ready", 1), plainServerRecord(lost, "draining", 1)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{0, 0, 0}},
-		"its end was lost":        {[]shedkeel.Record{plainServerRecord(old, "ready", 1), gone}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{0, 0, 1}},
-		"its start was lost":      {[]shedkeel.Record{plainServerRecord(lost, "ready", 1)}, nil, []shedkeel.Record{plainServerRecord(again, "ready", 1)}, [3]int{1, 1, 1}},
-		"its start, and it ended": {[]shedkeel.Record{plainServerRecord(lost, "ready", 1)}, nil, nil, [3]int{1, 1, 0}},
-		"an order was lost":       {[]shedkeel.Record{plainServerRecord(old, "ready", 1), plainServerRecord(lost, "ready", 2)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{1, 1, 1}},
+		"nothing was lost":                 {[]shedkeel.Record{plainServerRecord(old, "ready", 1)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{1, 1, 1}},
+		"its drain was lost":               {[]shedkeel.Record{plainServerRecord(old, "ready", 1), plainServerRecord(lost, "draining", 1)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{0, 0, 0}},
+		"its deletion was lost":            {[]shedkeel.Record{plainServerRecord(old, "ready", 1), deleted}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{0, 0, 1}},
+		"its start was lost":               {[]shedkeel.Record{plainServerRecord(lost, "ready", 1)}, nil, []shedkeel.Record{plainServerRecord(rewritten, "ready", 1)}, [3]int{1, 1, 1}},
+		"its start was lost, and it ended": {[]shedkeel.Record{plainServerRecord(lost, "ready", 1)}, nil, nil, [3]int{1, 1, 0}},
+		"an order was lost":                {[]shedkeel.Record{plainServerRecord(old, "ready", 1), plainServerRecord(lost, "ready", 2)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{1, 1, 1}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -58,19 +58,19 @@
 			node.mirror.Apply(mirror.Update{Whole: true, At: restored, AsOf: timers.Now(), Records: test.restored})
 			node.fleet.tick(timers.Now())
 			assert.Equal(t, usable(), test.wantUsable[0])
-			node.mirror.Apply(mirror.Update{At: again, AsOf: timers.Now(), Records: test.after})
+			node.mirror.Apply(mirror.Update{At: rewritten, AsOf: timers.Now(), Records: test.after})
 			node.fleet.tick(timers.Now())
 			assert.Equal(t, usable(), test.wantUsable[1])
 			timers.Advance(max(lapseHold, returnHold))
-			node.mirror.Apply(mirror.Update{At: again, AsOf: timers.Now()})
+			node.mirror.Apply(mirror.Update{At: rewritten, AsOf: timers.Now()})
 			node.fleet.tick(timers.Now())
 			assert.Equal(t, usable(), test.wantUsable[2])
 		})
 	}
 }
 
-// TestOrdersAreKnownAfterARestore checks that the planner does not go back to the group
-// that a server was in before its last orders.
+// TestOrdersAreKnownAfterARestore checks that the planner does not use an older group
+// membership from the snapshot: the server's later orders are known.
 func TestOrdersAreKnownAfterARestore(t *testing.T) {
 	node, timers := newTestNode(t)
 	node.Decoder = platform.Decoder{}
@@ -87,12 +87,12 @@
 	node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Era: 1, Number: 6}, AsOf: timers.Now(), Records: []shedkeel.Record{member(shedkeel.Revision{Era: 1, Number: 6}, 7, 6)}})
 	assert.Equal(t, node.fleet.groupServices()["s"][0].Member.Epoch, uint64(7))
 	node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Era: 1, Number: 7}, AsOf: timers.Now(), Records: []shedkeel.Record{member(shedkeel.Revision{Era: 1, Number: 7}, 8, 1)}})
-	assert.Equal(t, node.fleet.groupServices()["s"][0].Member.Epoch, uint64(8), "within an era the service's order holds")
+	assert.Equal(t, node.fleet.groupServices()["s"][0].Member.Epoch, uint64(8), "within an era the later record wins")
 }
 
-// TestLeadEndsWithTheEra has the service come back from an older copy, which has the
-// leader's record with a lease that may be another's now: nobody leads by it, and terms
-// rise above those that the copy lacks.
+// TestLeadEndsWithTheEra restores a snapshot with the leader's record, whose lease may belong
+// to another node now. No node may lead by that record, and new terms must be above those
+// that the snapshot lacks.
 func TestLeadEndsWithTheEra(t *testing.T) {
 	node, timers, store := electedNode(t)
 	var last shedkeel.Change
@@ -110,11 +110,11 @@
 	elect(t, node, timers)
 	assert.DeepEqual(t, last.If[0], shedkeel.Condition{Key: leadKey, Revision: lead.Revision})
 	assert.Equal(t, last.Put[0].Lease.Era, int64(1))
-	assert.Assert(t, node.controller.nextTerm(shedkeel.Record{}) > eraTerms, "terms of the first era may stand at servers")
+	assert.Assert(t, node.controller.nextTerm(shedkeel.Record{}) > eraTerms, "servers may have stored terms of the first era")
 }
 
-// TestNodeIsListedAgain checks that a node writes its record again after the service has
-// come back from an older copy.
+// TestNodeIsListedAgain checks that a node writes its record again after a restore of the
+// service.
 func TestNodeIsListedAgain(t *testing.T) {
 	node, timers, store := electedNode(t)
 	writes := 0
@@ -128,8 +128,8 @@
 	assert.Equal(t, writes, 1)
 }
 
-// TestBlamesOutliveARestore checks that what is held against a request is written again
-// when the service has lost it, and that an older copy does not clear it.
+// TestBlamesOutliveARestore checks that the judgment of a request is written again after the
+// service has lost it, and that the older snapshot does not clear it.
 func TestBlamesOutliveARestore(t *testing.T) {
 	node, timers := newTestNode(t)
 	store := &blameStore{}
@@ -151,11 +151,11 @@
 	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Era: 1, Number: 1}, AsOf: timers.Now()})
 	assert.Equal(t, node.guard.Judge("r"), shedkeel.Contained)
 	keep()
-	assert.Equal(t, len(store.changes), 2, "the service has lost it")
+	assert.Equal(t, len(store.changes), 2, "the blame is written again")
 }
 
-// TestLoadsAreKeptAgain checks that the loads under way are written again after the
-// service has come back from an older copy.
+// TestLoadsAreKeptAgain checks that the running model loads are written again after a restore
+// of the service.
 func TestLoadsAreKeptAgain(t *testing.T) {
 	node, timers, store := electedNode(t)
 	writes := 0
@@ -173,10 +173,10 @@
 	assert.Equal(t, writes, 2)
 }
 
-// TestRemovals checks for how long a removed server is remembered and kept from use.
+// TestRemovals checks how long a removed server is remembered and withheld from requests.
 func TestRemovals(t *testing.T) {
 	cases := map[string]struct {
-		era      int64 // in which it is back
+		era      int64 // of the record that is back
 		at       time.Duration
 		withheld bool
 	}{
@@ -194,15 +194,14 @@
 			assert.Equal(t, removals.expire(test.at+returnHold), test.withheld)
 			assert.Assert(t, !removals.withheld("a"))
 			removals.returned("a", test.era, test.at+returnHold)
-			assert.Assert(t, !removals.withheld("a"), "it writes its record still")
+			assert.Assert(t, !removals.withheld("a"), "it still writes its record")
 		})
 	}
 }
 
-// TestPlannerWaitsForRecordsAfterARestore has a node that plans see the service come back
-// from an older copy, or start after it: until servers have had the time to write their
-// records again it gives no orders. By an older record a member of a group that served
-// was ordered to wait as a standby.
+// TestPlannerWaitsForRecordsAfterARestore restores the service while a node plans, or before
+// it starts. The planner gives no orders until servers have had time to write their records
+// again. With an older record, a member of a serving group was ordered to become a standby.
 func TestPlannerWaitsForRecordsAfterARestore(t *testing.T) {
 	cases := map[string]struct {
 		before, after int64 // eras
--- a/node/restored_service_test.go
+++ b/node/restored_service_test.go
@@ -11,28 +11,26 @@
 	"shedkeel.org/shedkeel/internal/standin"
 )
 
-// The key-value service came back from a copy some seconds old: routes that were added
-// then were refused with 404, and requests were sent to servers 2 s after they had said
-// that they drain.
-
 const (
-	// maxApplyDelay is within what a change must be in force at all nodes.
+	// maxApplyDelay is the time within which a change must be active at all nodes.
 	maxApplyDelay = 2 * time.Second
-	// lostChanges is how many changes the service loses.
+	// lostChanges is how many changes the restore of the service loses.
 	lostChanges = 300
 )
 
-// TestRestoredServiceIsFollowed has the service come back from an older copy and checks
-// that what is written next is in force in time at all nodes.
+// TestRestoredServiceIsFollowed restores the service and checks that later changes become
+// active at all nodes within maxApplyDelay. After a restore from a snapshot some seconds old,
+// routes added since were refused with 404, and requests were sent to servers 2 s after they
+// had reported that they drain.
 func TestRestoredServiceIsFollowed(t *testing.T) {
 	cases := map[string]struct {
 		restores int
-		// overtaken has the service change so often before nodes reach it that its revisions
-		// have overtaken those that they know.
+		// overtaken says that the service changes so often before nodes reach it that its
+		// revisions exceed those that they know.
 		overtaken bool
 	}{
 		"revisions below those known": {1, false},
-		"revisions have passed them":  {1, true},
+		"revisions above those known": {1, true},
 		"twice in a row":              {2, false},
 	}
 	for name, test := range cases {
@@ -41,7 +39,7 @@
 			world.data.Snapshot()
 			world.changeUnusedRecords(lostChanges)
 			world.configure(2, `"key-1","key-lost"`)
-			world.eventually("the lost configuration is in force", func() bool { return world.acceptingNodes("key-lost") == len(world.nodes) })
+			world.eventually("the lost configuration is active", func() bool { return world.acceptingNodes("key-lost") == len(world.nodes) })
 			for range test.restores {
 				world.data.SetFaults(standin.Faults{Outage: true})
 				time.Sleep(time.Second)
@@ -61,7 +59,7 @@
 			world.eventually("the new key is known", func() bool { return world.acceptingNodes("key-3") == len(world.nodes) })
 			assert.Assert(t, time.Since(began) < maxApplyDelay, "it took %s", time.Since(began))
 			time.Sleep(maxApplyDelay - time.Since(began))
-			came := world.fleet.Came("plain-0")
+			requests := world.fleet.Came("plain-0")
 			for range 20 {
 				for _, node := range world.nodes {
 					status, body := world.send(node.callers, shedkeel.NewNonce(), "/look/x", "key-3", 0)
@@ -70,14 +68,14 @@
 					assert.Equal(t, status, 401, "the key was removed")
 				}
 			}
-			assert.Equal(t, world.fleet.Came("plain-0"), came, "it has said that it drains")
+			assert.Equal(t, world.fleet.Came("plain-0"), requests, "a draining server got requests")
 			world.eventually("groups are planned", func() bool { return len(world.fleet.Serving()["m0"]) >= 2 })
 			assert.DeepEqual(t, world.fleet.Broken(), []string(nil))
 		})
 	}
 }
 
-// changeUnusedRecords makes so many changes of records that nobody uses.
+// changeUnusedRecords makes so many changes of records that no node uses.
 func (world *world) changeUnusedRecords(count int) {
 	for index := range count {
 		_, err := world.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: fmt.Sprint("other/", index%7), Value: fmt.Append(nil, index)}}})
--- a/node/services_test.go
+++ b/node/services_test.go
@@ -11,8 +11,9 @@
 	"shedkeel.org/shedkeel/serve"
 )
 
-// TestSuspectsOfEachService has groups of two services suspected at once: the
-// planning of one service passed over what was noticed of the other.
+// TestSuspectsOfEachService suspects groups of two services at once and checks that the
+// members of both are probed. The planning of one service must not drop the suspicions
+// and dead servers of the other.
 func TestSuspectsOfEachService(t *testing.T) {
 	node, timers := newTestNode(t)
 	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
--- a/node/testnode_test.go
+++ b/node/testnode_test.go
@@ -16,7 +16,7 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// keyDecoder takes the keys of records for the names of backend servers.
+// keyDecoder uses a record's key as the ID of the backend server.
 type keyDecoder struct{ Decoder }
 
 func (keyDecoder) ConfigKey() string      { return "config" }
@@ -29,8 +29,8 @@
 	return shedkeel.Instance{ID: shedkeel.InstanceID(key)}, nil
 }
 
-// newTestNode returns a node that does not run, on a clock that stands at one
-// minute. None of its backend servers answers.
+// newTestNode returns a node that does not run. Its manual clock shows one minute. None of
+// its backend servers answers.
 func newTestNode(t testing.TB) (*Node, *timer.Manual) {
 	t.Helper()
 	log, err := event.NewLog(io.Discard, "info")
@@ -44,8 +44,8 @@
 	return node, timers
 }
 
-// newListedNode returns a node of that name among the listed ones, with what it
-// has told of itself there.
+// newListedNode returns a node with this ID and the capacity that its record among the
+// listed ones states.
 func newListedNode(t *testing.T, own shedkeel.NodeID, listed []nodeRecord) (*Node, *timer.Manual) {
 	t.Helper()
 	node, timers := newTestNode(t)
@@ -60,7 +60,7 @@
 	return node, timers
 }
 
-// listenHere returns a listener on a free port.
+// listenHere returns a listener on a free port of the loopback interface.
 func listenHere(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,7 +68,7 @@
 	return listener
 }
 
-// serveWire answers other nodes at the listener until stop is called.
+// serveWire answers other nodes' calls at the listener until stop is called.
 func serveWire(t *testing.T, listener net.Listener, handler wire.Handler) (stop func()) {
 	t.Helper()
 	server := &wire.Server{Key: "k", Handler: handler}
@@ -83,5 +83,5 @@
 	}
 }
 
-// fourNodes are in the order in which nodes do what is done for all.
+// fourNodes are in the order of compareNodes.
 var fourNodes = []nodeRecord{{ID: "a", Capacity: 0.8}, {ID: "b", Capacity: 0.8}, {ID: "c", Capacity: 0.2}, {ID: "d", Capacity: 0.2}}
