--- a/node/fleet.go
+++ b/node/fleet.go
@@ -124,10 +124,10 @@
 	}
 	known, listed := fleet.instances[record.Key]
 	if listed && fleet.isOutdated(&instance, &known) {
-		fleet.skipped(record, &shedkeel.InvalidError{Where: record.Key, What: "the server wrote it before what is known of it", Remedy: "none is needed: it writes its record again"})
+		fleet.skipped(record, &shedkeel.InvalidError{Where: record.Key, What: "it is older than the known record of the server", Remedy: "none is needed: the server writes its record again"})
 		return false
 	}
-	_, wasDoubted := fleet.unreadable[record.Key]
+	_, wasUnreadable := fleet.unreadable[record.Key]
 	fleet.removals.returned(instance.ID, record.Revision.Era, now)
 	delete(fleet.retained, record.Key)
 	delete(fleet.unreadable, record.Key)
@@ -135,7 +135,7 @@
 	fleet.coldUntil[record.Key] = now + instance.ColdFor
 	// A heartbeat changes only the sequence. Thousands arrive per second, so they must
 	// not rebuild the table.
-	return !listed || wasDoubted || !instance.Same(&known)
+	return !listed || wasUnreadable || !instance.Same(&known)
 }
 
 // isOutdated reports whether a server's record is older than the known one: it is of
@@ -155,8 +155,8 @@
 // readable before.
 func (fleet *fleet) markUnreadable(key string, now time.Duration) bool {
 	_, listed := fleet.instances[key]
-	_, doubted := fleet.unreadable[key]
-	if !listed || doubted {
+	_, unreadable := fleet.unreadable[key]
+	if !listed || unreadable {
 		return false
 	}
 	fleet.unreadable[key] = now + doubtHold
@@ -267,9 +267,9 @@
 	for key, instance := range fleet.instances {
 		service := view.Service(instance.Service)
 		fleet.reportCold(key, &instance, service)
-		_, doubted := fleet.unreadable[key]
+		_, unreadable := fleet.unreadable[key]
 		switch {
-		case service == nil || instance.Draining || doubted || fleet.removals.withheld(instance.ID) || fleet.evacuated[instance.Zone]:
+		case service == nil || instance.Draining || unreadable || fleet.removals.withheld(instance.ID) || fleet.evacuated[instance.Zone]:
 		case service.Engine == nil:
 			servers = append(servers, serverOf(&instance))
 		case isOpenHead(instance.Member, epochs):
--- a/node/follow.go
+++ b/node/follow.go
@@ -20,7 +20,7 @@
 	// maxRelayAge is the same for a relay, which follows the source by long polling.
 	maxRelayAge = maxSourceAge + mirror.RelayWait
 	// maxDirectFollowers is the largest fleet in which all nodes follow the source
-	// itself. In larger fleets relays stand between: a change of all servers of 295
+	// itself. In larger fleets relays are between them: a change of all servers of 295
 	// boxes, 0.1 MB, then leaves the source 13 times instead of 294, which takes its
 	// link of 200 Mbit/s 0.05 s instead of 1.2 s.
 	maxDirectFollowers = 96
--- a/node/lease.go
+++ b/node/lease.go
@@ -26,7 +26,7 @@
 }
 
 // valid reports whether the lease is certainly still in force. A lease of an earlier era
-// of the service is not, whatever the clock says.
+// of the service is not, even before its expiry.
 func (lease *lease) valid(now time.Duration) bool {
 	if !lease.held() || lease.ID().Era < lease.node.mirror.State().At.Era {
 		return false
--- a/node/relay.go
+++ b/node/relay.go
@@ -122,8 +122,8 @@
 	state := own.State()
 	since := shedkeel.Revision{Era: call.GetSinceEra(), Number: call.GetSince()}
 	peers.fetchConfig(shedkeel.NodeID(call.GetNode()), call.GetConfig())
-	away := own.State().Known && peers.node.follower.Away() // answered without a wait, so that the caller asks the next node at once
-	if !away && (!state.Known || !call.GetOnlyKnown() && !state.At.After(since)) {
+	unavailable := own.State().Known && peers.node.follower.Away() // answered without a wait, so that the caller asks the next node at once
+	if !unavailable && (!state.Known || !call.GetOnlyKnown() && !state.At.After(since)) {
 		timer := time.NewTimer(time.Duration(call.GetWaitMs()) * time.Millisecond)
 		select {
 		case <-ctx.Done():
@@ -144,7 +144,7 @@
 		return &wire.Reply{Kind: &wire.Reply_Relay{Relay: reply}}
 	}
 	reply := transfer.Reply(update, now)
-	reply.Away, reply.Config = away, config
+	reply.Away, reply.Config = unavailable, config
 	encode := func() []*wire.StoreRecord { return peers.encodeRecords(update.Records, since, call.GetDifferences()) }
 	if len(update.Records) < transfer.BatchMin {
 		reply.Records = encode()
