--- a/node/directory_test.go
+++ b/node/directory_test.go
@@ -16,31 +16,29 @@
 	"shedkeel.org/shedkeel/node"
 )
 
-// offPrefix begins the names of the nodes that lose power.
-const offPrefix = "off-"
+// deadPrefix is the prefix of the IDs of the nodes that lose power.
+const deadPrefix = "off-"
 
-// unnamedWithin is how long after a node went the directory may still name it.
-const unnamedWithin = 5 * time.Second
+// exclusionDelay is how long after a node's loss the directory may still name it.
+const exclusionDelay = 5 * time.Second
 
-// TestDirectoryLeavesOutDeadNodes has nodes lose power while what tells of it is
-// out of order. The directory named whatever its copy of the store listed: it
-// asked neither how old the copy was nor whether anybody heard the node. With 66
-// nodes one alone watched the others; it stood still from 5 to 9 s, began anew,
-// and removed the record of a node that went off at 4.0 s only at 11.71 s ("node
-// gives no answer; its record is removed"), so that 117 answers named it from
-// 10.0 s on. With 21 nodes an outage of the store held the leases of dead nodes,
-// and what went with its return was "believed though its record went" by some,
-// until 15.9 s.
+// TestDirectoryLeavesOutDeadNodes has nodes lose power while the record or the store that
+// would show it is faulty, and checks that the directory leaves them out. Without a look at
+// the failure detector and the age of the copy, it named every listed node. With 66 nodes
+// only one watched the others. It was paused from 5 to 9 s and restarted its checks, so it
+// removed the record of a node lost at 4.0 s only at 11.71 s, and 117 answers named that node
+// from 10.0 s on. With 21 nodes an outage of the store extended the leases of dead nodes, and
+// some nodes retained the records deleted at its end until 15.9 s.
 func TestDirectoryLeavesOutDeadNodes(t *testing.T) {
 	cases := map[string]struct {
-		dead   int
-		happen func(world *world, keys []string) // at the moment at which they go
+		deadNodes int
+		fault     func(world *world, keys []string) // called when the nodes are lost
 	}{
-		"their records stand, and the store is away": {2, func(world *world, _ []string) {
+		"their records stay, and the store is unavailable": {2, func(world *world, _ []string) {
 			world.data.SetFaults(standin.Faults{Outage: true})
 		}},
-		"most are dead, so that a watcher takes itself for cut off": {8, func(*world, []string) {}},
-		"their records go while the store seems away": {2, func(world *world, keys []string) {
+		"most nodes are dead, so that a live one may consider itself isolated": {8, func(*world, []string) {}},
+		"their records are deleted while the store seems unavailable": {2, func(world *world, keys []string) {
 			world.data.SetFaults(standin.Faults{Outage: true})
 			go func() {
 				time.Sleep(4 * time.Second)
@@ -54,9 +52,9 @@
 		t.Run(name, func(t *testing.T) {
 			world := newWorld(t, 2)
 			world.eventually("both nodes are named", func() bool { return len(world.addresses(0)) == 2 && len(world.addresses(1)) == 2 })
-			keys, callers := world.listDeadNodes(test.dead)
-			test.happen(world, keys)
-			time.Sleep(unnamedWithin)
+			keys, callers := world.listDeadNodes(test.deadNodes)
+			test.fault(world, keys)
+			time.Sleep(exclusionDelay)
 			for range 10 {
 				for index, running := range world.nodes {
 					named := world.addresses(index)
@@ -68,17 +66,17 @@
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
-			world.expectUnnamed()
+			world.checkExcluded()
 		})
 	}
 }
 
-// listDeadNodes lists nodes that lose power as soon as all know them, and
-// returns the keys of their records and their callers' addresses.
+// listDeadNodes adds the records of nodes that do not run. It returns the keys of the
+// records and the callers' addresses once all nodes know them.
 func (world *world) listDeadNodes(count int) (keys, callers []string) {
 	var change shedkeel.Change
 	for index := range count {
-		id := fmt.Sprint(offPrefix, index)
+		id := fmt.Sprint(deadPrefix, index)
 		address := closedAddress(world.t)
 		record := map[string]any{"id": id, "incarnation": "i", "zone": "z", "callers": address, "control": address, "gossip": address, "capacity": 0, "stopping": false, "watched": true}
 		value, err := json.Marshal(record)
@@ -90,18 +88,18 @@
 	_, err := world.data.Commit(change)
 	assert.NilError(world.t, err)
 	for index := range world.nodes {
-		world.eventually("they are known", func() bool { return slices.Contains(world.status(index).Nodes, shedkeel.NodeID(offPrefix+"0")) })
+		world.eventually("the dead nodes are listed", func() bool { return slices.Contains(world.status(index).Nodes, shedkeel.NodeID(deadPrefix+"0")) })
 	}
 	return keys, callers
 }
 
-// expectUnnamed checks that operators are told why callers are not sent to those of
-// the dead nodes that are listed still, and of no others.
-func (world *world) expectUnnamed() {
+// checkExcluded checks that a node's status has a reason for each dead node that is still
+// listed, and for no other node.
+func (world *world) checkExcluded() {
 	status := world.status(0)
 	var listed, unnamed []shedkeel.NodeID
 	for _, id := range status.Nodes {
-		if strings.HasPrefix(string(id), offPrefix) {
+		if strings.HasPrefix(string(id), deadPrefix) {
 			listed = append(listed, id)
 		}
 	}
@@ -112,7 +110,7 @@
 	assert.DeepEqual(world.t, unnamed, listed)
 }
 
-// status returns what operators are told by a node.
+// status returns the status that a node reports to operators.
 func (world *world) status(index int) node.Dump {
 	response, err := world.client.Get("http://" + world.nodes[index].admin + "/v1/status")
 	assert.NilError(world.t, err)
@@ -122,7 +120,7 @@
 	return status
 }
 
-// closedAddress returns an address at which nothing listens.
+// closedAddress returns an address on which nothing listens.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -18,89 +18,90 @@
 )
 
 const (
-	// fleetTick is how often records are checked that are held though gone.
+	// fleetTick is how often retained and unreadable records are checked for expiry.
 	fleetTick = 100 * time.Millisecond
-	// troubleAge is the age of the mirror from which the service counts as
-	// away. A calm fleet's copies are up to 1.5 s old, and some tenths more
-	// until a stale one is renewed: taking that for trouble kept a server that
-	// had left for two seconds.
+	// troubleAge is the age of the mirror from which the key-value service counts as
+	// unavailable. In a healthy fleet copies are up to 1.5 s old, and some tenths of a
+	// second older until a stale one is renewed. When such an age counted as an outage,
+	// servers that had left stayed in use for 2 s more.
 	troubleAge = 2300 * time.Millisecond
-	// lapseHold is how long a record that went while the service was away is
-	// still believed after its return: living servers have written theirs
-	// again about two seconds after it, by the platform's pages.
+	// lapseHold is how long after the service's return a record that was deleted during
+	// the outage is still used. By the platform's documentation, live servers write
+	// their records again about 2 s after the return.
 	lapseHold = 2300 * time.Millisecond
-	// doubtHold is how long a backend server whose record can't be read any more
-	// keeps its place in its group. It gets no requests by itself meanwhile. One odd
-	// write by another writer is gone with the server's next heartbeat, by the
-	// platform's pages 1.2 s later at most; two of them and the way here fit in.
+	// doubtHold is how long a backend server whose record became unreadable keeps its
+	// place in its group. It gets no requests of its own in that time. A server's next
+	// heartbeat, by the platform's documentation at most 1.2 s later, replaces an
+	// invalid write by another writer; 3 s covers two heartbeats and their delivery.
 	doubtHold = 3 * time.Second
 )
 
-// fleet is what a node makes of the records: the configuration, the servers
-// and groups that requests may be sent to, and the other nodes.
+// fleet is the state that a node derives from the records: the configuration, the
+// servers and groups that may get requests, and the other nodes.
 type fleet struct {
-	node *Node
-	view atomic.Pointer[serve.View]
-	kept keptConfig
+	node         *Node
+	view         atomic.Pointer[serve.View]
+	activeConfig activeConfigCopy
 
-	mutex     sync.Mutex
-	instances map[string]shedkeel.Instance      // by key
-	nodes     map[string]nodeRecord             // by key
-	lapsed    map[string]time.Duration          // gone while the service was away, believed until then
-	evacuated map[shedkeel.ZoneID]bool          // their backend servers get nothing
-	cold      map[string]time.Duration          // servers that have said so are cold until then, by key
-	takenBack map[shedkeel.ZoneID]time.Duration // when an evacuation was withdrawn last
-	removed   removals
-	doubted   map[string]time.Duration // servers whose records can't be read, and until when they keep their places
-	unread    atomic.Int64             // records that were not used
-	copied    bool                     // the records that come are of an older copy of the service
-	troubled  time.Duration            // the service was away until then, or is
-	proven    atomic.Int64             // when the copy was proven last, as a time.Duration
-	counts    map[string]int           // servers and groups that may be sent to, as logged last
+	mutex        sync.Mutex
+	instances    map[string]shedkeel.Instance      // by key
+	nodes        map[string]nodeRecord             // by key
+	retained     map[string]time.Duration          // deleted while the service was unavailable, used until then, by key
+	evacuated    map[shedkeel.ZoneID]bool          // zones whose backend servers get no requests
+	coldUntil    map[string]time.Duration          // for servers that reported to be cold, by key
+	takenBack    map[shedkeel.ZoneID]time.Duration // when the last evacuation of a zone was withdrawn
+	removals     removals
+	unreadable   map[string]time.Duration // servers with an unreadable record, and until when they keep their places
+	unread       atomic.Int64             // count of records that were skipped
+	afterRestore bool                     // the next records come from a restored, older snapshot of the service
+	outageUntil  time.Duration            // end of the latest outage of the service, with lapseHold added
+	verifiedAt   atomic.Int64             // when the copy was last proven current, as a time.Duration
+	loggedCounts map[string]int           // servers and groups that may get requests, as last logged
 }
 
-// changed takes in changed records. The mirror calls it one at a time.
+// changed applies changed records. The mirror never calls it concurrently.
 func (fleet *fleet) changed(records []shedkeel.Record) {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
 	if fleet.instances == nil {
 		fleet.instances = map[string]shedkeel.Instance{}
 		fleet.nodes = map[string]nodeRecord{}
-		fleet.lapsed = map[string]time.Duration{}
-		fleet.doubted = map[string]time.Duration{}
+		fleet.retained = map[string]time.Duration{}
+		fleet.unreadable = map[string]time.Duration{}
 		fleet.evacuated = map[shedkeel.ZoneID]bool{}
-		fleet.cold = map[string]time.Duration{}
+		fleet.coldUntil = map[string]time.Duration{}
 		fleet.takenBack = map[shedkeel.ZoneID]time.Duration{}
 	}
 	now := fleet.node.Timers.Now()
-	servers, nodes := false, false
+	serversChanged, nodesChanged := false, false
 	for _, record := range records {
 		switch {
 		case record.Key == fleet.node.Decoder.ConfigKey():
-			servers = fleet.takeConfig(record) || servers
+			serversChanged = fleet.applyConfigRecord(record) || serversChanged
 		case strings.HasPrefix(record.Key, fleet.node.Decoder.InstancePrefix()):
-			servers = fleet.takeInstance(record, now) || servers
+			serversChanged = fleet.applyInstance(record, now) || serversChanged
 		case strings.HasPrefix(record.Key, nodePrefix):
-			nodes = fleet.takeNode(record, now) || nodes
+			nodesChanged = fleet.applyNode(record, now) || nodesChanged
 		case strings.HasPrefix(record.Key, blamePrefix):
 			fleet.node.guard.takeRecord(record)
 		default:
 			if zone, found := fleet.node.Decoder.EvacuatedZone(record.Key); found {
-				servers = fleet.takeEvacuation(record, zone) || servers
+				serversChanged = fleet.takeEvacuation(record, zone) || serversChanged
 			}
 		}
 	}
-	fleet.copied = false
-	fleet.refresh(servers, nodes)
+	fleet.afterRestore = false
+	fleet.propagate(serversChanged, nodesChanged)
 }
 
-// skipped notes a record that is not used. The mutex may be held.
+// skipped counts and logs a record that is not used. It may be called with or without
+// the mutex.
 func (fleet *fleet) skipped(record shedkeel.Record, err error) {
 	fleet.unread.Add(1)
 	fleet.node.Log.Write(event.RecordSkipped, slog.String("key", record.Key), slog.String("revision", record.Revision.String()), slog.String("error", err.Error()))
 }
 
-// read decodes a record that nodes write, and logs one that can't be read.
+// read decodes a record that nodes write, and logs one that it can't decode.
 func (fleet *fleet) read(record shedkeel.Record, into any) error {
 	err := json.Unmarshal(record.Value, into)
 	if err != nil {
@@ -109,143 +110,147 @@
 	return err
 }
 
-// takeInstance takes in a backend server's record, and reports whether it changes what
-// requests may be sent to. Gone ones are believed a while where the service was away,
-// and never in a state they had left.
-func (fleet *fleet) takeInstance(record shedkeel.Record, now time.Duration) bool {
+// applyInstance applies a backend server's record and reports whether it changes which
+// servers may get requests. A deleted record is retained for a while if the service
+// was unavailable. A record that is older than the known one is skipped.
+func (fleet *fleet) applyInstance(record shedkeel.Record, now time.Duration) bool {
 	if record.Gone {
-		return fleet.takeGone(record.Key, now, func() { fleet.drop(record.Key, record.Revision.Era, now) })
+		return fleet.removeOrRetain(record.Key, now, func() { fleet.removeInstance(record.Key, record.Revision.Era, now) })
 	}
 	instance, err := fleet.node.Decoder.Instance(record.Key, record.Value)
 	if err != nil {
 		fleet.skipped(record, err)
-		return fleet.doubt(record.Key, now)
+		return fleet.markUnreadable(record.Key, now)
 	}
 	known, listed := fleet.instances[record.Key]
-	if listed && fleet.older(&instance, &known) {
-		fleet.skipped(record, &shedkeel.InvalidError{Where: record.Key, What: "the server wrote it before what is known of it", Remedy: "none is needed: it writes its record again"})
+	if listed && fleet.isOutdated(&instance, &known) {
+		fleet.skipped(record, &shedkeel.InvalidError{Where: record.Key, What: "it is older than the known record of the server", Remedy: "none is needed: the server writes its record again"})
 		return false
 	}
-	_, wasDoubted := fleet.doubted[record.Key]
-	fleet.removed.returned(instance.ID, record.Revision.Era, now)
-	delete(fleet.lapsed, record.Key)
-	delete(fleet.doubted, record.Key)
+	_, wasUnreadable := fleet.unreadable[record.Key]
+	fleet.removals.returned(instance.ID, record.Revision.Era, now)
+	delete(fleet.retained, record.Key)
+	delete(fleet.unreadable, record.Key)
 	fleet.instances[record.Key] = instance
-	fleet.cold[record.Key] = now + instance.ColdFor
-	// A heartbeat changes nothing but its sequence: thousands of them come a second.
-	return !listed || wasDoubted || !instance.Same(&known)
+	fleet.coldUntil[record.Key] = now + instance.ColdFor
+	// A heartbeat changes only the sequence. Thousands arrive per second, so they must
+	// not rebuild the table.
+	return !listed || wasUnreadable || !instance.Same(&known)
 }
 
-// older reports whether a record of a server is older than what is known of it: of a
-// former start, or in an older copy of the key-value service with a lower sequence or
-// from before it drained.
-func (fleet *fleet) older(instance, known *shedkeel.Instance) bool {
+// isOutdated reports whether a server's record is older than the known one: it is of
+// an earlier start of the server, or a restored snapshot has it with a lower sequence
+// or from before the server began to drain.
+func (fleet *fleet) isOutdated(instance, known *shedkeel.Instance) bool {
 	born, knownBorn := instance.ID.Born(), known.ID.Born()
 	if born != knownBorn {
 		return born != 0 && born < knownBorn
 	}
 	wasReady := known.Draining && !instance.Draining
-	return fleet.copied && (wasReady || instance.Sequence < known.Sequence)
+	return fleet.afterRestore && (wasReady || instance.Sequence < known.Sequence)
 }
 
-// doubt has a server that was good get no requests, now that its record can't be
-// read, and keep its place in its group for a while. It reports whether that is
-// news.
-func (fleet *fleet) doubt(key string, now time.Duration) bool {
+// markUnreadable stops requests to a listed server whose record became unreadable and
+// keeps its place in its group for doubtHold. It reports whether the server was
+// readable before.
+func (fleet *fleet) markUnreadable(key string, now time.Duration) bool {
 	_, listed := fleet.instances[key]
-	_, doubted := fleet.doubted[key]
-	if !listed || doubted {
+	_, unreadable := fleet.unreadable[key]
+	if !listed || unreadable {
 		return false
 	}
-	fleet.doubted[key] = now + doubtHold
+	fleet.unreadable[key] = now + doubtHold
 	return true
 }
 
-// drop forgets a server that is gone in an era of the key-value service.
-func (fleet *fleet) drop(key string, era int64, now time.Duration) {
+// removeInstance removes a server whose record was deleted in an era of the key-value
+// service.
+func (fleet *fleet) removeInstance(key string, era int64, now time.Duration) {
 	if instance, listed := fleet.instances[key]; listed {
-		fleet.removed.note(instance.ID, era, now)
+		fleet.removals.note(instance.ID, era, now)
 	}
 	delete(fleet.instances, key)
-	delete(fleet.doubted, key)
-	delete(fleet.cold, key)
+	delete(fleet.unreadable, key)
+	delete(fleet.coldUntil, key)
 }
 
-// takeGone takes in that a record went. While the service was away leases may have
-// run out, so what may have written it is believed for a while.
-func (fleet *fleet) takeGone(key string, now time.Duration, remove func()) bool {
-	if now >= fleet.troubled || !fleet.mayReturn(key) {
+// removeOrRetain handles a deleted record and reports whether it was removed. During an
+// outage of the service leases of live owners may have expired, so the record is
+// retained for a while if its owner may write it again.
+func (fleet *fleet) removeOrRetain(key string, now time.Duration, remove func()) bool {
+	if now >= fleet.outageUntil || !fleet.writerMayReturn(key) {
 		remove()
 		return true
 	}
-	fleet.lapsed[key] = fleet.troubled
+	fleet.retained[key] = fleet.outageUntil
 	if id, isNode := strings.CutPrefix(key, nodePrefix); isNode {
-		fleet.node.Log.Write(event.NodeHeld, slog.String("of", id), slog.Duration("until", fleet.troubled-now), slog.Duration("age", fleet.copyAge()))
+		fleet.node.Log.Write(event.NodeHeld, slog.String("of", id), slog.Duration("until", fleet.outageUntil-now), slog.Duration("age", fleet.mirrorAge()))
 	}
 	return false
 }
 
-// mayReturn reports whether what wrote a record may write it again. A node that
-// others find dead may not.
-func (fleet *fleet) mayReturn(key string) bool {
+// writerMayReturn reports whether the owner of a record may write it again. A node that
+// the failure detector finds dead or stopped may not.
+func (fleet *fleet) writerMayReturn(key string) bool {
 	id, isNode := strings.CutPrefix(key, nodePrefix)
 	return !isNode || fleet.node.gossip.serves(shedkeel.NodeID(id))
 }
 
-// tick notes whether the service is away, and removes what has been believed
-// long enough.
+// tick notes whether the service is unavailable, and removes retained and unreadable
+// records that have expired.
 func (fleet *fleet) tick(now time.Duration) {
 	state := fleet.node.mirror.State()
-	fleet.proven.Store(int64(state.AsOf))
+	fleet.verifiedAt.Store(int64(state.AsOf))
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
 	if state.Known && now-state.AsOf > troubleAge {
-		fleet.troubled = now + lapseHold
+		fleet.outageUntil = now + lapseHold
 	}
-	servers, nodes := false, false
-	for key, until := range fleet.lapsed {
-		away := now < fleet.troubled && now-state.AsOf > troubleAge
-		if fleet.mayReturn(key) && (now < until || away) {
+	serversChanged, nodesChanged := false, false
+	for key, until := range fleet.retained {
+		unavailable := now < fleet.outageUntil && now-state.AsOf > troubleAge
+		if fleet.writerMayReturn(key) && (now < until || unavailable) {
 			continue
 		}
-		delete(fleet.lapsed, key)
+		delete(fleet.retained, key)
 		if strings.HasPrefix(key, nodePrefix) {
 			delete(fleet.nodes, key)
-			nodes = true
+			nodesChanged = true
 		} else {
-			fleet.drop(key, state.At.Era, now)
-			servers = true
+			fleet.removeInstance(key, state.At.Era, now)
+			serversChanged = true
 		}
 	}
-	for key, until := range fleet.doubted {
+	for key, until := range fleet.unreadable {
 		if now >= until {
-			fleet.drop(key, state.At.Era, now)
-			servers = true
+			fleet.removeInstance(key, state.At.Era, now)
+			serversChanged = true
 		}
 	}
-	servers = fleet.removed.expire(now) || servers
-	fleet.refresh(servers, nodes)
+	serversChanged = fleet.removals.expire(now) || serversChanged
+	fleet.propagate(serversChanged, nodesChanged)
 }
 
-// copyAge returns how old the copy of the records was at the last tick. Unlike
-// the mirror's state it can be asked while the mirror tells of a change.
-func (fleet *fleet) copyAge() time.Duration {
-	return fleet.node.Timers.Now() - time.Duration(fleet.proven.Load())
+// mirrorAge returns the age of the mirror's copy at the last tick. Unlike the mirror's
+// state it can be read while the mirror reports a change.
+func (fleet *fleet) mirrorAge() time.Duration {
+	return fleet.node.Timers.Now() - time.Duration(fleet.verifiedAt.Load())
 }
 
-// refresh passes on what has changed. The mutex is held.
-func (fleet *fleet) refresh(servers, nodes bool) {
-	if servers {
-		fleet.rebuild()
+// propagate updates what depends on the servers or nodes that changed. The caller holds
+// the mutex.
+func (fleet *fleet) propagate(serversChanged, nodesChanged bool) {
+	if serversChanged {
+		fleet.rebuildTable()
 	}
-	if nodes {
+	if nodesChanged {
 		fleet.node.peers.update(fleet.sortedNodes())
 	}
 }
 
-// rebuild makes the table of servers that requests may be sent to. The mutex
-// is held.
-func (fleet *fleet) rebuild() {
+// rebuildTable replaces the table of servers that may get requests. The caller holds the
+// mutex.
+func (fleet *fleet) rebuildTable() {
 	view := fleet.view.Load()
 	if view == nil {
 		return
@@ -261,29 +266,30 @@
 	var servers []dispatch.Server
 	for key, instance := range fleet.instances {
 		service := view.Service(instance.Service)
-		fleet.noteCold(key, &instance, service)
-		_, doubted := fleet.doubted[key]
+		fleet.reportCold(key, &instance, service)
+		_, unreadable := fleet.unreadable[key]
 		switch {
-		case service == nil || instance.Draining || doubted || fleet.removed.withheld(instance.ID) || fleet.evacuated[instance.Zone]:
+		case service == nil || instance.Draining || unreadable || fleet.removals.withheld(instance.ID) || fleet.evacuated[instance.Zone]:
 		case service.Engine == nil:
 			servers = append(servers, serverOf(&instance))
-		case headServes(instance.Member, epochs):
-			servers = append(servers, groupOf(&instance, service.Engine))
+		case isOpenHead(instance.Member, epochs):
+			servers = append(servers, groupServerOf(&instance, service.Engine))
 		}
 	}
 	fleet.node.table.Replace(servers)
 	fleet.node.limits.apply()
-	fleet.logServers(servers)
+	fleet.logServerCounts(servers)
 }
 
-// noteCold tells the limits of a server that is cold. After an evacuation a server is
-// taken to be: its record says so only some time after requests may come again.
-func (fleet *fleet) noteCold(key string, instance *shedkeel.Instance, service *shedkeel.RoutedService) {
+// reportCold reports a cold server to the limits. After an evacuation every server of
+// the zone counts as cold, because its record says so only some time after requests may
+// come again.
+func (fleet *fleet) reportCold(key string, instance *shedkeel.Instance, service *shedkeel.RoutedService) {
 	if service == nil || service.ColdRate <= 0 {
 		return
 	}
-	until := fleet.cold[key]
-	if since, was := fleet.takenBack[instance.Zone]; was {
+	until := fleet.coldUntil[key]
+	if since, evacuated := fleet.takenBack[instance.Zone]; evacuated {
 		until = max(until, since+service.ColdTime)
 	}
 	if until > fleet.node.Timers.Now() {
@@ -291,19 +297,19 @@
 	}
 }
 
-// headServes reports whether a member is the open head of its group. One whose
-// group was formed anew without it may be open still.
-func headServes(member *shedkeel.Membership, epochs map[shedkeel.GroupID]uint64) bool {
+// isOpenHead reports whether a member is the open head of its group. The head of a
+// former formation may still be open, so the epoch must be the group's latest.
+func isOpenHead(member *shedkeel.Membership, epochs map[shedkeel.GroupID]uint64) bool {
 	return member != nil && member.Rank == 0 && member.State == shedkeel.MemberOpen && member.Epoch == epochs[member.Group]
 }
 
-// serverOf returns a backend server as requests are sent to it.
+// serverOf returns the dispatch entry of a backend server.
 func serverOf(instance *shedkeel.Instance) dispatch.Server {
 	return dispatch.Server{Service: instance.Service, Instance: instance.ID, Address: instance.Address, Zone: instance.Zone, Slots: instance.Slots}
 }
 
-// groupOf returns a replica group, by its head, as requests are sent to it.
-func groupOf(head *shedkeel.Instance, engine *shedkeel.Engine) dispatch.Server {
+// groupServerOf returns the dispatch entry of a replica group, addressed by its head.
+func groupServerOf(head *shedkeel.Instance, engine *shedkeel.Engine) dispatch.Server {
 	server := serverOf(head)
 	server.Model = formation.ModelOf(head.Member.Group)
 	server.Group = head.Member.Assignment()
@@ -320,16 +326,16 @@
 	return server
 }
 
-// logServers logs how many servers and groups may be sent to.
-func (fleet *fleet) logServers(servers []dispatch.Server) {
+// logServerCounts logs how many servers and groups may get requests, if that changed.
+func (fleet *fleet) logServerCounts(servers []dispatch.Server) {
 	counts := map[string]int{}
 	for _, server := range servers {
 		counts[strings.Trim(string(server.Service)+"/"+string(server.Model), "/")]++
 	}
-	if maps.Equal(counts, fleet.counts) {
+	if maps.Equal(counts, fleet.loggedCounts) {
 		return
 	}
-	fleet.counts = counts
+	fleet.loggedCounts = counts
 	fields := []slog.Attr{slog.Int("instances", len(fleet.instances))}
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		fields = append(fields, slog.Int(name, counts[name]))
@@ -337,8 +343,9 @@
 	fleet.node.Log.Write(event.ServersChanged, fields...)
 }
 
-// groupServices returns the services of replica groups with their instances. Those
-// that said that they drain do so, whatever their records say now.
+// groupServices returns the services of replica groups with their instances. Those that
+// reported in an answer that they drain are marked as draining, whatever their records
+// say.
 func (fleet *fleet) groupServices() map[shedkeel.ServiceID][]shedkeel.Instance {
 	view := fleet.view.Load()
 	if view == nil {
@@ -350,7 +357,7 @@
 	found := map[shedkeel.ServiceID][]shedkeel.Instance{}
 	for _, instance := range fleet.instances {
 		if service := view.Service(instance.Service); service != nil && service.Engine != nil {
-			instance.Draining = instance.Draining || draining[instance.ID] || fleet.removed.withheld(instance.ID)
+			instance.Draining = instance.Draining || draining[instance.ID] || fleet.removals.withheld(instance.ID)
 			found[instance.Service] = append(found[instance.Service], instance)
 		}
 	}
@@ -360,7 +367,8 @@
 	return found
 }
 
-// highestEpoch returns the highest epoch that a backend server tells of.
+// highestEpoch returns the highest epoch in the backend servers' records, without those
+// of terms above mostTerm.
 func (fleet *fleet) highestEpoch() uint64 {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
@@ -373,7 +381,7 @@
 	return highest
 }
 
-// sortedInstances returns the backend servers by name. The mutex is held.
+// sortedInstances returns the backend servers ordered by ID. The caller holds the mutex.
 func (fleet *fleet) sortedInstances() []shedkeel.Instance {
 	var found []shedkeel.Instance
 	for _, instance := range fleet.instances {
@@ -383,6 +391,7 @@
 	return found
 }
 
+// sortInstances orders instances by ID.
 func sortInstances(instances []shedkeel.Instance) {
 	slices.SortFunc(instances, func(a, b shedkeel.Instance) int { return strings.Compare(string(a.ID), string(b.ID)) })
 }
--- a/node/relay.go
+++ b/node/relay.go
@@ -12,50 +12,51 @@
 )
 
 const (
-	// relayMargin is how much longer than its wait a question to another
-	// mirror may take.
-	relayMargin = 400 * time.Millisecond
-	// copyTimeout is the same for a whole copy, which many nodes that start together
-	// ask of a few.
-	copyTimeout = 3 * time.Second
+	// relayTimeoutMargin is the time for a long poll of another mirror beyond its wait.
+	relayTimeoutMargin = 400 * time.Millisecond
+	// copyTimeoutMargin is the same for a complete copy, which many nodes that start
+	// together request from a few.
+	copyTimeoutMargin = 3 * time.Second
 )
 
-// Relay asks the node's mirror.
+// Relay requests the changes since a revision from the node's mirror. A node that fails
+// or has an old copy is not followed for a while.
 func (peer *peer) Relay(ctx context.Context, since shedkeel.Revision, wait time.Duration) (mirror.Update, error) {
-	update, err := peer.relay(ctx, since, wait)
-	if err != nil && ctx.Err() == nil || err == nil && (update.Away || -update.AsOf > peer.mostAge()) {
+	update, err := peer.fetchUpdate(ctx, since, wait)
+	if err != nil && ctx.Err() == nil || err == nil && (update.Away || -update.AsOf > peer.maxCopyAge()) {
 		peer.failed.note(peer.node.Timers.Now())
 	}
 	return update, err
 }
 
-// mostAge is how old the node's copy may be for it to be followed.
-func (peer *peer) mostAge() time.Duration {
+// maxCopyAge returns the maximum age of the node's copy for the node to be followed.
+func (peer *peer) maxCopyAge() time.Duration {
 	if peer.node.peers.hops() > 1 {
-		return relayAge
+		return maxRelayAge
 	}
-	return sourceAge
+	return maxSourceAge
 }
 
-// relay asks for differences first. What it has may be another value than they
-// are of, where the service itself told it something meanwhile.
-func (peer *peer) relay(ctx context.Context, since shedkeel.Revision, wait time.Duration) (mirror.Update, error) {
-	margin := relayMargin
+// fetchUpdate requests records as differences from their former values. If this node has
+// another former value, because the service itself sent it one meanwhile, it requests
+// complete records.
+func (peer *peer) fetchUpdate(ctx context.Context, since shedkeel.Revision, wait time.Duration) (mirror.Update, error) {
+	margin := relayTimeoutMargin
 	if !since.Exists() {
-		margin = copyTimeout
+		margin = copyTimeoutMargin
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+margin)
 	defer cancel()
-	update, err := peer.askRelay(ctx, &wire.RelayCall{SinceEra: since.Era, Since: since.Number, WaitMs: uint32(wait.Milliseconds()), Differences: true})
+	update, err := peer.requestUpdate(ctx, &wire.RelayCall{SinceEra: since.Era, Since: since.Number, WaitMs: uint32(wait.Milliseconds()), Differences: true})
 	if errors.Is(err, transfer.ErrOtherBase) {
-		return peer.askRelay(ctx, &wire.RelayCall{SinceEra: since.Era, Since: since.Number})
+		return peer.requestUpdate(ctx, &wire.RelayCall{SinceEra: since.Era, Since: since.Number})
 	}
 	return update, err
 }
 
-// Knows asks whether the node's mirror has anything.
+// Knows asks whether the node's mirror has a copy.
 func (peer *peer) Knows(ctx context.Context, wait time.Duration) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+relayMargin)
+	ctx, cancel := context.WithTimeout(ctx, wait+relayTimeoutMargin)
 	defer cancel()
 	reply, err := peer.callRelay(ctx, &wire.RelayCall{WaitMs: uint32(wait.Milliseconds()), OnlyKnown: true})
 	if err != nil {
@@ -66,8 +67,10 @@
 	return reply.GetKnown(), nil
 }
 
-func (peer *peer) askRelay(ctx context.Context, call *wire.RelayCall) (mirror.Update, error) {
-	call.Config = peer.node.fleet.version()
+// requestUpdate sends one relay call and decodes its reply. A newer configuration in the
+// reply is applied.
+func (peer *peer) requestUpdate(ctx context.Context, call *wire.RelayCall) (mirror.Update, error) {
+	call.Config = peer.node.fleet.configVersion()
 	relay, err := peer.callRelay(ctx, call)
 	if err != nil {
 		return mirror.Update{}, err
@@ -85,7 +88,7 @@
 		return mirror.Update{}, err
 	}
 	for _, record := range records {
-		unpacked, err := peer.whole(record, at.Era)
+		unpacked, err := peer.decodeRecord(record, at.Era)
 		if err != nil {
 			return mirror.Update{}, err
 		}
@@ -94,29 +97,33 @@
 	return update, nil
 }
 
+// callRelay sends one relay call.
 func (peer *peer) callRelay(ctx context.Context, call *wire.RelayCall) (*wire.RelayReply, error) {
 	call.Node = string(peer.node.Settings.Node)
 	reply, err := peer.wire.Do(ctx, &wire.Call{Kind: &wire.Call_Relay{Relay: call}})
 	return reply.GetRelay(), err
 }
 
-// whole returns a record of the era as the service has it.
-func (peer *peer) whole(sent *wire.StoreRecord, era int64) (shedkeel.Record, error) {
+// decodeRecord decodes a record of the era, which may be encoded as a difference from the
+// value that this node has.
+func (peer *peer) decodeRecord(sent *wire.StoreRecord, era int64) (shedkeel.Record, error) {
 	if sent.GetBase() != 0 {
 		return transfer.Undiffer(sent, era, peer.node.mirror.Get(sent.GetKey()))
 	}
 	return transfer.Unpack(sent, era)
 }
 
-func (peers *peers) relay(ctx context.Context, call *wire.RelayCall) *wire.Reply {
+// handleRelay answers a relay call. It waits until the mirror has something new, for at
+// most the time that the call states.
+func (peers *peers) handleRelay(ctx context.Context, call *wire.RelayCall) *wire.Reply {
 	own := &peers.node.mirror
-	peers.node.subscribers.hear(shedkeel.NodeID(call.GetNode()), peers.node.Timers.Now())
+	peers.node.subscribers.note(shedkeel.NodeID(call.GetNode()), peers.node.Timers.Now())
 	changed := own.Changed()
 	state := own.State()
 	since := shedkeel.Revision{Era: call.GetSinceEra(), Number: call.GetSince()}
 	peers.fetchConfig(shedkeel.NodeID(call.GetNode()), call.GetConfig())
-	away := own.State().Known && peers.node.follower.Away() // who asks goes on to the next node at once
-	if !away && (!state.Known || !call.GetOnlyKnown() && !state.At.After(since)) {
+	unavailable := own.State().Known && peers.node.follower.Away() // answered without a wait, so that the caller asks the next node at once
+	if !unavailable && (!state.Known || !call.GetOnlyKnown() && !state.At.After(since)) {
 		timer := time.NewTimer(time.Duration(call.GetWaitMs()) * time.Millisecond)
 		select {
 		case <-ctx.Done():
@@ -126,7 +133,7 @@
 		timer.Stop()
 	}
 	if call.GetOnlyKnown() || !own.State().Known {
-		return &wire.Reply{Kind: &wire.Reply_Relay{Relay: &wire.RelayReply{Known: own.State().Known, Nodes: peers.heardOf()}}}
+		return &wire.Reply{Kind: &wire.Reply_Relay{Relay: &wire.RelayReply{Known: own.State().Known, Nodes: peers.knownNodeCount()}}}
 	}
 	update := own.Since(since)
 	config := peers.node.fleet.newerConfig(call.GetConfig())
@@ -137,8 +144,8 @@
 		return &wire.Reply{Kind: &wire.Reply_Relay{Relay: reply}}
 	}
 	reply := transfer.Reply(update, now)
-	reply.Away, reply.Config = away, config
-	encode := func() []*wire.StoreRecord { return peers.tellAll(update.Records, since, call.GetDifferences()) }
+	reply.Away, reply.Config = unavailable, config
+	encode := func() []*wire.StoreRecord { return peers.encodeRecords(update.Records, since, call.GetDifferences()) }
 	if len(update.Records) < transfer.BatchMin {
 		reply.Records = encode()
 	} else {
@@ -147,16 +154,18 @@
 	return &wire.Reply{Kind: &wire.Reply_Relay{Relay: reply}}
 }
 
-func (peers *peers) tellAll(records []shedkeel.Record, since shedkeel.Revision, differences bool) []*wire.StoreRecord {
-	var told []*wire.StoreRecord
+// encodeRecords encodes records for a node that asks.
+func (peers *peers) encodeRecords(records []shedkeel.Record, since shedkeel.Revision, differences bool) []*wire.StoreRecord {
+	var encoded []*wire.StoreRecord
 	for _, record := range records {
-		told = append(told, peers.tell(record, since, differences))
+		encoded = append(encoded, peers.encodeRecord(record, since, differences))
 	}
-	return told
+	return encoded
 }
 
-// heardOf returns of how many nodes this one has heard.
-func (peers *peers) heardOf() uint32 {
+// knownNodeCount returns the larger of the number of listed nodes and the number of nodes
+// that asked this one recently.
+func (peers *peers) knownNodeCount() uint32 {
 	listed := 0
 	if peers.node.mirror.State().Known {
 		listed = peers.node.fleet.nodeCount()
@@ -164,22 +173,21 @@
 	return uint32(max(listed, peers.node.subscribers.count(peers.node.Timers.Now())))
 }
 
-// tell returns a record as it is sent to a node that asks: by the difference if
-// that is what it has the former value of, else whole.
-// A heartbeat of a server changes one number.
-func (peers *peers) tell(record shedkeel.Record, since shedkeel.Revision, differences bool) *wire.StoreRecord {
+// encodeRecord encodes a record for a node that asks: as the difference from the former
+// value if the node has that, else complete. A server's heartbeat changes only one number.
+func (peers *peers) encodeRecord(record shedkeel.Record, since shedkeel.Revision, differences bool) *wire.StoreRecord {
 	former := peers.node.mirror.Before(record.Key)
 	usable := former.Revision.Exists() && !former.Revision.After(since) && record.Revision.After(former.Revision)
 	if differences && !record.Gone && usable {
-		if told := transfer.Differ(record, former); told != nil {
-			return told
+		if encoded := transfer.Differ(record, former); encoded != nil {
+			return encoded
 		}
 	}
 	return peers.packer.Pack(record)
 }
 
-// mirrorUpdate is an update with records that this node has written itself.
-// It proves nothing of their age.
+// mirrorUpdate returns a mirror update of records that this node wrote itself. It does not
+// prove that the other records are current.
 func mirrorUpdate(records ...shedkeel.Record) mirror.Update {
 	return mirror.Update{Records: records}
 }
--- a/node/testnode_test.go
+++ b/node/testnode_test.go
@@ -16,27 +16,27 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// listDecoder takes the keys of records for the names of backend servers.
-type listDecoder struct{ Decoder }
+// keyDecoder uses a record's key as the ID of the backend server.
+type keyDecoder struct{ Decoder }
 
-func (listDecoder) ConfigKey() string      { return "config" }
-func (listDecoder) InstancePrefix() string { return "servers/" }
-func (listDecoder) EvacuatedZone(key string) (shedkeel.ZoneID, bool) {
+func (keyDecoder) ConfigKey() string      { return "config" }
+func (keyDecoder) InstancePrefix() string { return "servers/" }
+func (keyDecoder) EvacuatedZone(key string) (shedkeel.ZoneID, bool) {
 	zone, found := strings.CutPrefix(key, "evacuated/")
 	return shedkeel.ZoneID(zone), found
 }
-func (listDecoder) Instance(key string, _ []byte) (shedkeel.Instance, error) {
+func (keyDecoder) Instance(key string, _ []byte) (shedkeel.Instance, error) {
 	return shedkeel.Instance{ID: shedkeel.InstanceID(key)}, nil
 }
 
-// newTestNode returns a node that does not run, on a clock that stands at one
-// minute. None of its backend servers answers.
+// newTestNode returns a node that does not run. Its manual clock shows one minute. None of
+// its backend servers answers.
 func newTestNode(t testing.TB) (*Node, *timer.Manual) {
 	t.Helper()
 	log, err := event.NewLog(io.Discard, "info")
 	assert.NilError(t, err)
 	timers := &timer.Manual{}
-	node := &Node{Log: log, Timers: timers, Random: rand.NewPCG(1, 2), Decoder: listDecoder{}, Engines: &answering{}}
+	node := &Node{Log: log, Timers: timers, Random: rand.NewPCG(1, 2), Decoder: keyDecoder{}, Engines: &answering{}}
 	node.Settings.Node = "node-1"
 	node.Incarnation = "first"
 	node.Prepare()
@@ -44,8 +44,8 @@
 	return node, timers
 }
 
-// newListedNode returns a node of that name among the listed ones, with what it
-// has told of itself there.
+// newListedNode returns a node with this ID and the capacity that its record among the
+// listed ones states.
 func newListedNode(t *testing.T, own shedkeel.NodeID, listed []nodeRecord) (*Node, *timer.Manual) {
 	t.Helper()
 	node, timers := newTestNode(t)
@@ -60,7 +60,7 @@
 	return node, timers
 }
 
-// listenHere returns a listener on a free port.
+// listenHere returns a listener on a free port of the loopback interface.
 func listenHere(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,7 +68,7 @@
 	return listener
 }
 
-// serveWire answers other nodes at the listener until stop is called.
+// serveWire answers other nodes' calls at the listener until stop is called.
 func serveWire(t *testing.T, listener net.Listener, handler wire.Handler) (stop func()) {
 	t.Helper()
 	server := &wire.Server{Key: "k", Handler: handler}
@@ -83,5 +83,5 @@
 	}
 }
 
-// fourNodes are in the order in which nodes do what is done for all.
+// fourNodes are in the order of compareNodes.
 var fourNodes = []nodeRecord{{ID: "a", Capacity: 0.8}, {ID: "b", Capacity: 0.8}, {ID: "c", Capacity: 0.2}, {ID: "d", Capacity: 0.2}}
