--- a/keeper/agree.go
+++ b/keeper/agree.go
@@ -12,13 +12,13 @@
 	"shedkeel.org/shedkeel/platform"
 )
 
-// tendLease makes the write that the lease wants, if any.
-func (zone *zonePlanner) tendLease(ctx context.Context) {
+// maintainLease gains or renews the zone's lease if a write is due.
+func (zone *zonePlanner) maintainLease(ctx context.Context) {
 	keeper := zone.keeper
 	now := keeper.Timers.Now()
 	keeper.mutex.Lock()
 	record := keeper.table.Record(zone.leaseKey())
-	place, candidate := member.Place(keeper.Settings.Node, leaseRank+string(zone.zone), zone.zone, keeper.table.Live(now))
+	rank, candidate := member.Place(keeper.Settings.Node, leaseRankPrefix+string(zone.id), zone.id, keeper.table.Live(now))
 	keeper.mutex.Unlock()
 	if err := zone.lease.Observe(record.Revision, record.Value, now); err != nil {
 		keeper.Log.Write(event.RecordBad, slog.String("error", err.Error()))
@@ -27,13 +27,13 @@
 	if _, held := zone.lease.Held(now, 0); !candidate && !held {
 		return
 	}
-	write, wanted := zone.lease.Wanted(now, place)
+	write, wanted := zone.lease.Wanted(now, rank)
 	if !wanted {
 		return
 	}
 	revision, err := keeper.Store.Swap(ctx, zone.leaseKey(), write.Revision, write.Value)
 	if err == nil {
-		keeper.noteStore(nil)
+		keeper.recordStoreState(nil)
 		zone.lease.Written(revision, write.Value)
 		zone.publish(zone.leaseKey(), write.Value, revision)
 		return
@@ -44,54 +44,58 @@
 		zone.rereadLease(ctx)
 		return
 	}
-	keeper.noteStore(err)
+	keeper.recordStoreState(err)
 }
 
+// rereadLease reads the lease after a write conflict.
 func (zone *zonePlanner) rereadLease(ctx context.Context) {
 	record, err := zone.keeper.Store.Get(ctx, zone.leaseKey())
 	if err != nil {
 		return
 	}
-	// Whatever the write was, the read tells what holds now.
+	// The stored value decides, whether or not the conflicting write was ours.
 	_ = zone.lease.Reset(record.Revision, record.Value, zone.keeper.Timers.Now())
 	if record.Revision.Exists() {
 		zone.publish(zone.leaseKey(), record.Value, record.Revision)
 	}
 }
 
-// publish spreads a record that was just written or read.
+// publish merges a record that was just written or read, from where it spreads
+// to the other keepers.
 func (zone *zonePlanner) publish(key string, value []byte, revision shedkeel.Revision) {
 	record, err := member.ParseRecord(shedkeel.Record{Key: key, Value: value, Revision: revision})
 	if err == nil {
-		zone.keeper.merge(record)
+		zone.keeper.mergeRecord(record)
 	}
 }
 
-// fence writes the placement once under the new epoch, so that a former holder
-// cannot change it any more, before anything is planned on it.
-func (zone *zonePlanner) fence(ctx context.Context) bool {
+// fencePlacement rewrites the placement under the new epoch before planning
+// starts, so that compare-and-swap writes of a former holder fail. It reports
+// whether this succeeded.
+func (zone *zonePlanner) fencePlacement(ctx context.Context) bool {
 	record, err := zone.keeper.Store.Get(ctx, zone.placementKey())
 	if err != nil {
-		zone.keeper.noteStore(err)
+		zone.keeper.recordStoreState(err)
 		return false
 	}
-	placement := shedkeel.Placement{Zone: zone.zone}
+	placement := shedkeel.Placement{Zone: zone.id}
 	if record.Revision.Exists() {
 		if err := json.Unmarshal(record.Value, &placement); err != nil {
 			zone.keeper.Log.Write(event.RecordBad, slog.String("error", err.Error()))
 			return false
 		}
 	}
-	if inForce := zone.inForce(); inForce.Generation > placement.Generation {
-		placement = inForce // the service was restored from older data
+	if inForce := zone.mergedPlacement(); inForce.Generation > placement.Generation {
+		placement = inForce // the key-value service was restored from older data
 	}
 	zone.placement = placement
 	zone.revision = record.Revision
-	zone.fenced = zone.agree(ctx, placement.With(zone.fallback()))
+	zone.fenced = zone.commitPlacement(ctx, placement.With(zone.currentFallback()))
 	return zone.fenced
 }
 
-func (zone *zonePlanner) inForce() shedkeel.Placement {
+// mergedPlacement returns the newest placement that this keeper has merged.
+func (zone *zonePlanner) mergedPlacement() shedkeel.Placement {
 	zone.keeper.mutex.Lock()
 	defer zone.keeper.mutex.Unlock()
 	var placement shedkeel.Placement
@@ -99,10 +103,12 @@
 	return placement
 }
 
-// agree writes a placement by compare-and-swap on the one before it.
-func (zone *zonePlanner) agree(ctx context.Context, next shedkeel.Placement) bool {
+// commitPlacement writes the placement by compare-and-swap on the previous
+// revision, provided that the lease is still held. It reports whether the write
+// succeeded.
+func (zone *zonePlanner) commitPlacement(ctx context.Context, next shedkeel.Placement) bool {
 	keeper := zone.keeper
-	next.Zone = zone.zone
+	next.Zone = zone.id
 	next.Generation = zone.placement.Generation + 1
 	next.PlannerEpoch = zone.epoch
 	next.Nonce = shedkeel.NewNonce()
@@ -111,34 +117,35 @@
 		err = next.Validate()
 	}
 	if err != nil {
-		keeper.Log.Write(event.PlacementFailed, slog.String("zone", string(zone.zone)), slog.String("error", err.Error()))
+		keeper.Log.Write(event.PlacementFailed, slog.String("zone", string(zone.id)), slog.String("error", err.Error()))
 		return false
 	}
 	if _, held := zone.lease.Held(keeper.Timers.Now(), 0); !held {
 		return false
 	}
-	mine := func(stored []byte) bool {
+	isOurs := func(stored []byte) bool {
 		var placement shedkeel.Placement
 		return json.Unmarshal(stored, &placement) == nil && placement.Nonce == next.Nonce
 	}
-	revision, err := platform.SettleSwap(ctx, keeper.Store, zone.placementKey(), zone.revision, value, mine)
+	revision, err := platform.SettleSwap(ctx, keeper.Store, zone.placementKey(), zone.revision, value, isOurs)
 	if err != nil {
-		zone.fenced = false // read it again before the next plan
-		keeper.Log.Write(event.PlacementFailed, slog.String("zone", string(zone.zone)), slog.String("error", err.Error()))
+		zone.fenced = false // tick reads and fences the placement again before it plans
+		keeper.Log.Write(event.PlacementFailed, slog.String("zone", string(zone.id)), slog.String("error", err.Error()))
 		return false
 	}
 	zone.placement = next
 	zone.revision = revision
 	zone.publish(zone.placementKey(), value, revision)
-	keeper.Log.Write(event.PlacementAgreed, slog.String("zone", string(zone.zone)), slog.Uint64("generation", next.Generation), slog.Int("groups", len(next.Groups)))
+	keeper.Log.Write(event.PlacementAgreed, slog.String("zone", string(zone.id)), slog.Uint64("generation", next.Generation), slog.Int("groups", len(next.Groups)))
 	return true
 }
 
-func (zone *zonePlanner) drop() {
+// stepDown ends planning after the lease was lost.
+func (zone *zonePlanner) stepDown() {
 	if zone.epoch == 0 {
 		return
 	}
-	zone.keeper.Log.Write(event.LeaseLost, slog.String("zone", string(zone.zone)), slog.Uint64("epoch", zone.epoch))
+	zone.keeper.Log.Write(event.LeaseLost, slog.String("zone", string(zone.id)), slog.Uint64("epoch", zone.epoch))
 	zone.setEpoch(0)
 	zone.fenced = false
 }
--- a/keeper/calls.go
+++ b/keeper/calls.go
@@ -12,10 +12,11 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// claimTime bounds how long a claim is waited for.
-const claimTime = 3 * time.Second
+// claimTimeout is the time limit for one claim or answer call, including the
+// forwarded call.
+const claimTimeout = 3 * time.Second
 
-// Handle answers the calls of other keepers and of the entry on this box.
+// Handle serves calls from other keepers and from the entry on this box.
 func (keeper *Keeper) Handle(ctx context.Context, call *wire.Call) *wire.Reply {
 	now := keeper.Timers.Now()
 	switch kind := call.GetKind().(type) {
@@ -24,22 +25,23 @@
 		defer keeper.mutex.Unlock()
 		return &wire.Reply{Kind: &wire.Reply_Exchange{Exchange: keeper.table.Answer(kind.Exchange, now)}}
 	case *wire.Call_Sync:
-		return &wire.Reply{Kind: &wire.Reply_Sync{Sync: keeper.sync(ctx, kind.Sync, now)}}
+		return &wire.Reply{Kind: &wire.Reply_Sync{Sync: keeper.handleSync(ctx, kind.Sync, now)}}
 	case *wire.Call_Claim:
-		return &wire.Reply{Kind: &wire.Reply_Claim{Claim: keeper.claim(ctx, kind.Claim)}}
+		return &wire.Reply{Kind: &wire.Reply_Claim{Claim: keeper.handleClaim(ctx, kind.Claim)}}
 	case *wire.Call_Answer:
-		return &wire.Reply{Kind: &wire.Reply_Answer{Answer: keeper.answer(ctx, kind.Answer)}}
+		return &wire.Reply{Kind: &wire.Reply_Answer{Answer: keeper.handleAnswer(ctx, kind.Answer)}}
 	}
 	return &wire.Reply{Error: "unknown call; upgrade this process"}
 }
 
-// sync answers the entry on this box.
-func (keeper *Keeper) sync(ctx context.Context, call *wire.SyncCall, now time.Duration) *wire.SyncReply {
+// handleSync serves a sync call of the entry on this box: it stores the entry's
+// state and returns the records and digests that are newer than the entry's.
+func (keeper *Keeper) handleSync(ctx context.Context, call *wire.SyncCall, now time.Duration) *wire.SyncReply {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
-	keeper.entry = wire.SessionOf(ctx)
-	keeper.entryAs = call.GetIncarnation()
-	keeper.synced = now
+	keeper.entrySession = wire.SessionOf(ctx)
+	keeper.entryIncarnation = call.GetIncarnation()
+	keeper.lastSync = now
 	if keeper.table.Self.Stopping != call.GetStopping() {
 		keeper.table.Self.Stopping = call.GetStopping()
 		keeper.table.Beat(now)
@@ -49,16 +51,18 @@
 	return reply
 }
 
-// claim decides a claim: at the keeper that writes the key's shard if it can
-// be reached, else here. Either is safe; the first takes fewer writes.
-func (keeper *Keeper) claim(ctx context.Context, call *wire.ClaimCall) *wire.ClaimReply {
-	ctx, cancel := context.WithTimeout(ctx, claimTime)
+// handleClaim decides a claim for an idempotency key. It forwards the claim to
+// the keeper that writes the key's shard, or decides it here if that keeper is
+// not available. Compare-and-swap makes both safe; forwarding needs fewer
+// writes.
+func (keeper *Keeper) handleClaim(ctx context.Context, call *wire.ClaimCall) *wire.ClaimReply {
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	key := claim.KeyOf(shedkeel.AccountID(call.GetAccount()), call.GetKey())
 	shard := claim.ShardOf(key)
 	owner := keeper.shardOwner(shard)
 	if !call.GetForwarded() && owner.ID != keeper.Settings.Node {
-		reply, err := keeper.forward(ctx, owner, call)
+		reply, err := keeper.forwardClaim(ctx, owner, call)
 		var unavailable *shedkeel.UnavailableError
 		if !errors.As(err, &unavailable) {
 			return reply
@@ -76,13 +80,15 @@
 	return &wire.ClaimReply{Status: status, Attempt: result.Claim.Attempt, Holder: result.Claim.Holder}
 }
 
-// shardOwner returns the keeper that should write a shard.
+// shardOwner returns the keeper that should write the claims of a shard.
 func (keeper *Keeper) shardOwner(shard int) shedkeel.Node {
-	ranked := member.Rank("claims/"+claim.ShardName(shard), keeper.live(keeper.Timers.Now()))
-	return ranked[0] // the keeper itself always counts as live
+	ranked := member.Rank("claims/"+claim.ShardName(shard), keeper.liveNodes(keeper.Timers.Now()))
+	return ranked[0] // never empty: this keeper always counts as live
 }
 
-func (keeper *Keeper) forward(ctx context.Context, owner shedkeel.Node, call *wire.ClaimCall) (*wire.ClaimReply, error) {
+// forwardClaim sends a claim to the owner of its shard. The Forwarded flag keeps
+// the owner from forwarding it again.
+func (keeper *Keeper) forwardClaim(ctx context.Context, owner shedkeel.Node, call *wire.ClaimCall) (*wire.ClaimReply, error) {
 	forwarded := &wire.ClaimCall{
 		Account: call.GetAccount(), Key: call.GetKey(), Attempt: call.GetAttempt(), Holder: call.GetHolder(),
 		InsteadOf: call.GetInsteadOf(), Digest: call.GetDigest(), Forwarded: true,
@@ -94,16 +100,18 @@
 	return reply.GetClaim(), nil
 }
 
-// answer finds the entry that ran an attempt and asks it what came of it.
-func (keeper *Keeper) answer(ctx context.Context, call *wire.AnswerCall) *wire.AnswerReply {
-	ctx, cancel := context.WithTimeout(ctx, claimTime)
+// handleAnswer asks the entry that ran an attempt for its result. If that entry
+// is on another box, the call goes through that box's keeper. The state is
+// UNKNOWN if the entry is not available or has been restarted.
+func (keeper *Keeper) handleAnswer(ctx context.Context, call *wire.AnswerCall) *wire.AnswerReply {
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	unknown := &wire.AnswerReply{State: wire.AnswerReply_UNKNOWN}
 	box, incarnation, _ := strings.Cut(call.GetHolder(), "/")
 	keeper.mutex.Lock()
-	session := keeper.entry
-	here := keeper.entryAs == incarnation
-	address := keeper.wireOf(shedkeel.NodeID(box))
+	session := keeper.entrySession
+	sameIncarnation := keeper.entryIncarnation == incarnation
+	address := keeper.wireAddress(shedkeel.NodeID(box))
 	keeper.mutex.Unlock()
 	forward := &wire.Call{Kind: &wire.Call_Answer{Answer: call}}
 	var reply *wire.Reply
@@ -113,7 +121,7 @@
 		return unknown
 	case shedkeel.NodeID(box) != keeper.Settings.Node:
 		reply, err = keeper.peer(address).Do(ctx, forward)
-	case session == nil || session.Closed() || !here:
+	case session == nil || session.Closed() || !sameIncarnation:
 		return unknown
 	default:
 		reply, err = session.Do(ctx, forward)
@@ -124,8 +132,9 @@
 	return reply.GetAnswer()
 }
 
-// wireOf returns the wire address of a node, or nothing. The mutex is held.
-func (keeper *Keeper) wireOf(id shedkeel.NodeID) string {
+// wireAddress returns the wire address of a node, or "" if the node is unknown.
+// The mutex must be held.
+func (keeper *Keeper) wireAddress(id shedkeel.NodeID) string {
 	for _, state := range keeper.table.Nodes() {
 		if state.Node.ID == id {
 			return state.Node.Wire
--- a/keeper/fallback.go
+++ b/keeper/fallback.go
@@ -13,40 +13,45 @@
 	"shedkeel.org/shedkeel/member"
 )
 
-// fallbackSteps is how many fallbacks can follow each other on one agreed
-// placement.
-const fallbackSteps = 1 << 16
+// maxFallbackGenerations is how many fallbacks can be based on one agreed
+// placement. Fallback generations start at the placement's generation times this
+// number, so that those of a newer placement are always higher.
+const maxFallbackGenerations = 1 << 16
 
-// outagePlanner is a planner that can decide while nothing can be agreed.
-type outagePlanner interface {
+// fallbackPlanner is a planner that can replace lost members by reserve boxes
+// while no new placement can be agreed.
+type fallbackPlanner interface {
 	Fallback(input shedkeel.PlanInput) map[shedkeel.GroupID]shedkeel.BoxID
 }
 
-// mayFallBack reports whether this keeper may use the reserves of its zone: it
-// was the last to hold the lease, the service has been out for long enough
-// that any later holder would have been heard of, and it is not cut off from
-// the other keepers.
-func (zone *zonePlanner) mayFallBack(now time.Duration) bool {
+// canFallBack reports whether this keeper may use the reserve boxes of its zone.
+// All of these must hold: this keeper was the last holder of the lease and wrote
+// the placement under it; the lease lapsed at least one TTL ago, so that this
+// keeper would know of a later holder; the store is unavailable; and more than
+// half of the known nodes are live, so that this keeper is not partitioned from
+// the others.
+func (zone *zonePlanner) canFallBack(now time.Duration) bool {
 	keeper := zone.keeper
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
 	live, known := len(keeper.table.Live(now)), len(keeper.table.Nodes())
-	if !keeper.storeOut || 2*live <= known {
+	if !keeper.storeUnavailable || 2*live <= known {
 		return false
 	}
 	return zone.lease.LapsedFor(now, zone.lease.TTL) && zone.placement.PlannerEpoch == zone.lease.Holder().Epoch
 }
 
-// fallBack uses reserves in place of lost members and gives the orders for it,
-// under the epoch of the placement. A planner with a newer epoch overrules it
-// at the engines, and the next agreed placement ends it.
-func (zone *zonePlanner) fallBack(ctx context.Context) {
-	planner, able := zone.planner.(outagePlanner)
-	input, ready := zone.input(ctx)
-	if !able || !ready {
+// applyFallback replaces lost members by reserve boxes, publishes the fallback
+// and sends the orders for it under the epoch of the placement. Engines refuse
+// these orders once a planner with a newer epoch has sent its own. The next
+// agreed placement ends the fallback.
+func (zone *zonePlanner) applyFallback(ctx context.Context) {
+	planner, supported := zone.planner.(fallbackPlanner)
+	input, ready := zone.gatherInput(ctx)
+	if !supported || !ready {
 		return
 	}
-	fallback := zone.fallback()
+	fallback := zone.currentFallback()
 	lost := planner.Fallback(input)
 	before := len(fallback.Lost)
 	for id, box := range lost {
@@ -56,25 +61,26 @@
 		}
 	}
 	if len(fallback.Lost) > before {
-		zone.spreadFallback(fallback)
+		zone.publishFallback(fallback)
 	}
 	if len(fallback.Lost) == 0 {
 		return
 	}
 	input.Placement = zone.placement.With(fallback)
-	zone.fallingBack = true
-	zone.order(ctx, zone.placement.PlannerEpoch, group.Reconcile(input))
-	zone.fallingBack = false
+	zone.inFallback = true
+	zone.sendOrders(ctx, zone.placement.PlannerEpoch, group.Reconcile(input))
+	zone.inFallback = false
 }
 
-// fallback returns what is in use of the placement that this keeper knows.
-func (zone *zonePlanner) fallback() shedkeel.Fallback {
+// currentFallback returns the fallback based on the current placement, or an
+// empty one. The caller may change its Lost map.
+func (zone *zonePlanner) currentFallback() shedkeel.Fallback {
 	zone.keeper.mutex.Lock()
 	defer zone.keeper.mutex.Unlock()
 	fallback := shedkeel.Fallback{}
 	_ = json.Unmarshal(zone.keeper.table.Record(zone.fallbackKey()).Value, &fallback)
 	if fallback.Base != zone.placement.Generation {
-		fallback = shedkeel.Fallback{Generation: zone.placement.Generation * fallbackSteps, Zone: zone.zone, Base: zone.placement.Generation}
+		fallback = shedkeel.Fallback{Generation: zone.placement.Generation * maxFallbackGenerations, Zone: zone.id, Base: zone.placement.Generation}
 	}
 	lost := maps.Clone(fallback.Lost)
 	if lost == nil {
@@ -84,13 +90,15 @@
 	return fallback
 }
 
-func (zone *zonePlanner) fallbackKey() string { return member.KeyFallbacks + string(zone.zone) }
+func (zone *zonePlanner) fallbackKey() string { return member.KeyFallbacks + string(zone.id) }
 
-func (zone *zonePlanner) spreadFallback(fallback shedkeel.Fallback) {
+// publishFallback merges the fallback under its next generation, from where it
+// spreads to the other keepers.
+func (zone *zonePlanner) publishFallback(fallback shedkeel.Fallback) {
 	fallback.Generation++
 	value, err := json.Marshal(fallback)
 	if err != nil {
 		return
 	}
-	zone.keeper.merge(member.Record{Key: zone.fallbackKey(), Generation: fallback.Generation, Value: value})
+	zone.keeper.mergeRecord(member.Record{Key: zone.fallbackKey(), Generation: fallback.Generation, Value: value})
 }
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -1,7 +1,8 @@
-// Package keeper is the control process of an entry box. It follows the
-// platform, spreads agreed records between boxes, probes groups, and, for a
-// zone whose lease it holds, plans groups and orders boxes. It is a thin shell
-// around the packages member, lease, group and claim.
+// Package keeper is the control-plane process of an entry box. It watches the
+// key-value service, exchanges records with the other keepers, probes groups,
+// and, for each availability zone whose lease it holds, plans the groups and
+// sends orders to the boxes. The decisions are made in the packages member,
+// lease, group and claim; this package connects them to clocks and sockets.
 package keeper
 
 import (
@@ -22,8 +23,8 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// Keeper is the control process of one entry box. Its exported fields are set
-// before Run.
+// Keeper is the control-plane process of one entry box. Set its exported fields
+// before calling Run.
 type Keeper struct {
 	Settings config.Settings
 	Store    shedkeel.Store
@@ -32,71 +33,73 @@
 	Timers   shedkeel.Timers
 	Log      *event.Log
 	Metrics  *metrics.Metrics
-	Now      func() time.Time // wall clock, for claims' retention and reports
-
-	mutex    sync.Mutex
-	table    member.Table
-	settled  bool
-	heard    map[string]bool // peers that answered an exchange
-	entry    *wire.Session   // of the entry on this box
-	entryAs  string          // its incarnation
-	synced   time.Duration   // when the entry last asked
-	boxes    []shedkeel.Box
-	zones    map[shedkeel.ZoneID]*zonePlanner
-	verdicts map[shedkeel.GroupID]shedkeel.Verdict
-	downtime map[shedkeel.GroupID]time.Duration
-	sequence uint64
-	peers    map[string]*wire.Peer
-	away     map[string]bool
-	storeOut bool
+	Now      func() time.Time // wall clock, for the retention of claims and the incarnation
+
+	mutex            sync.Mutex
+	table            member.Table
+	settled          bool
+	answeredPeers    map[string]bool // by address: peers that have answered an exchange
+	entrySession     *wire.Session   // connection from the entry on this box
+	entryIncarnation string          // incarnation of that entry
+	lastSync         time.Duration   // time of the entry's last sync call
+	boxes            []shedkeel.Box
+	planners         map[shedkeel.ZoneID]*zonePlanner
+	verdicts         map[shedkeel.GroupID]shedkeel.Verdict
+	downSince        map[shedkeel.GroupID]time.Duration
+	digestSequence   uint64
+	peers            map[string]*wire.Peer
+	unreachable      map[string]bool
+	storeUnavailable bool
 
 	committers []*claim.Committer
-	probes     *prober
-	running    sync.WaitGroup
+	prober     *prober
+	background sync.WaitGroup
 }
 
-// slowTicks is how many ticks lie between two rounds of probes, which cost most
-// of a keeper's processor time, and between two readings of the box list, which
-// lags by more than that.
-const slowTicks = 2
+// slowLoopTicks is the interval, in ticks, between probe rounds and between
+// reads of the box list. Probing takes most of a keeper's processor time, and
+// the box list lags behind the boxes by more than this interval.
+const slowLoopTicks = 2
 
-// Listeners are the sockets that a keeper serves.
+// Listeners are the sockets on which a keeper accepts connections.
 type Listeners struct {
 	Wire     net.Listener
 	Operator net.Listener
 }
 
-// Run serves until the context ends.
+// Run serves until ctx is cancelled, then closes its connections and waits for
+// its goroutines. It returns an error only if it cannot start.
 func (keeper *Keeper) Run(ctx context.Context, listeners Listeners) error {
-	if err := keeper.begin(); err != nil {
+	if err := keeper.initialize(); err != nil {
 		return err
 	}
 	serverTLS, err := keeper.Settings.Wire.TLS.Server()
 	if err != nil {
 		return err
 	}
-	server := &wire.Server{Key: keeper.Settings.Wire.Key, TLS: serverTLS, Handler: keeper}
-	keeper.running.Go(func() { _ = server.Run(listeners.Wire) })
-	operators := &http.Server{Handler: keeper.operatorHandler(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second}
+	wireServer := &wire.Server{Key: keeper.Settings.Wire.Key, TLS: serverTLS, Handler: keeper}
+	keeper.background.Go(func() { _ = wireServer.Run(listeners.Wire) })
+	operatorServer := &http.Server{Handler: keeper.operatorHandler(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second}
 	operatorTLS, err := keeper.Settings.TLS.Server()
 	if err != nil {
 		return err
 	}
-	operators.TLSConfig = operatorTLS
-	keeper.running.Go(func() { serveHTTP(operators, listeners.Operator) })
-	keeper.loops(ctx)
+	operatorServer.TLSConfig = operatorTLS
+	keeper.background.Go(func() { serveHTTP(operatorServer, listeners.Operator) })
+	keeper.startLoops(ctx)
 	<-ctx.Done()
 	_ = listeners.Wire.Close()
-	_ = operators.Close()
+	_ = operatorServer.Close()
 	keeper.mutex.Lock()
 	for _, peer := range keeper.peers {
 		peer.Close()
 	}
 	keeper.mutex.Unlock()
-	keeper.running.Wait()
+	keeper.background.Wait()
 	return nil
 }
 
+// serveHTTP serves until the server is closed, with TLS if it is configured.
 func serveHTTP(server *http.Server, listener net.Listener) {
 	if server.TLSConfig != nil {
 		_ = server.ServeTLS(listener, "", "")
@@ -105,21 +108,22 @@
 	_ = server.Serve(listener)
 }
 
-func (keeper *Keeper) begin() error {
+// initialize fills the unexported fields before the goroutines start.
+func (keeper *Keeper) initialize() error {
 	settings := keeper.Settings
 	keeper.table.Self = shedkeel.Node{
 		ID: settings.Node, Incarnation: shedkeel.NewIncarnation(keeper.Now()), Zone: settings.Zone,
 		Wire: settings.Wire.Advertise, Entry: settings.Entry.Advertise,
-		Stopping: true, // until the entry on this box says otherwise
+		Stopping: true, // until the first sync call of the entry on this box
 	}
 	keeper.table.Beat(keeper.Timers.Now())
-	keeper.heard = map[string]bool{}
+	keeper.answeredPeers = map[string]bool{}
 	keeper.peers = map[string]*wire.Peer{}
-	keeper.away = map[string]bool{}
-	keeper.zones = map[shedkeel.ZoneID]*zonePlanner{}
+	keeper.unreachable = map[string]bool{}
+	keeper.planners = map[shedkeel.ZoneID]*zonePlanner{}
 	keeper.verdicts = map[shedkeel.GroupID]shedkeel.Verdict{}
-	keeper.downtime = map[shedkeel.GroupID]time.Duration{}
-	keeper.probes = &prober{engines: keeper.Engines, timers: keeper.Timers, timeout: time.Duration(settings.Timing.Tick), views: map[shedkeel.BoxID]shedkeel.BoxView{}}
+	keeper.downSince = map[shedkeel.GroupID]time.Duration{}
+	keeper.prober = &prober{engines: keeper.Engines, timers: keeper.Timers, timeout: time.Duration(settings.Timing.Tick), views: map[shedkeel.BoxID]shedkeel.BoxView{}}
 	for shard := range claim.Shards {
 		committer := claim.NewCommitter()
 		committer.Store = keeper.Store
@@ -133,69 +137,75 @@
 	return nil
 }
 
-// loops starts the keeper's goroutines.
-func (keeper *Keeper) loops(ctx context.Context) {
+// startLoops starts the claim committers, the store watch and the periodic
+// tasks. Each stops when ctx is cancelled.
+func (keeper *Keeper) startLoops(ctx context.Context) {
 	for _, committer := range keeper.committers {
-		keeper.running.Go(func() { committer.Run(ctx) })
+		keeper.background.Go(func() { committer.Run(ctx) })
 	}
-	keeper.running.Go(func() { keeper.loopWatch(ctx) })
+	keeper.background.Go(func() { keeper.loopWatchStore(ctx) })
 	tick := time.Duration(keeper.Settings.Timing.Tick)
-	parts := []struct {
+	loops := []struct {
 		every time.Duration
 		run   func(context.Context, time.Duration)
 	}{
 		{tick, keeper.tickExchange}, {tick, keeper.tickPlan},
-		{slowTicks * tick, keeper.tickProbe}, {slowTicks * tick, keeper.tickBoxes},
+		{slowLoopTicks * tick, keeper.tickProbe}, {slowLoopTicks * tick, keeper.tickBoxes},
 	}
-	for _, part := range parts {
-		cancel := keeper.Timers.Subscribe(part.every, func(now time.Duration) { part.run(ctx, now) })
-		keeper.running.Go(func() {
+	for _, loop := range loops {
+		cancel := keeper.Timers.Subscribe(loop.every, func(now time.Duration) { loop.run(ctx, now) })
+		keeper.background.Go(func() {
 			<-ctx.Done()
 			cancel()
 		})
 	}
 }
 
-// live returns the nodes heard of lately.
-func (keeper *Keeper) live(now time.Duration) []shedkeel.Node {
+// liveNodes returns the nodes whose heartbeat has advanced recently.
+func (keeper *Keeper) liveNodes(now time.Duration) []shedkeel.Node {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
 	return keeper.table.Live(now)
 }
 
-// merge takes in a record that was read or written here.
-func (keeper *Keeper) merge(record member.Record) {
+// mergeRecord merges a record that this keeper read from or wrote to the store.
+func (keeper *Keeper) mergeRecord(record member.Record) {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
 	if keeper.table.MergeRecord(record) {
-		keeper.noteConfig(record)
+		keeper.advertiseConfig(record)
 	}
 }
 
-// noteConfig logs a configuration that came into force. The mutex is held.
-func (keeper *Keeper) noteConfig(record member.Record) {
+// advertiseConfig logs a newly merged configuration and reports its generation
+// to the other nodes. It ignores other records. The mutex must be held.
+func (keeper *Keeper) advertiseConfig(record member.Record) {
 	if record.Key == member.KeyConfig {
 		keeper.table.Self.Config = record.Generation
 		keeper.Log.Write(event.ConfigInForce, slog.Uint64("generation", record.Generation))
 	}
 }
 
-// settle notes that the keeper knows what is in force.
-func (keeper *Keeper) settle(how string) {
+// markSettled records that the keeper has read the records in force, and logs
+// from which source. Until then the keeper neither plans nor reports ready.
+func (keeper *Keeper) markSettled(source string) {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
 	if !keeper.settled {
 		keeper.settled = true
-		keeper.Log.Write(event.Settled, slog.String("by", how))
+		keeper.Log.Write(event.Settled, slog.String("by", source))
 	}
 }
 
-// window is how old the proof may be that a group is whole.
-func (keeper *Keeper) window() time.Duration { return time.Duration(keeper.Settings.Timing.Permit) }
+// permitWindow returns the maximum age of a finding that a group is whole.
+func (keeper *Keeper) permitWindow() time.Duration {
+	return time.Duration(keeper.Settings.Timing.Permit)
+}
 
-// judge works out the permits as an entry does. The mutex is held.
-func (keeper *Keeper) judge(now time.Duration) []member.Permit {
-	judge := member.Judge{Now: now, Window: keeper.window(), Drains: map[shedkeel.BoxID]bool{}, Digests: keeper.table.Digests()}
+// permits computes the permits of all placed groups by the same rule as an
+// entry. The mutex must be held.
+func (keeper *Keeper) permits(now time.Duration) []member.Permit {
+	judge := member.Judge{Now: now, Window: keeper.permitWindow(), Drains: map[shedkeel.BoxID]bool{}, Digests: keeper.table.Digests()}
 	if config, known := keeper.table.Config(); known {
 		for _, box := range config.Drains {
 			judge.Drains[box] = true
@@ -204,5 +214,5 @@
 	return judge.Permits(keeper.table.Placements())
 }
 
-// planner returns a new planner of the kind that runs in this process.
-func (keeper *Keeper) planner() shedkeel.Planner { return &group.Planner{} }
+// newPlanner returns a planner of the type that this process runs.
+func (keeper *Keeper) newPlanner() shedkeel.Planner { return &group.Planner{} }
--- a/keeper/operator.go
+++ b/keeper/operator.go
@@ -21,18 +21,18 @@
 	"shedkeel.org/shedkeel/policy"
 )
 
-// maxConfig bounds a configuration, in bytes: one value of the key-value
-// service.
-const maxConfig = 1 << 20
+// maxConfigBytes is the maximum size of a configuration, which is stored as one
+// value of the key-value service.
+const maxConfigBytes = 1 << 20
 
-// Accepted is the answer to an operator whose configuration was accepted.
+// Accepted is the response to a configuration that was accepted.
 type Accepted struct {
 	Generation uint64 `json:"generation"`
 	Nodes      int    `json:"nodes"`    // live keepers
-	InForce    int    `json:"in_force"` // of those, how many have said that they have it
+	InForce    int    `json:"in_force"` // live keepers that report this generation or a newer one
 }
 
-// GroupStatus is one group as an operator sees it.
+// GroupStatus is the state of one group.
 type GroupStatus struct {
 	Group  shedkeel.Group  `json:"group"`
 	Zone   shedkeel.ZoneID `json:"zone"`
@@ -40,7 +40,7 @@
 	Reason string          `json:"reason,omitempty"`
 }
 
-// Status is the fleet as one keeper sees it.
+// Status is the state of the fleet as known to one keeper.
 type Status struct {
 	Node       shedkeel.NodeID             `json:"node"`
 	Settled    bool                        `json:"settled"`
@@ -48,26 +48,27 @@
 	Generation uint64                      `json:"generation"`
 	Nodes      []shedkeel.Node             `json:"nodes"`
 	Groups     []GroupStatus               `json:"groups"`
-	Stranded   int                         `json:"stranded_accelerators"` // of boxes in no whole group
-	BoxesKnown bool                        `json:"boxes_known"`           // whether this keeper reads the box list
+	Stranded   int                         `json:"stranded_accelerators"` // accelerators of boxes in no whole group
+	BoxesKnown bool                        `json:"boxes_known"`           // whether this keeper has read the box list
 	Down       map[shedkeel.GroupID]string `json:"down_since"`
 }
 
+// operatorHandler returns the handler of the operators' HTTP interface.
 func (keeper *Keeper) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, "ok\n") })
 	mux.HandleFunc("GET /readyz", keeper.serveReady)
 	mux.Handle("GET /metrics", keeper.Metrics.Page)
-	mux.HandleFunc("GET /v1/config", keeper.operator(keeper.serveConfig))
-	mux.HandleFunc("PUT /v1/config", keeper.operator(keeper.serveApply))
-	mux.HandleFunc("GET /v1/status", keeper.operator(keeper.serveStatus))
-	mux.HandleFunc("GET /v1/explain/{group}", keeper.operator(keeper.serveExplain))
-	mux.HandleFunc("GET /v1/dump", keeper.operator(keeper.serveDump))
+	mux.HandleFunc("GET /v1/config", keeper.requireOperatorKey(keeper.serveGetConfig))
+	mux.HandleFunc("PUT /v1/config", keeper.requireOperatorKey(keeper.servePutConfig))
+	mux.HandleFunc("GET /v1/status", keeper.requireOperatorKey(keeper.serveStatus))
+	mux.HandleFunc("GET /v1/explain/{group}", keeper.requireOperatorKey(keeper.serveExplain))
+	mux.HandleFunc("GET /v1/dump", keeper.requireOperatorKey(keeper.serveDump))
 	return mux
 }
 
-// operator lets only holders of the operators' key through.
-func (keeper *Keeper) operator(next http.HandlerFunc) http.HandlerFunc {
+// requireOperatorKey rejects requests without the operator key with status 401.
+func (keeper *Keeper) requireOperatorKey(next http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		presented, _ := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
 		if subtle.ConstantTimeCompare([]byte(presented), []byte(keeper.Settings.Keeper.OperatorKey)) != 1 {
@@ -78,7 +79,7 @@
 	}
 }
 
-// ErrorBody is the body of every refusal.
+// ErrorBody is the JSON body of every error response.
 type ErrorBody struct {
 	Error string `json:"error"`
 }
@@ -93,6 +94,7 @@
 	_ = json.NewEncoder(writer).Encode(body)
 }
 
+// serveReady reports whether the keeper knows the records in force.
 func (keeper *Keeper) serveReady(writer http.ResponseWriter, _ *http.Request) {
 	if !keeper.isSettled() {
 		writeError(writer, http.StatusServiceUnavailable, errors.New("not settled; the key-value service or a majority of listed keepers must answer"))
@@ -101,17 +103,19 @@
 	_, _ = io.WriteString(writer, "ready\n")
 }
 
-func (keeper *Keeper) serveConfig(writer http.ResponseWriter, _ *http.Request) {
+// serveGetConfig returns the configuration in force.
+func (keeper *Keeper) serveGetConfig(writer http.ResponseWriter, _ *http.Request) {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
 	inForce, _ := keeper.table.Config()
 	writeJSON(writer, http.StatusOK, inForce)
 }
 
-// serveApply accepts a configuration that builds on the generation in force.
-func (keeper *Keeper) serveApply(writer http.ResponseWriter, request *http.Request) {
+// servePutConfig replaces the configuration if the request is based on the
+// generation in force; otherwise it responds with status 409.
+func (keeper *Keeper) servePutConfig(writer http.ResponseWriter, request *http.Request) {
 	var wanted shedkeel.Config
-	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxConfig))
+	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxConfigBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&wanted); err != nil {
 		writeError(writer, http.StatusBadRequest, fmt.Errorf("configuration cannot be read: %w; send what `shedkeel apply` sends", err))
@@ -122,7 +126,7 @@
 		writeError(writer, http.StatusUnprocessableEntity, err)
 		return
 	}
-	accepted, err := keeper.accept(request.Context(), wanted)
+	accepted, err := keeper.applyConfig(request.Context(), wanted)
 	var conflict *shedkeel.ConflictError
 	var unavailable *shedkeel.UnavailableError
 	switch {
@@ -139,10 +143,10 @@
 	}
 }
 
-// accept makes a configuration agreed. Its generation is the one that the
-// operator built on; an operator who was slower than another gets a
-// ConflictError and nothing changes.
-func (keeper *Keeper) accept(ctx context.Context, wanted shedkeel.Config) (Accepted, error) {
+// applyConfig stores a configuration by compare-and-swap. wanted.Generation is
+// the generation that the operator edited. If another operator has stored a
+// newer one, applyConfig returns a ConflictError and changes nothing.
+func (keeper *Keeper) applyConfig(ctx context.Context, wanted shedkeel.Config) (Accepted, error) {
 	stored, err := keeper.Store.Get(ctx, member.KeyConfig)
 	if err != nil {
 		return Accepted{}, err
@@ -168,23 +172,24 @@
 	if err != nil {
 		return Accepted{}, err
 	}
-	mine := func(stored []byte) bool {
-		var there shedkeel.Config
-		return json.Unmarshal(stored, &there) == nil && there.Nonce == wanted.Nonce
+	isOurs := func(stored []byte) bool {
+		var found shedkeel.Config
+		return json.Unmarshal(stored, &found) == nil && found.Nonce == wanted.Nonce
 	}
-	revision, err := platform.SettleSwap(ctx, keeper.Store, member.KeyConfig, stored.Revision, value, mine)
+	revision, err := platform.SettleSwap(ctx, keeper.Store, member.KeyConfig, stored.Revision, value, isOurs)
 	if err != nil {
 		return Accepted{}, err
 	}
-	keeper.merge(member.Record{Key: member.KeyConfig, Generation: wanted.Generation, Revision: revision, Value: value})
+	keeper.mergeRecord(member.Record{Key: member.KeyConfig, Generation: wanted.Generation, Revision: revision, Value: value})
 	keeper.Log.Write(event.ConfigAccepted, slog.Uint64("generation", wanted.Generation))
-	return keeper.reach(wanted.Generation), nil
+	return keeper.configRollout(wanted.Generation), nil
 }
 
-// reach tells how far a generation of the configuration has come.
-func (keeper *Keeper) reach(generation uint64) Accepted {
+// configRollout counts the live keepers and those that report at least the
+// given generation of the configuration.
+func (keeper *Keeper) configRollout(generation uint64) Accepted {
 	accepted := Accepted{Generation: generation}
-	for _, node := range keeper.live(keeper.Timers.Now()) {
+	for _, node := range keeper.liveNodes(keeper.Timers.Now()) {
 		accepted.Nodes++
 		if node.Config >= generation || node.ID == keeper.Settings.Node {
 			accepted.InForce++
@@ -197,12 +202,14 @@
 	writeJSON(writer, http.StatusOK, keeper.status())
 }
 
+// status builds the status report and updates the times since which groups are
+// down.
 func (keeper *Keeper) status() Status {
 	now := keeper.Timers.Now()
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
 	status := Status{
-		Node: keeper.Settings.Node, Settled: keeper.settled, StoreAway: keeper.storeOut,
+		Node: keeper.Settings.Node, Settled: keeper.settled, StoreAway: keeper.storeUnavailable,
 		Generation: keeper.table.Record(member.KeyConfig).Generation, Nodes: keeper.table.Live(now),
 		BoxesKnown: len(keeper.boxes) > 0, Down: map[shedkeel.GroupID]string{},
 	}
@@ -213,14 +220,14 @@
 		}
 	}
 	serving := map[shedkeel.BoxID]bool{}
-	for _, permit := range keeper.judge(now) {
-		state := stateOf(permit, now)
+	for _, permit := range keeper.permits(now) {
+		state := groupState(permit, now)
 		status.Groups = append(status.Groups, GroupStatus{Group: permit.Group, Zone: zoneOf[permit.Group.ID], State: state, Reason: permit.Reason})
 		for _, member := range permit.Group.Members {
 			serving[member.Box] = state == "whole"
 		}
-		keeper.noteDown(permit.Group.ID, state == "whole", now)
-		if since, down := keeper.downtime[permit.Group.ID]; down {
+		keeper.updateDownSince(permit.Group.ID, state == "whole", now)
+		if since, down := keeper.downSince[permit.Group.ID]; down {
 			status.Down[permit.Group.ID] = (now - since).Round(time.Second).String()
 		}
 	}
@@ -232,18 +239,20 @@
 	return status
 }
 
-// noteDown remembers since when a group is not whole. The mutex is held.
-func (keeper *Keeper) noteDown(id shedkeel.GroupID, whole bool, now time.Duration) {
-	_, down := keeper.downtime[id]
+// updateDownSince stores when a group was first reported as not whole, and
+// deletes the time when it is whole again. The mutex must be held.
+func (keeper *Keeper) updateDownSince(id shedkeel.GroupID, whole bool, now time.Duration) {
+	_, down := keeper.downSince[id]
 	switch {
 	case whole:
-		delete(keeper.downtime, id)
+		delete(keeper.downSince, id)
 	case !down:
-		keeper.downtime[id] = now
+		keeper.downSince[id] = now
 	}
 }
 
-func stateOf(permit member.Permit, now time.Duration) string {
+// groupState returns the state of a group as it appears in GroupStatus.
+func groupState(permit member.Permit, now time.Duration) string {
 	switch {
 	case permit.Until > now:
 		return "whole"
@@ -255,7 +264,8 @@
 	return "loading"
 }
 
-// Explanation is why a group is as it is.
+// Explanation lists what the keeper knows about one group: its state, the
+// watchers' findings, recent planner decisions and the lease holder.
 type Explanation struct {
 	Group     GroupStatus         `json:"group"`
 	Watchers  []string            `json:"watchers"`
@@ -267,10 +277,10 @@
 func (keeper *Keeper) serveExplain(writer http.ResponseWriter, request *http.Request) {
 	id := shedkeel.GroupID(request.PathValue("group"))
 	status := keeper.status()
-	place := slices.IndexFunc(status.Groups, func(group GroupStatus) bool { return group.Group.ID == id })
+	index := slices.IndexFunc(status.Groups, func(group GroupStatus) bool { return group.Group.ID == id })
 	explanation := Explanation{}
-	if place >= 0 {
-		explanation.Group = status.Groups[place]
+	if index >= 0 {
+		explanation.Group = status.Groups[index]
 	}
 	now := keeper.Timers.Now()
 	keeper.mutex.Lock()
@@ -282,24 +292,25 @@
 			}
 		}
 	}
-	for _, zone := range keeper.zones {
+	for _, zone := range keeper.planners {
 		for _, decision := range zone.decisions {
 			if decision.Group == id {
 				explanation.Decisions = append(explanation.Decisions, decision)
 			}
 		}
 	}
-	explanation.Planner = keeper.plannerOf(explanation.Group.Zone)
+	explanation.Planner = keeper.leaseHolder(explanation.Group.Zone)
 	keeper.mutex.Unlock()
-	if place < 0 && len(explanation.Decisions) == 0 {
+	if index < 0 && len(explanation.Decisions) == 0 {
 		writeError(writer, http.StatusNotFound, fmt.Errorf("group %q is not known; `shedkeel status` lists the groups", id))
 		return
 	}
 	writeJSON(writer, http.StatusOK, explanation)
 }
 
-// plannerOf names the holder of a zone's lease. The mutex is held.
-func (keeper *Keeper) plannerOf(zone shedkeel.ZoneID) string {
+// leaseHolder returns the holder of a zone's lease, or "" if none is known. The
+// mutex must be held.
+func (keeper *Keeper) leaseHolder(zone shedkeel.ZoneID) string {
 	var holder struct {
 		Holder string `json:"holder"`
 	}
@@ -307,20 +318,21 @@
 	return holder.Holder
 }
 
-// Dump is the state of a keeper, without secrets.
+// Dump is the keeper's state for debugging, without keys.
 type Dump struct {
-	Status    Status                       `json:"status"`
-	Config    shedkeel.Config              `json:"config"`
-	Table     shedkeel.Table               `json:"policy_table"`
-	Records   map[string]uint64            `json:"record_generations"`
-	Digests   []member.Digest              `json:"digests"`
-	Decisions []shedkeel.Decision          `json:"decisions"`
-	Calls     map[shedkeel.StoreCall]int64 `json:"store_calls"`
-	Placement []shedkeel.Placement         `json:"placements"`
+	Status            Status                       `json:"status"`
+	Config            shedkeel.Config              `json:"config"`
+	Table             shedkeel.Table               `json:"policy_table"`
+	RecordGenerations map[string]uint64            `json:"record_generations"`
+	Digests           []member.Digest              `json:"digests"`
+	Decisions         []shedkeel.Decision          `json:"decisions"`
+	StoreCalls        map[shedkeel.StoreCall]int64 `json:"store_calls"`
+	Placements        []shedkeel.Placement         `json:"placements"`
 }
 
+// serveDump returns the Dump, with the key hashes of client accounts removed.
 func (keeper *Keeper) serveDump(writer http.ResponseWriter, _ *http.Request) {
-	dump := Dump{Status: keeper.status(), Records: map[string]uint64{}, Calls: map[shedkeel.StoreCall]int64{}, Table: policy.DefaultTable()}
+	dump := Dump{Status: keeper.status(), RecordGenerations: map[string]uint64{}, StoreCalls: map[shedkeel.StoreCall]int64{}, Table: policy.DefaultTable()}
 	keeper.mutex.Lock()
 	dump.Config, _ = keeper.table.Config()
 	dump.Config.Accounts = slices.Clone(dump.Config.Accounts)
@@ -328,17 +340,17 @@
 		dump.Config.Accounts[index].KeyHash = ""
 	}
 	for _, record := range keeper.table.Records(member.KeyPrefix) {
-		dump.Records[record.Key] = record.Generation
+		dump.RecordGenerations[record.Key] = record.Generation
 	}
 	dump.Digests = keeper.table.Digests()
-	dump.Placement = keeper.table.Placements()
-	for _, zone := range keeper.zones {
+	dump.Placements = keeper.table.Placements()
+	for _, zone := range keeper.planners {
 		dump.Decisions = append(dump.Decisions, zone.decisions...)
-		dump.Table = zone.table
+		dump.Table = zone.policies
 	}
 	keeper.mutex.Unlock()
 	if counter, ok := keeper.Store.(shedkeel.CallCounter); ok {
-		dump.Calls = counter.Calls()
+		dump.StoreCalls = counter.Calls()
 	}
 	writeJSON(writer, http.StatusOK, dump)
 }
--- a/keeper/plan.go
+++ b/keeper/plan.go
@@ -18,48 +18,49 @@
 )
 
 const (
-	// leaseRank is the key under which candidates for a zone's lease rank.
-	leaseRank = "lease/"
-	// renewals is how many renewals fit into a lease.
-	renewals = 3
-	// maxOrders bounds how many orders are under way at once.
-	maxOrders = 64
-	// keptDecisions is how many decisions of a zone are kept to explain them.
-	keptDecisions = 200
+	// leaseRankPrefix and the zone form the key by which the lease candidates are
+	// ranked.
+	leaseRankPrefix = "lease/"
+	// renewalsPerLease is how often a lease is renewed within its TTL.
+	renewalsPerLease = 3
+	// maxConcurrentOrders limits the orders that a zone planner has in flight.
+	maxConcurrentOrders = 64
+	// maxDecisions is how many decisions per zone are kept for the explain command.
+	maxDecisions = 200
 )
 
-// zonePlanner is this keeper's part in planning one zone.
+// zonePlanner plans one availability zone while this keeper holds its lease.
 type zonePlanner struct {
 	keeper  *Keeper
-	zone    shedkeel.ZoneID
+	id      shedkeel.ZoneID
 	lease   lease.Lease
 	planner shedkeel.Planner
-	epoch   uint64 // under which this keeper planned last; 0: it does not plan
+	epoch   uint64 // lease epoch under which this keeper plans; 0: it does not plan
 
-	// placement is what this keeper wrote or read last, with the revision
-	// that its next compare-and-swap builds on.
-	placement   shedkeel.Placement
-	revision    shedkeel.Revision
-	fenced      bool // the placement carries our epoch
-	fallingBack bool // orders are for reserves in an outage
-	table       shedkeel.Table
-	tableOf     uint64 // generation of the configuration that the table is from
-	unknown     map[shedkeel.BoxID]time.Duration
-	decisions   []shedkeel.Decision
+	// placement is the placement last written or read, and revision the one
+	// that the next compare-and-swap expects.
+	placement       shedkeel.Placement
+	revision        shedkeel.Revision
+	fenced          bool // the stored placement carries the current epoch
+	inFallback      bool // sending fallback orders during an outage of the store
+	policies        shedkeel.Table
+	tableGeneration uint64 // configuration generation that the policies were computed from
+	unknownOutcomes map[shedkeel.BoxID]time.Duration
+	decisions       []shedkeel.Decision
 }
 
-// tickPlan tends the leases of all zones that have groups to plan, and plans
-// those that this keeper holds.
+// tickPlan runs one planning step for each zone whose lease this keeper may
+// hold, all zones in parallel.
 func (keeper *Keeper) tickPlan(ctx context.Context, now time.Duration) {
-	var planned sync.WaitGroup
+	var running sync.WaitGroup
 	for _, zone := range keeper.candidateZones(now) {
-		planned.Go(func() { zone.tick(ctx) })
+		running.Go(func() { zone.tick(ctx) })
 	}
-	planned.Wait()
+	running.Wait()
 }
 
 // candidateZones returns the planners of the zones whose lease this keeper may
-// hold.
+// hold. It creates missing ones.
 func (keeper *Keeper) candidateZones(now time.Duration) []*zonePlanner {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
@@ -76,89 +77,92 @@
 	}
 	var planners []*zonePlanner
 	for _, zone := range slices.Sorted(maps.Keys(wanted)) {
-		_, candidate := member.Place(keeper.Settings.Node, leaseRank+string(zone), zone, live)
-		if keeper.zones[zone] == nil && candidate {
-			keeper.zones[zone] = keeper.newZone(zone)
+		_, candidate := member.Place(keeper.Settings.Node, leaseRankPrefix+string(zone), zone, live)
+		if keeper.planners[zone] == nil && candidate {
+			keeper.planners[zone] = keeper.newZonePlanner(zone)
 		}
-		if keeper.zones[zone] != nil {
-			planners = append(planners, keeper.zones[zone])
+		if keeper.planners[zone] != nil {
+			planners = append(planners, keeper.planners[zone])
 		}
 	}
 	return planners
 }
 
-func (keeper *Keeper) newZone(zone shedkeel.ZoneID) *zonePlanner {
+// newZonePlanner returns a planner for the zone that does not hold the lease.
+func (keeper *Keeper) newZonePlanner(zone shedkeel.ZoneID) *zonePlanner {
 	timing := keeper.Settings.Timing
 	return &zonePlanner{
 		keeper: keeper,
-		zone:   zone,
+		id:     zone,
 		lease: lease.Lease{
 			Node: keeper.table.Self.ID, Incarnation: keeper.table.Self.Incarnation,
-			TTL: time.Duration(timing.Lease), Margin: time.Duration(timing.LeaseMargin), Renew: time.Duration(timing.Lease) / renewals,
+			TTL: time.Duration(timing.Lease), Margin: time.Duration(timing.LeaseMargin), Renew: time.Duration(timing.Lease) / renewalsPerLease,
 		},
-		planner: keeper.planner(),
-		table:   policy.DefaultTable(),
-		unknown: map[shedkeel.BoxID]time.Duration{},
+		planner:         keeper.newPlanner(),
+		policies:        policy.DefaultTable(),
+		unknownOutcomes: map[shedkeel.BoxID]time.Duration{},
 	}
 }
 
-func (zone *zonePlanner) leaseKey() string     { return member.KeyLeases + string(zone.zone) }
-func (zone *zonePlanner) placementKey() string { return member.KeyPlacements + string(zone.zone) }
+func (zone *zonePlanner) leaseKey() string     { return member.KeyLeases + string(zone.id) }
+func (zone *zonePlanner) placementKey() string { return member.KeyPlacements + string(zone.id) }
 
-// tick renews or seeks the lease, then plans if it is held.
+// tick maintains the lease. It plans if the lease is held, and otherwise applies
+// the fallback if that is allowed.
 func (zone *zonePlanner) tick(ctx context.Context) {
-	zone.tendLease(ctx)
+	zone.maintainLease(ctx)
 	keeper := zone.keeper
 	epoch, held := zone.lease.Held(keeper.Timers.Now(), 0)
 	if !held {
-		zone.drop()
-		if zone.mayFallBack(keeper.Timers.Now()) {
-			zone.fallBack(ctx)
+		zone.stepDown()
+		if zone.canFallBack(keeper.Timers.Now()) {
+			zone.applyFallback(ctx)
 		}
 		return
 	}
 	if zone.epoch != epoch {
 		zone.setEpoch(epoch)
 		zone.fenced = false
-		keeper.Log.Write(event.LeaseGained, slog.String("zone", string(zone.zone)), slog.Uint64("epoch", epoch))
+		keeper.Log.Write(event.LeaseGained, slog.String("zone", string(zone.id)), slog.Uint64("epoch", epoch))
 	}
-	if !zone.fenced && !zone.fence(ctx) {
+	if !zone.fenced && !zone.fencePlacement(ctx) {
 		return
 	}
 	zone.plan(ctx)
 }
 
-// setEpoch notes under which epoch this keeper plans; 0: it does not.
+// setEpoch sets the epoch under the keeper's mutex.
 func (zone *zonePlanner) setEpoch(epoch uint64) {
 	zone.keeper.mutex.Lock()
 	defer zone.keeper.mutex.Unlock()
 	zone.epoch = epoch
 }
 
-// plan decides once and gives the orders that the agreed placement calls for.
+// plan runs the planner once, sends the orders and commits a changed placement.
+// The orders are those for the placement before the change.
 func (zone *zonePlanner) plan(ctx context.Context) {
-	input, ready := zone.input(ctx)
+	input, ready := zone.gatherInput(ctx)
 	if !ready {
 		return
 	}
 	output := zone.planner.Plan(input)
-	zone.explain(output.Decisions)
-	zone.order(ctx, zone.epoch, output.Orders)
+	zone.recordDecisions(output.Decisions)
+	zone.sendOrders(ctx, zone.epoch, output.Orders)
 	if output.Changed {
-		zone.agree(ctx, output.Placement)
+		zone.commitPlacement(ctx, output.Placement)
 	}
 }
 
-// input gathers what the planner decides on. Members of groups that watchers
-// found whole are taken to be as the group needs them; all other boxes are
-// probed here.
-func (zone *zonePlanner) input(ctx context.Context) (shedkeel.PlanInput, bool) {
+// gatherInput returns the planner's input, or false if the configuration or the
+// box list is not known. Members of groups with a valid permit are taken to be
+// in the state that the group needs; all other boxes are probed.
+func (zone *zonePlanner) gatherInput(ctx context.Context) (shedkeel.PlanInput, bool) {
 	keeper := zone.keeper
 	now := keeper.Timers.Now()
 	keeper.mutex.Lock()
 	config, known := keeper.table.Config()
 	boxes := slices.Clone(keeper.boxes)
-	permits := keeper.judge(now)
+	permits := keeper.permits(now)
 	keeper.mutex.Unlock()
 	if !known || len(boxes) == 0 {
 		return shedkeel.PlanInput{}, false
@@ -169,7 +173,7 @@
 			whole[permit.Group.Assignment()] = permit
 		}
 	}
-	input := shedkeel.PlanInput{Zone: zone.zone, Config: config, Boxes: map[shedkeel.BoxID]shedkeel.BoxView{}, Placement: zone.placement.Clone()}
+	input := shedkeel.PlanInput{Zone: zone.id, Config: config, Boxes: map[shedkeel.BoxID]shedkeel.BoxView{}, Placement: zone.placement.Clone()}
 	for _, placed := range zone.placement.Groups {
 		permit, found := whole[placed.Assignment()]
 		if !found {
@@ -181,52 +185,53 @@
 			}}
 		}
 	}
-	zone.look(ctx, boxes, &input)
+	zone.probeUnwatched(ctx, boxes, &input)
 	input.Now = keeper.Timers.Now()
-	input.Table = zone.policyTable(config, boxes)
+	input.Table = zone.refreshPolicyTable(config, boxes)
 	return input, true
 }
 
-// look probes the boxes of the zone that no watcher vouched for.
-func (zone *zonePlanner) look(ctx context.Context, boxes []shedkeel.Box, input *shedkeel.PlanInput) {
-	known, unlisted := zone.knownBoxes(boxes)
+// probeUnwatched probes the boxes of the zone that are in no group with a valid
+// permit, and adds all boxes of the zone to the input.
+func (zone *zonePlanner) probeUnwatched(ctx context.Context, boxes []shedkeel.Box, input *shedkeel.PlanInput) {
+	known, unlisted := zone.zoneBoxes(boxes)
 	addresses := map[shedkeel.BoxID]string{}
 	for id, box := range known {
-		if _, vouched := input.Boxes[id]; !vouched {
+		if _, watched := input.Boxes[id]; !watched {
 			addresses[id] = box.Address
 		}
 	}
-	zone.keeper.probes.probe(ctx, addresses)
+	zone.keeper.prober.probeAll(ctx, addresses)
 	now := zone.keeper.Timers.Now()
 	for id, box := range known {
-		if view, vouched := input.Boxes[id]; vouched {
+		if view, watched := input.Boxes[id]; watched {
 			view.Box = box
 			input.Boxes[id] = view
 			continue
 		}
-		view := zone.lastSeen(box)
+		view := zone.boxView(box)
 		if unlisted[id] && (view.Seen < 0 || now-view.Seen > group.DefaultMissAfter) {
-			continue // neither listed nor answering: it is gone
+			continue // neither listed nor answering: it no longer exists
 		}
 		input.Boxes[id] = view
 	}
 }
 
-// knownBoxes returns the boxes of the zone: those on the list, and the members
-// of groups that the list lacks. The list lags and may be short; a member that
-// answers as it should is there, whatever the list says.
-func (zone *zonePlanner) knownBoxes(boxes []shedkeel.Box) (known map[shedkeel.BoxID]shedkeel.Box, unlisted map[shedkeel.BoxID]bool) {
+// zoneBoxes returns the boxes of the zone: those on the box list and the members
+// of groups that are missing from it. The list lags and may be incomplete, so a
+// member that answers probes counts as present even if it is not listed.
+func (zone *zonePlanner) zoneBoxes(boxes []shedkeel.Box) (known map[shedkeel.BoxID]shedkeel.Box, unlisted map[shedkeel.BoxID]bool) {
 	known = map[shedkeel.BoxID]shedkeel.Box{}
 	unlisted = map[shedkeel.BoxID]bool{}
 	for _, box := range boxes {
-		if box.Zone == zone.zone {
+		if box.Zone == zone.id {
 			known[box.ID] = box
 		}
 	}
 	for _, placed := range zone.placement.Groups {
 		for _, place := range placed.Members {
 			if _, listed := known[place.Box]; !listed {
-				known[place.Box] = shedkeel.Box{ID: place.Box, Address: place.Address, Zone: zone.zone, Domain: placed.Domain}
+				known[place.Box] = shedkeel.Box{ID: place.Box, Address: place.Address, Zone: zone.id, Domain: placed.Domain}
 				unlisted[place.Box] = true
 			}
 		}
@@ -234,41 +239,42 @@
 	return known, unlisted
 }
 
-// lastSeen returns what a box last said. After an order with unknown outcome it
-// counts as silent until a later probe shows what the order did.
-func (zone *zonePlanner) lastSeen(box shedkeel.Box) shedkeel.BoxView {
-	view := zone.keeper.probes.view(box)
-	since, doubtful := zone.unknown[box.ID]
+// boxView returns the last state that a box reported. After an order with an
+// unknown outcome the box counts as not answering until a later probe shows the
+// effect of the order.
+func (zone *zonePlanner) boxView(box shedkeel.Box) shedkeel.BoxView {
+	view := zone.keeper.prober.lastView(box)
+	orderedAt, outcomeUnknown := zone.unknownOutcomes[box.ID]
 	switch {
-	case !doubtful:
-	case view.Seen <= since:
+	case !outcomeUnknown:
+	case view.Seen <= orderedAt:
 		view.Seen = -1
 	default:
-		delete(zone.unknown, box.ID)
+		delete(zone.unknownOutcomes, box.ID)
 	}
 	return view
 }
 
-// policyTable runs the policy when the configuration has changed. A policy
-// that fails leaves the table in use.
-func (zone *zonePlanner) policyTable(config shedkeel.Config, boxes []shedkeel.Box) shedkeel.Table {
-	if zone.tableOf == config.Generation {
-		return zone.table
+// refreshPolicyTable runs the policy program if the configuration has changed. If
+// the program fails, the previous table stays in use.
+func (zone *zonePlanner) refreshPolicyTable(config shedkeel.Config, boxes []shedkeel.Box) shedkeel.Table {
+	if zone.tableGeneration == config.Generation {
+		return zone.policies
 	}
-	zone.tableOf = config.Generation
-	table, err := policy.Run(config.Policy, FactsOf(config, zone.zone, boxes))
+	zone.tableGeneration = config.Generation
+	table, err := policy.Run(config.Policy, PolicyFacts(config, zone.id, boxes))
 	if err != nil {
-		zone.keeper.Log.Write(event.PolicyFailed, slog.String("zone", string(zone.zone)), slog.String("error", err.Error()))
-		return zone.table
+		zone.keeper.Log.Write(event.PolicyFailed, slog.String("zone", string(zone.id)), slog.String("error", err.Error()))
+		return zone.policies
 	}
 	zone.keeper.mutex.Lock()
-	zone.table = table
+	zone.policies = table
 	zone.keeper.mutex.Unlock()
 	return table
 }
 
-// FactsOf returns what a policy is told of a zone.
-func FactsOf(config shedkeel.Config, zone shedkeel.ZoneID, boxes []shedkeel.Box) policy.Facts {
+// PolicyFacts returns the facts about a zone that a policy program receives.
+func PolicyFacts(config shedkeel.Config, zone shedkeel.ZoneID, boxes []shedkeel.Box) policy.Facts {
 	facts := policy.SampleFacts()
 	facts.Zone = zone
 	facts.Members = 0
@@ -289,63 +295,67 @@
 	return facts
 }
 
-func (zone *zonePlanner) explain(decisions []shedkeel.Decision) {
+// recordDecisions logs the decisions and keeps them for the explain command. It
+// skips those among the recent ones, since the planner repeats a decision on
+// each tick.
+func (zone *zonePlanner) recordDecisions(decisions []shedkeel.Decision) {
 	for _, decision := range decisions {
-		if slices.Contains(zone.recent(), decision) {
+		if slices.Contains(zone.recentDecisions(), decision) {
 			continue
 		}
-		zone.keeper.Log.Write(event.Decided, slog.String("zone", string(zone.zone)), slog.String("group", string(decision.Group)),
+		zone.keeper.Log.Write(event.Decided, slog.String("zone", string(zone.id)), slog.String("group", string(decision.Group)),
 			slog.String("box", string(decision.Box)), slog.String("action", decision.Action), slog.String("reason", decision.Reason))
 		zone.keeper.mutex.Lock()
 		zone.decisions = append(zone.decisions, decision)
-		if len(zone.decisions) > keptDecisions {
+		if len(zone.decisions) > maxDecisions {
 			zone.decisions = zone.decisions[1:]
 		}
 		zone.keeper.mutex.Unlock()
 	}
 }
 
-// recent returns the newest decisions. A decision that is taken anew each tick
-// is logged once.
-func (zone *zonePlanner) recent() []shedkeel.Decision {
+// recentDecisions returns the newest 20 decisions.
+func (zone *zonePlanner) recentDecisions() []shedkeel.Decision {
 	zone.keeper.mutex.Lock()
 	defer zone.keeper.mutex.Unlock()
 	return slices.Clone(zone.decisions[max(len(zone.decisions)-20, 0):])
 }
 
-// order gives orders while the lease holds for as long as an order may be
-// under way.
-func (zone *zonePlanner) order(ctx context.Context, epoch uint64, orders []shedkeel.Order) {
-	var given sync.WaitGroup
+// sendOrders sends the orders in parallel and waits for all. Boxes whose order
+// has an unknown outcome are added to unknownOutcomes.
+func (zone *zonePlanner) sendOrders(ctx context.Context, epoch uint64, orders []shedkeel.Order) {
+	var pending sync.WaitGroup
 	var mutex sync.Mutex
-	slots := make(chan struct{}, maxOrders)
+	slots := make(chan struct{}, maxConcurrentOrders)
 	for _, order := range orders {
 		order.PlannerEpoch = epoch
 		slots <- struct{}{}
-		given.Go(func() {
+		pending.Go(func() {
 			defer func() { <-slots }()
-			sent, doubtful := zone.give(ctx, order)
-			if doubtful {
+			sent, outcomeUnknown := zone.sendOrder(ctx, order)
+			if outcomeUnknown {
 				mutex.Lock()
-				zone.unknown[order.Box] = sent
+				zone.unknownOutcomes[order.Box] = sent
 				mutex.Unlock()
 			}
 		})
 	}
-	given.Wait()
+	pending.Wait()
 }
 
-// give sends one order, and reports whether its outcome is unknown.
-func (zone *zonePlanner) give(ctx context.Context, order shedkeel.Order) (time.Duration, bool) {
+// sendOrder sends one order if the lease holds for the lifetime of an order or
+// the planner is in fallback. It returns when the call ended, and whether the
+// outcome of the order is unknown.
+func (zone *zonePlanner) sendOrder(ctx context.Context, order shedkeel.Order) (time.Duration, bool) {
 	keeper := zone.keeper
-	life := time.Duration(keeper.Settings.Timing.OrderLife)
-	ctx, cancel := context.WithTimeout(ctx, life)
+	orderLife := time.Duration(keeper.Settings.Timing.OrderLife)
+	ctx, cancel := context.WithTimeout(ctx, orderLife)
 	defer cancel()
 	now := keeper.Timers.Now()
-	if order.Unfenced && (zone.fallingBack || now < zone.lease.HeldSince()+zone.lease.TTL+life) {
-		return now, false // a former holder's order may still be under way
+	if order.Unfenced && (zone.inFallback || now < zone.lease.HeldSince()+zone.lease.TTL+orderLife) {
+		return now, false // the box cannot fence, and a former holder's order may still be in flight
 	}
-	if _, held := zone.lease.Held(now, life); !held && !zone.fallingBack {
+	if _, held := zone.lease.Held(now, orderLife); !held && !zone.inFallback {
 		return now, false
 	}
 	err := keeper.Engines.Give(ctx, order)
--- a/keeper/probe.go
+++ b/keeper/probe.go
@@ -16,10 +16,10 @@
 	"shedkeel.org/shedkeel/member"
 )
 
-// maxProbes bounds how many probes are under way at once.
-const maxProbes = 32
+// maxConcurrentProbes limits the probes in flight in one round.
+const maxConcurrentProbes = 32
 
-// prober asks engines for their state and remembers what they said.
+// prober probes engines for their state and stores the last answer of each box.
 type prober struct {
 	engines shedkeel.Engines
 	timers  shedkeel.Timers
@@ -29,24 +29,23 @@
 	views map[shedkeel.BoxID]shedkeel.BoxView
 }
 
-// round is what one round of probes brought.
-type round struct {
+// probeRound is the result of one round of probes.
+type probeRound struct {
 	answers map[shedkeel.BoxID]shedkeel.BoxState
-	refused map[shedkeel.BoxID]bool
+	refused map[shedkeel.BoxID]bool // by failed box: whether it refused the connection
 }
 
-// probe asks all boxes at once and returns when all have answered or run out
-// of time.
-func (prober *prober) probe(ctx context.Context, addresses map[shedkeel.BoxID]string) round {
-	result := round{answers: map[shedkeel.BoxID]shedkeel.BoxState{}, refused: map[shedkeel.BoxID]bool{}}
+// probeAll probes all boxes and returns when each has answered or timed out.
+func (prober *prober) probeAll(ctx context.Context, addresses map[shedkeel.BoxID]string) probeRound {
+	result := probeRound{answers: map[shedkeel.BoxID]shedkeel.BoxState{}, refused: map[shedkeel.BoxID]bool{}}
 	var mutex sync.Mutex
-	var asked sync.WaitGroup
-	slots := make(chan struct{}, maxProbes)
+	var pending sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentProbes)
 	for _, box := range slices.Sorted(maps.Keys(addresses)) {
 		slots <- struct{}{}
-		asked.Go(func() {
+		pending.Go(func() {
 			defer func() { <-slots }()
-			state, sent, err := prober.ask(ctx, addresses[box])
+			state, sent, err := prober.probeOne(ctx, addresses[box])
 			mutex.Lock()
 			defer mutex.Unlock()
 			if err != nil {
@@ -54,14 +53,15 @@
 				return
 			}
 			result.answers[box] = state
-			prober.remember(box, state, sent)
+			prober.storeAnswer(box, state, sent)
 		})
 	}
-	asked.Wait()
+	pending.Wait()
 	return result
 }
 
-func (prober *prober) ask(ctx context.Context, address string) (shedkeel.BoxState, time.Duration, error) {
+// probeOne probes one address. The returned time is when the probe was sent.
+func (prober *prober) probeOne(ctx context.Context, address string) (shedkeel.BoxState, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, prober.timeout)
 	defer cancel()
 	sent := prober.timers.Now()
@@ -69,7 +69,8 @@
 	return state, sent, err
 }
 
-func (prober *prober) remember(box shedkeel.BoxID, state shedkeel.BoxState, sent time.Duration) {
+// storeAnswer stores the state of a box as of the time the probe was sent.
+func (prober *prober) storeAnswer(box shedkeel.BoxID, state shedkeel.BoxState, sent time.Duration) {
 	prober.mutex.Lock()
 	defer prober.mutex.Unlock()
 	view := prober.views[box]
@@ -78,8 +79,9 @@
 	prober.views[box] = view
 }
 
-// view returns what a box last said, with Seen negative if it never answered.
-func (prober *prober) view(box shedkeel.Box) shedkeel.BoxView {
+// lastView returns the last state that a box reported, with Seen negative if the
+// box has never answered.
+func (prober *prober) lastView(box shedkeel.Box) shedkeel.BoxView {
 	prober.mutex.Lock()
 	defer prober.mutex.Unlock()
 	view, known := prober.views[box.ID]
@@ -90,26 +92,26 @@
 	return view
 }
 
-// tickProbe probes the members of all groups that this keeper watches and
-// makes a digest of what it found.
+// tickProbe probes the members of all groups that this keeper watches and merges
+// the verdicts as its digest.
 func (keeper *Keeper) tickProbe(ctx context.Context, now time.Duration) {
-	groups := keeper.watched(now)
+	groups := keeper.watchedGroups(now)
 	addresses := map[shedkeel.BoxID]string{}
 	for _, watched := range groups {
 		for _, place := range watched.Members {
 			addresses[place.Box] = place.Address
 		}
 	}
-	asOf := keeper.Timers.Now()
-	found := keeper.probes.probe(ctx, addresses)
+	started := keeper.Timers.Now()
+	found := keeper.prober.probeAll(ctx, addresses)
 	if ctx.Err() != nil {
 		return
 	}
-	keeper.digest(groups, found, asOf)
+	keeper.recordDigest(groups, found, started)
 }
 
-// watched returns the groups that this keeper probes.
-func (keeper *Keeper) watched(now time.Duration) []shedkeel.Group {
+// watchedGroups returns the groups that this keeper probes.
+func (keeper *Keeper) watchedGroups(now time.Duration) []shedkeel.Group {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
 	live := keeper.table.Live(now)
@@ -124,18 +126,20 @@
 	return groups
 }
 
-func (keeper *Keeper) digest(groups []shedkeel.Group, found round, asOf time.Duration) {
+// recordDigest builds and merges this keeper's digest: a verdict on each watched
+// group and the boxes that the box list marks as leaving.
+func (keeper *Keeper) recordDigest(groups []shedkeel.Group, found probeRound, asOf time.Duration) {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
-	keeper.sequence++
-	digest := member.Digest{Watcher: keeper.table.Self.ID, Incarnation: keeper.table.Self.Incarnation, Sequence: keeper.sequence, AsOf: asOf}
+	keeper.digestSequence++
+	digest := member.Digest{Watcher: keeper.table.Self.ID, Incarnation: keeper.table.Self.Incarnation, Sequence: keeper.digestSequence, AsOf: asOf}
 	for _, watched := range groups {
 		verdict := group.Inspect(watched, found.answers, found.refused)
 		first := found.answers[watched.Members[0].Box]
 		digest.Verdicts = append(digest.Verdicts, member.GroupVerdict{
 			Group: watched.ID, Epoch: watched.Epoch, Verdict: verdict, Load: first.Running + first.Queued,
 		})
-		keeper.noteVerdict(watched, verdict)
+		keeper.recordVerdict(watched, verdict)
 	}
 	for _, box := range keeper.boxes {
 		if box.Leaving {
@@ -145,8 +149,9 @@
 	keeper.table.MergeDigest(digest)
 }
 
-// noteVerdict logs a change. The mutex is held.
-func (keeper *Keeper) noteVerdict(watched shedkeel.Group, verdict shedkeel.Verdict) {
+// recordVerdict stores the verdict on a group and logs it if it has changed. The
+// mutex must be held.
+func (keeper *Keeper) recordVerdict(watched shedkeel.Group, verdict shedkeel.Verdict) {
 	before, known := keeper.verdicts[watched.ID]
 	keeper.verdicts[watched.ID] = verdict
 	if !known || before != verdict {
--- a/keeper/spread.go
+++ b/keeper/spread.go
@@ -14,39 +14,42 @@
 )
 
 const (
-	// allPeers is up to how many keepers each asks all others every tick.
-	allPeers = 4
-	// somePeers is how many it asks when there are more.
-	somePeers = 3
-	// storeWatchers is how many keepers of each zone watch the key-value
-	// service and the box list; the others learn from them.
-	storeWatchers = 2
+	// maxFullExchange is the number of peers up to which a keeper exchanges with
+	// all of them on every tick.
+	maxFullExchange = 4
+	// sampledPeers is how many random peers a keeper exchanges with per tick when
+	// there are more.
+	sampledPeers = 3
+	// storeWatchersPerZone is how many keepers of each zone watch the key-value
+	// service and the box list. The others receive the records from them.
+	storeWatchersPerZone = 2
 )
 
-// tickExchange asks other keepers for what is newer there.
+// tickExchange advances this node's heartbeat and fetches newer state from other
+// keepers.
 func (keeper *Keeper) tickExchange(ctx context.Context, now time.Duration) {
 	keeper.mutex.Lock()
-	if now-keeper.synced > keeper.window() {
-		keeper.table.Self.Stopping = true // no caller should be sent to an entry that is gone
+	if now-keeper.lastSync > keeper.permitWindow() {
+		keeper.table.Self.Stopping = true // the entry has stopped syncing: advertise it to no caller
 	}
 	keeper.table.Beat(now)
 	keeper.table.Forget(now)
-	addresses := keeper.addresses(now)
+	addresses := keeper.peerAddresses(now)
 	keeper.mutex.Unlock()
-	if len(addresses) > allPeers {
+	if len(addresses) > maxFullExchange {
 		rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-		addresses = addresses[:somePeers]
+		addresses = addresses[:sampledPeers]
 	}
-	var asked sync.WaitGroup
+	var pending sync.WaitGroup
 	for _, address := range addresses {
-		asked.Go(func() { keeper.exchange(ctx, address) })
+		pending.Go(func() { keeper.exchangeWith(ctx, address) })
 	}
-	asked.Wait()
+	pending.Wait()
 }
 
-// addresses returns the wire addresses of the other keepers: those in the
-// settings and those heard of. The mutex is held.
-func (keeper *Keeper) addresses(now time.Duration) []string {
+// peerAddresses returns the wire addresses of the other keepers, from the
+// settings and from the live nodes. The mutex must be held.
+func (keeper *Keeper) peerAddresses(now time.Duration) []string {
 	seen := map[string]bool{keeper.Settings.Wire.Advertise: true}
 	var addresses []string
 	add := func(address string) {
@@ -64,39 +67,42 @@
 	return addresses
 }
 
-func (keeper *Keeper) exchange(ctx context.Context, address string) {
+// exchangeWith fetches newer state from one keeper and merges it. The keeper is
+// settled once a majority of the listed keepers, itself included, has answered.
+func (keeper *Keeper) exchangeWith(ctx context.Context, address string) {
 	sent := keeper.Timers.Now()
 	keeper.mutex.Lock()
-	ask := keeper.table.Ask(sent)
+	request := keeper.table.Ask(sent)
 	keeper.mutex.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, keeper.window()/2)
+	ctx, cancel := context.WithTimeout(ctx, keeper.permitWindow()/2)
 	defer cancel()
-	reply, err := keeper.peer(address).Do(ctx, &wire.Call{Kind: &wire.Call_Exchange{Exchange: ask}})
-	keeper.noteAway(address, err)
+	reply, err := keeper.peer(address).Do(ctx, &wire.Call{Kind: &wire.Call_Exchange{Exchange: request}})
+	keeper.recordPeerState(address, err)
 	if err != nil {
 		return
 	}
 	keeper.mutex.Lock()
 	changed := keeper.table.Take(reply.GetExchange(), sent, keeper.Timers.Now())
 	for _, record := range changed {
-		keeper.noteConfig(record)
+		keeper.advertiseConfig(record)
 	}
-	keeper.heard[address] = true
+	keeper.answeredPeers[address] = true
 	listed := len(keeper.Settings.Keeper.Peers)
-	enough := listed > 0 && 2*(len(keeper.heard)+1) > listed+1
+	majority := listed > 0 && 2*(len(keeper.answeredPeers)+1) > listed+1
 	keeper.mutex.Unlock()
-	if enough {
-		keeper.settle("majority of listed keepers")
+	if majority {
+		keeper.markSettled("majority of listed keepers")
 	}
 }
 
-func (keeper *Keeper) noteAway(address string, err error) {
+// recordPeerState logs when a peer becomes unavailable or available again.
+func (keeper *Keeper) recordPeerState(address string, err error) {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
-	if keeper.away[address] == (err != nil) {
+	if keeper.unreachable[address] == (err != nil) {
 		return
 	}
-	keeper.away[address] = err != nil
+	keeper.unreachable[address] = err != nil
 	if err != nil {
 		keeper.Log.Write(event.KeeperAway, slog.String("address", address), slog.String("error", err.Error()))
 		return
@@ -104,6 +110,7 @@
 	keeper.Log.Write(event.KeeperBack, slog.String("address", address))
 }
 
+// peer returns the connection to a keeper, creating it on first use.
 func (keeper *Keeper) peer(address string) *wire.Peer {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
@@ -111,7 +118,7 @@
 	if peer == nil {
 		clientTLS, err := keeper.Settings.Wire.TLS.Client()
 		if err != nil {
-			clientTLS = nil // the same settings were checked when the process began
+			clientTLS = nil // cannot happen: the settings were validated at start
 		}
 		peer = &wire.Peer{Address: address, Key: keeper.Settings.Wire.Key, TLS: clientTLS, Handler: keeper}
 		keeper.peers[address] = peer
@@ -119,13 +126,13 @@
 	return peer
 }
 
-// loopWatch follows the key-value service while this keeper is one of those
-// that watch it for the zone. A keeper that is not reads it once, to settle.
-func (keeper *Keeper) loopWatch(ctx context.Context) {
+// loopWatchStore watches the key-value service while this keeper is one of its
+// zone's watchers. Any other keeper watches it only until it is settled.
+func (keeper *Keeper) loopWatchStore(ctx context.Context) {
 	tick := time.Duration(keeper.Settings.Timing.Tick)
 	for ctx.Err() == nil {
 		if keeper.isWatcher() || !keeper.isSettled() {
-			keeper.watch(ctx)
+			keeper.watchStore(ctx)
 		}
 		select {
 		case <-ctx.Done():
@@ -140,15 +147,16 @@
 	return keeper.settled
 }
 
-// isWatcher reports whether this keeper watches the platform for its zone.
+// isWatcher reports whether this keeper is one of those that watch the key-value
+// service and the box list for its zone.
 func (keeper *Keeper) isWatcher() bool {
-	place, found := member.Place(keeper.Settings.Node, "watch/"+string(keeper.Settings.Zone), keeper.Settings.Zone, keeper.live(keeper.Timers.Now()))
-	return found && place < storeWatchers
+	rank, isCandidate := member.Place(keeper.Settings.Node, "watch/"+string(keeper.Settings.Zone), keeper.Settings.Zone, keeper.liveNodes(keeper.Timers.Now()))
+	return isCandidate && rank < storeWatchersPerZone
 }
 
-// watch follows the service until it fails or this keeper is no longer one of
-// its watchers.
-func (keeper *Keeper) watch(ctx context.Context) {
+// watchStore watches the key-value service until the watch fails or this keeper
+// is no longer one of the zone's watchers.
+func (keeper *Keeper) watchStore(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := keeper.Timers.Subscribe(time.Duration(keeper.Settings.Timing.Permit), func(time.Duration) {
@@ -157,31 +165,35 @@
 		}
 	})
 	defer stop()
-	present := time.AfterFunc(time.Duration(keeper.Settings.Timing.StoreCall), func() { keeper.settleIfRead() })
-	defer present.Stop()
-	err := keeper.Store.Watch(ctx, member.KeyPrefix, keeper.seen)
+	settleTimer := time.AfterFunc(time.Duration(keeper.Settings.Timing.StoreCall), func() { keeper.settleFromStore() })
+	defer settleTimer.Stop()
+	err := keeper.Store.Watch(ctx, member.KeyPrefix, keeper.handleStoreRecord)
 	if ctx.Err() == nil {
-		keeper.noteStore(err)
+		keeper.recordStoreState(err)
 	}
 }
 
-// settleIfRead settles a keeper whose service holds no record at all.
-func (keeper *Keeper) settleIfRead() {
+// settleFromStore marks the keeper as settled if the key-value service can be
+// read. It covers a service without a configuration record, for which the watch
+// reports nothing.
+func (keeper *Keeper) settleFromStore() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(keeper.Settings.Timing.StoreCall))
 	defer cancel()
 	if _, err := keeper.Store.Get(ctx, member.KeyConfig); err == nil {
-		keeper.noteStore(nil)
-		keeper.settle("key-value service")
+		keeper.recordStoreState(nil)
+		keeper.markSettled("key-value service")
 	}
 }
 
-func (keeper *Keeper) noteStore(err error) {
+// recordStoreState logs when the key-value service becomes unavailable or
+// available again.
+func (keeper *Keeper) recordStoreState(err error) {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
-	if keeper.storeOut == (err != nil) {
+	if keeper.storeUnavailable == (err != nil) {
 		return
 	}
-	keeper.storeOut = err != nil
+	keeper.storeUnavailable = err != nil
 	if err != nil {
 		keeper.Log.Write(event.StoreAway, slog.String("error", err.Error()))
 		return
@@ -189,9 +201,10 @@
 	keeper.Log.Write(event.StoreBack)
 }
 
-// seen takes in a record of the key-value service.
-func (keeper *Keeper) seen(stored shedkeel.Record) {
-	keeper.noteStore(nil)
+// handleStoreRecord merges a record reported by the watch. If the record is older
+// than the one in force, it writes the one in force back.
+func (keeper *Keeper) handleStoreRecord(stored shedkeel.Record) {
+	keeper.recordStoreState(nil)
 	record, err := member.ParseRecord(stored)
 	if !stored.Revision.Exists() {
 		record = member.Record{Key: stored.Key}
@@ -205,18 +218,18 @@
 	known := keeper.table.Record(record.Key)
 	keeper.mutex.Unlock()
 	if record.Generation < known.Generation {
-		keeper.heal(stored, known)
+		keeper.writeBack(stored, known)
 		return
 	}
-	keeper.merge(record)
+	keeper.mergeRecord(record)
 	if record.Key == member.KeyConfig {
-		keeper.settle("key-value service")
+		keeper.markSettled("key-value service")
 	}
 }
 
-// heal writes the record in force back when the service was restored from
-// older data. Leases heal by their next holder.
-func (keeper *Keeper) heal(stored shedkeel.Record, known member.Record) {
+// writeBack stores the record in force again after the key-value service was
+// restored from older data. It skips leases: the next holder overwrites them.
+func (keeper *Keeper) writeBack(stored shedkeel.Record, known member.Record) {
 	isLease := len(known.Key) > len(member.KeyLeases) && known.Key[:len(member.KeyLeases)] == member.KeyLeases
 	if isLease {
 		return
@@ -226,35 +239,35 @@
 	defer cancel()
 	revision, err := keeper.Store.Swap(ctx, known.Key, stored.Revision, known.Value)
 	if err != nil {
-		return // another keeper was faster, or the next watch shows it again
+		return // another keeper was first, or the next watch reports the record again
 	}
 	known.Revision = revision
-	keeper.merge(known)
+	keeper.mergeRecord(known)
 	keeper.Log.Write(event.StoreHealed, slog.String("key", known.Key), slog.Uint64("generation", known.Generation))
 }
 
-// tickBoxes reads the box list while this keeper watches for its zone or plans
-// one.
+// tickBoxes reads the box list if this keeper watches it for its zone or holds
+// the lease of any zone.
 func (keeper *Keeper) tickBoxes(ctx context.Context, _ time.Duration) {
-	if !keeper.plans() && !keeper.isWatcher() {
+	if !keeper.holdsAnyLease() && !keeper.isWatcher() {
 		return
 	}
 	boxes, err := keeper.BoxList.Boxes(ctx)
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
 	if err != nil {
-		keeper.noteBoxList(err)
+		keeper.recordBoxListError(err)
 		return
 	}
-	keeper.away["box list"] = false
+	keeper.unreachable["box list"] = false
 	keeper.boxes = boxes
 }
 
-// plans reports whether this keeper holds the lease of any zone.
-func (keeper *Keeper) plans() bool {
+// holdsAnyLease reports whether this keeper plans any zone.
+func (keeper *Keeper) holdsAnyLease() bool {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
-	for _, zone := range keeper.zones {
+	for _, zone := range keeper.planners {
 		if zone.epoch != 0 {
 			return true
 		}
@@ -262,10 +275,11 @@
 	return false
 }
 
-// noteBoxList logs that the list is away, once. The mutex is held.
-func (keeper *Keeper) noteBoxList(err error) {
-	if !keeper.away["box list"] {
+// recordBoxListError logs the first failure of a series of box-list reads. The
+// mutex must be held.
+func (keeper *Keeper) recordBoxListError(err error) {
+	if !keeper.unreachable["box list"] {
 		keeper.Log.Write(event.BoxListAway, slog.String("error", err.Error()))
 	}
-	keeper.away["box list"] = true
+	keeper.unreachable["box list"] = true
 }
--- a/mutants_test.go
+++ b/mutants_test.go
@@ -196,7 +196,7 @@
 		"group/mend.go", "if len(must) == 0 && !round.closed(*group) {", "if false {", "TestLeavingMemberIsReplacedQuietly", "./group",
 	},
 	"outage: reserves are not used": {
-		"keeper/plan.go", "if zone.mayFallBack(", "if false && zone.mayFallBack(", "TestScenarios/outage", ".",
+		"keeper/plan.go", "if zone.canFallBack(", "if false && zone.canFallBack(", "TestScenarios/outage", ".",
 	},
 	"size: a read that keeps coming is given up": {
 		"platform/store.go", "func() { silence.Reset(store.Timeout) })", "func() {})", "TestTransfers", "./platform",
@@ -259,7 +259,7 @@
 		"member/table.go", "if found && record.Generation <= known.Generation {", "if found && record.Generation == known.Generation {", "TestNeverAnOlderRecord", "./member",
 	},
 	"8 configuration: a restored service is not healed": {
-		"keeper/spread.go", "keeper.heal(stored, known)\n\t\treturn", "return", "TestScenarios/configuration", ".",
+		"keeper/spread.go", "keeper.writeBack(stored, known)\n\t\treturn", "return", "TestScenarios/configuration", ".",
 	},
 	"8 configuration: a lost reply is taken for a failure": {
 		"platform/cas.go", "if mine(record.Value) {", "if false {", "TestLostReply", "./platform",
