--- a/entry/attempts.go
+++ b/entry/attempts.go
@@ -11,95 +11,101 @@
 )
 
 const (
-	// keptTime is how long the answer to a call that must not be repeated is
-	// kept for the caller's repeat, and how long it is remembered that an
-	// attempt was given up before it was sent.
-	keptTime = 10 * time.Minute
-	// keptBytes bounds the bodies of kept answers.
-	keptBytes = 64 << 20
-	// keptCount bounds the attempts remembered.
-	keptCount = 100_000
+	// attemptRetention is how long the answer to an idempotent call is kept for
+	// retries by the caller, and how long an attempt that was never sent is
+	// remembered.
+	attemptRetention = 10 * time.Minute
+	// maxAttemptBytes limits the total size of the kept answer bodies.
+	maxAttemptBytes = 64 << 20
+	// maxAttempts limits the number of attempts remembered.
+	maxAttempts = 100_000
 )
 
-// attempts remembers what became of calls that must not be repeated. The zero
-// value works once now is set.
+// attempts stores the results of calls with an idempotency key, by attempt ID.
+// The zero value is usable once now is set. The limits can be exceeded while the
+// oldest attempt is still running.
 type attempts struct {
 	now func() time.Duration
 
-	mutex sync.Mutex
-	known map[string]*attempt
-	order []string // oldest first
-	bytes int
+	mutex     sync.Mutex
+	byID      map[string]*attempt
+	order     []string // oldest first
+	bodyBytes int
 }
 
+// attempt is the state and, once known, the answer of one attempt.
 type attempt struct {
 	state  wire.AnswerReply_State
 	began  time.Duration
 	answer answer
 }
 
-// answer is a whole answer of a backend server.
+// answer is the complete response of a backend server.
 type answer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// begin notes an attempt that has not been sent.
+// begin adds an attempt in state RUNNING. Call it before the attempt is sent.
 func (attempts *attempts) begin(name string) {
 	attempts.mutex.Lock()
 	defer attempts.mutex.Unlock()
-	if attempts.known == nil {
-		attempts.known = map[string]*attempt{}
+	if attempts.byID == nil {
+		attempts.byID = map[string]*attempt{}
 	}
-	attempts.known[name] = &attempt{state: wire.AnswerReply_RUNNING, began: attempts.now()}
+	attempts.byID[name] = &attempt{state: wire.AnswerReply_RUNNING, began: attempts.now()}
 	attempts.order = append(attempts.order, name)
 	attempts.trim()
 }
 
-// end notes what became of an attempt. One that was never sent must never be
-// sent afterwards: another may run in its place.
+// end stores the final state of an attempt. After state NEVER_SENT the attempt
+// must not be sent, since another may already run in its place. An attempt that
+// is no longer remembered is ignored.
 func (attempts *attempts) end(name string, state wire.AnswerReply_State, answer answer) {
 	attempts.mutex.Lock()
 	defer attempts.mutex.Unlock()
-	known := attempts.known[name]
-	if known == nil {
+	stored := attempts.byID[name]
+	if stored == nil {
 		return
 	}
-	known.state = state
-	known.answer = answer
-	attempts.bytes += len(answer.body)
+	stored.state = state
+	stored.answer = answer
+	attempts.bodyBytes += len(answer.body)
 	attempts.trim()
 }
 
-// find returns what became of an attempt.
+// find returns the state and answer of an attempt, or UNKNOWN if the attempt is
+// not remembered.
 func (attempts *attempts) find(name string) (wire.AnswerReply_State, answer) {
 	attempts.mutex.Lock()
 	defer attempts.mutex.Unlock()
-	known := attempts.known[name]
-	if known == nil {
+	stored := attempts.byID[name]
+	if stored == nil {
 		return wire.AnswerReply_UNKNOWN, answer{}
 	}
-	return known.state, known.answer
+	return stored.state, stored.answer
 }
 
-// trim forgets the oldest attempts that have ended. The mutex is held.
+// trim removes the oldest attempts while they are too old or over the limits. It
+// stops at one that is still running. The mutex must be held.
 func (attempts *attempts) trim() {
 	for len(attempts.order) > 0 {
-		oldest := attempts.known[attempts.order[0]]
-		old := attempts.now()-oldest.began > keptTime
-		crowded := attempts.bytes > keptBytes || len(attempts.order) > keptCount
-		if oldest.state == wire.AnswerReply_RUNNING || !old && !crowded {
+		oldest := attempts.byID[attempts.order[0]]
+		expired := attempts.now()-oldest.began > attemptRetention
+		full := attempts.bodyBytes > maxAttemptBytes || len(attempts.order) > maxAttempts
+		if oldest.state == wire.AnswerReply_RUNNING || !expired && !full {
 			return
 		}
-		attempts.bytes -= len(oldest.answer.body)
-		delete(attempts.known, attempts.order[0])
+		attempts.bodyBytes -= len(oldest.answer.body)
+		delete(attempts.byID, attempts.order[0])
 		attempts.order = attempts.order[1:]
 	}
 }
 
-// toWire returns the reply to a keeper that asks what became of an attempt.
-func (attempts *attempts) toWire(name string) *wire.AnswerReply {
+// answerReply returns the reply to a keeper that asks for the result of an
+// attempt.
+func (attempts *attempts) answerReply(name string) *wire.AnswerReply {
 	state, kept := attempts.find(name)
 	reply := &wire.AnswerReply{State: state, Status: uint32(kept.status), Body: kept.body}
 	if state == wire.AnswerReply_KEPT {
@@ -112,6 +118,7 @@
 	return reply
 }
 
+// answerFromWire decodes a kept answer from another entry.
 func answerFromWire(reply *wire.AnswerReply) (answer, error) {
 	kept := answer{status: int(reply.GetStatus()), body: bytes.Clone(reply.GetBody())}
 	return kept, json.Unmarshal(reply.GetHeader(), &kept.header)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,7 +1,7 @@
-// Package entry is the process of an entry box that callers speak to. It knows
-// their accounts, chooses a backend server for each request, and tells each
-// caller one of three things: the whole answer, that the request did not run,
-// or that its outcome is unknown.
+// Package entry is the request-serving process of an entry box. It authenticates
+// client accounts and forwards each request to a backend server. It tells the
+// caller one of three outcomes: the complete answer, that the request did not
+// run, or that its outcome is unknown. Requests that are invalid are refused.
 package entry
 
 import (
@@ -23,59 +23,60 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// Entry is the process of an entry box that callers speak to. Its exported
-// fields are set before Run.
+// Entry is the request-serving process of an entry box. Set its exported fields
+// before calling Run.
 type Entry struct {
 	Settings    config.Settings
-	Incarnation string // differs after every start
+	Incarnation string // different for each start of the process
 	Backend     shedkeel.Backend
 	Timers      shedkeel.Timers
 	Random      shedkeel.Random
 	Log         *event.Log
 	Metrics     *metrics.Metrics
-	NewAttempt  func() string // a name for a try, unique in the fleet
-	Keeper      *wire.Peer    // set by Run if nil
+	NewAttempt  func() string // returns an ID for an attempt or a request, unique in the fleet
+	Keeper      *wire.Peer    // connection to the keeper on this box; set by Run if nil
 
-	view     atomic.Pointer[view]
-	router   route.Router
-	limiter  admit.Limiter
-	gate     admit.Gate
-	budget   admit.Budget
-	attempts attempts
-	flights  flights
-	history  history
+	snapshot    atomic.Pointer[snapshot]
+	router      route.Router
+	limiter     admit.Limiter
+	gate        admit.Gate
+	retryBudget admit.Budget
+	attempts    attempts
+	inFlight    inFlightCalls
+	history     history
 
-	stopping   atomic.Bool
-	lastNamed  atomic.Int64 // when this entry was last named in a which-entry-box answer
-	calls      atomic.Int64
-	mutex      sync.Mutex // guards table
-	table      member.Table
-	keeperAway bool
-	running    sync.WaitGroup
+	stopping          atomic.Bool
+	lastAdvertised    atomic.Int64 // time of the last /v1/entries answer that listed this entry
+	activeCalls       atomic.Int64
+	mutex             sync.Mutex // guards table
+	table             member.Table
+	keeperUnreachable bool
+	background        sync.WaitGroup
 }
 
-// view is what requests are decided on. It is replaced as a whole.
-type view struct {
-	config   shedkeel.Config
-	known    bool // a configuration is in force
-	accounts map[string]*shedkeel.Account
-	weights  map[shedkeel.AccountID]int
-	nodes    []shedkeel.Node
-	synced   time.Duration // when the keeper last answered
-	permits  []member.Permit
+// snapshot is the state on which requests are decided. It is never changed, but
+// replaced by a new one.
+type snapshot struct {
+	config     shedkeel.Config
+	configured bool // whether a configuration is in force
+	accounts   map[string]*shedkeel.Account
+	weights    map[shedkeel.AccountID]int
+	nodes      []shedkeel.Node
+	lastSync   time.Duration // when the last successful sync call was sent; negative: never
+	permits    []member.Permit
 }
 
-// Listeners are the sockets that an entry serves.
+// Listeners are the sockets on which an entry accepts connections.
 type Listeners struct {
 	Callers net.Listener
 	Admin   net.Listener
 }
 
-// Run serves until the context ends, then stops as planned: it takes itself
-// out of the which-entry-box answers, serves on until callers have forgotten
-// it, and finishes what is in flight.
+// Run serves until ctx is cancelled, then shuts down: it is no longer listed in
+// /v1/entries answers, keeps serving until callers have dropped its address, and
+// waits for the requests in flight.
 func (entry *Entry) Run(ctx context.Context, listeners Listeners) error {
-	if err := entry.begin(); err != nil {
+	if err := entry.initialize(); err != nil {
 		return err
 	}
 	callersTLS, err := entry.Settings.TLS.Server()
@@ -88,19 +89,19 @@
 	}
 	admin := &http.Server{Handler: entry.adminHandler(), ReadHeaderTimeout: headerTimeout}
 	failed := make(chan error, 1)
-	entry.running.Go(func() { entry.serve(callers, listeners.Callers, failed) })
-	entry.running.Go(func() { _ = admin.Serve(listeners.Admin) })
+	entry.background.Go(func() { entry.serve(callers, listeners.Callers, failed) })
+	entry.background.Go(func() { _ = admin.Serve(listeners.Admin) })
 	cancel := entry.Timers.Subscribe(time.Duration(entry.Settings.Timing.Sync), entry.sync)
 	select {
 	case err = <-failed:
 	case <-ctx.Done():
-		err = entry.stop(callers)
+		err = entry.shutDown(callers)
 	}
 	cancel()
 	_ = callers.Close()
 	_ = admin.Close()
 	entry.Keeper.Close()
-	entry.running.Wait()
+	entry.background.Wait()
 	return err
 }
 
@@ -108,12 +109,14 @@
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 60 * time.Second
 	maxHeader     = 64 << 10
-	bodyTimeout   = 30 * time.Second // for a caller to send its request
-	writeTimeout  = 30 * time.Second // for a caller to take an answer or an event
+	bodyTimeout   = 30 * time.Second // for a caller to send its request body
+	writeTimeout  = 30 * time.Second // for a caller to receive an answer or one event of a stream
 )
 
-func (entry *Entry) begin() error {
-	entry.view.Store(&view{synced: -1})
+// initialize sets up the unexported fields, and the keeper connection if there
+// is none.
+func (entry *Entry) initialize() error {
+	entry.snapshot.Store(&snapshot{lastSync: -1})
 	entry.router.Random = entry.Random
 	entry.attempts.now = entry.Timers.Now
 	if entry.Keeper != nil {
@@ -127,6 +130,8 @@
 	return nil
 }
 
+// serve runs the HTTP server for callers and sends its error to failed, unless
+// the server was closed.
 func (entry *Entry) serve(server *http.Server, listener net.Listener, failed chan<- error) {
 	var err error
 	if server.TLSConfig != nil {
@@ -139,36 +144,38 @@
 	}
 }
 
-// stop is the planned stop.
-func (entry *Entry) stop(callers *http.Server) error {
+// shutDown stops the entry without failing requests. It returns an error if
+// requests are still in flight after the drain time.
+func (entry *Entry) shutDown(callers *http.Server) error {
 	entry.Log.Write(event.Stopping)
 	entry.stopping.Store(true)
-	entry.waitForgotten()
+	entry.waitAddressExpiry()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(entry.Settings.Entry.DrainTime))
 	defer cancel()
 	return callers.Shutdown(ctx)
 }
 
-// waitForgotten waits until no caller may hold this entry's address any more:
-// until other entries have learned that it stops, and the last answer that
-// named it has run out. Callers are served meanwhile.
-func (entry *Entry) waitForgotten() {
-	begun := entry.Timers.Now()
-	forgotten := make(chan struct{})
+// waitAddressExpiry waits until no caller can still hold this entry's address:
+// other entries have learned that it is stopping, and the last answer that listed
+// it has expired. Requests are served meanwhile.
+func (entry *Entry) waitAddressExpiry() {
+	started := entry.Timers.Now()
+	expired := make(chan struct{})
 	var once sync.Once
 	cancel := entry.Timers.Subscribe(time.Duration(entry.Settings.Timing.Sync), func(now time.Duration) {
-		if now >= entry.forgottenAt(begun) {
-			once.Do(func() { close(forgotten) })
+		if now >= entry.addressExpiry(started) {
+			once.Do(func() { close(expired) })
 		}
 	})
-	<-forgotten
+	<-expired
 	cancel()
 }
 
-// forgottenAt is when the last answer that named this entry has run out. An
-// entry that has not heard from its keeper within the permit time gives no
-// such answers, so that bounds how long others may still name this one.
-func (entry *Entry) forgottenAt(begun time.Duration) time.Duration {
-	spread := time.Duration(entry.Settings.Timing.Permit) + member.DefaultLiveTime
-	return max(begun+spread, time.Duration(entry.lastNamed.Load())) + time.Duration(entry.Settings.Entry.KeepFor)
+// addressExpiry returns when the last answer that listed this entry expires.
+// Other entries stop listing it within the permit time and the live time of a
+// node, since an entry without a reply from its keeper within the permit time
+// gives no such answers.
+func (entry *Entry) addressExpiry(started time.Duration) time.Duration {
+	propagation := time.Duration(entry.Settings.Timing.Permit) + member.DefaultLiveTime
+	return max(started+propagation, time.Duration(entry.lastAdvertised.Load())) + time.Duration(entry.Settings.Entry.KeepFor)
 }
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -27,36 +27,38 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// reply is what a backend does with one request.
+// reply is what the scripted backend does with one request.
 type reply struct {
-	err       error  // instead of an answer
+	err       error  // returned instead of a response
 	status    int    // 0: 200
 	body      string // of the answer
-	cut       int    // break the answer off after so many bytes; 0: whole
+	cutAfter  int    // fail after this many bytes of the body; 0: send it completely
 	stream    bool
-	name      string // of another attempt
+	attemptID string // attempt ID in the response; empty: that of the request
 	notRun    bool
 	noLength  bool
 	resumedAt string
 }
 
-// script is a backend that answers from a list, a reply a request, and counts.
-type script struct {
+// scriptedBackend is a backend that takes one reply per request from a list, then
+// answers "ok". It records the requests.
+type scriptedBackend struct {
 	mutex    sync.Mutex
 	replies  []reply
 	requests []*http.Request
 	hosts    []string
 }
 
-func (script *script) Send(request *http.Request) (*http.Response, error) {
-	script.mutex.Lock()
-	defer script.mutex.Unlock()
-	script.requests = append(script.requests, request)
-	script.hosts = append(script.hosts, request.URL.Host)
+// Send records the request and returns the next reply.
+func (scriptedBackend *scriptedBackend) Send(request *http.Request) (*http.Response, error) {
+	scriptedBackend.mutex.Lock()
+	defer scriptedBackend.mutex.Unlock()
+	scriptedBackend.requests = append(scriptedBackend.requests, request)
+	scriptedBackend.hosts = append(scriptedBackend.hosts, request.URL.Host)
 	next := reply{body: "ok"}
-	if len(script.replies) > 0 {
-		next = script.replies[0]
-		script.replies = script.replies[1:]
+	if len(scriptedBackend.replies) > 0 {
+		next = scriptedBackend.replies[0]
+		scriptedBackend.replies = scriptedBackend.replies[1:]
 	}
 	if next.err != nil {
 		return nil, next.err
@@ -64,10 +66,11 @@
 	return next.response(request), nil
 }
 
+// response builds the HTTP response to a request.
 func (reply *reply) response(request *http.Request) *http.Response {
 	header := http.Header{engine.HeaderAttempt: {request.Header.Get(engine.HeaderAttempt)}}
-	if reply.name != "" {
-		header.Set(engine.HeaderAttempt, reply.name)
+	if reply.attemptID != "" {
+		header.Set(engine.HeaderAttempt, reply.attemptID)
 	}
 	if reply.notRun {
 		header.Set(engine.HeaderNotRun, "busy")
@@ -77,8 +80,8 @@
 	}
 	response := &http.Response{StatusCode: max(reply.status, 200), Header: header, ContentLength: int64(len(reply.body))}
 	body := io.Reader(strings.NewReader(reply.body))
-	if reply.cut > 0 {
-		body = io.MultiReader(strings.NewReader(reply.body[:reply.cut]), &failing{})
+	if reply.cutAfter > 0 {
+		body = io.MultiReader(strings.NewReader(reply.body[:reply.cutAfter]), &failingReader{})
 	}
 	if reply.stream {
 		header.Set("Content-Type", "text/event-stream")
@@ -92,16 +95,16 @@
 	return response
 }
 
-type failing struct{}
+// failingReader is a body that breaks off at once.
+type failingReader struct{}
 
-func (*failing) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (*failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// harness is an entry without sockets: its clock is moved by hand and its
-// backend follows a script.
+// harness is an entry without sockets, with a manual clock and a scripted backend.
 type harness struct {
 	*Entry
-	clock  *timer.Manual
-	script *script
+	clock           *timer.Manual
+	scriptedBackend *scriptedBackend
 }
 
 const testKey = "clerk-key"
@@ -110,7 +113,7 @@
 	t.Helper()
 	clock := &timer.Manual{}
 	clock.Advance(time.Hour)
-	backend := &script{replies: replies}
+	backend := &scriptedBackend{replies: replies}
 	var attempts atomic.Int64
 	settings := config.DefaultSettings()
 	settings.Node = "node-1"
@@ -119,12 +122,14 @@
 		NewAttempt: func() string { return fmt.Sprintf("attempt-%d", attempts.Add(1)) },
 	}
 	entry.Keeper = nil
-	assert.NilError(t, entry.begin())
-	harness := &harness{Entry: entry, clock: clock, script: backend}
-	harness.install(t)
+	assert.NilError(t, entry.initialize())
+	harness := &harness{Entry: entry, clock: clock, scriptedBackend: backend}
+	harness.installConfig(t)
 	return harness
 }
 
+// testConfig has one model service, one plain service with a path that requires
+// an idempotency key, and one client account.
 func testConfig() shedkeel.Config {
 	sum := sha256.Sum256([]byte(testKey))
 	return shedkeel.Config{
@@ -138,8 +143,8 @@
 	}
 }
 
-// install puts a configuration and three whole groups in force.
-func (harness *harness) install(t *testing.T) {
+// installConfig merges a configuration and a placement with three whole groups.
+func (harness *harness) installConfig(t *testing.T) {
 	t.Helper()
 	value, err := json.Marshal(testConfig())
 	assert.NilError(t, err)
@@ -153,11 +158,11 @@
 	harness.table.MergeRecord(member.Record{Key: member.KeyConfig, Generation: 1, Value: value})
 	harness.table.MergeRecord(member.Record{Key: member.KeyPlacements + "z", Generation: 1, Value: placed})
 	harness.mutex.Unlock()
-	harness.find(1, shedkeel.VerdictWhole, "g1", "g2", "g3")
+	harness.reportVerdict(1, shedkeel.VerdictWhole, "g1", "g2", "g3")
 }
 
-// find has a watcher report a verdict on groups, as of now.
-func (harness *harness) find(sequence uint64, verdict shedkeel.Verdict, groups ...shedkeel.GroupID) {
+// reportVerdict merges a watcher's digest with a verdict on the groups, as of now.
+func (harness *harness) reportVerdict(sequence uint64, verdict shedkeel.Verdict, groups ...shedkeel.GroupID) {
 	now := harness.clock.Now()
 	digest := member.Digest{Watcher: "w", Incarnation: "1", Sequence: sequence, AsOf: now}
 	for _, id := range groups {
@@ -166,9 +171,11 @@
 	harness.mutex.Lock()
 	defer harness.mutex.Unlock()
 	harness.table.MergeDigest(digest)
-	harness.refresh(now, now)
+	harness.rebuildSnapshot(now, now)
 }
 
+// post sends a request with the test account's key. It sets the header "Aborted"
+// on the result if the handler aborts the connection.
 func (harness *harness) post(path, body string, headers ...string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
 	request.Header.Set("Authorization", "Bearer "+testKey)
@@ -198,8 +205,8 @@
 	errUnknown = &shedkeel.UnknownRunError{Reason: "reset", Cause: io.ErrUnexpectedEOF}
 )
 
-// TestOutcomes holds what callers are told against what happened at the
-// backend servers.
+// TestOutcomes checks the outcome that the caller receives, and how often the
+// request is sent, for each kind of reply of the backend servers.
 func TestOutcomes(t *testing.T) {
 	model, plain, fees := "/v1/completions", "/services/permits/status", "/services/permits/fees"
 	cases := map[string]struct {
@@ -212,8 +219,8 @@
 	}{
 		"model answers":                    {model, completionBody, nil, 200, outcomeAnswered, 1},
 		"model refuses, another answers":   {model, completionBody, []reply{{notRun: true, status: 409}}, 200, outcomeAnswered, 2},
-		"model cut, another answers":       {model, completionBody, []reply{{body: "half", cut: 2}}, 200, outcomeAnswered, 2},
-		"model answers for another":        {model, completionBody, []reply{{body: "theirs", name: "x"}}, 200, outcomeAnswered, 2},
+		"model cut, another answers":       {model, completionBody, []reply{{body: "half", cutAfter: 2}}, 200, outcomeAnswered, 2},
+		"model answer has wrong ID":        {model, completionBody, []reply{{body: "theirs", attemptID: "x"}}, 200, outcomeAnswered, 2},
 		"model fails, another answers":     {model, completionBody, []reply{{status: 500}}, 200, outcomeAnswered, 2},
 		"model without length":             {model, completionBody, []reply{{body: "?", noLength: true}}, 200, outcomeAnswered, 2},
 		"all refuse":                       {model, completionBody, []reply{{notRun: true}, {err: errNotRun}, {notRun: true}}, 503, outcomeNotRun, 3},
@@ -223,8 +230,8 @@
 		"plain error is its answer":        {plain, "b", []reply{{status: 500, body: "no"}}, 500, outcomeAnswered, 1},
 		"plain refused, another answers":   {plain, "b", []reply{{err: errNotRun}}, 200, outcomeAnswered, 2},
 		"plain POST is not repeated":       {plain, "b", []reply{{err: errUnknown}}, 502, outcomeUnknown, 1},
-		"plain POST cut is not repeated":   {plain, "b", []reply{{body: "half", cut: 1}}, 502, outcomeUnknown, 1},
-		"a charge without key":             {fees, "b", nil, 400, outcomeRefused, 0},
+		"plain POST cut is not repeated":   {plain, "b", []reply{{body: "half", cutAfter: 1}}, 502, outcomeUnknown, 1},
+		"missing required key":             {fees, "b", nil, 400, outcomeRefused, 0},
 		"unknown service":                  {model, `{"model":"none"}`, nil, 404, outcomeRefused, 0},
 		"plain service asked for as model": {model, `{"model":"permits"}`, nil, 404, outcomeRefused, 0},
 		"malformed body":                   {model, `{"model":`, nil, 400, outcomeRefused, 0},
@@ -237,12 +244,12 @@
 			recorder := harness.post(test.path, test.body)
 			assert.Equal(t, recorder.Code, test.status, recorder.Body.String())
 			assert.Equal(t, outcome(recorder.Header().Get(HeaderOutcome)), test.outcome)
-			assert.Equal(t, len(harness.script.requests), test.sent)
+			assert.Equal(t, len(harness.scriptedBackend.requests), test.sent)
 			if test.outcome == outcomeNotRun {
 				assert.Assert(t, recorder.Header().Get("Retry-After") != "")
 			}
 			if test.sent > 1 {
-				assert.Assert(t, harness.script.hosts[0] != harness.script.hosts[1], "the same server was tried again")
+				assert.Assert(t, harness.scriptedBackend.hosts[0] != harness.scriptedBackend.hosts[1], "the same server was tried again")
 			}
 			inFlight, _, _ := harness.router.Load("model")
 			assert.Equal(t, inFlight, 0)
@@ -250,9 +257,9 @@
 	}
 }
 
-// TestStreams passes streams that break off at each place, are resumed rightly
-// or wrongly, or answer for another, and checks that the caller gets all
-// events once and in order, or a broken connection.
+// TestStreams breaks streams off at different places and resumes them correctly
+// or incorrectly. The caller must receive all events once and in order, or an
+// aborted connection.
 func TestStreams(t *testing.T) {
 	rest := "data: two\n\ndata: [DONE]\n\n"
 	cases := map[string]struct {
@@ -262,15 +269,15 @@
 		status  int
 	}{
 		"whole":                            {[]reply{{stream: true, body: events}}, events, false, 200},
-		"cut before the first event":       {[]reply{{stream: true, body: events, cut: 5}, {stream: true, body: events}}, events, false, 200},
-		"cut between events, resumed":      {[]reply{{stream: true, body: events, cut: 11}, {stream: true, body: rest, resumedAt: "1"}}, events, false, 200},
-		"cut within an event, resumed":     {[]reply{{stream: true, body: events, cut: 15}, {stream: true, body: rest, resumedAt: "1"}}, events, false, 200},
-		"cut before the end mark, resumed": {[]reply{{stream: true, body: events, cut: 22}, {stream: true, body: "data: [DONE]\n\n", resumedAt: "2"}}, events, false, 200},
+		"cut before the first event":       {[]reply{{stream: true, body: events, cutAfter: 5}, {stream: true, body: events}}, events, false, 200},
+		"cut between events, resumed":      {[]reply{{stream: true, body: events, cutAfter: 11}, {stream: true, body: rest, resumedAt: "1"}}, events, false, 200},
+		"cut within an event, resumed":     {[]reply{{stream: true, body: events, cutAfter: 15}, {stream: true, body: rest, resumedAt: "1"}}, events, false, 200},
+		"cut before the end mark, resumed": {[]reply{{stream: true, body: events, cutAfter: 22}, {stream: true, body: "data: [DONE]\n\n", resumedAt: "2"}}, events, false, 200},
 		"ends without end mark":            {[]reply{{stream: true, body: "data: one\n\n"}, {status: 404}}, "data: one\n\n", true, 200},
-		"resumed at another place":         {[]reply{{stream: true, body: events, cut: 11}, {stream: true, body: events, resumedAt: "0"}}, "data: one\n\n", true, 200},
-		"resumed under another name":       {[]reply{{stream: true, body: events, cut: 11}, {stream: true, body: rest, resumedAt: "1", name: "x"}}, "data: one\n\n", true, 200},
-		"never joined with another run":    {[]reply{{stream: true, body: events, cut: 11}, {stream: true, body: events}}, "data: one\n\n", true, 200},
-		"answers for another":              {[]reply{{stream: true, body: events, name: "x"}, {stream: true, body: events}}, events, false, 200},
+		"resumed at another event":         {[]reply{{stream: true, body: events, cutAfter: 11}, {stream: true, body: events, resumedAt: "0"}}, "data: one\n\n", true, 200},
+		"resumed under another name":       {[]reply{{stream: true, body: events, cutAfter: 11}, {stream: true, body: rest, resumedAt: "1", attemptID: "x"}}, "data: one\n\n", true, 200},
+		"no resumption header":             {[]reply{{stream: true, body: events, cutAfter: 11}, {stream: true, body: events}}, "data: one\n\n", true, 200},
+		"answer has wrong ID":              {[]reply{{stream: true, body: events, attemptID: "x"}, {stream: true, body: events}}, events, false, 200},
 		"refused by all":                   {[]reply{{notRun: true}, {notRun: true}, {notRun: true}}, "", false, 503},
 	}
 	for name, test := range cases {
@@ -286,40 +293,40 @@
 	}
 }
 
-// TestEveryCut breaks a whole answer and a stream off after each byte. No part
-// of an answer may ever look like the whole.
+// TestEveryCut truncates an answer and a stream after each byte. The caller must
+// never take a truncated answer for a complete one.
 func TestEveryCut(t *testing.T) {
 	whole := strings.Repeat("x", 40)
 	for cut := 1; cut < len(whole); cut++ {
-		broken := reply{body: whole, cut: cut}
+		broken := reply{body: whole, cutAfter: cut}
 		harness := newHarness(t, broken, broken, broken)
 		recorder := harness.post("/v1/completions", completionBody)
 		assert.Equal(t, outcome(recorder.Header().Get(HeaderOutcome)), outcomeUnknown, "cut after %d", cut)
 	}
 	for cut := 1; cut < len(events); cut++ {
-		broken := reply{stream: true, body: events, cut: cut}
+		broken := reply{stream: true, body: events, cutAfter: cut}
 		harness := newHarness(t, broken, broken, broken, broken, broken)
 		recorder := harness.post("/v1/completions", streamBody)
 		got := recorder.Body.String()
 		whole := recorder.Code == 200 && recorder.Header().Get("Aborted") == ""
-		assert.Assert(t, !whole, "cut after %d: %q was passed for whole", cut, got)
+		assert.Assert(t, !whole, "cut after %d: %q was presented as complete", cut, got)
 		assert.Assert(t, recorder.Code != 200 || strings.HasPrefix(events, got), "cut after %d: %q", cut, got)
 	}
 }
 
-// TestPermits shows that a request goes only where a group is proved whole.
+// TestPermits checks that requests are sent only to groups with a valid permit.
 func TestPermits(t *testing.T) {
 	cases := map[string]struct {
 		change func(*harness)
 		status int
 	}{
-		"proved whole":          {func(*harness) {}, 200},
-		"the proof has run out": {func(harness *harness) { harness.clock.Advance(3 * time.Second) }, 503},
-		"all broken":            {func(harness *harness) { harness.find(2, shedkeel.VerdictBroken, "g1", "g2", "g3") }, 503},
-		"all draining":          {func(harness *harness) { harness.find(2, shedkeel.VerdictDraining, "g1", "g2", "g3") }, 503},
-		"one is proved whole again": {func(harness *harness) {
+		"valid permits":   {func(*harness) {}, 200},
+		"expired permits": {func(harness *harness) { harness.clock.Advance(3 * time.Second) }, 503},
+		"all broken":      {func(harness *harness) { harness.reportVerdict(2, shedkeel.VerdictBroken, "g1", "g2", "g3") }, 503},
+		"all draining":    {func(harness *harness) { harness.reportVerdict(2, shedkeel.VerdictDraining, "g1", "g2", "g3") }, 503},
+		"one permit renewed": {func(harness *harness) {
 			harness.clock.Advance(9 * time.Second)
-			harness.find(2, shedkeel.VerdictWhole, "g2")
+			harness.reportVerdict(2, shedkeel.VerdictWhole, "g2")
 		}, 200},
 	}
 	for name, test := range cases {
@@ -329,68 +336,72 @@
 			recorder := harness.post("/v1/completions", completionBody)
 			assert.Equal(t, recorder.Code, test.status, recorder.Body.String())
 			if test.status == 503 {
-				assert.Equal(t, len(harness.script.requests), 0)
+				assert.Equal(t, len(harness.scriptedBackend.requests), 0)
 				assert.Equal(t, outcome(recorder.Header().Get(HeaderOutcome)), outcomeNotRun)
 			}
 		})
 	}
 }
 
-// freezing is a random source that lets time pass when it is asked, as a
-// process does that is stopped in the middle of a choice.
-type freezing struct {
+// suspendingRandom is a random source that advances the clock, as if the process
+// were suspended while the router chooses a server.
+type suspendingRandom struct {
 	clock *timer.Manual
 }
 
-func (freezing *freezing) Uint64() uint64 {
-	freezing.clock.Advance(4 * time.Second)
+func (suspendingRandom *suspendingRandom) Uint64() uint64 {
+	suspendingRandom.clock.Advance(4 * time.Second)
 	return 0
 }
 
-// TestFrozenBetweenChoiceAndSend shows that the permit is asked once more just
-// before a request is sent.
+// TestFrozenBetweenChoiceAndSend checks that the permit is checked again just
+// before a request is sent: a process that is suspended after the choice must not
+// send on an expired permit.
 func TestFrozenBetweenChoiceAndSend(t *testing.T) {
 	harness := newHarness(t)
-	harness.router.Random = &freezing{clock: harness.clock}
+	harness.router.Random = &suspendingRandom{clock: harness.clock}
 	recorder := harness.post("/v1/completions", `{"model":"model"}`)
 	assert.Equal(t, recorder.Code, 503, recorder.Body.String())
-	assert.Equal(t, len(harness.script.requests), 0, "it was sent on a permit that had run out")
+	assert.Equal(t, len(harness.scriptedBackend.requests), 0, "sent on an expired permit")
 }
 
-// slowBackend stops time in the middle of a send, as a frozen process does.
-type slowBackend struct {
-	freeze func()
+// hangingBackend is a backend that calls onSend and does not answer until the
+// request is cancelled.
+type hangingBackend struct {
+	onSend func()
 }
 
-func (slow *slowBackend) Send(request *http.Request) (*http.Response, error) {
-	slow.freeze()
+func (hangingBackend *hangingBackend) Send(request *http.Request) (*http.Response, error) {
+	hangingBackend.onSend()
 	<-request.Context().Done()
 	return nil, &shedkeel.UnknownRunError{Reason: "cut", Cause: context.Cause(request.Context())}
 }
 
-// TestBrokenGroupEndsItsRequests shows that what runs on a group is given up
-// once a member is known to be missing, and the caller told so at once.
+// TestBrokenGroupEndsItsRequests checks that requests in flight on a group are
+// cancelled once a member is known to be lost, and that the caller is told at
+// once.
 func TestBrokenGroupEndsItsRequests(t *testing.T) {
 	cases := map[string]shedkeel.Verdict{"refused": shedkeel.VerdictBroken, "silent": shedkeel.VerdictSilent}
 	for name, verdict := range cases {
 		t.Run(name, func(t *testing.T) {
 			harness := newHarness(t)
 			sends := 0
-			harness.Backend = &slowBackend{freeze: func() {
+			harness.Backend = &hangingBackend{onSend: func() {
 				sends++
 				harness.clock.Advance(4 * time.Second)
-				harness.find(uint64(1+sends), verdict, "g1", "g2", "g3")
+				harness.reportVerdict(uint64(1+sends), verdict, "g1", "g2", "g3")
 			}}
 			began := time.Now()
 			recorder := harness.post("/v1/completions", completionBody)
 			assert.Equal(t, recorder.Code, 502, recorder.Body.String())
-			assert.Equal(t, sends, 1, "no other group was whole")
-			assert.Assert(t, time.Since(began) < 5*time.Second, "the answer was held back")
+			assert.Equal(t, sends, 1, "sent although no other group was whole")
+			assert.Assert(t, time.Since(began) < 5*time.Second, "the error was delayed")
 		})
 	}
 }
 
-// TestAnswersAtOnce shows that no refusal waits for the caller's deadline.
+// TestAnswersAtOnce checks that an error is sent without waiting for the caller's
+// time limit.
 func TestAnswersAtOnce(t *testing.T) {
 	for name, replies := range map[string][]reply{
 		"refused": {{notRun: true}, {notRun: true}, {notRun: true}},
@@ -402,11 +413,13 @@
 			recorder := harness.post("/v1/completions", completionBody, HeaderTimeout, "9s")
 			assert.Assert(t, recorder.Code >= 500)
 			assert.Assert(t, time.Since(began) < 2*time.Second)
-			assert.Equal(t, harness.clock.Now(), time.Hour, "it slept")
+			assert.Equal(t, harness.clock.Now(), time.Hour, "the clock advanced")
 		})
 	}
 }
 
+// TestBounds checks the limits on body, key and calls in flight, and that invalid
+// keys and time limits are refused.
 func TestBounds(t *testing.T) {
 	harness := newHarness(t)
 	harness.Settings.Entry.MaxBody = 10
@@ -419,24 +432,27 @@
 	harness.Settings.Entry.MaxCalls = 0
 	recorder := harness.post("/v1/completions", completionBody)
 	assert.Equal(t, recorder.Code, http.StatusTooManyRequests)
-	assert.Equal(t, len(harness.script.requests), 0)
+	assert.Equal(t, len(harness.scriptedBackend.requests), 0)
 }
 
-// TestKeyIsNotPassedOn shows that backend servers do not see callers' keys.
+// TestKeyIsNotPassedOn checks that backend servers receive the account ID, but
+// not the caller's bearer key.
 func TestKeyIsNotPassedOn(t *testing.T) {
 	harness := newHarness(t)
 	assert.Equal(t, harness.post("/services/permits/status", "").Code, 200)
-	assert.Equal(t, harness.script.requests[0].Header.Get("Authorization"), "")
-	assert.Equal(t, harness.script.requests[0].Header.Get("Shedkeel-Account"), "clerk")
-	assert.Equal(t, harness.script.requests[0].URL.Path, "/status")
+	assert.Equal(t, harness.scriptedBackend.requests[0].Header.Get("Authorization"), "")
+	assert.Equal(t, harness.scriptedBackend.requests[0].Header.Get("Shedkeel-Account"), "clerk")
+	assert.Equal(t, harness.scriptedBackend.requests[0].URL.Path, "/status")
 }
 
+// TestEntriesAnswer checks the order of /v1/entries answers, that stopping entries
+// are left out, and that the entry refuses after its last sync has become too old.
 func TestEntriesAnswer(t *testing.T) {
 	harness := newHarness(t)
 	harness.table.MergeNode(shedkeel.Node{ID: "node-1", Incarnation: "1", Zone: "a", Entry: "e1", Heartbeat: 1}, harness.clock.Now())
 	harness.table.MergeNode(shedkeel.Node{ID: "node-2", Incarnation: "1", Zone: "b", Entry: "e2", Heartbeat: 1}, harness.clock.Now())
 	harness.table.MergeNode(shedkeel.Node{ID: "node-3", Incarnation: "1", Zone: "b", Entry: "e3", Heartbeat: 1, Stopping: true}, harness.clock.Now())
-	harness.find(2, shedkeel.VerdictWhole, "g1")
+	harness.reportVerdict(2, shedkeel.VerdictWhole, "g1")
 	ask := func() (int, Addresses) {
 		recorder := httptest.NewRecorder()
 		harness.callerHandler().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/v1/entries?zone=b", nil))
@@ -448,16 +464,17 @@
 	assert.Equal(t, code, 200)
 	assert.DeepEqual(t, answer.Entries, []Address{{Address: "e2", Zone: "b"}, {Address: "e1", Zone: "a"}})
 	named := harness.clock.Now()
-	assert.Equal(t, harness.forgottenAt(0), named+5*time.Second, "the last answer must have run out before it stops")
+	assert.Equal(t, harness.addressExpiry(0), named+5*time.Second, "the last answer must expire before the entry stops")
 	harness.stopping.Store(true)
 	_, answer = ask()
 	assert.DeepEqual(t, answer.Entries, []Address{{Address: "e2", Zone: "b"}})
 	harness.clock.Advance(4 * time.Second)
 	code, _ = ask()
-	assert.Equal(t, code, 503, "an entry without word from its keeper might name one that is stopping")
+	assert.Equal(t, code, 503, "an entry without a recent sync might list one that is stopping")
 }
 
-// TestAttempts covers what is remembered of calls that must not be repeated.
+// TestAttempts checks that kept answers expire, and that an attempt that is no
+// longer remembered is reported as UNKNOWN, since it may have run.
 func TestAttempts(t *testing.T) {
 	clock := &timer.Manual{}
 	attempts := &attempts{now: clock.Now}
@@ -465,21 +482,23 @@
 	state, _ := attempts.find("a")
 	assert.Equal(t, state.String(), "RUNNING")
 	attempts.end("a", 2, answer{status: 200, body: bytes.Repeat([]byte("x"), 10)})
-	kept, err := answerFromWire(attempts.toWire("a"))
+	kept, err := answerFromWire(attempts.answerReply("a"))
 	assert.NilError(t, err)
 	assert.Equal(t, len(kept.body), 10)
-	clock.Advance(keptTime + time.Second)
+	clock.Advance(attemptRetention + time.Second)
 	attempts.begin("b")
 	state, _ = attempts.find("a")
-	assert.Equal(t, state.String(), "UNKNOWN", "what is forgotten may have run")
+	assert.Equal(t, state.String(), "UNKNOWN", "an attempt that is not remembered may have run")
 	attempts.end("never begun", 3, answer{})
-	assert.Equal(t, attempts.bytes, 0)
+	assert.Equal(t, attempts.bodyBytes, 0)
 }
 
+// TestNotRunOnlyIfNoTryMayHaveRun checks that an error after a try that may have
+// run never says that the request did not run.
 func TestNotRunOnlyIfNoTryMayHaveRun(t *testing.T) {
 	call := &call{}
 	var notRun *shedkeel.NotRunError
-	assert.Assert(t, errors.As(call.finish(errNotRun), &notRun))
-	call.again(errUnknown)
-	assert.Assert(t, !errors.As(call.finish(errNotRun), &notRun))
+	assert.Assert(t, errors.As(call.finalError(errNotRun), &notRun))
+	call.mayRetry(errUnknown)
+	assert.Assert(t, !errors.As(call.finalError(errNotRun), &notRun))
 }
--- a/entry/flights.go
+++ b/entry/flights.go
@@ -8,48 +8,52 @@
 	"shedkeel.org/shedkeel"
 )
 
-// errGroupBroken ends requests whose group lost a member.
+// errGroupBroken is the cancellation cause of requests whose group lost a member.
 var errGroupBroken = errors.New("the group lost a member")
 
-// flights are the requests that run on groups. The zero value works.
-type flights struct {
-	mutex sync.Mutex
-	next  uint64
-	open  map[uint64]flight
+// inFlightCalls tracks the requests sent to groups, so that they can be
+// cancelled. The zero value is usable.
+type inFlightCalls struct {
+	mutex  sync.Mutex
+	nextID uint64
+	byID   map[uint64]inFlightCall
 }
 
-type flight struct {
-	on  shedkeel.Assignment
-	end context.CancelCauseFunc
+// inFlightCall is one request in flight and the group assignment it was sent to.
+type inFlightCall struct {
+	assignment shedkeel.Assignment
+	cancel     context.CancelCauseFunc
 }
 
-// begin returns a context that ends when the group is given up, and a function
-// to call when the request has ended.
-func (flights *flights) begin(ctx context.Context, on shedkeel.Assignment) (context.Context, func()) {
+// begin adds a request. It returns a context that is cancelled with cause
+// errGroupBroken when the group is lost, and a function to call when the request
+// has ended.
+func (inFlightCalls *inFlightCalls) begin(ctx context.Context, on shedkeel.Assignment) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	flights.mutex.Lock()
-	defer flights.mutex.Unlock()
-	if flights.open == nil {
-		flights.open = map[uint64]flight{}
+	inFlightCalls.mutex.Lock()
+	defer inFlightCalls.mutex.Unlock()
+	if inFlightCalls.byID == nil {
+		inFlightCalls.byID = map[uint64]inFlightCall{}
 	}
-	flights.next++
-	number := flights.next
-	flights.open[number] = flight{on: on, end: cancel}
+	inFlightCalls.nextID++
+	number := inFlightCalls.nextID
+	inFlightCalls.byID[number] = inFlightCall{assignment: on, cancel: cancel}
 	return ctx, func() {
-		flights.mutex.Lock()
-		defer flights.mutex.Unlock()
-		delete(flights.open, number)
+		inFlightCalls.mutex.Lock()
+		defer inFlightCalls.mutex.Unlock()
+		delete(inFlightCalls.byID, number)
 		cancel(nil)
 	}
 }
 
-// endExcept ends the requests that run on any group but those that stand.
-func (flights *flights) endExcept(standing map[shedkeel.Assignment]bool) {
-	flights.mutex.Lock()
-	defer flights.mutex.Unlock()
-	for _, flight := range flights.open {
-		if flight.on.Group != "" && !standing[flight.on] {
-			flight.end(errGroupBroken)
+// cancelExcept cancels the requests to all groups that are not in intact.
+// Requests to servers that belong to no group are kept.
+func (inFlightCalls *inFlightCalls) cancelExcept(intact map[shedkeel.Assignment]bool) {
+	inFlightCalls.mutex.Lock()
+	defer inFlightCalls.mutex.Unlock()
+	for _, inFlightCall := range inFlightCalls.byID {
+		if inFlightCall.assignment.Group != "" && !intact[inFlightCall.assignment] {
+			inFlightCall.cancel(errGroupBroken)
 		}
 	}
 }
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// FuzzCompletion checks that no body makes the entry fail otherwise than by an
-// outcome.
+// FuzzCompletion checks that each body leads to a response with status 200 or an
+// error status, and an outcome header.
 func FuzzCompletion(f *testing.F) {
 	f.Add(completionBody)
 	f.Add(`{"model":"model","messages":[{}],"stream":true}`)
--- a/entry/history.go
+++ b/entry/history.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// HeaderRequest names a request in every answer to it; operators can ask
-	// for its history by that name.
+	// HeaderRequest is a response header with the ID of the request, by which
+	// operators can look up its history.
 	HeaderRequest = "Shedkeel-Request"
-	// historyLength is how many requests are remembered.
-	historyLength = 4096
+	// maxHistory is how many requests are remembered.
+	maxHistory = 4096
 )
 
-// TryRecord is what became of one try of a request.
+// TryRecord is the result of one try of a request.
 type TryRecord struct {
 	Server string `json:"server"`
-	Load   int    `json:"load"`   // estimated on the server when it was chosen
-	Result string `json:"result"` // "answered", or why there was no answer
+	Load   int    `json:"load"`   // estimated load of the server when it was chosen
+	Result string `json:"result"` // "answered" or the error
 }
 
-// RequestRecord is what an entry decided on one request.
+// RequestRecord is the history of one request: where it was sent and its result.
 type RequestRecord struct {
 	ID      string             `json:"id"`
 	Account shedkeel.AccountID `json:"account"`
@@ -33,55 +33,59 @@
 	Took    string             `json:"took"`
 }
 
-// history remembers the latest requests. The zero value works.
+// history stores the newest requests by ID. The zero value is usable.
 type history struct {
 	mutex sync.Mutex
-	known map[string]RequestRecord
+	byID  map[string]RequestRecord
 	order []string // oldest first
 }
 
+// add stores a record and removes the oldest one above maxHistory.
 func (history *history) add(record RequestRecord) {
 	history.mutex.Lock()
 	defer history.mutex.Unlock()
-	if history.known == nil {
-		history.known = map[string]RequestRecord{}
+	if history.byID == nil {
+		history.byID = map[string]RequestRecord{}
 	}
-	history.known[record.ID] = record
+	history.byID[record.ID] = record
 	history.order = append(history.order, record.ID)
-	if len(history.order) > historyLength {
-		delete(history.known, history.order[0])
+	if len(history.order) > maxHistory {
+		delete(history.byID, history.order[0])
 		history.order = history.order[1:]
 	}
 }
 
+// find returns the record of a request, if it is still stored.
 func (history *history) find(id string) (RequestRecord, bool) {
 	history.mutex.Lock()
 	defer history.mutex.Unlock()
-	record, found := history.known[id]
+	record, found := history.byID[id]
 	return record, found
 }
 
-// name gives a call its name and tells the caller of it.
-func (entry *Entry) name(writer http.ResponseWriter, call *call) {
+// assignID gives a call its request ID and sends the ID in the response header.
+func (entry *Entry) assignID(writer http.ResponseWriter, call *call) {
 	call.id = entry.NewAttempt()
 	writer.Header().Set(HeaderRequest, call.id)
 }
 
-// remember notes how a call ended.
-func (entry *Entry) remember(call *call, err error) {
+// recordRequest adds a completed call to the history.
+func (entry *Entry) recordRequest(call *call, err error) {
 	entry.history.add(RequestRecord{
 		ID: call.id, Account: call.caller.account.ID, Service: call.service.ID, Tries: call.tries,
-		Result: resultOf(err), Took: (entry.Timers.Now() - call.began).Round(time.Microsecond).String(),
+		Result: resultText(err), Took: (entry.Timers.Now() - call.began).Round(time.Microsecond).String(),
 	})
 }
 
-func resultOf(err error) string {
+// resultText returns the result of a call as it appears in the history.
+func resultText(err error) string {
 	if err == nil {
 		return string(outcomeAnswered)
 	}
 	return err.Error()
 }
 
+// serveRequest returns the history of one request to an operator.
 func (entry *Entry) serveRequest(writer http.ResponseWriter, request *http.Request) {
 	id := request.PathValue("id")
 	record, found := entry.history.find(id)
--- a/entry/http.go
+++ b/entry/http.go
@@ -20,10 +20,11 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// HeaderTimeout is how long the caller waits at most, such as "700ms". Without
-// it the service's own timeout holds.
+// HeaderTimeout is the request header with the caller's time limit, such as
+// "700ms". The limit cannot exceed the service's timeout, which is the default.
 const HeaderTimeout = "Shedkeel-Timeout"
 
+// callerHandler returns the handler of the callers' HTTP interface.
 func (entry *Entry) callerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/entries", entry.serveEntries)
@@ -34,15 +35,15 @@
 	mux.HandleFunc("/", func(writer http.ResponseWriter, _ *http.Request) {
 		entry.writeError(writer, &refusal{status: http.StatusNotFound, text: "no such path; use /v1/entries, /v1/models, /v1/completions, /v1/chat/completions or /services/NAME/"})
 	})
-	return entry.guard(mux)
+	return entry.limitAndRecover(mux)
 }
 
-// guard bounds the requests in flight and keeps a failing handler from ending
-// the process.
-func (entry *Entry) guard(next http.Handler) http.Handler {
+// limitAndRecover limits the requests in flight and recovers from panics. After a
+// panic it aborts the connection.
+func (entry *Entry) limitAndRecover(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		defer entry.calls.Add(-1)
-		if entry.calls.Add(1) > int64(entry.Settings.Entry.MaxCalls) {
+		defer entry.activeCalls.Add(-1)
+		if entry.activeCalls.Add(1) > int64(entry.Settings.Entry.MaxCalls) {
 			entry.writeError(writer, &shedkeel.NotRunError{Reason: "this entry box has too many requests in flight", RetryAfter: time.Second, Overloaded: true})
 			return
 		}
@@ -54,116 +55,125 @@
 			if failure != http.ErrAbortHandler { //nolint:errorlint // recover gives the value itself
 				entry.Log.Write(event.RequestPanic, slog.Any("failure", failure), slog.String("stack", string(debug.Stack())))
 			}
-			panic(http.ErrAbortHandler) // the caller must not take what it got for whole
+			panic(http.ErrAbortHandler) // the caller must not take a partial response for a complete one
 		}()
 		next.ServeHTTP(writer, request)
 	})
 }
 
-// Addresses is the which-entry-box answer.
+// Addresses is the answer to GET /v1/entries: the entry boxes to use.
 type Addresses struct {
 	Entries     []Address `json:"entries"`      // nearest availability zone first
-	KeepSeconds float64   `json:"keep_seconds"` // for how long it may be kept
+	KeepSeconds float64   `json:"keep_seconds"` // how long callers may cache the answer
 }
 
-// Address is one entry box that may be used.
+// Address is one entry box to which callers may send requests.
 type Address struct {
 	Address string          `json:"address"`
 	Zone    shedkeel.ZoneID `json:"zone"`
 }
 
-// serveEntries tells callers which entry boxes to use. An entry that has not
-// heard from its keeper lately might name one that is stopping, so it refuses.
+// serveEntries lists the entry boxes for callers. It refuses if the last sync
+// with the keeper is too old, because the list could contain an entry that is
+// stopping.
 func (entry *Entry) serveEntries(writer http.ResponseWriter, request *http.Request) {
-	view := entry.view.Load()
+	snapshot := entry.snapshot.Load()
 	now := entry.Timers.Now()
-	if view.synced < 0 || now-view.synced > time.Duration(entry.Settings.Timing.Permit) {
+	if snapshot.lastSync < 0 || now-snapshot.lastSync > time.Duration(entry.Settings.Timing.Permit) {
 		entry.writeError(writer, &shedkeel.NotRunError{Reason: "this entry box has no word from its keeper", RetryAfter: time.Second})
 		return
 	}
 	answer := Addresses{Entries: []Address{}, KeepSeconds: time.Duration(entry.Settings.Entry.KeepFor).Seconds()}
-	for _, node := range view.entries(shedkeel.ZoneID(request.URL.Query().Get("zone")), entry.Settings.Zone) {
+	for _, node := range snapshot.entryNodes(shedkeel.ZoneID(request.URL.Query().Get("zone")), entry.Settings.Zone) {
 		if node.ID == entry.Settings.Node {
 			if entry.stopping.Load() {
 				continue
 			}
-			entry.lastNamed.Store(int64(now))
+			entry.lastAdvertised.Store(int64(now))
 		}
 		answer.Entries = append(answer.Entries, Address{Address: node.Entry, Zone: node.Zone})
 	}
 	entry.writeJSON(writer, answer)
 }
 
+// writeJSON writes body as JSON with status 200 and outcome "answered".
 func (entry *Entry) writeJSON(writer http.ResponseWriter, body any) {
 	writer.Header().Set("Content-Type", "application/json")
 	entry.setOutcome(writer, outcomeAnswered)
 	_ = json.NewEncoder(writer).Encode(body)
 }
 
+// modelList is the answer to GET /v1/models.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
 }
 
+// modelItem is one model service in a modelList.
 type modelItem struct {
 	ID     shedkeel.ServiceID `json:"id"`
 	Object string             `json:"object"`
 }
 
+// serveModels lists the model services that the client account may call.
 func (entry *Entry) serveModels(writer http.ResponseWriter, request *http.Request) {
-	caller, err := entry.caller(request)
+	caller, err := entry.authenticate(request)
 	if err != nil {
 		entry.writeError(writer, err)
 		return
 	}
 	list := modelList{Object: "list", Data: []modelItem{}}
-	for _, service := range caller.view.config.Services {
-		if service.Kind == shedkeel.KindModel && caller.may(service.ID) {
+	for _, service := range caller.snapshot.config.Services {
+		if service.Kind == shedkeel.KindModel && caller.mayCall(service.ID) {
 			list.Data = append(list.Data, modelItem{ID: service.ID, Object: "model"})
 		}
 	}
 	entry.writeJSON(writer, list)
 }
 
-// caller is who sends a request, and what was in force when it came.
+// caller is the client account of a request, with the snapshot that was current
+// when the request arrived.
 type caller struct {
-	account *shedkeel.Account
-	view    *view
+	account  *shedkeel.Account
+	snapshot *snapshot
 }
 
-// caller finds the client account of a request by its bearer key.
-func (entry *Entry) caller(request *http.Request) (*caller, error) {
-	view := entry.view.Load()
-	if !view.known {
+// authenticate finds the client account of a request by its bearer key.
+func (entry *Entry) authenticate(request *http.Request) (*caller, error) {
+	snapshot := entry.snapshot.Load()
+	if !snapshot.configured {
 		return nil, &shedkeel.NotRunError{Reason: "this entry box does not know yet what is in force", RetryAfter: time.Second}
 	}
 	key, found := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
 	sum := sha256.Sum256([]byte(key))
-	account := view.accounts[hex.EncodeToString(sum[:])]
+	account := snapshot.accounts[hex.EncodeToString(sum[:])]
 	if !found || account == nil {
 		return nil, &refusal{status: http.StatusUnauthorized, text: "the bearer key belongs to no client account; send Authorization: Bearer KEY"}
 	}
-	return &caller{account: account, view: view}, nil
+	return &caller{account: account, snapshot: snapshot}, nil
 }
 
-func (caller *caller) may(service shedkeel.ServiceID) bool {
+// mayCall reports whether the account may call a service. An account without a
+// list of services may call all.
+func (caller *caller) mayCall(service shedkeel.ServiceID) bool {
 	return len(caller.account.Services) == 0 || slices.Contains(caller.account.Services, service)
 }
 
-// service finds a service of the kind that the caller may use.
+// service returns the service with the ID and kind, or a refusal if there is none
+// or the account may not call it.
 func (caller *caller) service(id shedkeel.ServiceID, kind shedkeel.ServiceKind) (*shedkeel.Service, error) {
-	service := caller.view.config.Service(id)
+	service := caller.snapshot.config.Service(id)
 	if service == nil || service.Kind != kind {
 		return nil, &refusal{status: http.StatusNotFound, text: "there is no " + string(kind) + " service " + string(id) + "; GET /v1/models lists the model services"}
 	}
-	if !caller.may(id) {
+	if !caller.mayCall(id) {
 		return nil, &refusal{status: http.StatusForbidden, text: "account " + string(caller.account.ID) + " may not call service " + string(id) + "; ask its operator"}
 	}
 	return service, nil
 }
 
-// timeout returns how long the caller waits for the service.
-func timeout(request *http.Request, service *shedkeel.Service) (time.Duration, error) {
+// callTimeout returns the time limit of a call, from its header or the service.
+func callTimeout(request *http.Request, service *shedkeel.Service) (time.Duration, error) {
 	longest := time.Duration(service.Timeout)
 	text := request.Header.Get(HeaderTimeout)
 	if text == "" {
@@ -176,7 +186,7 @@
 	return min(wanted, longest), nil
 }
 
-// readBody reads a request's body within the bounds of size and time.
+// readBody reads the request body within the limits on size and time.
 func (entry *Entry) readBody(writer http.ResponseWriter, request *http.Request) ([]byte, error) {
 	_ = http.NewResponseController(writer).SetReadDeadline(time.Now().Add(bodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, entry.Settings.Entry.MaxBody))
@@ -188,6 +198,7 @@
 	return body, err
 }
 
+// adminHandler returns the handler for health checks, metrics and operators.
 func (entry *Entry) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, "ok\n") })
@@ -195,15 +206,17 @@
 	if entry.Metrics != nil {
 		mux.Handle("GET /metrics", entry.Metrics.Page)
 	}
-	mux.HandleFunc("GET /v1/dump", entry.operator(entry.serveDump))
-	mux.HandleFunc("GET /v1/requests/{id}", entry.operator(entry.serveRequest))
+	mux.HandleFunc("GET /v1/dump", entry.requireOperatorKey(entry.serveDump))
+	mux.HandleFunc("GET /v1/requests/{id}", entry.requireOperatorKey(entry.serveRequest))
 	return mux
 }
 
+// serveReady reports whether this entry can serve requests: it has a
+// configuration, its last sync is recent, and it is not stopping.
 func (entry *Entry) serveReady(writer http.ResponseWriter, _ *http.Request) {
-	view := entry.view.Load()
-	fresh := entry.Timers.Now()-view.synced <= time.Duration(entry.Settings.Timing.Permit)
-	if !view.known || !fresh || entry.stopping.Load() {
+	snapshot := entry.snapshot.Load()
+	fresh := entry.Timers.Now()-snapshot.lastSync <= time.Duration(entry.Settings.Timing.Permit)
+	if !snapshot.configured || !fresh || entry.stopping.Load() {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = io.WriteString(writer, "not ready: no configuration, no word from the keeper, or stopping\n")
 		return
@@ -211,7 +224,7 @@
 	_, _ = io.WriteString(writer, "ready\n")
 }
 
-// Dump is the state of an entry, without secrets.
+// Dump is the entry's state for debugging, without keys.
 type Dump struct {
 	Node        shedkeel.NodeID                   `json:"node"`
 	Incarnation string                            `json:"incarnation"`
@@ -223,22 +236,23 @@
 	Groups      []GroupUse                        `json:"groups"`
 }
 
-// ServiceUse is what an entry runs on a service.
+// ServiceUse is the load of a service as seen by this entry.
 type ServiceUse struct {
 	InFlight int `json:"in_flight"`
 	Capacity int `json:"capacity"`
 	Usable   int `json:"usable_targets"`
 }
 
-// GroupUse is whether an entry may send to a group.
+// GroupUse is the permit of one group: how much longer it lasts, or why there is
+// none.
 type GroupUse struct {
 	Group     shedkeel.Assignment `json:"group"`
 	PermitFor string              `json:"permit_for"`
 	Reason    string              `json:"reason,omitempty"`
 }
 
-// operator lets only holders of the operators' key through.
-func (entry *Entry) operator(next http.HandlerFunc) http.HandlerFunc {
+// requireOperatorKey rejects requests without the operator key with status 401.
+func (entry *Entry) requireOperatorKey(next http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		presented, _ := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
 		if subtle.ConstantTimeCompare([]byte(presented), []byte(entry.Settings.Keeper.OperatorKey)) != 1 {
@@ -249,18 +263,19 @@
 	}
 }
 
+// serveDump returns the Dump.
 func (entry *Entry) serveDump(writer http.ResponseWriter, _ *http.Request) {
-	view := entry.view.Load()
+	snapshot := entry.snapshot.Load()
 	now := entry.Timers.Now()
 	dump := Dump{
-		Node: entry.Settings.Node, Incarnation: entry.Incarnation, Stopping: entry.stopping.Load(), Generation: view.config.Generation,
-		SyncedAgo: (now - view.synced).Round(time.Millisecond).String(), InFlight: entry.calls.Load(), Services: map[shedkeel.ServiceID]ServiceUse{},
+		Node: entry.Settings.Node, Incarnation: entry.Incarnation, Stopping: entry.stopping.Load(), Generation: snapshot.config.Generation,
+		SyncedAgo: (now - snapshot.lastSync).Round(time.Millisecond).String(), InFlight: entry.activeCalls.Load(), Services: map[shedkeel.ServiceID]ServiceUse{},
 	}
-	for _, service := range view.config.Services {
+	for _, service := range snapshot.config.Services {
 		inFlight, capacity, usable := entry.router.Load(service.ID)
 		dump.Services[service.ID] = ServiceUse{InFlight: inFlight, Capacity: capacity, Usable: usable}
 	}
-	for _, permit := range view.permits {
+	for _, permit := range snapshot.permits {
 		dump.Groups = append(dump.Groups, GroupUse{
 			Group: permit.Group.Assignment(), Reason: permit.Reason,
 			PermitFor: max(permit.Until-now, 0).Round(time.Millisecond).String(),
@@ -269,17 +284,19 @@
 	entry.writeJSON(writer, dump)
 }
 
-// Handle answers the keeper's questions about attempts.
+// Handle serves the keeper's calls for the results of attempts.
 func (entry *Entry) Handle(_ context.Context, call *wire.Call) *wire.Reply {
 	question, ok := call.GetKind().(*wire.Call_Answer)
 	if !ok {
 		return &wire.Reply{Error: "an entry answers questions about attempts only; upgrade the keeper"}
 	}
-	if question.Answer.GetHolder() != entry.holder() {
+	if question.Answer.GetHolder() != entry.claimHolder() {
 		return &wire.Reply{Kind: &wire.Reply_Answer{Answer: &wire.AnswerReply{State: wire.AnswerReply_UNKNOWN}}}
 	}
-	return &wire.Reply{Kind: &wire.Reply_Answer{Answer: entry.attempts.toWire(question.Answer.GetAttempt())}}
+	return &wire.Reply{Kind: &wire.Reply_Answer{Answer: entry.attempts.answerReply(question.Answer.GetAttempt())}}
 }
 
-// holder names this start of this entry in claims.
-func (entry *Entry) holder() string { return shedkeel.HolderOf(entry.Settings.Node, entry.Incarnation) }
+// claimHolder identifies this entry and its incarnation as the holder of claims.
+func (entry *Entry) claimHolder() string {
+	return shedkeel.HolderOf(entry.Settings.Node, entry.Incarnation)
+}
--- a/entry/model.go
+++ b/entry/model.go
@@ -10,20 +10,20 @@
 	"shedkeel.org/shedkeel"
 )
 
-// prefixBytes is how much of a prompt decides which groups likely hold it in
-// their prefix caches.
-const prefixBytes = 512
+// affinityBytes is how much of a prompt is hashed for affinity. Requests that
+// begin alike go to groups that likely have the prefix in their prefix cache.
+const affinityBytes = 512
 
-// modelRequest is what an entry reads of a completion request.
-type modelRequest struct {
+// completionRequest has the fields of a completion request that an entry uses.
+type completionRequest struct {
 	Model    shedkeel.ServiceID `json:"model"`
 	Stream   bool               `json:"stream"`
 	Prompt   json.RawMessage    `json:"prompt"`
 	Messages json.RawMessage    `json:"messages"`
 }
 
-// affinity is a hash of the beginning of the prompt.
-func (request *modelRequest) affinity() uint64 {
+// affinity returns a hash of the beginning of the prompt, or 0 without prompt.
+func (request *completionRequest) affinity() uint64 {
 	text := request.Messages
 	if len(text) == 0 {
 		text = request.Prompt
@@ -32,36 +32,38 @@
 		return 0
 	}
 	hash := fnv.New64a()
-	_, _ = hash.Write(text[:min(len(text), prefixBytes)])
+	_, _ = hash.Write(text[:min(len(text), affinityBytes)])
 	return hash.Sum64() | 1
 }
 
+// serveModel serves a completion request, as a stream if the caller asks for one.
 func (entry *Entry) serveModel(writer http.ResponseWriter, request *http.Request) {
-	call, stream, err := entry.modelCall(writer, request)
+	call, stream, err := entry.newModelCall(writer, request)
 	if err != nil {
 		entry.writeError(writer, err)
 		return
 	}
-	entry.name(writer, call)
+	entry.assignID(writer, call)
 	answered := false
-	defer func() { entry.leave(call, answered) }()
+	defer func() { entry.leaveGate(call, answered) }()
 	if stream {
 		answered = entry.stream(request.Context(), writer, call)
 		return
 	}
-	whole, err := entry.answerWhole(request.Context(), call)
-	entry.remember(call, err)
+	complete, err := entry.answerWhole(request.Context(), call)
+	entry.recordRequest(call, err)
 	if err != nil {
 		entry.writeError(writer, err)
 		return
 	}
 	answered = true
-	entry.writeAnswer(writer, whole)
+	entry.writeAnswer(writer, complete)
 }
 
-// modelCall checks a completion request and makes it ready to be sent.
-func (entry *Entry) modelCall(writer http.ResponseWriter, request *http.Request) (*call, bool, error) {
-	caller, err := entry.caller(request)
+// newModelCall validates a completion request and builds its call. It also
+// reports whether the caller asks for a stream.
+func (entry *Entry) newModelCall(writer http.ResponseWriter, request *http.Request) (*call, bool, error) {
+	caller, err := entry.authenticate(request)
 	if err != nil {
 		return nil, false, err
 	}
@@ -69,7 +71,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	var wanted modelRequest
+	var wanted completionRequest
 	if err := json.Unmarshal(body, &wanted); err != nil {
 		return nil, false, &refusal{status: http.StatusBadRequest, text: "the body is no completion request: " + err.Error() + "; send JSON with model and prompt or messages"}
 	}
@@ -77,7 +79,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	deadline, err := timeout(request, service)
+	deadline, err := callTimeout(request, service)
 	if err != nil {
 		return nil, false, err
 	}
@@ -88,41 +90,43 @@
 	header := http.Header{"Content-Type": {"application/json"}}
 	return &call{
 		caller: caller, service: service, method: http.MethodPost, path: request.URL.Path, header: header, body: body,
-		affinity: wanted.affinity(), deadline: deadline, began: now, repeatable: true, echo: true,
+		affinity: wanted.affinity(), timeout: deadline, began: now, repeatable: true, mustEchoAttempt: true,
 	}, wanted.Stream, nil
 }
 
-// stream passes a streamed answer on, and reports whether it ended whole.
+// stream forwards a call with a streamed answer, and reports whether the answer
+// is complete. It tries another server only while nothing of an answer has been
+// sent to the caller.
 func (entry *Entry) stream(ctx context.Context, writer http.ResponseWriter, call *call) bool {
 	for {
-		try, err := entry.next(ctx, call)
+		try, err := entry.nextTry(ctx, call)
 		if err != nil {
-			entry.remember(call, err)
+			entry.recordRequest(call, err)
 			entry.writeError(writer, err)
 			return false
 		}
-		passed := &passage{entry: entry, try: try, writer: writer}
-		err = passed.run()
+		streamed := &relay{entry: entry, try: try, writer: writer}
+		err = streamed.run()
 		try.end()
-		try.note(err)
+		try.record(err)
 		switch {
 		case err == nil:
-			entry.remember(call, nil)
+			entry.recordRequest(call, nil)
 			return true
-		case passed.begun:
-			entry.remember(call, err)
-			// The caller has part of the answer. Breaking the connection
-			// keeps every client library from taking it for the whole.
+		case streamed.started:
+			entry.recordRequest(call, err)
+			// The caller has received part of the answer. Aborting the
+			// connection lets every client library detect that it is incomplete.
 			panic(http.ErrAbortHandler)
-		case !call.again(err) || ctx.Err() != nil:
-			entry.remember(call, err)
+		case !call.mayRetry(err) || ctx.Err() != nil:
+			entry.recordRequest(call, err)
 			entry.writeError(writer, err)
 			return false
 		}
 	}
 }
 
-// isEventStream reports whether a response is a stream of events.
+// isEventStream reports whether a response is a stream of server-sent events.
 func isEventStream(response *http.Response) bool {
 	return strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream")
 }
--- a/entry/outcome.go
+++ b/entry/outcome.go
@@ -13,14 +13,14 @@
 	"shedkeel.org/shedkeel/engine"
 )
 
-// HeaderOutcome says in every response which of the three outcomes it is.
+// HeaderOutcome is the response header with the outcome of the request.
 const HeaderOutcome = "Shedkeel-Outcome"
 
-// outcome is what a caller is told.
+// outcome is the value of HeaderOutcome and the type in an error body.
 type outcome string
 
-// The three outcomes, and refused for requests that are wrong in themselves
-// and so did not run either.
+// The three outcomes, and refused for invalid requests, which did not run
+// either.
 const (
 	outcomeAnswered outcome = "answered"
 	outcomeNotRun   outcome = "not-run"
@@ -28,34 +28,36 @@
 	outcomeRefused  outcome = "refused"
 )
 
-// apiError is the body of a response that is no answer, in the form that
-// clients of completion services know.
+// apiError is the body of an error response, in the form that completion clients
+// expect.
 type apiError struct {
 	Error apiErrorDetail `json:"error"`
 }
 
+// apiErrorDetail is the error in an apiError.
 type apiErrorDetail struct {
 	Message string  `json:"message"`
 	Type    outcome `json:"type"`
 	Code    int     `json:"code"`
 }
 
-// refusal is a request that is wrong in itself.
+// refusal is the error for an invalid request, with the HTTP status to send.
 type refusal struct {
 	status int
 	text   string
 }
 
-// Error names the remedy.
+// Error returns the message, which says how to correct the request.
 func (refusal *refusal) Error() string { return refusal.text }
 
-// writeError tells the caller why there is no answer. It is called at once
-// when that is known, never held back.
+// writeError sends an error response with the outcome that follows from err. An
+// error of an unlisted type means that the outcome is unknown. Callers of this
+// function send errors as soon as they are known.
 func (entry *Entry) writeError(writer http.ResponseWriter, err error) {
 	var refused *refusal
 	var notRun *shedkeel.NotRunError
 	var tooLarge *http.MaxBytesError
-	var still *runningError
+	var running *stillRunningError
 	switch {
 	case errors.As(err, &refused):
 		entry.writeOutcome(writer, refused.status, outcomeRefused, err)
@@ -68,7 +70,7 @@
 			status = http.StatusTooManyRequests
 		}
 		entry.writeOutcome(writer, status, outcomeNotRun, err)
-	case errors.As(err, &still):
+	case errors.As(err, &running):
 		setRetryAfter(writer, time.Second)
 		entry.writeOutcome(writer, http.StatusGatewayTimeout, outcomeUnknown, err)
 	default:
@@ -76,11 +78,13 @@
 	}
 }
 
+// setRetryAfter sets the Retry-After header, rounded up to at least one second.
 func setRetryAfter(writer http.ResponseWriter, after time.Duration) {
 	seconds := int(math.Ceil(after.Seconds()))
 	writer.Header().Set("Retry-After", strconv.Itoa(max(seconds, 1)))
 }
 
+// writeOutcome writes an error response.
 func (entry *Entry) writeOutcome(writer http.ResponseWriter, status int, outcome outcome, err error) {
 	writer.Header().Set("Content-Type", "application/json")
 	entry.setOutcome(writer, outcome)
@@ -88,7 +92,8 @@
 	_ = json.NewEncoder(writer).Encode(apiError{Error: apiErrorDetail{Message: err.Error(), Type: outcome, Code: status}})
 }
 
-// setOutcome sets and counts the outcome of a request.
+// setOutcome sets the outcome header and counts the request. While the entry is
+// stopping, it also asks the caller to close the connection.
 func (entry *Entry) setOutcome(writer http.ResponseWriter, outcome outcome) {
 	writer.Header().Set(HeaderOutcome, string(outcome))
 	if entry.stopping.Load() {
@@ -99,7 +104,7 @@
 	}
 }
 
-// writeAnswer gives the caller a whole answer.
+// writeAnswer sends a complete answer to the caller.
 func (entry *Entry) writeAnswer(writer http.ResponseWriter, answer answer) {
 	copyHeader(writer.Header(), answer.header)
 	entry.setOutcome(writer, outcomeAnswered)
@@ -109,17 +114,18 @@
 	_, _ = writer.Write(answer.body)
 }
 
-// copyHeader copies the headers that travel along. The length is not among
-// them: the answer may have been held, or go on in pieces.
+// copyHeader copies the headers that are forwarded, except Content-Length: a
+// buffered answer gets its own length, and a stream has none.
 func copyHeader(to, from http.Header) {
 	maps.Copy(to, engine.PassedOn(from))
 	to.Del("Content-Length")
 }
 
-// runningError says that another try of the same call is still running.
-type runningError struct{}
+// stillRunningError is the error when another attempt of the same idempotent call
+// is still running.
+type stillRunningError struct{}
 
-// Error names the remedy.
-func (*runningError) Error() string {
+// Error returns the message, which says how to get the answer.
+func (*stillRunningError) Error() string {
 	return "outcome unknown: the call is still running under an earlier try; ask again with the same Idempotency-Key"
 }
--- a/entry/plain.go
+++ b/entry/plain.go
@@ -15,46 +15,49 @@
 
 const (
 	headerIdempotencyKey = "Idempotency-Key"
-	// HeaderRepeat says that an answer is the kept one of an earlier try.
+	// HeaderRepeat is the response header that marks the stored answer of an earlier
+	// attempt.
 	HeaderRepeat = "Shedkeel-Repeat"
-	maxKey       = 255
-	// maxClaims bounds how often a call is claimed anew in place of tries
-	// that never ran.
+	maxKeyBytes  = 255
+	// maxClaims limits how often a call is claimed again after the attempt that held
+	// the claim was never sent.
 	maxClaims = 3
-	// claimWait is how long a claim is waited for.
-	claimWait = 4 * time.Second
-	// digestBytes is how much of a request's SHA-256 a claim keeps.
+	// claimTimeout is the time limit of one claim or answer call to the keeper.
+	claimTimeout = 4 * time.Second
+	// digestBytes is how many bytes of a request's SHA-256 a claim stores.
 	digestBytes = 8
 )
 
+// servePlain serves a request to a plain service, at most once if it has an
+// idempotency key.
 func (entry *Entry) servePlain(writer http.ResponseWriter, request *http.Request) {
-	call, key, err := entry.plainCall(writer, request)
+	call, key, err := entry.newPlainCall(writer, request)
 	if err != nil {
 		entry.writeError(writer, err)
 		return
 	}
-	entry.name(writer, call)
+	entry.assignID(writer, call)
 	answered := false
-	defer func() { entry.leave(call, answered) }()
-	var whole answer
+	defer func() { entry.leaveGate(call, answered) }()
+	var complete answer
 	if key != "" {
-		whole, err = entry.answerOnce(request.Context(), call, key)
+		complete, err = entry.answerIdempotent(request.Context(), call, key)
 	} else {
-		whole, err = entry.answerWhole(request.Context(), call)
+		complete, err = entry.answerWhole(request.Context(), call)
 	}
-	entry.remember(call, err)
+	entry.recordRequest(call, err)
 	if err != nil {
 		entry.writeError(writer, err)
 		return
 	}
 	answered = true
-	entry.writeAnswer(writer, whole)
+	entry.writeAnswer(writer, complete)
 }
 
-// plainCall checks a request to a plain service and makes it ready to be sent.
-// The key is empty if the call may be repeated by the caller as it likes.
-func (entry *Entry) plainCall(writer http.ResponseWriter, request *http.Request) (*call, string, error) {
-	caller, err := entry.caller(request)
+// newPlainCall validates a request to a plain service and builds its call. It also
+// returns the idempotency key, which is empty if the call has none.
+func (entry *Entry) newPlainCall(writer http.ResponseWriter, request *http.Request) (*call, string, error) {
+	caller, err := entry.authenticate(request)
 	if err != nil {
 		return nil, "", err
 	}
@@ -64,11 +67,11 @@
 		return nil, "", err
 	}
 	path := strings.TrimPrefix(request.URL.EscapedPath(), "/services/"+string(id))
-	key, err := onceKey(request, service, path)
+	key, err := idempotencyKey(request, service, path)
 	if err != nil {
 		return nil, "", err
 	}
-	deadline, err := timeout(request, service)
+	deadline, err := callTimeout(request, service)
 	if err != nil {
 		return nil, "", err
 	}
@@ -84,20 +87,20 @@
 		path += "?" + request.URL.RawQuery
 	}
 	header := request.Header.Clone()
-	header.Del("Authorization") // the key is between the caller and us
+	header.Del("Authorization") // the bearer key is for the entry only
 	header.Set("Shedkeel-Account", string(caller.account.ID))
 	safe := request.Method == http.MethodGet || request.Method == http.MethodHead || request.Method == http.MethodOptions
 	return &call{
 		caller: caller, service: service, method: request.Method, path: path, header: header, body: body,
-		deadline: deadline, began: now, repeatable: safe && key == "", fresh: !safe || key != "",
+		timeout: deadline, began: now, repeatable: safe && key == "", freshConnection: !safe || key != "",
 	}, key, nil
 }
 
-// onceKey returns the key of a call that must not be repeated: one that carries
-// a key, or whose path the operators listed and which therefore needs one.
-func onceKey(request *http.Request, service *shedkeel.Service, path string) (string, error) {
+// idempotencyKey returns the idempotency key of a request, or "". It refuses a
+// request without key whose path is listed in the service's OncePaths.
+func idempotencyKey(request *http.Request, service *shedkeel.Service, path string) (string, error) {
 	key := request.Header.Get(headerIdempotencyKey)
-	if len(key) > maxKey {
+	if len(key) > maxKeyBytes {
 		return "", &refusal{status: http.StatusBadRequest, text: "the Idempotency-Key is longer than 255 bytes; send a shorter one"}
 	}
 	if key != "" {
@@ -111,45 +114,46 @@
 	return "", nil
 }
 
-// answerOnce runs a call that must not be repeated, or gives the answer of the
-// try that ran it. It goes on when the caller leaves, to keep the answer for
-// its repeat.
-func (entry *Entry) answerOnce(ctx context.Context, call *call, key string) (answer, error) {
+// answerIdempotent runs a call with an idempotency key, or returns the answer of
+// the earlier attempt that ran it. It continues after the caller disconnects, so
+// that the answer is available for the caller's retry.
+func (entry *Entry) answerIdempotent(ctx context.Context, call *call, key string) (answer, error) {
 	ctx = context.WithoutCancel(ctx)
 	call.attempt = entry.NewAttempt()
 	entry.attempts.begin(call.attempt)
 	earlier, err := entry.claim(ctx, call, key)
 	if err != nil || earlier != nil {
-		// This attempt never got the right to run, or cannot know that it
-		// got it. It will not run.
+		// The claim was not granted, or its result was lost. Either way this
+		// attempt is never sent.
 		entry.attempts.end(call.attempt, wire.AnswerReply_NEVER_SENT, answer{})
 		if err != nil {
 			return answer{}, err
 		}
 		return *earlier, nil
 	}
-	whole, err := entry.answerWhole(ctx, call)
+	complete, err := entry.answerWhole(ctx, call)
 	var notRun *shedkeel.NotRunError
 	switch {
 	case err == nil:
-		entry.attempts.end(call.attempt, wire.AnswerReply_KEPT, whole)
+		entry.attempts.end(call.attempt, wire.AnswerReply_KEPT, complete)
 	case errors.As(err, &notRun):
 		entry.attempts.end(call.attempt, wire.AnswerReply_NEVER_SENT, answer{})
 	default:
 		entry.attempts.end(call.attempt, wire.AnswerReply_UNKNOWN, answer{})
 	}
-	return whole, err
+	return complete, err
 }
 
-// claim gets the right to run the call under the key. It returns the kept
-// answer if an earlier try has run it.
+// claim acquires the right to run the call under its idempotency key. It returns
+// nil if the claim is granted, and the stored answer if an earlier attempt has
+// run the call.
 func (entry *Entry) claim(ctx context.Context, call *call, key string) (*answer, error) {
 	request := &wire.ClaimCall{
 		Account: string(call.caller.account.ID), Key: string(call.service.ID) + "/" + key,
-		Attempt: call.attempt, Holder: entry.holder(), Digest: call.digest(),
+		Attempt: call.attempt, Holder: entry.claimHolder(), Digest: call.digest(),
 	}
 	for range maxClaims {
-		reply, err := entry.askClaim(ctx, request)
+		reply, err := entry.requestClaim(ctx, request)
 		if err != nil {
 			return nil, &shedkeel.NotRunError{Reason: "the right to run the call once could not be had: " + err.Error(), RetryAfter: 2 * time.Second}
 		}
@@ -162,26 +166,28 @@
 			return nil, &shedkeel.NotRunError{Reason: "the right to run the call once could not be had, the key-value service does not answer", RetryAfter: 2 * time.Second}
 		case wire.ClaimReply_TAKEN:
 		}
-		state, kept := entry.askAnswer(ctx, reply)
+		state, kept := entry.earlierAnswer(ctx, reply)
 		switch state {
 		case wire.AnswerReply_KEPT:
 			kept.header.Set(HeaderRepeat, "kept")
 			return &kept, nil
 		case wire.AnswerReply_RUNNING:
-			return nil, &runningError{}
+			return nil, &stillRunningError{}
 		case wire.AnswerReply_NEVER_SENT:
 			request.InsteadOf = reply.GetAttempt()
 		case wire.AnswerReply_UNKNOWN:
 			return nil, &shedkeel.UnknownRunError{Reason: "the call has run or may have run under an earlier try, whose answer is gone", Cause: errAnswerGone}
 		}
 	}
-	return nil, &runningError{}
+	return nil, &stillRunningError{}
 }
 
+// errAnswerGone is the cause when an earlier attempt's answer cannot be fetched.
 var errAnswerGone = errors.New("the entry box that made it does not know or does not answer")
 
-func (entry *Entry) askClaim(ctx context.Context, request *wire.ClaimCall) (*wire.ClaimReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, claimWait)
+// requestClaim sends a claim to the keeper on this box.
+func (entry *Entry) requestClaim(ctx context.Context, request *wire.ClaimCall) (*wire.ClaimReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	reply, err := entry.Keeper.Do(ctx, &wire.Call{Kind: &wire.Call_Claim{Claim: request}})
 	if err != nil {
@@ -190,16 +196,18 @@
 	return reply.GetClaim(), nil
 }
 
-// askAnswer asks the holder of a claim what came of it.
-func (entry *Entry) askAnswer(ctx context.Context, standing *wire.ClaimReply) (wire.AnswerReply_State, answer) {
-	if standing.GetHolder() == entry.holder() {
-		state, kept := entry.attempts.find(standing.GetAttempt())
+// earlierAnswer returns the state and answer of the attempt that holds a claim,
+// from this entry or through the keeper from another. The state is UNKNOWN if
+// the other entry does not answer.
+func (entry *Entry) earlierAnswer(ctx context.Context, claimed *wire.ClaimReply) (wire.AnswerReply_State, answer) {
+	if claimed.GetHolder() == entry.claimHolder() {
+		state, kept := entry.attempts.find(claimed.GetAttempt())
 		kept.header = kept.header.Clone()
 		return state, kept
 	}
-	ctx, cancel := context.WithTimeout(ctx, claimWait)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	question := &wire.AnswerCall{Holder: standing.GetHolder(), Attempt: standing.GetAttempt()}
+	question := &wire.AnswerCall{Holder: claimed.GetHolder(), Attempt: claimed.GetAttempt()}
 	reply, err := entry.Keeper.Do(ctx, &wire.Call{Kind: &wire.Call_Answer{Answer: question}})
 	if err != nil {
 		return wire.AnswerReply_UNKNOWN, answer{}
@@ -214,7 +222,8 @@
 	return wire.AnswerReply_KEPT, kept
 }
 
-// digest tells one request from another under the same key.
+// digest returns a hash of method, path and body. It detects that an idempotency
+// key is reused for another request.
 func (call *call) digest() string {
 	hash := sha256.New()
 	_, _ = hash.Write([]byte(call.method + " " + call.path + "\n"))
--- a/entry/send.go
+++ b/entry/send.go
@@ -18,110 +18,113 @@
 )
 
 const (
-	// maxTries bounds how often one request is sent.
+	// maxTries limits how often one call is sent.
 	maxTries = 3
-	// maxAnswer bounds an answer that is held until it is whole, in bytes.
-	maxAnswer = 32 << 20
+	// maxAnswerBytes limits an answer that is buffered before it is forwarded.
+	maxAnswerBytes = 32 << 20
 )
 
-// call is one request of a caller on its way to a backend server.
+// call is one request of a caller that is forwarded to a backend server.
 type call struct {
-	caller     *caller
-	service    *shedkeel.Service
-	method     string
-	path       string // with the query, as the backend server gets it
-	header     http.Header
-	body       []byte
-	affinity   uint64
-	deadline   time.Duration // how long the caller waits
-	began      time.Duration
-	repeatable bool   // may be sent again though it may have run
-	fresh      bool   // sent over a connection of its own
-	attempt    string // fixed name, or empty for a new one each try
-	echo       bool   // the answer must name the attempt
+	caller          *caller
+	service         *shedkeel.Service
+	method          string
+	path            string // with the query, as sent to the backend server
+	header          http.Header
+	body            []byte
+	affinity        uint64
+	timeout         time.Duration // time limit, counted from began
+	began           time.Duration
+	repeatable      bool   // may be sent again even if an earlier try may have run
+	freshConnection bool   // sent over a new connection
+	attempt         string // attempt ID for all tries, or empty for a new one each try
+	mustEchoAttempt bool   // the response must carry the attempt ID
 
-	id       string // names the request to its caller and to operators
-	tries    []TryRecord
-	tried    []string
-	mayHave  error // why an earlier try may have run
-	admitted bool
+	id           string // request ID for the caller and operators
+	tries        []TryRecord
+	triedServers []string
+	mayHaveRun   error // error of the latest try that may have run; nil: none
+	admitted     bool
 }
 
-// try is one sending of a call.
+// try sends a call once to one backend server or group.
 type try struct {
 	call    *call
 	choice  *route.Choice
 	attempt string
 	end     func()
-	context context.Context //nolint:containedctx // it belongs to this one sending
+	context context.Context //nolint:containedctx // a try lasts as long as its context
 	entry   *Entry
 }
 
-// finish turns the reason why there is no answer into what the caller may be
-// told: "not run" only if no try may have run.
-func (call *call) finish(err error) error {
+// finalError returns the error to report to the caller when no more tries are
+// made. It replaces a NotRunError if an earlier try may have run.
+func (call *call) finalError(err error) error {
 	var notRun *shedkeel.NotRunError
-	if errors.As(err, &notRun) && call.mayHave != nil {
-		return &shedkeel.UnknownRunError{Reason: "an earlier try may have run, and no other could be made", Cause: call.mayHave}
+	if errors.As(err, &notRun) && call.mayHaveRun != nil {
+		return &shedkeel.UnknownRunError{Reason: "an earlier try may have run, and no other could be made", Cause: call.mayHaveRun}
 	}
 	return err
 }
 
-// next begins the next try of a call, or returns why there is none.
-func (entry *Entry) next(ctx context.Context, call *call) (*try, error) {
+// nextTry chooses a server for the next try of a call, and admits the call if it
+// is the first. It fails if the time limit, the retry limits or the admission
+// gate do not allow another try. The caller must call end on the try.
+func (entry *Entry) nextTry(ctx context.Context, call *call) (*try, error) {
 	now := entry.Timers.Now()
-	left := call.deadline - (now - call.began)
-	if left <= 0 {
-		return nil, call.finish(&shedkeel.NotRunError{Reason: "the deadline has passed", RetryAfter: time.Second})
+	remaining := call.timeout - (now - call.began)
+	if remaining <= 0 {
+		return nil, call.finalError(&shedkeel.NotRunError{Reason: "the deadline has passed", RetryAfter: time.Second})
 	}
-	if len(call.tried) == 0 {
-		entry.budget.First()
-	} else if len(call.tried) >= maxTries || !entry.budget.Retry() {
-		return nil, call.finish(&shedkeel.NotRunError{Reason: "no more tries may be made", RetryAfter: time.Second})
+	if len(call.triedServers) == 0 {
+		entry.retryBudget.First()
+	} else if len(call.triedServers) >= maxTries || !entry.retryBudget.Retry() {
+		return nil, call.finalError(&shedkeel.NotRunError{Reason: "no more tries may be made", RetryAfter: time.Second})
 	}
-	choice, err := entry.router.Choose(route.Request{Service: call.service.ID, Affinity: call.affinity, Now: now, Avoid: call.tried})
+	choice, err := entry.router.Choose(route.Request{Service: call.service.ID, Affinity: call.affinity, Now: now, Avoid: call.triedServers})
 	if err != nil {
-		return nil, call.finish(err)
+		return nil, call.finalError(err)
 	}
-	if err := entry.admit(call, choice, left); err != nil {
+	if err := entry.admit(call, choice, remaining); err != nil {
 		choice.End(now)
-		return nil, call.finish(err)
+		return nil, call.finalError(err)
 	}
-	call.tried = append(call.tried, choice.Name)
-	ctx, landed := entry.flights.begin(ctx, choice.Assignment)
-	ctx, cancel := context.WithTimeout(ctx, left)
+	call.triedServers = append(call.triedServers, choice.Name)
+	ctx, untrack := entry.inFlight.begin(ctx, choice.Assignment)
+	ctx, cancel := context.WithTimeout(ctx, remaining)
 	attempt := call.attempt
 	if attempt == "" {
 		attempt = entry.NewAttempt()
 	}
 	end := func() {
 		cancel()
-		landed()
+		untrack()
 		choice.End(entry.Timers.Now())
 	}
 	return &try{call: call, choice: choice, attempt: attempt, end: end, context: ctx, entry: entry}, nil
 }
 
-// admit asks the gate before the first try of a call.
-func (entry *Entry) admit(call *call, choice *route.Choice, left time.Duration) error {
+// admit passes the admission gate before the first try of a call.
+func (entry *Entry) admit(call *call, choice *route.Choice, remaining time.Duration) error {
 	if call.admitted {
 		return nil
 	}
 	if wait := time.Duration(call.service.MaxWait); wait > 0 {
-		left = min(left, wait)
+		remaining = min(remaining, wait)
 	}
 	_, capacity, _ := entry.router.Load(call.service.ID)
 	err := entry.gate.Enter(admit.Request{
-		Service: call.service.ID, Account: call.caller.account.ID, Deadline: left,
+		Service: call.service.ID, Account: call.caller.account.ID, Deadline: remaining,
 		Capacity: capacity, Load: choice.Load, Room: choice.Capacity,
-		Weight: func(account shedkeel.AccountID) int { return call.caller.view.weights[account] },
+		Weight: func(account shedkeel.AccountID) int { return call.caller.snapshot.weights[account] },
 	})
 	call.admitted = err == nil
 	return err
 }
 
-// leave tells the gate that a call has ended.
-func (entry *Entry) leave(call *call, answered bool) {
+// leaveGate tells the admission gate that a call has ended, with its duration if
+// it was answered.
+func (entry *Entry) leaveGate(call *call, answered bool) {
 	if !call.admitted {
 		return
 	}
@@ -132,7 +135,8 @@
 	entry.gate.Leave(call.service.ID, call.caller.account.ID, ran)
 }
 
-// send sends the try. Its error is a NotRunError when it did not run.
+// send sends the request and checks the response. The error is a NotRunError if
+// the request did not run. The caller must close the response body.
 func (try *try) send() (*http.Response, error) {
 	call := try.call
 	request, err := http.NewRequestWithContext(try.context, call.method, "http://"+try.choice.Address+call.path, bytes.NewReader(call.body))
@@ -145,27 +149,28 @@
 		request.Header.Set(engine.HeaderGroup, string(try.choice.Assignment.Group))
 		request.Header.Set(engine.HeaderEpoch, fmt.Sprint(try.choice.Assignment.Epoch))
 	}
-	if call.fresh {
+	if call.freshConnection {
 		request = request.WithContext(engine.WithFreshConnection(request.Context()))
 	}
-	// The permit is asked last, for the process may have been stopped since
-	// the choice was made.
+	// Check the permit last: the process may have been suspended since the
+	// server was chosen, and the permit may have expired.
 	if try.entry.Timers.Now() >= try.choice.Until {
 		return nil, &shedkeel.NotRunError{Reason: "the proof that " + try.choice.Name + " is whole has run out", RetryAfter: time.Second}
 	}
 	response, err := try.entry.Backend.Send(request)
 	if err != nil {
-		return nil, try.because(err)
+		return nil, try.withGroupLoss(err)
 	}
-	if err := try.check(response); err != nil {
+	if err := try.checkResponse(response); err != nil {
 		_ = response.Body.Close()
 		return nil, err
 	}
 	return response, nil
 }
 
-// because adds to an error that the group was given up.
-func (try *try) because(err error) error {
+// withGroupLoss returns an error that names the loss of a group member, if that
+// is why the request was cancelled. A NotRunError is returned unchanged.
+func (try *try) withGroupLoss(err error) error {
 	var notRun *shedkeel.NotRunError
 	if !errors.As(err, &notRun) && errors.Is(context.Cause(try.context), errGroupBroken) {
 		return &shedkeel.UnknownRunError{Reason: "group " + try.choice.Name + " lost a member", Cause: err}
@@ -173,18 +178,18 @@
 	return err
 }
 
-// check finds out whether the response belongs to this try and whether it says
-// that the request did not run.
-func (try *try) check(response *http.Response) error {
+// checkResponse returns an error if the response belongs to another attempt, says
+// that the request did not run, or is a server error of a model group.
+func (try *try) checkResponse(response *http.Response) error {
 	named := response.Header.Get(engine.HeaderAttempt)
-	if named != try.attempt && (named != "" || try.call.echo) {
+	if named != try.attempt && (named != "" || try.call.mustEchoAttempt) {
 		try.entry.Log.Write(event.WrongAnswer, slog.String("server", try.choice.Name), slog.String("attempt", try.attempt), slog.String("answered", named))
 		return &shedkeel.UnknownRunError{Reason: "backend server " + try.choice.Name + " answered for another request", Cause: errWrongAnswer}
 	}
 	if response.Header.Get(engine.HeaderNotRun) != "" {
 		return &shedkeel.NotRunError{Reason: "backend server " + try.choice.Name + " refused it: " + response.Header.Get(engine.HeaderNotRun), RetryAfter: time.Second}
 	}
-	if response.StatusCode >= http.StatusInternalServerError && try.call.echo {
+	if response.StatusCode >= http.StatusInternalServerError && try.call.mustEchoAttempt {
 		return &shedkeel.UnknownRunError{Reason: fmt.Sprintf("group %s failed with status %d", try.choice.Name, response.StatusCode), Cause: errServerFailed}
 	}
 	return nil
@@ -197,26 +202,28 @@
 	errTooLong      = errors.New("the answer is too long to be held")
 )
 
-// whole reads a response to its end and returns it only if it is whole.
-func (try *try) whole(response *http.Response) (answer, error) {
+// readAnswer reads a response and returns it only if it is complete. It closes
+// the body.
+func (try *try) readAnswer(response *http.Response) (answer, error) {
 	defer func() { _ = response.Body.Close() }()
-	// An answer that ends with its connection cannot be told from a cut one.
-	noEnd := response.ContentLength < 0 && len(response.TransferEncoding) == 0 && try.call.method != http.MethodHead
-	if noEnd {
+	// Without length or chunked encoding, a truncated answer looks complete.
+	unframed := response.ContentLength < 0 && len(response.TransferEncoding) == 0 && try.call.method != http.MethodHead
+	if unframed {
 		return answer{}, &shedkeel.UnknownRunError{Reason: "backend server " + try.choice.Name + " gave an answer without length", Cause: errNoEnd}
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer+1))
-	if err == nil && len(body) > maxAnswer {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes+1))
+	if err == nil && len(body) > maxAnswerBytes {
 		err = errTooLong
 	}
 	if err != nil {
-		return answer{}, try.because(&shedkeel.UnknownRunError{Reason: "backend server " + try.choice.Name + " did not answer whole", Cause: err})
+		return answer{}, try.withGroupLoss(&shedkeel.UnknownRunError{Reason: "backend server " + try.choice.Name + " did not answer whole", Cause: err})
 	}
 	return answer{status: response.StatusCode, header: response.Header, body: body}, nil
 }
 
-// again reports whether another try may be made after this error.
-func (call *call) again(err error) bool {
+// mayRetry reports whether the call may be sent again after this error. It stores
+// an error after which the call may have run.
+func (call *call) mayRetry(err error) bool {
 	var notRun *shedkeel.NotRunError
 	if errors.As(err, &notRun) {
 		return true
@@ -225,38 +232,40 @@
 	if !errors.As(err, &unknown) {
 		return false
 	}
-	call.mayHave = err
+	call.mayHaveRun = err
 	return call.repeatable
 }
 
-// answerWhole runs a call until it has a whole answer or must give up.
+// answerWhole sends a call, on several servers if needed, until it has a complete
+// answer or no more tries are allowed.
 func (entry *Entry) answerWhole(ctx context.Context, call *call) (answer, error) {
 	for {
-		try, err := entry.next(ctx, call)
+		try, err := entry.nextTry(ctx, call)
 		if err != nil {
 			return answer{}, err
 		}
-		answered, err := try.once()
-		try.note(err)
+		answered, err := try.sendAndRead()
+		try.record(err)
 		if err == nil {
 			return answered, nil
 		}
-		if !call.again(err) || ctx.Err() != nil {
+		if !call.mayRetry(err) || ctx.Err() != nil {
 			return answer{}, err
 		}
 	}
 }
 
-// note remembers what became of the try.
-func (try *try) note(err error) {
-	try.call.tries = append(try.call.tries, TryRecord{Server: try.choice.Name, Load: try.choice.Load, Result: resultOf(err)})
+// record adds the result of the try to the call's history.
+func (try *try) record(err error) {
+	try.call.tries = append(try.call.tries, TryRecord{Server: try.choice.Name, Load: try.choice.Load, Result: resultText(err)})
 }
 
-func (try *try) once() (answer, error) {
+// sendAndRead sends the request and reads the complete answer.
+func (try *try) sendAndRead() (answer, error) {
 	defer try.end()
-	response, err := try.send() //nolint:bodyclose // whole closes it
+	response, err := try.send() //nolint:bodyclose // readAnswer closes it
 	if err != nil {
 		return answer{}, err
 	}
-	return try.whole(response)
+	return try.readAnswer(response)
 }
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -16,84 +16,87 @@
 )
 
 const (
-	// HeaderFrom asks an engine to resume an attempt's stream at an event.
+	// headerFrom asks an engine to resume an attempt's stream at the given event
+	// number. The engine repeats the header in its response.
 	headerFrom = "Shedkeel-From"
-	// maxResumes bounds how often one stream is resumed.
+	// maxResumes limits how often one stream is resumed.
 	maxResumes = 3
-	// readBuffer is how much of a stream is read at once.
+	// readBuffer is the size of the read buffer for a stream, in bytes.
 	readBuffer = 8 << 10
 )
 
-// endMark is the event that ends a stream.
+// endMark is the event that ends a complete stream.
 var endMark = []byte("data: [DONE]")
 
-// passage passes one try's stream on to the caller, event by event.
-type passage struct {
+// relay forwards the stream of one try to the caller, event by event.
+type relay struct {
 	entry  *Entry
 	try    *try
 	writer http.ResponseWriter
 
-	begun   bool // the caller has got some of it
-	events  int  // passed on
+	started bool // the response to the caller has begun
+	events  int  // number of events forwarded
 	resumes int
-	ended   bool // the end mark was passed on
+	ended   bool // the end mark was forwarded
 }
 
-// run passes the stream on to its end mark. A stream that breaks off is resumed
-// where it was by the engine that made it; it is never joined with another.
-func (passage *passage) run() error {
-	response, err := passage.try.send() //nolint:bodyclose // copy and whole close it
+// run forwards the stream up to its end mark. A stream that breaks off is resumed
+// at the same event of the same attempt. The events of different attempts are
+// never mixed.
+func (relay *relay) run() error {
+	response, err := relay.try.send() //nolint:bodyclose // relayEvents and readAnswer close it
 	if err != nil {
 		return err
 	}
 	if !isEventStream(response) {
-		whole, err := passage.try.whole(response)
+		complete, err := relay.try.readAnswer(response)
 		if err == nil {
-			passage.entry.writeAnswer(passage.writer, whole)
+			relay.entry.writeAnswer(relay.writer, complete)
 		}
 		return err
 	}
 	for {
-		err := passage.copy(response)
+		err := relay.relayEvents(response)
 		if err == nil {
 			return nil
 		}
-		response, err = passage.resume(err) //nolint:bodyclose // copy closes it
+		response, err = relay.resume(err) //nolint:bodyclose // relayEvents closes it
 		if err != nil {
-			if passage.begun {
-				passage.entry.Log.Write(event.StreamAborted, slog.String("attempt", passage.try.attempt), slog.String("error", err.Error()))
+			if relay.started {
+				relay.entry.Log.Write(event.StreamAborted, slog.String("attempt", relay.try.attempt), slog.String("error", err.Error()))
 			}
 			return err
 		}
 	}
 }
 
-// resume asks the engine for the rest of a stream that broke off.
-func (passage *passage) resume(broke error) (*http.Response, error) {
-	try := passage.try
-	unknown := try.because(&shedkeel.UnknownRunError{Reason: "the stream of group " + try.choice.Name + " broke off", Cause: broke})
-	passage.resumes++
-	hopeless := errors.Is(broke, errCallerGone) || try.context.Err() != nil
-	if !passage.begun || passage.resumes > maxResumes || hopeless {
+// resume asks the engine for the rest of a stream that broke off with error
+// broke. It fails if the stream cannot be resumed at the next event.
+func (relay *relay) resume(cause error) (*http.Response, error) {
+	try := relay.try
+	unknown := try.withGroupLoss(&shedkeel.UnknownRunError{Reason: "the stream of group " + try.choice.Name + " broke off", Cause: cause})
+	relay.resumes++
+	unresumable := errors.Is(cause, errCallerGone) || try.context.Err() != nil
+	if !relay.started || relay.resumes > maxResumes || unresumable {
 		return nil, unknown
 	}
-	try.call.header.Set(headerFrom, fmt.Sprint(passage.events))
+	try.call.header.Set(headerFrom, fmt.Sprint(relay.events))
 	response, err := try.send()
 	if err != nil {
 		return nil, err
 	}
 	resumedAt := response.Header.Get(headerFrom)
-	if !isEventStream(response) || resumedAt != fmt.Sprint(passage.events) {
+	if !isEventStream(response) || resumedAt != fmt.Sprint(relay.events) {
 		_ = response.Body.Close()
 		return nil, unknown
 	}
-	passage.entry.Log.Write(event.StreamResumed, slog.String("attempt", try.attempt), slog.Int("from", passage.events))
+	relay.entry.Log.Write(event.StreamResumed, slog.String("attempt", try.attempt), slog.Int("from", relay.events))
 	return response, nil
 }
 
-// copy passes on the whole events of a response. It returns nil only if the
-// end mark has been passed on.
-func (passage *passage) copy(response *http.Response) error {
+// relayEvents forwards the complete events of a response. It returns nil only if
+// the end mark was forwarded.
+func (relay *relay) relayEvents(response *http.Response) error {
 	defer func() { _ = response.Body.Close() }()
 	reader := bufio.NewReaderSize(response.Body, readBuffer)
 	for {
@@ -104,40 +107,44 @@
 		if err != nil {
 			return err
 		}
-		if !passage.begun {
-			passage.begin(response)
+		if !relay.started {
+			relay.start(response)
 		}
-		_ = http.NewResponseController(passage.writer).SetWriteDeadline(time.Now().Add(writeTimeout))
-		if _, err := passage.writer.Write(message); err != nil {
+		_ = http.NewResponseController(relay.writer).SetWriteDeadline(time.Now().Add(writeTimeout))
+		if _, err := relay.writer.Write(message); err != nil {
 			return errors.Join(errCallerGone, err)
 		}
-		passage.events++
+		relay.events++
 		if isEndMark(message) {
-			passage.ended = true
-			return passage.finish()
+			relay.ended = true
+			return relay.flush()
 		}
 		if reader.Buffered() == 0 {
-			if err := http.NewResponseController(passage.writer).Flush(); err != nil {
+			if err := http.NewResponseController(relay.writer).Flush(); err != nil {
 				return errors.Join(errCallerGone, err)
 			}
 		}
 	}
 }
 
+// errCallerGone is the error when writing to the caller fails.
 var errCallerGone = errors.New("the caller is gone")
 
-func (passage *passage) begin(response *http.Response) {
-	passage.begun = true
-	copyHeader(passage.writer.Header(), response.Header)
-	passage.writer.Header().Del(engine.HeaderAttempt)
-	passage.entry.setOutcome(passage.writer, outcomeAnswered)
-	passage.writer.WriteHeader(response.StatusCode)
+// start sends the status and headers of the response to the caller.
+func (relay *relay) start(response *http.Response) {
+	relay.started = true
+	copyHeader(relay.writer.Header(), response.Header)
+	relay.writer.Header().Del(engine.HeaderAttempt)
+	relay.entry.setOutcome(relay.writer, outcomeAnswered)
+	relay.writer.WriteHeader(response.StatusCode)
 }
 
-func (passage *passage) finish() error {
-	return http.NewResponseController(passage.writer).Flush()
+// flush sends buffered events to the caller.
+func (relay *relay) flush() error {
+	return http.NewResponseController(relay.writer).Flush()
 }
 
+// isEndMark reports whether an event is the end mark.
 func isEndMark(message []byte) bool {
 	return bytes.Equal(bytes.TrimRight(message, "\r\n"), endMark)
 }
--- a/entry/sync.go
+++ b/entry/sync.go
@@ -13,7 +13,8 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// sync polls the keeper on this box and takes over what is new.
+// sync fetches newer state from the keeper on this box and rebuilds the snapshot.
+// It rebuilds it without a reply too, so that expired permits take effect.
 func (entry *Entry) sync(time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(entry.Settings.Timing.Permit)/2)
 	defer cancel()
@@ -25,7 +26,7 @@
 	now := entry.Timers.Now()
 	entry.mutex.Lock()
 	defer entry.mutex.Unlock()
-	entry.noteKeeper(err)
+	entry.recordKeeperState(err)
 	if err == nil && reply.GetSync().GetSettled() {
 		changed := entry.table.TakeFromKeeper(reply.GetSync(), sent, now)
 		for _, record := range changed {
@@ -33,18 +34,19 @@
 				entry.Log.Write(event.ConfigInForce, slog.Uint64("generation", record.Generation))
 			}
 		}
-		entry.refresh(sent, now)
+		entry.rebuildSnapshot(sent, now)
 		return
 	}
-	entry.refresh(entry.view.Load().synced, now)
+	entry.rebuildSnapshot(entry.snapshot.Load().lastSync, now)
 }
 
-// noteKeeper logs when the keeper goes or comes back. The mutex is held.
-func (entry *Entry) noteKeeper(err error) {
-	if entry.keeperAway == (err != nil) {
+// recordKeeperState logs when the keeper becomes unavailable or available again.
+// The mutex must be held.
+func (entry *Entry) recordKeeperState(err error) {
+	if entry.keeperUnreachable == (err != nil) {
 		return
 	}
-	entry.keeperAway = err != nil
+	entry.keeperUnreachable = err != nil
 	if err != nil {
 		entry.Log.Write(event.KeeperAway, slog.String("error", err.Error()))
 		return
@@ -52,11 +54,13 @@
 	entry.Log.Write(event.KeeperBack)
 }
 
-// refresh makes a new view of the table. The mutex is held.
-func (entry *Entry) refresh(synced, now time.Duration) {
-	before := entry.view.Load()
-	next := &view{synced: synced, accounts: map[string]*shedkeel.Account{}, weights: map[shedkeel.AccountID]int{}}
-	next.config, next.known = entry.table.Config()
+// rebuildSnapshot replaces the snapshot by one built from the table, updates the
+// limiter and the router, and cancels requests to broken groups. synced is when
+// the last successful sync call was sent. The mutex must be held.
+func (entry *Entry) rebuildSnapshot(synced, now time.Duration) {
+	before := entry.snapshot.Load()
+	next := &snapshot{lastSync: synced, accounts: map[string]*shedkeel.Account{}, weights: map[shedkeel.AccountID]int{}}
+	next.config, next.configured = entry.table.Config()
 	for index := range next.config.Accounts {
 		account := &next.config.Accounts[index]
 		next.accounts[account.KeyHash] = account
@@ -71,13 +75,13 @@
 	if next.config.Generation != before.config.Generation {
 		entry.limiter.Configure(next.config.Accounts, next.config.EntryBoxes, now)
 	}
-	entry.retarget(next, judge, now)
-	entry.view.Store(next)
-	entry.giveUp(next)
+	entry.updateTargets(next, judge, now)
+	entry.snapshot.Store(next)
+	entry.cancelBroken(next)
 }
 
-// retarget tells the router which groups and servers may be sent requests.
-func (entry *Entry) retarget(next *view, judge member.Judge, now time.Duration) {
+// updateTargets sets the router's targets for all services.
+func (entry *Entry) updateTargets(next *snapshot, judge member.Judge, now time.Duration) {
 	services := make([]shedkeel.ServiceID, 0, len(next.config.Services))
 	for _, service := range next.config.Services {
 		services = append(services, service.ID)
@@ -85,11 +89,12 @@
 			entry.router.Update(service.ID, groupTargets(service, next.permits), now)
 			continue
 		}
-		entry.router.Update(service.ID, serverTargets(service, judge, next.synced), now)
+		entry.router.Update(service.ID, serverTargets(service, judge, next.lastSync), now)
 	}
 	entry.router.Forget(services)
 }
 
+// groupTargets returns the groups of a model service with their permits.
 func groupTargets(service shedkeel.Service, permits []member.Permit) []route.Target {
 	var targets []route.Target
 	for _, permit := range permits {
@@ -104,8 +109,9 @@
 	return targets
 }
 
-// serverTargets returns the servers of a plain service. They need no permit to
-// be whole, but a word that they are leaving must have had time to arrive.
+// serverTargets returns the servers of a plain service that are not leaving. They
+// need no permit, but expire without a sync, so that a notice that a server is
+// leaving arrives in time.
 func serverTargets(service shedkeel.Service, judge member.Judge, synced time.Duration) []route.Target {
 	leaving := judge.Leaving()
 	var targets []route.Target
@@ -120,27 +126,26 @@
 	return targets
 }
 
-// serverWindows is for how many permit windows a plain service is served
-// without word from the keeper: long enough for a keeper to be restarted.
+// serverWindows is for how many permit windows after the last sync the servers of
+// a plain service may be used. Two windows allow for a restart of the keeper.
 const serverWindows = 2
 
-// giveUp ends the requests that run on groups which are known not to be whole
-// any more.
-func (entry *Entry) giveUp(next *view) {
-	standing := map[shedkeel.Assignment]bool{}
+// cancelBroken cancels the requests to groups that are known to be broken.
+func (entry *Entry) cancelBroken(next *snapshot) {
+	intact := map[shedkeel.Assignment]bool{}
 	for _, permit := range next.permits {
 		if !permit.Broken {
-			standing[permit.Group.Assignment()] = true
+			intact[permit.Group.Assignment()] = true
 		}
 	}
-	entry.flights.endExcept(standing)
+	entry.inFlight.cancelExcept(intact)
 }
 
-// entries returns the entry boxes that callers may use, those of the zone
-// first, then this entry's own zone, then by name.
-func (view *view) entries(zone, own shedkeel.ZoneID) []shedkeel.Node {
+// entryNodes returns the entry boxes that are not stopping: those in zone first,
+// then those in own, the zone of this entry, then the others, each by name.
+func (snapshot *snapshot) entryNodes(zone, own shedkeel.ZoneID) []shedkeel.Node {
 	var nodes []shedkeel.Node
-	for _, node := range view.nodes {
+	for _, node := range snapshot.nodes {
 		if !node.Stopping && node.Entry != "" {
 			nodes = append(nodes, node)
 		}
--- a/mutants_test.go
+++ b/mutants_test.go
@@ -169,10 +169,10 @@
 		"entry/send.go", "if named != try.attempt && (named", "if false && (named", "TestOutcomes|TestStreams", "./entry",
 	},
 	"3 whole answer: the end mark is not needed": {
-		"entry/stream.go", "message, err := engine.ReadEvent(reader)\n", "message, err := engine.ReadEvent(reader)\n\t\tif errors.Is(err, io.EOF) {\n\t\t\treturn passage.finish()\n\t\t}\n", "TestStreams", "./entry",
+		"entry/stream.go", "message, err := engine.ReadEvent(reader)\n", "message, err := engine.ReadEvent(reader)\n\t\tif errors.Is(err, io.EOF) {\n\t\t\treturn relay.flush()\n\t\t}\n", "TestStreams", "./entry",
 	},
 	"3 whole answer: an answer may end with its connection": {
-		"entry/send.go", "if noEnd {", "if noEnd && false {", "TestOutcomes", "./entry",
+		"entry/send.go", "if unframed {", "if unframed && false {", "TestOutcomes", "./entry",
 	},
 	"4 not run is true: requests are left replayable": {
 		"engine/transport.go", "request.Body = &plainBody{reader: request.Body}\n\trequest.GetBody = nil", "request.GetBody = func() (io.ReadCloser, error) { return http.NoBody, nil }", "TestNotRunIsTrue", "./engine",
@@ -181,7 +181,7 @@
 		"engine/transport.go", "if sent.seal() == 0 {", "if true {", "TestNotRunIsTrue|TestIdle", "./engine",
 	},
 	"4 not run is true: an earlier try is forgotten": {
-		"entry/send.go", "call.mayHave != nil {", "call.mayHave != nil && false {", "TestOutcomes", "./entry",
+		"entry/send.go", "call.mayHaveRun != nil {", "call.mayHaveRun != nil && false {", "TestOutcomes", "./entry",
 	},
 	"5 at most once: no claim": {
 		"entry/plain.go", "earlier, err := entry.claim(ctx, call, key)", "var earlier *answer\n\tvar err error\n\t_ = key\n\t_ = entry.claim", "TestScenarios/at_most_once", ".",
@@ -250,7 +250,7 @@
 		"keeper/plan.go", "if unlisted[id] && (view.Seen < 0", "if unlisted[id] && (true || view.Seen < 0", "TestScenarios/box_list", ".",
 	},
 	"7 planned stop: it does not wait to be forgotten": {
-		"entry/entry.go", "\tentry.waitForgotten()\n\tctx", "\tctx", "TestScenarios/planned_stop", ".",
+		"entry/entry.go", "\tentry.waitAddressExpiry()\n\tctx", "\tctx", "TestScenarios/planned_stop", ".",
 	},
 	"7 planned stop: it does not finish what is in flight": {
 		"entry/entry.go", "return callers.Shutdown(ctx)", "_ = ctx\n\treturn callers.Close()", "TestScenarios/planned_stop", ".",
