--- a/entry/attempts.go
+++ b/entry/attempts.go
@@ -48,24 +48,24 @@
 }
 
 // begin adds an attempt in state RUNNING. Call it before the attempt is sent.
-func (attempts *attempts) begin(name string) {
+func (attempts *attempts) begin(id string) {
 	attempts.mutex.Lock()
 	defer attempts.mutex.Unlock()
 	if attempts.byID == nil {
 		attempts.byID = map[string]*attempt{}
 	}
-	attempts.byID[name] = &attempt{state: wire.AnswerReply_RUNNING, began: attempts.now()}
-	attempts.order = append(attempts.order, name)
+	attempts.byID[id] = &attempt{state: wire.AnswerReply_RUNNING, began: attempts.now()}
+	attempts.order = append(attempts.order, id)
 	attempts.trim()
 }
 
 // end stores the final state of an attempt. After state NEVER_SENT the attempt
 // must not be sent, since another may already run in its place. An attempt that
 // is no longer remembered is ignored.
-func (attempts *attempts) end(name string, state wire.AnswerReply_State, answer answer) {
+func (attempts *attempts) end(id string, state wire.AnswerReply_State, answer answer) {
 	attempts.mutex.Lock()
 	defer attempts.mutex.Unlock()
-	stored := attempts.byID[name]
+	stored := attempts.byID[id]
 	if stored == nil {
 		return
 	}
@@ -77,10 +77,10 @@
 
 // find returns the state and answer of an attempt, or UNKNOWN if the attempt is
 // not remembered.
-func (attempts *attempts) find(name string) (wire.AnswerReply_State, answer) {
+func (attempts *attempts) find(id string) (wire.AnswerReply_State, answer) {
 	attempts.mutex.Lock()
 	defer attempts.mutex.Unlock()
-	stored := attempts.byID[name]
+	stored := attempts.byID[id]
 	if stored == nil {
 		return wire.AnswerReply_UNKNOWN, answer{}
 	}
@@ -105,8 +105,8 @@
 
 // answerReply returns the reply to a keeper that asks for the result of an
 // attempt.
-func (attempts *attempts) answerReply(name string) *wire.AnswerReply {
-	state, kept := attempts.find(name)
+func (attempts *attempts) answerReply(id string) *wire.AnswerReply {
+	state, kept := attempts.find(id)
 	reply := &wire.AnswerReply{State: state, Status: uint32(kept.status), Body: kept.body}
 	if state == wire.AnswerReply_KEPT {
 		header, err := json.Marshal(kept.header)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -72,7 +72,7 @@
 	Admin   net.Listener
 }
 
-// Run serves until ctx is cancelled, then shuts down: it is no longer listed in
+// Run serves until ctx is canceled, then shuts down: it is no longer listed in
 // /v1/entries answers, keeps serving until callers have dropped its address, and
 // waits for the requests in flight.
 func (entry *Entry) Run(ctx context.Context, listeners Listeners) error {
@@ -85,7 +85,7 @@
 	}
 	callers := &http.Server{
 		Handler: entry.callerHandler(), TLSConfig: callersTLS,
-		ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
+		ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 	admin := &http.Server{Handler: entry.adminHandler(), ReadHeaderTimeout: headerTimeout}
 	failed := make(chan error, 1)
@@ -106,11 +106,11 @@
 }
 
 const (
-	headerTimeout = 5 * time.Second
-	idleTimeout   = 60 * time.Second
-	maxHeader     = 64 << 10
-	bodyTimeout   = 30 * time.Second // for a caller to send its request body
-	writeTimeout  = 30 * time.Second // for a caller to receive an answer or one event of a stream
+	headerTimeout  = 5 * time.Second
+	idleTimeout    = 60 * time.Second
+	maxHeaderBytes = 64 << 10
+	bodyTimeout    = 30 * time.Second // for a caller to send its request body
+	writeTimeout   = 30 * time.Second // for a caller to receive an answer or one event of a stream
 )
 
 // initialize sets up the unexported fields, and the keeper connection if there
@@ -172,9 +172,10 @@
 }
 
 // addressExpiry returns when the last answer that listed this entry expires.
-// Other entries stop listing it within the permit time and the live time of a
-// node, since an entry without a reply from its keeper within the permit time
-// gives no such answers.
+// started is when it began to stop. Other entries stop listing it within the
+// permit time plus the live time of a node: an entry without a reply from its
+// keeper within the permit time gives no such answers. Callers may keep an answer
+// for the KeepFor setting.
 func (entry *Entry) addressExpiry(started time.Duration) time.Duration {
 	propagation := time.Duration(entry.Settings.Timing.Permit) + member.DefaultLiveTime
 	return max(started+propagation, time.Duration(entry.lastAdvertised.Load())) + time.Duration(entry.Settings.Entry.KeepFor)
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -366,7 +366,7 @@
 }
 
 // hangingBackend is a backend that calls onSend and does not answer until the
-// request is cancelled.
+// request is canceled.
 type hangingBackend struct {
 	onSend func()
 }
@@ -378,7 +378,7 @@
 }
 
 // TestBrokenGroupEndsItsRequests checks that requests in flight on a group are
-// cancelled once a member is known to be lost, and that the caller is told at
+// canceled once a member is known to be lost, and that the caller is told at
 // once.
 func TestBrokenGroupEndsItsRequests(t *testing.T) {
 	cases := map[string]shedkeel.Verdict{"refused": shedkeel.VerdictBroken, "silent": shedkeel.VerdictSilent}
--- a/entry/flights.go
+++ b/entry/flights.go
@@ -12,7 +12,7 @@
 var errGroupBroken = errors.New("the group lost a member")
 
 // inFlightCalls tracks the requests sent to groups, so that they can be
-// cancelled. The zero value is usable.
+// canceled. The zero value is usable.
 type inFlightCalls struct {
 	mutex  sync.Mutex
 	nextID uint64
@@ -25,7 +25,7 @@
 	cancel     context.CancelCauseFunc
 }
 
-// begin adds a request. It returns a context that is cancelled with cause
+// begin adds a request. It returns a context that is canceled with cause
 // errGroupBroken when the group is lost, and a function to call when the request
 // has ended.
 func (inFlightCalls *inFlightCalls) begin(ctx context.Context, on shedkeel.Assignment) (context.Context, func()) {
--- a/entry/model.go
+++ b/entry/model.go
@@ -50,7 +50,7 @@
 		answered = entry.stream(request.Context(), writer, call)
 		return
 	}
-	complete, err := entry.answerWhole(request.Context(), call)
+	complete, err := entry.completeAnswer(request.Context(), call)
 	entry.recordRequest(call, err)
 	if err != nil {
 		entry.writeError(writer, err)
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	deadline, err := callTimeout(request, service)
+	timeout, err := callTimeout(request, service)
 	if err != nil {
 		return nil, false, err
 	}
@@ -90,7 +90,7 @@
 	header := http.Header{"Content-Type": {"application/json"}}
 	return &call{
 		caller: caller, service: service, method: http.MethodPost, path: request.URL.Path, header: header, body: body,
-		affinity: wanted.affinity(), timeout: deadline, began: now, repeatable: true, mustEchoAttempt: true,
+		affinity: wanted.affinity(), timeout: timeout, began: now, repeatable: true, mustEchoAttempt: true,
 	}, wanted.Stream, nil
 }
 
--- a/entry/plain.go
+++ b/entry/plain.go
@@ -19,9 +19,9 @@
 	// attempt.
 	HeaderRepeat = "Shedkeel-Repeat"
 	maxKeyBytes  = 255
-	// maxClaims limits how often a call is claimed again after the attempt that held
+	// maxClaimTries limits how often a call is claimed again after the attempt that held
 	// the claim was never sent.
-	maxClaims = 3
+	maxClaimTries = 3
 	// claimTimeout is the time limit of one claim or answer call to the keeper.
 	claimTimeout = 4 * time.Second
 	// digestBytes is how many bytes of a request's SHA-256 a claim stores.
@@ -43,7 +43,7 @@
 	if key != "" {
 		complete, err = entry.answerIdempotent(request.Context(), call, key)
 	} else {
-		complete, err = entry.answerWhole(request.Context(), call)
+		complete, err = entry.completeAnswer(request.Context(), call)
 	}
 	entry.recordRequest(call, err)
 	if err != nil {
@@ -71,7 +71,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	deadline, err := callTimeout(request, service)
+	timeout, err := callTimeout(request, service)
 	if err != nil {
 		return nil, "", err
 	}
@@ -92,7 +92,7 @@
 	safe := request.Method == http.MethodGet || request.Method == http.MethodHead || request.Method == http.MethodOptions
 	return &call{
 		caller: caller, service: service, method: request.Method, path: path, header: header, body: body,
-		timeout: deadline, began: now, repeatable: safe && key == "", freshConnection: !safe || key != "",
+		timeout: timeout, began: now, repeatable: safe && key == "", freshConnection: !safe || key != "",
 	}, key, nil
 }
 
@@ -119,27 +119,27 @@
 // that the answer is available for the caller's retry.
 func (entry *Entry) answerIdempotent(ctx context.Context, call *call, key string) (answer, error) {
 	ctx = context.WithoutCancel(ctx)
-	call.attempt = entry.NewAttempt()
-	entry.attempts.begin(call.attempt)
+	call.attemptID = entry.NewAttempt()
+	entry.attempts.begin(call.attemptID)
 	earlier, err := entry.claim(ctx, call, key)
 	if err != nil || earlier != nil {
 		// The claim was not granted, or its result was lost. Either way this
 		// attempt is never sent.
-		entry.attempts.end(call.attempt, wire.AnswerReply_NEVER_SENT, answer{})
+		entry.attempts.end(call.attemptID, wire.AnswerReply_NEVER_SENT, answer{})
 		if err != nil {
 			return answer{}, err
 		}
 		return *earlier, nil
 	}
-	complete, err := entry.answerWhole(ctx, call)
+	complete, err := entry.completeAnswer(ctx, call)
 	var notRun *shedkeel.NotRunError
 	switch {
 	case err == nil:
-		entry.attempts.end(call.attempt, wire.AnswerReply_KEPT, complete)
+		entry.attempts.end(call.attemptID, wire.AnswerReply_KEPT, complete)
 	case errors.As(err, &notRun):
-		entry.attempts.end(call.attempt, wire.AnswerReply_NEVER_SENT, answer{})
+		entry.attempts.end(call.attemptID, wire.AnswerReply_NEVER_SENT, answer{})
 	default:
-		entry.attempts.end(call.attempt, wire.AnswerReply_UNKNOWN, answer{})
+		entry.attempts.end(call.attemptID, wire.AnswerReply_UNKNOWN, answer{})
 	}
 	return complete, err
 }
@@ -150,9 +150,9 @@
 func (entry *Entry) claim(ctx context.Context, call *call, key string) (*answer, error) {
 	request := &wire.ClaimCall{
 		Account: string(call.caller.account.ID), Key: string(call.service.ID) + "/" + key,
-		Attempt: call.attempt, Holder: entry.claimHolder(), Digest: call.digest(),
+		Attempt: call.attemptID, Holder: entry.claimHolder(), Digest: call.digest(),
 	}
-	for range maxClaims {
+	for range maxClaimTries {
 		reply, err := entry.requestClaim(ctx, request)
 		if err != nil {
 			return nil, &shedkeel.NotRunError{Reason: "the right to run the call once could not be had: " + err.Error(), RetryAfter: 2 * time.Second}
--- a/entry/send.go
+++ b/entry/send.go
@@ -37,7 +37,7 @@
 	began           time.Duration
 	repeatable      bool   // may be sent again even if an earlier try may have run
 	freshConnection bool   // sent over a new connection
-	attempt         string // attempt ID for all tries, or empty for a new one each try
+	attemptID       string // attempt ID for all tries, or empty for a new one each try
 	mustEchoAttempt bool   // the response must carry the attempt ID
 
 	id           string // request ID for the caller and operators
@@ -49,12 +49,12 @@
 
 // try sends a call once to one backend server or group.
 type try struct {
-	call    *call
-	choice  *route.Choice
-	attempt string
-	end     func()
-	context context.Context //nolint:containedctx // a try lasts as long as its context
-	entry   *Entry
+	call      *call
+	choice    *route.Choice
+	attemptID string
+	end       func()
+	context   context.Context //nolint:containedctx // a try lasts as long as its context
+	entry     *Entry
 }
 
 // finalError returns the error to report to the caller when no more tries are
@@ -92,7 +92,7 @@
 	call.triedServers = append(call.triedServers, choice.Name)
 	ctx, untrack := entry.inFlight.begin(ctx, choice.Assignment)
 	ctx, cancel := context.WithTimeout(ctx, remaining)
-	attempt := call.attempt
+	attempt := call.attemptID
 	if attempt == "" {
 		attempt = entry.NewAttempt()
 	}
@@ -101,7 +101,7 @@
 		untrack()
 		choice.End(entry.Timers.Now())
 	}
-	return &try{call: call, choice: choice, attempt: attempt, end: end, context: ctx, entry: entry}, nil
+	return &try{call: call, choice: choice, attemptID: attempt, end: end, context: ctx, entry: entry}, nil
 }
 
 // admit passes the admission gate before the first try of a call.
@@ -144,7 +144,7 @@
 		return nil, &refusal{status: http.StatusBadRequest, text: "the request cannot be sent on: " + err.Error()}
 	}
 	copyHeader(request.Header, call.header)
-	request.Header.Set(engine.HeaderAttempt, try.attempt)
+	request.Header.Set(engine.HeaderAttempt, try.attemptID)
 	if try.choice.Assignment.Group != "" {
 		request.Header.Set(engine.HeaderGroup, string(try.choice.Assignment.Group))
 		request.Header.Set(engine.HeaderEpoch, fmt.Sprint(try.choice.Assignment.Epoch))
@@ -169,7 +169,7 @@
 }
 
 // withGroupLoss returns an error that names the loss of a group member, if that
-// is why the request was cancelled. A NotRunError is returned unchanged.
+// is why the request was canceled. A NotRunError is returned unchanged.
 func (try *try) withGroupLoss(err error) error {
 	var notRun *shedkeel.NotRunError
 	if !errors.As(err, &notRun) && errors.Is(context.Cause(try.context), errGroupBroken) {
@@ -181,9 +181,9 @@
 // checkResponse returns an error if the response belongs to another attempt, says
 // that the request did not run, or is a server error of a model group.
 func (try *try) checkResponse(response *http.Response) error {
-	named := response.Header.Get(engine.HeaderAttempt)
-	if named != try.attempt && (named != "" || try.call.mustEchoAttempt) {
-		try.entry.Log.Write(event.WrongAnswer, slog.String("server", try.choice.Name), slog.String("attempt", try.attempt), slog.String("answered", named))
+	echoed := response.Header.Get(engine.HeaderAttempt)
+	if echoed != try.attemptID && (echoed != "" || try.call.mustEchoAttempt) {
+		try.entry.Log.Write(event.WrongAnswer, slog.String("server", try.choice.Name), slog.String("attempt", try.attemptID), slog.String("answered", echoed))
 		return &shedkeel.UnknownRunError{Reason: "backend server " + try.choice.Name + " answered for another request", Cause: errWrongAnswer}
 	}
 	if response.Header.Get(engine.HeaderNotRun) != "" {
@@ -236,9 +236,9 @@
 	return call.repeatable
 }
 
-// answerWhole sends a call, on several servers if needed, until it has a complete
+// completeAnswer sends a call, on several servers if needed, until it has a complete
 // answer or no more tries are allowed.
-func (entry *Entry) answerWhole(ctx context.Context, call *call) (answer, error) {
+func (entry *Entry) completeAnswer(ctx context.Context, call *call) (answer, error) {
 	for {
 		try, err := entry.nextTry(ctx, call)
 		if err != nil {
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -21,8 +21,8 @@
 	headerFrom = "Shedkeel-From"
 	// maxResumes limits how often one stream is resumed.
 	maxResumes = 3
-	// readBuffer is the size of the read buffer for a stream, in bytes.
-	readBuffer = 8 << 10
+	// readBufferBytes is the size of the read buffer for a stream, in bytes.
+	readBufferBytes = 8 << 10
 )
 
 // endMark is the event that ends a complete stream.
@@ -63,15 +63,15 @@
 		response, err = relay.resume(err) //nolint:bodyclose // relayEvents closes it
 		if err != nil {
 			if relay.started {
-				relay.entry.Log.Write(event.StreamAborted, slog.String("attempt", relay.try.attempt), slog.String("error", err.Error()))
+				relay.entry.Log.Write(event.StreamAborted, slog.String("attempt", relay.try.attemptID), slog.String("error", err.Error()))
 			}
 			return err
 		}
 	}
 }
 
-// resume asks the engine for the rest of a stream that broke off with error
-// broke. It fails if the stream cannot be resumed at the next event.
+// resume asks the engine for the rest of a stream that broke off because of
+// cause. It fails if the stream cannot be resumed at the next event.
 func (relay *relay) resume(cause error) (*http.Response, error) {
 	try := relay.try
 	unknown := try.withGroupLoss(&shedkeel.UnknownRunError{Reason: "the stream of group " + try.choice.Name + " broke off", Cause: cause})
@@ -90,7 +90,7 @@
 		_ = response.Body.Close()
 		return nil, unknown
 	}
-	relay.entry.Log.Write(event.StreamResumed, slog.String("attempt", try.attempt), slog.Int("from", relay.events))
+	relay.entry.Log.Write(event.StreamResumed, slog.String("attempt", try.attemptID), slog.Int("from", relay.events))
 	return response, nil
 }
 
@@ -98,7 +98,7 @@
 // the end mark was forwarded.
 func (relay *relay) relayEvents(response *http.Response) error {
 	defer func() { _ = response.Body.Close() }()
-	reader := bufio.NewReaderSize(response.Body, readBuffer)
+	reader := bufio.NewReaderSize(response.Body, readBufferBytes)
 	for {
 		message, err := engine.ReadEvent(reader)
 		if errors.Is(err, io.EOF) {
--- a/keeper/agree.go
+++ b/keeper/agree.go
@@ -70,8 +70,9 @@
 }
 
 // fencePlacement rewrites the placement under the new epoch before planning
-// starts, so that compare-and-swap writes of a former holder fail. It reports
-// whether this succeeded.
+// starts, so that compare-and-swap writes of a former holder fail. It includes
+// the reserve boxes that a fallback has put in use. It reports whether the write
+// succeeded.
 func (zone *zonePlanner) fencePlacement(ctx context.Context) bool {
 	record, err := zone.keeper.Store.Get(ctx, zone.placementKey())
 	if err != nil {
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -35,20 +35,22 @@
 	Metrics  *metrics.Metrics
 	Now      func() time.Time // wall clock, for the retention of claims and the incarnation
 
+	// mutex guards the fields below down to storeUnavailable, and the epoch,
+	// policyTable and decisions of each zonePlanner.
 	mutex            sync.Mutex
 	table            member.Table
-	settled          bool
+	settled          bool            // see markSettled
 	answeredPeers    map[string]bool // by address: peers that have answered an exchange
 	entrySession     *wire.Session   // connection from the entry on this box
 	entryIncarnation string          // incarnation of that entry
 	lastSync         time.Duration   // time of the entry's last sync call
-	boxes            []shedkeel.Box
+	boxes            []shedkeel.Box  // last box list read
 	planners         map[shedkeel.ZoneID]*zonePlanner
-	verdicts         map[shedkeel.GroupID]shedkeel.Verdict
+	verdicts         map[shedkeel.GroupID]shedkeel.Verdict // last own verdict on each watched group
 	downSince        map[shedkeel.GroupID]time.Duration
 	digestSequence   uint64
 	peers            map[string]*wire.Peer
-	unreachable      map[string]bool
+	unreachable      map[string]bool // by wire address, or "box list"
 	storeUnavailable bool
 
 	committers []*claim.Committer
@@ -67,7 +69,7 @@
 	Operator net.Listener
 }
 
-// Run serves until ctx is cancelled, then closes its connections and waits for
+// Run serves until ctx is canceled, then closes its connections and waits for
 // its goroutines. It returns an error only if it cannot start.
 func (keeper *Keeper) Run(ctx context.Context, listeners Listeners) error {
 	if err := keeper.initialize(); err != nil {
@@ -138,7 +140,7 @@
 }
 
 // startLoops starts the claim committers, the store watch and the periodic
-// tasks. Each stops when ctx is cancelled.
+// tasks. Each stops when ctx is canceled.
 func (keeper *Keeper) startLoops(ctx context.Context) {
 	for _, committer := range keeper.committers {
 		keeper.background.Go(func() { committer.Run(ctx) })
--- a/keeper/operator.go
+++ b/keeper/operator.go
@@ -322,7 +322,7 @@
 type Dump struct {
 	Status            Status                       `json:"status"`
 	Config            shedkeel.Config              `json:"config"`
-	Table             shedkeel.Table               `json:"policy_table"`
+	PolicyTable       shedkeel.Table               `json:"policy_table"`
 	RecordGenerations map[string]uint64            `json:"record_generations"`
 	Digests           []member.Digest              `json:"digests"`
 	Decisions         []shedkeel.Decision          `json:"decisions"`
@@ -332,7 +332,7 @@
 
 // serveDump returns the Dump, with the key hashes of client accounts removed.
 func (keeper *Keeper) serveDump(writer http.ResponseWriter, _ *http.Request) {
-	dump := Dump{Status: keeper.status(), RecordGenerations: map[string]uint64{}, StoreCalls: map[shedkeel.StoreCall]int64{}, Table: policy.DefaultTable()}
+	dump := Dump{Status: keeper.status(), RecordGenerations: map[string]uint64{}, StoreCalls: map[shedkeel.StoreCall]int64{}, PolicyTable: policy.DefaultTable()}
 	keeper.mutex.Lock()
 	dump.Config, _ = keeper.table.Config()
 	dump.Config.Accounts = slices.Clone(dump.Config.Accounts)
@@ -346,7 +346,7 @@
 	dump.Placements = keeper.table.Placements()
 	for _, zone := range keeper.planners {
 		dump.Decisions = append(dump.Decisions, zone.decisions...)
-		dump.Table = zone.policies
+		dump.PolicyTable = zone.policyTable
 	}
 	keeper.mutex.Unlock()
 	if counter, ok := keeper.Store.(shedkeel.CallCounter); ok {
--- a/keeper/plan.go
+++ b/keeper/plan.go
@@ -43,9 +43,9 @@
 	revision        shedkeel.Revision
 	fenced          bool // the stored placement carries the current epoch
 	inFallback      bool // sending fallback orders during an outage of the store
-	policies        shedkeel.Table
-	tableGeneration uint64 // configuration generation that the policies were computed from
-	unknownOutcomes map[shedkeel.BoxID]time.Duration
+	policyTable     shedkeel.Table
+	tableGeneration uint64                           // configuration generation that the policies were computed from
+	unknownOutcomes map[shedkeel.BoxID]time.Duration // by box: end of the last order with unknown outcome
 	decisions       []shedkeel.Decision
 }
 
@@ -99,7 +99,7 @@
 			TTL: time.Duration(timing.Lease), Margin: time.Duration(timing.LeaseMargin), Renew: time.Duration(timing.Lease) / renewalsPerLease,
 		},
 		planner:         keeper.newPlanner(),
-		policies:        policy.DefaultTable(),
+		policyTable:     policy.DefaultTable(),
 		unknownOutcomes: map[shedkeel.BoxID]time.Duration{},
 	}
 }
@@ -259,16 +259,16 @@
 // the program fails, the previous table stays in use.
 func (zone *zonePlanner) refreshPolicyTable(config shedkeel.Config, boxes []shedkeel.Box) shedkeel.Table {
 	if zone.tableGeneration == config.Generation {
-		return zone.policies
+		return zone.policyTable
 	}
 	zone.tableGeneration = config.Generation
 	table, err := policy.Run(config.Policy, PolicyFacts(config, zone.id, boxes))
 	if err != nil {
 		zone.keeper.Log.Write(event.PolicyFailed, slog.String("zone", string(zone.id)), slog.String("error", err.Error()))
-		return zone.policies
+		return zone.policyTable
 	}
 	zone.keeper.mutex.Lock()
-	zone.policies = table
+	zone.policyTable = table
 	zone.keeper.mutex.Unlock()
 	return table
 }
--- a/mutants_test.go
+++ b/mutants_test.go
@@ -166,7 +166,7 @@
 		"platform/cas.go", "if mine(record.Value) {", "if len(record.Value) == len(value) || mine(record.Value) {", "TestLostReply", "./platform",
 	},
 	"3 whole answer: the attempt's name is not compared": {
-		"entry/send.go", "if named != try.attempt && (named", "if false && (named", "TestOutcomes|TestStreams", "./entry",
+		"entry/send.go", "if echoed != try.attemptID && (echoed", "if false && (echoed", "TestOutcomes|TestStreams", "./entry",
 	},
 	"3 whole answer: the end mark is not needed": {
 		"entry/stream.go", "message, err := engine.ReadEvent(reader)\n", "message, err := engine.ReadEvent(reader)\n\t\tif errors.Is(err, io.EOF) {\n\t\t\treturn relay.flush()\n\t\t}\n", "TestStreams", "./entry",
