--- a/mutants_test.go
+++ b/mutants_test.go
@@ -167,13 +167,13 @@
 		"platform/cas.go", "if ownWrite(record.Value) {", "if len(record.Value) == len(value) || ownWrite(record.Value) {", "TestLostReply", "./platform",
 	},
 	"3 whole answer: the attempt's name is not compared": {
-		"entry/send.go", "if named != try.attempt && (named", "if false && (named", "TestOutcomes|TestStreams", "./entry",
+		"entry/send.go", "if echoed != try.attemptID && (echoed", "if false && (echoed", "TestOutcomes|TestStreams", "./entry",
 	},
 	"3 whole answer: the end mark is not needed": {
-		"entry/stream.go", "message, err := engine.ReadEvent(reader)\n", "message, err := engine.ReadEvent(reader)\n\t\tif errors.Is(err, io.EOF) {\n\t\t\treturn passage.finish()\n\t\t}\n", "TestStreams", "./entry",
+		"entry/stream.go", "message, err := engine.ReadEvent(reader)\n", "message, err := engine.ReadEvent(reader)\n\t\tif errors.Is(err, io.EOF) {\n\t\t\treturn relay.flush()\n\t\t}\n", "TestStreams", "./entry",
 	},
 	"3 whole answer: an answer may end with its connection": {
-		"entry/send.go", "if noEnd {", "if noEnd && false {", "TestOutcomes", "./entry",
+		"entry/send.go", "if unframed {", "if unframed && false {", "TestOutcomes", "./entry",
 	},
 	"4 not run is true: requests are left replayable": {
 		"engine/transport.go", "request.Body = &plainBody{reader: request.Body}\n\trequest.GetBody = nil", "request.GetBody = func() (io.ReadCloser, error) { return http.NoBody, nil }", "TestNotRunIsTrue", "./engine",
@@ -182,7 +182,7 @@
 		"engine/transport.go", "if sent.seal() == 0 {", "if true {", "TestNotRunIsTrue|TestIdle", "./engine",
 	},
 	"4 not run is true: an earlier try is forgotten": {
-		"entry/send.go", "call.mayHave != nil {", "call.mayHave != nil && false {", "TestOutcomes", "./entry",
+		"entry/send.go", "call.mayHaveRun != nil {", "call.mayHaveRun != nil && false {", "TestOutcomes", "./entry",
 	},
 	"5 at most once: no claim": {
 		"entry/plain.go", "earlier, err := entry.claim(ctx, call, key)", "var earlier *answer\n\tvar err error\n\t_ = key\n\t_ = entry.claim", "TestScenarios/at_most_once", ".",
@@ -197,7 +197,7 @@
 		"group/repair.go", "if len(failed) == 0 && !round.isDrained(*group) {", "if false {", "TestLeavingMemberIsReplacedQuietly", "./group",
 	},
 	"outage: reserves are not used": {
-		"keeper/plan.go", "if zone.mayFallBack(", "if false && zone.mayFallBack(", "TestScenarios/outage", ".",
+		"keeper/plan.go", "if zone.canFallBack(", "if false && zone.canFallBack(", "TestScenarios/outage", ".",
 	},
 	"size: a read that keeps coming is given up": {
 		"platform/store.go", "func() { stallTimer.Reset(store.Timeout) })", "func() {})", "TestTransfers", "./platform",
@@ -251,7 +251,7 @@
 		"keeper/plan.go", "if unlisted[id] && (view.Seen < 0", "if unlisted[id] && (true || view.Seen < 0", "TestScenarios/box_list", ".",
 	},
 	"7 planned stop: it does not wait to be forgotten": {
-		"entry/entry.go", "\tentry.waitForgotten()\n\tctx", "\tctx", "TestScenarios/planned_stop", ".",
+		"entry/entry.go", "\tentry.waitAddressExpiry()\n\tctx", "\tctx", "TestScenarios/planned_stop", ".",
 	},
 	"7 planned stop: it does not finish what is in flight": {
 		"entry/entry.go", "return callers.Shutdown(ctx)", "_ = ctx\n\treturn callers.Close()", "TestScenarios/planned_stop", ".",
@@ -260,7 +260,7 @@
 		"member/table.go", "if found && record.Generation <= known.Generation {", "if found && record.Generation == known.Generation {", "TestNeverAnOlderRecord", "./member",
 	},
 	"8 configuration: a restored service is not healed": {
-		"keeper/spread.go", "keeper.heal(stored, known)\n\t\treturn", "return", "TestScenarios/configuration", ".",
+		"keeper/spread.go", "keeper.writeBack(stored, known)\n\t\treturn", "return", "TestScenarios/configuration", ".",
 	},
 	"8 configuration: a lost reply is taken for a failure": {
 		"platform/cas.go", "if ownWrite(record.Value) {", "if false {", "TestLostReply", "./platform",
