--- a/engine/client.go
+++ b/engine/client.go
@@ -1,6 +1,6 @@
-// Package engine speaks to backend servers: Control probes model engines and
-// orders them, Transport sends callers' requests and knows whether any byte of
-// one was written.
+// Package engine is the HTTP client for backend servers. Control probes model
+// engines and sends them orders. Transport forwards callers' requests and reports
+// whether any byte of a failed request was written.
 package engine
 
 import (
@@ -15,23 +15,23 @@
 	"shedkeel.org/shedkeel"
 )
 
-// The headers that an entry and an engine exchange.
+// Headers between an entry and an engine.
 const (
 	HeaderAttempt = "Shedkeel-Attempt" // echoed by the engine in its answer
 	HeaderGroup   = "Shedkeel-Group"
 	HeaderEpoch   = "Shedkeel-Epoch"
-	HeaderNotRun  = "Shedkeel-Not-Run" // set by an engine that refused a request before it ran
+	HeaderNotRun  = "Shedkeel-Not-Run" // set by an engine that rejected a request without running it; the value is the reason
 )
 
-// maxState bounds an engine's answer to a probe, in bytes.
-const maxState = 64 << 10
+// maxStateBytes limits the body of an engine's answer to a probe.
+const maxStateBytes = 64 << 10
 
-// Control probes and orders the engines on boxes.
+// Control is the client of the control API of model engines.
 type Control struct {
 	Client *http.Client
 }
 
-// Probe asks the engine at the address for its state.
+// Probe requests the state of the engine at the address, HOST:PORT.
 func (control *Control) Probe(ctx context.Context, address string) (shedkeel.BoxState, error) {
 	var state shedkeel.BoxState
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/control/state", nil)
@@ -46,14 +46,17 @@
 	if response.StatusCode != http.StatusOK {
 		return state, fmt.Errorf("probe of %s: status %d", address, response.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(response.Body, maxState)).Decode(&state)
-	// Reading to the end lets the connection be used again.
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxState))
+	err = json.NewDecoder(io.LimitReader(response.Body, maxStateBytes)).Decode(&state)
+	// net/http reuses a connection only after the body was read to its end.
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxStateBytes))
 	return state, err
 }
 
-// Give sends an order to the engine. It uses a connection of its own with a
-// deadline on each write, so that an order that waited does not leave late.
+// Give sends an order to the engine at order.Address. It prevents net/http from
+// retrying the order and closes the connection after it. The client's timeout keeps
+// a delayed order from being sent late. The error is a
+// ConflictError if the engine rejects the order, an UnknownOutcomeError if no
+// answer came, and an untyped error for any other status.
 func (control *Control) Give(ctx context.Context, order shedkeel.Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -80,7 +83,7 @@
 	return nil
 }
 
-// NewControl returns a Control whose calls end within the timeout.
+// NewControl returns a Control whose calls fail after the timeout.
 func NewControl(timeout time.Duration) *Control {
 	return &Control{Client: &http.Client{
 		Timeout:   timeout,
--- a/engine/event.go
+++ b/engine/event.go
@@ -7,37 +7,38 @@
 	"io"
 )
 
-// maxEvent bounds one event of a stream, in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes limits one event of a stream.
+const maxEventBytes = 1 << 20
 
-// ErrEventTooLong says that an event of a stream is longer than 1 MiB.
-var ErrEventTooLong = errors.New("an event of the stream is too long")
+// ErrEventTooLong is returned for an event of a stream that is longer than 1 MiB.
+var ErrEventTooLong = errors.New("event of the stream is longer than 1 MiB")
 
-// ReadEvent reads the next event of a stream, up to and with the blank line
-// that ends it. A part of an event is never returned: the end of the stream is
-// an io.EOF between two events and an io.ErrUnexpectedEOF inside one.
+// ReadEvent reads the next server-sent event of a stream, including the blank line
+// that terminates it. It never returns a part of an event: at the end of the stream
+// the error is io.EOF between two events and io.ErrUnexpectedEOF within one.
 func ReadEvent(reader *bufio.Reader) ([]byte, error) {
-	var message []byte
+	var event []byte
 	for {
 		line, err := reader.ReadSlice('\n')
-		message = append(message, line...)
+		event = append(event, line...)
 		switch {
-		case errors.Is(err, io.EOF) && len(message) > 0:
+		case errors.Is(err, io.EOF) && len(event) > 0:
 			return nil, io.ErrUnexpectedEOF
 		case err != nil && !errors.Is(err, bufio.ErrBufferFull):
 			return nil, err
-		case len(message) > maxEvent:
+		case len(event) > maxEventBytes:
 			return nil, ErrEventTooLong
 		}
-		if err == nil && len(bytes.TrimRight(line, "\r\n")) == 0 && endsLine(message, line) {
-			return message, nil
+		if err == nil && len(bytes.TrimRight(line, "\r\n")) == 0 && startsLine(event, line) {
+			return event, nil
 		}
 	}
 }
 
-// endsLine reports whether the line stands at the beginning of a line of the
-// message, and is not the rest of one that did not fit the buffer.
-func endsLine(message, line []byte) bool {
-	before := message[:len(message)-len(line)]
-	return len(before) == 0 || before[len(before)-1] == '\n'
+// startsLine reports whether line, the last bytes of event, begins at the start of
+// a line. It is false for the remainder of a line that was longer than the
+// reader's buffer.
+func startsLine(message, line []byte) bool {
+	preceding := message[:len(message)-len(line)]
+	return len(preceding) == 0 || preceding[len(preceding)-1] == '\n'
 }
--- a/engine/event_test.go
+++ b/engine/event_test.go
@@ -18,13 +18,13 @@
 		events []string
 		err    error
 	}{
-		"none":                       {"", nil, io.EOF},
-		"two":                        {"id: 1\ndata: a\n\ndata: b\n\n", []string{"id: 1\ndata: a\n\n", "data: b\n\n"}, io.EOF},
-		"lines that end in two ways": {"data: a\r\n\r\ndata: b\n\n", []string{"data: a\r\n\r\n", "data: b\n\n"}, io.EOF},
-		"one that is long":           {long, []string{long}, io.EOF},
-		"the end is inside one":      {"data: a\n\ndata: b\n", []string{"data: a\n\n"}, io.ErrUnexpectedEOF},
-		"the end is inside a line":   {"data: a\n\ndat", []string{"data: a\n\n"}, io.ErrUnexpectedEOF},
-		"too long":                   {"data: " + strings.Repeat("x", maxEvent) + "\n\n", nil, ErrEventTooLong},
+		"empty stream":           {"", nil, io.EOF},
+		"two events":             {"id: 1\ndata: a\n\ndata: b\n\n", []string{"id: 1\ndata: a\n\n", "data: b\n\n"}, io.EOF},
+		"CRLF and LF line ends":  {"data: a\r\n\r\ndata: b\n\n", []string{"data: a\r\n\r\n", "data: b\n\n"}, io.EOF},
+		"longer than the buffer": {long, []string{long}, io.EOF},
+		"ends within an event":   {"data: a\n\ndata: b\n", []string{"data: a\n\n"}, io.ErrUnexpectedEOF},
+		"ends within a line":     {"data: a\n\ndat", []string{"data: a\n\n"}, io.ErrUnexpectedEOF},
+		"event too long":         {"data: " + strings.Repeat("x", maxEventBytes) + "\n\n", nil, ErrEventTooLong},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -40,8 +40,8 @@
 	}
 }
 
-// FuzzEvents checks that events read from a stream are whole, and together are
-// a prefix of it.
+// FuzzEvents checks that the events read from a stream, joined, are a prefix of
+// the stream, and the whole stream if ReadEvent returns io.EOF.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("data: a\n\ndata: b\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("data: a\r\n\r\n\n\ndata: b"))
--- a/engine/header.go
+++ b/engine/header.go
@@ -5,21 +5,21 @@
 	"strings"
 )
 
-// hopHeaders concern one connection only.
-var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
+// hopByHopHeaders are the headers that apply to one connection only.
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
 
-// PassedOn returns the headers that travel along with a request or an answer:
-// all but those that concern one connection, by their names or because
-// Connection names them.
+// PassedOn returns a copy of the header with only the end-to-end fields, which a
+// proxy forwards: it removes the hop-by-hop headers and all those that Connection
+// lists.
 func PassedOn(header http.Header) http.Header {
-	passed := header.Clone()
-	for _, named := range header.Values("Connection") {
-		for name := range strings.SplitSeq(named, ",") {
-			passed.Del(strings.TrimSpace(name))
+	endToEnd := header.Clone()
+	for _, field := range header.Values("Connection") {
+		for name := range strings.SplitSeq(field, ",") {
+			endToEnd.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
-		passed.Del(name)
+	for _, name := range hopByHopHeaders {
+		endToEnd.Del(name)
 	}
-	return passed
+	return endToEnd
 }
--- a/engine/transport.go
+++ b/engine/transport.go
@@ -15,30 +15,31 @@
 )
 
 const (
-	defaultDialTimeout = time.Second
-	defaultIdleTimeout = 30 * time.Second
-	retrySoon          = time.Second
+	defaultDialTimeout    = time.Second
+	defaultIdleTimeout    = 30 * time.Second
+	unreachableRetryAfter = time.Second
 )
 
-// errSealed is what a write gets after the request it belongs to was given up.
-var errSealed = errors.New("the request was given up before this was written")
+// errConnSealed is the error of a write to a connection after seal.
+var errConnSealed = errors.New("the request was given up before this was written")
 
-// Transport sends requests to backend servers, each at most once. The zero
-// value works.
+// Transport sends each request to a backend server at most once. The zero value
+// is ready to use.
 //
-// net/http resends a request by itself when a reused connection turns out to
-// be closed and the request counts as replayable: it has no body or one that
-// can be rewound, and is a GET or carries an Idempotency-Key. Transport gives
-// every request a body that cannot be rewound, so that none is replayable.
+// net/http retries a request by itself if a reused connection proves to be closed
+// and the request is replayable: it has no body or a body that GetBody can
+// rewind, and it is a GET or carries an Idempotency-Key. Transport gives every
+// request a body that cannot be rewound, so that net/http never retries.
 type Transport struct {
-	DialTimeout time.Duration // zero: one second
-	IdleTimeout time.Duration // of a connection that is kept; zero: 30 seconds
+	DialTimeout time.Duration // zero means one second
+	IdleTimeout time.Duration // after which an idle connection is closed; zero means 30 seconds
 
 	once   sync.Once
 	shared *http.Transport
 	fresh  *http.Transport
 }
 
+// init creates the two HTTP transports: shared reuses connections, fresh does not.
 func (transport *Transport) init() {
 	timeout := transport.DialTimeout
 	if timeout == 0 {
@@ -50,7 +51,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return &countedConn{Conn: conn}, nil
+		return &countingConn{Conn: conn}, nil
 	}
 	idle := transport.IdleTimeout
 	if idle == 0 {
@@ -68,48 +69,50 @@
 	transport.fresh.DisableKeepAlives = true
 }
 
-type onceKey struct{}
+// freshConnectionKey is the context key that WithFreshConnection sets.
+type freshConnectionKey struct{}
 
-// WithFreshConnection returns a context whose request is sent over a
-// connection of its own. A reused connection may be closed by the server just
-// as the request is written, which leaves its outcome unknown; calls that must
-// not be repeated are spared that.
+// WithFreshConnection returns a context whose request is sent over a new
+// connection. A server may close a reused connection just as the request is
+// written, which leaves the outcome unknown. Requests that must not be repeated
+// use a new connection to avoid this.
 func WithFreshConnection(ctx context.Context) context.Context {
-	return context.WithValue(ctx, onceKey{}, true)
+	return context.WithValue(ctx, freshConnectionKey{}, true)
 }
 
-// IsFresh reports whether the request of the context is sent over a connection of
-// its own.
+// IsFresh reports whether WithFreshConnection applies to the context.
 func IsFresh(ctx context.Context) bool {
-	fresh, _ := ctx.Value(onceKey{}).(bool)
+	fresh, _ := ctx.Value(freshConnectionKey{}).(bool)
 	return fresh
 }
 
-// Send sends the request. Its error is a NotRunError when not one byte of it
-// was written or ever will be, else an UnknownRunError.
+// Send sends the request and returns the response, whose body the caller closes.
+// The error is a NotRunError if no byte of the request was written and none can be
+// written later, else an UnknownRunError. On an error Send closes the connections
+// that the request used.
 func (transport *Transport) Send(request *http.Request) (*http.Response, error) {
 	transport.once.Do(transport.init)
-	sent := &sentBytes{}
-	trace := &httptrace.ClientTrace{GotConn: sent.gotConn}
+	writes := &requestWrites{}
+	trace := &httptrace.ClientTrace{GotConn: writes.gotConn}
 	request = request.WithContext(httptrace.WithClientTrace(request.Context(), trace))
-	request.Body = &plainBody{reader: request.Body}
+	request.Body = &nonReplayableBody{reader: request.Body}
 	request.GetBody = nil
-	through := transport.shared
+	httpTransport := transport.shared
 	if IsFresh(request.Context()) {
-		through = transport.fresh
+		httpTransport = transport.fresh
 	}
-	response, err := through.RoundTrip(request)
+	response, err := httpTransport.RoundTrip(request)
 	if err == nil {
 		return response, nil
 	}
-	if sent.seal() == 0 {
-		return nil, &shedkeel.NotRunError{Reason: "backend server " + request.URL.Host + " could not be reached: " + err.Error(), RetryAfter: retrySoon}
+	if writes.seal() == 0 {
+		return nil, &shedkeel.NotRunError{Reason: "backend server " + request.URL.Host + " could not be reached: " + err.Error(), RetryAfter: unreachableRetryAfter}
 	}
 	return nil, &shedkeel.UnknownRunError{Reason: "backend server " + request.URL.Host + " gave no answer", Cause: err}
 }
 
-// Ended reports whether the address refuses connections: no process listens
-// there any more.
+// Ended reports whether the address refuses connections, which means that no
+// process listens there. A timeout or any other failure is no proof of that.
 func (transport *Transport) Ended(ctx context.Context, address string) bool {
 	dialer := &net.Dialer{}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -127,56 +130,61 @@
 	transport.fresh.CloseIdleConnections()
 }
 
-// plainBody hides from net/http that a body may be empty or rewound.
-type plainBody struct {
+// nonReplayableBody wraps a body, or nil for none, so that net/http can neither
+// see that it is empty nor rewind it.
+type nonReplayableBody struct {
 	reader io.ReadCloser
 }
 
-// Read reads from the hidden body.
-func (body *plainBody) Read(buffer []byte) (int, error) {
+// Read reads from the wrapped body.
+func (body *nonReplayableBody) Read(buffer []byte) (int, error) {
 	if body.reader == nil {
 		return 0, io.EOF
 	}
 	return body.reader.Read(buffer)
 }
 
-// Close closes the hidden body.
-func (body *plainBody) Close() error {
+// Close closes the wrapped body.
+func (body *nonReplayableBody) Close() error {
 	if body.reader == nil {
 		return nil
 	}
 	return body.reader.Close()
 }
 
-// countedConn counts what was written and can be sealed against more.
-type countedConn struct {
+// countingConn counts the bytes written, over all requests on the connection.
+// After seal every write fails.
+type countingConn struct {
 	net.Conn
 	mutex   sync.Mutex
 	written int64
 	sealed  bool
 }
 
-// Write writes unless the connection is sealed. The lock is held across the
-// write, so that after seal returns no byte leaves any more. A write into a
-// full socket could hold the lock long; seal therefore closes first.
-func (conn *countedConn) Write(data []byte) (int, error) {
+// Write writes unless the connection is sealed. It holds the mutex during the
+// write, so that no byte is written after seal has returned. A write to a full
+// socket buffer can block for long with the mutex held; seal therefore closes the
+// connection before it locks.
+func (conn *countingConn) Write(data []byte) (int, error) {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
 	if conn.sealed {
-		return 0, errSealed
+		return 0, errConnSealed
 	}
 	count, err := conn.Conn.Write(data)
 	conn.written += int64(count)
 	return count, err
 }
 
-func (conn *countedConn) count() int64 {
+func (conn *countingConn) bytesWritten() int64 {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
 	return conn.written
 }
 
-func (conn *countedConn) seal() int64 {
+// seal closes the connection, makes later writes fail and returns the number of
+// bytes written.
+func (conn *countingConn) seal() int64 {
 	_ = conn.Close()
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
@@ -184,31 +192,35 @@
 	return conn.written
 }
 
-// sentBytes finds out how much of one request was written.
-type sentBytes struct {
-	mutex  sync.Mutex
-	conns  []*countedConn
-	before []int64
+// requestWrites counts the bytes of one request that were written, over all
+// connections on which net/http tried it.
+type requestWrites struct {
+	mutex         sync.Mutex
+	conns         []*countingConn
+	writtenBefore []int64
 }
 
-func (sent *sentBytes) gotConn(info httptrace.GotConnInfo) {
-	conn, ok := info.Conn.(*countedConn)
+// gotConn records a connection that net/http chose for the request, and how many
+// bytes earlier requests had written to it.
+func (writes *requestWrites) gotConn(info httptrace.GotConnInfo) {
+	conn, ok := info.Conn.(*countingConn)
 	if !ok {
 		return
 	}
-	sent.mutex.Lock()
-	defer sent.mutex.Unlock()
-	sent.conns = append(sent.conns, conn)
-	sent.before = append(sent.before, conn.count())
+	writes.mutex.Lock()
+	defer writes.mutex.Unlock()
+	writes.conns = append(writes.conns, conn)
+	writes.writtenBefore = append(writes.writtenBefore, conn.bytesWritten())
 }
 
-// seal stops all writing of the request and returns the bytes written.
-func (sent *sentBytes) seal() int64 {
-	sent.mutex.Lock()
-	defer sent.mutex.Unlock()
+// seal seals the connections of the request and returns how many of its bytes were
+// written.
+func (writes *requestWrites) seal() int64 {
+	writes.mutex.Lock()
+	defer writes.mutex.Unlock()
 	var total int64
-	for index, conn := range sent.conns {
-		total += conn.seal() - sent.before[index]
+	for index, conn := range writes.conns {
+		total += conn.seal() - writes.writtenBefore[index]
 	}
 	return total
 }
--- a/engine/transport_test.go
+++ b/engine/transport_test.go
@@ -19,12 +19,12 @@
 	"shedkeel.org/shedkeel"
 )
 
-// server takes connections and does with the requests on each what its script
-// says, a step a request. It counts the requests that came whole: its count is
-// the judge of what ran.
+// server is an HTTP server that follows a script with one step per request. It
+// counts the requests that it received completely, against which the tests check
+// the errors of Send.
 type server struct {
 	listener net.Listener
-	script   []string // for each request over all connections
+	script   []string // one step per request, over all connections; "answer" when used up
 	mutex    sync.Mutex
 	runs     int
 	conns    int
@@ -141,7 +141,8 @@
 	return response.Body.Close()
 }
 
-// TestNotRunIsTrue holds what Send says against the server's count of runs.
+// TestNotRunIsTrue checks the errors of Send against the requests that the server
+// received: a NotRunError is returned only for a request that did not arrive.
 func TestNotRunIsTrue(t *testing.T) {
 	cases := map[string]struct {
 		script  []string
@@ -153,9 +154,9 @@
 	}{
 		"closed after the request":              {[]string{"close"}, http.MethodPost, "x", time.Second, 1, false},
 		"closed after a request without body":   {[]string{"close"}, http.MethodGet, "", time.Second, 1, false},
-		"closed in the answer's header":         {[]string{"half a header"}, http.MethodPost, "x", time.Second, 1, false},
+		"closed within the answer's header":     {[]string{"half a header"}, http.MethodPost, "x", time.Second, 1, false},
 		"no answer in time":                     {[]string{"hang"}, http.MethodPost, "x", 100 * time.Millisecond, 1, false},
-		"no time left before it is sent":        {nil, http.MethodPost, "x", 0, 0, true},
+		"deadline exceeded before sending":      {nil, http.MethodPost, "x", 0, 0, true},
 		"reused connection closed on a request": {[]string{"answer", "close"}, http.MethodPost, "", time.Second, 2, false},
 		"reused connection closed on a GET":     {[]string{"answer", "close"}, http.MethodGet, "", time.Second, 2, false},
 	}
@@ -187,8 +188,8 @@
 	assert.Assert(t, errors.As(err, &notRun), "%v", err)
 }
 
-// TestResetBeforeReading never claims that a request did not run once bytes of
-// it were written, whatever became of them.
+// TestResetBeforeReading checks that Send fails when the server resets the
+// connection before it reads the request.
 func TestResetBeforeReading(t *testing.T) {
 	for range 50 {
 		server := newServer(t, "reset before reading")
@@ -200,9 +201,9 @@
 	}
 }
 
-// TestIdleConnectionClosed sends many requests over connections that the
-// server closes after each answer: each runs at most once, and one that is
-// said not to have run did not.
+// TestIdleConnectionClosed sends requests to a server that closes the connection
+// after each answer. Each request must run at most once, and one that fails with a
+// NotRunError must not have run.
 func TestIdleConnectionClosed(t *testing.T) {
 	const requests = 300
 	script := make([]string, requests)
@@ -224,11 +225,11 @@
 		}
 	}
 	assert.Assert(t, server.count() >= ran)
-	assert.Assert(t, server.count() <= requests-notRun, "%d ran of %d, of which %d were said not to have run", server.count(), requests, notRun)
+	assert.Assert(t, server.count() <= requests-notRun, "%d of %d requests ran, although %d failed with a NotRunError", server.count(), requests, notRun)
 }
 
-// TestFreshConnection shows that a call over a connection of its own does not
-// meet a reused one that the server has closed.
+// TestFreshConnection checks that each request with WithFreshConnection is sent
+// over a new connection.
 func TestFreshConnection(t *testing.T) {
 	server := newServer(t)
 	transport := &Transport{}
@@ -247,27 +248,27 @@
 	assert.Equal(t, server.connections(), 20, "connections")
 }
 
-// TestSealedConnectionWritesNothing shows that after a request was given up no
-// byte of it leaves.
+// TestSealedConnectionWritesNothing checks that a sealed connection writes no
+// bytes.
 func TestSealedConnectionWritesNothing(t *testing.T) {
 	near, far := net.Pipe()
 	defer func() { _ = far.Close() }()
-	conn := &countedConn{Conn: near}
+	conn := &countingConn{Conn: near}
 	assert.Equal(t, conn.seal(), int64(0))
 	_, err := conn.Write([]byte("late"))
-	assert.ErrorIs(t, err, errSealed)
-	assert.Equal(t, conn.count(), int64(0))
+	assert.ErrorIs(t, err, errConnSealed)
+	assert.Equal(t, conn.bytesWritten(), int64(0))
 }
 
-// TestEnded checks that only a refused connection proves that a server has ended.
+// TestEnded checks that Ended is true only for a refused connection.
 func TestEnded(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	address := server.Listener.Addr().String()
 	transport := &Transport{}
-	assert.Assert(t, !transport.Ended(t.Context(), address), "it lives")
+	assert.Assert(t, !transport.Ended(t.Context(), address), "the server still listens")
 	server.Close()
 	assert.Assert(t, transport.Ended(t.Context(), address))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.Assert(t, !transport.Ended(ctx, address), "no answer proves nothing")
+	assert.Assert(t, !transport.Ended(ctx, address), "a canceled dial does not prove that the server ended")
 }
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,7 +1,9 @@
-// Package lease is the core of leases that are kept as records of the
-// key-value service: who holds one, since when, and until when the holder may
-// act. It uses no clock of the service: a holder counts from before it sent
-// its write, a contender from when it first saw the record.
+// Package lease is the state machine of a lease that is stored as a record in the
+// key-value service: who holds it, since when, and until when the holder may act.
+// It does not depend on the service's clock: a holder measures the TTL from before
+// it sent its write, a contender from when it first saw the record.
+//
+// Times are on the node's own monotonic clock, as durations since any fixed point.
 package lease
 
 import (
@@ -11,44 +13,47 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Record is the value of a lease's key.
+// Record is the JSON value of the lease's key.
 type Record struct {
 	Holder      shedkeel.NodeID `json:"holder"`
 	Incarnation string          `json:"incarnation"`
-	Epoch       uint64          `json:"epoch"`      // grows with each change of holder
-	Generation  uint64          `json:"generation"` // grows by one with each write
+	Epoch       uint64          `json:"epoch"`      // increases with each change of holder
+	Generation  uint64          `json:"generation"` // increases by one with each write
 }
 
-// Lease is one node's side of one lease. Methods must not be called at once.
+// Lease is one node's view of one lease. It is not safe for concurrent use.
 type Lease struct {
 	Node        shedkeel.NodeID
 	Incarnation string
-	TTL         time.Duration // how long a renewal lasts
-	Margin      time.Duration // what clocks may drift apart over a TTL
-	Renew       time.Duration // how often a holder renews
-
-	revision shedkeel.Revision
-	record   Record
-	known    bool
-	seen     time.Duration // when this revision was first seen here
-	until    time.Duration // valid for this node until then
-	sentAt   time.Duration // when the write in flight was sent
-	inFlight bool
-	renewed  time.Duration
-	gained   time.Duration
-	tenure   uint64 // the epoch that gained belongs to
-	epoch    uint64 // highest ever seen, also when the service lost data
-	newest   uint64 // highest generation ever seen
+	TTL         time.Duration // how long a write keeps the lease
+	Margin      time.Duration // largest drift between two nodes' clocks over a TTL
+	Renew       time.Duration // interval between renewals by the holder
+
+	revision          shedkeel.Revision
+	record            Record
+	known             bool
+	observedAt        time.Duration // when this node first saw the revision
+	validUntil        time.Duration // this node may act as the holder before then
+	sentAt            time.Duration // when the last write was sent
+	inFlight          bool
+	lastWriteSentAt   time.Duration
+	gainedAt          time.Duration
+	gainedEpoch       uint64 // the epoch to which gainedAt belongs
+	highestEpoch      uint64 // highest epoch seen, including any that the service has lost since
+	highestGeneration uint64 // highest generation seen, likewise
 }
 
-// Write is the compare-and-swap that a lease wants made.
+// Write is a compare-and-swap that the caller makes on the lease's key: the new value
+// replaces the one at the revision.
 type Write struct {
 	Revision shedkeel.Revision
 	Value    []byte
 }
 
-// Observe tells of the record's value at a revision, as read or spread at now.
-// An older revision changes nothing. The zero value says that there is no record.
+// Observe updates the lease with the record's value at a revision that this node
+// read, or received from another node, at now. It ignores a revision that is not
+// newer than the known one. The zero revision means that there is no record. The
+// error is an InvalidError if the value is not a record.
 func (lease *Lease) Observe(revision shedkeel.Revision, value []byte, now time.Duration) error {
 	if lease.known && !revision.After(lease.revision) {
 		return nil
@@ -56,9 +61,8 @@
 	return lease.Reset(revision, value, now)
 }
 
-// Reset is Observe for a read that was made because a write met a conflict: it
-// takes an older revision too, since the service may have been restored from
-// older data.
+// Reset is Observe for a read that follows a write conflict. It accepts an older
+// revision too, since the service may have been restored from a backup.
 func (lease *Lease) Reset(revision shedkeel.Revision, value []byte, now time.Duration) error {
 	var record Record
 	if revision.Exists() {
@@ -67,37 +71,39 @@
 		}
 	}
 	if record.Holder != lease.Node || record.Incarnation != lease.Incarnation {
-		lease.until = 0
+		lease.validUntil = 0
 	}
 	lease.known = true
 	lease.revision = revision
 	lease.record = record
-	lease.seen = now
-	lease.remember(record)
+	lease.observedAt = now
+	lease.trackHighest(record)
 	return nil
 }
 
-// Wanted returns the write that this node should make now, if any. A node of
-// higher rank among the candidates tries sooner; rank 0 is the first.
+// Wanted returns the write that this node should make now, if any: a renewal by the
+// holder, or an attempt to take a lease that does not exist or whose record has not
+// changed for a TTL. A candidate waits rank renewal intervals longer, so that the
+// one with rank 0 tries first. The caller reports the outcome by Written or Failed.
 func (lease *Lease) Wanted(now time.Duration, rank int) (Write, bool) {
 	if !lease.known || lease.inFlight {
 		return Write{}, false
 	}
-	next := Record{Holder: lease.Node, Incarnation: lease.Incarnation, Epoch: lease.record.Epoch, Generation: lease.newest + 1}
+	next := Record{Holder: lease.Node, Incarnation: lease.Incarnation, Epoch: lease.record.Epoch, Generation: lease.highestGeneration + 1}
 	switch {
-	case lease.mine():
-		if now-lease.renewed < lease.Renew {
+	case lease.heldByThisIncarnation():
+		if now-lease.lastWriteSentAt < lease.Renew {
 			return Write{}, false
 		}
 	default:
-		wait := lease.TTL + time.Duration(rank)*lease.Renew
+		quietPeriod := lease.TTL + time.Duration(rank)*lease.Renew
 		if !lease.revision.Exists() {
-			wait = time.Duration(rank) * lease.Renew
+			quietPeriod = time.Duration(rank) * lease.Renew
 		}
-		if now-lease.seen < wait {
+		if now-lease.observedAt < quietPeriod {
 			return Write{}, false
 		}
-		next.Epoch = lease.epoch + 1
+		next.Epoch = lease.highestEpoch + 1
 	}
 	value, err := json.Marshal(next)
 	if err != nil {
@@ -108,60 +114,65 @@
 	return Write{Revision: lease.revision, Value: value}, true
 }
 
-// Written tells that the write in flight took effect at the revision.
+// Written reports that the write in flight succeeded with the value and gave the
+// revision. The lease is valid from when the write was sent for the TTL less the
+// margin.
 func (lease *Lease) Written(revision shedkeel.Revision, value []byte) {
 	lease.inFlight = false
 	var record Record
 	if err := json.Unmarshal(value, &record); err != nil {
 		return
 	}
-	if record.Epoch != lease.tenure {
-		lease.gained = lease.sentAt
-		lease.tenure = record.Epoch
+	if record.Epoch != lease.gainedEpoch {
+		lease.gainedAt = lease.sentAt
+		lease.gainedEpoch = record.Epoch
 	}
-	lease.remember(record)
+	lease.trackHighest(record)
 	lease.known = true
 	lease.revision = revision
 	lease.record = record
-	lease.renewed = lease.sentAt
-	lease.seen = lease.sentAt
-	lease.until = lease.sentAt + lease.TTL - lease.Margin
+	lease.lastWriteSentAt = lease.sentAt
+	lease.observedAt = lease.sentAt
+	lease.validUntil = lease.sentAt + lease.TTL - lease.Margin
 }
 
-// Failed tells that the write in flight did not take effect or may have. What
-// holds is learned by the next Observe.
+// Failed reports that the write in flight failed or that its outcome is unknown. The
+// next Observe or Reset brings the actual record.
 func (lease *Lease) Failed() {
 	lease.inFlight = false
-	lease.renewed = lease.sentAt
+	lease.lastWriteSentAt = lease.sentAt
 }
 
-func (lease *Lease) remember(record Record) {
-	lease.epoch = max(lease.epoch, record.Epoch)
-	lease.newest = max(lease.newest, record.Generation)
+// trackHighest updates the highest epoch and generation seen.
+func (lease *Lease) trackHighest(record Record) {
+	lease.highestEpoch = max(lease.highestEpoch, record.Epoch)
+	lease.highestGeneration = max(lease.highestGeneration, record.Generation)
 }
 
-// mine reports whether the record names this start of this node.
-func (lease *Lease) mine() bool {
+// heldByThisIncarnation reports whether the last known record names this node and
+// this incarnation of it. The lease may have expired.
+func (lease *Lease) heldByThisIncarnation() bool {
 	return lease.revision.Exists() && lease.record.Holder == lease.Node && lease.record.Incarnation == lease.Incarnation
 }
 
-// Held reports whether this node may act as the holder for at least the given
-// time from now on, and under which epoch.
+// Held reports whether this node may act as the holder for at least the duration
+// atLeast from now, and returns the lease's epoch if so.
 func (lease *Lease) Held(now, atLeast time.Duration) (uint64, bool) {
-	if !lease.mine() || now+atLeast >= lease.until {
+	if !lease.heldByThisIncarnation() || now+atLeast >= lease.validUntil {
 		return 0, false
 	}
 	return lease.record.Epoch, true
 }
 
-// LapsedFor reports whether this node was the last holder that it knows of, and
-// its lease ran out at least that long ago.
+// LapsedFor reports whether this node is the last holder that it knows of and its
+// lease expired at least the duration atLeast ago.
 func (lease *Lease) LapsedFor(now, atLeast time.Duration) bool {
-	return lease.mine() && now >= lease.until+atLeast
+	return lease.heldByThisIncarnation() && now >= lease.validUntil+atLeast
 }
 
-// HeldSince returns when the write was sent that first gained the lease.
-func (lease *Lease) HeldSince() time.Duration { return lease.gained }
+// HeldSince returns when this node sent the write that acquired the lease in the
+// last epoch that it held.
+func (lease *Lease) HeldSince() time.Duration { return lease.gainedAt }
 
-// Holder returns the record as last seen.
+// Holder returns the last known record.
 func (lease *Lease) Holder() Record { return lease.record }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -17,7 +17,7 @@
 	step   = 100 * time.Millisecond
 )
 
-// service is a key with compare-and-swap, all that a lease needs.
+// service is a key-value service with a single key and compare-and-swap.
 type service struct {
 	revision shedkeel.Revision
 	value    []byte
@@ -32,21 +32,24 @@
 	return service.revision, true
 }
 
-// contender is a node with a clock of its own and a write that is under way.
+// contender is a node with its own clock and at most one write in flight.
 type contender struct {
 	lease     Lease
 	offset    time.Duration
-	drift     float64 // of its clock against true time
-	thawsAt   time.Duration
+	drift     float64 // relative error of its clock's rate
+	resumesAt time.Duration
 	write     *Write
 	arrivesAt time.Duration
 	loseReply bool
 }
 
+// clock returns the contender's time at the true time now.
 func (contender *contender) clock(now time.Duration) time.Duration {
 	return contender.offset + time.Duration(float64(now)*(1+contender.drift))
 }
 
+// tick delivers the write in flight if it is due. Unless the node is frozen, it may
+// then freeze, observe the record or begin a write.
 func (contender *contender) tick(now time.Duration, service *service, random *rand.Rand) {
 	if contender.write != nil && now >= contender.arrivesAt {
 		revision, swapped := service.swap(*contender.write)
@@ -61,11 +64,11 @@
 		}
 		contender.write = nil
 	}
-	if now < contender.thawsAt {
+	if now < contender.resumesAt {
 		return
 	}
 	if random.IntN(100) == 0 {
-		contender.thawsAt = now + time.Duration(random.IntN(20))*time.Second
+		contender.resumesAt = now + time.Duration(random.IntN(20))*time.Second
 		return
 	}
 	if random.IntN(3) > 0 {
@@ -81,10 +84,11 @@
 	}
 }
 
-// TestNeverTwoHolders runs histories in which nodes freeze in the middle of a
-// write, replies are lost and clocks drift, and asks at each step who may act.
+// TestNeverTwoHolders simulates nodes that freeze during a write, lost replies and
+// clock drift, and checks at each step that at most one node holds the lease and
+// that no two nodes hold the same epoch.
 func TestNeverTwoHolders(t *testing.T) {
-	held := 0
+	heldSteps := 0
 	for seed := range uint64(2000) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		service := &service{}
@@ -112,15 +116,17 @@
 				}
 				epochs[epoch] = contender.lease.Node
 			}
-			held += holders
+			heldSteps += holders
 			if holders > 1 {
 				t.Fatalf("seed %d: %d holders at %s", seed, holders, now)
 			}
 		}
 	}
-	assert.Assert(t, held > 100_000, "the lease was hardly ever held, so nothing was shown: %d", held)
+	assert.Assert(t, heldSteps > 100_000, "the lease was held in only %d steps: too few for the test to be meaningful", heldSteps)
 }
 
+// TestServiceRestoredFromOlderData checks that a holder keeps the lease after the
+// service is restored from a backup, with a generation above the lost ones.
 func TestServiceRestoredFromOlderData(t *testing.T) {
 	service := &service{}
 	first := &Lease{Node: "a", Incarnation: "1", TTL: ttl, Margin: margin, Renew: time.Second}
@@ -139,29 +145,31 @@
 	}
 	assert.NilError(t, first.Observe(shedkeel.Revision{}, nil, now))
 	renew()
-	older := *service
+	backup := *service
 	for range 5 {
 		renew()
 	}
 	newest := first.Holder().Generation
-	*service = older
-	renew() // meets a conflict and reads the older record
+	*service = backup
+	renew() // fails with a conflict and reads the older record
 	renew()
-	assert.Assert(t, first.Holder().Generation > newest, "the record must not go back for those who knew the newer one")
+	assert.Assert(t, first.Holder().Generation > newest, "the generation must exceed the one that other nodes saw before the restore")
 	_, holds := first.Held(now, 0)
 	assert.Assert(t, holds)
 }
 
+// TestHeldForAnOrder checks that Held requires the lease to stay valid for the whole
+// life of an order.
 func TestHeldForAnOrder(t *testing.T) {
 	cases := map[string]struct {
 		after   time.Duration
 		atLeast time.Duration
 		want    bool
 	}{
-		"at once":               {0, time.Second, true},
-		"just before the end":   {ttl - margin - time.Second - 1, time.Second, true},
-		"too late for its life": {ttl - margin - time.Second, time.Second, false},
-		"lapsed":                {ttl, 0, false},
+		"right after the write": {0, time.Second, true},
+		"last possible moment":  {ttl - margin - time.Second - 1, time.Second, true},
+		"expires too early":     {ttl - margin - time.Second, time.Second, false},
+		"expired":               {ttl, 0, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,4 +1,5 @@
-// Package metrics makes the tally scope of a process, with a page to scrape.
+// Package metrics creates the tally scope of a process and the page from which
+// Prometheus scrapes its metrics.
 package metrics
 
 import (
@@ -12,18 +13,19 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportInterval is how often values reach the page.
+// reportInterval is how often tally reports values to the page.
 const reportInterval = time.Second
 
-// Metrics is the scope of a process and the page that shows it.
+// Metrics is the tally scope of a process and its Prometheus page.
 type Metrics struct {
 	Scope  tally.Scope
 	Page   http.Handler
 	closer io.Closer
 }
 
-// New returns the metrics of a process, whose name begins each value's name.
-// Those of two parts in one process, as in tests, are apart.
+// New returns the metrics of a process, whose name is the prefix of each metric's
+// name. Each call has a registry of its own, so that several parts in one process, as
+// in tests, do not share metrics. Close stops the reporting.
 func New(process string) *Metrics {
 	registry := registered.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -32,13 +34,13 @@
 		Prefix:         process,
 		CachedReporter: reporter,
 		Separator:      prometheus.DefaultSeparator,
-		// Names with dots are not valid for the page, and tally's own
-		// cardinality values have them.
+		// The names of tally's own cardinality metrics contain dots, which
+		// Prometheus does not allow.
 		OmitCardinalityMetrics: true,
 		SanitizeOptions:        &prometheus.DefaultSanitizerOpts,
 	}, reportInterval)
 	return &Metrics{Scope: scope, Page: reporter.HTTPHandler(), closer: closer}
 }
 
-// Close ends the reporting.
+// Close stops reporting values to the page.
 func (metrics *Metrics) Close() { _ = metrics.closer.Close() }
--- a/mutants_test.go
+++ b/mutants_test.go
@@ -160,7 +160,7 @@
 		"group/planner.go", "if !round.taken[id] && round.usable(view) {", "if round.usable(view) {", "TestOneGroupForEachBox", "./group",
 	},
 	"2 one group a box: the lease counts from the reply": {
-		"lease/lease.go", "lease.until = lease.sentAt + lease.TTL - lease.Margin", "lease.until = lease.sentAt + 2*lease.TTL", "TestNeverTwoHolders", "./lease",
+		"lease/lease.go", "lease.validUntil = lease.sentAt + lease.TTL - lease.Margin", "lease.validUntil = lease.sentAt + 2*lease.TTL", "TestNeverTwoHolders", "./lease",
 	},
 	"2 one group a box: a lost reply is settled by the value": {
 		"platform/cas.go", "if mine(record.Value) {", "if len(record.Value) == len(value) || mine(record.Value) {", "TestLostReply", "./platform",
@@ -175,10 +175,10 @@
 		"entry/send.go", "if noEnd {", "if noEnd && false {", "TestOutcomes", "./entry",
 	},
 	"4 not run is true: requests are left replayable": {
-		"engine/transport.go", "request.Body = &plainBody{reader: request.Body}\n\trequest.GetBody = nil", "request.GetBody = func() (io.ReadCloser, error) { return http.NoBody, nil }", "TestNotRunIsTrue", "./engine",
+		"engine/transport.go", "request.Body = &nonReplayableBody{reader: request.Body}\n\trequest.GetBody = nil", "request.GetBody = func() (io.ReadCloser, error) { return http.NoBody, nil }", "TestNotRunIsTrue", "./engine",
 	},
 	"4 not run is true: written bytes are not counted": {
-		"engine/transport.go", "if sent.seal() == 0 {", "if true {", "TestNotRunIsTrue|TestIdle", "./engine",
+		"engine/transport.go", "if writes.seal() == 0 {", "if true {", "TestNotRunIsTrue|TestIdle", "./engine",
 	},
 	"4 not run is true: an earlier try is forgotten": {
 		"entry/send.go", "call.mayHave != nil {", "call.mayHave != nil && false {", "TestOutcomes", "./entry",
--- a/timer/timer.go
+++ b/timer/timer.go
@@ -1,5 +1,5 @@
-// Package timer is the timer service that parts subscribe to: System runs on the
-// machine's clock, Manual is moved by hand.
+// Package timer provides periodic callbacks. System uses the machine's clock. Manual
+// is a fake for tests, whose time advances only on request.
 package timer
 
 import (
@@ -10,28 +10,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// System is the timer service of running programs. The zero value works.
+// System is a timer on the machine's clock. The zero value is ready to use.
 type System struct{}
 
-// Now returns the time since the machine started, with time spent suspended.
+// Now returns the time since the machine booted, including time spent suspended.
 func (*System) Now() time.Duration {
 	var spec unix.Timespec
-	// CLOCK_BOOTTIME cannot fail on any Linux that Go runs on.
+	// CLOCK_BOOTTIME exists on every Linux that Go supports, so the call cannot fail.
 	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &spec)
 	return time.Duration(spec.Nano())
 }
 
-// Subscribe calls tick every interval until cancel is called. Cancel returns
-// after the last call of tick has ended.
+// Subscribe calls tick at each interval, on a goroutine of its own, until cancel is
+// called. Cancel waits for a tick in progress to return and may be called
+// repeatedly; tick must not call it.
 func (system *System) Subscribe(interval time.Duration, tick func(now time.Duration)) (cancel func()) {
 	subscription := &subscription{clock: system, interval: interval, tick: tick, stop: make(chan struct{}), ended: make(chan struct{})}
 	go subscription.run()
 	return subscription.cancel
 }
 
-// Sleep waits for the length of time, or until the context ends.
-func Sleep(ctx context.Context, length time.Duration) {
-	timer := time.NewTimer(length)
+// Sleep waits for the duration or until the context is done.
+func Sleep(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -39,6 +40,7 @@
 	}
 }
 
+// subscription is the goroutine that calls tick for one subscriber of System.
 type subscription struct {
 	clock    *System
 	interval time.Duration
@@ -67,8 +69,8 @@
 	<-subscription.ended
 }
 
-// Manual is a timer service that moves only by Advance. The zero value works
-// and stands at time zero.
+// Manual is a timer whose time changes only by Advance. The zero value is ready to
+// use and starts at time zero.
 type Manual struct {
 	mutex       sync.Mutex
 	now         time.Duration
@@ -77,7 +79,7 @@
 
 type manualSubscriber struct {
 	interval time.Duration
-	due      time.Duration
+	due      time.Duration // time of the next tick
 	tick     func(now time.Duration)
 	canceled bool
 }
@@ -89,7 +91,7 @@
 	return manual.now
 }
 
-// Subscribe calls tick from within Advance.
+// Subscribe has Advance call tick at each interval until cancel is called.
 func (manual *Manual) Subscribe(interval time.Duration, tick func(now time.Duration)) (cancel func()) {
 	manual.mutex.Lock()
 	defer manual.mutex.Unlock()
@@ -102,10 +104,10 @@
 	}
 }
 
-// Advance moves the time on and makes all calls that fall due, in order of
-// time and then of subscription.
-func (manual *Manual) Advance(by time.Duration) {
-	end := manual.Now() + by
+// Advance adds the interval to the time and calls every tick that becomes due, in the
+// order of due times and, for equal ones, of subscription.
+func (manual *Manual) Advance(interval time.Duration) {
+	end := manual.Now() + interval
 	for {
 		subscriber := manual.next(end)
 		if subscriber == nil {
@@ -118,6 +120,8 @@
 	manual.now = end
 }
 
+// next returns the subscriber with the earliest tick that is due by end, or nil. It
+// sets the time to that tick and schedules the subscriber's next one.
 func (manual *Manual) next(end time.Duration) *manualSubscriber {
 	manual.mutex.Lock()
 	defer manual.mutex.Unlock()
--- a/timer/timer_test.go
+++ b/timer/timer_test.go
@@ -7,12 +7,13 @@
 	"gotest.tools/v3/assert"
 )
 
+// TestManual checks the times and the order of ticks, and that none follows cancel.
 func TestManual(t *testing.T) {
 	clock := &Manual{}
 	var calls []time.Duration
-	note := func(now time.Duration) { calls = append(calls, now) }
-	cancelFast := clock.Subscribe(2*time.Second, note)
-	clock.Subscribe(3*time.Second, note)
+	record := func(now time.Duration) { calls = append(calls, now) }
+	cancelFast := clock.Subscribe(2*time.Second, record)
+	clock.Subscribe(3*time.Second, record)
 	clock.Advance(6 * time.Second)
 	assert.DeepEqual(t, calls, []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 6 * time.Second, 6 * time.Second})
 	cancelFast()
@@ -22,7 +23,7 @@
 	assert.Equal(t, clock.Now(), 10*time.Second)
 }
 
-// TestSystem shows that calls come, and that none comes after cancel.
+// TestSystem checks that ticks occur and that none occurs after cancel.
 func TestSystem(t *testing.T) {
 	system := &System{}
 	ticks := make(chan time.Duration, 1000)
@@ -30,7 +31,7 @@
 	first, second := <-ticks, <-ticks
 	assert.Assert(t, first < second)
 	cancel()
-	cancel() // twice does no harm
+	cancel() // a second call has no effect
 	left := len(ticks)
 	assert.Assert(t, system.Now() >= second)
 	assert.Equal(t, len(ticks), left)
