--- a/config/config_test.go
+++ b/config/config_test.go
@@ -32,23 +32,23 @@
 func TestSettings(t *testing.T) {
 	cases := map[string]struct {
 		change func(string) string
-		want   string // in the error; empty: none
+		want   string // part of the error; empty: no error
 	}{
-		"good":               {func(text string) string { return text }, ""},
-		"unknown key":        {func(text string) string { return text + "[entry2]\nx = 1\n" }, "s.toml:16: unknown key"},
-		"misspelled key":     {func(text string) string { return strings.Replace(text, "admin", "admn", 1) }, "s.toml:5: unknown key entry.admn"},
-		"broken line":        {func(text string) string { return strings.Replace(text, `zone = "z"`, `zone = "z`, 1) }, "s.toml:2"},
-		"wrong type":         {func(text string) string { return strings.Replace(text, `node = "n1"`, `node = 7`, 1) }, "s.toml"},
-		"no node":            {func(text string) string { return strings.Replace(text, `node = "n1"`, ``, 1) }, "node is missing"},
-		"no wire key":        {func(text string) string { return strings.Replace(text, `key = "w"`, ``, 1) }, "wire.key is missing"},
-		"no port":            {func(text string) string { return strings.Replace(text, "127.0.0.1:5", "127.0.0.1", 1) }, "platform.store is no address"},
-		"bad peer":           {func(text string) string { return strings.Replace(text, `["127.0.0.1:4"]`, `["x"]`, 1) }, "keeper.peers is no address"},
-		"permit too short":   {func(text string) string { return text + "[timing]\npermit = \"1s\"\n" }, "timing.permit is shorter"},
-		"lease too short":    {func(text string) string { return text + "[timing]\nlease = \"2s\"\n" }, "timing.lease is too short"},
-		"negative time":      {func(text string) string { return text + "[timing]\ntick = \"-1s\"\n" }, "timing.tick is not positive"},
-		"time without unit":  {func(text string) string { return text + "[timing]\ntick = \"5\"\n" }, "s.toml"},
-		"no room for bodies": {func(text string) string { return strings.Replace(text, "[keeper]", "max_body = 0\n[keeper]", 1) }, "max_body"},
-		"far too long":       {func(string) string { return strings.Repeat("#", maxFile+1) }, "bytes long"},
+		"valid":             {func(text string) string { return text }, ""},
+		"unknown key":       {func(text string) string { return text + "[entry2]\nx = 1\n" }, "s.toml:16: unknown key"},
+		"misspelled key":    {func(text string) string { return strings.Replace(text, "admin", "admn", 1) }, "s.toml:5: unknown key entry.admn"},
+		"syntax error":      {func(text string) string { return strings.Replace(text, `zone = "z"`, `zone = "z`, 1) }, "s.toml:2"},
+		"wrong type":        {func(text string) string { return strings.Replace(text, `node = "n1"`, `node = 7`, 1) }, "s.toml"},
+		"no node":           {func(text string) string { return strings.Replace(text, `node = "n1"`, ``, 1) }, "node is missing"},
+		"no wire key":       {func(text string) string { return strings.Replace(text, `key = "w"`, ``, 1) }, "wire.key is missing"},
+		"no port":           {func(text string) string { return strings.Replace(text, "127.0.0.1:5", "127.0.0.1", 1) }, "platform.store is no address"},
+		"bad peer":          {func(text string) string { return strings.Replace(text, `["127.0.0.1:4"]`, `["x"]`, 1) }, "keeper.peers is no address"},
+		"permit too short":  {func(text string) string { return text + "[timing]\npermit = \"1s\"\n" }, "timing.permit is shorter"},
+		"lease too short":   {func(text string) string { return text + "[timing]\nlease = \"2s\"\n" }, "timing.lease is too short"},
+		"negative time":     {func(text string) string { return text + "[timing]\ntick = \"-1s\"\n" }, "timing.tick is not positive"},
+		"time without unit": {func(text string) string { return text + "[timing]\ntick = \"5\"\n" }, "s.toml"},
+		"max_body is zero":  {func(text string) string { return strings.Replace(text, "[keeper]", "max_body = 0\n[keeper]", 1) }, "max_body"},
+		"file too long":     {func(string) string { return strings.Repeat("#", maxFileBytes+1) }, "bytes long"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -65,7 +65,8 @@
 	}
 }
 
-// TestSettingsAreDocumented finds every key of the settings on its page.
+// TestSettingsAreDocumented checks that docs/OPERATIONS.md lists every key of the
+// settings.
 func TestSettingsAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
 	assert.NilError(t, err)
@@ -84,7 +85,7 @@
 	}
 }
 
-const hash = "2cf24dba5fb0a30e26e83b2ac5b9e29e1b161e5c1fa7425e73043362938b9824"
+const keyHash = "2cf24dba5fb0a30e26e83b2ac5b9e29e1b161e5c1fa7425e73043362938b9824"
 
 const goodDocument = `entry_boxes = 3
 [[service]]
@@ -103,7 +104,7 @@
 backends = [{ id = "b", address = "127.0.0.1:1", zone = "z" }]
 [[account]]
 id = "a"
-key_sha256 = "` + hash + `"
+key_sha256 = "` + keyHash + `"
 services = ["p"]
 `
 
@@ -113,21 +114,21 @@
 		text string
 		want string
 	}{
-		"good":                       {goodDocument, ""},
-		"unknown key":                {goodDocument + "size = 1\n", "unknown key"},
-		"no entry boxes":             {replace("entry_boxes = 3", ""), "entry_boxes"},
-		"service twice":              {replace(`id = "p"`, `id = "m"`), "its id is empty or taken"},
-		"unknown kind":               {replace(`kind = "plain"`, `kind = "plane"`), `kind "plane" is unknown`},
-		"no timeout":                 {replace(`timeout = "5s"`, ""), "timeout is missing"},
-		"no capacity":                {replace("capacity = 4", "capacity = 0"), "capacity is not positive"},
-		"negative wait":              {replace(`timeout = "5s"`, "timeout = \"5s\"\nmax_wait = \"-1s\""), "max_wait is negative"},
-		"negative groups":            {replace("groups = 2", "groups = -2"), "out of range"},
-		"no zones":                   {replace(`zones = ["z"]`, "zones = []"), "out of range"},
-		"model with backends":        {replace(`timeout = "30s"`, "timeout = \"30s\"\nbackends = [{ id = \"b\", address = \"x:1\", zone = \"z\" }]"), "belong to plain services"},
-		"plain without backends":     {replace(`backends = [{ id = "b", address = "127.0.0.1:1", zone = "z" }]`, ""), "a plain service has backends"},
-		"key instead of its hash":    {replace(hash, "hello"), "no SHA-256"},
-		"account for a lost service": {replace(`services = ["p"]`, `services = ["q"]`), `service "q" does not exist`},
-		"negative rate":              {goodDocument + "rate = -1.0\n", "rate or weight is negative"},
+		"valid":                       {goodDocument, ""},
+		"unknown key":                 {goodDocument + "size = 1\n", "unknown key"},
+		"no entry boxes":              {replace("entry_boxes = 3", ""), "entry_boxes"},
+		"duplicate service":           {replace(`id = "p"`, `id = "m"`), "its id is empty or taken"},
+		"unknown kind":                {replace(`kind = "plain"`, `kind = "plane"`), `kind "plane" is unknown`},
+		"no timeout":                  {replace(`timeout = "5s"`, ""), "timeout is missing"},
+		"no capacity":                 {replace("capacity = 4", "capacity = 0"), "capacity is not positive"},
+		"negative wait":               {replace(`timeout = "5s"`, "timeout = \"5s\"\nmax_wait = \"-1s\""), "max_wait is negative"},
+		"negative groups":             {replace("groups = 2", "groups = -2"), "out of range"},
+		"no zones":                    {replace(`zones = ["z"]`, "zones = []"), "out of range"},
+		"model with backends":         {replace(`timeout = "30s"`, "timeout = \"30s\"\nbackends = [{ id = \"b\", address = \"x:1\", zone = \"z\" }]"), "belong to plain services"},
+		"plain without backends":      {replace(`backends = [{ id = "b", address = "127.0.0.1:1", zone = "z" }]`, ""), "a plain service has backends"},
+		"key instead of its hash":     {replace(keyHash, "hello"), "no SHA-256"},
+		"account for unknown service": {replace(`services = ["p"]`, `services = ["q"]`), `service "q" does not exist`},
+		"negative rate":               {goodDocument + "rate = -1.0\n", "rate or weight is negative"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -149,8 +150,7 @@
 	return Check("d.toml", &shedkeel.Config{EntryBoxes: document.EntryBoxes, Services: document.Services, Accounts: document.Accounts})
 }
 
-// FuzzSettings checks that no text makes the reader fail otherwise than by a
-// typed error.
+// FuzzSettings checks that ParseSettings fails only with an InvalidError.
 func FuzzSettings(f *testing.F) {
 	f.Add(goodSettings)
 	f.Add("[entry]\nlisten = 5")
@@ -161,7 +161,8 @@
 	})
 }
 
-// FuzzDocument does the same for documents.
+// FuzzDocument checks that parsing and checking a document fails only with an
+// InvalidError.
 func FuzzDocument(f *testing.F) {
 	f.Add(goodDocument)
 	f.Add("[[service]]\ntimeout = \"1h\"")
--- a/config/document.go
+++ b/config/document.go
@@ -10,30 +10,31 @@
 	"shedkeel.org/shedkeel/policy"
 )
 
+// Limits of a document.
 const (
 	maxServices = 1000
 	maxAccounts = 100_000
-	maxGroups   = 100_000
-	maxMembers  = 64
-	maxTimeout  = time.Hour
+	maxGroups   = 100_000   // replica groups of one service
+	maxMembers  = 64        // boxes in one replica group
+	maxTimeout  = time.Hour // of a service's requests
 )
 
-// Document is what operators write and apply: the whole wanted configuration.
+// Document is the complete desired configuration, as operators write and apply it.
 type Document struct {
-	EntryBoxes int                `toml:"entry_boxes"` // most entry boxes that ever run at once; limits are split over them
+	EntryBoxes int                `toml:"entry_boxes"` // largest number of entry boxes that run at once; rate limits are divided by it
 	Policy     DocumentPolicy     `toml:"policy"`
 	Services   []shedkeel.Service `toml:"service"`
 	Accounts   []shedkeel.Account `toml:"account"`
 }
 
-// DocumentPolicy names the file of the policy program, relative to the
-// document.
+// DocumentPolicy names the file of the policy program. A relative path is relative
+// to the document's directory; an empty one means no program.
 type DocumentPolicy struct {
 	File string `toml:"file"`
 }
 
-// ReadDocument reads and checks a document with its policy. The configuration
-// that it returns has no generation yet.
+// ReadDocument reads and validates a document and its policy program. The returned
+// configuration has no generation yet.
 func ReadDocument(path string) (shedkeel.Config, error) {
 	text, err := ReadFile(path)
 	if err != nil {
@@ -58,14 +59,16 @@
 	return config, Check(path, &config)
 }
 
-// ParseDocument reads the text of a document, without its policy.
+// ParseDocument decodes the text of a document. It neither reads the policy program
+// nor validates values; see Check. The name stands for the file in errors.
 func ParseDocument(name string, text []byte) (Document, error) {
 	var document Document
 	err := decode(name, text, &document)
 	return document, err
 }
 
-// Check returns an InvalidError for the first thing wrong in a configuration.
+// Check validates a configuration and returns an InvalidError for the first fault.
+// The name stands for the file in the error.
 func Check(name string, config *shedkeel.Config) error {
 	if config.EntryBoxes < 1 {
 		return &shedkeel.InvalidError{Where: name, What: "entry_boxes is not positive", Remedy: "set the most entry boxes that ever run at once"}
@@ -82,6 +85,7 @@
 	return policy.Check(config.Policy)
 }
 
+// checkServices validates all services.
 func checkServices(name string, services []shedkeel.Service) error {
 	seen := map[shedkeel.ServiceID]bool{}
 	for index := range services {
@@ -107,6 +111,7 @@
 	return nil
 }
 
+// checkKind validates the fields that depend on the service's kind.
 func checkKind(where string, service *shedkeel.Service) error {
 	switch service.Kind {
 	case shedkeel.KindModel:
@@ -126,6 +131,8 @@
 	return nil
 }
 
+// checkAccounts validates the client accounts, including that key hashes are unique and
+// that the services exist.
 func checkAccounts(name string, config *shedkeel.Config) error {
 	seen := map[shedkeel.AccountID]bool{}
 	keys := map[string]bool{}
@@ -135,7 +142,7 @@
 			return &shedkeel.InvalidError{Where: where, What: "its id is empty or taken", Remedy: "give each account an id of its own"}
 		}
 		seen[account.ID] = true
-		if sum, err := hex.DecodeString(account.KeyHash); err != nil || len(sum) != 32 || keys[account.KeyHash] {
+		if digest, err := hex.DecodeString(account.KeyHash); err != nil || len(digest) != 32 || keys[account.KeyHash] {
 			return &shedkeel.InvalidError{Where: where, What: "key_sha256 is no SHA-256 in hex, or another account has it", Remedy: "write the hash that `shedkeel account hash` prints"}
 		}
 		keys[account.KeyHash] = true
--- a/config/node.go
+++ b/config/node.go
@@ -8,18 +8,20 @@
 	"shedkeel.org/shedkeel"
 )
 
-// NodeSettings are the settings of a node that serves callers and controls
-// replica groups in one process.
+// NodeSettings are the settings of a node, a process that both serves callers and
+// controls replica groups.
 type NodeSettings struct {
 	Node   shedkeel.NodeID `toml:"node"` // unique in the fleet
 	Zone   shedkeel.ZoneID `toml:"zone"` // its availability zone
 	Listen NodeListen      `toml:"listen"`
 	Store  string          `toml:"store"` // host:port of the key-value service
-	// Seeds are control addresses of other nodes, IP:PORT. A node that knows
-	// nothing yet asks them, beside the key-value service. Some may be down.
+	// Seeds are control addresses of other nodes, IP:PORT. A node that starts
+	// without state asks them as well as the key-value service. Some may be
+	// unreachable.
 	Seeds []string `toml:"seeds"`
-	// Capacity is how much of a processor core the box has for the node. Those
-	// with most follow the service and plan, for all.
+	// Capacity is the share of a processor core that the box has for the node.
+	// The nodes with the largest capacity watch the key-value service and plan
+	// for the whole fleet.
 	Capacity float64     `toml:"capacity"`
 	Wire     NodeWire    `toml:"wire"`
 	Bounds   NodeBounds  `toml:"bounds"`
@@ -29,39 +31,39 @@
 // NodeListen are the addresses of a node, each IP:PORT.
 type NodeListen struct {
 	Callers   string `toml:"callers"`
-	Directory string `toml:"directory"` // tells callers which addresses to use
+	Directory string `toml:"directory"` // where callers ask which addresses to use
 	Readiness string `toml:"readiness"`
 	Control   string `toml:"control"` // for other nodes
-	// Gossip is where datagrams of other nodes come that ask whether this one
-	// lives. Empty: the port of Control.
+	// Gossip receives the failure detector's datagrams from other nodes.
+	// Empty: the address of Control.
 	Gossip  string `toml:"gossip"`
 	Metrics string `toml:"metrics"` // empty: none
 }
 
-// NodeWire is the way between nodes.
+// NodeWire are the settings of connections between nodes.
 type NodeWire struct {
-	Key string `toml:"key"` // the same on all nodes
+	Key string `toml:"key"` // shared secret, the same on all nodes
 }
 
-// NodeBounds are what the platform's operators promise their callers.
+// NodeBounds are the limits that the platform's operators guarantee to callers.
 type NodeBounds struct {
-	Grace  shedkeel.Duration `toml:"grace"`  // from SIGTERM to the kill
-	Revoke shedkeel.Duration `toml:"revoke"` // from the removal of a key until no request runs with it
-	// RefuseStaleKeys has requests with keys refused before Revoke is over
-	// since the node last had proof of its configuration. Without it they are
-	// served by the newest configuration that the node knows, and a removed key
-	// may work for as long as the key-value service is out of reach.
+	Grace  shedkeel.Duration `toml:"grace"`  // from SIGTERM until the platform kills the process
+	Revoke shedkeel.Duration `toml:"revoke"` // from the removal of an API key until no request runs with it
+	// RefuseStaleKeys rejects requests with API keys unless the node has
+	// confirmed within Revoke that its configuration is current. Without it the
+	// node uses the newest configuration that it knows, and a removed key works
+	// for as long as the key-value service is unreachable.
 	RefuseStaleKeys bool              `toml:"refuse_stale_keys"`
-	Directory       shedkeel.Duration `toml:"directory"`    // longest that a directory answer counts
-	RetryRatio      float64           `toml:"retry_ratio"`  // repeats for each request, over all nodes
-	RetryWindow     shedkeel.Duration `toml:"retry_window"` // in which they are counted
-	RetrySlack      float64           `toml:"retry_slack"`  // repeats allowed besides
-	// MaxBackoff is for how long a backend server that asks for a backoff gets no
-	// requests at most, so that one which states years is not lost.
+	Directory       shedkeel.Duration `toml:"directory"`    // longest that callers may use a directory answer
+	RetryRatio      float64           `toml:"retry_ratio"`  // retries allowed per request, over all nodes
+	RetryWindow     shedkeel.Duration `toml:"retry_window"` // window in which retries and requests are counted
+	RetrySlack      float64           `toml:"retry_slack"`  // retries allowed in addition to the ratio
+	// MaxBackoff limits the backoff that a backend server may request, so that a
+	// server that states a backoff of years is used again.
 	MaxBackoff shedkeel.Duration `toml:"max_backoff"`
 }
 
-// DefaultNodeSettings returns what holds for keys that a file leaves out.
+// DefaultNodeSettings returns the values of keys that a file omits.
 func DefaultNodeSettings() NodeSettings {
 	return NodeSettings{
 		Bounds: NodeBounds{
@@ -73,7 +75,7 @@
 	}
 }
 
-// ReadNodeSettings reads and checks a file of settings. Its error is an
+// ReadNodeSettings reads and validates a settings file. The error is an
 // InvalidError.
 func ReadNodeSettings(path string) (NodeSettings, error) {
 	text, err := ReadFile(path)
@@ -93,6 +95,7 @@
 	return settings, nil
 }
 
+// check returns an InvalidError for the first invalid value.
 func (settings *NodeSettings) check(name string) error {
 	for key, value := range map[string]string{"node": string(settings.Node), "zone": string(settings.Zone), "wire.key": settings.Wire.Key} {
 		if value == "" {
--- a/config/node_test.go
+++ b/config/node_test.go
@@ -29,22 +29,22 @@
 func TestNodeSettings(t *testing.T) {
 	cases := map[string]struct {
 		change func(string) string
-		remedy string // "": the file is valid
+		remedy string // part of the error; empty: the file is valid
 	}{
-		"valid":                         {func(text string) string { return text }, ""},
-		"no node":                       {func(text string) string { return strings.Replace(text, `node = "n1"`, "", 1) }, "node is missing; set it"},
-		"no key":                        {func(text string) string { return strings.Replace(text, `key = "k"`, "", 1) }, "wire.key is missing; set it"},
-		"no port":                       {func(text string) string { return strings.Replace(text, "127.0.0.1:1", "127.0.0.1", 1) }, "store is no address"},
-		"a wrong address":               {func(text string) string { return text + "[log]\nlevel = \"info\"\n" + "[listen2]\n" }, "unknown key listen2"},
-		"unknown key":                   {func(text string) string { return "speed = 3\n" + text }, "unknown key speed"},
-		"no time":                       {func(text string) string { return strings.Replace(text, `"9s"`, `"0s"`, 1) }, `bounds.grace is not positive; write it as "500ms" or "3s"`},
-		"no capacity":                   {func(text string) string { return "capacity = -0.2\n" + text }, "capacity is negative; write the box's share"},
-		"a whole core":                  {func(text string) string { return "capacity = 1\n" + text }, ""},
-		"keys of an old configuration":  {func(text string) string { return text + "refuse_stale_keys = false\n" }, ""},
-		"no word on old configurations": {func(text string) string { return text + "refuse_stale_keys = \"no\"\n" }, "refuse_stale_keys"},
-		"seeds":                         {func(text string) string { return "seeds = [\"127.0.0.1:5\", \"127.0.0.2:5\"]\n" + text }, ""},
-		"a seed without a port":         {func(text string) string { return "seeds = [\"127.0.0.1:5\", \"127.0.0.2\"]\n" + text }, "seeds[1] is no address"},
-		"half a file":                   {func(text string) string { return text[:40] }, "mend that line"},
+		"valid":                 {func(text string) string { return text }, ""},
+		"no node":               {func(text string) string { return strings.Replace(text, `node = "n1"`, "", 1) }, "node is missing; set it"},
+		"no key":                {func(text string) string { return strings.Replace(text, `key = "k"`, "", 1) }, "wire.key is missing; set it"},
+		"no port":               {func(text string) string { return strings.Replace(text, "127.0.0.1:1", "127.0.0.1", 1) }, "store is no address"},
+		"unknown table":         {func(text string) string { return text + "[log]\nlevel = \"info\"\n" + "[listen2]\n" }, "unknown key listen2"},
+		"unknown key":           {func(text string) string { return "speed = 3\n" + text }, "unknown key speed"},
+		"zero duration":         {func(text string) string { return strings.Replace(text, `"9s"`, `"0s"`, 1) }, `bounds.grace is not positive; write it as "500ms" or "3s"`},
+		"negative capacity":     {func(text string) string { return "capacity = -0.2\n" + text }, "capacity is negative; write the box's share"},
+		"capacity of one core":  {func(text string) string { return "capacity = 1\n" + text }, ""},
+		"stale keys allowed":    {func(text string) string { return text + "refuse_stale_keys = false\n" }, ""},
+		"wrong type of a flag":  {func(text string) string { return text + "refuse_stale_keys = \"no\"\n" }, "refuse_stale_keys"},
+		"seeds":                 {func(text string) string { return "seeds = [\"127.0.0.1:5\", \"127.0.0.2:5\"]\n" + text }, ""},
+		"a seed without a port": {func(text string) string { return "seeds = [\"127.0.0.1:5\", \"127.0.0.2\"]\n" + text }, "seeds[1] is no address"},
+		"truncated file":        {func(text string) string { return text[:40] }, "mend that line"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/config/settings.go
+++ b/config/settings.go
@@ -10,8 +10,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Settings are the settings of one entry box, read by its entry and its
-// keeper alike.
+// Settings are the settings of one entry box. Its entry and its keeper read the same
+// file.
 type Settings struct {
 	Node     shedkeel.NodeID `toml:"node"` // name of this entry box, unique in the fleet
 	Zone     shedkeel.ZoneID `toml:"zone"` // its availability zone
@@ -20,68 +20,68 @@
 	Wire     WireSettings    `toml:"wire"`
 	Platform PlatformSetting `toml:"platform"`
 	Timing   Timing          `toml:"timing"`
-	TLS      TLSSettings     `toml:"tls"` // towards callers and operators
+	TLS      TLSSettings     `toml:"tls"` // for connections from callers and operators
 	Log      LogSettings     `toml:"log"`
 }
 
-// EntrySettings are those of the entry.
+// EntrySettings are the settings of the entry, which serves callers.
 type EntrySettings struct {
 	Listen    string            `toml:"listen"`     // for callers
-	Advertise string            `toml:"advertise"`  // where callers find it; empty: listen
+	Advertise string            `toml:"advertise"`  // address under which callers reach it; empty: Listen
 	Admin     string            `toml:"admin"`      // health, metrics and state, for operators
-	KeepFor   shedkeel.Duration `toml:"keep_for"`   // how long callers may keep a which-entry-box answer
+	KeepFor   shedkeel.Duration `toml:"keep_for"`   // how long callers may cache the answer which entry box to use
 	MaxBody   int64             `toml:"max_body"`   // largest request body, in bytes
-	MaxCalls  int               `toml:"max_calls"`  // most requests in flight at once
-	DrainTime shedkeel.Duration `toml:"drain_time"` // longest that a planned stop waits for requests in flight
+	MaxCalls  int               `toml:"max_calls"`  // limit of concurrent requests
+	DrainTime shedkeel.Duration `toml:"drain_time"` // limit of the wait for requests in flight on a graceful stop
 }
 
-// KeeperSettings are those of the keeper.
+// KeeperSettings are the settings of the keeper, which controls replica groups.
 type KeeperSettings struct {
 	Operator    string   `toml:"operator"`     // address for operators
-	OperatorKey string   `toml:"operator_key"` // what operators must present; set by hand
-	Peers       []string `toml:"peers"`        // wire addresses of keepers to begin with
+	OperatorKey string   `toml:"operator_key"` // secret that operators must present; has no default
+	Peers       []string `toml:"peers"`        // wire addresses of the keepers that it contacts first
 }
 
-// WireSettings are those of the way between the system's own processes.
+// WireSettings are the settings of connections between the system's own processes.
 type WireSettings struct {
 	Listen    string      `toml:"listen"`
-	Advertise string      `toml:"advertise"` // where other keepers find it; empty: listen
-	Key       string      `toml:"key"`       // the same on all processes of the fleet
+	Advertise string      `toml:"advertise"` // address under which other keepers reach it; empty: Listen
+	Key       string      `toml:"key"`       // shared secret, the same in all processes of the fleet
 	TLS       TLSSettings `toml:"tls"`
 }
 
-// PlatformSetting says where the platform's services are.
+// PlatformSetting holds the addresses of the platform's services.
 type PlatformSetting struct {
 	Store   string `toml:"store"`    // host:port of the key-value service
 	BoxList string `toml:"box_list"` // host:port of the box list
 }
 
-// Timing holds the times that bound detection and agreement.
+// Timing holds the intervals and time limits of failure detection and coordination.
 type Timing struct {
-	Tick        shedkeel.Duration `toml:"tick"`         // how often a keeper probes, exchanges and plans
-	Sync        shedkeel.Duration `toml:"sync"`         // how often an entry polls its keeper
-	Permit      shedkeel.Duration `toml:"permit"`       // how old the proof may be that a group is whole
-	Lease       shedkeel.Duration `toml:"lease"`        // how long a planner's lease lasts
-	LeaseMargin shedkeel.Duration `toml:"lease_margin"` // what clocks may drift apart over a lease
-	OrderLife   shedkeel.Duration `toml:"order_life"`   // longest that an order is under way
-	StoreCall   shedkeel.Duration `toml:"store_call"`   // longest wait for the key-value service
-	ClaimBatch  shedkeel.Duration `toml:"claim_batch"`  // least time between two writes of one claim shard
-	Retention   shedkeel.Duration `toml:"retention"`    // how long a claim is remembered
-}
-
-// TLSSettings name certificate files; all empty means no TLS.
+	Tick        shedkeel.Duration `toml:"tick"`         // interval at which a keeper probes engines, exchanges state and plans
+	Sync        shedkeel.Duration `toml:"sync"`         // interval at which an entry polls its keeper
+	Permit      shedkeel.Duration `toml:"permit"`       // maximum age of the proof that all members of a group are healthy
+	Lease       shedkeel.Duration `toml:"lease"`        // TTL of the planner's lease
+	LeaseMargin shedkeel.Duration `toml:"lease_margin"` // largest clock drift between two boxes over a lease
+	OrderLife   shedkeel.Duration `toml:"order_life"`   // time after which an order must not reach an engine any more
+	StoreCall   shedkeel.Duration `toml:"store_call"`   // timeout of a call to the key-value service
+	ClaimBatch  shedkeel.Duration `toml:"claim_batch"`  // minimum interval between two writes of one claim shard
+	Retention   shedkeel.Duration `toml:"retention"`    // how long a claim is kept
+}
+
+// TLSSettings are paths of PEM files. Without a certificate TLS is off.
 type TLSSettings struct {
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
-	Authority   string `toml:"authority"` // who must have signed the other side
+	Authority   string `toml:"authority"` // certificate authorities that must have signed the other side's certificate
 }
 
-// LogSettings are those of the log on standard error.
+// LogSettings are the settings of the log on standard error.
 type LogSettings struct {
 	Level string `toml:"level"` // debug, info, warn or error
 }
 
-// DefaultSettings returns what holds for keys that a file leaves out.
+// DefaultSettings returns the values of keys that a file omits.
 func DefaultSettings() Settings {
 	return Settings{
 		Entry: EntrySettings{
@@ -105,7 +105,7 @@
 	}
 }
 
-// ReadSettings reads and checks a file of settings.
+// ReadSettings reads and validates a settings file. The error is an InvalidError.
 func ReadSettings(path string) (Settings, error) {
 	text, err := ReadFile(path)
 	if err != nil {
@@ -114,7 +114,8 @@
 	return ParseSettings(path, text)
 }
 
-// ParseSettings checks the text of a file of settings.
+// ParseSettings decodes and validates the text of a settings file. The name stands
+// for the file in errors.
 func ParseSettings(name string, text []byte) (Settings, error) {
 	settings := DefaultSettings()
 	if err := decode(name, text, &settings); err != nil {
@@ -129,6 +130,7 @@
 	return settings, settings.check(name)
 }
 
+// check returns an InvalidError for the first invalid value.
 func (settings *Settings) check(name string) error {
 	required := []struct{ key, value string }{
 		{"node", string(settings.Node)},
@@ -162,6 +164,7 @@
 	return settings.checkTimes(name)
 }
 
+// checkTimes validates durations and the limits of requests.
 func (settings *Settings) checkTimes(name string) error {
 	timing := settings.Timing
 	times := []struct {
@@ -195,14 +198,16 @@
 	return settings.load()
 }
 
-// Client returns the TLS configuration for calls, or nil without TLS.
+// Client returns the TLS configuration for outgoing connections, or nil without TLS.
 func (settings TLSSettings) Client() (*tls.Config, error) {
 	return settings.load()
 }
 
+// load reads the files. With an authority, both sides must present a certificate that
+// it signed. The error is an InvalidError.
 func (settings TLSSettings) load() (*tls.Config, error) {
 	if settings.Certificate == "" {
-		return nil, nil //nolint:nilnil // no configuration is a valid answer: TLS is off
+		return nil, nil //nolint:nilnil // a nil configuration is a valid result: TLS is off
 	}
 	pair, err := tls.LoadX509KeyPair(settings.Certificate, settings.Key)
 	if err != nil {
@@ -212,12 +217,12 @@
 	if settings.Authority == "" {
 		return config, nil
 	}
-	pem, err := os.ReadFile(settings.Authority)
+	certificates, err := os.ReadFile(settings.Authority)
 	if err != nil {
 		return nil, &shedkeel.InvalidError{Where: settings.Authority, What: err.Error(), Remedy: "name a PEM file of authorities"}
 	}
 	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(pem) {
+	if !pool.AppendCertsFromPEM(certificates) {
 		return nil, &shedkeel.InvalidError{Where: settings.Authority, What: "it holds no certificate", Remedy: "name a PEM file of authorities"}
 	}
 	config.RootCAs = pool
--- a/config/toml.go
+++ b/config/toml.go
@@ -1,6 +1,7 @@
-// Package config reads what people write: the settings of each process and the
-// document that operators apply. Both are TOML and strictly checked; a refusal
-// names the file, the line and the remedy.
+// Package config reads and validates the files that operators write: the settings
+// of each process and the configuration document that they apply. Both are TOML,
+// and unknown keys are errors. An error names the file, the remedy and, where it is
+// known, the line or the service or account.
 package config
 
 import (
@@ -14,13 +15,14 @@
 	"shedkeel.org/shedkeel"
 )
 
-// maxFile bounds a file of settings or a document, in bytes.
-const maxFile = 1 << 20
+// maxFileBytes limits a settings file or a document.
+const maxFileBytes = 1 << 20
 
-// decode reads TOML strictly into target. Its error is an InvalidError.
+// decode decodes TOML into target and rejects unknown keys. The error is an
+// InvalidError.
 func decode(name string, text []byte, target any) error {
-	if len(text) > maxFile {
-		return &shedkeel.InvalidError{Where: name, What: fmt.Sprintf("it is %d bytes long", len(text)), Remedy: fmt.Sprintf("keep it within %d", maxFile)}
+	if len(text) > maxFileBytes {
+		return &shedkeel.InvalidError{Where: name, What: fmt.Sprintf("it is %d bytes long", len(text)), Remedy: fmt.Sprintf("keep it within %d", maxFileBytes)}
 	}
 	meta, err := toml.Decode(string(text), target)
 	var parseErr toml.ParseError
@@ -37,12 +39,14 @@
 	return nil
 }
 
-// lineOf returns the line on which a key first stands, found by its last part.
+// lineOf returns the number of the first line that sets the last part of the key or
+// has it as a table's name, or 1 if there is none. It is approximate: another table
+// may have a key of the same name.
 func lineOf(text string, key toml.Key) int {
-	last := key[len(key)-1]
+	lastPart := key[len(key)-1]
 	for index, line := range strings.Split(text, "\n") {
 		trimmed := strings.TrimLeft(line, " \t[")
-		rest, found := strings.CutPrefix(trimmed, last)
+		rest, found := strings.CutPrefix(trimmed, lastPart)
 		if found && (strings.HasPrefix(strings.TrimLeft(rest, " \t"), "=") || strings.HasPrefix(rest, "]")) {
 			return index + 1
 		}
@@ -50,7 +54,7 @@
 	return 1
 }
 
-// ReadFile reads a file that a person named. Its error is an InvalidError.
+// ReadFile reads a file that the operator named. The error is an InvalidError.
 func ReadFile(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/engine/event.go
+++ b/engine/event.go
@@ -11,7 +11,7 @@
 const maxEventBytes = 1 << 20
 
 // ErrEventTooLong is returned for an event of a stream that is longer than 1 MiB.
-var ErrEventTooLong = errors.New("event of the stream is longer than 1 MiB")
+var ErrEventTooLong = errors.New("an event of the stream is too long")
 
 // ReadEvent reads the next server-sent event of a stream, including the blank line
 // that terminates it. It never returns a part of an event: at the end of the stream
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -29,13 +29,13 @@
 	mutex   sync.Mutex
 	boots   int
 	state   shedkeel.BoxState
-	planner uint64
+	highestPlannerEpoch uint64
 	timer   *time.Timer
 	runs    map[string]int // by prompt
 	total   int
 	active  int
-	told    int
-	toldAt  time.Time
+	reportedLoad    int
+	reportedAt  time.Time
 	streams map[string][]string
 	slots   chan struct{}
 }
@@ -53,7 +53,7 @@
 	model.mutex.Lock()
 	defer model.mutex.Unlock()
 	model.boots++
-	model.planner = 0
+	model.highestPlannerEpoch = 0
 	model.state = shedkeel.BoxState{Boot: fmt.Sprintf("%s-%d", model.BootPrefix, model.boots), Phase: shedkeel.PhaseEmpty}
 	if model.timer != nil {
 		model.timer.Stop()
@@ -81,24 +81,24 @@
 }
 
 func (model *Engine) serveState(writer http.ResponseWriter, request *http.Request) {
-	if !model.faults.pass(writer, request) {
+	if !model.faults.applyCommon(writer, request) {
 		return
 	}
 	model.mutex.Lock()
 	defer model.mutex.Unlock()
-	if time.Since(model.toldAt) >= model.LoadLag {
-		model.told = model.active
-		model.toldAt = time.Now()
+	if time.Since(model.reportedAt) >= model.LoadLag {
+		model.reportedLoad = model.active
+		model.reportedAt = time.Now()
 	}
 	state := model.state
 	state.Leaving = model.faults.get().Leaving
-	state.Running = min(model.told, cap(model.slots))
-	state.Queued = max(model.told-cap(model.slots), 0)
+	state.Running = min(model.reportedLoad, cap(model.slots))
+	state.Queued = max(model.reportedLoad-cap(model.slots), 0)
 	writeJSON(writer, state)
 }
 
 func (model *Engine) serveOrder(writer http.ResponseWriter, request *http.Request) {
-	if !model.faults.pass(writer, request) {
+	if !model.faults.applyCommon(writer, request) {
 		return
 	}
 	var order shedkeel.Order
@@ -108,16 +108,16 @@
 	}
 	model.mutex.Lock()
 	defer model.mutex.Unlock()
-	if !model.Unfenced && order.PlannerEpoch < model.planner {
-		http.Error(writer, fmt.Sprintf("planner epoch %d is older than %d", order.PlannerEpoch, model.planner), http.StatusConflict)
+	if !model.Unfenced && order.PlannerEpoch < model.highestPlannerEpoch {
+		http.Error(writer, fmt.Sprintf("planner epoch %d is older than %d", order.PlannerEpoch, model.highestPlannerEpoch), http.StatusConflict)
 		return
 	}
-	model.planner = max(model.planner, order.PlannerEpoch)
-	model.follow(order)
+	model.highestPlannerEpoch = max(model.highestPlannerEpoch, order.PlannerEpoch)
+	model.applyOrder(order)
 }
 
-// follow does what an order says. The mutex is held.
-func (model *Engine) follow(order shedkeel.Order) {
+// applyOrder does what an order says. The mutex is held.
+func (model *Engine) applyOrder(order shedkeel.Order) {
 	if model.timer != nil {
 		model.timer.Stop()
 	}
@@ -144,10 +144,10 @@
 	if !loaded {
 		wait += model.LoadTime
 	}
-	model.timer = time.AfterFunc(wait, func() { model.loaded(boot, assigned, after, !loaded) })
+	model.timer = time.AfterFunc(wait, func() { model.finishLoading(boot, assigned, after, !loaded) })
 }
 
-func (model *Engine) loaded(boot string, assigned shedkeel.Assignment, after shedkeel.Phase, fromStore bool) {
+func (model *Engine) finishLoading(boot string, assigned shedkeel.Assignment, after shedkeel.Phase, fromStore bool) {
 	if fromStore && model.Weights != nil {
 		model.Weights <- struct{}{}
 		defer func() { <-model.Weights }()
@@ -172,7 +172,7 @@
 const defaultTokens = 8
 
 func (model *Engine) serveCompletion(writer http.ResponseWriter, request *http.Request) {
-	if !model.faults.pass(writer, request) {
+	if !model.faults.applyCommon(writer, request) {
 		return
 	}
 	var wanted completion
@@ -192,7 +192,7 @@
 	}
 	writer.Header().Set(engine.HeaderAttempt, name)
 	from := request.Header.Get("Shedkeel-From")
-	if reason := model.refuses(request); reason != "" {
+	if reason := model.refusalReason(request); reason != "" {
 		writer.Header().Set(engine.HeaderNotRun, reason)
 		http.Error(writer, reason, http.StatusConflict)
 		return
@@ -204,8 +204,8 @@
 	model.run(writer, request, name, wanted)
 }
 
-// refuses says why a request does not run, if so.
-func (model *Engine) refuses(request *http.Request) string {
+// refusalReason says why a request does not run, if so.
+func (model *Engine) refusalReason(request *http.Request) string {
 	if model.faults.get().Refuse {
 		return "told to refuse"
 	}
@@ -223,9 +223,9 @@
 }
 
 func (model *Engine) run(writer http.ResponseWriter, request *http.Request, name string, wanted completion) {
-	model.count(wanted.Prompt, 1)
-	defer model.count("", -1)
-	if model.faults.use(func(faults *Faults) *int { return &faults.ResetFirst }) {
+	model.countRun(wanted.Prompt, 1)
+	defer model.countRun("", -1)
+	if model.faults.consume(func(faults *Faults) *int { return &faults.ResetFirst }) {
 		abort()
 	}
 	model.slots <- struct{}{}
@@ -233,17 +233,17 @@
 	events := eventsOf(wanted)
 	if !wanted.Stream {
 		time.Sleep(model.TokenTime * time.Duration(wanted.MaxTokens))
-		model.answer(writer, wanted)
+		model.sendAnswer(writer, wanted)
 		return
 	}
 	model.mutex.Lock()
 	model.streams[name] = events
 	model.mutex.Unlock()
-	model.send(writer, request, events, true)
+	model.sendStream(writer, request, events, true)
 }
 
-// count notes a run that begins or ends.
-func (model *Engine) count(prompt string, by int) {
+// countRun notes a run that begins or ends.
+func (model *Engine) countRun(prompt string, by int) {
 	model.mutex.Lock()
 	defer model.mutex.Unlock()
 	model.active += by
@@ -270,7 +270,7 @@
 	return append(events, "data: [DONE]\n\n")
 }
 
-func (model *Engine) answer(writer http.ResponseWriter, wanted completion) {
+func (model *Engine) sendAnswer(writer http.ResponseWriter, wanted completion) {
 	text, _ := json.Marshal(strings.Join(wordsOf(wanted), " "))
 	body := fmt.Sprintf("{\"object\":\"text_completion\",\"choices\":[{\"index\":0,\"text\":%s,\"message\":{\"role\":\"assistant\",\"content\":%s},\"finish_reason\":\"stop\"}]}\n", text, text)
 	writeBody(writer, []byte(body), model.faults.get())
@@ -303,7 +303,7 @@
 	_ = buffer.Flush()
 }
 
-func (model *Engine) send(writer http.ResponseWriter, request *http.Request, events []string, mayCut bool) {
+func (model *Engine) sendStream(writer http.ResponseWriter, request *http.Request, events []string, mayCut bool) {
 	writer.Header().Set("Content-Type", "text/event-stream")
 	for index, event := range events {
 		faults := model.faults.get()
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -37,29 +37,29 @@
 }
 
 func (plain *Plain) serve(writer http.ResponseWriter, request *http.Request) {
-	if !plain.faults.pass(writer, request) {
+	if !plain.faults.applyCommon(writer, request) {
 		return
 	}
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return
 	}
-	what := string(body)
-	if what == "" {
-		what = request.URL.Path
+	runKey := string(body)
+	if runKey == "" {
+		runKey = request.URL.Path
 	}
 	plain.mutex.Lock()
-	plain.runs[what]++
-	run := plain.runs[what]
+	plain.runs[runKey]++
+	run := plain.runs[runKey]
 	plain.mutex.Unlock()
-	if plain.faults.use(func(faults *Faults) *int { return &faults.ResetFirst }) {
+	if plain.faults.consume(func(faults *Faults) *int { return &faults.ResetFirst }) {
 		abort()
 	}
 	time.Sleep(plain.RunTime)
 	text, _ := json.Marshal(struct {
 		Done string `json:"done"`
 		Run  int    `json:"run"`
-	}{what, run})
+	}{runKey, run})
 	writeBody(writer, append(text, '\n'), plain.faults.get())
 }
 
@@ -86,7 +86,7 @@
 		time.AfterFunc(list.Lag, func() { list.change(change) })
 	})
 	mux.HandleFunc("GET /boxes", func(writer http.ResponseWriter, request *http.Request) {
-		if !list.faults.pass(writer, request) {
+		if !list.faults.applyCommon(writer, request) {
 			return
 		}
 		list.mutex.Lock()
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -41,8 +41,8 @@
 	return faultSwitch.faults
 }
 
-// use takes one of a counted fault, and reports whether there was one.
-func (faultSwitch *faultSwitch) use(count func(*Faults) *int) bool {
+// consume takes one of a counted fault, and reports whether there was one.
+func (faultSwitch *faultSwitch) consume(count func(*Faults) *int) bool {
 	faultSwitch.mutex.Lock()
 	defer faultSwitch.mutex.Unlock()
 	left := count(&faultSwitch.faults)
@@ -71,9 +71,9 @@
 	faultSwitch.faults = faults
 }
 
-// pass applies the faults that hold for any call, and reports whether the call
+// applyCommon applies the faults that hold for any call, and reports whether the call
 // may go on.
-func (faultSwitch *faultSwitch) pass(writer http.ResponseWriter, request *http.Request) bool {
+func (faultSwitch *faultSwitch) applyCommon(writer http.ResponseWriter, request *http.Request) bool {
 	faults := faultSwitch.get()
 	if faults.DelayMS > 0 {
 		time.Sleep(time.Duration(faults.DelayMS) * time.Millisecond)
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -19,13 +19,13 @@
 	mutex    sync.Mutex
 	revision int64
 	data     map[string]shedkeel.Record
-	kept     snapshot
+	saved     snapshot
 	era      int64         // how often it has come back from a snapshot
 	changed  chan struct{} // closed at each change
 	log      []shedkeel.Record
-	floor    int64 // changes up to this revision are forgotten
-	leases   map[int64]*standLease
-	byLease  map[string]int64 // of keys that go with a lease
+	compactedTo    int64 // changes up to this revision are forgotten
+	leases   map[int64]*activeLease
+	leaseOfKey  map[string]int64 // of keys that go with a lease
 	granted  int64
 	counts   Counts
 }
@@ -39,8 +39,8 @@
 	granted  int64
 }
 
-// standLease is a lease that is not over.
-type standLease struct {
+// activeLease is a lease that is not over.
+type activeLease struct {
 	ttl   time.Duration
 	until time.Time
 }
@@ -56,7 +56,7 @@
 func NewStore() *Store {
 	return &Store{
 		data: map[string]shedkeel.Record{}, changed: make(chan struct{}),
-		leases: map[int64]*standLease{}, byLease: map[string]int64{},
+		leases: map[int64]*activeLease{}, leaseOfKey: map[string]int64{},
 	}
 }
 
@@ -91,7 +91,7 @@
 		return shedkeel.Revision{}, &shedkeel.ConflictError{What: "key " + key}
 	}
 	written, swapped := store.swap(key, revision, value)
-	if store.faults.use(func(faults *Faults) *int { return &faults.LoseReplies }) {
+	if store.faults.consume(func(faults *Faults) *int { return &faults.LoseReplies }) {
 		return shedkeel.Revision{}, &shedkeel.UnknownOutcomeError{What: "write"}
 	}
 	if !swapped {
@@ -123,8 +123,8 @@
 	return written, err == nil
 }
 
-// tell wakes the watches. The mutex is held.
-func (store *Store) tell(record shedkeel.Record) {
+// appendChange wakes the watches. The mutex is held.
+func (store *Store) appendChange(record shedkeel.Record) {
 	store.log = append(store.log, record)
 	close(store.changed)
 	store.changed = make(chan struct{})
@@ -138,7 +138,7 @@
 	for id, lease := range store.leases {
 		leases[id] = lease.ttl
 	}
-	store.kept = snapshot{revision: store.revision, data: maps.Clone(store.data), leases: leases, byLease: maps.Clone(store.byLease), granted: store.granted}
+	store.saved = snapshot{revision: store.revision, data: maps.Clone(store.data), leases: leases, byLease: maps.Clone(store.leaseOfKey), granted: store.granted}
 }
 
 // Restore goes back to the snapshot, as a service does that was restored from a backup:
@@ -147,22 +147,22 @@
 func (store *Store) Restore() {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	kept := store.kept
+	kept := store.saved
 	store.era++
-	store.data, store.byLease = map[string]shedkeel.Record{}, map[string]int64{}
+	store.data, store.leaseOfKey = map[string]shedkeel.Record{}, map[string]int64{}
 	for key, record := range kept.data {
 		record.Revision.Era = store.era
 		store.data[key] = record
 	}
-	maps.Copy(store.byLease, kept.byLease)
-	store.leases = map[int64]*standLease{}
+	maps.Copy(store.leaseOfKey, kept.byLease)
+	store.leases = map[int64]*activeLease{}
 	for id, ttl := range kept.leases {
-		store.leases[id] = &standLease{ttl: ttl, until: time.Now().Add(ttl)}
+		store.leases[id] = &activeLease{ttl: ttl, until: time.Now().Add(ttl)}
 		time.AfterFunc(ttl+time.Millisecond, store.expireNow)
 	}
 	store.revision, store.granted = kept.revision, kept.granted
 	store.log = nil
-	store.floor = store.revision
+	store.compactedTo = store.revision
 	close(store.changed)
 	store.changed = make(chan struct{})
 }
@@ -200,7 +200,7 @@
 		}
 	}
 	slices.SortFunc(found, func(a, b shedkeel.Record) int { return strings.Compare(a.Key, b.Key) })
-	return found, store.at()
+	return found, store.currentRevision()
 }
 
 // Changes waits for changes below the prefix after the revision. It returns a
@@ -214,20 +214,20 @@
 	for {
 		store.mutex.Lock()
 		store.expire()
-		gone := since.Number < store.floor || since.Number > store.revision
-		at, changed := store.at(), store.changed
-		var news []shedkeel.Record
+		gone := since.Number < store.compactedTo || since.Number > store.revision
+		at, changed := store.currentRevision(), store.changed
+		var matching []shedkeel.Record
 		for _, record := range store.log {
 			if record.Revision.Number > since.Number && strings.HasPrefix(record.Key, prefix) {
-				news = append(news, record)
+				matching = append(matching, record)
 			}
 		}
 		store.mutex.Unlock()
 		if gone {
 			return nil, at, &shedkeel.HistoryGoneError{Since: since}
 		}
-		if len(news) > 0 {
-			return news, at, nil
+		if len(matching) > 0 {
+			return matching, at, nil
 		}
 		select {
 		case <-ctx.Done():
@@ -244,13 +244,13 @@
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.log = nil
-	store.floor = store.revision
+	store.compactedTo = store.revision
 	close(store.changed)
 	store.changed = make(chan struct{})
 }
 
-// at returns the revision that the store has reached. The mutex is held.
-func (store *Store) at() shedkeel.Revision {
+// currentRevision returns the revision that the store has reached. The mutex is held.
+func (store *Store) currentRevision() shedkeel.Revision {
 	return shedkeel.Revision{Era: store.era, Number: store.revision}
 }
 
@@ -264,26 +264,26 @@
 	store.counts.Writes++
 	for _, condition := range change.If {
 		if store.data[condition.Key].Revision.Number != condition.Revision.Number {
-			return store.at(), &shedkeel.ConflictError{What: "key " + condition.Key}
+			return store.currentRevision(), &shedkeel.ConflictError{What: "key " + condition.Key}
 		}
 	}
 	for _, put := range change.Put {
 		if put.Lease.Number != 0 && store.leases[put.Lease.Number] == nil {
-			return store.at(), &shedkeel.LeaseGoneError{}
+			return store.currentRevision(), &shedkeel.LeaseGoneError{}
 		}
 	}
 	store.revision++
 	for _, put := range change.Put {
-		record := shedkeel.Record{Key: put.Key, Value: put.Value, Revision: store.at()}
+		record := shedkeel.Record{Key: put.Key, Value: put.Value, Revision: store.currentRevision()}
 		store.data[put.Key] = record
-		delete(store.byLease, put.Key)
+		delete(store.leaseOfKey, put.Key)
 		if put.Lease.Number != 0 {
-			store.byLease[put.Key] = put.Lease.Number
+			store.leaseOfKey[put.Key] = put.Lease.Number
 		}
-		store.tell(record)
+		store.appendChange(record)
 	}
 	store.remove(change.Remove)
-	return store.at(), nil
+	return store.currentRevision(), nil
 }
 
 // remove removes keys at the present revision. The mutex is held.
@@ -293,8 +293,8 @@
 			continue
 		}
 		delete(store.data, key)
-		delete(store.byLease, key)
-		store.tell(shedkeel.Record{Key: key, Revision: store.at(), Gone: true})
+		delete(store.leaseOfKey, key)
+		store.appendChange(shedkeel.Record{Key: key, Revision: store.currentRevision(), Gone: true})
 	}
 }
 
@@ -304,7 +304,7 @@
 	defer store.mutex.Unlock()
 	store.counts.Writes++
 	store.granted++
-	store.leases[store.granted] = &standLease{ttl: ttl, until: time.Now().Add(ttl)}
+	store.leases[store.granted] = &activeLease{ttl: ttl, until: time.Now().Add(ttl)}
 	time.AfterFunc(ttl+time.Millisecond, store.expireNow)
 	return shedkeel.LeaseID{Era: store.era, Number: store.granted}
 }
@@ -315,13 +315,13 @@
 	defer store.mutex.Unlock()
 	store.expire()
 	store.counts.Reads++
-	known := store.leases[lease.Number]
-	if known == nil {
+	active := store.leases[lease.Number]
+	if active == nil {
 		return 0, &shedkeel.LeaseGoneError{}
 	}
-	known.until = time.Now().Add(known.ttl)
-	time.AfterFunc(known.ttl+time.Millisecond, store.expireNow)
-	return known.ttl, nil
+	active.until = time.Now().Add(active.ttl)
+	time.AfterFunc(active.ttl+time.Millisecond, store.expireNow)
+	return active.ttl, nil
 }
 
 // Release ends a lease.
@@ -351,7 +351,7 @@
 		}
 		delete(store.leases, id)
 		var keys []string
-		for key, owner := range store.byLease {
+		for key, owner := range store.leaseOfKey {
 			if owner == id {
 				keys = append(keys, key)
 			}
@@ -366,12 +366,12 @@
 // Pass applies the faults that hold for any call, and reports whether the call
 // may go on.
 func (store *Store) Pass(writer http.ResponseWriter, request *http.Request) bool {
-	return store.faults.pass(writer, request)
+	return store.faults.applyCommon(writer, request)
 }
 
 // LosesReply reports whether the reply to this write is to be lost.
 func (store *Store) LosesReply() bool {
-	return store.faults.use(func(faults *Faults) *int { return &faults.LoseReplies })
+	return store.faults.consume(func(faults *Faults) *int { return &faults.LoseReplies })
 }
 
 // FaultHandler takes the faults that are posted.
