--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -13,34 +13,34 @@
 	"shedkeel.org/shedkeel/engine"
 )
 
-// Engine is a model engine on one box. Its exported fields are set before it
-// serves.
+// Engine is a fake of the model engine on one box. The exported fields must be set
+// before Begin and not change later.
 type Engine struct {
-	LoadTime   time.Duration // to load weights
-	JoinTime   time.Duration // to join a group once they are loaded
-	TokenTime  time.Duration // between two tokens
-	LoadLag    time.Duration // how late it reports its load
-	Slots      int           // requests that run at once
-	Unfenced   bool          // obeys whoever orders it
-	Weights    chan struct{} // the weight store: one element for each load at once
-	BootPrefix string
+	LoadTime   time.Duration // time to load weights
+	JoinTime   time.Duration // time to join a group after the weights are loaded
+	TokenTime  time.Duration // time per token
+	LoadLag    time.Duration // minimum interval between updates of the reported load
+	Slots      int           // maximum number of concurrent requests
+	Unfenced   bool          // accepts orders with an outdated planner epoch
+	Weights    chan struct{} // semaphore of the weight store: its capacity limits concurrent loads; nil: no limit
+	BootPrefix string        // prefix of the boot identifiers
 
-	faults  faultSwitch
-	mutex   sync.Mutex
-	boots   int
-	state   shedkeel.BoxState
+	faults              faultSwitch
+	mutex               sync.Mutex
+	boots               int
+	state               shedkeel.BoxState
 	highestPlannerEpoch uint64
-	timer   *time.Timer
-	runs    map[string]int // by prompt
-	total   int
-	active  int
-	reportedLoad    int
-	reportedAt  time.Time
-	streams map[string][]string
-	slots   chan struct{}
+	timer               *time.Timer
+	runs                map[string]int // runs per prompt
+	total               int            // runs of all prompts
+	active              int            // requests that run or wait for a slot
+	reportedLoad        int
+	reportedAt          time.Time
+	streams             map[string][]string
+	slots               chan struct{}
 }
 
-// Begin readies an engine.
+// Begin initializes the engine. It must be called before Handler's handler serves.
 func (model *Engine) Begin() {
 	model.runs = map[string]int{}
 	model.streams = map[string][]string{}
@@ -48,7 +48,7 @@
 	model.restart()
 }
 
-// restart is what a crash and a start of the engine do to its state.
+// restart resets the state as a crash and a start of the engine do.
 func (model *Engine) restart() {
 	model.mutex.Lock()
 	defer model.mutex.Unlock()
@@ -60,7 +60,8 @@
 	}
 }
 
-// Handler returns the engine's HTTP side.
+// Handler returns the engine's HTTP handler: its control API, completions and, for
+// tests, POST /fault, POST /restart and GET /runs.
 func (model *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /control/state", model.serveState)
@@ -80,6 +81,7 @@
 	return mux
 }
 
+// serveState returns the state, with a load that is up to LoadLag old.
 func (model *Engine) serveState(writer http.ResponseWriter, request *http.Request) {
 	if !model.faults.applyCommon(writer, request) {
 		return
@@ -97,6 +99,8 @@
 	writeJSON(writer, state)
 }
 
+// serveOrder applies an order. It rejects one whose planner epoch is older than the
+// highest seen, unless the engine is unfenced.
 func (model *Engine) serveOrder(writer http.ResponseWriter, request *http.Request) {
 	if !model.faults.applyCommon(writer, request) {
 		return
@@ -116,7 +120,7 @@
 	model.applyOrder(order)
 }
 
-// applyOrder does what an order says. The mutex is held.
+// applyOrder changes the state as the order says. The caller holds the mutex.
 func (model *Engine) applyOrder(order shedkeel.Order) {
 	if model.timer != nil {
 		model.timer.Stop()
@@ -147,6 +151,9 @@
 	model.timer = time.AfterFunc(wait, func() { model.finishLoading(boot, assigned, after, !loaded) })
 }
 
+// finishLoading sets the phase after unless the engine restarted or was reassigned
+// since. A load from the store holds a slot of the weight store while the state
+// changes.
 func (model *Engine) finishLoading(boot string, assigned shedkeel.Assignment, after shedkeel.Phase, fromStore bool) {
 	if fromStore && model.Weights != nil {
 		model.Weights <- struct{}{}
@@ -159,7 +166,7 @@
 	}
 }
 
-// completion is what the engine reads of a request.
+// completion holds the fields of a completion request that the engine uses.
 type completion struct {
 	Prompt    string `json:"prompt"`
 	Stream    bool   `json:"stream"`
@@ -169,6 +176,7 @@
 	} `json:"messages"`
 }
 
+// defaultTokens is the length of an answer to a request without max_tokens.
 const defaultTokens = 8
 
 func (model *Engine) serveCompletion(writer http.ResponseWriter, request *http.Request) {
@@ -204,14 +212,14 @@
 	model.run(writer, request, name, wanted)
 }
 
-// refusalReason says why a request does not run, if so.
+// refusalReason returns why the engine does not run the request, or "" if it does.
 func (model *Engine) refusalReason(request *http.Request) string {
 	if model.faults.get().Refuse {
 		return "told to refuse"
 	}
 	group := request.Header.Get(engine.HeaderGroup)
 	if group == "" {
-		return "" // a caller that goes to the engine directly
+		return "" // sent to the engine directly, without an entry
 	}
 	model.mutex.Lock()
 	defer model.mutex.Unlock()
@@ -222,6 +230,7 @@
 	return ""
 }
 
+// run runs the request in a slot, for which it waits, and answers it.
 func (model *Engine) run(writer http.ResponseWriter, request *http.Request, name string, wanted completion) {
 	model.countRun(wanted.Prompt, 1)
 	defer model.countRun("", -1)
@@ -242,7 +251,8 @@
 	model.sendStream(writer, request, events, true)
 }
 
-// countRun notes a run that begins or ends.
+// countRun adds by to the active requests: 1 at the start of a run, -1 at its end. A
+// start also counts as a run of the prompt.
 func (model *Engine) countRun(prompt string, by int) {
 	model.mutex.Lock()
 	defer model.mutex.Unlock()
@@ -253,6 +263,7 @@
 	}
 }
 
+// wordsOf returns the words of the answer, one per token, and at least three.
 func wordsOf(wanted completion) []string {
 	words := []string{"answer", "to", wanted.Prompt}
 	for len(words) < wanted.MaxTokens {
@@ -261,6 +272,7 @@
 	return words
 }
 
+// eventsOf returns the answer as server-sent events, with the end mark as the last.
 func eventsOf(wanted completion) []string {
 	var events []string
 	for _, word := range wordsOf(wanted) {
@@ -270,13 +282,14 @@
 	return append(events, "data: [DONE]\n\n")
 }
 
+// sendAnswer sends the answer in one JSON body.
 func (model *Engine) sendAnswer(writer http.ResponseWriter, wanted completion) {
 	text, _ := json.Marshal(strings.Join(wordsOf(wanted), " "))
 	body := fmt.Sprintf("{\"object\":\"text_completion\",\"choices\":[{\"index\":0,\"text\":%s,\"message\":{\"role\":\"assistant\",\"content\":%s},\"finish_reason\":\"stop\"}]}\n", text, text)
 	writeBody(writer, []byte(body), model.faults.get())
 }
 
-// writeBody answers, or breaks off as the faults say.
+// writeBody sends a JSON body, subject to the faults NoLength and CutAfter.
 func writeBody(writer http.ResponseWriter, body []byte, faults Faults) {
 	writer.Header().Set("Content-Type", "application/json")
 	if faults.NoLength {
@@ -292,7 +305,8 @@
 	_, _ = writer.Write(body)
 }
 
-// writeWithoutLength answers as an HTTP/1.0 server does.
+// writeWithoutLength sends the answer as HTTP/1.0 without Content-Length: the end of
+// the connection ends the body.
 func writeWithoutLength(writer http.ResponseWriter, body []byte) {
 	conn, buffer, err := http.NewResponseController(writer).Hijack()
 	if err != nil {
@@ -303,12 +317,14 @@
 	_ = buffer.Flush()
 }
 
+// sendStream sends the events at intervals of TokenTime. If mayCut is true, the fault
+// CutAfter closes the connection in the middle of an event.
 func (model *Engine) sendStream(writer http.ResponseWriter, request *http.Request, events []string, mayCut bool) {
 	writer.Header().Set("Content-Type", "text/event-stream")
 	for index, event := range events {
 		faults := model.faults.get()
 		if mayCut && faults.CutAfter > 0 && index >= faults.CutAfter {
-			_, _ = writer.Write([]byte(event[:len(event)/2])) // in the middle of an event
+			_, _ = writer.Write([]byte(event[:len(event)/2]))
 			_ = http.NewResponseController(writer).Flush()
 			abort()
 		}
@@ -322,6 +338,7 @@
 	}
 }
 
+// resume sends the events of an earlier stream from the given index on.
 func (model *Engine) resume(writer http.ResponseWriter, name, from string) {
 	model.mutex.Lock()
 	events := model.streams[name]
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -12,17 +12,17 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Plain is a plain service. It answers every path and counts the runs of each
-// request body, or of its path if it has none.
+// Plain is a fake of a plain service. It answers every path and counts the runs per
+// request body, or per path for requests without a body.
 type Plain struct {
-	RunTime time.Duration
+	RunTime time.Duration // how long a request runs
 
 	faults faultSwitch
 	mutex  sync.Mutex
 	runs   map[string]int
 }
 
-// Handler returns the service's HTTP side. GET /runs gives the counts.
+// Handler returns the service's HTTP handler. GET /runs returns the counts.
 func (plain *Plain) Handler() http.Handler {
 	plain.runs = map[string]int{}
 	mux := http.NewServeMux()
@@ -63,17 +63,17 @@
 	writeBody(writer, append(text, '\n'), plain.faults.get())
 }
 
-// BoxList is the platform's list of boxes. It tells of changes after its lag.
+// BoxList is a fake of the platform's list of boxes.
 type BoxList struct {
-	Lag   time.Duration
+	Lag   time.Duration // delay until a change is visible
 	Boxes []shedkeel.Box
 
 	faults faultSwitch
 	mutex  sync.Mutex
 }
 
-// Handler returns the list's HTTP side. POST /change takes a box and what
-// becomes of it, as faults name them.
+// Handler returns the list's HTTP handler. POST /change takes Faults as JSON and
+// applies their fields Box, Leaving and Gone after the lag.
 func (list *BoxList) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST /fault", &list.faults)
@@ -109,25 +109,26 @@
 	}
 }
 
-// Relay passes connections on until it is cut. A cut relay takes connections
-// and passes nothing, in either direction, as a broken link does.
+// Relay is a TCP proxy that can be cut. A cut relay accepts connections and forwards
+// nothing in either direction, like a broken network link. It forwards the held data
+// once it is no longer cut.
 type Relay struct {
-	To string
+	To string // target address
 
 	faults faultSwitch
 }
 
-// Control returns the relay's HTTP side, for faults: Hang cuts it.
+// Control returns the HTTP handler that sets faults: Hang cuts the relay.
 func (relay *Relay) Control() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST /fault", &relay.faults)
 	return mux
 }
 
-// SetFaults sets the faults in force.
+// SetFaults replaces the faults.
 func (relay *Relay) SetFaults(faults Faults) { relay.faults.set(faults) }
 
-// Run passes on what comes in until the listener is closed.
+// Run forwards the listener's connections until the listener is closed.
 func (relay *Relay) Run(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -138,6 +139,7 @@
 	}
 }
 
+// loop forwards one connection in both directions until it is closed.
 func (relay *Relay) loop(near net.Conn) {
 	defer func() { _ = near.Close() }()
 	far, err := net.Dial("tcp", relay.To)
@@ -149,6 +151,7 @@
 	relay.pipe(far, near)
 }
 
+// pipe copies data in one direction, and holds it while the relay is cut.
 func (relay *Relay) pipe(from, to net.Conn) {
 	defer func() { _ = to.Close() }()
 	buffer := make([]byte, 32<<10)
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for what shedkeel meets outside
-// itself: model engines, plain services, the platform's key-value service and
-// box list, and links that can be cut. They serve tests and the demo only.
+// Package standin implements fakes of the external systems that shedkeel depends on:
+// model engines, plain services, the platform's key-value service and box list, and
+// network links that can be cut. Only tests and the demo use it.
 package standin
 
 import (
@@ -11,25 +11,26 @@
 	"time"
 )
 
-// Faults are what a stand-in can be made to do wrong, by a POST of JSON to its
-// path /fault. A POST replaces all of them.
+// Faults are the failures that a fake can inject. A POST of JSON to its path /fault
+// sets them and replaces all earlier ones. Fields that do not apply to a fake have no
+// effect.
 type Faults struct {
-	Outage      bool   `json:"outage"`       // refuse every call
-	Hang        bool   `json:"hang"`         // take calls and never answer
-	DelayMS     int    `json:"delay_ms"`     // answer late
-	LoseReplies int    `json:"lose_replies"` // so many writes take effect and break the connection
-	CutAfter    int    `json:"cut_after"`    // break the connection after so many events or bytes of each answer
-	CutOnce     bool   `json:"cut_once"`     // only the first time
-	WrongName   bool   `json:"wrong_name"`   // answer with another attempt's name
-	ResetFirst  int    `json:"reset_first"`  // so many requests run and then break the connection without answer
-	NoLength    bool   `json:"no_length"`    // end answers with the connection
-	Refuse      bool   `json:"refuse"`       // refuse requests, saying that they did not run
-	Leaving     bool   `json:"leaving"`      // report that the box is leaving
-	Box         string `json:"box"`          // box list: the box that Leaving and Gone are about
+	Outage      bool   `json:"outage"`       // answer every call with status 503
+	Hang        bool   `json:"hang"`         // accept calls and never answer
+	DelayMS     int    `json:"delay_ms"`     // delay before each answer, in milliseconds
+	LoseReplies int    `json:"lose_replies"` // number of writes that take effect but whose reply is lost
+	CutAfter    int    `json:"cut_after"`    // number of events or bytes of each answer after which the connection is closed
+	CutOnce     bool   `json:"cut_once"`     // apply CutAfter only once
+	WrongName   bool   `json:"wrong_name"`   // answer with another attempt's identifier
+	ResetFirst  int    `json:"reset_first"`  // number of requests that run, but whose connection is closed without an answer
+	NoLength    bool   `json:"no_length"`    // answer as HTTP/1.0 without Content-Length, so that the body ends with the connection
+	Refuse      bool   `json:"refuse"`       // reject requests and report that they did not run
+	Leaving     bool   `json:"leaving"`      // report that the box is about to be removed
+	Box         string `json:"box"`          // box list: the box to which Leaving and Gone apply
 	Gone        bool   `json:"gone"`         // box list: the box is no longer listed
 }
 
-// faultSwitch holds the faults in force. The zero value has none.
+// faultSwitch holds the faults of one fake. The zero value has none.
 type faultSwitch struct {
 	mutex  sync.Mutex
 	faults Faults
@@ -41,7 +42,8 @@
 	return faultSwitch.faults
 }
 
-// consume takes one of a counted fault, and reports whether there was one.
+// consume decrements the counter of a fault that occurs a limited number of times. It
+// reports whether the counter was positive.
 func (faultSwitch *faultSwitch) consume(count func(*Faults) *int) bool {
 	faultSwitch.mutex.Lock()
 	defer faultSwitch.mutex.Unlock()
@@ -53,7 +55,7 @@
 	return true
 }
 
-// ServeHTTP takes the faults that are posted.
+// ServeHTTP replaces the faults by those in the request's body.
 func (faultSwitch *faultSwitch) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	var faults Faults
 	decoder := json.NewDecoder(request.Body)
@@ -71,16 +73,16 @@
 	faultSwitch.faults = faults
 }
 
-// applyCommon applies the faults that hold for any call, and reports whether the call
-// may go on.
+// applyCommon applies the faults DelayMS, Hang and Outage, which any call can have. It
+// reports whether the handler should go on with the call.
 func (faultSwitch *faultSwitch) applyCommon(writer http.ResponseWriter, request *http.Request) bool {
 	faults := faultSwitch.get()
 	if faults.DelayMS > 0 {
 		time.Sleep(time.Duration(faults.DelayMS) * time.Millisecond)
 	}
 	if faults.Hang {
-		// Only when the body has been read does the server notice that the
-		// caller has gone.
+		// The HTTP server detects that the caller disconnected only after the
+		// body has been read.
 		_, _ = io.Copy(io.Discard, request.Body)
 		<-request.Context().Done()
 		return false
@@ -92,7 +94,7 @@
 	return true
 }
 
-// abort breaks the connection.
+// abort closes the connection without an answer. It panics, as net/http requires.
 func abort() { panic(http.ErrAbortHandler) }
 
 func writeJSON(writer http.ResponseWriter, body any) {
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -12,40 +12,40 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Store is the data of a key-value service with leases and a history. The
-// platform's stand-in speaks for it over HTTP.
+// Store is an in-memory key-value store with leases and a history of changes.
+// platform/standin serves it over HTTP.
 type Store struct {
-	faults   faultSwitch
-	mutex    sync.Mutex
-	revision int64
-	data     map[string]shedkeel.Record
-	saved     snapshot
-	era      int64         // how often it has come back from a snapshot
-	changed  chan struct{} // closed at each change
-	log      []shedkeel.Record
-	compactedTo    int64 // changes up to this revision are forgotten
-	leases   map[int64]*activeLease
-	leaseOfKey  map[string]int64 // of keys that go with a lease
-	granted  int64
-	counts   Counts
+	faults      faultSwitch
+	mutex       sync.Mutex
+	revision    int64
+	data        map[string]shedkeel.Record
+	saved       snapshot
+	era         int64         // number of restores from a snapshot
+	changed     chan struct{} // closed and replaced at each change
+	log         []shedkeel.Record
+	compactedTo int64 // the history holds only changes after this revision
+	leases      map[int64]*activeLease
+	leaseOfKey  map[string]int64 // lease that owns each key, for keys with a lease
+	granted     int64            // number of the last lease
+	counts      Counts
 }
 
-// snapshot is what a store held at a moment.
+// snapshot is a copy of a store's state.
 type snapshot struct {
 	revision int64
 	data     map[string]shedkeel.Record
-	leases   map[int64]time.Duration // how long each lasts
+	leases   map[int64]time.Duration // TTL of each lease
 	byLease  map[string]int64
 	granted  int64
 }
 
-// activeLease is a lease that is not over.
+// activeLease is a lease that has not expired.
 type activeLease struct {
 	ttl   time.Duration
 	until time.Time
 }
 
-// Counts is how many calls a store has had.
+// Counts are the numbers of calls to a store.
 type Counts struct {
 	Reads   int `json:"reads"`
 	Writes  int `json:"writes"`
@@ -60,14 +60,14 @@
 	}
 }
 
-// Counts returns how many calls there were.
+// Counts returns the numbers of calls so far.
 func (store *Store) Counts() Counts {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	return store.counts
 }
 
-// Get reads a key, for tests that need no HTTP.
+// Get reads a key, for tests without HTTP. A missing key has the zero revision.
 func (store *Store) Get(_ context.Context, key string) (shedkeel.Record, error) {
 	if store.faults.get().Outage {
 		return shedkeel.Record{}, &shedkeel.UnavailableError{What: "store"}
@@ -82,7 +82,9 @@
 	return record, nil
 }
 
-// Swap writes a key, for tests that need no HTTP.
+// Swap writes a key if it has the revision, for tests without HTTP. The error is a
+// ConflictError, an UnavailableError during an outage, or an UnknownOutcomeError if
+// the reply is lost.
 func (store *Store) Swap(_ context.Context, key string, revision shedkeel.Revision, value []byte) (shedkeel.Revision, error) {
 	if store.faults.get().Outage {
 		return shedkeel.Revision{}, &shedkeel.UnavailableError{What: "store"}
@@ -100,7 +102,8 @@
 	return written, nil
 }
 
-// Watch follows a prefix, for tests that need no HTTP.
+// Watch calls seen for each record below the prefix and then for each change, until
+// the context is done or the history is lost. It is for tests without HTTP.
 func (store *Store) Watch(ctx context.Context, prefix string, seen func(shedkeel.Record)) error {
 	records, at := store.List(prefix)
 	for {
@@ -115,7 +118,7 @@
 	}
 }
 
-// SetFaults sets the faults in force.
+// SetFaults replaces the faults.
 func (store *Store) SetFaults(faults Faults) { store.faults.set(faults) }
 
 func (store *Store) swap(key string, revision shedkeel.Revision, value []byte) (shedkeel.Revision, bool) {
@@ -123,14 +126,15 @@
 	return written, err == nil
 }
 
-// appendChange wakes the watches. The mutex is held.
+// appendChange appends a change to the history and wakes the watches. The caller holds
+// the mutex.
 func (store *Store) appendChange(record shedkeel.Record) {
 	store.log = append(store.log, record)
 	close(store.changed)
 	store.changed = make(chan struct{})
 }
 
-// Snapshot keeps what the store holds as it is.
+// Snapshot saves the state for Restore.
 func (store *Store) Snapshot() {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -141,9 +145,10 @@
 	store.saved = snapshot{revision: store.revision, data: maps.Clone(store.data), leases: leases, byLease: maps.Clone(store.leaseOfKey), granted: store.granted}
 }
 
-// Restore goes back to the snapshot, as a service does that was restored from a backup:
-// what was written since is gone, and its revisions and leases are given out again.
-// Watches are broken off.
+// Restore returns to the snapshot, like a service that is restored from a backup.
+// Later writes are lost, and their revision and lease numbers are assigned again, in a
+// new era. Leases begin a full TTL. Watches of lost changes end with a
+// HistoryGoneError.
 func (store *Store) Restore() {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -167,14 +172,14 @@
 	store.changed = make(chan struct{})
 }
 
-// Era returns how often the store has come back from a snapshot.
+// Era returns the number of restores from a snapshot.
 func (store *Store) Era() int64 {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	return store.era
 }
 
-// Record returns a key's record; one with revision 0 if there is none.
+// Record returns a key's record. A missing key has the zero revision.
 func (store *Store) Record(key string) shedkeel.Record {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -187,7 +192,7 @@
 	return record
 }
 
-// List returns the records below the prefix, sorted by key, and the revision.
+// List returns the records below the prefix, sorted by key, and the current revision.
 func (store *Store) List(prefix string) ([]shedkeel.Record, shedkeel.Revision) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -203,8 +208,9 @@
 	return found, store.currentRevision()
 }
 
-// Changes waits for changes below the prefix after the revision. It returns a
-// HistoryGoneError when they are forgotten.
+// Changes returns the changes below the prefix after the revision since, and the
+// current revision. If there are none, it waits for one, for at most wait. The error is
+// a HistoryGoneError if the history no longer reaches back to since.
 func (store *Store) Changes(ctx context.Context, prefix string, since shedkeel.Revision, wait time.Duration) ([]shedkeel.Record, shedkeel.Revision, error) {
 	end := time.NewTimer(wait)
 	defer end.Stop()
@@ -239,7 +245,7 @@
 	}
 }
 
-// Forget drops the history of changes.
+// Forget deletes the history of changes.
 func (store *Store) Forget() {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -249,14 +255,14 @@
 	store.changed = make(chan struct{})
 }
 
-// currentRevision returns the revision that the store has reached. The mutex is held.
+// currentRevision returns the revision of the last change. The caller holds the mutex.
 func (store *Store) currentRevision() shedkeel.Revision {
 	return shedkeel.Revision{Era: store.era, Number: store.revision}
 }
 
-// Commit makes all changes or none. As the service does, it knows no eras of
-// revisions and leases. Its error is a ConflictError or a
-// LeaseGoneError.
+// Commit applies all changes at one revision, or none. Like the service, it ignores the
+// eras of revisions and leases. The error is a ConflictError if a key does not have the
+// required revision, or a LeaseGoneError.
 func (store *Store) Commit(change shedkeel.Change) (shedkeel.Revision, error) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -286,7 +292,7 @@
 	return store.currentRevision(), nil
 }
 
-// remove removes keys at the present revision. The mutex is held.
+// remove deletes keys at the current revision. The caller holds the mutex.
 func (store *Store) remove(keys []string) {
 	for _, key := range keys {
 		if _, found := store.data[key]; !found {
@@ -298,7 +304,7 @@
 	}
 }
 
-// Grant makes a lease.
+// Grant creates a lease.
 func (store *Store) Grant(ttl time.Duration) shedkeel.LeaseID {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -309,7 +315,8 @@
 	return shedkeel.LeaseID{Era: store.era, Number: store.granted}
 }
 
-// Renew makes a lease last anew. It returns a LeaseGoneError if it is over.
+// Renew extends a lease by its TTL, which it returns. The error is a LeaseGoneError if
+// the lease has expired.
 func (store *Store) Renew(lease shedkeel.LeaseID) (time.Duration, error) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -324,7 +331,7 @@
 	return active.ttl, nil
 }
 
-// Release ends a lease.
+// Release ends a lease and deletes its keys.
 func (store *Store) Release(lease shedkeel.LeaseID) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -335,14 +342,15 @@
 	store.expire()
 }
 
+// expireNow is expire for timers, which do not hold the mutex.
 func (store *Store) expireNow() {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.expire()
 }
 
-// expire ends the leases that have run out and removes their keys. The mutex
-// is held.
+// expire ends the leases whose time is over and deletes their keys. The caller holds
+// the mutex.
 func (store *Store) expire() {
 	now := time.Now()
 	for id, lease := range store.leases {
@@ -363,16 +371,17 @@
 	}
 }
 
-// Pass applies the faults that hold for any call, and reports whether the call
-// may go on.
+// Pass applies the faults DelayMS, Hang and Outage. It reports whether the handler
+// should go on with the call.
 func (store *Store) Pass(writer http.ResponseWriter, request *http.Request) bool {
 	return store.faults.applyCommon(writer, request)
 }
 
-// LosesReply reports whether the reply to this write is to be lost.
+// LosesReply reports whether the reply to the current write must be dropped, and counts
+// it.
 func (store *Store) LosesReply() bool {
 	return store.faults.consume(func(faults *Faults) *int { return &faults.LoseReplies })
 }
 
-// FaultHandler takes the faults that are posted.
+// FaultHandler returns the handler of POST /fault.
 func (store *Store) FaultHandler() http.Handler { return &store.faults }
--- /dev/null
+++ b/soak/checker_test.go
@@ -0,0 +1,253 @@
+package soak
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"shedkeel.org/shedkeel"
+	platformstandin "shedkeel.org/shedkeel/platform/standin"
+)
+
+// revokeBound is the time after which no request runs with a removed API key: the
+// nodes' setting bounds.revoke, and 200 ms for the request to arrive.
+const revokeBound = 5*time.Second + 200*time.Millisecond
+
+// maxServersCrashed is how many servers one deadly request may crash: five until all
+// nodes know of it, and three more.
+const maxServersCrashed = 8
+
+// streamEvents is the number of events in a stream.
+const streamEvents = 20
+
+// checker sends requests and checks their answers and where they ran.
+type checker struct {
+	cluster *cluster
+
+	mutex      sync.Mutex
+	removed    map[string]time.Time // when each API key was removed
+	rejected   []string             // unsafe calls whose answer said that they did not run
+	atMostOnce []string             // unsafe calls, which must run at most once
+	violations []string
+	outcomes   map[string]int
+}
+
+// keyRemoved records that the API key was removed just now.
+func (checker *checker) keyRemoved(key string) {
+	checker.mutex.Lock()
+	defer checker.mutex.Unlock()
+	if checker.removed == nil {
+		checker.removed = map[string]time.Time{}
+		checker.outcomes = map[string]int{}
+	}
+	checker.removed[key] = time.Now()
+}
+
+// recordViolation records a violated guarantee, which fails the test at its end.
+func (checker *checker) recordViolation(format string, args ...any) {
+	checker.mutex.Lock()
+	defer checker.mutex.Unlock()
+	checker.violations = append(checker.violations, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
+}
+
+// caller is a client with its own connections, which it reuses.
+type caller struct {
+	checker           *checker
+	random            *rand.Rand
+	client            *http.Client
+	addresses         []string
+	addressesExpireAt time.Time
+}
+
+// runCaller sends calls until stop is closed.
+func (checker *checker) runCaller(index int, stop <-chan struct{}) {
+	caller := &caller{checker: checker, random: rand.New(rand.NewPCG(uint64(index), 5)), client: &http.Client{Timeout: 9 * time.Second, Transport: &http.Transport{}}}
+	defer caller.client.CloseIdleConnections()
+	for {
+		select {
+		case <-stop:
+			return
+		case <-time.After(time.Duration(caller.random.IntN(60)) * time.Millisecond):
+		}
+		caller.call()
+	}
+}
+
+// address returns a node's address from the directory, or "". Like the platform's
+// callers it caches an answer for up to three times its TTL, and for longer if it gets
+// no new one.
+func (caller *caller) address() string {
+	if time.Now().After(caller.addressesExpireAt) {
+		node := caller.checker.cluster.nodes[caller.random.IntN(len(caller.checker.cluster.nodes))]
+		if answer, keep := caller.ask(node.directory); len(answer) > 0 {
+			caller.addresses = answer
+			caller.addressesExpireAt = time.Now().Add(keep * time.Duration(1+2*caller.random.IntN(2)))
+		}
+	}
+	if len(caller.addresses) == 0 {
+		return ""
+	}
+	return caller.addresses[caller.random.IntN(len(caller.addresses))]
+}
+
+// ask returns the addresses and the TTL of a directory answer.
+func (caller *caller) ask(directory string) ([]string, time.Duration) {
+	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	response, err := client.Get("http://" + directory + "/shedkeel/resolve?name=h.example&zone=z")
+	if err != nil {
+		return nil, 0
+	}
+	defer func() { _ = response.Body.Close() }()
+	var answer struct {
+		Addresses []string `json:"addresses"`
+		KeepS     float64  `json:"ttl_s"`
+	}
+	if json.NewDecoder(response.Body).Decode(&answer) != nil {
+		return nil, 0
+	}
+	return answer.Addresses, time.Duration(answer.KeepS * float64(time.Second))
+}
+
+// call sends a call of a random kind with a random valid or recently removed API key.
+func (caller *caller) call() {
+	address := caller.address()
+	if address == "" {
+		return
+	}
+	kind := []string{"/copy/", "/look/", "/fee/"}[caller.random.IntN(3)]
+	key := []string{"stays", caller.checker.cluster.key()}[caller.random.IntN(2)]
+	caller.send(address, kind, key)
+}
+
+// send sends one call and checks its answer. It reports whether a complete answer with
+// status 200 came.
+func (caller *caller) send(address, kind, key string) bool {
+	cluster := caller.checker.cluster
+	node := slices.IndexFunc(cluster.nodes, func(process *process) bool { return process.callers == address })
+	id := platformstandin.RequestID(node, shedkeel.NewNonce())
+	sent := time.Now()
+	status, body := caller.post(address, kind+id, id, key, "x")
+	caller.checker.recordOutcome(kind, id, status)
+	if status != http.StatusOK || body == "" {
+		return false
+	}
+	caller.checker.checkAnswer(kind, id, key, sent, body)
+	return true
+}
+
+// post sends one request. It returns the answer's status, or 0 if there is none, and
+// its body, or "" if the body is incomplete.
+func (caller *caller) post(address, path, id, key, requestBody string) (int, string) {
+	request, err := http.NewRequest(http.MethodPost, "http://"+address+path, strings.NewReader(requestBody))
+	if err != nil {
+		caller.checker.recordViolation("request is invalid: %v", err)
+		return 0, ""
+	}
+	request.Host = "h.example"
+	for name, value := range map[string]string{"X-Shedkeel-Attempt-Id": id, "X-Shedkeel-Key": key, "X-Shedkeel-Deadline-Ms": "8000", "X-Shedkeel-Model": "m0", "X-Shedkeel-Token-Usage": fmt.Sprint("100,", 5*streamEvents)} {
+		request.Header.Set(name, value)
+	}
+	response, err := caller.client.Do(request)
+	if err != nil {
+		return 0, ""
+	}
+	defer func() { _ = response.Body.Close() }()
+	body, err := io.ReadAll(response.Body)
+	if err != nil {
+		return response.StatusCode, ""
+	}
+	return response.StatusCode, string(body)
+}
+
+// recordOutcome records the status of a call's answer.
+func (checker *checker) recordOutcome(kind, id string, status int) {
+	checker.mutex.Lock()
+	defer checker.mutex.Unlock()
+	checker.outcomes[fmt.Sprint(kind, " ", status)]++
+	if kind == "/fee/" {
+		checker.atMostOnce = append(checker.atMostOnce, id)
+	}
+	switch status {
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
+		if kind == "/fee/" {
+			checker.rejected = append(checker.rejected, id)
+		}
+	}
+}
+
+// checkAnswer judges a whole checkAnswer.
+func (checker *checker) checkAnswer(kind, id, key string, sent time.Time, body string) {
+	checker.mutex.Lock()
+	removed, wasRemoved := checker.removed[key]
+	checker.mutex.Unlock()
+	if wasRemoved && sent.Sub(removed) > revokeBound {
+		checker.recordViolation("%s ran with a key that was removed %s before it was sent", id, sent.Sub(removed))
+	}
+	want := "POST " + kind + id + " for shop"
+	if kind == "/copy/" {
+		var text strings.Builder
+		for number := 1; number <= streamEvents; number++ {
+			fmt.Fprintf(&text, "id: %d\ndata: token %d\n\n", number, number)
+		}
+		want = text.String()
+	}
+	if body != want {
+		checker.recordViolation("%s%s: got answer %q, want %q", kind, id, body, want)
+	}
+}
+
+// waitServed waits until every node answers each kind of call, for at most the limit.
+func (checker *checker) waitServed(when string, limit time.Duration) {
+	prober := &caller{checker: checker, client: &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
+	for end := time.Now().Add(limit); ; time.Sleep(100 * time.Millisecond) {
+		served := true
+		for _, node := range checker.cluster.nodes {
+			for _, kind := range []string{"/copy/", "/look/", "/fee/"} {
+				served = served && prober.send(node.callers, kind, "stays")
+			}
+		}
+		if served {
+			return
+		}
+		if time.Now().After(end) {
+			checker.recordViolation("not all nodes answer all calls within %s, %s", limit, when)
+			return
+		}
+	}
+}
+
+// check fails the test if a guarantee was violated.
+func (checker *checker) check() {
+	t := checker.cluster.t
+	checker.mutex.Lock()
+	defer checker.mutex.Unlock()
+	for _, id := range checker.atMostOnce {
+		if runs := checker.cluster.fleet.Ran(id); runs > 1 {
+			t.Errorf("unsafe call %s ran %d times, want at most once", id, runs)
+		}
+	}
+	for _, id := range checker.rejected {
+		if checker.cluster.fleet.Ran(id) > 0 {
+			t.Errorf("%s ran, although its answer said that it did not", id)
+		}
+	}
+	for body, ended := range checker.cluster.fleet.Ended() {
+		if ended > maxServersCrashed {
+			t.Errorf("%d servers crashed on request %s", ended, body)
+		}
+	}
+	for _, violation := range append(checker.violations, checker.cluster.fleet.Broken()...) {
+		t.Error(violation)
+	}
+	answered := checker.outcomes["/copy/ 200"] + checker.outcomes["/look/ 200"] + checker.outcomes["/fee/ 200"]
+	if answered == 0 {
+		t.Error("no call was answered, so the test checked nothing")
+	}
+	t.Logf("outcomes: %v; servers crashed: %v", checker.outcomes, checker.cluster.fleet.Ended())
+}
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -13,97 +13,100 @@
 	platformstandin "shedkeel.org/shedkeel/platform/standin"
 )
 
-// runFaults breaks things one after another for a while, and mends each.
-func (world *world) runFaults(random *rand.Rand, length time.Duration) {
+// runFaults injects random faults one after another for the given time. Each fault
+// also ends, some of them while the next is already injected.
+func (cluster *cluster) runFaults(random *rand.Rand, length time.Duration) {
 	kinds := []func(*rand.Rand) string{
-		world.killNode, world.stopNode, world.freezeNode, world.cutStore, world.loseServer, world.spoilServer,
-		world.drainServer, world.storeFault, world.removeKey, world.hangUp, world.sendDeadly, world.limitServer,
-		world.backOffServer, world.drainByAnswers, world.restoreStore,
+		cluster.killNode, cluster.stopNode, cluster.freezeNode, cluster.degradeStoreLink, cluster.killServer, cluster.degradeServer,
+		cluster.drainServer, cluster.failStore, cluster.replaceKey, cluster.sendHangup, cluster.sendDeadly, cluster.limitServer,
+		cluster.backOffServer, cluster.drainByAnswers, cluster.restoreStore,
 	}
 	for end := time.Now().Add(length); time.Now().Before(end); {
 		what := kinds[random.IntN(len(kinds))](random)
-		world.mutex.Lock()
-		world.faults = append(world.faults, time.Now().Format("05.000 ")+what)
-		world.mutex.Unlock()
+		cluster.mutex.Lock()
+		cluster.faults = append(cluster.faults, time.Now().Format("05.000 ")+what)
+		cluster.mutex.Unlock()
 		time.Sleep(between(random, 50, 600))
 	}
 }
 
+// between returns a random number of milliseconds in [least, most).
 func between(random *rand.Rand, least, most int64) time.Duration {
 	return time.Duration(least+random.Int64N(most-least)) * time.Millisecond
 }
 
-func (world *world) node(random *rand.Rand) *process {
-	return world.nodes[random.IntN(len(world.nodes))]
+func (cluster *cluster) node(random *rand.Rand) *process {
+	return cluster.nodes[random.IntN(len(cluster.nodes))]
 }
 
-func (world *world) killNode(random *rand.Rand) string {
-	node := world.node(random)
+func (cluster *cluster) killNode(random *rand.Rand) string {
+	node := cluster.node(random)
 	node.end(syscall.SIGKILL)
 	time.Sleep(between(random, 100, 1200))
-	world.startNode(node)
+	cluster.startNode(node)
 	return "killed and restarted " + node.name
 }
 
-func (world *world) stopNode(random *rand.Rand) string {
-	node := world.node(random)
+func (cluster *cluster) stopNode(random *rand.Rand) string {
+	node := cluster.node(random)
 	node.end(syscall.SIGTERM)
-	world.startNode(node)
-	return "stopped and restarted " + node.name
+	cluster.startNode(node)
+	return "stopped gracefully and restarted " + node.name
 }
 
-func (world *world) freezeNode(random *rand.Rand) string {
-	node := world.node(random)
+func (cluster *cluster) freezeNode(random *rand.Rand) string {
+	node := cluster.node(random)
 	length := between(random, 200, 2500)
 	node.signal(syscall.SIGSTOP)
 	time.Sleep(length)
 	node.signal(syscall.SIGCONT)
-	world.wakes(node)
+	cluster.recordResume(node)
 	return fmt.Sprintf("froze %s for %s", node.name, length)
 }
 
-func (world *world) hangUp(random *rand.Rand) string {
-	node := world.node(random)
+func (cluster *cluster) sendHangup(random *rand.Rand) string {
+	node := cluster.node(random)
 	node.signal(syscall.SIGHUP)
 	return "SIGHUP to " + node.name
 }
 
-func (world *world) cutStore(random *rand.Rand) string {
-	node := world.node(random)
-	manner := []manner{delayed, silent, deaf, refusing}[random.IntN(4)]
-	node.store.set(manner)
+func (cluster *cluster) degradeStoreLink(random *rand.Rand) string {
+	node := cluster.node(random)
+	mode := []proxyMode{delayed, stalled, repliesStalled, refusing}[random.IntN(4)]
+	node.store.set(mode)
 	length := between(random, 300, 3000)
 	time.Sleep(length)
 	node.store.set(passing)
-	return fmt.Sprintf("store of %s in manner %d for %s", node.name, manner, length)
+	return fmt.Sprintf("store of %s in mode %d for %s", node.name, mode, length)
 }
 
-// loseServer kills a server of a group or a plain one. Its record goes as after
-// three heartbeats; another server comes.
-func (world *world) loseServer(random *rand.Rand) string {
-	service, id := world.victim(random)
+// killServer kills a random server. Its record is removed 1.5 s later, as after three missed
+// heartbeats, and a new server is added.
+func (cluster *cluster) killServer(random *rand.Rand) string {
+	service, id := cluster.randomServer(random)
 	if id == "" {
-		return "no server to lose"
+		return "no server to kill"
 	}
-	world.fleet.Kill(id)
+	cluster.fleet.Kill(id)
 	time.AfterFunc(1500*time.Millisecond, func() {
-		_ = world.fleet.Lapse(id) // the stand-in's store takes it always
+		_ = cluster.fleet.Lapse(id) // the fake store always accepts it
 	})
-	world.replaceServer(random, service)
-	return "lost " + id
+	cluster.replaceServer(random, service)
+	return "killed " + id
 }
 
-func (world *world) replaceServer(random *rand.Rand, service string) {
+func (cluster *cluster) replaceServer(random *rand.Rand, service string) {
 	domain := ""
 	if service == "llm" {
 		domain = fmt.Sprint("rack-", random.IntN(2))
 	}
-	world.addServer(service, domain)
+	cluster.addServer(service, domain)
 }
 
-// victim returns a server that still lives, one of three of the plain ones.
-func (world *world) victim(random *rand.Rand) (service, id string) {
-	living := world.fleet.Living()
+// randomServer returns a live server and its service, or "" if fewer than eight are
+// live.
+func (cluster *cluster) randomServer(random *rand.Rand) (service, id string) {
+	living := cluster.fleet.Living()
 	slices.Sort(living)
 	if len(living) < 8 {
 		return "", ""
@@ -116,75 +119,77 @@
 	return service, id
 }
 
-func (world *world) spoilServer(random *rand.Rand) string {
-	_, id := world.victim(random)
-	world.mutex.Lock()
-	way := world.servers[id]
-	world.mutex.Unlock()
-	if way == nil {
-		return "no server to spoil"
+func (cluster *cluster) degradeServer(random *rand.Rand) string {
+	_, id := cluster.randomServer(random)
+	cluster.mutex.Lock()
+	link := cluster.servers[id]
+	cluster.mutex.Unlock()
+	if link == nil {
+		return "no server to degrade"
 	}
-	manner := []manner{delayed, silent, refusing}[random.IntN(3)]
-	way.set(manner)
+	mode := []proxyMode{delayed, stalled, refusing}[random.IntN(3)]
+	link.set(mode)
 	length := between(random, 200, 2000)
 	time.Sleep(length)
-	way.set(passing)
-	world.fleet.ExcuseAll(id)
-	return fmt.Sprintf("way to %s in manner %d for %s", id, manner, length)
+	link.set(passing)
+	cluster.fleet.ExcuseAll(id)
+	return fmt.Sprintf("link to %s in mode %d for %s", id, mode, length)
 }
 
-func (world *world) drainServer(random *rand.Rand) string {
-	service, id := world.victim(random)
+func (cluster *cluster) drainServer(random *rand.Rand) string {
+	service, id := cluster.randomServer(random)
 	if id == "" {
 		return "no server to drain"
 	}
-	world.fleet.Drain(id)
-	world.endServer(id, 3*time.Second)
-	world.replaceServer(random, service)
+	cluster.fleet.Drain(id)
+	cluster.endServerAfter(id, 3*time.Second)
+	cluster.replaceServer(random, service)
 	return "drained " + id
 }
 
-func (world *world) storeFault(random *rand.Rand) string {
+func (cluster *cluster) failStore(random *rand.Rand) string {
 	faults := []standin.Faults{{Outage: true}, {DelayMS: 200}, {LoseReplies: 3}}[random.IntN(3)]
-	world.data.SetFaults(faults)
+	cluster.data.SetFaults(faults)
 	length := between(random, 200, 2500)
 	time.Sleep(length)
-	world.data.SetFaults(standin.Faults{})
+	cluster.data.SetFaults(standin.Faults{})
 	if random.IntN(2) == 0 {
-		world.data.Forget()
+		cluster.data.Forget()
 	}
 	return fmt.Sprintf("store %+v for %s", faults, length)
 }
 
-func (world *world) removeKey(*rand.Rand) string {
-	world.configure()
-	return "a key removed, another added"
+func (cluster *cluster) replaceKey(*rand.Rand) string {
+	cluster.configure()
+	return "API key replaced"
 }
 
-// deadlyPrefix is what the bodies of requests begin with that end servers.
+// deadlyPrefix is the prefix of the bodies of requests that crash the server that runs
+// them.
 const deadlyPrefix = "deadly"
 
-// sendDeadly has one and the same request that ends servers come for a while, at
-// nodes at random, beside the other faults.
-func (world *world) sendDeadly(random *rand.Rand) string {
-	world.mutex.Lock()
-	world.deadly++
-	body := fmt.Sprint(deadlyPrefix, "-", world.deadly)
-	world.mutex.Unlock()
+// sendDeadly starts to send one deadly request repeatedly to random nodes, while other
+// faults go on.
+func (cluster *cluster) sendDeadly(random *rand.Rand) string {
+	cluster.mutex.Lock()
+	cluster.deadly++
+	body := fmt.Sprint(deadlyPrefix, "-", cluster.deadly)
+	cluster.mutex.Unlock()
 	pause := between(random, 40, 500)
 	sendings := random.IntN(40)
-	go world.runDeadly(body, pause, sendings, random.Uint64())
-	return fmt.Sprintf("%s comes %d times, each %s", body, sendings, pause)
+	go cluster.runDeadly(body, pause, sendings, random.Uint64())
+	return fmt.Sprintf("%s sent %d times, one every %s", body, sendings, pause)
 }
 
-func (world *world) runDeadly(body string, pause time.Duration, sendings int, seed uint64) {
+// runDeadly sends the body, with a new attempt identifier each time.
+func (cluster *cluster) runDeadly(body string, pause time.Duration, sendings int, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 3))
-	caller := &caller{judge: &world.judge, random: random, client: &http.Client{Timeout: 9 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
+	caller := &caller{checker: &cluster.checker, random: random, client: &http.Client{Timeout: 9 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 	for range sendings {
-		node := world.node(random)
+		node := cluster.node(random)
 		go caller.post(node.callers, "/copy/deadly", shedkeel.NewNonce(), "stays", body)
 		select {
-		case <-world.over:
+		case <-cluster.done:
 			return
 		case <-time.After(pause):
 		}
@@ -192,110 +197,114 @@
 }
 
 const (
-	// limitWindow is the time in which the requests to a limited server are counted,
-	// and limitBurst how many more than one and a half times its limit it may get.
+	// limitWindow is the time over which requests to a limited server are counted.
+	// In it the server may get one and a half times its limit, and limitBurst more.
 	limitWindow = 4 * time.Second
 	limitBurst  = 5
-	// limitContact is within which all nodes are to know of a limit.
-	limitContact = 3 * time.Second
-	// unawareSends is how many requests a node that has just started or woken may send
-	// to a server before it knows of its limit.
-	unawareSends = 4
+	// limitPropagation is the time within which all nodes must know a limit.
+	limitPropagation = 3 * time.Second
+	// requestsBeforeLimitKnown is how many requests a node that has just started or
+	// resumed may send to a server before it knows the limit.
+	requestsBeforeLimitKnown = 4
 )
 
-// limitServer has a server state a limit for a while, beside the other faults.
-func (world *world) limitServer(random *rand.Rand) string {
-	_, id := world.victim(random)
+// limitServer has a server announce a request rate limit, per second, for some time
+// while other faults go on.
+func (cluster *cluster) limitServer(random *rand.Rand) string {
+	_, id := cluster.randomServer(random)
 	if id == "" {
 		return "no server to limit"
 	}
 	limit := float64(random.IntN(8)) / 2
-	length := limitContact + between(random, 1000, 5000)
-	world.fleet.Limit(id, fmt.Sprint(limit))
-	go world.runLimited(id, limit, length)
-	return fmt.Sprintf("%s states a limit of %v for %s", id, limit, length)
+	length := limitPropagation + between(random, 1000, 5000)
+	cluster.fleet.Limit(id, fmt.Sprint(limit))
+	go cluster.runLimited(id, limit, length)
+	return fmt.Sprintf("%s announces a limit of %v for %s", id, limit, length)
 }
 
-// runLimited checks what a server gets while it states a limit.
-func (world *world) runLimited(id string, limit float64, length time.Duration) {
+// runLimited checks, once the time is over, that the server received no more requests
+// than its limit allows. It ignores those before all nodes must know the limit.
+func (cluster *cluster) runLimited(id string, limit float64, length time.Duration) {
 	stated := time.Now()
 	select {
-	case <-world.over:
+	case <-cluster.done:
 		return
 	case <-time.After(length):
 	}
-	arrivals := world.fleet.Arrivals(id)
-	world.fleet.Limit(id, "")
-	known := slices.DeleteFunc(arrivals, func(at time.Time) bool { return at.Sub(stated) < limitContact })
-	allowed := int(1.5*limit*limitWindow.Seconds()) + limitBurst + unawareSends*world.wokenSince(stated)
+	arrivals := cluster.fleet.Arrivals(id)
+	cluster.fleet.Limit(id, "")
+	known := slices.DeleteFunc(arrivals, func(at time.Time) bool { return at.Sub(stated) < limitPropagation })
+	allowed := int(1.5*limit*limitWindow.Seconds()) + limitBurst + requestsBeforeLimitKnown*cluster.resumesSince(stated)
 	if most := platformstandin.MostArrivals(known, limitWindow); most > allowed {
-		world.judge.breaks("server %s that states a limit of %v got %d requests in %s, allowed %d", id, limit, most, limitWindow, allowed)
+		cluster.checker.recordViolation("server %s with a limit of %v received %d requests in %s, want at most %d", id, limit, most, limitWindow, allowed)
 	}
 }
 
-// backOffServer has a server turn requests away and ask for a backoff for a while.
-func (world *world) backOffServer(random *rand.Rand) string {
-	_, id := world.victim(random)
+// backOffServer has a server reject requests and ask for a backoff for some time.
+func (cluster *cluster) backOffServer(random *rand.Rand) string {
+	_, id := cluster.randomServer(random)
 	if id == "" {
 		return "no server to back off"
 	}
 	length, lasts := between(random, 600, 3000), between(random, 500, 5000)
-	world.fleet.BackOff(id, length)
-	time.AfterFunc(lasts, func() { world.fleet.BackOff(id, 0) })
+	cluster.fleet.BackOff(id, length)
+	time.AfterFunc(lasts, func() { cluster.fleet.BackOff(id, 0) })
 	return fmt.Sprintf("%s asks for backoffs of %s for %s", id, length, lasts)
 }
 
-// endServer ends a server after a while, and its record with it.
-func (world *world) endServer(id string, after time.Duration) {
+// endServerAfter ends a server and removes its record after the given time.
+func (cluster *cluster) endServerAfter(id string, after time.Duration) {
 	time.AfterFunc(after, func() {
-		world.fleet.Kill(id)
-		_ = world.fleet.Lapse(id) // the stand-in's store takes it always
+		cluster.fleet.Kill(id)
+		_ = cluster.fleet.Lapse(id) // the fake store always accepts it
 	})
 }
 
-// drainByAnswers has a server drain that says so in its answers alone.
-func (world *world) drainByAnswers(random *rand.Rand) string {
-	service, id := world.victim(random)
+// drainByAnswers drains a server that announces this only in its answers, not in its
+// record.
+func (cluster *cluster) drainByAnswers(random *rand.Rand) string {
+	service, id := cluster.randomServer(random)
 	if id == "" {
 		return "no server to drain"
 	}
-	world.fleet.DrainByAnswers(id)
-	world.endServer(id, 3500*time.Millisecond)
-	world.replaceServer(random, service)
-	return "drained by its answers " + id
+	cluster.fleet.DrainByAnswers(id)
+	cluster.endServerAfter(id, 3500*time.Millisecond)
+	cluster.replaceServer(random, service)
+	return "drained, announced only in answers: " + id
 }
 
-// restoreStore has the store lose what was written in a while, come back, and be
-// written again by the operator and the servers.
-func (world *world) restoreStore(random *rand.Rand) string {
-	world.restoring.Lock()
-	defer world.restoring.Unlock()
-	world.data.Snapshot()
-	lost, away, again := between(random, 300, 3000), between(random, 200, 1500), between(random, 0, 1500)
-	time.Sleep(lost)
-	world.data.SetFaults(standin.Faults{Outage: true})
-	time.Sleep(away)
-	world.data.Restore()
-	world.data.SetFaults(standin.Faults{})
-	time.Sleep(again)
-	world.writeAgain()
-	return fmt.Sprintf("store came back from a copy of %s before, after %s, written again after %s", lost, away, again)
+// restoreStore restores the store from a snapshot after an outage, so that the writes
+// since the snapshot are lost. The operator and the servers then write their records
+// again.
+func (cluster *cluster) restoreStore(random *rand.Rand) string {
+	cluster.restoring.Lock()
+	defer cluster.restoring.Unlock()
+	cluster.data.Snapshot()
+	writeTime, outage, rewriteDelay := between(random, 300, 3000), between(random, 200, 1500), between(random, 0, 1500)
+	time.Sleep(writeTime)
+	cluster.data.SetFaults(standin.Faults{Outage: true})
+	time.Sleep(outage)
+	cluster.data.Restore()
+	cluster.data.SetFaults(standin.Faults{})
+	time.Sleep(rewriteDelay)
+	cluster.rewriteRecords()
+	return fmt.Sprintf("store restored from a snapshot %s old after an outage of %s; records rewritten %s later", writeTime, outage, rewriteDelay)
 }
 
-// wakes notes that a node starts, or stood still until now.
-func (world *world) wakes(process *process) {
-	world.fleet.Excuse(slices.Index(world.nodes, process))
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	world.woken = append(world.woken, time.Now())
+// recordResume records that a node has started or has resumed after a freeze.
+func (cluster *cluster) recordResume(process *process) {
+	cluster.fleet.Excuse(slices.Index(cluster.nodes, process))
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	cluster.resumes = append(cluster.resumes, time.Now())
 }
 
-// wokenSince returns how often nodes have started or woken since then.
-func (world *world) wokenSince(then time.Time) int {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
+// resumesSince returns how often nodes have started or resumed after then.
+func (cluster *cluster) resumesSince(then time.Time) int {
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
 	count := 0
-	for _, at := range world.woken {
+	for _, at := range cluster.resumes {
 		if at.After(then) {
 			count++
 		}
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// manner is how a proxy treats what passes through it.
-type manner int32
+// proxyMode is how a proxy handles the data of its connections.
+type proxyMode int32
 
 const (
-	passing  manner = iota
-	delayed         // each piece comes late
-	silent          // nothing passes either way, and nothing is said
-	deaf            // answers do not come back
-	refusing        // connections are reset
+	passing        proxyMode = iota
+	delayed                  // each chunk is delayed by proxyDelay
+	stalled                  // both directions are held back; connections stay open
+	repliesStalled           // data from the target is held back
+	refusing                 // connections are reset
 )
 
-// proxyDelay is how late pieces come through a delaying proxy.
+// proxyDelay is the delay of each chunk in the mode delayed.
 const proxyDelay = 120 * time.Millisecond
 
-// proxy stands on loopback between two processes and misbehaves on demand.
+// proxy is a TCP proxy on loopback that injects network faults between two processes.
 type proxy struct {
 	target   string
-	manner   atomic.Int32
+	mode     atomic.Int32
 	mutex    sync.Mutex
 	listener net.Listener
 	conns    map[*net.TCPConn]struct{}
@@ -40,7 +40,7 @@
 	}
 	proxy := &proxy{target: target, listener: listener, conns: map[*net.TCPConn]struct{}{}}
 	go proxy.run(listener)
-	t.Cleanup(proxy.end)
+	t.Cleanup(proxy.close)
 	return proxy
 }
 
@@ -50,16 +50,17 @@
 	return proxy.listener.Addr().String()
 }
 
-// end has the address refuse connections, as that of a process that has ended.
-func (proxy *proxy) end() {
+// close resets all connections and stops listening, so that the address refuses
+// connections like that of a process that has ended.
+func (proxy *proxy) close() {
 	proxy.mutex.Lock()
 	_ = proxy.listener.Close()
 	proxy.mutex.Unlock()
 	proxy.reset()
 }
 
-// begin has the address take connections again.
-func (proxy *proxy) begin() error {
+// reopen listens on the same address again.
+func (proxy *proxy) reopen() error {
 	listener, err := net.Listen("tcp", proxy.address())
 	if err != nil {
 		return err
@@ -77,7 +78,7 @@
 		if err != nil {
 			return
 		}
-		if manner(proxy.manner.Load()) == refusing {
+		if proxyMode(proxy.mode.Load()) == refusing {
 			reset(conn)
 			continue
 		}
@@ -85,6 +86,7 @@
 	}
 }
 
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -92,20 +94,22 @@
 	_ = conn.Close()
 }
 
+// runConn forwards one connection until both directions have ended.
 func (proxy *proxy) runConn(near net.Conn) {
 	far, err := net.DialTimeout("tcp", proxy.target, time.Second)
 	if err != nil {
 		reset(near)
 		return
 	}
-	proxy.keep(near, far)
+	proxy.track(near, far)
 	var both sync.WaitGroup
 	both.Go(func() { proxy.runCopy(far, near, false) })
 	both.Go(func() { proxy.runCopy(near, far, true) })
 	both.Wait()
 }
 
-func (proxy *proxy) keep(conns ...net.Conn) {
+// track stores connections for reset.
+func (proxy *proxy) track(conns ...net.Conn) {
 	proxy.mutex.Lock()
 	defer proxy.mutex.Unlock()
 	for _, conn := range conns {
@@ -115,16 +119,16 @@
 	}
 }
 
-// runCopy copies one way until an end is gone. What a silent proxy holds up
-// comes once it passes again.
+// runCopy copies data in one direction until an end is closed; back is true for the
+// direction from the target. It forwards held data once the mode allows it.
 func (proxy *proxy) runCopy(to, from net.Conn, back bool) {
 	buffer := make([]byte, 16<<10)
 	for {
 		count, err := from.Read(buffer)
-		for proxy.holds(back) {
+		for proxy.stalls(back) {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if manner(proxy.manner.Load()) == delayed {
+		if proxyMode(proxy.mode.Load()) == delayed {
 			time.Sleep(proxyDelay)
 		}
 		if count > 0 {
@@ -133,7 +137,7 @@
 				return
 			}
 		}
-		if err == io.EOF { //nolint:errorlint // a connection returns it as it is
+		if err == io.EOF { //nolint:errorlint // a connection returns io.EOF unwrapped
 			if tcp, ok := to.(*net.TCPConn); ok {
 				_ = tcp.CloseWrite()
 			}
@@ -146,24 +150,26 @@
 	}
 }
 
-func (proxy *proxy) holds(back bool) bool {
-	switch manner(proxy.manner.Load()) {
-	case silent:
+// stalls reports whether the current mode holds back data in the direction.
+func (proxy *proxy) stalls(back bool) bool {
+	switch proxyMode(proxy.mode.Load()) {
+	case stalled:
 		return true
-	case deaf:
+	case repliesStalled:
 		return back
 	}
 	return false
 }
 
-// set changes the manner; refusing resets what is open.
-func (proxy *proxy) set(manner manner) {
-	proxy.manner.Store(int32(manner))
-	if manner == refusing {
+// set changes the mode. The mode refusing resets all open connections.
+func (proxy *proxy) set(mode proxyMode) {
+	proxy.mode.Store(int32(mode))
+	if mode == refusing {
 		proxy.reset()
 	}
 }
 
+// reset resets all open connections.
 func (proxy *proxy) reset() {
 	proxy.mutex.Lock()
 	defer proxy.mutex.Unlock()
--- a/soak/signals_test.go
+++ b/soak/signals_test.go
@@ -11,75 +11,76 @@
 	"gotest.tools/v3/assert"
 )
 
-// sentSignal is a signal that a process gets, and how long after the one before.
+// sentSignal is a signal to a process and the pause after the signal before it.
 type sentSignal struct {
 	after  time.Duration
 	signal syscall.Signal
 }
 
-// TestSignalsWhileStopping sends more signals to a node that stops as planned. It
-// gave hangups back to the system when its stop began, and the default action ended
-// it: SIGTERM at 12.80 s, gone at 15.52 s with a hangup, in the middle of answers
-// that it had grace to finish.
+// TestSignalsWhileStopping sends more signals to a node during its graceful stop. It
+// guards against a node that restores the default action of SIGHUP when its stop
+// begins: a hangup then ended it 2.7 s after SIGTERM, in the middle of answers that it
+// had time left to finish.
 func TestSignalsWhileStopping(t *testing.T) {
 	cases := map[string][]sentSignal{
 		"a hangup":               {{300 * time.Millisecond, syscall.SIGHUP}},
-		"hangups in series":      {{0, syscall.SIGHUP}, {time.Millisecond, syscall.SIGHUP}, {50 * time.Millisecond, syscall.SIGHUP}, {time.Second, syscall.SIGHUP}},
+		"several hangups":        {{0, syscall.SIGHUP}, {time.Millisecond, syscall.SIGHUP}, {50 * time.Millisecond, syscall.SIGHUP}, {time.Second, syscall.SIGHUP}},
 		"a second SIGTERM":       {{300 * time.Millisecond, syscall.SIGTERM}},
 		"both, before and after": {{100 * time.Millisecond, syscall.SIGTERM}, {0, syscall.SIGHUP}, {500 * time.Millisecond, syscall.SIGTERM}, {500 * time.Millisecond, syscall.SIGHUP}},
 	}
 	binary := build(t)
 	for name, signals := range cases {
 		t.Run(name, func(t *testing.T) {
-			world := newWorld(t, binary, 1)
-			world.judge.world = world
-			world.judge.waitServed("before any signal", 20*time.Second)
-			node := world.nodes[0]
+			cluster := newCluster(t, binary, 1)
+			cluster.checker.cluster = cluster
+			cluster.checker.waitServed("before any signal", 20*time.Second)
+			node := cluster.nodes[0]
 			began := time.Now()
 			node.signal(syscall.SIGTERM)
 			for _, sent := range signals {
 				time.Sleep(sent.after)
 				node.signal(sent.signal)
 			}
-			assert.NilError(t, node.wait(), "it ended early, after %s", time.Since(began))
-			world.judge.check()
+			assert.NilError(t, node.wait(), "the node was ended by a signal after %s", time.Since(began))
+			cluster.checker.check()
 		})
 	}
 }
 
-// TestSignalsWhileStarting sends signals to a node that still reads its settings:
-// a hangup must not end it, and settings that can't be read leave it as it is.
+// TestSignalsWhileStarting sends signals to a node that still reads its settings. A
+// hangup must not end it, and after a hangup with invalid settings it keeps the old
+// ones.
 func TestSignalsWhileStarting(t *testing.T) {
 	cases := map[string]struct {
-		early  []sentSignal // before it has its settings
-		broken bool         // the settings are spoilt then, and it gets a hangup
+		early  []sentSignal // sent before the node has read its settings
+		broken bool         // the settings then become invalid and the node gets a hangup
 	}{
-		"a hangup":                    {[]sentSignal{{0, syscall.SIGHUP}}, false},
-		"hangups in series":           {[]sentSignal{{0, syscall.SIGHUP}, {0, syscall.SIGHUP}, {20 * time.Millisecond, syscall.SIGHUP}}, false},
-		"hangup, and broken settings": {[]sentSignal{{0, syscall.SIGHUP}}, true},
+		"a hangup":         {[]sentSignal{{0, syscall.SIGHUP}}, false},
+		"several hangups":  {[]sentSignal{{0, syscall.SIGHUP}, {0, syscall.SIGHUP}, {20 * time.Millisecond, syscall.SIGHUP}}, false},
+		"invalid settings": {[]sentSignal{{0, syscall.SIGHUP}}, true},
 	}
 	binary := build(t)
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			world := newWorld(t, binary, 2)
-			world.judge.world = world
-			world.judge.waitServed("before any signal", 20*time.Second)
-			node := world.nodes[0]
+			cluster := newCluster(t, binary, 2)
+			cluster.checker.cluster = cluster
+			cluster.checker.waitServed("before any signal", 20*time.Second)
+			node := cluster.nodes[0]
 			node.end(syscall.SIGKILL)
 			settings, err := os.ReadFile(node.settings)
 			assert.NilError(t, err)
 			plain := node.settings
-			node.settings = filepath.Join(world.dir, "settings-to-come")
+			node.settings = filepath.Join(cluster.dir, "settings-to-come")
 			assert.NilError(t, syscall.Mkfifo(node.settings, 0o600))
-			world.startNode(node)
-			pipe, err := os.OpenFile(node.settings, os.O_WRONLY, 0) // waits until the node reads
+			cluster.startNode(node)
+			pipe, err := os.OpenFile(node.settings, os.O_WRONLY, 0) // blocks until the node reads
 			assert.NilError(t, err)
 			for _, sent := range test.early {
 				time.Sleep(sent.after)
 				node.signal(sent.signal)
 			}
 			time.Sleep(50 * time.Millisecond)
-			assert.NilError(t, os.Rename(plain, node.settings)) // for the next reading
+			assert.NilError(t, os.Rename(plain, node.settings)) // for the next read
 			_, err = pipe.Write(settings)
 			assert.NilError(t, err)
 			assert.NilError(t, pipe.Close())
@@ -88,18 +89,18 @@
 				assert.NilError(t, os.WriteFile(node.settings, []byte("node = \n"), 0o600))
 				node.signal(syscall.SIGHUP)
 			}
-			world.judge.waitServed("after the signals", 20*time.Second)
+			cluster.checker.waitServed("after the signals", 20*time.Second)
 			node.signal(syscall.SIGTERM)
 			assert.NilError(t, node.wait())
-			world.judge.check()
+			cluster.checker.check()
 		})
 	}
 }
 
-// wait waits until the process has ended by itself, and returns how it did.
+// wait waits until the process has ended by itself and returns its exit error.
 func (process *process) wait() error {
-	process.life.Lock()
-	defer process.life.Unlock()
+	process.lifecycle.Lock()
+	defer process.lifecycle.Unlock()
 	command := process.running()
 	if command == nil {
 		return exec.ErrNotFound
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -1,9 +1,9 @@
-// Package soak runs the node's real program as separate processes on loopback
-// against stand-ins that speak the platform's protocol, breaks things from
-// outside at random, and checks what callers and backend servers saw.
+// Package soak runs the node's program in several processes on loopback, against fakes
+// of the platform. It injects random faults from outside and checks what callers and
+// backend servers observe.
 //
-//	go test ./soak -seeds 50              # fifty seeds by hand
-//	go test ./soak -first 17 -seconds 30  # one seed, longer
+//	go test ./soak -seeds 50              # fifty seeds
+//	go test ./soak -first 17 -seconds 30  # one seed, for longer
 package soak
 
 import (
@@ -28,39 +28,41 @@
 )
 
 var (
-	seeds     = flag.Int("seeds", 2, "how many seeds to run")
+	seeds     = flag.Int("seeds", 2, "number of seeds to run")
 	first     = flag.Uint64("first", 1, "the first seed")
-	seconds   = flag.Int("seconds", 10, "how long faults go on for each seed")
-	processes = flag.Int("processes", 3, "how many nodes run")
-	program   = flag.String("program", "", "the node's program, such as an earlier one; empty: it is built")
-	callers   = flag.Int("callers", 12, "how many callers call at once")
+	seconds   = flag.Int("seconds", 10, "for how many seconds faults are injected per seed")
+	processes = flag.Int("processes", 3, "number of nodes")
+	program   = flag.String("program", "", "path of the node's program, for example an earlier version; empty: build it")
+	callers   = flag.Int("callers", 12, "number of concurrent callers")
 )
 
-// regressions are seeds that failed once, with their cause.
+// regressions are seeds that found a fault, with its cause. They always run.
 var regressions = map[uint64]string{
-	110: "a planner took a member for free by a record of an older copy of the store",
+	110: "a planner regarded a member as free because of a record from an older copy of the store",
 }
 
+// TestSoak runs the regression seeds and those that the flags select.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it takes seconds for each seed")
+		t.Skip("takes several seconds per seed")
 	}
 	binary := build(t)
-	run := map[uint64]bool{}
+	selected := map[uint64]bool{}
 	for seed := range regressions {
-		run[seed] = true
+		selected[seed] = true
 	}
 	for count := range *seeds {
-		run[*first+uint64(count)] = true
+		selected[*first+uint64(count)] = true
 	}
-	for seed := range run {
+	for seed := range selected {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			world := newWorld(t, binary, seed)
-			world.soak()
+			cluster := newCluster(t, binary, seed)
+			cluster.soak()
 		})
 	}
 }
 
+// build returns the path of the node's program, which it builds unless a flag names one.
 func build(t *testing.T) string {
 	t.Helper()
 	if *program != "" {
@@ -72,38 +74,38 @@
 	return binary
 }
 
-// world is what a seed runs in.
-type world struct {
-	t      *testing.T
-	random *rand.Rand
-	binary string
-	dir    string
-	data   *standin.Store
-	fleet  *platformstandin.Fleet
-	store  *httptest.Server
-	nodes  []*process
-	judge  judge
+// cluster holds the nodes, the fakes and the callers of one seed.
+type cluster struct {
+	t       *testing.T
+	random  *rand.Rand
+	binary  string
+	dir     string
+	data    *standin.Store
+	fleet   *platformstandin.Fleet
+	store   *httptest.Server
+	nodes   []*process
+	checker checker
 
-	over      chan struct{} // closed at the end
-	restoring sync.Mutex    // held while the store goes back to a copy
+	done      chan struct{} // closed when the test ends
+	restoring sync.Mutex    // held while the store is restored from a snapshot
 
-	mutex   sync.Mutex
-	deadly  int               // requests that end servers
-	servers map[string]*proxy // the way to each backend server
-	named   int
-	version int
-	faults  []string
-	woken   []time.Time // when nodes started, or woke after they had stood still
+	mutex       sync.Mutex
+	deadly      int               // number of different deadly requests sent
+	servers     map[string]*proxy // proxy in front of each backend server
+	serverCount int
+	version     int
+	faults      []string
+	resumes     []time.Time // when nodes started, or resumed after a freeze
 }
 
-// process is one node and the ways to and from it.
+// process is one node, its addresses and the proxy between it and the store.
 type process struct {
 	name      string
 	settings  string
 	callers   string
 	directory string
 	store     *proxy
-	life      sync.Mutex // held while it is started or ended
+	lifecycle sync.Mutex // held while it is started or ended
 	mutex     sync.Mutex // guards command; never held while waiting
 	command   *exec.Cmd  // nil: not running
 }
@@ -119,92 +121,95 @@
  "limits":{"max_header_bytes":16384,"max_body_bytes":65536,"header_timeout_ms":3000,"idle_timeout_ms":15000},
  "tenants":[{"name":"shop","api_keys":["stays","key-%d"]}]}`
 
-func newWorld(t *testing.T, binary string, seed uint64) *world {
+func newCluster(t *testing.T, binary string, seed uint64) *cluster {
 	t.Helper()
-	world := &world{
+	cluster := &cluster{
 		t: t, random: rand.New(rand.NewPCG(seed, 11)), binary: binary, dir: t.TempDir(),
-		data: standin.NewStore(), servers: map[string]*proxy{}, over: make(chan struct{}),
+		data: standin.NewStore(), servers: map[string]*proxy{}, done: make(chan struct{}),
 	}
-	t.Cleanup(func() { close(world.over) })
-	world.store = httptest.NewServer((&platformstandin.Store{Data: world.data}).Handler())
-	t.Cleanup(world.store.Close)
-	world.fleet = &platformstandin.Fleet{
-		Data: world.data, Deadly: deadlyPrefix, Step: 15 * time.Millisecond,
+	t.Cleanup(func() { close(cluster.done) })
+	cluster.store = httptest.NewServer((&platformstandin.Store{Data: cluster.data}).Handler())
+	t.Cleanup(cluster.store.Close)
+	cluster.fleet = &platformstandin.Fleet{
+		Data: cluster.data, Deadly: deadlyPrefix, Step: 15 * time.Millisecond,
 		Models: map[string]platformstandin.Timing{"m0": {Size: 2, Load: 500 * time.Millisecond, Warmup: 200 * time.Millisecond, Rejoin: 50 * time.Millisecond}},
 	}
-	world.configure()
+	cluster.configure()
 	for index := range 10 {
-		world.addServer("llm", fmt.Sprint("rack-", index%2))
+		cluster.addServer("llm", fmt.Sprint("rack-", index%2))
 	}
 	for range 3 {
-		world.addServer("plain", "")
+		cluster.addServer("plain", "")
 	}
 	for index := range *processes {
-		world.addNode(index)
+		cluster.addNode(index)
 	}
-	return world
+	return cluster
 }
 
-// configure writes a configuration with a new key; the last one is removed.
-func (world *world) configure() {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	world.version++
-	_, err := world.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: "op/config", Value: fmt.Appendf(nil, configText, world.version, world.version)}}})
-	assert.NilError(world.t, err)
-	world.judge.keyRemoved(fmt.Sprint("key-", world.version-1))
+// configure writes a configuration in which a new API key replaces the last one.
+func (cluster *cluster) configure() {
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	cluster.version++
+	_, err := cluster.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: "op/config", Value: fmt.Appendf(nil, configText, cluster.version, cluster.version)}}})
+	assert.NilError(cluster.t, err)
+	cluster.checker.keyRemoved(fmt.Sprint("key-", cluster.version-1))
 }
 
-// writeAgain has the operator and the servers write theirs again.
-func (world *world) writeAgain() {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	_, err := world.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: "op/config", Value: fmt.Appendf(nil, configText, world.version, world.version)}}})
-	assert.NilError(world.t, err)
-	world.fleet.WriteAgain()
+// rewriteRecords has the operator and the servers write their records again.
+func (cluster *cluster) rewriteRecords() {
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	_, err := cluster.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: "op/config", Value: fmt.Appendf(nil, configText, cluster.version, cluster.version)}}})
+	assert.NilError(cluster.t, err)
+	cluster.fleet.WriteAgain()
 }
 
-func (world *world) key() string {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	return fmt.Sprint("key-", world.version)
+// key returns the API key that the last configuration added.
+func (cluster *cluster) key() string {
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	return fmt.Sprint("key-", cluster.version)
 }
 
-func (world *world) addServer(service, domain string) {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	world.named++
-	server := &platformstandin.Server{ID: fmt.Sprintf("%s-%d", service, world.named), Service: service, Domain: domain}
+// addServer starts a backend server behind a proxy. After a deadly request it refuses
+// connections and restarts later.
+func (cluster *cluster) addServer(service, domain string) {
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	cluster.serverCount++
+	server := &platformstandin.Server{ID: fmt.Sprintf("%s-%d", service, cluster.serverCount), Service: service, Domain: domain}
 	http := httptest.NewUnstartedServer(server)
-	way := newProxy(world.t, http.Listener.Addr().String())
-	server.Address = way.address()
-	world.fleet.Add(server)
+	link := newProxy(cluster.t, http.Listener.Addr().String())
+	server.Address = link.address()
+	cluster.fleet.Add(server)
 	http.Start()
-	world.t.Cleanup(func() {
+	cluster.t.Cleanup(func() {
 		http.CloseClientConnections()
 		http.Close()
 	})
-	world.servers[server.ID] = way
+	cluster.servers[server.ID] = link
 	server.End = func() {
-		way.end()
-		time.AfterFunc(backTime, func() { world.serverBack(server.ID, way) })
+		link.close()
+		time.AfterFunc(serverRestartDelay, func() { cluster.restartServer(server.ID, link) })
 	}
 }
 
-// backTime is how long a server that a deadly request ended is away.
-const backTime = 700 * time.Millisecond
+// serverRestartDelay is how long a server is down after a deadly request.
+const serverRestartDelay = 700 * time.Millisecond
 
-func (world *world) serverBack(id string, way *proxy) {
+func (cluster *cluster) restartServer(id string, link *proxy) {
 	select {
-	case <-world.over:
+	case <-cluster.done:
 		return
 	default:
 	}
-	if err := way.begin(); err != nil {
-		world.judge.breaks("server %s does not start again: %v", id, err)
+	if err := link.reopen(); err != nil {
+		cluster.checker.recordViolation("server %s does not restart: %v", id, err)
 		return
 	}
-	world.fleet.Restart(id)
+	cluster.fleet.Restart(id)
 }
 
 const settingsText = `node = %q
@@ -222,32 +227,34 @@
 revoke = "5s"
 `
 
-func (world *world) addNode(index int) {
-	process := &process{name: fmt.Sprint("node-", index), store: newProxy(world.t, strings.TrimPrefix(world.store.URL, "http://"))}
-	host := fmt.Sprintf("127.%d.%d.%d", 20+os.Getpid()%200, world.random.IntN(200), 10+index)
+// addNode writes the settings of a node and starts it on a loopback address of its own.
+func (cluster *cluster) addNode(index int) {
+	process := &process{name: fmt.Sprint("node-", index), store: newProxy(cluster.t, strings.TrimPrefix(cluster.store.URL, "http://"))}
+	host := fmt.Sprintf("127.%d.%d.%d", 20+os.Getpid()%200, cluster.random.IntN(200), 10+index)
 	process.callers, process.directory = host+":7001", host+":7002"
-	process.settings = filepath.Join(world.dir, process.name+".toml")
+	process.settings = filepath.Join(cluster.dir, process.name+".toml")
 	text := fmt.Sprintf(settingsText, process.name, process.store.address(), process.callers, process.directory, host+":7003", host+":7004")
-	assert.NilError(world.t, os.WriteFile(process.settings, []byte(text), 0o600))
-	world.nodes = append(world.nodes, process)
-	world.startNode(process)
-	world.t.Cleanup(func() { process.signal(syscall.SIGCONT); process.end(syscall.SIGKILL) })
+	assert.NilError(cluster.t, os.WriteFile(process.settings, []byte(text), 0o600))
+	cluster.nodes = append(cluster.nodes, process)
+	cluster.startNode(process)
+	cluster.t.Cleanup(func() { process.signal(syscall.SIGCONT); process.end(syscall.SIGKILL) })
 }
 
-func (world *world) startNode(process *process) {
-	process.life.Lock()
-	defer process.life.Unlock()
+// startNode starts the node's process unless it runs.
+func (cluster *cluster) startNode(process *process) {
+	process.lifecycle.Lock()
+	defer process.lifecycle.Unlock()
 	if process.running() != nil {
 		return
 	}
-	log, err := os.OpenFile(filepath.Join(world.dir, process.name+".log"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
-	assert.NilError(world.t, err)
-	command := exec.CommandContext(world.t.Context(), world.binary, "--settings", process.settings)
+	log, err := os.OpenFile(filepath.Join(cluster.dir, process.name+".log"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+	assert.NilError(cluster.t, err)
+	command := exec.CommandContext(cluster.t.Context(), cluster.binary, "--settings", process.settings)
 	command.Stdout, command.Stderr = log, log
-	assert.NilError(world.t, command.Start())
-	_ = log.Close() // the process has its own
+	assert.NilError(cluster.t, command.Start())
+	_ = log.Close() // the process has its own descriptor
 	process.set(command)
-	world.wakes(process)
+	cluster.recordResume(process)
 }
 
 func (process *process) running() *exec.Cmd {
@@ -265,56 +272,57 @@
 // signal sends a signal to the process if it runs.
 func (process *process) signal(signal syscall.Signal) {
 	if command := process.running(); command != nil {
-		_ = command.Process.Signal(signal) // one that has just ended needs none
+		_ = command.Process.Signal(signal) // fails only if the process has just ended
 	}
 }
 
-// end sends a signal that ends the process and waits until it is gone.
+// end sends a signal that ends the process and waits until it has ended.
 func (process *process) end(signal syscall.Signal) {
-	process.life.Lock()
-	defer process.life.Unlock()
+	process.lifecycle.Lock()
+	defer process.lifecycle.Unlock()
 	command := process.running()
 	if command == nil {
 		return
 	}
-	_ = command.Process.Signal(signal) // one that has just ended needs none
-	_ = command.Wait()                 // how it ended is in its log
+	_ = command.Process.Signal(signal) // fails only if the process has just ended
+	_ = command.Wait()                 // the log shows how it ended
 	process.set(nil)
 }
 
-// soak runs callers and faults, then checks that all is served again and that
-// no promise was broken.
-func (world *world) soak() {
-	world.judge.world = world
+// soak runs callers while it injects faults. It then checks that every node answers
+// again and that no guarantee was violated.
+func (cluster *cluster) soak() {
+	cluster.checker.cluster = cluster
 	stop := make(chan struct{})
 	var calling, breaking sync.WaitGroup
-	world.judge.waitServed("before any fault", 20*time.Second)
+	cluster.checker.waitServed("before any fault", 20*time.Second)
 	for index := range *callers {
-		calling.Go(func() { world.judge.runCaller(index, stop) })
+		calling.Go(func() { cluster.checker.runCaller(index, stop) })
 	}
 	for range 2 { // faults overlap
-		random := rand.New(rand.NewPCG(world.random.Uint64(), 1))
-		breaking.Go(func() { world.runFaults(random, time.Duration(*seconds)*time.Second) })
+		random := rand.New(rand.NewPCG(cluster.random.Uint64(), 1))
+		breaking.Go(func() { cluster.runFaults(random, time.Duration(*seconds)*time.Second) })
 	}
 	breaking.Wait()
-	world.judge.waitServed("after the last fault", 12*time.Second)
+	cluster.checker.waitServed("after the last fault", 12*time.Second)
 	close(stop)
 	calling.Wait()
-	time.Sleep(500 * time.Millisecond) // what was refused must not run later
-	world.judge.check()
-	if world.t.Failed() {
-		world.t.Logf("faults:\n%s\nlogs: %s", strings.Join(world.faults, "\n"), world.keepLogs())
+	time.Sleep(500 * time.Millisecond) // time for a rejected call to run after all, which check reports
+	cluster.checker.check()
+	if cluster.t.Failed() {
+		cluster.t.Logf("faults:\n%s\nlogs: %s", strings.Join(cluster.faults, "\n"), cluster.keepLogs())
 	}
 }
 
-// keepLogs copies the nodes' logs to where they stay.
-func (world *world) keepLogs() string {
+// keepLogs copies the nodes' logs to a directory that outlives the test and returns its
+// path.
+func (cluster *cluster) keepLogs() string {
 	kept, err := os.MkdirTemp("", "soak-logs-")
 	if err != nil {
 		return err.Error()
 	}
-	for _, node := range world.nodes {
-		text, err := os.ReadFile(filepath.Join(world.dir, node.name+".log"))
+	for _, node := range cluster.nodes {
+		text, err := os.ReadFile(filepath.Join(cluster.dir, node.name+".log"))
 		if err == nil {
 			err = os.WriteFile(filepath.Join(kept, node.name+".log"), text, 0o600)
 		}
