--- a/soak/checker_test.go
+++ b/soak/checker_test.go
@@ -181,7 +181,7 @@
 	}
 }
 
-// checkAnswer judges a whole checkAnswer.
+// checkAnswer checks a complete answer and that its API key was still valid.
 func (checker *checker) checkAnswer(kind, id, key string, sent time.Time, body string) {
 	checker.mutex.Lock()
 	removed, wasRemoved := checker.removed[key]
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -40,7 +40,7 @@
 	}
 	proxy := &proxy{target: target, listener: listener, conns: map[*net.TCPConn]struct{}{}}
 	go proxy.run(listener)
-	t.Cleanup(proxy.close)
+	t.Cleanup(proxy.stopListening)
 	return proxy
 }
 
@@ -50,9 +50,9 @@
 	return proxy.listener.Addr().String()
 }
 
-// close resets all connections and stops listening, so that the address refuses
+// stopListening resets all connections and stops listening, so that the address refuses
 // connections like that of a process that has ended.
-func (proxy *proxy) close() {
+func (proxy *proxy) stopListening() {
 	proxy.mutex.Lock()
 	_ = proxy.listener.Close()
 	proxy.mutex.Unlock()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -191,7 +191,7 @@
 	})
 	cluster.servers[server.ID] = link
 	server.End = func() {
-		link.close()
+		link.stopListening()
 		time.AfterFunc(serverRestartDelay, func() { cluster.restartServer(server.ID, link) })
 	}
 }
--- a/wire/closing_test.go
+++ b/wire/closing_test.go
@@ -10,57 +10,56 @@
 	"gotest.tools/v3/assert"
 )
 
-// lateConn is a connection whose reader learns of its end some time after it was
-// closed.
-type lateConn struct {
+// delayedErrorConn is a connection on which Read reports an error, such as that of a
+// closed connection, only after a delay.
+type delayedErrorConn struct {
 	net.Conn
-	late time.Duration
+	delay time.Duration
 }
 
-func (lateConn *lateConn) Read(into []byte) (int, error) {
-	count, err := lateConn.Conn.Read(into)
+func (delayedErrorConn *delayedErrorConn) Read(into []byte) (int, error) {
+	count, err := delayedErrorConn.Conn.Read(into)
 	if err != nil {
-		time.Sleep(lateConn.late)
+		time.Sleep(delayedErrorConn.delay)
 	}
 	return count, err
 }
 
-// worked returns how much processor time this process has taken.
-func worked(t *testing.T) time.Duration {
+// processorTime returns the processor time that this process has used.
+func processorTime(t *testing.T) time.Duration {
 	t.Helper()
 	var usage unix.Rusage
 	assert.NilError(t, unix.Getrusage(unix.RUSAGE_SELF, &usage))
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// TestClosingWhileCallsWait ends a session on which calls wait for their replies,
-// and whose connection takes its time to end. What waits must not work meanwhile:
-// a process with one core, where nothing takes it from who works on, would never
-// come to end the session.
+// TestClosingWhileCallsWait closes a session while calls wait for their replies and the
+// connection is slow to end. The waiting calls must not spin meanwhile: on a single
+// core without preemption the session would never end.
 func TestClosingWhileCallsWait(t *testing.T) {
 	const late = 400 * time.Millisecond
-	handler := &echo{slow: make(chan struct{})}
+	handler := &echo{release: make(chan struct{})}
 	address, stop := serve(t, handler)
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", address)
 	assert.NilError(t, err)
-	link, err := newLink(&lateConn{Conn: conn, late: late}, beginClient)
+	link, err := newLink(&delayedErrorConn{Conn: conn, delay: late}, newClientSession)
 	assert.NilError(t, err)
 	var callers sync.WaitGroup
 	for range 16 {
 		callers.Go(func() {
-			_, err := do(t.Context(), link, "key", ask("a"))
-			assert.Check(t, err != nil, "no reply can have come")
+			_, err := roundTrip(t.Context(), link, "key", exchangeCall("a"))
+			assert.Check(t, err != nil, "the handler sent no reply")
 		})
 	}
-	time.Sleep(50 * time.Millisecond) // the calls are under way
-	before := worked(t)
+	time.Sleep(50 * time.Millisecond) // until the calls are in flight
+	before := processorTime(t)
 	began := time.Now()
 	assert.NilError(t, link.Close())
 	callers.Wait()
-	took, work := time.Since(began), worked(t)-before
-	t.Logf("closed in %s, %s of work", took, work)
-	assert.Assert(t, took >= late, "the session ended in %s, which shows nothing", took)
-	assert.Assert(t, work < late/4, "%s of work while a session ended", work)
-	close(handler.slow)
+	took, work := time.Since(began), processorTime(t)-before
+	t.Logf("closed in %s with %s of processor time", took, work)
+	assert.Assert(t, took >= late, "the session ended in %s, too fast for a meaningful test", took)
+	assert.Assert(t, work < late/4, "%s of processor time while the session closed", work)
+	close(handler.release)
 	stop()
 }
--- a/wire/datagram.go
+++ b/wire/datagram.go
@@ -11,18 +11,19 @@
 	"shedkeel.org/shedkeel"
 )
 
-// MaxDatagram is the largest datagram that is read, in bytes.
+// MaxDatagram is the size of the largest accepted datagram, in bytes.
 const MaxDatagram = 4 << 10
 
-// tagBytes is the length of the tag that proves that a sender has the key.
+// tagBytes is the length of the authentication tag, a truncated HMAC-SHA256.
 const tagBytes = 16
 
-// ErrForgedDatagram says that a datagram's sender does not have the key.
+// ErrForgedDatagram is returned for a datagram whose tag is missing or was not computed
+// with the key.
 var ErrForgedDatagram = errors.New("datagram without a valid tag: its sender has another wire.key")
 
-// SealGossip encodes a message between failure detectors, with a tag that proves
-// that the sender has the key. A datagram may be played back: what it says is then
-// as old as it was.
+// SealGossip encodes a message of the failure detector and appends an authentication
+// tag. There is no protection against replay: a replayed datagram only repeats
+// information that was sent before.
 func SealGossip(key string, message shedkeel.GossipMessage) ([]byte, error) {
 	gossip := &Gossip{Kind: Gossip_Kind(message.Kind), Sequence: message.Sequence, From: string(message.From), Incarnation: message.Incarnation, Target: string(message.Target)}
 	for _, update := range message.Updates {
@@ -30,27 +31,29 @@
 			Node: update.Node, Liveness: GossipUpdate_Liveness(update.Liveness), Incarnation: update.Incarnation, AgeMs: uint32(min(update.Age, maxAge).Milliseconds()),
 		})
 	}
-	text, err := proto.Marshal(gossip)
+	body, err := proto.Marshal(gossip)
 	if err != nil {
 		return nil, err
 	}
-	return append(text, tag(key, text)...), nil
+	return append(body, computeTag(key, body)...), nil
 }
 
-// maxAge is the longest age of a suspicion that is told.
+// maxAge is the largest age of a suspicion that a message carries; a larger one is sent
+// as maxAge.
 const maxAge = 24 * time.Hour
 
-// OpenGossip decodes what SealGossip made.
+// OpenGossip verifies the tag and decodes a datagram of SealGossip. The error is
+// ErrForgedDatagram if the tag is wrong.
 func OpenGossip(key string, datagram []byte) (shedkeel.GossipMessage, error) {
 	if len(datagram) < tagBytes {
 		return shedkeel.GossipMessage{}, ErrForgedDatagram
 	}
-	text, sent := datagram[:len(datagram)-tagBytes], datagram[len(datagram)-tagBytes:]
-	if !hmac.Equal(tag(key, text), sent) {
+	body, receivedTag := datagram[:len(datagram)-tagBytes], datagram[len(datagram)-tagBytes:]
+	if !hmac.Equal(computeTag(key, body), receivedTag) {
 		return shedkeel.GossipMessage{}, ErrForgedDatagram
 	}
 	var gossip Gossip
-	if err := proto.Unmarshal(text, &gossip); err != nil {
+	if err := proto.Unmarshal(body, &gossip); err != nil {
 		return shedkeel.GossipMessage{}, err
 	}
 	message := shedkeel.GossipMessage{
@@ -65,8 +68,9 @@
 	return message, nil
 }
 
-func tag(key string, text []byte) []byte {
-	made := hmac.New(sha256.New, []byte(key))
-	_, _ = made.Write(text) // it never fails
-	return made.Sum(nil)[:tagBytes]
+// computeTag returns the authentication tag of the text.
+func computeTag(key string, text []byte) []byte {
+	mac := hmac.New(sha256.New, []byte(key))
+	_, _ = mac.Write(text) // always succeeds
+	return mac.Sum(nil)[:tagBytes]
 }
--- a/wire/datagram_test.go
+++ b/wire/datagram_test.go
@@ -10,7 +10,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestGossip covers what is sent between failure detectors, and what is not taken.
+// TestGossip checks that a message survives encoding and that forged datagrams are
+// rejected.
 func TestGossip(t *testing.T) {
 	message := shedkeel.GossipMessage{
 		Kind: shedkeel.GossipPingFor, Sequence: 7, From: "a", Incarnation: 3, Target: "b",
@@ -28,7 +29,7 @@
 	}{
 		"another key":   {"l", sealed},
 		"a changed bit": {"k", append([]byte{sealed[0] ^ 1}, sealed[1:]...)},
-		"cut off":       {"k", sealed[:len(sealed)-1]},
+		"truncated":     {"k", sealed[:len(sealed)-1]},
 		"empty":         {"k", nil},
 	}
 	for name, test := range forged {
@@ -48,13 +49,14 @@
 	}
 }
 
-// FuzzGossip takes in whatever has a valid tag: it is read, or refused.
+// FuzzGossip checks that OpenGossip either decodes any text with a valid tag, so that it
+// can be encoded again, or returns an error.
 func FuzzGossip(f *testing.F) {
 	sealed, err := SealGossip("k", shedkeel.GossipMessage{Kind: shedkeel.GossipAck, From: "a", Updates: []shedkeel.GossipUpdate{{Node: 1, Age: time.Second}}})
 	assert.NilError(f, err)
 	f.Add(sealed[:len(sealed)-tagBytes])
 	f.Fuzz(func(t *testing.T, text []byte) {
-		message, err := OpenGossip("k", append(text, tag("k", text)...))
+		message, err := OpenGossip("k", append(text, computeTag("k", text)...))
 		if err == nil {
 			_, err = SealGossip("k", message)
 			assert.NilError(t, err)
--- a/wire/link.go
+++ b/wire/link.go
@@ -8,39 +8,39 @@
 	"github.com/hashicorp/yamux"
 )
 
-// link is a session and the streams that are open on it.
+// link is a yamux session that tracks its open streams, so that it can expire their
+// deadlines before the session closes.
 //
-// While a session closes, a read that waits on one of its streams does not wait
-// but tries again and again until the session has ended: 491 ms of processor time
-// while one took 400 ms to end, against 1.4 ms where the time of its streams is
-// over first, as here (TestClosingWhileCallsWait, 16 calls). Where nothing takes
-// the core from who works on, the session never ended.
+// While a yamux session closes, a blocked read on one of its streams spins until the
+// session has ended. In TestClosingWhileCallsWait, with 16 calls and a session that
+// takes 400 ms to end, this used 491 ms of processor time, against 1.4 ms with expired
+// deadlines. On a single core without preemption the session never ended.
 type link struct {
 	*yamux.Session
 
 	mutex   sync.Mutex
 	streams map[*yamux.Stream]struct{}
-	ended   bool
+	closed  bool
 }
 
-// cutConn is the connection of a link. A session that ends, for whatever reason,
-// closes it before it waits for its own parts to end.
-type cutConn struct {
+// linkConn is the connection of a link. A session that ends for any reason closes its
+// connection before it waits for its goroutines.
+type linkConn struct {
 	net.Conn
 	link *link
 }
 
-// Close ends what waits on the link's streams, then the connection.
-func (cutConn *cutConn) Close() error {
-	cutConn.link.cut()
-	return cutConn.Conn.Close()
+// Close expires the deadlines of the link's streams, then closes the connection.
+func (linkConn *linkConn) Close() error {
+	linkConn.link.expireStreams()
+	return linkConn.Conn.Close()
 }
 
-// newLink makes a session of the connection with either of yamux's Client and
-// Server. The connection is closed if it fails.
-func newLink(conn net.Conn, begin func(conn net.Conn) (*yamux.Session, error)) (*link, error) {
+// newLink creates a link over the connection with newClientSession or
+// newServerSession. It closes the connection on failure.
+func newLink(conn net.Conn, newSession func(conn net.Conn) (*yamux.Session, error)) (*link, error) {
 	link := &link{streams: map[*yamux.Stream]struct{}{}}
-	session, err := begin(&cutConn{Conn: conn, link: link})
+	session, err := newSession(&linkConn{Conn: conn, link: link})
 	if err != nil {
 		_ = conn.Close()
 		return nil, err
@@ -49,43 +49,53 @@
 	return link, nil
 }
 
-func beginClient(conn net.Conn) (*yamux.Session, error) { return yamux.Client(conn, yamuxConfig()) }
+// newClientSession creates the session of the side that dialed.
+func newClientSession(conn net.Conn) (*yamux.Session, error) {
+	return yamux.Client(conn, yamuxConfig())
+}
 
-func beginServer(conn net.Conn) (*yamux.Session, error) { return yamux.Server(conn, yamuxConfig()) }
+// newServerSession creates the session of the side that accepted the connection.
+func newServerSession(conn net.Conn) (*yamux.Session, error) {
+	return yamux.Server(conn, yamuxConfig())
+}
 
-// open opens a stream. It is to be closed by close.
+// open opens a stream. The caller must close it with link.close.
 func (link *link) open() (*yamux.Stream, error) {
-	return link.hold(link.OpenStream())
+	return link.addStream(link.OpenStream())
 }
 
-// accept waits for a stream of the other side. It is to be closed by close.
+// accept waits for a stream that the other side opens. The caller must close it with
+// link.close.
 func (link *link) accept() (*yamux.Stream, error) {
-	return link.hold(link.AcceptStream())
+	return link.addStream(link.AcceptStream())
 }
 
-// hold keeps a stream that was opened, if it was.
-func (link *link) hold(stream *yamux.Stream, err error) (*yamux.Stream, error) {
+// addStream tracks a new stream unless err is set. If the link is already closed, the
+// stream gets an expired deadline.
+func (link *link) addStream(stream *yamux.Stream, err error) (*yamux.Stream, error) {
 	if err != nil {
 		return nil, err
 	}
 	link.mutex.Lock()
 	defer link.mutex.Unlock()
 	link.streams[stream] = struct{}{}
-	if link.ended {
-		expire(stream)
+	if link.closed {
+		expireDeadline(stream)
 	}
 	return stream, nil
 }
 
-// setDeadline bounds the time of a stream, unless it is over.
+// setDeadline sets the deadline of a stream, unless the link is closed and the deadline
+// therefore expired.
 func (link *link) setDeadline(stream *yamux.Stream, deadline time.Time) {
 	link.mutex.Lock()
 	defer link.mutex.Unlock()
-	if !link.ended {
-		_ = stream.SetDeadline(deadline) // it never fails
+	if !link.closed {
+		_ = stream.SetDeadline(deadline) // always succeeds
 	}
 }
 
+// close closes a stream and stops tracking it.
 func (link *link) close(stream *yamux.Stream) {
 	link.mutex.Lock()
 	delete(link.streams, stream)
@@ -93,17 +103,18 @@
 	_ = stream.Close()
 }
 
-// cut ends what waits on the streams.
-func (link *link) cut() {
+// expireStreams marks the link as closed and expires the deadlines of its streams, which
+// makes blocked reads and writes fail.
+func (link *link) expireStreams() {
 	link.mutex.Lock()
 	defer link.mutex.Unlock()
-	link.ended = true
+	link.closed = true
 	for stream := range link.streams {
-		expire(stream)
+		expireDeadline(stream)
 	}
 }
 
-// expire has the time of a stream be over.
-func expire(stream *yamux.Stream) {
-	_ = stream.SetDeadline(time.Unix(1, 0)) // it never fails
+// expireDeadline sets a deadline of the stream that is in the past.
+func expireDeadline(stream *yamux.Stream) {
+	_ = stream.SetDeadline(time.Unix(1, 0)) // always succeeds
 }
--- a/wire/session.go
+++ b/wire/session.go
@@ -1,5 +1,6 @@
-// Package wire carries protobuf messages between shedkeel's own processes over
-// yamux sessions: one stream a call. The messages are in wire.proto.
+// Package wire carries calls and gossip datagrams between shedkeel's own processes.
+// Calls are protobuf messages over yamux sessions, with one stream per call. The
+// messages are defined in wire.proto.
 package wire
 
 import (
@@ -20,20 +21,23 @@
 	"shedkeel.org/shedkeel"
 )
 
-// MaxMessage is the largest message that is read, in bytes.
+// MaxMessage is the size of the largest accepted message, in bytes.
 const MaxMessage = 4 << 20
 
 const (
 	dialTimeout = time.Second
-	// serveTimeout bounds how long a stream may take to bring its call.
+	// serveTimeout limits the time from the opening of a stream until its call was read,
+	// handled and answered.
 	serveTimeout = 10 * time.Second
 )
 
-// Handler answers the calls that come in.
+// Handler answers incoming calls. Handle runs on one goroutine per call; the context
+// ends with the session.
 type Handler interface {
 	Handle(ctx context.Context, call *Call) *Reply
 }
 
+// yamuxConfig returns the configuration of sessions on both sides.
 func yamuxConfig() *yamux.Config {
 	config := yamux.DefaultConfig()
 	config.LogOutput = io.Discard
@@ -44,27 +48,28 @@
 	return config
 }
 
-// Peer is the way to one other process. It dials when it is first used and
-// again after a failure. It answers calls that come back over the same
-// session if Handler is set.
+// Peer is the client of one other process. It dials on first use and again after the
+// session failed. If Handler is set, it answers calls that the other process sends over
+// the same session.
 type Peer struct {
 	Address string
-	Key     string // shared by all processes of the fleet
-	TLS     *tls.Config
+	Key     string      // shared secret of all processes of the fleet
+	TLS     *tls.Config // nil: no TLS
 	Handler Handler
 
 	mutex sync.Mutex
 	link  *link
 }
 
-// Do sends a call and returns its reply. It returns an UnavailableError when
-// the call was certainly not handled, else an UnknownOutcomeError.
+// Do sends a call and returns its reply. The error is an UnavailableError if no session
+// could be opened, so that the call was certainly not handled, else an
+// UnknownOutcomeError.
 func (peer *Peer) Do(ctx context.Context, call *Call) (*Reply, error) {
 	link, err := peer.open(ctx)
 	if err != nil {
 		return nil, &shedkeel.UnavailableError{What: "process at " + peer.Address, RetryAfter: time.Second, Cause: err}
 	}
-	reply, err := do(ctx, link, peer.Key, call)
+	reply, err := roundTrip(ctx, link, peer.Key, call)
 	if err != nil {
 		peer.drop(link, err)
 		return nil, &shedkeel.UnknownOutcomeError{What: "call to " + peer.Address, Cause: err}
@@ -82,6 +87,7 @@
 	}
 }
 
+// open returns the open link, or dials a new one.
 func (peer *Peer) open(ctx context.Context) (*link, error) {
 	peer.mutex.Lock()
 	defer peer.mutex.Unlock()
@@ -99,20 +105,20 @@
 	if err != nil {
 		return nil, err
 	}
-	link, err := newLink(conn, beginClient)
+	link, err := newLink(conn, newClientSession)
 	if err != nil {
 		return nil, err
 	}
 	peer.link = link
 	if peer.Handler != nil {
-		incoming := &incoming{link: link, key: peer.Key, handler: peer.Handler}
-		go incoming.run()
+		callServer := &callServer{link: link, key: peer.Key, handler: peer.Handler}
+		go callServer.run()
 	}
 	return link, nil
 }
 
-// drop closes a session that has failed, so that the next call dials again. A
-// call that only ran out of its own time leaves the session to others.
+// drop closes a link on which a call failed, so that the next call dials again. It keeps
+// the link if only the call's own context ended, since other calls use it.
 func (peer *Peer) drop(link *link, err error) {
 	if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
 		return
@@ -125,20 +131,22 @@
 	}
 }
 
-func do(ctx context.Context, link *link, key string, call *Call) (*Reply, error) {
+// roundTrip sends a call over a new stream and returns its reply. The error is that of
+// the context if the context ended.
+func roundTrip(ctx context.Context, link *link, key string, call *Call) (*Reply, error) {
 	stream, err := link.open()
 	if err != nil {
 		return nil, err
 	}
 	defer link.close(stream)
-	stop := context.AfterFunc(ctx, func() { expire(stream) })
+	stop := context.AfterFunc(ctx, func() { expireDeadline(stream) })
 	defer stop()
 	call.Key = key
 	if _, err := protodelim.MarshalTo(stream, call); err != nil {
 		return nil, firstError(ctx.Err(), err)
 	}
 	reply := &Reply{}
-	if err := read(stream, reply); err != nil {
+	if err := readMessage(stream, reply); err != nil {
 		return nil, firstError(ctx.Err(), err)
 	}
 	if reply.Error != "" {
@@ -147,6 +155,7 @@
 	return reply, nil
 }
 
+// firstError returns the first error that is not nil.
 func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
@@ -156,11 +165,12 @@
 	return nil
 }
 
-func read(stream io.Reader, message proto.Message) error {
+// readMessage reads one length-delimited message of at most MaxMessage bytes.
+func readMessage(stream io.Reader, message proto.Message) error {
 	return protodelim.UnmarshalOptions{MaxSize: MaxMessage}.UnmarshalFrom(bufio.NewReader(stream), message)
 }
 
-// Server accepts sessions and answers their calls.
+// Server accepts sessions and has Handler answer their calls.
 type Server struct {
 	Key     string
 	TLS     *tls.Config
@@ -171,30 +181,32 @@
 	running sync.WaitGroup
 }
 
-// Session is a session that came in.
+// Session is the session over which a call arrived.
 type Session struct {
 	link *link
 	key  string
 }
 
-// Do sends a call back over the session.
+// Do sends a call to the other side of the session and returns its reply.
 func (session *Session) Do(ctx context.Context, call *Call) (*Reply, error) {
-	return do(ctx, session.link, session.key, call)
+	return roundTrip(ctx, session.link, session.key, call)
 }
 
 // Closed reports whether the session has ended.
 func (session *Session) Closed() bool { return session.link.IsClosed() }
 
-type sessionKey struct{}
+// sessionContextKey is the context key of the Session that SessionOf returns.
+type sessionContextKey struct{}
 
-// SessionOf returns the session over which the call came that a handler is
-// answering, or nil.
+// SessionOf returns the session of the call to which a handler's context belongs, or
+// nil for any other context.
 func SessionOf(ctx context.Context) *Session {
-	session, _ := ctx.Value(sessionKey{}).(*Session)
+	session, _ := ctx.Value(sessionContextKey{}).(*Session)
 	return session
 }
 
-// Run accepts sessions until the listener is closed, then ends them all.
+// Run accepts sessions until the listener is closed. It then closes all sessions and
+// waits for their calls to end.
 func (server *Server) Run(listener net.Listener) error {
 	if server.TLS != nil {
 		listener = tls.NewListener(listener, server.TLS)
@@ -211,27 +223,29 @@
 		if err != nil {
 			return err
 		}
-		server.join(conn)
+		server.addSession(conn)
 	}
 }
 
-func (server *Server) join(conn net.Conn) {
-	link, err := newLink(conn, beginServer)
+// addSession starts to answer the calls of a new connection.
+func (server *Server) addSession(conn net.Conn) {
+	link, err := newLink(conn, newServerSession)
 	if err != nil {
 		return
 	}
 	server.mutex.Lock()
 	server.links[link] = struct{}{}
 	server.mutex.Unlock()
-	incoming := &incoming{link: link, key: server.Key, handler: server.Handler}
+	callServer := &callServer{link: link, key: server.Key, handler: server.Handler}
 	server.running.Go(func() {
-		incoming.run()
+		callServer.run()
 		server.mutex.Lock()
 		delete(server.links, link)
 		server.mutex.Unlock()
 	})
 }
 
+// closeAll closes all sessions and waits for their calls to end.
 func (server *Server) closeAll() {
 	server.mutex.Lock()
 	for link := range server.links {
@@ -241,40 +255,42 @@
 	server.running.Wait()
 }
 
-// incoming answers the calls of one session.
-type incoming struct {
+// callServer answers the calls that arrive over one link.
+type callServer struct {
 	link    *link
 	key     string
 	handler Handler
 }
 
-func (incoming *incoming) run() {
+// run answers calls until the session ends, then waits for those in progress.
+func (callServer *callServer) run() {
 	var calls sync.WaitGroup
 	defer calls.Wait()
-	ctx, cancel := context.WithCancel(context.WithValue(context.Background(), sessionKey{}, &Session{link: incoming.link, key: incoming.key}))
+	ctx, cancel := context.WithCancel(context.WithValue(context.Background(), sessionContextKey{}, &Session{link: callServer.link, key: callServer.key}))
 	defer cancel()
 	for {
-		stream, err := incoming.link.accept()
+		stream, err := callServer.link.accept()
 		if err != nil {
-			_ = incoming.link.Close()
+			_ = callServer.link.Close()
 			return
 		}
-		calls.Go(func() { incoming.serve(ctx, stream) })
+		calls.Go(func() { callServer.serve(ctx, stream) })
 	}
 }
 
-func (incoming *incoming) serve(ctx context.Context, stream *yamux.Stream) {
-	defer incoming.link.close(stream)
-	incoming.link.setDeadline(stream, time.Now().Add(serveTimeout))
+// serve reads one call from the stream, checks its key and sends the reply.
+func (callServer *callServer) serve(ctx context.Context, stream *yamux.Stream) {
+	defer callServer.link.close(stream)
+	callServer.link.setDeadline(stream, time.Now().Add(serveTimeout))
 	call := &Call{}
-	if err := read(stream, call); err != nil {
+	if err := readMessage(stream, call); err != nil {
 		return
 	}
 	reply := &Reply{}
-	if subtle.ConstantTimeCompare([]byte(call.Key), []byte(incoming.key)) != 1 {
+	if subtle.ConstantTimeCompare([]byte(call.Key), []byte(callServer.key)) != 1 {
 		reply.Error = "wrong wire key; set the same wire.key on all processes of the fleet"
 	} else {
-		reply = incoming.handler.Handle(ctx, call)
+		reply = callServer.handler.Handle(ctx, call)
 	}
 	_, _ = protodelim.MarshalTo(stream, reply)
 }
--- a/wire/session_test.go
+++ b/wire/session_test.go
@@ -17,21 +17,22 @@
 	"shedkeel.org/shedkeel"
 )
 
-// echo answers an exchange with one node of the caller's.
+// echo answers an exchange with the caller's own node.
 type echo struct {
-	slow chan struct{}
+	release chan struct{}
 }
 
 func (echo *echo) Handle(ctx context.Context, call *Call) *Reply {
-	if echo.slow != nil {
+	if echo.release != nil {
 		select {
-		case <-echo.slow:
+		case <-echo.release:
 		case <-ctx.Done():
 		}
 	}
 	return &Reply{Kind: &Reply_Exchange{Exchange: &ExchangeReply{Nodes: []*Node{call.GetExchange().GetSelf()}}}}
 }
 
+// serve starts a server on loopback. The returned function stops it.
 func serve(t *testing.T, handler Handler) (address string, stop func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,106 +46,111 @@
 	}
 }
 
-func ask(id string) *Call {
+func exchangeCall(id string) *Call {
 	return &Call{Kind: &Call_Exchange{Exchange: &ExchangeCall{Self: &Node{Id: id}}}}
 }
 
-// longPause is from how long a pause of the machine on a session may end
-// because its keepalive, of two seconds, was not answered in time: each side
-// has to run several times meanwhile.
+// longPause is the shortest scheduling pause of the machine that may end a session. Both
+// sides must be scheduled several times for a keepalive, so that such pauses can add up
+// to its two seconds.
 const longPause = 300 * time.Millisecond
 
-// pauses are how long the machine let the test wait for its turn.
-type pauses struct {
-	most  atomic.Int64
-	stop  context.CancelFunc
-	ended sync.WaitGroup
+// pauseMonitor measures the longest time for which the machine did not schedule the
+// test.
+type pauseMonitor struct {
+	longestPause atomic.Int64
+	stop         context.CancelFunc
+	ended        sync.WaitGroup
 }
 
-func watchPauses(ctx context.Context) *pauses {
+func watchPauses(ctx context.Context) *pauseMonitor {
 	ctx, cancel := context.WithCancel(ctx)
-	pauses := &pauses{}
-	pauses.ended.Go(func() { pauses.run(ctx) })
-	pauses.stop = func() {
+	pauseMonitor := &pauseMonitor{}
+	pauseMonitor.ended.Go(func() { pauseMonitor.run(ctx) })
+	pauseMonitor.stop = func() {
 		cancel()
-		pauses.ended.Wait()
+		pauseMonitor.ended.Wait()
 	}
-	return pauses
+	return pauseMonitor
 }
 
-func (pauses *pauses) run(ctx context.Context) {
-	const turn = 10 * time.Millisecond
+func (pauseMonitor *pauseMonitor) run(ctx context.Context) {
+	const interval = 10 * time.Millisecond
 	for ctx.Err() == nil {
 		began := time.Now()
-		time.Sleep(turn)
-		pauses.most.Store(max(pauses.most.Load(), int64(time.Since(began)-turn)))
+		time.Sleep(interval)
+		pauseMonitor.longestPause.Store(max(pauseMonitor.longestPause.Load(), int64(time.Since(began)-interval)))
 	}
 }
 
-func (pauses *pauses) longest() time.Duration { return time.Duration(pauses.most.Load()) }
+func (pauseMonitor *pauseMonitor) longest() time.Duration {
+	return time.Duration(pauseMonitor.longestPause.Load())
+}
 
+// TestCalls checks concurrent calls over one session, a wrong key and a stopped server.
 func TestCalls(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	address, stop := serve(t, &echo{})
 	peer := &Peer{Address: address, Key: "key"}
-	watched := watchPauses(t.Context())
+	monitor := watchPauses(t.Context())
 	var callers sync.WaitGroup
 	for _, id := range []string{"a", "b", "c", "d"} {
 		callers.Go(func() {
 			for answered := 0; answered < 50; {
-				reply, err := peer.Do(t.Context(), ask(id))
-				if err != nil && watched.longest() > longPause {
-					continue // the machine kept a session waiting for so long that it ended
+				reply, err := peer.Do(t.Context(), exchangeCall(id))
+				if err != nil && monitor.longest() > longPause {
+					continue // the pause may have ended the session
 				}
 				if !assert.Check(t, err) {
 					return
 				}
-				assert.Check(t, reply.GetExchange().GetNodes()[0].GetId() == id, "the answer of another call")
+				assert.Check(t, reply.GetExchange().GetNodes()[0].GetId() == id, "reply belongs to another call")
 				answered++
 			}
 		})
 	}
 	callers.Wait()
-	watched.stop()
+	monitor.stop()
 	wrong := &Peer{Address: address, Key: "other"}
-	_, err := wrong.Do(t.Context(), ask("a"))
+	_, err := wrong.Do(t.Context(), exchangeCall("a"))
 	assert.ErrorContains(t, err, "wrong wire key")
 	wrong.Close()
 	peer.Close()
 	stop()
-	_, err = peer.Do(t.Context(), ask("a"))
+	_, err = peer.Do(t.Context(), exchangeCall("a"))
 	var unavailable *shedkeel.UnavailableError
-	assert.Assert(t, errors.As(err, &unavailable), "nothing listens, so nothing was handled: %v", err)
+	assert.Assert(t, errors.As(err, &unavailable), "without a listener the call is not handled: %v", err)
 }
 
+// TestCallOutOfTime checks that a call whose context ends leaves the session open.
 func TestCallOutOfTime(t *testing.T) {
-	handler := &echo{slow: make(chan struct{})}
+	handler := &echo{release: make(chan struct{})}
 	address, stop := serve(t, handler)
 	peer := &Peer{Address: address, Key: "key"}
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	_, err := peer.Do(ctx, ask("a"))
+	_, err := peer.Do(ctx, exchangeCall("a"))
 	var unknown *shedkeel.UnknownOutcomeError
 	assert.Assert(t, errors.As(err, &unknown), "%v", err)
-	close(handler.slow)
-	reply, err := peer.Do(t.Context(), ask("b"))
-	assert.NilError(t, err, "the session must still serve others")
+	close(handler.release)
+	reply, err := peer.Do(t.Context(), exchangeCall("b"))
+	assert.NilError(t, err, "the session must still serve other calls")
 	assert.Equal(t, reply.GetExchange().GetNodes()[0].GetId(), "b")
 	peer.Close()
 	stop()
 }
 
-// FuzzCall checks that no message makes the reader fail otherwise than by an
-// error, and that what is read can be written again.
+// FuzzCall checks that any input either gives an error or a call that can be encoded
+// again.
 func FuzzCall(f *testing.F) {
 	var good bytes.Buffer
-	_, err := protodelim.MarshalTo(&good, ask("a"))
+	_, err := protodelim.MarshalTo(&good, exchangeCall("a"))
 	assert.NilError(f, err)
 	f.Add(good.Bytes())
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x7f})
 	f.Fuzz(func(t *testing.T, message []byte) {
 		call := &Call{}
-		if read(bytes.NewReader(message), call) != nil {
+		if readMessage(bytes.NewReader(message), call) != nil {
 			return
 		}
 		_, err := protodelim.MarshalTo(&bytes.Buffer{}, call)
--- a/wire/tls_test.go
+++ b/wire/tls_test.go
@@ -20,7 +20,7 @@
 	"shedkeel.org/shedkeel/config"
 )
 
-// authority signs certificates for tests.
+// authority is a certificate authority for tests.
 type authority struct {
 	dir         string
 	key         *ecdsa.PrivateKey
@@ -41,7 +41,7 @@
 	return authority
 }
 
-// write signs a certificate and writes it, and its key, to files.
+// write signs a certificate and writes it and its key to PEM files.
 func (authority *authority) write(t *testing.T, name string, template *x509.Certificate, key *ecdsa.PrivateKey) {
 	t.Helper()
 	signed, err := x509.CreateCertificate(rand.Reader, template, authority.certificate, &key.PublicKey, authority.key)
@@ -53,7 +53,7 @@
 	}
 }
 
-// settings returns settings with a new certificate of the authority.
+// settings returns settings with a new certificate that the authority signed.
 func (authority *authority) settings(t *testing.T, name string) config.TLSSettings {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -66,8 +66,8 @@
 	return config.TLSSettings{Certificate: path(name + ".pem"), Key: path(name + ".key"), Authority: path("authority.pem")}
 }
 
-// TestTLS shows that processes with certificates of one authority speak, and
-// that others, or such without, do not.
+// TestTLS checks that a call succeeds only if both sides have certificates of the same
+// authority.
 func TestTLS(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	serverTLS, err := ours.settings(t, "server").Server()
@@ -93,12 +93,13 @@
 			assert.NilError(t, err)
 			peer := &Peer{Address: listener.Addr().String(), Key: "key", TLS: clientTLS}
 			defer peer.Close()
-			_, err = peer.Do(t.Context(), ask("a"))
+			_, err = peer.Do(t.Context(), exchangeCall("a"))
 			assert.Equal(t, err == nil, test.works, "%v", err)
 		})
 	}
 }
 
+// TestBadTLSSettings checks that missing or wrong PEM files give an error with a remedy.
 func TestBadTLSSettings(t *testing.T) {
 	good := newAuthority(t).settings(t, "server")
 	cases := map[string]config.TLSSettings{
