--- a/config/config_test.go
+++ b/config/config_test.go
@@ -73,6 +73,8 @@
 	assertDocumented(t, string(page), "", reflect.TypeFor[Settings]())
 }
 
+// assertDocumented checks the keys of one table and, with its name as a prefix, of each
+// subtable.
 func assertDocumented(t *testing.T, page, prefix string, kind reflect.Type) {
 	t.Helper()
 	for field := range kind.Fields() {
@@ -142,6 +144,7 @@
 	}
 }
 
+// checkText parses and validates the text of a document.
 func checkText(text string) error {
 	document, err := ParseDocument("d.toml", []byte(text))
 	if err != nil {
--- a/engine/event_test.go
+++ b/engine/event_test.go
@@ -11,6 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// TestReadEvent uses a reader with a buffer of 16 bytes, so that lines exceed it.
 func TestReadEvent(t *testing.T) {
 	long := "data: " + strings.Repeat("x", 100) + "\n\n" // longer than the reader's buffer
 	cases := map[string]struct {
--- a/engine/transport.go
+++ b/engine/transport.go
@@ -35,8 +35,8 @@
 	IdleTimeout time.Duration // after which an idle connection is closed; zero means 30 seconds
 
 	once   sync.Once
-	shared *http.Transport
-	fresh  *http.Transport
+	shared *http.Transport // reuses connections
+	fresh  *http.Transport // uses a new connection for each request
 }
 
 // init creates the two HTTP transports: shared reuses connections, fresh does not.
@@ -176,6 +176,7 @@
 	return count, err
 }
 
+// bytesWritten returns the number of bytes written so far.
 func (conn *countingConn) bytesWritten() int64 {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
--- a/engine/transport_test.go
+++ b/engine/transport_test.go
@@ -31,6 +31,7 @@
 	running  sync.WaitGroup
 }
 
+// newServer starts a server on loopback, which the test's cleanup stops.
 func newServer(t *testing.T, script ...string) *server {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,6 +55,7 @@
 	}
 }
 
+// serve follows the script on one connection until a step or an error closes it.
 func (server *server) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	server.mutex.Lock()
@@ -95,6 +97,7 @@
 	}
 }
 
+// peek returns the next step of the script without removing it.
 func (server *server) peek() string {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -104,6 +107,7 @@
 	return server.script[0]
 }
 
+// next removes and returns the next step of the script.
 func (server *server) next() string {
 	step := server.peek()
 	server.mutex.Lock()
@@ -114,18 +118,22 @@
 	return step
 }
 
+// connections returns the number of accepted connections.
 func (server *server) connections() int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	return server.conns
 }
 
+// count returns the number of requests received completely.
 func (server *server) count() int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	return server.runs
 }
 
+// send sends a request with an Idempotency-Key, which would let net/http retry it, and
+// reads the answer.
 func send(t *testing.T, transport *Transport, address, method, body string, timeout time.Duration) error {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
@@ -178,6 +186,7 @@
 	}
 }
 
+// TestRefusedDialIsNotRun checks that a refused connection gives a NotRunError.
 func TestRefusedDialIsNotRun(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -34,10 +34,10 @@
 	runs                map[string]int // runs per prompt
 	total               int            // runs of all prompts
 	active              int            // requests that run or wait for a slot
-	reportedLoad        int
+	reportedLoad        int            // active as of reportedAt
 	reportedAt          time.Time
-	streams             map[string][]string
-	slots               chan struct{}
+	streams             map[string][]string // events per attempt identifier
+	slots               chan struct{}       // semaphore of running requests
 }
 
 // Begin initializes the engine. It must be called before Handler's handler serves.
@@ -179,6 +179,8 @@
 // defaultTokens is the length of an answer to a request without max_tokens.
 const defaultTokens = 8
 
+// serveCompletion runs a completion request, rejects it, or resumes an earlier stream if
+// the request has the header Shedkeel-From.
 func (model *Engine) serveCompletion(writer http.ResponseWriter, request *http.Request) {
 	if !model.faults.applyCommon(writer, request) {
 		return
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -96,6 +96,7 @@
 	return mux
 }
 
+// change applies a change to the list.
 func (list *BoxList) change(change Faults) {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -121,6 +121,7 @@
 // SetFaults replaces the faults.
 func (store *Store) SetFaults(faults Faults) { store.faults.set(faults) }
 
+// swap writes one key if it has the revision, and reports whether it did.
 func (store *Store) swap(key string, revision shedkeel.Revision, value []byte) (shedkeel.Revision, bool) {
 	written, err := store.Commit(shedkeel.Change{If: []shedkeel.Condition{{Key: key, Revision: revision}}, Put: []shedkeel.Put{{Key: key, Value: value}}})
 	return written, err == nil
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -31,16 +31,16 @@
 
 	revision          shedkeel.Revision
 	record            Record
-	known             bool
+	known             bool          // the record was read or written at least once
 	observedAt        time.Duration // when this node first saw the revision
 	validUntil        time.Duration // this node may act as the holder before then
 	sentAt            time.Duration // when the last write was sent
 	inFlight          bool
-	lastWriteSentAt   time.Duration
-	gainedAt          time.Duration
-	gainedEpoch       uint64 // the epoch to which gainedAt belongs
-	highestEpoch      uint64 // highest epoch seen, including any that the service has lost since
-	highestGeneration uint64 // highest generation seen, likewise
+	lastWriteSentAt   time.Duration // when the last completed write was sent; the next renewal follows Renew later
+	gainedAt          time.Duration // when the write that acquired the lease was sent
+	gainedEpoch       uint64        // the epoch to which gainedAt belongs
+	highestEpoch      uint64        // highest epoch seen, including any that the service has lost since
+	highestGeneration uint64        // highest generation seen, likewise
 }
 
 // Write is a compare-and-swap that the caller makes on the lease's key: the new value
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -23,6 +23,7 @@
 	value    []byte
 }
 
+// swap makes the write if the key has its revision.
 func (service *service) swap(write Write) (shedkeel.Revision, bool) {
 	if write.Revision != service.revision {
 		return shedkeel.Revision{}, false
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -35,10 +35,12 @@
 	return time.Duration(least+random.Int64N(most-least)) * time.Millisecond
 }
 
+// node returns a random node.
 func (cluster *cluster) node(random *rand.Rand) *process {
 	return cluster.nodes[random.IntN(len(cluster.nodes))]
 }
 
+// killNode kills a random node with SIGKILL and restarts it after a pause.
 func (cluster *cluster) killNode(random *rand.Rand) string {
 	node := cluster.node(random)
 	node.end(syscall.SIGKILL)
@@ -47,6 +49,7 @@
 	return "killed and restarted " + node.name
 }
 
+// stopNode stops a random node with SIGTERM, waits until it has ended and restarts it.
 func (cluster *cluster) stopNode(random *rand.Rand) string {
 	node := cluster.node(random)
 	node.end(syscall.SIGTERM)
@@ -54,6 +57,7 @@
 	return "stopped gracefully and restarted " + node.name
 }
 
+// freezeNode suspends a random node with SIGSTOP for some time.
 func (cluster *cluster) freezeNode(random *rand.Rand) string {
 	node := cluster.node(random)
 	length := between(random, 200, 2500)
@@ -64,12 +68,14 @@
 	return fmt.Sprintf("froze %s for %s", node.name, length)
 }
 
+// sendHangup has a random node reload its settings.
 func (cluster *cluster) sendHangup(random *rand.Rand) string {
 	node := cluster.node(random)
 	node.signal(syscall.SIGHUP)
 	return "SIGHUP to " + node.name
 }
 
+// degradeStoreLink degrades the connection of a random node to the store for some time.
 func (cluster *cluster) degradeStoreLink(random *rand.Rand) string {
 	node := cluster.node(random)
 	mode := []proxyMode{delayed, stalled, repliesStalled, refusing}[random.IntN(4)]
@@ -95,6 +101,8 @@
 	return "killed " + id
 }
 
+// replaceServer adds a server of the service in place of one that ends. Servers of the
+// service llm get a random failure domain.
 func (cluster *cluster) replaceServer(random *rand.Rand, service string) {
 	domain := ""
 	if service == "llm" {
@@ -119,6 +127,7 @@
 	return service, id
 }
 
+// degradeServer degrades the connections to a random server for some time.
 func (cluster *cluster) degradeServer(random *rand.Rand) string {
 	_, id := cluster.randomServer(random)
 	cluster.mutex.Lock()
@@ -136,6 +145,7 @@
 	return fmt.Sprintf("link to %s in mode %d for %s", id, mode, length)
 }
 
+// drainServer drains a random server, ends it 3 s later and adds a new one.
 func (cluster *cluster) drainServer(random *rand.Rand) string {
 	service, id := cluster.randomServer(random)
 	if id == "" {
@@ -147,6 +157,8 @@
 	return "drained " + id
 }
 
+// failStore injects a fault into the store for some time. Half of the time the store
+// then loses its history of changes.
 func (cluster *cluster) failStore(random *rand.Rand) string {
 	faults := []standin.Faults{{Outage: true}, {DelayMS: 200}, {LoseReplies: 3}}[random.IntN(3)]
 	cluster.data.SetFaults(faults)
@@ -159,6 +171,7 @@
 	return fmt.Sprintf("store %+v for %s", faults, length)
 }
 
+// replaceKey replaces an API key by a new one in the configuration.
 func (cluster *cluster) replaceKey(*rand.Rand) string {
 	cluster.configure()
 	return "API key replaced"
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -29,9 +29,10 @@
 	mode     atomic.Int32
 	mutex    sync.Mutex
 	listener net.Listener
-	conns    map[*net.TCPConn]struct{}
+	conns    map[*net.TCPConn]struct{} // connections since the last reset
 }
 
+// newProxy starts a proxy to the target, which the test's cleanup stops.
 func newProxy(t *testing.T, target string) *proxy {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -44,6 +45,7 @@
 	return proxy
 }
 
+// address returns the address on which the proxy listens.
 func (proxy *proxy) address() string {
 	proxy.mutex.Lock()
 	defer proxy.mutex.Unlock()
@@ -72,6 +74,7 @@
 	return nil
 }
 
+// run forwards the listener's connections until it is closed.
 func (proxy *proxy) run(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -121,6 +121,7 @@
  "limits":{"max_header_bytes":16384,"max_body_bytes":65536,"header_timeout_ms":3000,"idle_timeout_ms":15000},
  "tenants":[{"name":"shop","api_keys":["stays","key-%d"]}]}`
 
+// newCluster starts the store, 10 servers of llm, 3 of plain, and the nodes.
 func newCluster(t *testing.T, binary string, seed uint64) *cluster {
 	t.Helper()
 	cluster := &cluster{
@@ -199,6 +200,7 @@
 // serverRestartDelay is how long a server is down after a deadly request.
 const serverRestartDelay = 700 * time.Millisecond
 
+// restartServer restarts a crashed server unless the test has ended.
 func (cluster *cluster) restartServer(id string, link *proxy) {
 	select {
 	case <-cluster.done:
@@ -257,12 +259,14 @@
 	cluster.recordResume(process)
 }
 
+// running returns the command of the process, or nil if it does not run.
 func (process *process) running() *exec.Cmd {
 	process.mutex.Lock()
 	defer process.mutex.Unlock()
 	return process.command
 }
 
+// set stores the command of the process; nil means that it does not run.
 func (process *process) set(command *exec.Cmd) {
 	process.mutex.Lock()
 	defer process.mutex.Unlock()
--- a/timer/timer.go
+++ b/timer/timer.go
@@ -64,6 +64,7 @@
 	}
 }
 
+// cancel stops run and waits until it has returned.
 func (subscription *subscription) cancel() {
 	subscription.once.Do(func() { close(subscription.stop) })
 	<-subscription.ended
--- a/wire/closing_test.go
+++ b/wire/closing_test.go
@@ -17,6 +17,7 @@
 	delay time.Duration
 }
 
+// Read reads, and delays an error.
 func (delayedErrorConn *delayedErrorConn) Read(into []byte) (int, error) {
 	count, err := delayedErrorConn.Conn.Read(into)
 	if err != nil {
--- a/wire/session_test.go
+++ b/wire/session_test.go
@@ -22,6 +22,7 @@
 	release chan struct{}
 }
 
+// Handle answers once release is closed, if it is set, or when the session ends.
 func (echo *echo) Handle(ctx context.Context, call *Call) *Reply {
 	if echo.release != nil {
 		select {
@@ -46,6 +47,7 @@
 	}
 }
 
+// exchangeCall returns an exchange call of the node.
 func exchangeCall(id string) *Call {
 	return &Call{Kind: &Call_Exchange{Exchange: &ExchangeCall{Self: &Node{Id: id}}}}
 }
@@ -63,6 +65,7 @@
 	ended        sync.WaitGroup
 }
 
+// watchPauses starts a pauseMonitor, which its stop function ends.
 func watchPauses(ctx context.Context) *pauseMonitor {
 	ctx, cancel := context.WithCancel(ctx)
 	pauseMonitor := &pauseMonitor{}
@@ -83,6 +86,7 @@
 	}
 }
 
+// longest returns the longest pause so far.
 func (pauseMonitor *pauseMonitor) longest() time.Duration {
 	return time.Duration(pauseMonitor.longestPause.Load())
 }
--- a/wire/tls_test.go
+++ b/wire/tls_test.go
@@ -27,6 +27,7 @@
 	certificate *x509.Certificate
 }
 
+// newAuthority creates an authority and writes its certificate to authority.pem.
 func newAuthority(t *testing.T) *authority {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
