--- a/soak/signals_test.go
+++ b/soak/signals_test.go
@@ -41,7 +41,7 @@
 				time.Sleep(sent.after)
 				node.signal(sent.signal)
 			}
-			assert.NilError(t, node.wait(), "the node was ended by a signal after %s", time.Since(began))
+			assert.NilError(t, node.wait(), "the node did not stop gracefully; it ended after %s", time.Since(began))
 			cluster.checker.check()
 		})
 	}
