--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -13,34 +13,34 @@
 	"shedkeel.org/shedkeel/engine"
 )
 
-// Engine is a model engine on one box. Its exported fields are set before it
-// serves.
+// Engine is a fake of the model engine on one box. The exported fields must be set
+// before Begin and not change later.
 type Engine struct {
-	LoadTime   time.Duration // to load weights
-	JoinTime   time.Duration // to join a group once they are loaded
-	TokenTime  time.Duration // between two tokens
-	LoadLag    time.Duration // how late it reports its load
-	Slots      int           // requests that run at once
-	Unfenced   bool          // obeys whoever orders it
-	Weights    chan struct{} // the weight store: one element for each load at once
-	BootPrefix string
+	LoadTime   time.Duration // time to load weights
+	JoinTime   time.Duration // time to join a group after the weights are loaded
+	TokenTime  time.Duration // time per token
+	LoadLag    time.Duration // minimum interval between updates of the reported load
+	Slots      int           // maximum number of concurrent requests
+	Unfenced   bool          // accepts orders with an outdated planner epoch
+	Weights    chan struct{} // semaphore of the weight store: its capacity limits concurrent loads; nil: no limit
+	BootPrefix string        // prefix of the boot identifiers
 
-	faults  faultSwitch
-	mutex   sync.Mutex
-	boots   int
-	state   shedkeel.BoxState
-	planner uint64
-	timer   *time.Timer
-	runs    map[string]int // by prompt
-	total   int
-	active  int
-	told    int
-	toldAt  time.Time
-	streams map[string][]string
-	slots   chan struct{}
+	faults              faultSwitch
+	mutex               sync.Mutex
+	boots               int
+	state               shedkeel.BoxState
+	highestPlannerEpoch uint64
+	timer               *time.Timer
+	runs                map[string]int // runs per prompt
+	total               int            // runs of all prompts
+	active              int            // requests that run or wait for a slot
+	reportedLoad        int            // active as of reportedAt
+	reportedAt          time.Time
+	streams             map[string][]string // events per attempt identifier
+	slots               chan struct{}       // semaphore of running requests
 }
 
-// Begin readies an engine.
+// Begin initializes the engine. It must be called before Handler's handler serves.
 func (model *Engine) Begin() {
 	model.runs = map[string]int{}
 	model.streams = map[string][]string{}
@@ -48,19 +48,20 @@
 	model.restart()
 }
 
-// restart is what a crash and a start of the engine do to its state.
+// restart resets the state as a crash and a start of the engine do.
 func (model *Engine) restart() {
 	model.mutex.Lock()
 	defer model.mutex.Unlock()
 	model.boots++
-	model.planner = 0
+	model.highestPlannerEpoch = 0
 	model.state = shedkeel.BoxState{Boot: fmt.Sprintf("%s-%d", model.BootPrefix, model.boots), Phase: shedkeel.PhaseEmpty}
 	if model.timer != nil {
 		model.timer.Stop()
 	}
 }
 
-// Handler returns the engine's HTTP side.
+// Handler returns the engine's HTTP handler: its control API, completions and, for
+// tests, POST /fault, POST /restart and GET /runs.
 func (model *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /control/state", model.serveState)
@@ -80,25 +81,28 @@
 	return mux
 }
 
+// serveState returns the state, with a load that is up to LoadLag old.
 func (model *Engine) serveState(writer http.ResponseWriter, request *http.Request) {
-	if !model.faults.pass(writer, request) {
+	if !model.faults.applyCommon(writer, request) {
 		return
 	}
 	model.mutex.Lock()
 	defer model.mutex.Unlock()
-	if time.Since(model.toldAt) >= model.LoadLag {
-		model.told = model.active
-		model.toldAt = time.Now()
+	if time.Since(model.reportedAt) >= model.LoadLag {
+		model.reportedLoad = model.active
+		model.reportedAt = time.Now()
 	}
 	state := model.state
 	state.Leaving = model.faults.get().Leaving
-	state.Running = min(model.told, cap(model.slots))
-	state.Queued = max(model.told-cap(model.slots), 0)
+	state.Running = min(model.reportedLoad, cap(model.slots))
+	state.Queued = max(model.reportedLoad-cap(model.slots), 0)
 	writeJSON(writer, state)
 }
 
+// serveOrder applies an order. It rejects one whose planner epoch is older than the
+// highest seen, unless the engine is unfenced.
 func (model *Engine) serveOrder(writer http.ResponseWriter, request *http.Request) {
-	if !model.faults.pass(writer, request) {
+	if !model.faults.applyCommon(writer, request) {
 		return
 	}
 	var order shedkeel.Order
@@ -108,16 +112,16 @@
 	}
 	model.mutex.Lock()
 	defer model.mutex.Unlock()
-	if !model.Unfenced && order.PlannerEpoch < model.planner {
-		http.Error(writer, fmt.Sprintf("planner epoch %d is older than %d", order.PlannerEpoch, model.planner), http.StatusConflict)
+	if !model.Unfenced && order.PlannerEpoch < model.highestPlannerEpoch {
+		http.Error(writer, fmt.Sprintf("planner epoch %d is older than %d", order.PlannerEpoch, model.highestPlannerEpoch), http.StatusConflict)
 		return
 	}
-	model.planner = max(model.planner, order.PlannerEpoch)
-	model.follow(order)
+	model.highestPlannerEpoch = max(model.highestPlannerEpoch, order.PlannerEpoch)
+	model.applyOrder(order)
 }
 
-// follow does what an order says. The mutex is held.
-func (model *Engine) follow(order shedkeel.Order) {
+// applyOrder changes the state as the order says. The caller holds the mutex.
+func (model *Engine) applyOrder(order shedkeel.Order) {
 	if model.timer != nil {
 		model.timer.Stop()
 	}
@@ -144,10 +148,13 @@
 	if !loaded {
 		wait += model.LoadTime
 	}
-	model.timer = time.AfterFunc(wait, func() { model.loaded(boot, assigned, after, !loaded) })
+	model.timer = time.AfterFunc(wait, func() { model.finishLoading(boot, assigned, after, !loaded) })
 }
 
-func (model *Engine) loaded(boot string, assigned shedkeel.Assignment, after shedkeel.Phase, fromStore bool) {
+// finishLoading sets the phase after unless the engine restarted or was reassigned
+// since. A load from the store holds a slot of the weight store while the state
+// changes.
+func (model *Engine) finishLoading(boot string, assigned shedkeel.Assignment, after shedkeel.Phase, fromStore bool) {
 	if fromStore && model.Weights != nil {
 		model.Weights <- struct{}{}
 		defer func() { <-model.Weights }()
@@ -159,7 +166,7 @@
 	}
 }
 
-// completion is what the engine reads of a request.
+// completion holds the fields of a completion request that the engine uses.
 type completion struct {
 	Prompt    string `json:"prompt"`
 	Stream    bool   `json:"stream"`
@@ -169,10 +176,13 @@
 	} `json:"messages"`
 }
 
+// defaultTokens is the length of an answer to a request without max_tokens.
 const defaultTokens = 8
 
+// serveCompletion runs a completion request, rejects it, or resumes an earlier stream if
+// the request has the header Shedkeel-From.
 func (model *Engine) serveCompletion(writer http.ResponseWriter, request *http.Request) {
-	if !model.faults.pass(writer, request) {
+	if !model.faults.applyCommon(writer, request) {
 		return
 	}
 	var wanted completion
@@ -192,7 +202,7 @@
 	}
 	writer.Header().Set(engine.HeaderAttempt, name)
 	from := request.Header.Get("Shedkeel-From")
-	if reason := model.refuses(request); reason != "" {
+	if reason := model.refusalReason(request); reason != "" {
 		writer.Header().Set(engine.HeaderNotRun, reason)
 		http.Error(writer, reason, http.StatusConflict)
 		return
@@ -204,14 +214,14 @@
 	model.run(writer, request, name, wanted)
 }
 
-// refuses says why a request does not run, if so.
-func (model *Engine) refuses(request *http.Request) string {
+// refusalReason returns why the engine does not run the request, or "" if it does.
+func (model *Engine) refusalReason(request *http.Request) string {
 	if model.faults.get().Refuse {
 		return "told to refuse"
 	}
 	group := request.Header.Get(engine.HeaderGroup)
 	if group == "" {
-		return "" // a caller that goes to the engine directly
+		return "" // sent to the engine directly, without an entry
 	}
 	model.mutex.Lock()
 	defer model.mutex.Unlock()
@@ -222,10 +232,11 @@
 	return ""
 }
 
+// run runs the request in a slot, for which it waits, and answers it.
 func (model *Engine) run(writer http.ResponseWriter, request *http.Request, name string, wanted completion) {
-	model.count(wanted.Prompt, 1)
-	defer model.count("", -1)
-	if model.faults.use(func(faults *Faults) *int { return &faults.ResetFirst }) {
+	model.countRun(wanted.Prompt, 1)
+	defer model.countRun("", -1)
+	if model.faults.consume(func(faults *Faults) *int { return &faults.ResetFirst }) {
 		abort()
 	}
 	model.slots <- struct{}{}
@@ -233,17 +244,18 @@
 	events := eventsOf(wanted)
 	if !wanted.Stream {
 		time.Sleep(model.TokenTime * time.Duration(wanted.MaxTokens))
-		model.answer(writer, wanted)
+		model.sendAnswer(writer, wanted)
 		return
 	}
 	model.mutex.Lock()
 	model.streams[name] = events
 	model.mutex.Unlock()
-	model.send(writer, request, events, true)
+	model.sendStream(writer, request, events, true)
 }
 
-// count notes a run that begins or ends.
-func (model *Engine) count(prompt string, by int) {
+// countRun adds by to the active requests: 1 at the start of a run, -1 at its end. A
+// start also counts as a run of the prompt.
+func (model *Engine) countRun(prompt string, by int) {
 	model.mutex.Lock()
 	defer model.mutex.Unlock()
 	model.active += by
@@ -253,6 +265,7 @@
 	}
 }
 
+// wordsOf returns the words of the answer, one per token, and at least three.
 func wordsOf(wanted completion) []string {
 	words := []string{"answer", "to", wanted.Prompt}
 	for len(words) < wanted.MaxTokens {
@@ -261,6 +274,7 @@
 	return words
 }
 
+// eventsOf returns the answer as server-sent events, with the end mark as the last.
 func eventsOf(wanted completion) []string {
 	var events []string
 	for _, word := range wordsOf(wanted) {
@@ -270,13 +284,14 @@
 	return append(events, "data: [DONE]\n\n")
 }
 
-func (model *Engine) answer(writer http.ResponseWriter, wanted completion) {
+// sendAnswer sends the answer in one JSON body.
+func (model *Engine) sendAnswer(writer http.ResponseWriter, wanted completion) {
 	text, _ := json.Marshal(strings.Join(wordsOf(wanted), " "))
 	body := fmt.Sprintf("{\"object\":\"text_completion\",\"choices\":[{\"index\":0,\"text\":%s,\"message\":{\"role\":\"assistant\",\"content\":%s},\"finish_reason\":\"stop\"}]}\n", text, text)
 	writeBody(writer, []byte(body), model.faults.get())
 }
 
-// writeBody answers, or breaks off as the faults say.
+// writeBody sends a JSON body, subject to the faults NoLength and CutAfter.
 func writeBody(writer http.ResponseWriter, body []byte, faults Faults) {
 	writer.Header().Set("Content-Type", "application/json")
 	if faults.NoLength {
@@ -292,7 +307,8 @@
 	_, _ = writer.Write(body)
 }
 
-// writeWithoutLength answers as an HTTP/1.0 server does.
+// writeWithoutLength sends the answer as HTTP/1.0 without Content-Length: the end of
+// the connection ends the body.
 func writeWithoutLength(writer http.ResponseWriter, body []byte) {
 	conn, buffer, err := http.NewResponseController(writer).Hijack()
 	if err != nil {
@@ -303,12 +319,14 @@
 	_ = buffer.Flush()
 }
 
-func (model *Engine) send(writer http.ResponseWriter, request *http.Request, events []string, mayCut bool) {
+// sendStream sends the events at intervals of TokenTime. If mayCut is true, the fault
+// CutAfter closes the connection in the middle of an event.
+func (model *Engine) sendStream(writer http.ResponseWriter, request *http.Request, events []string, mayCut bool) {
 	writer.Header().Set("Content-Type", "text/event-stream")
 	for index, event := range events {
 		faults := model.faults.get()
 		if mayCut && faults.CutAfter > 0 && index >= faults.CutAfter {
-			_, _ = writer.Write([]byte(event[:len(event)/2])) // in the middle of an event
+			_, _ = writer.Write([]byte(event[:len(event)/2]))
 			_ = http.NewResponseController(writer).Flush()
 			abort()
 		}
@@ -322,6 +340,7 @@
 	}
 }
 
+// resume sends the events of an earlier stream from the given index on.
 func (model *Engine) resume(writer http.ResponseWriter, name, from string) {
 	model.mutex.Lock()
 	events := model.streams[name]
