--- a/mutants_test.go
+++ b/mutants_test.go
@@ -122,7 +122,7 @@
 		"dispatch/limit.go", "candidate.limit == nil || !candidate.usable(query)", "candidate.limit == nil", "TestConditionsHoldForEveryChoice", "./dispatch",
 	},
 	"backoff of servers: callers are not told its end": {
-		"serve/front.go", "cause = causeBackoff", "cause = causeNoCapacity", "TestRetryAfterABackoff", "./serve",
+		"serve/handler.go", "cause = causeBackoff", "cause = causeNoCapacity", "TestRetryAfterABackoff", "./serve",
 	},
 	"draining servers: their own answers are not heeded": {
 		"dispatch/condition.go", "condition.draining = true", "", "TestDrainInAnswersIsHeeded", "./node",
@@ -131,10 +131,10 @@
 		"dispatch/condition.go", "case now-condition.unlistedSince >= conditionRetention:", "default:", "TestConditions", "./dispatch",
 	},
 	"budget of repeats: a process that starts has all of it": {
-		"serve/budget.go", "warmup := min(float64(now-budget.Began)/float64(budget.Window), 1)", "warmup := 1.0", "TestRetryBudgetAcrossRestarts", "./serve",
+		"serve/budget.go", "warmup := min(float64(now-budget.StartedAt)/float64(budget.Window), 1)", "warmup := 1.0", "TestRetryBudgetAcrossRestarts", "./serve",
 	},
 	"budget of repeats: more processes than repeats have none": {
-		"serve/budget.go", "bound+budget.Lot {", "bound+0*budget.Lot {", "TestRetryBudgetAcrossRestarts", "./serve",
+		"serve/budget.go", "bound+budget.RandomOffset {", "bound+0*budget.RandomOffset {", "TestRetryBudgetAcrossRestarts", "./serve",
 	},
 	"copies: who is turned away follows the service alone": {
 		"mirror/follower.go", "!follower.fresh(state) || follower.Away()", "!follower.fresh(state)", "TestRefusedUpstreamAsksPeers", "./mirror",
@@ -293,10 +293,10 @@
 		"dispatch/spread.go", "max(state.assigned.running+change, 0)", "max(state.assigned.running+0*change, 0)", "TestSpreadByWhatRuns", "./dispatch",
 	},
 	"nodes: keys are taken whatever the configuration's age": {
-		"serve/front.go", "if exchange.front.RefuseStaleKeys && exchange.outOfDate() {", "if false {", "TestStaleConfiguration", "./serve",
+		"serve/handler.go", "if exchange.handler.RefuseStaleKeys && exchange.outOfDate() {", "if false {", "TestStaleConfiguration", "./serve",
 	},
 	"nodes: what an old configuration does not know is wrong": {
-		"serve/front.go", "if exchange.outOfDate() {\n\t\treturn exchange.refuse(causeStaleConfig, reason+", "if false {\n\t\treturn exchange.refuse(causeStaleConfig, reason+", "TestStaleConfiguration", "./serve",
+		"serve/handler.go", "if exchange.outOfDate() {\n\t\treturn exchange.refuse(causeStaleConfig, reason+", "if false {\n\t\treturn exchange.refuse(causeStaleConfig, reason+", "TestStaleConfiguration", "./serve",
 	},
 	"nodes: callers come back at once in an outage": {
 		"serve/retryafter.go", "return max(retryOutage, now-since)", "return min(retrySoon, now-since)", "TestRetryAfter", "./serve",
--- a/node/admin.go
+++ b/node/admin.go
@@ -95,7 +95,7 @@
 	node.controller.mutex.Unlock()
 	dump := Dump{
 		Process: Process, Node: node.Settings.Node, Incarnation: node.Incarnation, Stopping: node.stopping.Load(), Leads: leads,
-		Leader: node.controller.leader(), Revision: state.At.String(), Served: node.front.Served(),
+		Leader: node.controller.leader(), Revision: state.At.String(), Served: node.handler.RequestCount(),
 		Age: (node.Timers.Now() - state.AsOf).Round(time.Millisecond).String(),
 	}
 	if view := node.fleet.view.Load(); view != nil {
--- a/node/controller.go
+++ b/node/controller.go
@@ -140,7 +140,7 @@
 		slow := maps.Clone(controller.paces.slow)
 		demand := controller.demand.forService(id)
 		actions := planner.Plan(formation.Input{
-			Now: now, Engine: view.Service(id).Engine, Instances: instances, Dead: dead, Probed: maps.Clone(controller.probing), Slow: slow, Stalled: controller.stalledGroups(now), Demand: demand, Traffic: node.front.Served() > 0,
+			Now: now, Engine: view.Service(id).Engine, Instances: instances, Dead: dead, Probed: maps.Clone(controller.probing), Slow: slow, Stalled: controller.stalledGroups(now), Demand: demand, Traffic: node.handler.RequestCount() > 0,
 		})
 		loading := planner.Loading()
 		if usageDue {
--- a/node/guard.go
+++ b/node/guard.go
@@ -117,7 +117,7 @@
 	guard.node.Log.Write(event.RequestJudged, slog.String("digest", string(blame.Request)), slog.String("judgment", judgment.String()),
 		slog.Any("servers", blame.Servers), slog.Uint64("round", uint64(blame.Round)))
 	if judgment != shedkeel.Unblamed {
-		guard.node.front.CallBack(blame.Request)
+		guard.node.handler.CancelCopies(blame.Request)
 	}
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -98,7 +98,7 @@
 	mirror      mirror.Mirror
 	follower    mirror.Follower
 	table       dispatch.Table
-	front       serve.Front
+	handler     serve.Handler
 	fleet       fleet
 	peers       peers
 	member      membership
@@ -134,15 +134,15 @@
 	node.table.Zone = node.Settings.Zone
 	node.table.Random = node.Random
 	bounds := node.Settings.Bounds
-	node.front = serve.Front{
+	node.handler = serve.Handler{
 		Protocol: node.Protocol, Backend: node.Backend, Table: &node.table, Timers: node.Timers, Log: node.Log,
-		Budget:  &serve.Budget{Ratio: bounds.RetryRatio, Window: time.Duration(bounds.RetryWindow), Slack: bounds.RetrySlack, Careful: retryBudgetFraction, Began: node.Timers.Now(), Lot: rand.New(node.Random).Float64()},
-		Believe: node.believe, Spread: node.peers.spread, Nodes: node.fleet.nodeCount, Serving: node.fleet.servingCount,
-		Guard: &node.guard, Limits: &node.limits, Draining: node.peers.draining, Check: node.Check, DigestKey: []byte(node.Settings.Wire.Key),
-		ProofAge: time.Duration(float64(bounds.Revoke) * proofAgeFraction), RefuseStaleKeys: bounds.RefuseStaleKeys, MaxBackoff: time.Duration(bounds.MaxBackoff), Outage: node.follower.Outage,
+		Budget:        &serve.Budget{Ratio: bounds.RetryRatio, Window: time.Duration(bounds.RetryWindow), FixedRetries: bounds.RetrySlack, SafetyFactor: retryBudgetFraction, StartedAt: node.Timers.Now(), RandomOffset: rand.New(node.Random).Float64()},
+		CurrentConfig: node.believe, Recommend: node.peers.spread, RetryBudgetNodes: node.fleet.nodeCount, ServingNodes: node.fleet.servingCount,
+		Guard: &node.guard, Limits: &node.limits, OnDraining: node.peers.draining, ServerCheck: node.Check, DigestKey: []byte(node.Settings.Wire.Key),
+		MaxConfigAge: time.Duration(float64(bounds.Revoke) * proofAgeFraction), RefuseStaleKeys: bounds.RefuseStaleKeys, MaxBackoff: time.Duration(bounds.MaxBackoff), StoreOutage: node.follower.Outage,
 	}
 	if node.Metrics != nil {
-		node.front.Meter = serve.NewMeter(node.Metrics.Scope)
+		node.handler.Meter = serve.NewMeter(node.Metrics.Scope)
 	}
 	node.fleet.node = node
 	node.peers.node = node
@@ -168,7 +168,7 @@
 // Run serves until the context is canceled, then shuts down gracefully.
 func (node *Node) Run(ctx context.Context, listeners Listeners, faces Faces) error {
 	node.Log.Write(event.Started, slog.String("incarnation", node.Incarnation))
-	callers := &http.Server{Handler: &node.front, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
+	callers := &http.Server{Handler: &node.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
 	servers := []*http.Server{
 		node.startServer(listeners.Directory, faces.Directory),
 		node.startServer(listeners.Readiness, faces.Readiness),
@@ -194,7 +194,7 @@
 	cancelPaces := node.Timers.Subscribe(paceEvery/paceParts, node.controller.paces.tick)
 	cancelDemand := node.Timers.Subscribe(demandEvery, node.controller.demand.tick)
 	cancelFleet := node.Timers.Subscribe(fleetTick, node.fleet.tick)
-	cancelExpiry := node.Timers.Subscribe(expiryTick, node.front.Expire)
+	cancelExpiry := node.Timers.Subscribe(expiryTick, node.handler.CancelOverdue)
 	cancelGossip := node.Timers.Subscribe(gossipTick, node.gossip.tick)
 	cancelRemover := node.Timers.Subscribe(removerTick, node.remover.tick)
 
@@ -233,14 +233,14 @@
 	stopStarted := node.Timers.Now()
 	node.Log.Write(event.Stopping)
 	node.stopping.Store(true)
-	node.front.Stop()
+	node.handler.CloseConnections()
 	node.controller.resign()
 	node.member.requestWrite()
 	node.gossip.leave()
 	grace := time.Duration(node.Settings.Bounds.Grace)
 	cacheExpiry := min(maxDirectoryKeepFactor*DirectoryKeep, grace*3/8)
 	time.Sleep(cacheExpiry)
-	node.front.Refuse()
+	node.handler.RefuseNew()
 	remaining := grace - stopMargin - (node.Timers.Now() - stopStarted)
 	ctx, cancel := context.WithTimeout(context.Background(), remaining)
 	defer cancel()
@@ -252,8 +252,8 @@
 }
 
 // believe returns the active configuration and the time of its latest proof.
-func (node *Node) believe() serve.Belief {
-	return serve.Belief{View: node.fleet.view.Load(), AsOf: node.mirror.State().AsOf}
+func (node *Node) believe() serve.ConfigState {
+	return serve.ConfigState{View: node.fleet.view.Load(), ProvenAt: node.mirror.State().AsOf}
 }
 
 // Ready reports whether callers should be sent to this node.
@@ -262,7 +262,7 @@
 		return false
 	}
 	age := node.Timers.Now() - node.mirror.State().AsOf
-	return !node.front.RefuseStaleKeys || age < node.front.ProofAge
+	return !node.handler.RefuseStaleKeys || age < node.handler.MaxConfigAge
 }
 
 // reportSilentServers logs backend servers that stopped responding and reports
@@ -283,7 +283,7 @@
 // need a restart.
 func (node *Node) Reload(settings config.NodeSettings) {
 	bounds := settings.Bounds
-	node.front.Budget.Set(bounds.RetryRatio, time.Duration(bounds.RetryWindow), bounds.RetrySlack)
+	node.handler.Budget.Set(bounds.RetryRatio, time.Duration(bounds.RetryWindow), bounds.RetrySlack)
 	needsRestart := settings.Listen != node.Settings.Listen || settings.Store != node.Settings.Store || settings.Node != node.Settings.Node ||
 		bounds.Revoke != node.Settings.Bounds.Revoke || bounds.RefuseStaleKeys != node.Settings.Bounds.RefuseStaleKeys
 	node.Log.Write(event.Reloaded, slog.Bool("needs_restart", needsRestart))
--- a/node/notice_test.go
+++ b/node/notice_test.go
@@ -57,7 +57,7 @@
 	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: leadKey, Value: lead, Revision: shedkeel.Revision{Number: 2}}}})
 	head := leader.fleet.groupServices()["s"][0]
 	assert.Assert(t, !head.Draining)
-	node.front.Draining(head.ID)
+	node.handler.OnDraining(head.ID)
 	for end := time.Now().Add(5 * time.Second); !leader.table.Draining()[head.ID] && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
--- a/serve/budget.go
+++ b/serve/budget.go
@@ -9,25 +9,25 @@
 
 // Budget is a retry budget. It bounds the retries that all processes together
 // send to a service in each window: Ratio times the requests for the service,
-// plus Slack. Each process uses Ratio times its own requests and an equal share
-// of Slack, so that the total bound holds even when processes cannot reach each
+// plus FixedRetries. Each process uses Ratio times its own requests and an equal share
+// of FixedRetries, so that the total bound holds even when processes cannot reach each
 // other. Its methods are safe for concurrent use.
 type Budget struct {
-	Ratio  float64       // retries per request
-	Window time.Duration // over which requests and retries are counted
-	Slack  float64       // retries per window, independent of the number of requests
-	// Careful is the fraction of the bound that is used, so that the bound also
+	Ratio        float64       // retries per request
+	Window       time.Duration // over which requests and retries are counted
+	FixedRetries float64       // retries per window, independent of the number of requests
+	// SafetyFactor is the fraction of the bound that is used, so that the bound also
 	// holds in every sliding window.
-	Careful float64
-	// Began is when the process started. Its share of Slack grows from 0 to its
+	SafetyFactor float64
+	// StartedAt is when the process started. Its share of FixedRetries grows from 0 to its
 	// full size over the first window, because the process does not know which
 	// retries it sent before a restart.
-	Began time.Duration
-	// Lot is a random number from 0 to 1, drawn once per process. It is added to
+	StartedAt time.Duration
+	// RandomOffset is a random number from 0 to 1, drawn once per process. It is added to
 	// the bound, so that a fractional retry is allowed with a probability equal to
 	// the fraction. Without it, no process could retry where there are more
 	// processes than allowed retries.
-	Lot float64
+	RandomOffset float64
 
 	mutex    sync.Mutex
 	services map[shedkeel.ServiceID]*serviceUsage
@@ -85,12 +85,12 @@
 }
 
 // Set changes the bound. If the window changes, all counts restart at zero, so that only
-// Slack allows retries until new requests are counted.
-func (budget *Budget) Set(ratio float64, window time.Duration, slack float64) {
+// FixedRetries allows retries until new requests are counted.
+func (budget *Budget) Set(ratio float64, window time.Duration, fixedRetries float64) {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
 	budget.Ratio = ratio
-	budget.Slack = slack
+	budget.FixedRetries = fixedRetries
 	if window == budget.Window {
 		return
 	}
@@ -98,33 +98,33 @@
 	budget.services = nil
 }
 
-// First counts a request for the service, at its first attempt.
-func (budget *Budget) First(service shedkeel.ServiceID, now time.Duration) {
+// CountRequest counts a request for the service, at its first attempt.
+func (budget *Budget) CountRequest(service shedkeel.ServiceID, now time.Duration) {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
 	usage := budget.usage(service, now)
 	usage.requests[usage.slot%budgetSlots]++
 }
 
-// Repeat reports whether a request may be retried now, and counts the retry if so.
-// Nodes is the number of processes that share Slack.
-func (budget *Budget) Repeat(service shedkeel.ServiceID, nodes int, now time.Duration) bool {
+// AllowRetry reports whether a request may be retried now, and counts the retry if so.
+// Nodes is the number of processes that share FixedRetries.
+func (budget *Budget) AllowRetry(service shedkeel.ServiceID, nodes int, now time.Duration) bool {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
 	usage := budget.usage(service, now)
-	warmup := min(float64(now-budget.Began)/float64(budget.Window), 1)
-	slack := warmup * budget.Slack / float64(max(nodes, 1))
-	bound := budget.Careful * (budget.Ratio*sum(usage.requests) + slack)
-	if sum(usage.retries)+1 > bound+budget.Lot {
+	warmup := min(float64(now-budget.StartedAt)/float64(budget.Window), 1)
+	fixedRetries := warmup * budget.FixedRetries / float64(max(nodes, 1))
+	bound := budget.SafetyFactor * (budget.Ratio*sum(usage.requests) + fixedRetries)
+	if sum(usage.retries)+1 > bound+budget.RandomOffset {
 		return false
 	}
 	usage.retries[usage.slot%budgetSlots]++
 	return true
 }
 
-// TakeBack returns a retry to the budget that Repeat has just allowed and that was
+// Refund returns a retry to the budget that AllowRetry has just allowed and that was
 // not sent to any server.
-func (budget *Budget) TakeBack(service shedkeel.ServiceID, now time.Duration) {
+func (budget *Budget) Refund(service shedkeel.ServiceID, now time.Duration) {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
 	usage := budget.usage(service, now)
--- a/serve/budget_test.go
+++ b/serve/budget_test.go
@@ -42,7 +42,7 @@
 		t.Run(name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(1, 2))
 			newBudget := func(now time.Duration) *Budget {
-				return &Budget{Ratio: ratio, Window: window, Slack: test.slack, Careful: careful, Began: now, Lot: random.Float64()}
+				return &Budget{Ratio: ratio, Window: window, FixedRetries: test.slack, SafetyFactor: careful, StartedAt: now, RandomOffset: random.Float64()}
 			}
 			nodes := make([]*Budget, test.nodes)
 			for index := range nodes {
@@ -58,8 +58,8 @@
 				for range int(test.requests*step.Seconds() + random.Float64()) {
 					node := nodes[random.IntN(len(nodes))]
 					requests = append(requests, now)
-					node.First("s", now)
-					if node.Repeat("s", len(nodes), now) {
+					node.CountRequest("s", now)
+					if node.AllowRetry("s", len(nodes), now) {
 						repeats = append(repeats, now)
 					}
 				}
@@ -67,7 +67,7 @@
 				// requests failed.
 				if now%time.Second == 0 {
 					for _, node := range nodes {
-						for node.Repeat("s", len(nodes), now) {
+						for node.AllowRetry("s", len(nodes), now) {
 							repeats = append(repeats, now)
 						}
 					}
--- a/serve/digest.go
+++ b/serve/digest.go
@@ -39,8 +39,8 @@
 // client account and body. All attempts of a request have the same digest at all
 // processes with the same key.
 func (exchange *exchange) computeDigest() shedkeel.RequestDigest {
-	digester := exchange.front.digesters.get(exchange.front.DigestKey)
-	defer exchange.front.digesters.pool.Put(digester)
+	digester := exchange.handler.digesters.get(exchange.handler.DigestKey)
+	defer exchange.handler.digesters.pool.Put(digester)
 	account := ""
 	if exchange.account != nil {
 		account = string(exchange.account.ID)
--- a/serve/digest_test.go
+++ b/serve/digest_test.go
@@ -13,7 +13,7 @@
 // newExchange returns an exchange with what is part of its digest.
 func newExchange() *exchange {
 	return &exchange{
-		front:   &Front{DigestKey: []byte("k")},
+		handler: &Handler{DigestKey: []byte("k")},
 		request: httptest.NewRequest(http.MethodPost, "/s/x", nil),
 		call:    shedkeel.Call{ID: "r1", Host: "h", Target: "/s/x?a=1", Key: "k1"},
 		account: &shedkeel.KeyedAccount{ID: "clerk"},
@@ -38,7 +38,7 @@
 		"another body":       {func(exchange *exchange) { exchange.body = []byte("bodz") }, false},
 		"another method":     {func(exchange *exchange) { exchange.request = httptest.NewRequest(http.MethodPut, "/s/x", nil) }, false},
 		"parts concatenated": {func(exchange *exchange) { exchange.call.Target, exchange.account = "/s/x?a=1clerk", nil }, false},
-		"another digest key": {func(exchange *exchange) { exchange.front = &Front{DigestKey: []byte("other")} }, false},
+		"another digest key": {func(exchange *exchange) { exchange.handler = &Handler{DigestKey: []byte("other")} }, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/serve/ended.go
+++ b/serve/ended.go
@@ -75,11 +75,11 @@
 // stated that it drains, because such an end is planned. It does not blame requests
 // that were sent after the first failure on the server.
 func (exchange *exchange) reportServerEnd(choice *dispatch.Choice, failure error) {
-	now := exchange.front.Timers.Now()
-	if exchange.front.Check == nil || !isDisconnect(failure) || !choice.Listed() {
+	now := exchange.handler.Timers.Now()
+	if exchange.handler.ServerCheck == nil || !isDisconnect(failure) || !choice.Listed() {
 		return
 	}
-	at, ended := exchange.front.endedServers.endedSince(choice.Instance, now, func() bool { return exchange.front.serverEnded(choice.Address) })
+	at, ended := exchange.handler.endedServers.endedSince(choice.Instance, now, func() bool { return exchange.handler.serverEnded(choice.Address) })
 	if !ended {
 		return
 	}
@@ -88,17 +88,17 @@
 		return
 	}
 	exchange.log(event.ServerEnded, slog.String("server", string(choice.Instance)), slog.String("digest", string(exchange.digest())))
-	if exchange.front.Guard != nil {
-		exchange.front.Guard.Ended(exchange.digest(), choice.Instance)
+	if exchange.handler.Guard != nil {
+		exchange.handler.Guard.Ended(exchange.digest(), choice.Instance)
 	}
 }
 
 // serverEnded reports whether it is proven that no server listens at the address any
 // more.
-func (front *Front) serverEnded(address string) bool {
+func (handler *Handler) serverEnded(address string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), endCheckTimeout)
 	defer cancel()
-	return front.Check.Ended(ctx, address)
+	return handler.ServerCheck.Ended(ctx, address)
 }
 
 // isDisconnect reports whether an attempt failed without an answer or refusal from
--- a/serve/guard.go
+++ b/serve/guard.go
@@ -14,20 +14,20 @@
 
 // guardActive reports whether the guard currently has a record of any request under
 // which servers ended. Computing digests is skipped while it has none.
-func (front *Front) guardActive() bool { return front.Guard != nil && !front.Guard.Idle() }
+func (handler *Handler) guardActive() bool { return handler.Guard != nil && !handler.Guard.Idle() }
 
 // checkGuard asks the guard whether the request may be sent. If it may, the caller
 // must call done when the request is over; otherwise err is the refusal. It sets
 // exchange.quarantined for a request that may run on one server only.
 func (exchange *exchange) checkGuard(ctx context.Context) (done func(), err error) {
-	if !exchange.front.guardActive() {
+	if !exchange.handler.guardActive() {
 		return func() {}, nil
 	}
-	switch exchange.front.Guard.Judge(exchange.digest()) {
+	switch exchange.handler.Guard.Judge(exchange.digest()) {
 	case shedkeel.Contained:
 		return nil, exchange.refuse(causeContained, errServersEnded.Error()+", so it is sent to none any more")
 	case shedkeel.Quarantined:
-		done, allowed := exchange.front.Guard.Try(ctx, exchange.digest())
+		done, allowed := exchange.handler.Guard.Try(ctx, exchange.digest())
 		if !allowed {
 			return nil, exchange.refuse(causeQuarantined, errServersEnded.Error()+", and one try of it at a time is made")
 		}
@@ -40,54 +40,54 @@
 // guardAllows reports whether the guard still allows another attempt: servers may
 // have ended under the request since checkGuard.
 func (exchange *exchange) guardAllows() bool {
-	if !exchange.front.guardActive() {
+	if !exchange.handler.guardActive() {
 		return true
 	}
-	judgment := exchange.front.Guard.Judge(exchange.digest())
+	judgment := exchange.handler.Guard.Judge(exchange.digest())
 	return judgment == shedkeel.Unblamed || exchange.quarantined && judgment == shedkeel.Quarantined
 }
 
 // reportAnswer tells the guard that a server has answered the request completely.
 func (exchange *exchange) reportAnswer() {
-	if exchange.front.guardActive() {
-		exchange.front.Guard.Answered(exchange.digest())
+	if exchange.handler.guardActive() {
+		exchange.handler.Guard.Answered(exchange.digest())
 	}
 }
 
-// track adds the request to the active ones, so that CallBack and Expire find it.
-func (front *Front) track(tracked *exchange) {
-	front.mutex.Lock()
-	defer front.mutex.Unlock()
-	if front.exchanges == nil {
-		front.exchanges = map[*exchange]struct{}{}
+// track adds the request to the active ones, so that CancelCopies and CancelOverdue find it.
+func (handler *Handler) track(tracked *exchange) {
+	handler.mutex.Lock()
+	defer handler.mutex.Unlock()
+	if handler.exchanges == nil {
+		handler.exchanges = map[*exchange]struct{}{}
 	}
-	front.exchanges[tracked] = struct{}{}
+	handler.exchanges[tracked] = struct{}{}
 }
 
 // untrack removes the request from the active ones.
-func (front *Front) untrack(exchange *exchange) {
-	front.mutex.Lock()
-	defer front.mutex.Unlock()
-	delete(front.exchanges, exchange)
+func (handler *Handler) untrack(exchange *exchange) {
+	handler.mutex.Lock()
+	defer handler.mutex.Unlock()
+	delete(handler.exchanges, exchange)
 }
 
-// CallBack cancels all active copies of the request whose answers have not started:
+// CancelCopies cancels all active copies of the request whose answers have not started:
 // copies that wait at servers would end those servers too once they run. A copy
 // whose answer has started goes on, since its complete answer clears the request,
 // and so does a quarantined one.
-func (front *Front) CallBack(request shedkeel.RequestDigest) {
-	for _, exchange := range front.activeExchanges() {
+func (handler *Handler) CancelCopies(request shedkeel.RequestDigest) {
+	for _, exchange := range handler.activeExchanges() {
 		if !exchange.quarantined && !exchange.answerStarted.Load() && exchange.digest() == request {
 			exchange.abort(errServersEnded)
 		}
 	}
 }
 
-// Expire cancels the requests whose deadline has passed. It is needed because the
+// CancelOverdue cancels the requests whose deadline has passed. It is needed because the
 // timers of their contexts stop while the box is suspended, and would afterwards
 // still hold the requests for the time that remained before.
-func (front *Front) Expire(now time.Duration) {
-	for _, exchange := range front.activeExchanges() {
+func (handler *Handler) CancelOverdue(now time.Duration) {
+	for _, exchange := range handler.activeExchanges() {
 		if now > exchange.deadline {
 			exchange.abort(context.DeadlineExceeded)
 		}
@@ -95,11 +95,11 @@
 }
 
 // activeExchanges returns the requests that are being served.
-func (front *Front) activeExchanges() []*exchange {
-	front.mutex.Lock()
-	defer front.mutex.Unlock()
+func (handler *Handler) activeExchanges() []*exchange {
+	handler.mutex.Lock()
+	defer handler.mutex.Unlock()
 	var active []*exchange
-	for exchange := range front.exchanges {
+	for exchange := range handler.exchanges {
 		active = append(active, exchange)
 	}
 	return active
--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -111,7 +111,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			harness := newHarness(t, test.steps...)
-			harness.Guard, harness.Check = test.guard, fixedCheck(test.serversEnded)
+			harness.Guard, harness.ServerCheck = test.guard, fixedCheck(test.serversEnded)
 			got := harness.post(test.path, "body", "Model", modelOf(test.path))
 			assert.Equal(t, got.Code, test.status, got.Body.String())
 			assert.Equal(t, got.broken, test.broken)
@@ -139,7 +139,7 @@
 		for _, path := range []string{"/s/x", "/safe/x"} {
 			t.Run(name+path, func(t *testing.T) {
 				harness := newHarness(t, step{err: errAnswerLost}, step{events: 3})
-				harness.Guard, harness.Check = &fixedGuard{idle: true}, fixedCheck(serverEnded)
+				harness.Guard, harness.ServerCheck = &fixedGuard{idle: true}, fixedCheck(serverEnded)
 				assert.Equal(t, harness.post(path, "body", "Model", modelOf(path)).Code, 200)
 				assert.Equal(t, len(harness.backend.requests), 2)
 				assert.Assert(t, !engine.IsFresh(harness.backend.requests[0].Context()))
@@ -155,14 +155,14 @@
 	harness := newHarness(t)
 	timers := &timer.Manual{}
 	guard := &fixedGuard{idle: true}
-	harness.Timers, harness.Guard, harness.Check = timers, guard, fixedCheck(true)
+	harness.Timers, harness.Guard, harness.ServerCheck = timers, guard, fixedCheck(true)
 	harness.Table.Replace([]dispatch.Server{{Service: "plain", Instance: "p", Address: "plain:1", Slots: 4}})
 	choose := func() *dispatch.Choice {
 		timers.Advance(time.Second)
 		return harness.Table.Choose(dispatch.Query{Service: "plain", Now: timers.Now()})
 	}
 	asked := newExchange()
-	asked.front, asked.digest = harness.Front, asked.computeDigest
+	asked.handler, asked.digest = harness.Handler, asked.computeDigest
 	before, another := choose(), choose()
 	asked.reportServerEnd(before, errAnswerLost)
 	late := choose()
@@ -190,7 +190,7 @@
 	}
 }
 
-// TestCallBackCancelsWaitingCopies checks that CallBack cancels a copy of the request
+// TestCallBackCancelsWaitingCopies checks that CancelCopies cancels a copy of the request
 // that waits at a server, and that one whose answer has started goes on.
 func TestCallBackCancelsWaitingCopies(t *testing.T) {
 	cases := map[string]struct {
@@ -207,14 +207,14 @@
 		t.Run(name, func(t *testing.T) {
 			harness := newHarness(t, test.step)
 			named := newExchange()
-			named.front = harness.Front
+			named.handler = harness.Handler
 			named.call.Target, named.account, named.body = test.path, &shedkeel.KeyedAccount{ID: "clerk"}, []byte("body")
 			if name == "another request" {
 				named.call.Target = "/s/x"
 			}
 			go func() {
 				time.Sleep(60 * time.Millisecond)
-				harness.CallBack(named.computeDigest())
+				harness.CancelCopies(named.computeDigest())
 			}()
 			if name == "has begun" {
 				harness.Backend = slowBackend{harness.backend}
@@ -250,7 +250,7 @@
 			go func() {
 				time.Sleep(50 * time.Millisecond)
 				timers.Advance(test.suspended)
-				harness.Expire(timers.Now())
+				harness.CancelOverdue(timers.Now())
 			}()
 			began := time.Now()
 			got := harness.post(test.path, "body", "Model", modelOf(test.path))
--- a/serve/front.go
+++ b/serve/handler.go
@@ -38,9 +38,9 @@
 	answerMargin = 20 * time.Millisecond
 )
 
-// Front is the http.Handler that serves callers. Its exported fields must be set before
+// Handler is the http.Handler that serves callers. Its exported fields must be set before
 // the first request and not change afterwards.
-type Front struct {
+type Handler struct {
 	Protocol shedkeel.CallerProtocol
 	Backend  shedkeel.Backend
 	Table    *dispatch.Table
@@ -48,44 +48,44 @@
 	Timers   shedkeel.Timers
 	Log      *event.Log
 	Meter    *Meter // nil: nothing is recorded
-	// Believe returns the configuration to serve by.
-	Believe func() Belief
-	// Nodes returns how many processes share the retry budget.
-	Nodes func() int
-	// Serving returns how many processes accept requests and share the slots of the
+	// CurrentConfig returns the configuration to serve by.
+	CurrentConfig func() ConfigState
+	// RetryBudgetNodes returns how many processes share the retry budget.
+	RetryBudgetNodes func() int
+	// ServingNodes returns how many processes accept requests and share the slots of the
 	// groups.
-	Serving func() int
-	// Spread asks the process that distributes the requests of all processes over
+	ServingNodes func() int
+	// Recommend asks the process that distributes the requests of all processes over
 	// the groups of a model which group should serve this one. It returns false if
 	// there is no answer. nil: no process does this.
-	Spread func(context.Context, dispatch.Query, dispatch.Load) (dispatch.Advice, bool)
-	// ProofAge is how long after it was last proven current a configuration counts
+	Recommend func(context.Context, dispatch.Query, dispatch.Load) (dispatch.Advice, bool)
+	// MaxConfigAge is how long after it was last proven current a configuration counts
 	// as out of date: keys may have been removed, and keys and routes added since.
-	ProofAge time.Duration
-	// RefuseStaleKeys makes the front refuse requests with keys while the
+	MaxConfigAge time.Duration
+	// RefuseStaleKeys makes the handler refuse requests with keys while the
 	// configuration is out of date. Otherwise it serves them by the newest
 	// configuration that it has.
 	RefuseStaleKeys bool
 	// Guard limits attempts of requests under which servers ended. nil: all
 	// requests may be sent.
 	Guard shedkeel.RequestGuard
-	// Check finds out whether a server has ended after a request to it failed.
+	// ServerCheck finds out whether a server has ended after a request to it failed.
 	// nil: this is not checked.
-	Check shedkeel.ServerCheck
+	ServerCheck shedkeel.ServerCheck
 	// Limits grants the permits for servers that limit the rate of their requests.
 	// nil: no permits are needed.
 	Limits shedkeel.ServerLimits
-	// Draining is called with a server when an answer first states that it is
+	// OnDraining is called with a server when an answer first states that it is
 	// draining. It may be nil.
-	Draining func(shedkeel.InstanceID)
+	OnDraining func(shedkeel.InstanceID)
 	// MaxBackoff bounds the backoff that a server may ask for. 0: no bound.
 	MaxBackoff time.Duration
 	// DigestKey is the HMAC key of request digests, so that nobody outside can craft
 	// two requests with the same digest. It must be the same at all processes.
 	DigestKey []byte
-	// Outage reports whether the key-value service is not available to any process,
+	// StoreOutage reports whether the key-value service is not available to any process,
 	// as far as this one can tell, and since when. nil: this is not known.
-	Outage func() (since time.Duration, unavailable bool)
+	StoreOutage func() (since time.Duration, unavailable bool)
 
 	stopping     atomic.Bool // answers ask callers to close their connections
 	refusing     atomic.Bool // new requests are refused
@@ -97,17 +97,17 @@
 	exchanges map[*exchange]struct{} // being served
 }
 
-// Stop makes every answer from now on ask its caller to close the connection.
-func (front *Front) Stop() { front.stopping.Store(true) }
+// CloseConnections makes every answer from now on ask its caller to close the connection.
+func (handler *Handler) CloseConnections() { handler.stopping.Store(true) }
 
-// Refuse makes the front refuse all further requests, so that their callers retry at
+// RefuseNew makes the handler refuse all further requests, so that their callers retry at
 // another process.
-func (front *Front) Refuse() { front.refusing.Store(true) }
+func (handler *Handler) RefuseNew() { handler.refusing.Store(true) }
 
-// Served returns how many requests have been received, including refused ones.
-func (front *Front) Served() int64 { return front.served.Load() }
+// RequestCount returns how many requests have been received, including refused ones.
+func (handler *Handler) RequestCount() int64 { return handler.served.Load() }
 
-// refusal is an error status that the front itself answers with.
+// refusal is an error status that the handler itself answers with.
 type refusal struct {
 	status     int
 	reason     string
@@ -118,9 +118,9 @@
 func (refusal *refusal) Error() string { return refusal.reason }
 
 // exchange is the state of one request while it is served. Times are on the clock of
-// Front.Timers.
+// Handler.Timers.
 type exchange struct {
-	front           *Front
+	handler         *Handler
 	writer          http.ResponseWriter
 	request         *http.Request
 	call            shedkeel.Call
@@ -151,12 +151,12 @@
 
 // ServeHTTP serves one request. It panics with http.ErrAbortHandler when an answer that
 // has started cannot be completed, so that the connection is aborted.
-func (front *Front) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	front.served.Add(1)
-	exchange := &exchange{front: front, writer: writer, request: request, startedAt: front.Timers.Now()}
+func (handler *Handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+	handler.served.Add(1)
+	exchange := &exchange{handler: handler, writer: writer, request: request, startedAt: handler.Timers.Now()}
 	exchange.digest = sync.OnceValue(exchange.computeDigest)
 	exchange.setWriteDeadline(defaultTimeout)
-	if front.stopping.Load() {
+	if handler.stopping.Load() {
 		writer.Header().Set("Connection", "close")
 	}
 	err := exchange.prepare()
@@ -169,25 +169,25 @@
 // prepare matches the request to its route and client account, sets its deadlines and
 // reads its body.
 func (exchange *exchange) prepare() error {
-	call, err := exchange.front.Protocol.Read(exchange.request)
+	call, err := exchange.handler.Protocol.Read(exchange.request)
 	exchange.call = call
 	if err != nil {
 		return &refusal{status: http.StatusBadRequest, reason: err.Error()}
 	}
-	if exchange.front.refusing.Load() {
+	if exchange.handler.refusing.Load() {
 		return exchange.refuse(causeStopping, "this node is stopping")
 	}
-	belief := exchange.front.Believe()
-	if belief.View == nil {
+	current := exchange.handler.CurrentConfig()
+	if current.View == nil {
 		return exchange.refuse(causeStaleConfig, "no configuration is known yet")
 	}
-	exchange.view = belief.View
-	exchange.configAge = exchange.startedAt - belief.AsOf
-	exchange.route = belief.View.route(call.Host, call.Path)
+	exchange.view = current.View
+	exchange.configAge = exchange.startedAt - current.ProvenAt
+	exchange.route = current.View.route(call.Host, call.Path)
 	if exchange.route == nil {
 		return exchange.refuseUnknown(http.StatusNotFound, "no route matches")
 	}
-	if err := exchange.authenticate(belief); err != nil {
+	if err := exchange.authenticate(current); err != nil {
 		return err
 	}
 	exchange.service = targetService(exchange.route, call.ID)
@@ -200,7 +200,7 @@
 		exchange.callerDeadline = min(exchange.callerDeadline, exchange.startedAt+call.Deadline)
 	}
 	exchange.deadline = exchange.callerDeadline - answerMargin
-	exchange.setWriteDeadline(exchange.callerDeadline - exchange.front.Timers.Now())
+	exchange.setWriteDeadline(exchange.callerDeadline - exchange.handler.Timers.Now())
 	return exchange.readBody()
 }
 
@@ -213,7 +213,7 @@
 
 // outOfDate reports whether the configuration may have been replaced by one that this
 // process has not received.
-func (exchange *exchange) outOfDate() bool { return exchange.configAge > exchange.front.ProofAge }
+func (exchange *exchange) outOfDate() bool { return exchange.configAge > exchange.handler.MaxConfigAge }
 
 // refuseUnknown refuses a request whose route or key is not in the configuration, with
 // the given status. If the configuration is out of date, it refuses with 503 instead,
@@ -226,17 +226,17 @@
 }
 
 // authenticate finds the client account of the request's key, if the route needs one.
-func (exchange *exchange) authenticate(belief Belief) error {
-	if !belief.View.needsKey(exchange.route) {
+func (exchange *exchange) authenticate(current ConfigState) error {
+	if !current.View.needsKey(exchange.route) {
 		return nil
 	}
-	if exchange.front.RefuseStaleKeys && exchange.outOfDate() {
+	if exchange.handler.RefuseStaleKeys && exchange.outOfDate() {
 		return exchange.refuse(causeStaleConfig, "the configuration is too old to accept keys by: "+exchange.configAge.String())
 	}
 	if exchange.call.KeyCount != 1 {
 		return &refusal{status: http.StatusUnauthorized, reason: "the request must carry one key"}
 	}
-	exchange.account = belief.View.accounts[exchange.call.Key]
+	exchange.account = current.View.accounts[exchange.call.Key]
 	if exchange.account == nil {
 		return exchange.refuseUnknown(http.StatusUnauthorized, "the key belongs to no client account")
 	}
@@ -272,13 +272,13 @@
 
 // serve sends the prepared request to backend servers until its deadline.
 func (exchange *exchange) serve() error {
-	exchange.front.Budget.First(exchange.service, exchange.startedAt)
-	ctx, cancel := context.WithTimeout(exchange.request.Context(), exchange.deadline-exchange.front.Timers.Now())
+	exchange.handler.Budget.CountRequest(exchange.service, exchange.startedAt)
+	ctx, cancel := context.WithTimeout(exchange.request.Context(), exchange.deadline-exchange.handler.Timers.Now())
 	defer cancel()
 	ctx, exchange.abort = context.WithCancelCause(ctx)
 	defer exchange.abort(nil)
-	exchange.front.track(exchange)
-	defer exchange.front.untrack(exchange)
+	exchange.handler.track(exchange)
+	defer exchange.handler.untrack(exchange)
 	// A request that ends servers is sent again under other IDs and at other nodes.
 	// When only the attempts of each request were bounded, each repetition ended
 	// two more servers. The guard recognizes them by their digest.
@@ -295,11 +295,11 @@
 }
 
 // writeResult logs and counts the end of the request. If err is not nil, it writes the
-// front's own error status, or panics to abort an answer that has started.
+// handler's own error status, or panics to abort an answer that has started.
 func (exchange *exchange) writeResult(err error) {
 	var refused *refusal
-	took := exchange.front.Timers.Now() - exchange.startedAt
-	meter := exchange.front.meter()
+	took := exchange.handler.Timers.Now() - exchange.startedAt
+	meter := exchange.handler.meter()
 	switch {
 	case err == nil:
 		count(meter.answered)
@@ -333,12 +333,12 @@
 	http.Error(exchange.writer, refused.reason, refused.status)
 }
 
-// meter returns the front's meter, or one that records nothing.
-func (front *Front) meter() *Meter {
-	if front.Meter == nil {
+// meter returns the handler's meter, or one that records nothing.
+func (handler *Handler) meter() *Meter {
+	if handler.Meter == nil {
 		return &Meter{}
 	}
-	return front.Meter
+	return handler.Meter
 }
 
 // log writes an event with the request's ID, route and configuration version.
@@ -347,7 +347,7 @@
 	if exchange.route != nil {
 		fields = append(fields, slog.String("route", string(exchange.route.ID)), slog.Int64("config", exchange.view.Config.Version))
 	}
-	exchange.front.Log.Write(kind, fields...)
+	exchange.handler.Log.Write(kind, fields...)
 }
 
 // failure returns the error for a request that no backend server answered: errAborted
--- a/serve/permit.go
+++ b/serve/permit.go
@@ -23,19 +23,19 @@
 func (exchange *exchange) chooseWithPermit(ctx context.Context, query dispatch.Query, mayWait bool) (*dispatch.Choice, error) {
 	for requested := 0; ; requested++ {
 		query.Free = requested >= maxPermitRequests
-		choice := exchange.front.Table.Choose(query)
+		choice := exchange.handler.Table.Choose(query)
 		if choice == nil {
 			break
 		}
-		if !choice.Limited || exchange.front.Limits == nil {
+		if !choice.Limited || exchange.handler.Limits == nil {
 			return choice, nil
 		}
-		permit := exchange.front.Limits.Acquire(ctx, choice.Instance, 0)
+		permit := exchange.handler.Limits.Acquire(ctx, choice.Instance, 0)
 		if permit.Granted {
 			return choice, nil
 		}
 		choice.Cancel()
-		exchange.front.Table.Hold(choice.Instance, exchange.front.Timers.Now()+permit.Wait)
+		exchange.handler.Table.Hold(choice.Instance, exchange.handler.Timers.Now()+permit.Wait)
 	}
 	if !mayWait {
 		return nil, exchange.noServerError(query)
@@ -47,19 +47,19 @@
 // and waits until it is valid. It returns errLimited, and sets exchange.retryIn, if
 // that takes too long.
 func (exchange *exchange) awaitPermit(ctx context.Context, query dispatch.Query) (*dispatch.Choice, error) {
-	server, found := exchange.front.Table.NextPermit(query)
-	if !found || exchange.front.Limits == nil {
+	server, found := exchange.handler.Table.NextPermit(query)
+	if !found || exchange.handler.Limits == nil {
 		return nil, exchange.noServerError(query)
 	}
 	maxWait := min(time.Duration(permitWaitFraction*float64(exchange.route.Objective)), exchange.deadline-query.Now)
-	permit := exchange.front.Limits.Acquire(ctx, server, maxWait)
+	permit := exchange.handler.Limits.Acquire(ctx, server, maxWait)
 	if !permit.Granted {
 		exchange.retryIn = permit.Wait
 		return nil, errLimited
 	}
 	timer.Sleep(ctx, permit.Wait)
-	query.Now = exchange.front.Timers.Now()
-	choice := exchange.front.Table.Take(query, server)
+	query.Now = exchange.handler.Timers.Now()
+	choice := exchange.handler.Table.Take(query, server)
 	if choice == nil || ctx.Err() != nil {
 		if choice != nil {
 			choice.Cancel()
--- a/serve/permit_test.go
+++ b/serve/permit_test.go
@@ -58,7 +58,7 @@
 			harness.Limits = &scriptedLimits{waits: test.waits}
 			view := NewView(testConfig())
 			view.route("h", "/safe/x").Objective = 100 * time.Millisecond
-			harness.Believe = func() Belief { return Belief{View: view, AsOf: harness.clock.Now()} }
+			harness.CurrentConfig = func() ConfigState { return ConfigState{View: view, ProvenAt: harness.clock.Now()} }
 			for server := range test.waits {
 				harness.Table.SetLimit(server, 2, true)
 			}
--- a/serve/plain.go
+++ b/serve/plain.go
@@ -43,7 +43,7 @@
 		if err == nil {
 			serverFailure, err = answer, errServerFailed
 		}
-		count(exchange.front.meter().failedAttempts)
+		count(exchange.handler.meter().failedAttempts)
 		exchange.log(event.SendingFailed, slog.String("server", string(choice.Instance)), slog.String("reason", err.Error()))
 		reason = err
 		exchange.uncountUnsent(err)
@@ -75,16 +75,16 @@
 func (exchange *exchange) tryServer(ctx context.Context, choice *dispatch.Choice) (bufferedAnswer, error) {
 	response, err := exchange.send(ctx, choice, "") //nolint:bodyclose // readWhole closes it
 	if err != nil {
-		choice.End(true, exchange.front.Timers.Now())
+		choice.End(true, exchange.handler.Timers.Now())
 		if ctx.Err() == nil {
 			exchange.reportServerEnd(choice, err)
 		}
 		return bufferedAnswer{}, err
 	}
-	choice.Sign(exchange.front.Timers.Now())
+	choice.Sign(exchange.handler.Timers.Now())
 	body, err := readWhole(response)
 	failed := err != nil || response.StatusCode >= http.StatusInternalServerError
-	choice.End(failed, exchange.front.Timers.Now())
+	choice.End(failed, exchange.handler.Timers.Now())
 	if err != nil && ctx.Err() == nil {
 		exchange.reportServerEnd(choice, err)
 	}
--- a/serve/retryafter.go
+++ b/serve/retryafter.go
@@ -57,7 +57,7 @@
 	case causeLimited, causeBackoff:
 		return exchange.retryWhenFree()
 	case causeStaleConfig:
-		wait = exchange.front.retryStaleConfig(exchange.front.Timers.Now())
+		wait = exchange.handler.retryStaleConfig(exchange.handler.Timers.Now())
 	}
 	wait = min(wait, time.Duration(maxWaitFraction*float64(exchange.remaining())))
 	wait -= time.Duration(retryJitter * exchange.jitter() * float64(wait))
@@ -81,11 +81,11 @@
 // configuration is current. It is retrySoon where only this process is cut off or has
 // just started, and the expected rest of the outage where all processes have lost
 // the key-value service.
-func (front *Front) retryStaleConfig(now time.Duration) time.Duration {
-	if front.Outage == nil {
+func (handler *Handler) retryStaleConfig(now time.Duration) time.Duration {
+	if handler.StoreOutage == nil {
 		return retrySoon
 	}
-	since, unavailable := front.Outage()
+	since, unavailable := handler.StoreOutage()
 	if !unavailable {
 		return retrySoon
 	}
@@ -102,7 +102,7 @@
 			until = exchange.startedAt + exchange.call.Deadline
 		}
 	}
-	return until - exchange.front.Timers.Now()
+	return until - exchange.handler.Timers.Now()
 }
 
 // jitter returns a number from 0 to 1 that is derived from the request's ID.
--- a/serve/retryafter_test.go
+++ b/serve/retryafter_test.go
@@ -37,10 +37,10 @@
 		t.Run(name, func(t *testing.T) {
 			timers := &timer.Manual{}
 			timers.Advance(time.Minute)
-			front := &Front{Timers: timers, Outage: func() (time.Duration, bool) { return timers.Now() - test.outage, test.outage > 0 }}
+			handler := &Handler{Timers: timers, StoreOutage: func() (time.Duration, bool) { return timers.Now() - test.outage, test.outage > 0 }}
 			got := map[time.Duration]bool{}
 			for index := range 100 {
-				exchange := &exchange{front: front, startedAt: timers.Now(), call: shedkeel.Call{ID: fmt.Sprint("r", index), Deadline: test.deadline}}
+				exchange := &exchange{handler: handler, startedAt: timers.Now(), call: shedkeel.Call{ID: fmt.Sprint("r", index), Deadline: test.deadline}}
 				wait := exchange.retryAfter(test.cause)
 				assert.Assert(t, wait >= test.least && wait <= test.most, "%s", wait)
 				got[wait] = true
@@ -55,9 +55,9 @@
 // again.
 func TestRetryAfterInStoreOutage(t *testing.T) {
 	harness := newHarness(t)
-	harness.Believe = func() Belief { return Belief{} }
+	harness.CurrentConfig = func() ConfigState { return ConfigState{} }
 	assert.Equal(t, harness.post("/safe/x", "", "Deadline", "8s").Header().Get("Retry-After"), "0.050")
-	harness.Outage = func() (time.Duration, bool) { return harness.clock.Now(), true }
+	harness.StoreOutage = func() (time.Duration, bool) { return harness.clock.Now(), true }
 	wait, err := time.ParseDuration(harness.post("/safe/x", "", "Deadline", "8s").Header().Get("Retry-After") + "s")
 	assert.NilError(t, err)
 	assert.Assert(t, wait >= retryOutage*3/4 && wait <= retryOutage, "%s", wait)
--- a/serve/send.go
+++ b/serve/send.go
@@ -34,10 +34,10 @@
 // server, it charges the retry budget; otherwise it checks whether the model has
 // capacity.
 func (exchange *exchange) choose(ctx context.Context) (*dispatch.Choice, error) {
-	now := exchange.front.Timers.Now()
+	now := exchange.handler.Timers.Now()
 	retry := exchange.attempts > 0
-	if retry && !exchange.front.Budget.Repeat(exchange.service, exchange.front.Nodes(), now) {
-		count(exchange.front.meter().retriesDenied)
+	if retry && !exchange.handler.Budget.AllowRetry(exchange.service, exchange.handler.RetryBudgetNodes(), now) {
+		count(exchange.handler.meter().retriesDenied)
 		return nil, errNoBudget
 	}
 	model := exchange.call.Model
@@ -54,9 +54,9 @@
 	choice, err := exchange.chooseWithPermit(ctx, query, !retry)
 	if err != nil {
 		if retry {
-			exchange.front.Budget.TakeBack(exchange.service, now)
+			exchange.handler.Budget.Refund(exchange.service, now)
 		}
-		count(exchange.front.meter().noServer)
+		count(exchange.handler.meter().noServer)
 		return nil, err
 	}
 	exchange.tried = append(exchange.tried, choice.Instance)
@@ -82,7 +82,7 @@
 // group. Under overload some requests are served on time and some wait behind them:
 // if all waited in one queue, all would be late.
 func (exchange *exchange) admitToModel(query *dispatch.Query) error {
-	load := exchange.front.Table.Load(query.Service, query.Model, query.Now)
+	load := exchange.handler.Table.Load(query.Service, query.Model, query.Now)
 	running, capacity := exchange.modelCapacity(query, load) // also without usable groups, so that demand for the model is reported
 	if load.Usable == 0 {
 		return exchange.noServerError(*query)
@@ -98,14 +98,14 @@
 // processes together if Spread answers; it then sets query.Wish to the advised group.
 // Otherwise it returns the requests of this process and its equal share of the slots.
 func (exchange *exchange) modelCapacity(query *dispatch.Query, load dispatch.Load) (dispatch.Running, float64) {
-	if exchange.front.Spread != nil {
-		if advice, known := exchange.front.Spread(exchange.request.Context(), *query, load); known {
+	if exchange.handler.Recommend != nil {
+		if advice, known := exchange.handler.Recommend(exchange.request.Context(), *query, load); known {
 			query.Wish = advice.Head
 			return advice.Running, float64(load.Slots)
 		}
-		count(exchange.front.meter().noAdvice)
+		count(exchange.handler.meter().noAdvice)
 	}
-	return load.Running, float64(load.Slots) / float64(max(exchange.front.Serving(), 1))
+	return load.Running, float64(load.Slots) / float64(max(exchange.handler.ServingNodes(), 1))
 }
 
 // priority returns the request's priority at an engine; 0 is most urgent.
@@ -129,7 +129,7 @@
 // The caller must close the response's body. The error is a NotRunError if the request
 // did not run there.
 func (exchange *exchange) send(ctx context.Context, choice *dispatch.Choice, lastEvent string) (*http.Response, error) {
-	remaining := exchange.callerDeadline - exchange.front.Timers.Now()
+	remaining := exchange.callerDeadline - exchange.handler.Timers.Now()
 	if remaining <= 0 {
 		return nil, &shedkeel.NotRunError{Reason: "the deadline has passed"}
 	}
@@ -137,7 +137,7 @@
 	if err != nil {
 		return nil, &shedkeel.NotRunError{Reason: err.Error()}
 	}
-	response, err := exchange.front.Backend.Send(request)
+	response, err := exchange.handler.Backend.Send(request)
 	if err != nil {
 		return nil, err
 	}
@@ -171,7 +171,7 @@
 	if exchange.account != nil {
 		sending.Account = exchange.account.ID
 	}
-	exchange.front.Protocol.Write(request.Header, sending)
+	exchange.handler.Protocol.Write(request.Header, sending)
 	return request, nil
 }
 
@@ -190,7 +190,7 @@
 // checkAnswer records what the answer states about the server, and returns an error if
 // the answer belongs to another request, is a refusal, or is not signed by the server.
 func (exchange *exchange) checkAnswer(response *http.Response, choice *dispatch.Choice) error {
-	answer := exchange.front.Protocol.Answer(response)
+	answer := exchange.handler.Protocol.Answer(response)
 	exchange.observeLimit(answer, response.StatusCode, choice)
 	exchange.observeState(answer, choice)
 	switch {
@@ -207,12 +207,12 @@
 // observeLimit records what the answer states about the server's rate limit, if the
 // answer belongs to this request. Only a signed success proves that there is no limit.
 func (exchange *exchange) observeLimit(answer shedkeel.BackendAnswer, status int, choice *dispatch.Choice) {
-	if exchange.front.Limits == nil || answer.ID != exchange.call.ID {
+	if exchange.handler.Limits == nil || answer.ID != exchange.call.ID {
 		return
 	}
 	proven := answer.Sealed && status < http.StatusMultipleChoices
 	if proven || answer.Limit.Stated || answer.Limit.Err != nil {
-		exchange.front.Limits.Observe(choice.Instance, answer.Limit, choice.Began)
+		exchange.handler.Limits.Observe(choice.Instance, answer.Limit, choice.Began)
 	}
 }
 
@@ -229,10 +229,10 @@
 	if answer.Backoff > 0 {
 		exchange.applyBackoff(choice.Instance, answer.Backoff)
 	}
-	if answer.Draining && exchange.front.Table.Drain(choice.Instance) {
+	if answer.Draining && exchange.handler.Table.Drain(choice.Instance) {
 		exchange.log(event.DrainingStated, server)
-		if exchange.front.Draining != nil {
-			exchange.front.Draining(choice.Instance)
+		if exchange.handler.OnDraining != nil {
+			exchange.handler.OnDraining(choice.Instance)
 		}
 	}
 }
@@ -240,13 +240,13 @@
 // applyBackoff keeps requests from the server for the backoff that it asked for, at most
 // for MaxBackoff.
 func (exchange *exchange) applyBackoff(server shedkeel.InstanceID, length time.Duration) {
-	front := exchange.front
-	count(front.meter().backoffs)
-	if front.MaxBackoff > 0 {
-		length = min(length, front.MaxBackoff)
+	handler := exchange.handler
+	count(handler.meter().backoffs)
+	if handler.MaxBackoff > 0 {
+		length = min(length, handler.MaxBackoff)
 	}
-	now := front.Timers.Now()
-	if front.Table.BackOff(server, now+length, now) {
+	now := handler.Timers.Now()
+	if handler.Table.BackOff(server, now+length, now) {
 		exchange.log(event.BackoffStated, slog.String("server", string(server)), slog.Duration("backoff", length))
 	}
 }
@@ -255,7 +255,7 @@
 // exchange.retryIn set, if all eligible servers have asked for a backoff, and otherwise
 // errNoServer.
 func (exchange *exchange) noServerError(query dispatch.Query) error {
-	end, backsOff := exchange.front.Table.BackoffEnd(query)
+	end, backsOff := exchange.handler.Table.BackoffEnd(query)
 	if !backsOff {
 		return errNoServer
 	}
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -165,11 +165,11 @@
 	_ = writer.Close()
 }
 
-// harness is a front with a scripted backend, three plain servers and three groups.
+// harness is a Handler with a scripted backend, three plain servers and three groups.
 type harness struct {
-	*Front
+	*Handler
 	backend *backend
-	asOf    atomic.Int64 // Belief.AsOf
+	asOf    atomic.Int64 // ConfigState.ProvenAt
 	clock   timer.System
 }
 
@@ -202,11 +202,11 @@
 	table.Replace(servers)
 	view := NewView(testConfig())
 	harness.asOf.Store(int64(harness.clock.Now()))
-	harness.Front = &Front{
+	harness.Handler = &Handler{
 		Protocol: testProtocol{}, Backend: harness.backend, Table: table, Timers: &harness.clock,
-		Budget:  &Budget{Ratio: 0.2, Window: 10 * time.Second, Slack: 10, Careful: 1},
-		Believe: func() Belief { return Belief{View: view, AsOf: time.Duration(harness.asOf.Load())} },
-		Nodes:   func() int { return 1 }, Serving: func() int { return 1 }, ProofAge: time.Second,
+		Budget:           &Budget{Ratio: 0.2, Window: 10 * time.Second, FixedRetries: 10, SafetyFactor: 1},
+		CurrentConfig:    func() ConfigState { return ConfigState{View: view, ProvenAt: time.Duration(harness.asOf.Load())} },
+		RetryBudgetNodes: func() int { return 1 }, ServingNodes: func() int { return 1 }, MaxConfigAge: time.Second,
 	}
 	cancel := harness.clock.Subscribe(10*time.Millisecond, func(now time.Duration) { table.FindSilent(now) })
 	t.Cleanup(cancel)
@@ -348,11 +348,11 @@
 // connections, and then refuses requests without sending them.
 func TestPlannedStop(t *testing.T) {
 	harness := newHarness(t)
-	harness.Stop()
+	harness.CloseConnections()
 	got := harness.post("/safe/x", "")
 	assert.Equal(t, got.Code, 200, "callers may still hold the address")
 	assert.Equal(t, got.Header().Get("Connection"), "close")
-	harness.Refuse()
+	harness.RefuseNew()
 	got = harness.post("/safe/x", "")
 	assert.Equal(t, got.Code, 503)
 	assert.Equal(t, len(harness.backend.requests), 1)
@@ -453,22 +453,22 @@
 
 // TestBudget checks the retries that are allowed by Slack, Ratio, a window's end and Set.
 func TestBudget(t *testing.T) {
-	budget := &Budget{Ratio: 0.5, Window: 10 * time.Second, Slack: 4, Careful: 1}
+	budget := &Budget{Ratio: 0.5, Window: 10 * time.Second, FixedRetries: 4, SafetyFactor: 1}
 	now := time.Minute
 	count := func(nodes int) int {
 		allowed := 0
-		for budget.Repeat("s", nodes, now) {
+		for budget.AllowRetry("s", nodes, now) {
 			allowed++
 		}
 		return allowed
 	}
 	assert.Equal(t, count(2), 2, "half of Slack")
-	budget.TakeBack("s", now)
+	budget.Refund("s", now)
 	assert.Equal(t, count(2), 1, "one was not sent")
-	budget.TakeBack("other", now)
+	budget.Refund("other", now)
 	assert.Equal(t, count(2), 0, "it was another service's retry")
 	for range 10 {
-		budget.First("s", now)
+		budget.CountRequest("s", now)
 	}
 	assert.Equal(t, count(2), 5, "Ratio times the requests")
 	now += 9 * time.Second
@@ -486,7 +486,7 @@
 	harness := newHarness(t, refused, refused, refused)
 	assert.Equal(t, harness.post("/once/x", "body").Code, 503)
 	left := 0
-	for harness.Budget.Repeat("plain", 1, harness.clock.Now()) {
+	for harness.Budget.AllowRetry("plain", 1, harness.clock.Now()) {
 		left++
 	}
 	assert.Equal(t, left, 10-2)
@@ -496,12 +496,12 @@
 // groups can run and queue.
 func TestModelAdmission(t *testing.T) {
 	harness := newHarness(t)
-	capacity := 3 * 8                       // groups and slots
-	harness.Nodes = func() int { return 9 } // only one accepts requests: the others are stopping
+	capacity := 3 * 8                                  // groups and slots
+	harness.RetryBudgetNodes = func() int { return 9 } // only one accepts requests: the others are stopping
 	request := httptest.NewRequest(http.MethodPost, "/s/x", nil)
 	onTime, late, refused := 0, 0, 0
 	for range 2 * capacity {
-		exchange := &exchange{front: harness.Front, request: request, service: "llm", call: shedkeel.Call{Model: "m"}, view: harness.Believe().View}
+		exchange := &exchange{handler: harness.Handler, request: request, service: "llm", call: shedkeel.Call{Model: "m"}, view: harness.CurrentConfig().View}
 		_, err := exchange.choose(t.Context())
 		switch {
 		case errors.Is(err, errFull):
--- a/serve/source.go
+++ b/serve/source.go
@@ -34,7 +34,7 @@
 func (source *source) loop() {
 	err := source.read()
 	failed := !errors.Is(err, errStreamEnd) && source.context.Err() == nil
-	source.choice.End(failed, source.stream.front.Timers.Now())
+	source.choice.End(failed, source.stream.handler.Timers.Now())
 	if failed {
 		source.stream.reportServerEnd(source.choice, err)
 	}
@@ -80,7 +80,7 @@
 		if err != nil {
 			return err
 		}
-		source.choice.Sign(stream.front.Timers.Now())
+		source.choice.Sign(stream.handler.Timers.Now())
 		number, id := eventID(message)
 		if !source.deliver(update{source: source, event: message, number: number, id: id}) {
 			return source.context.Err()
--- a/serve/stream.go
+++ b/serve/stream.go
@@ -100,7 +100,7 @@
 	} else {
 		stalled.hedged = true
 		stream.timing.hedges++
-		count(stream.front.meter().hedges)
+		count(stream.handler.meter().hedges)
 	}
 	stream.log(event.StreamMoved, slog.String("from", string(stalled.choice.Instance)), slog.Int64("after", stream.lastNumber), slog.String("outcome", outcome))
 }
@@ -137,7 +137,7 @@
 	if err := stream.write(update.event); err != nil {
 		return false, errAborted
 	}
-	stream.timing.observe(stream.startedAt, stream.front.Timers.Now())
+	stream.timing.observe(stream.startedAt, stream.handler.Timers.Now())
 	stream.lastNumber = max(stream.lastNumber, update.number)
 	if update.id != "" {
 		stream.lastID = update.id
@@ -186,8 +186,8 @@
 			stream.writeHead(update.source.response, -1)
 		}
 		stream.reportAnswer()
-		record(stream.front.meter().firstEvent, stream.timing.firstDelay)
-		record(stream.front.meter().longestPause, stream.timing.longestPause)
+		record(stream.handler.meter().firstEvent, stream.timing.firstDelay)
+		record(stream.handler.meter().longestPause, stream.timing.longestPause)
 		stream.answerAttrs = []slog.Attr{
 			slog.Duration("first", stream.timing.firstDelay), slog.Duration("pause", stream.timing.longestPause), slog.Int("moves", stream.timing.hedges),
 			slog.String("server", string(update.source.choice.Instance)), slog.String("group", string(update.source.choice.Group.Group)),
@@ -208,7 +208,7 @@
 	} else {
 		stream.mayHaveRun = true
 	}
-	count(stream.front.meter().failedAttempts)
+	count(stream.handler.meter().failedAttempts)
 	stream.log(event.SendingFailed, slog.String("server", string(update.source.choice.Instance)), slog.Int64("after", stream.lastNumber), slog.String("reason", update.err.Error()))
 	if len(stream.sources) > 0 {
 		return nil
--- a/serve/view.go
+++ b/serve/view.go
@@ -99,9 +99,9 @@
 	return route.Priority
 }
 
-// Belief is the configuration that a process takes for current, and when that was
+// ConfigState is the configuration that a process takes for current, and when that was
 // last proven.
-type Belief struct {
-	View *View         // nil: no configuration has been received yet
-	AsOf time.Duration // when View was last proven to be current
+type ConfigState struct {
+	View     *View         // nil: no configuration has been received yet
+	ProvenAt time.Duration // when View was last proven to be current
 }
