--- a/mutants_test.go
+++ b/mutants_test.go
@@ -89,7 +89,7 @@
 		"node/election.go", "return lead, lead.Era >= mirror.State().At.Era", "return lead, true", "TestLeadEndsWithTheEra", "./node",
 	},
 	"restored store: terms begin anew": {
-		"node/election.go", ", era*eraTerms) + 1", ", 0*era) + 1", "TestLeadEndsWithTheEra", "./node",
+		"node/election.go", ", era*termsPerEra) + 1", ", 0*era) + 1", "TestLeadEndsWithTheEra", "./node",
 	},
 	"restored store: a drain goes back": {
 		"node/fleet.go", "wasReady := known.Draining && !instance.Draining", "wasReady := false", "TestServersAfterARestore", "./node",
@@ -98,7 +98,7 @@
 		"node/removal.go", "case era > known.era:", "case false:", "TestServersAfterARestore", "./node",
 	},
 	"restored store: lost records are not believed": {
-		"node/restore.go", "fleet.outageUntil = fleet.node.Timers.Now() + lapseHold", "", "TestServersAfterARestore", "./node",
+		"node/restore.go", "fleet.outageUntil = fleet.node.Timers.Now() + deletedRecordHold", "", "TestServersAfterARestore", "./node",
 	},
 	"restored store: orders go back": {
 		"node/fleet.go", "(wasReady || instance.Sequence < known.Sequence)", "wasReady", "TestOrdersAreKnownAfterARestore", "./node",
@@ -107,10 +107,10 @@
 		"node/config.go", "if version >= fleet.configVersion() || !fleet.activeConfig.newerThanStore.Load() {", "if true {", "TestNodeThatStartsAfterARestore", "./node",
 	},
 	"restored store: the planner goes by older records": {
-		"node/controller.go", "return controller.era == 0 || now-controller.since >= lapseHold", "return true", "TestPlannerWaitsForRecordsAfterARestore", "./node",
+		"node/controller.go", "return controller.era == 0 || now-controller.eraSince >= deletedRecordHold", "return true", "TestPlannerWaitsForRecordsAfterARestore", "./node",
 	},
 	"restored store: blames are not written again": {
-		"node/restore.go", "node.guard.keepAgain()", "", "TestBlamesOutliveARestore", "./node",
+		"node/restore.go", "node.guard.recheckAll()", "", "TestBlamesOutliveARestore", "./node",
 	},
 	"backoff of servers: it ends with the request": {
 		"dispatch/condition.go", "condition.backoffUntil = max(condition.backoffUntil, until)", "", "TestBackoffIsHeeded/all", "./node",
@@ -212,13 +212,13 @@
 		"node/follow.go", "return nodes > maxDirectFollowers }", "return nodes < 0 }", "TestFollowers", "./node",
 	},
 	"lives: the directory asks nobody who lives": {
-		"node/nodes.go", "!own && !node.gossip.serves(other.ID)", "false", "TestDirectoryLeavesOutDeadNodes", "./node",
+		"node/nodes.go", "!own && !node.gossip.mayServeCallers(other.ID)", "false", "TestDirectoryLeavesOutDeadNodes", "./node",
 	},
 	"lives: nodes that do not answer keep their work for all": {
 		"node/gossip.go", "return gossip.detector.Liveness(record.ID) != shedkeel.Alive", "return false", "TestDutiesPassOn", "./node",
 	},
 	"lives: a dead node whose record went is kept": {
-		"node/fleet.go", "return !isNode || fleet.node.gossip.serves(shedkeel.NodeID(id))", "return !isNode || id != \"\"", "TestGoneNodes", "./node",
+		"node/fleet.go", "return !isNode || fleet.node.gossip.mayServeCallers(shedkeel.NodeID(id))", "return !isNode || id != \"\"", "TestGoneNodes", "./node",
 	},
 	"lives: a node that is cut off removes records": {
 		"node/remover.go", "node.stopping.Load() || node.gossip.isolated()", "node.stopping.Load()", "TestRemoverTakes", "./node",
@@ -239,7 +239,7 @@
 		"program/node.go", "case <-ctx.Done():\n\t\t\treturn\n", "case <-ctx.Done():\n\t\t\tsignal.Reset(syscall.SIGHUP)\n\t\t\treturn\n", "TestSignalsWhileStopping", "./soak",
 	},
 	"size: a node that lives stays removed": {
-		"node/member.go", "return !membership.isRecordCurrent() && since >= listedRetry", "return false", "TestWatchedMembership", "./node",
+		"node/member.go", "return !membership.isRecordCurrent() && since >= registrationRetry", "return false", "TestWatchedMembership", "./node",
 	},
 	"lost together: a group is formed anew by the first word": {
 		"formation/repair.go", "	case round.hasProbePending(group):\n", "	case false:\n", "TestServersLostTogether", "./formation",
@@ -272,10 +272,10 @@
 		"node/election.go", "lease := shedkeel.LeaseID{Era: lead.Era, Number: lead.Lease}", "lease := controller.lease.ID()", "TestLateWriteOfFormerLease", "./node",
 	},
 	"nodes: a source that failed is followed on": {
-		"node/follow.go", "if !followed.failed.within(followBackoff, peers.node.Timers.Now()) {", "if true {", "TestChoose", "./node",
+		"node/follow.go", "if !followed.followFailure.isRecent(followBackoff, peers.node.Timers.Now()) {", "if true {", "TestChoose", "./node",
 	},
 	"nodes: renewals go on in an outage": {
-		"node/member.go", "\treturn maxListedRetry\n", "\treturn listedRetry\n", "TestRenewalsInAnOutage", "./node",
+		"node/member.go", "\treturn maxRegistrationRetry\n", "\treturn registrationRetry\n", "TestRenewalsInAnOutage", "./node",
 	},
 	"nodes: the word of the node that spreads is not taken": {
 		"dispatch/table.go", "if preferred != nil && preferredCost <= maxPreferredCostRatio*lowest {", "if preferred != nil && preferredCost < 0 {", "TestSpreadKeepsPromptsApart", "./dispatch",
--- a/node/admin.go
+++ b/node/admin.go
@@ -12,24 +12,24 @@
 
 // Dump is a node's state for operators. It contains no secrets.
 type Dump struct {
-	Process     string            `json:"process"`
-	Node        shedkeel.NodeID   `json:"node"`
-	Incarnation string            `json:"incarnation"`
-	Stopping    bool              `json:"stopping"`
-	Leads       bool              `json:"leads"`
-	Leader      shedkeel.NodeID   `json:"leader"`
-	Config      int64             `json:"config"`   // version of the active configuration
-	Revision    string            `json:"revision"` // latest revision of the store that this node knows
-	Age         string            `json:"age"`      // time since the latest proof that the node's copy is current
-	Served      int64             `json:"served"`
-	Nodes       []shedkeel.NodeID `json:"nodes"`
-	Unnamed     []UnnamedDump     `json:"unnamed"`   // listed nodes that the directory leaves out
-	Isolated    bool              `json:"isolated"`  // this node receives nothing from others, so it judges none of them dead
-	Judged      []BlameDump       `json:"judged"`    // requests withheld from servers because servers ended while running them
-	Limited     []LimitDump       `json:"limited"`   // servers that limit the rate of their requests
-	Evacuated   []EvacuationDump  `json:"evacuated"` // availability zones whose servers get no requests
-	Groups      []GroupDump       `json:"groups"`
-	Servers     []ServerDump      `json:"servers"`
+	Process        string             `json:"process"`
+	Node           shedkeel.NodeID    `json:"node"`
+	Incarnation    string             `json:"incarnation"`
+	Stopping       bool               `json:"stopping"`
+	Leads          bool               `json:"leads"`
+	Leader         shedkeel.NodeID    `json:"leader"`
+	Config         int64              `json:"config"`   // version of the active configuration
+	Revision       string             `json:"revision"` // latest revision of the store that this node knows
+	Age            string             `json:"age"`      // time since the latest proof that the node's copy is current
+	Served         int64              `json:"served"`
+	Nodes          []shedkeel.NodeID  `json:"nodes"`
+	ExcludedNodes  []ExcludedNodeDump `json:"unnamed"`   // listed nodes that the directory leaves out
+	Isolated       bool               `json:"isolated"`  // this node receives nothing from others, so it judges none of them dead
+	BlamedRequests []BlameDump        `json:"judged"`    // requests withheld from servers because servers ended while running them
+	Limited        []LimitDump        `json:"limited"`   // servers that limit the rate of their requests
+	Evacuated      []EvacuationDump   `json:"evacuated"` // availability zones whose servers get no requests
+	Groups         []GroupDump        `json:"groups"`
+	Servers        []ServerDump       `json:"servers"`
 }
 
 // BlameDump is a request that is withheld from servers.
@@ -56,8 +56,8 @@
 	Servers int             `json:"servers"` // listed in the zone; 0 may mean that its name is misspelled
 }
 
-// UnnamedDump is a listed node that the directory leaves out, and why.
-type UnnamedDump struct {
+// ExcludedNodeDump is a listed node that the directory leaves out, and why.
+type ExcludedNodeDump struct {
 	Node   shedkeel.NodeID `json:"node"`
 	Reason string          `json:"reason"`
 }
@@ -103,27 +103,27 @@
 	}
 	node.fleet.addFleet(&dump)
 	dump.Isolated = node.gossip.isolated()
-	dump.Unnamed = node.excludedNodes()
-	dump.Judged = node.guard.judged()
+	dump.ExcludedNodes = node.excludedNodes()
+	dump.BlamedRequests = node.guard.judgedRequests()
 	dump.Limited = node.limits.dump()
 	dump.Evacuated = node.fleet.evacuations()
 	return dump
 }
 
 // excludedNodes returns the listed nodes that the directory leaves out.
-func (node *Node) excludedNodes() []UnnamedDump {
-	found := []UnnamedDump{}
+func (node *Node) excludedNodes() []ExcludedNodeDump {
+	found := []ExcludedNodeDump{}
 	for _, record := range node.peers.listed() {
 		liveness := node.gossip.liveness(record.ID)
 		switch {
 		case liveness == shedkeel.Dead:
-			found = append(found, UnnamedDump{record.ID, reasonDead})
+			found = append(found, ExcludedNodeDump{record.ID, reasonDead})
 		case liveness == shedkeel.Left:
-			found = append(found, UnnamedDump{record.ID, reasonLeft})
+			found = append(found, ExcludedNodeDump{record.ID, reasonLeft})
 		case liveness == shedkeel.Unheard:
-			found = append(found, UnnamedDump{record.ID, reasonNeverHeard})
+			found = append(found, ExcludedNodeDump{record.ID, reasonNeverHeard})
 		case record.Stopping:
-			found = append(found, UnnamedDump{record.ID, reasonStopping})
+			found = append(found, ExcludedNodeDump{record.ID, reasonStopping})
 		}
 	}
 	return found
--- a/node/backoff_test.go
+++ b/node/backoff_test.go
@@ -26,20 +26,20 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			world := newServingWorld(t)
-			servers := world.limitedServers(test.path, test.all)
+			cluster := newServingCluster(t)
+			servers := cluster.limitedServers(test.path, test.all)
 			for _, server := range servers {
-				world.fleet.BackOff(server, backoffLength)
+				cluster.fleet.BackOff(server, backoffLength)
 			}
 			// The servers accept requests again while nodes still remember the last backoff.
 			time.AfterFunc(length/2, func() {
 				for _, server := range servers {
-					world.fleet.BackOff(server, 0)
+					cluster.fleet.BackOff(server, 0)
 				}
 			})
-			statuses := world.sendLoad(world.nodes, test.path, rate, length)
+			statuses := cluster.sendLoad(cluster.nodes, test.path, rate, length)
 			t.Logf("statuses %v", statuses)
-			assert.DeepEqual(t, world.fleet.Broken(), []string(nil))
+			assert.DeepEqual(t, cluster.fleet.Broken(), []string(nil))
 			assert.Equal(t, statuses[0], 0, "every request gets a complete answer")
 			assert.Assert(t, statuses[http.StatusOK] > statuses[http.StatusServiceUnavailable]/3, "served again after the backoff")
 			if !test.all {
@@ -55,24 +55,24 @@
 	const rate, length = 40, 4 * time.Second
 	for name, path := range map[string]string{"replica group": "/copy/a", "plain server": "/look/a"} {
 		t.Run(name, func(t *testing.T) {
-			world := newServingWorld(t)
-			world.fleet.DrainByAnswers(world.limitedServers(path, false)[0])
-			statuses := world.sendLoad(world.nodes, path, rate, length)
+			cluster := newServingCluster(t)
+			cluster.fleet.DrainByAnswers(cluster.limitedServers(path, false)[0])
+			statuses := cluster.sendLoad(cluster.nodes, path, rate, length)
 			t.Logf("statuses %v", statuses)
-			assert.DeepEqual(t, world.fleet.Broken(), []string(nil))
+			assert.DeepEqual(t, cluster.fleet.Broken(), []string(nil))
 			assert.Equal(t, statuses[http.StatusServiceUnavailable]+statuses[0], 0, "the other servers serve meanwhile")
 		})
 	}
 }
 
-// newServingWorld returns a world of three nodes that serve.
-func newServingWorld(t *testing.T) *world {
+// newServingCluster returns a test cluster of three nodes that serve.
+func newServingCluster(t *testing.T) *testCluster {
 	t.Helper()
-	world := newWorld(t, 3)
-	world.fleet.Answer = 80 * time.Millisecond // about what dispatch expects
-	world.eventually("all nodes are in the directory", func() bool { return len(world.addresses(0)) == 3 })
-	for index := range world.nodes {
-		world.waitServing(index)
+	cluster := newTestCluster(t, 3)
+	cluster.fleet.Answer = 80 * time.Millisecond // about what dispatch expects
+	cluster.eventually("all nodes are in the directory", func() bool { return len(cluster.addresses(0)) == 3 })
+	for index := range cluster.nodes {
+		cluster.waitServing(index)
 	}
-	return world
+	return cluster
 }
--- a/node/cold_test.go
+++ b/node/cold_test.go
@@ -25,41 +25,41 @@
 	const rate, coldFor = 100, 3 * time.Second
 	cases := map[string]struct {
 		path   string
-		server func(*world) string
-		cool   func(*world, string)
+		server func(*testCluster) string
+		cool   func(*testCluster, string)
 	}{
-		"replica group, by its record": {"/copy/a", func(world *world) string { return world.fleet.Serving()["m0"][0].ID }, func(world *world, server string) {
-			world.fleet.Cool(server, coldFor)
+		"replica group, by its record": {"/copy/a", func(cluster *testCluster) string { return cluster.fleet.Serving()["m0"][0].ID }, func(cluster *testCluster, server string) {
+			cluster.fleet.Cool(server, coldFor)
 		}},
-		"plain server, by its record": {"/look/a", func(*world) string { return "plain-1" }, func(world *world, server string) {
-			world.fleet.Cool(server, coldFor)
+		"plain server, by its record": {"/look/a", func(*testCluster) string { return "plain-1" }, func(cluster *testCluster, server string) {
+			cluster.fleet.Cool(server, coldFor)
 		}},
-		"plain server, evacuated": {"/look/a", func(*world) string { return "plain-1" }, func(world *world, server string) {
-			world.fleet.Place(server, evacuatedZone)
-			world.evacuate(evacuatedZone, true)
+		"plain server, evacuated": {"/look/a", func(*testCluster) string { return "plain-1" }, func(cluster *testCluster, server string) {
+			cluster.fleet.Place(server, evacuatedZone)
+			cluster.evacuate(evacuatedZone, true)
 			time.Sleep(evacuationSpreadTime)
-			world.fleet.Limit(server, "") // count its arrivals from now on
-			world.evacuate(evacuatedZone, false)
+			cluster.fleet.Limit(server, "") // count its arrivals from now on
+			cluster.evacuate(evacuatedZone, false)
 		}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			world := newServingWorld(t)
-			server := test.server(world)
-			test.cool(world, server)
+			cluster := newServingCluster(t)
+			server := test.server(cluster)
+			test.cool(cluster, server)
 			since := time.Now()
 			time.Sleep(evacuationSpreadTime / 2) // all nodes know of it by then
-			statuses := world.sendLoad(world.nodes, test.path, rate, coldFor-time.Second)
-			arrivals := world.fleet.Arrivals(server)
+			statuses := cluster.sendLoad(cluster.nodes, test.path, rate, coldFor-time.Second)
+			arrivals := cluster.fleet.Arrivals(server)
 			most := platformstandin.MostArrivals(arrivals, time.Second)
 			t.Logf("statuses %v; %d arrivals in %s, most in a second %d, allowed %d", statuses, len(arrivals), time.Since(since), most, maxColdRate)
 			assert.Assert(t, most <= maxColdRate, "%d requests in a second, allowed %d", most, maxColdRate)
 			assert.Assert(t, most > 0, "a cold server still gets requests")
 			assert.Equal(t, statuses[0], 0, "every request gets a complete answer")
 			assert.Assert(t, statuses[http.StatusOK] > 0)
-			world.eventually("it gets more once it is warm", func() bool {
-				world.sendLoad(world.nodes, test.path, rate, time.Second)
-				return platformstandin.MostArrivals(world.fleet.Arrivals(server), time.Second) > maxColdRate
+			cluster.eventually("it gets more once it is warm", func() bool {
+				cluster.sendLoad(cluster.nodes, test.path, rate, time.Second)
+				return platformstandin.MostArrivals(cluster.fleet.Arrivals(server), time.Second) > maxColdRate
 			})
 		})
 	}
--- a/node/config.go
+++ b/node/config.go
@@ -15,11 +15,11 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// activeConfigCopy is the active configuration as operators wrote it. The key-value
+// configCopy is the active configuration as operators wrote it. The key-value
 // service may have an older one if it was restored from a snapshot and operators have
 // not written theirs again. Nodes that start in that time get the newer one from
 // other nodes. The zero value has no configuration.
-type activeConfigCopy struct {
+type configCopy struct {
 	mutex      sync.Mutex
 	value      []byte
 	compressed []byte // value, compressed; nil: not computed yet
@@ -28,25 +28,25 @@
 	fetching       atomic.Bool // a request to another node for a newer one is running
 }
 
-func (active *activeConfigCopy) set(value []byte) {
-	active.mutex.Lock()
-	defer active.mutex.Unlock()
-	active.value, active.compressed = value, nil
+func (configCopy *configCopy) set(value []byte) {
+	configCopy.mutex.Lock()
+	defer configCopy.mutex.Unlock()
+	configCopy.value, configCopy.compressed = value, nil
 }
 
 // compress returns the compressed configuration, as it is sent to other nodes, or nil
 // if there is none.
-func (active *activeConfigCopy) compress() []byte {
-	active.mutex.Lock()
-	defer active.mutex.Unlock()
-	if active.compressed == nil && active.value != nil {
-		packed, err := transfer.Deflate(active.value)
+func (configCopy *configCopy) compress() []byte {
+	configCopy.mutex.Lock()
+	defer configCopy.mutex.Unlock()
+	if configCopy.compressed == nil && configCopy.value != nil {
+		packed, err := transfer.Deflate(configCopy.value)
 		if err != nil {
 			return nil // never happens: a write to memory does not fail
 		}
-		active.compressed = packed
+		configCopy.compressed = packed
 	}
-	return active.compressed
+	return configCopy.compressed
 }
 
 // configVersion returns the version of the active configuration, or 0 if there is none.
@@ -61,12 +61,12 @@
 // whether it became the active configuration. The caller holds the mutex.
 func (fleet *fleet) applyConfigRecord(record shedkeel.Record) bool {
 	if record.Gone {
-		fleet.skipped(record, &shedkeel.InvalidError{Where: record.Key, What: "it was removed", Remedy: "write a configuration"})
+		fleet.skipRecord(record, &shedkeel.InvalidError{Where: record.Key, What: "it was removed", Remedy: "write a configuration"})
 		return false
 	}
 	config, err := fleet.node.Decoder.Config(record.Value)
 	if err != nil {
-		fleet.skipped(record, err)
+		fleet.skipRecord(record, err)
 		return false
 	}
 	fleet.activeConfig.newerThanStore.Store(config.Version < fleet.configVersion())
@@ -77,7 +77,7 @@
 // whether it did. The caller holds the mutex.
 func (fleet *fleet) activateConfig(config *shedkeel.ServingConfig, record shedkeel.Record) bool {
 	if fleet.view.Load() != nil && config.Version <= fleet.configVersion() {
-		fleet.skipped(record, &shedkeel.InvalidError{Where: record.Key, What: "its version is not newer than the one in force", Remedy: "raise it"})
+		fleet.skipRecord(record, &shedkeel.InvalidError{Where: record.Key, What: "its version is not newer than the one in force", Remedy: "raise it"})
 		return false
 	}
 	fleet.view.Store(serve.NewView(config))
@@ -101,13 +101,13 @@
 	record := shedkeel.Record{Key: fleet.node.Decoder.ConfigKey()}
 	value, err := transfer.Inflate(packed, transfer.MaxValue)
 	if err != nil {
-		fleet.skipped(record, fmt.Errorf("node %s: %w", from, err))
+		fleet.skipRecord(record, fmt.Errorf("node %s: %w", from, err))
 		return
 	}
 	record.Value = value
 	config, err := fleet.node.Decoder.Config(value)
 	if err != nil {
-		fleet.skipped(record, fmt.Errorf("node %s: %w", from, err))
+		fleet.skipRecord(record, fmt.Errorf("node %s: %w", from, err))
 		return
 	}
 	fleet.mutex.Lock()
--- a/node/contain_test.go
+++ b/node/contain_test.go
@@ -18,62 +18,62 @@
 // maxTerminated is how many servers one request may terminate.
 const maxTerminated = 3
 
-// newDeadlyWorld returns a world in which requests with the body "deadly" terminate the
-// servers that run them.
+// newDeadlyCluster returns a test cluster in which requests with the body "deadly"
+// terminate the servers that run them.
 //
 // Such a request once arrived repeatedly, with a new ID and at another node each time.
 // Each node sent it to two servers and kept no count. After it had terminated three
 // servers, it was sent to servers 11 more times; 18 terminated in all. For ten seconds,
 // only 0 to 4 of some 50 requests a second for the same groups were on time.
-func newDeadlyWorld(t *testing.T, nodes int) *world {
+func newDeadlyCluster(t *testing.T, nodes int) *testCluster {
 	t.Helper()
-	world := newWorld(t, nodes)
-	world.fleet.Deadly = "deadly"
-	world.eventually("all nodes are in the directory", func() bool { return len(world.addresses(0)) == nodes })
-	return world
+	cluster := newTestCluster(t, nodes)
+	cluster.fleet.Deadly = "deadly"
+	cluster.eventually("all nodes are in the directory", func() bool { return len(cluster.addresses(0)) == nodes })
+	return cluster
 }
 
 // terminated returns how many servers the deadly request has terminated.
-func (world *world) terminated() int { return world.fleet.Ended()["deadly"] }
+func (cluster *testCluster) terminated() int { return cluster.fleet.Ended()["deadly"] }
 
 // waitServing waits until the node answers other requests for the model and two groups
 // serve it.
-func (world *world) waitServing(index int) {
-	world.t.Helper()
-	world.eventually("the node serves", func() bool {
-		status, body := world.send(world.nodes[index].callers, shedkeel.NewNonce(), "/copy/a", "key-1", 50)
-		return status == 200 && body == wholeStream(10) && len(world.fleet.Serving()["m0"]) >= 2
+func (cluster *testCluster) waitServing(index int) {
+	cluster.t.Helper()
+	cluster.eventually("the node serves", func() bool {
+		status, body := cluster.send(cluster.nodes[index].callers, shedkeel.NewNonce(), "/copy/a", "key-1", 50)
+		return status == 200 && body == completeStream(10) && len(cluster.fleet.Serving()["m0"]) >= 2
 	})
 }
 
 // sendDeadly waits until the node serves, then sends it the deadly request with a new ID.
-func (world *world) sendDeadly(index int) (int, string) {
-	world.t.Helper()
-	world.waitServing(index)
-	return world.sendBody(world.nodes[index].callers, shedkeel.NewNonce(), "/copy/a", "key-1", "deadly", 50)
+func (cluster *testCluster) sendDeadly(index int) (int, string) {
+	cluster.t.Helper()
+	cluster.waitServing(index)
+	return cluster.sendBody(cluster.nodes[index].callers, shedkeel.NewNonce(), "/copy/a", "key-1", "deadly", 50)
 }
 
 // TestRequestThatEndsServersIsContained sends the deadly request to all nodes in turn,
 // while other requests for the model arrive too.
 func TestRequestThatEndsServersIsContained(t *testing.T) {
-	world := newDeadlyWorld(t, 3)
+	cluster := newDeadlyCluster(t, 3)
 	for try := range 12 {
-		status, body := world.sendDeadly(try % 3)
+		status, body := cluster.sendDeadly(try % 3)
 		assert.Assert(t, status != 200, "%s", body)
 	}
-	assert.Assert(t, world.terminated() <= maxTerminated, "%d servers terminated", world.terminated())
-	world.waitServing(1)
-	world.checkOperatorView()
+	assert.Assert(t, cluster.terminated() <= maxTerminated, "%d servers terminated", cluster.terminated())
+	cluster.waitServing(1)
+	cluster.checkOperatorView()
 }
 
 // checkOperatorView checks that operators can find the request's blame by the request ID
 // that its caller received, and can release the request by removing the record.
-func (world *world) checkOperatorView() {
-	t := world.t
+func (cluster *testCluster) checkOperatorView() {
+	t := cluster.t
 	id := shedkeel.NewNonce()
-	status, body := world.sendBody(world.nodes[0].callers, id, "/copy/a", "key-1", "deadly", 50)
+	status, body := cluster.sendBody(cluster.nodes[0].callers, id, "/copy/a", "key-1", "deadly", 50)
 	assert.Equal(t, status, http.StatusServiceUnavailable, body)
-	client := &operator.Client{Keeper: world.nodes[0].admin}
+	client := &operator.Client{Keeper: cluster.nodes[0].admin}
 	story, err := client.Request(t.Context(), id)
 	assert.NilError(t, err)
 	var printed bytes.Buffer
@@ -87,35 +87,35 @@
 	operator.PrintStatus(&printed, answer)
 	assert.Assert(t, strings.Contains(printed.String(), "request "+digest[1]+" is contained"), printed.String())
 
-	_, err = world.data.Commit(shedkeel.Change{Remove: []string{"shedkeel/blames/" + digest[1]}})
+	_, err = cluster.data.Commit(shedkeel.Change{Remove: []string{"shedkeel/blames/" + digest[1]}})
 	assert.NilError(t, err)
-	world.eventually("it is released", func() bool {
+	cluster.eventually("it is released", func() bool {
 		answer, err := client.Status(t.Context())
-		return err == nil && len(answer.Node.Judged) == 0
+		return err == nil && len(answer.Node.BlamedRequests) == 0
 	})
 }
 
 // TestContainedAfterLossOfAllNodes replaces all nodes by new ones after the request has
 // terminated three servers. The new nodes know of it before they serve.
 func TestContainedAfterLossOfAllNodes(t *testing.T) {
-	world := newDeadlyWorld(t, 2)
+	cluster := newDeadlyCluster(t, 2)
 	for try := range 4 {
-		world.sendDeadly(try % 2)
+		cluster.sendDeadly(try % 2)
 	}
 	time.Sleep(time.Second) // blames are written within it
-	for _, node := range world.nodes {
+	for _, node := range cluster.nodes {
 		node.stop()
 		node.ended.Wait()
 	}
-	before := world.terminated()
+	before := cluster.terminated()
 	for index := range 2 {
-		world.start(2 + index)
+		cluster.start(2 + index)
 	}
 	for try := range 4 {
-		world.sendDeadly(2 + try%2)
+		cluster.sendDeadly(2 + try%2)
 	}
-	assert.Equal(t, world.terminated(), before, "more servers terminated under a contained request")
-	assert.Assert(t, world.terminated() <= maxTerminated, "%d servers terminated", world.terminated())
+	assert.Equal(t, cluster.terminated(), before, "more servers terminated under a contained request")
+	assert.Assert(t, cluster.terminated() <= maxTerminated, "%d servers terminated", cluster.terminated())
 }
 
 // TestBurstIsContained sends the deadly request 20 times a second to all nodes, so that
@@ -123,21 +123,21 @@
 func TestBurstIsContained(t *testing.T) {
 	const copies, pause = 80, 50 * time.Millisecond
 	const maxOfBurst = 5 // copies that servers run already can't be canceled
-	world := newDeadlyWorld(t, 3)
+	cluster := newDeadlyCluster(t, 3)
 	for index := range 3 {
-		world.waitServing(index)
+		cluster.waitServing(index)
 	}
 	statuses := make(chan int)
 	for index := range copies {
 		go func() {
 			time.Sleep(time.Duration(index) * pause)
-			status, _ := world.sendBody(world.nodes[index%3].callers, fmt.Sprint("crowd-", index), "/copy/a", "key-1", "deadly", 50)
+			status, _ := cluster.sendBody(cluster.nodes[index%3].callers, fmt.Sprint("crowd-", index), "/copy/a", "key-1", "deadly", 50)
 			statuses <- status
 		}()
 	}
 	for range copies {
 		assert.Assert(t, <-statuses != 200)
 	}
-	assert.Assert(t, world.terminated() <= maxOfBurst, "%d servers terminated", world.terminated())
-	world.waitServing(2)
+	assert.Assert(t, cluster.terminated() <= maxOfBurst, "%d servers terminated", cluster.terminated())
+	cluster.waitServing(2)
 }
--- a/node/controller.go
+++ b/node/controller.go
@@ -47,11 +47,11 @@
 	vacantSince   time.Duration                         // since when there has been no leader; 0: not noticed yet
 	orphanedSince time.Duration                         // since when the leader record names no listed node; 0: not so
 	usageLoggedAt time.Duration                         // when the use of servers was last logged
-	sized         time.Duration                         // when the size of the fleet was last checked
+	sizeCheckedAt time.Duration                         // when the size of the fleet was last checked
 	// era is the era of the key-value service that this node follows, and since is when
 	// the node began to follow it. Only the planning loop uses them.
-	era   int64
-	since time.Duration
+	era      int64
+	eraSince time.Duration
 	// storedLoads are the loads as last written to the key-value service. Only the
 	// planning loop uses them.
 	storedLoads map[shedkeel.ServiceID]map[shedkeel.InstanceID]shedkeel.ModelID
@@ -76,10 +76,10 @@
 func (controller *controller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := controller.node.Timers.Now()
-		controller.noteEra(now)
+		controller.trackEra(now)
 		if controller.leading(now) {
 			controller.plan(ctx, now)
-			controller.keepSize(ctx, now)
+			controller.maintainFleetSize(ctx, now)
 		} else {
 			controller.elect(ctx, now)
 		}
@@ -87,29 +87,29 @@
 	}
 }
 
-// noteEra records when this node began to follow the current era of the key-value
+// trackEra records when this node began to follow the current era of the key-value
 // service. A new era begins when the service is restored from an older copy. That copy
-// may lack recent writes, so noteEra also forgets which loads are stored.
-func (controller *controller) noteEra(now time.Duration) {
+// may lack recent writes, so trackEra also forgets which loads are stored.
+func (controller *controller) trackEra(now time.Duration) {
 	state := controller.node.mirror.State()
-	if state.Known && (controller.since == 0 || controller.era != state.At.Era) {
-		controller.era, controller.since = state.At.Era, now
+	if state.Known && (controller.eraSince == 0 || controller.era != state.At.Era) {
+		controller.era, controller.eraSince = state.At.Era, now
 		clear(controller.storedLoads)
 	}
 }
 
-// settled reports whether the backend servers have had the time to write their records
-// again since the key-value service was restored from an older copy. Until then, an
+// recordsRewritten reports whether the backend servers have had the time to write their
+// records again since the key-value service was restored from an older copy. Until then, an
 // outdated record may show a server as free that is a member of a group.
-func (controller *controller) settled(now time.Duration) bool {
-	return controller.era == 0 || now-controller.since >= lapseHold
+func (controller *controller) recordsRewritten(now time.Duration) bool {
+	return controller.era == 0 || now-controller.eraSince >= deletedRecordHold
 }
 
 // nextEpoch returns an epoch that no other formation of a group has. The caller holds
 // the mutex.
 func (controller *controller) nextEpoch() uint64 {
 	controller.epochs++
-	return controller.term*termEpochs + controller.epochs
+	return controller.term*epochsPerTerm + controller.epochs
 }
 
 // plan runs one planning round: it probes suspected servers and sends the orders that
@@ -120,7 +120,7 @@
 	if now-node.mirror.State().AsOf > maxMirrorAge || view == nil {
 		return
 	}
-	if !controller.settled(now) {
+	if !controller.recordsRewritten(now) {
 		return
 	}
 	services := node.fleet.groupServices()
@@ -150,7 +150,7 @@
 		for _, action := range actions {
 			go controller.runOrder(ctx, planner, action)
 		}
-		controller.keepLoads(ctx, id, loading)
+		controller.storeLoads(ctx, id, loading)
 	}
 }
 
@@ -176,7 +176,7 @@
 		return planner
 	}
 	var loading map[shedkeel.InstanceID]shedkeel.ModelID
-	if controller.node.fleet.read(record, &loading) != nil {
+	if controller.node.fleet.decodeRecord(record, &loading) != nil {
 		return planner
 	}
 	planner.Adopt(loading, engine, now)
--- a/node/corrupt_test.go
+++ b/node/corrupt_test.go
@@ -44,7 +44,7 @@
 
 // TestRecordThatBecomesUnreadable corrupts the record of a server. The server gets no
 // requests, and keeps its place in its group until its next heartbeat or, if none
-// arrives, for doubtHold.
+// arrives, for unreadableRecordHold.
 func TestRecordThatBecomesUnreadable(t *testing.T) {
 	corrupt := shedkeel.Record{Key: "servers/i-0", Value: []byte(`{"service":7}`), Revision: shedkeel.Revision{Number: 4}}
 	t.Run("its next heartbeat comes", func(t *testing.T) {
@@ -55,15 +55,15 @@
 		assert.Equal(t, len(node.fleet.instances), 2, "its group lost a member by one corrupt write")
 		apply(1200*time.Millisecond, serverRecord(5, 7, 0, shedkeel.MemberOpen))
 		assert.Equal(t, node.usable(), 1)
-		apply(2 * doubtHold)
+		apply(2 * unreadableRecordHold)
 		assert.Equal(t, len(node.fleet.instances), 2)
 	})
 	t.Run("none comes", func(t *testing.T) {
 		node, apply := newGroupNode(t)
 		apply(0, corrupt)
-		apply(doubtHold/2, shedkeel.Record{Key: "servers/i-0", Value: []byte(`[]`), Revision: shedkeel.Revision{Number: 5}})
+		apply(unreadableRecordHold/2, shedkeel.Record{Key: "servers/i-0", Value: []byte(`[]`), Revision: shedkeel.Revision{Number: 5}})
 		assert.Equal(t, len(node.fleet.instances), 2)
-		apply(doubtHold / 2)
+		apply(unreadableRecordHold / 2)
 		assert.Equal(t, len(node.fleet.instances), 1, "corrupt writes kept it for longer")
 	})
 	t.Run("a member's", func(t *testing.T) {
@@ -123,7 +123,7 @@
 // becomes the leader, in a term whose epochs engines accept.
 func TestCorruptLeaderRecords(t *testing.T) {
 	member := serverRecord(2, 7, 0, shedkeel.MemberOpen)
-	member.Value = []byte(fmt.Sprintf(`{"service":"s","address":"10.0.0.1:1","zone":"z","version":"v1","slots":8,"state":"ready","cold_remaining_ms":0,"seq":1,"group":{"name":"m/d/1","epoch":%d,"rank":0,"state":"open"}}`, 3*termEpochs+8))
+	member.Value = []byte(fmt.Sprintf(`{"service":"s","address":"10.0.0.1:1","zone":"z","version":"v1","slots":8,"state":"ready","cold_remaining_ms":0,"seq":1,"group":{"name":"m/d/1","epoch":%d,"rank":0,"state":"open"}}`, 3*epochsPerTerm+8))
 	for name, test := range map[string]struct {
 		lead, term string
 		next       uint64
@@ -138,11 +138,11 @@
 		"term is higher":                           {"", `{"term":9}`, 10},
 	} {
 		t.Run(name, func(t *testing.T) {
-			node, timers, store := electedNode(t)
+			node, timers, store := newListedCandidate(t)
 			node.Decoder = platform.Decoder{}
 			records := []shedkeel.Record{member, {Key: termKey, Value: []byte(test.term), Revision: shedkeel.Revision{Number: 3}}}
 			if test.lead != "" {
-				records = append(records, shedkeel.Record{Key: leadKey, Value: []byte(test.lead), Revision: shedkeel.Revision{Number: 4}})
+				records = append(records, shedkeel.Record{Key: leaderKey, Value: []byte(test.lead), Revision: shedkeel.Revision{Number: 4}})
 			}
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 4}, AsOf: timers.Now(), Records: records})
 			store.commit = func(change shedkeel.Change) (int64, error) {
@@ -158,7 +158,7 @@
 			}
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 4}, AsOf: timers.Now()})
 			elect(t, node, timers)
-			lead, _ := node.controller.lead()
+			lead, _ := node.controller.leaderRecord()
 			assert.Equal(t, lead.Node, node.Settings.Node, "nobody leads")
 			assert.Equal(t, lead.Term, test.next)
 		})
--- a/node/demand.go
+++ b/node/demand.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// demandEvery is how often the leader asks the spreaders (see peers.spreader) for
+	// demandInterval is how often the leader asks the spreaders (see peers.spreader) for
 	// the demand for each model.
-	demandEvery = time.Second
+	demandInterval = time.Second
 	// demandTimeout bounds each of these calls, which take some milliseconds.
 	demandTimeout = 300 * time.Millisecond
 	// demandLogRounds is the number of polls per log line.
@@ -103,9 +103,9 @@
 	parts := peers.node.table.MostParts(service)
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
-	nodes, _, _ := peers.withOwn()
+	nodes, _, _ := peers.aliveWithSelf()
 	var found []*peer
-	for _, record := range nodes[:min(helpers+parts, len(nodes))] {
+	for _, record := range nodes[:min(reservedNodes+parts, len(nodes))] {
 		if peer := peers.known[record.ID]; peer != nil {
 			found = append(found, peer)
 		}
@@ -129,8 +129,8 @@
 	return demand
 }
 
-// takeDemand answers the leader's question for the demand on this node.
-func (peers *peers) takeDemand(call *wire.DemandCall) *wire.Reply {
+// handleDemand answers the leader's question for the demand on this node.
+func (peers *peers) handleDemand(call *wire.DemandCall) *wire.Reply {
 	reply := &wire.DemandReply{}
 	for model, demand := range peers.node.table.Demand(shedkeel.ServiceID(call.GetService()), peers.node.Timers.Now()) {
 		reply.Models = append(reply.Models, &wire.ModelDemand{Model: string(model), Requests: demand.Requests, PromptTokens: demand.PromptTokens, AnswerTokens: demand.AnswerTokens})
--- a/node/demand_test.go
+++ b/node/demand_test.go
@@ -46,7 +46,7 @@
 	for range 100 {
 		node.table.Spread(dispatch.Query{Service: "s", Model: "m", Now: timers.Now()}, dispatch.Reporter{})
 	}
-	assert.Equal(t, node.peers.takeDemand(call).GetDemand().GetModels()[0].GetRequests(), 100.0)
-	timers.Advance(4 * demandEvery * 5)
-	assert.Assert(t, node.peers.takeDemand(call).GetDemand().GetModels()[0].GetRequests() < 2)
+	assert.Equal(t, node.peers.handleDemand(call).GetDemand().GetModels()[0].GetRequests(), 100.0)
+	timers.Advance(4 * demandInterval * 5)
+	assert.Assert(t, node.peers.handleDemand(call).GetDemand().GetModels()[0].GetRequests() < 2)
 }
--- a/node/directory_test.go
+++ b/node/directory_test.go
@@ -32,91 +32,91 @@
 func TestDirectoryLeavesOutDeadNodes(t *testing.T) {
 	cases := map[string]struct {
 		deadNodes int
-		fault     func(world *world, keys []string) // called when the nodes are lost
+		fault     func(cluster *testCluster, keys []string) // called when the nodes are lost
 	}{
-		"their records stay, and the store is unavailable": {2, func(world *world, _ []string) {
-			world.data.SetFaults(standin.Faults{Outage: true})
+		"their records stay, and the store is unavailable": {2, func(cluster *testCluster, _ []string) {
+			cluster.data.SetFaults(standin.Faults{Outage: true})
 		}},
-		"most nodes are dead, so that a live one may consider itself isolated": {8, func(*world, []string) {}},
-		"their records are deleted while the store seems unavailable": {2, func(world *world, keys []string) {
-			world.data.SetFaults(standin.Faults{Outage: true})
+		"most nodes are dead, so that a live one may consider itself isolated": {8, func(*testCluster, []string) {}},
+		"their records are deleted while the store seems unavailable": {2, func(cluster *testCluster, keys []string) {
+			cluster.data.SetFaults(standin.Faults{Outage: true})
 			go func() {
 				time.Sleep(4 * time.Second)
-				_, err := world.data.Commit(shedkeel.Change{Remove: keys})
-				assert.Check(world.t, err)
-				world.data.SetFaults(standin.Faults{})
+				_, err := cluster.data.Commit(shedkeel.Change{Remove: keys})
+				assert.Check(cluster.t, err)
+				cluster.data.SetFaults(standin.Faults{})
 			}()
 		}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			world := newWorld(t, 2)
-			world.eventually("both nodes are named", func() bool { return len(world.addresses(0)) == 2 && len(world.addresses(1)) == 2 })
-			keys, callers := world.listDeadNodes(test.deadNodes)
-			test.fault(world, keys)
+			cluster := newTestCluster(t, 2)
+			cluster.eventually("both nodes are named", func() bool { return len(cluster.addresses(0)) == 2 && len(cluster.addresses(1)) == 2 })
+			keys, callers := cluster.listDeadNodes(test.deadNodes)
+			test.fault(cluster, keys)
 			time.Sleep(exclusionDelay)
 			for range 10 {
-				for index, running := range world.nodes {
-					named := world.addresses(index)
+				for index, running := range cluster.nodes {
+					named := cluster.addresses(index)
 					for _, address := range callers {
 						assert.Assert(t, !slices.Contains(named, address), "%s names a dead node", running.Settings.Node)
 					}
-					other := world.nodes[1-index].callers
+					other := cluster.nodes[1-index].callers
 					assert.Assert(t, slices.Contains(named, other), "%s does not name the other living node", running.Settings.Node)
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
-			world.checkExcluded()
+			cluster.checkExcluded()
 		})
 	}
 }
 
 // listDeadNodes adds the records of nodes that do not run. It returns the keys of the
 // records and the callers' addresses once all nodes know them.
-func (world *world) listDeadNodes(count int) (keys, callers []string) {
+func (cluster *testCluster) listDeadNodes(count int) (keys, callers []string) {
 	var change shedkeel.Change
 	for index := range count {
 		id := fmt.Sprint(deadPrefix, index)
-		address := closedAddress(world.t)
+		address := closedAddress(cluster.t)
 		record := map[string]any{"id": id, "incarnation": "i", "zone": "z", "callers": address, "control": address, "gossip": address, "capacity": 0, "stopping": false, "watched": true}
 		value, err := json.Marshal(record)
-		assert.NilError(world.t, err)
+		assert.NilError(cluster.t, err)
 		key := "shedkeel/nodes/" + id
 		change.Put = append(change.Put, shedkeel.Put{Key: key, Value: value})
 		keys, callers = append(keys, key), append(callers, address)
 	}
-	_, err := world.data.Commit(change)
-	assert.NilError(world.t, err)
-	for index := range world.nodes {
-		world.eventually("the dead nodes are listed", func() bool { return slices.Contains(world.status(index).Nodes, shedkeel.NodeID(deadPrefix+"0")) })
+	_, err := cluster.data.Commit(change)
+	assert.NilError(cluster.t, err)
+	for index := range cluster.nodes {
+		cluster.eventually("the dead nodes are listed", func() bool { return slices.Contains(cluster.status(index).Nodes, shedkeel.NodeID(deadPrefix+"0")) })
 	}
 	return keys, callers
 }
 
 // checkExcluded checks that a node's status has a reason for each dead node that is still
 // listed, and for no other node.
-func (world *world) checkExcluded() {
-	status := world.status(0)
+func (cluster *testCluster) checkExcluded() {
+	status := cluster.status(0)
 	var listed, unnamed []shedkeel.NodeID
 	for _, id := range status.Nodes {
 		if strings.HasPrefix(string(id), deadPrefix) {
 			listed = append(listed, id)
 		}
 	}
-	for _, dump := range status.Unnamed {
+	for _, dump := range status.ExcludedNodes {
 		unnamed = append(unnamed, dump.Node)
-		assert.Assert(world.t, dump.Reason != "")
+		assert.Assert(cluster.t, dump.Reason != "")
 	}
-	assert.DeepEqual(world.t, unnamed, listed)
+	assert.DeepEqual(cluster.t, unnamed, listed)
 }
 
 // status returns the status that a node reports to operators.
-func (world *world) status(index int) node.Dump {
-	response, err := world.client.Get("http://" + world.nodes[index].admin + "/v1/status")
-	assert.NilError(world.t, err)
+func (cluster *testCluster) status(index int) node.Dump {
+	response, err := cluster.client.Get("http://" + cluster.nodes[index].admin + "/v1/status")
+	assert.NilError(cluster.t, err)
 	defer func() { _ = response.Body.Close() }()
 	var status node.Dump
-	assert.NilError(world.t, json.NewDecoder(response.Body).Decode(&status))
+	assert.NilError(cluster.t, json.NewDecoder(response.Body).Decode(&status))
 	return status
 }
 
--- a/node/election.go
+++ b/node/election.go
@@ -30,26 +30,26 @@
 	leaderTTL = 1500 * time.Millisecond
 	// leaderRenewInterval is how often a leader renews its lease.
 	leaderRenewInterval = leaderTTL / 3
-	// termEpochs is the number of epochs of one term.
-	termEpochs = 1 << 20
-	// eraTerms is the number of terms of an era of the key-value service. An era has far
+	// epochsPerTerm is the number of epochs of one term.
+	epochsPerTerm = 1 << 20
+	// termsPerEra is the number of terms of an era of the key-value service. An era has far
 	// fewer elections, so each term of a later era is above all terms of an earlier one.
-	eraTerms = 1 << 20
-	// mostTerm is the highest term that is accepted. A higher one was written by a
+	termsPerEra = 1 << 20
+	// maxTerm is the highest term that is accepted. A higher one was written by a
 	// foreign client: its epochs would overflow.
-	mostTerm = 1 << 40
+	maxTerm = 1 << 40
 	// orphanTimeout is how long the leader record may name a node that is not listed
 	// before another node leads: far longer than a live node is ever missing from the
 	// list.
 	orphanTimeout = 5 * time.Second
 
-	leadKey = "shedkeel/lead"
-	termKey = "shedkeel/term"
+	leaderKey = "shedkeel/lead"
+	termKey   = "shedkeel/term"
 )
 
-// leaderRecord is the record that names the leader. The key-value service removes it
+// leadRecord is the record that names the leader. The key-value service removes it
 // when the leader's lease ends.
-type leaderRecord struct {
+type leadRecord struct {
 	Node        shedkeel.NodeID `json:"node"`
 	Incarnation string          `json:"incarnation"`
 	Term        uint64          `json:"term"`
@@ -61,7 +61,7 @@
 
 // isOwnLead reports whether the record names this node as the leader, in its present
 // incarnation and with the lease that it holds now.
-func (controller *controller) isOwnLead(lead leaderRecord) bool {
+func (controller *controller) isOwnLead(lead leadRecord) bool {
 	node := controller.node
 	lease := shedkeel.LeaseID{Era: lead.Era, Number: lead.Lease}
 	return lead.Node == node.Settings.Node && lead.Incarnation == node.Incarnation && lease == controller.lease.ID()
@@ -81,7 +81,7 @@
 	if !controller.leads {
 		return false
 	}
-	lead, exists := controller.lead()
+	lead, exists := controller.leaderRecord()
 	own := exists && controller.isOwnLead(lead)
 	if own && !controller.resigned && controller.lease.valid(now) {
 		return true
@@ -102,7 +102,7 @@
 	if !led {
 		return
 	}
-	controller.lease.end() // the leader record is removed with the lease
+	controller.lease.release() // the leader record is removed with the lease
 }
 
 // runLease renews the leader's lease while this node leads, and releases it when ctx
@@ -117,27 +117,27 @@
 		}
 		timer.Sleep(ctx, leaderRenewInterval)
 	}
-	controller.lease.end()
+	controller.lease.release()
 }
 
-// lead returns the leader record as this node's mirror has it, and whether it exists.
-// A record of an earlier era of the key-value service does not count: its lease has
+// leaderRecord returns the leader record as this node's mirror has it, and whether it
+// exists. A record of an earlier era of the key-value service does not count: its lease has
 // ended. A record that can't be decoded is returned empty.
-func (controller *controller) lead() (lead leaderRecord, exists bool) {
+func (controller *controller) leaderRecord() (lead leadRecord, exists bool) {
 	mirror := &controller.node.mirror
-	record := mirror.Get(leadKey)
+	record := mirror.Get(leaderKey)
 	if !record.Revision.Exists() {
 		return lead, false
 	}
-	if controller.node.fleet.read(record, &lead) != nil {
-		return leaderRecord{}, true // it exists, but names no node
+	if controller.node.fleet.decodeRecord(record, &lead) != nil {
+		return leadRecord{}, true // it exists, but names no node
 	}
 	return lead, lead.Era >= mirror.State().At.Era
 }
 
 // leader returns the node that leads, as far as this node knows, or "".
 func (controller *controller) leader() shedkeel.NodeID {
-	lead, exists := controller.lead()
+	lead, exists := controller.leaderRecord()
 	if !exists {
 		return ""
 	}
@@ -156,7 +156,7 @@
 		controller.vacantSince, controller.orphanedSince = 0, 0
 		return
 	}
-	if lead, exists := controller.lead(); exists && !controller.isOrphaned(lead, now) {
+	if lead, exists := controller.leaderRecord(); exists && !controller.isOrphaned(lead, now) {
 		controller.vacantSince = 0
 		controller.becomeLeader(lead)
 		return
@@ -164,7 +164,7 @@
 	if controller.vacantSince == 0 {
 		controller.vacantSince = now
 	}
-	record, term := node.mirror.Get(leadKey), node.mirror.Get(termKey)
+	record, term := node.mirror.Get(leaderKey), node.mirror.Get(termKey)
 	if now-controller.vacantSince < controller.electionDelay(term) {
 		return
 	}
@@ -178,11 +178,11 @@
 // waits until the list of nodes has settled.
 func (controller *controller) electionDelay(term shedkeel.Record) time.Duration {
 	peers := &controller.node.peers
-	place := time.Duration(peers.place())
+	place := time.Duration(peers.ownIndex())
 	if term.Revision.Exists() {
 		return place * electionStagger
 	}
-	settled := min(max(peers.lastCame()-controller.vacantSince, 0)+initialSettleTime, maxInitialSettle)
+	settled := min(max(peers.lastJoinTime()-controller.vacantSince, 0)+initialSettleTime, maxInitialSettle)
 	return settled + place*initialStagger
 }
 
@@ -190,7 +190,7 @@
 // that is not listed, or this node although it does not lead. Another node may lead
 // then. A foreign client may have overwritten the record: it has no lease then and
 // would never be removed, so that no node would ever lead again.
-func (controller *controller) isOrphaned(lead leaderRecord, now time.Duration) bool {
+func (controller *controller) isOrphaned(lead leadRecord, now time.Duration) bool {
 	valid := controller.node.peers.peer(lead.Node) != nil
 	if lead.Node == controller.node.Settings.Node {
 		valid = controller.isOwnLead(lead)
@@ -210,15 +210,15 @@
 func (controller *controller) nextTerm(record shedkeel.Record) uint64 {
 	var term termRecord
 	if record.Revision.Exists() {
-		_ = controller.node.fleet.read(record, &term) // 0 if it can't be decoded
+		_ = controller.node.fleet.decodeRecord(record, &term) // 0 if it can't be decoded
 	}
-	if term.Term > mostTerm {
+	if term.Term > maxTerm {
 		term.Term = 0
 	}
 	// The service may have been restored from an older copy and have lost terms that no
 	// server here reports.
-	era := min(uint64(controller.node.mirror.State().At.Era), mostTerm/eraTerms-1)
-	return max(term.Term, controller.node.fleet.highestEpoch()/termEpochs, era*eraTerms) + 1
+	era := min(uint64(controller.node.mirror.State().At.Era), maxTerm/termsPerEra-1)
+	return max(term.Term, controller.node.fleet.highestEpoch()/epochsPerTerm, era*termsPerEra) + 1
 }
 
 // campaign writes the records of the leader and the term for this node, unless these
@@ -226,7 +226,7 @@
 func (controller *controller) campaign(ctx context.Context, leadRevision, termRevision shedkeel.Revision, term uint64) {
 	node := controller.node
 	lease := controller.lease.ID()
-	lead, err := json.Marshal(leaderRecord{Node: node.Settings.Node, Incarnation: node.Incarnation, Term: term, Lease: lease.Number, Era: lease.Era})
+	lead, err := json.Marshal(leadRecord{Node: node.Settings.Node, Incarnation: node.Incarnation, Term: term, Lease: lease.Number, Era: lease.Era})
 	if err != nil {
 		return
 	}
@@ -235,8 +235,8 @@
 		return
 	}
 	written, err := node.Store.Commit(ctx, shedkeel.Change{
-		If:  []shedkeel.Condition{{Key: leadKey, Revision: leadRevision}, {Key: termKey, Revision: termRevision}},
-		Put: []shedkeel.Put{{Key: leadKey, Value: lead, Lease: lease}, {Key: termKey, Value: next}},
+		If:  []shedkeel.Condition{{Key: leaderKey, Revision: leadRevision}, {Key: termKey, Revision: termRevision}},
+		Put: []shedkeel.Put{{Key: leaderKey, Value: lead, Lease: lease}, {Key: termKey, Value: next}},
 	})
 	if err != nil {
 		// Another node was faster, or the outcome is unknown. If the write takes
@@ -245,15 +245,15 @@
 		return
 	}
 	node.mirror.Apply(mirrorUpdate(
-		shedkeel.Record{Key: leadKey, Value: lead, Revision: written}, shedkeel.Record{Key: termKey, Value: next, Revision: written}))
-	if lead, exists := controller.lead(); exists {
+		shedkeel.Record{Key: leaderKey, Value: lead, Revision: written}, shedkeel.Record{Key: termKey, Value: next, Revision: written}))
+	if lead, exists := controller.leaderRecord(); exists {
 		controller.becomeLeader(lead)
 	}
 }
 
 // becomeLeader makes this node the leader if the record and its lease say so. Within a
 // term, the numbers of epochs go on, so that none is used twice.
-func (controller *controller) becomeLeader(lead leaderRecord) {
+func (controller *controller) becomeLeader(lead leadRecord) {
 	if !controller.isOwnLead(lead) || !controller.lease.valid(controller.node.Timers.Now()) {
 		return
 	}
--- a/node/election_test.go
+++ b/node/election_test.go
@@ -16,12 +16,12 @@
 // leaseStore is a key-value service that numbers its leases from one.
 type leaseStore struct {
 	Store
-	granted shedkeel.LeaseID
-	renewed map[shedkeel.LeaseID]int
-	ended   []shedkeel.LeaseID
-	away    bool // renewals fail
-	calls   int  // calls of Renew
-	commit  func(shedkeel.Change) (int64, error)
+	granted     shedkeel.LeaseID
+	renewed     map[shedkeel.LeaseID]int
+	ended       []shedkeel.LeaseID
+	unavailable bool // renewals fail
+	renewCalls  int  // calls of Renew
+	commit      func(shedkeel.Change) (int64, error)
 }
 
 func (store *leaseStore) Grant(_ context.Context, ttl time.Duration) (shedkeel.LeaseID, time.Duration, error) {
@@ -30,8 +30,8 @@
 }
 
 func (store *leaseStore) Renew(_ context.Context, lease shedkeel.LeaseID) error {
-	store.calls++
-	if store.away {
+	store.renewCalls++
+	if store.unavailable {
 		return &shedkeel.UnavailableError{What: "key-value service"}
 	}
 	store.renewed[lease]++
@@ -48,8 +48,8 @@
 	return shedkeel.Revision{Number: number}, err
 }
 
-// electedNode returns a node that is listed and knows that there is no leader.
-func electedNode(t *testing.T) (*Node, *timer.Manual, *leaseStore) {
+// newListedCandidate returns a node that is listed and knows that there is no leader.
+func newListedCandidate(t *testing.T) (*Node, *timer.Manual, *leaseStore) {
 	node, timers := newTestNode(t)
 	store := &leaseStore{renewed: map[shedkeel.LeaseID]int{}, commit: func(shedkeel.Change) (int64, error) { return 2, nil }}
 	node.Store = store
@@ -90,7 +90,7 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			node, timers, store := electedNode(t)
+			node, timers, store := newListedCandidate(t)
 			var pending shedkeel.Change
 			store.commit = func(change shedkeel.Change) (int64, error) {
 				pending = change
@@ -110,7 +110,7 @@
 // TestLateWriteOfFormerLease has a first write take effect when the node has another
 // lease. The record belongs to the first lease, which nobody renews.
 func TestLateWriteOfFormerLease(t *testing.T) {
-	node, timers, store := electedNode(t)
+	node, timers, store := newListedCandidate(t)
 	var first shedkeel.Change
 	store.commit = func(change shedkeel.Change) (int64, error) {
 		first = change
@@ -129,7 +129,7 @@
 // TestTermsEpochsAreUsedOnce has the leader record disappear from the leader's mirror
 // for a moment. The epochs of the term must not be used a second time.
 func TestTermsEpochsAreUsedOnce(t *testing.T) {
-	node, timers, store := electedNode(t)
+	node, timers, store := newListedCandidate(t)
 	var lead shedkeel.Change
 	store.commit = func(change shedkeel.Change) (int64, error) {
 		lead = change
@@ -138,7 +138,7 @@
 	elect(t, node, timers)
 	assert.Assert(t, node.controller.leading(timers.Now()))
 	before := node.controller.nextEpoch()
-	node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 3}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: leadKey, Revision: shedkeel.Revision{Number: 3}, Gone: true}}})
+	node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 3}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: leaderKey, Revision: shedkeel.Revision{Number: 3}, Gone: true}}})
 	assert.Assert(t, !node.controller.leading(timers.Now()))
 	node.mirror.Apply(changeUpdate(lead, 4, timers.Now()))
 	node.controller.elect(t.Context(), timers.Now())
@@ -149,7 +149,7 @@
 // TestLeadersLease checks that a leader leads no longer than its leader's lease lasts,
 // even while it stays listed.
 func TestLeadersLease(t *testing.T) {
-	node, timers, store := electedNode(t)
+	node, timers, store := newListedCandidate(t)
 	elect(t, node, timers)
 	assert.Assert(t, node.controller.leading(timers.Now()))
 	assert.Assert(t, node.controller.lease.ID() != node.member.lease.ID())
--- a/node/evacuated_test.go
+++ b/node/evacuated_test.go
@@ -35,10 +35,10 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			node, _ := newTestNode(t)
-			node.fleet.changed(nil)
+			node.fleet.applyChanges(nil)
 			node.fleet.instances["servers/1"] = shedkeel.Instance{ID: "1", Zone: "a"}
 			for _, record := range test.records {
-				node.fleet.changed([]shedkeel.Record{record})
+				node.fleet.applyChanges([]shedkeel.Record{record})
 			}
 			assert.DeepEqual(t, node.fleet.evacuations(), test.want)
 		})
--- a/node/evacuation.go
+++ b/node/evacuation.go
@@ -9,18 +9,18 @@
 	"shedkeel.org/shedkeel/event"
 )
 
-// takeEvacuation processes the record of an availability zone: operators evacuate the
+// applyEvacuation processes the record of an availability zone: operators evacuate the
 // zone by writing the record, and end the evacuation by removing it. It reports whether
 // anything has changed. The caller holds the mutex.
 //
 // An evacuation stays in force if the key-value service has lost its record, because no
 // operator has ended it.
-func (fleet *fleet) takeEvacuation(record shedkeel.Record, zone shedkeel.ZoneID) bool {
+func (fleet *fleet) applyEvacuation(record shedkeel.Record, zone shedkeel.ZoneID) bool {
 	fields := []slog.Attr{slog.String("zone", string(zone)), slog.Int("servers", fleet.serversIn(zone))}
 	before := fleet.evacuated[zone]
 	switch {
 	case zone == "":
-		fleet.skipped(record, &shedkeel.InvalidError{Where: record.Key, What: "it names no availability zone", Remedy: "write it below the zone's name"})
+		fleet.skipRecord(record, &shedkeel.InvalidError{Where: record.Key, What: "it names no availability zone", Remedy: "write it below the zone's name"})
 		return false
 	case record.Lost && before:
 		fleet.node.Log.Write(event.EvacuationLost, fields...)
@@ -29,7 +29,7 @@
 		return false
 	case record.Gone:
 		delete(fleet.evacuated, zone)
-		fleet.takenBack[zone] = fleet.node.Timers.Now()
+		fleet.evacuationEndedAt[zone] = fleet.node.Timers.Now()
 		fleet.node.Log.Write(event.EvacuationEnded, fields...)
 	default:
 		fleet.evacuated[zone] = true
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -21,16 +21,16 @@
 const evacuatedZone = "y"
 
 // evacuate has an operator evacuate a zone, or end its evacuation.
-func (world *world) evacuate(zone string, begin bool) {
-	_, err := world.data.Commit(platform.Evacuation(shedkeel.ZoneID(zone), begin))
-	assert.NilError(world.t, err)
+func (cluster *testCluster) evacuate(zone string, begin bool) {
+	_, err := cluster.data.Commit(platform.Evacuation(shedkeel.ZoneID(zone), begin))
+	assert.NilError(cluster.t, err)
 }
 
 // countArrivals counts the requests that have arrived at the servers.
-func (world *world) countArrivals(servers []string) int {
+func (cluster *testCluster) countArrivals(servers []string) int {
 	count := 0
 	for _, server := range servers {
-		count += world.fleet.Came(server)
+		count += cluster.fleet.Came(server)
 	}
 	return count
 }
@@ -48,31 +48,31 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			world := newServingWorld(t)
+			cluster := newServingCluster(t)
 			for _, server := range test.servers {
-				world.fleet.Place(server, evacuatedZone)
+				cluster.fleet.Place(server, evacuatedZone)
 			}
-			world.sendLoad(world.nodes, test.path, rate, time.Second)
-			assert.Assert(t, world.countArrivals(test.servers) > 0, "they serve before the evacuation")
+			cluster.sendLoad(cluster.nodes, test.path, rate, time.Second)
+			assert.Assert(t, cluster.countArrivals(test.servers) > 0, "they serve before the evacuation")
 
-			world.evacuate(evacuatedZone, true)
+			cluster.evacuate(evacuatedZone, true)
 			time.Sleep(evacuationSpreadTime)
-			before := world.countArrivals(test.servers)
-			statuses := world.sendLoad(world.nodes, test.path, rate, time.Second)
-			assert.Equal(t, world.countArrivals(test.servers), before, "the zone gets no requests")
+			before := cluster.countArrivals(test.servers)
+			statuses := cluster.sendLoad(cluster.nodes, test.path, rate, time.Second)
+			assert.Equal(t, cluster.countArrivals(test.servers), before, "the zone gets no requests")
 			assert.Equal(t, statuses[http.StatusOK], rate, "the other zone serves all: %v", statuses)
 
-			world.start(3)
-			world.eventually("a node that starts serves", func() bool {
-				status, _ := world.send(world.nodes[3].callers, shedkeel.NewNonce(), test.path, "key-1", 50)
+			cluster.start(3)
+			cluster.eventually("a node that starts serves", func() bool {
+				status, _ := cluster.send(cluster.nodes[3].callers, shedkeel.NewNonce(), test.path, "key-1", 50)
 				return status == http.StatusOK
 			})
-			assert.Equal(t, world.countArrivals(test.servers), before, "it knows of the evacuation")
+			assert.Equal(t, cluster.countArrivals(test.servers), before, "it knows of the evacuation")
 
-			world.evacuate(evacuatedZone, false)
-			world.eventually("the zone serves again", func() bool {
-				world.sendLoad(world.nodes, test.path, rate, evacuationSpreadTime)
-				return world.countArrivals(test.servers) > before
+			cluster.evacuate(evacuatedZone, false)
+			cluster.eventually("the zone serves again", func() bool {
+				cluster.sendLoad(cluster.nodes, test.path, rate, evacuationSpreadTime)
+				return cluster.countArrivals(test.servers) > before
 			})
 		})
 	}
@@ -81,12 +81,12 @@
 // TestAllZonesEvacuated checks that callers get status 503 while all servers are
 // evacuated.
 func TestAllZonesEvacuated(t *testing.T) {
-	world := newServingWorld(t)
-	world.evacuate("z", true)
+	cluster := newServingCluster(t)
+	cluster.evacuate("z", true)
 	time.Sleep(evacuationSpreadTime)
-	for index, node := range world.nodes {
-		status, body := world.send(node.callers, fmt.Sprint("none-", index), "/look/a", "key-1", 0)
+	for index, node := range cluster.nodes {
+		status, body := cluster.send(node.callers, fmt.Sprint("none-", index), "/look/a", "key-1", 0)
 		assert.Equal(t, status, http.StatusServiceUnavailable, body)
-		assert.Equal(t, world.fleet.Ran(fmt.Sprint("none-", index)), 0)
+		assert.Equal(t, cluster.fleet.Ran(fmt.Sprint("none-", index)), 0)
 	}
 }
--- a/node/explain.go
+++ b/node/explain.go
@@ -59,7 +59,7 @@
 		Process: Process, Node: node.Settings.Node, Leader: node.controller.leader(), Group: group, Members: node.members(group),
 		Events: []json.RawMessage{},
 	}
-	explanation.Waits = node.controller.waitsOf(group, explanation.Members, node.Timers.Now())
+	explanation.Waits = node.controller.waitsForGroup(group, explanation.Members, node.Timers.Now())
 	for _, line := range node.Log.Recent("group", string(group)) {
 		explanation.Events = append(explanation.Events, bytes.TrimSpace(line))
 	}
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -20,20 +20,20 @@
 const (
 	// fleetTick is how often retained and unreadable records are checked for expiry.
 	fleetTick = 100 * time.Millisecond
-	// troubleAge is the age of the mirror from which the key-value service counts as
+	// outageAge is the age of the mirror from which the key-value service counts as
 	// unavailable. In a healthy fleet copies are up to 1.5 s old, and some tenths of a
 	// second older until a stale one is renewed. When such an age counted as an outage,
 	// servers that had left stayed in use for 2 s more.
-	troubleAge = 2300 * time.Millisecond
-	// lapseHold is how long after the service's return a record that was deleted during
-	// the outage is still used. By the platform's documentation, live servers write
+	outageAge = 2300 * time.Millisecond
+	// deletedRecordHold is how long after the service's return a record that was deleted
+	// during the outage is still used. By the platform's documentation, live servers write
 	// their records again about 2 s after the return.
-	lapseHold = 2300 * time.Millisecond
-	// doubtHold is how long a backend server whose record became unreadable keeps its
-	// place in its group. It gets no requests of its own in that time. A server's next
-	// heartbeat, by the platform's documentation at most 1.2 s later, replaces an
+	deletedRecordHold = 2300 * time.Millisecond
+	// unreadableRecordHold is how long a backend server whose record became unreadable
+	// keeps its place in its group. It gets no requests of its own in that time. A server's
+	// next heartbeat, by the platform's documentation at most 1.2 s later, replaces an
 	// invalid write by another writer; 3 s covers two heartbeats and their delivery.
-	doubtHold = 3 * time.Second
+	unreadableRecordHold = 3 * time.Second
 )
 
 // fleet is the state that a node derives from the records: the configuration, the
@@ -41,26 +41,26 @@
 type fleet struct {
 	node         *Node
 	view         atomic.Pointer[serve.View]
-	activeConfig activeConfigCopy
+	activeConfig configCopy
 
-	mutex        sync.Mutex
-	instances    map[string]shedkeel.Instance      // by key
-	nodes        map[string]nodeRecord             // by key
-	retained     map[string]time.Duration          // deleted while the service was unavailable, used until then, by key
-	evacuated    map[shedkeel.ZoneID]bool          // zones whose backend servers get no requests
-	coldUntil    map[string]time.Duration          // for servers that reported to be cold, by key
-	takenBack    map[shedkeel.ZoneID]time.Duration // when the last evacuation of a zone was withdrawn
-	removals     removals
-	unreadable   map[string]time.Duration // servers with an unreadable record, and until when they keep their places
-	unread       atomic.Int64             // count of records that were skipped
-	afterRestore bool                     // the next records come from a restored, older snapshot of the service
-	outageUntil  time.Duration            // end of the latest outage of the service, with lapseHold added
-	verifiedAt   atomic.Int64             // when the copy was last proven current, as a time.Duration
-	loggedCounts map[string]int           // servers and groups that may get requests, as last logged
+	mutex             sync.Mutex
+	instances         map[string]shedkeel.Instance      // by key
+	nodes             map[string]nodeRecord             // by key
+	retained          map[string]time.Duration          // deleted while the service was unavailable, used until then, by key
+	evacuated         map[shedkeel.ZoneID]bool          // zones whose backend servers get no requests
+	coldUntil         map[string]time.Duration          // for servers that reported to be cold, by key
+	evacuationEndedAt map[shedkeel.ZoneID]time.Duration // when the last evacuation of a zone was withdrawn
+	removals          removals
+	unreadable        map[string]time.Duration // servers with an unreadable record, and until when they keep their places
+	skippedRecords    atomic.Int64             // count of records that were skipped
+	afterRestore      bool                     // the next records come from a restored, older snapshot of the service
+	outageUntil       time.Duration            // end of the latest outage of the service, with deletedRecordHold added
+	verifiedAt        atomic.Int64             // when the copy was last proven current, as a time.Duration
+	loggedCounts      map[string]int           // servers and groups that may get requests, as last logged
 }
 
-// changed applies changed records. The mirror never calls it concurrently.
-func (fleet *fleet) changed(records []shedkeel.Record) {
+// applyChanges applies changed records. The mirror never calls it concurrently.
+func (fleet *fleet) applyChanges(records []shedkeel.Record) {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
 	if fleet.instances == nil {
@@ -70,7 +70,7 @@
 		fleet.unreadable = map[string]time.Duration{}
 		fleet.evacuated = map[shedkeel.ZoneID]bool{}
 		fleet.coldUntil = map[string]time.Duration{}
-		fleet.takenBack = map[shedkeel.ZoneID]time.Duration{}
+		fleet.evacuationEndedAt = map[shedkeel.ZoneID]time.Duration{}
 	}
 	now := fleet.node.Timers.Now()
 	serversChanged, nodesChanged := false, false
@@ -83,10 +83,10 @@
 		case strings.HasPrefix(record.Key, nodePrefix):
 			nodesChanged = fleet.applyNode(record, now) || nodesChanged
 		case strings.HasPrefix(record.Key, blamePrefix):
-			fleet.node.guard.takeRecord(record)
+			fleet.node.guard.applyRecord(record)
 		default:
 			if zone, found := fleet.node.Decoder.EvacuatedZone(record.Key); found {
-				serversChanged = fleet.takeEvacuation(record, zone) || serversChanged
+				serversChanged = fleet.applyEvacuation(record, zone) || serversChanged
 			}
 		}
 	}
@@ -94,18 +94,18 @@
 	fleet.propagate(serversChanged, nodesChanged)
 }
 
-// skipped counts and logs a record that is not used. It may be called with or without
+// skipRecord counts and logs a record that is not used. It may be called with or without
 // the mutex.
-func (fleet *fleet) skipped(record shedkeel.Record, err error) {
-	fleet.unread.Add(1)
+func (fleet *fleet) skipRecord(record shedkeel.Record, err error) {
+	fleet.skippedRecords.Add(1)
 	fleet.node.Log.Write(event.RecordSkipped, slog.String("key", record.Key), slog.String("revision", record.Revision.String()), slog.String("error", err.Error()))
 }
 
-// read decodes a record that nodes write, and logs one that it can't decode.
-func (fleet *fleet) read(record shedkeel.Record, into any) error {
+// decodeRecord decodes a record that nodes write, and logs one that it can't decode.
+func (fleet *fleet) decodeRecord(record shedkeel.Record, into any) error {
 	err := json.Unmarshal(record.Value, into)
 	if err != nil {
-		fleet.skipped(record, err)
+		fleet.skipRecord(record, err)
 	}
 	return err
 }
@@ -119,16 +119,16 @@
 	}
 	instance, err := fleet.node.Decoder.Instance(record.Key, record.Value)
 	if err != nil {
-		fleet.skipped(record, err)
+		fleet.skipRecord(record, err)
 		return fleet.markUnreadable(record.Key, now)
 	}
 	known, listed := fleet.instances[record.Key]
 	if listed && fleet.isOutdated(&instance, &known) {
-		fleet.skipped(record, &shedkeel.InvalidError{Where: record.Key, What: "it is older than the known record of the server", Remedy: "none is needed: the server writes its record again"})
+		fleet.skipRecord(record, &shedkeel.InvalidError{Where: record.Key, What: "it is older than the known record of the server", Remedy: "none is needed: the server writes its record again"})
 		return false
 	}
 	_, wasUnreadable := fleet.unreadable[record.Key]
-	fleet.removals.returned(instance.ID, record.Revision.Era, now)
+	fleet.removals.recordReturn(instance.ID, record.Revision.Era, now)
 	delete(fleet.retained, record.Key)
 	delete(fleet.unreadable, record.Key)
 	fleet.instances[record.Key] = instance
@@ -151,7 +151,7 @@
 }
 
 // markUnreadable stops requests to a listed server whose record became unreadable and
-// keeps its place in its group for doubtHold. It reports whether the server was
+// keeps its place in its group for unreadableRecordHold. It reports whether the server was
 // readable before.
 func (fleet *fleet) markUnreadable(key string, now time.Duration) bool {
 	_, listed := fleet.instances[key]
@@ -159,7 +159,7 @@
 	if !listed || unreadable {
 		return false
 	}
-	fleet.unreadable[key] = now + doubtHold
+	fleet.unreadable[key] = now + unreadableRecordHold
 	return true
 }
 
@@ -167,7 +167,7 @@
 // service.
 func (fleet *fleet) removeInstance(key string, era int64, now time.Duration) {
 	if instance, listed := fleet.instances[key]; listed {
-		fleet.removals.note(instance.ID, era, now)
+		fleet.removals.recordRemoval(instance.ID, era, now)
 	}
 	delete(fleet.instances, key)
 	delete(fleet.unreadable, key)
@@ -193,7 +193,7 @@
 // the failure detector finds dead or stopped may not.
 func (fleet *fleet) writerMayReturn(key string) bool {
 	id, isNode := strings.CutPrefix(key, nodePrefix)
-	return !isNode || fleet.node.gossip.serves(shedkeel.NodeID(id))
+	return !isNode || fleet.node.gossip.mayServeCallers(shedkeel.NodeID(id))
 }
 
 // tick notes whether the service is unavailable, and removes retained and unreadable
@@ -203,12 +203,12 @@
 	fleet.verifiedAt.Store(int64(state.AsOf))
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
-	if state.Known && now-state.AsOf > troubleAge {
-		fleet.outageUntil = now + lapseHold
+	if state.Known && now-state.AsOf > outageAge {
+		fleet.outageUntil = now + deletedRecordHold
 	}
 	serversChanged, nodesChanged := false, false
 	for key, until := range fleet.retained {
-		unavailable := now < fleet.outageUntil && now-state.AsOf > troubleAge
+		unavailable := now < fleet.outageUntil && now-state.AsOf > outageAge
 		if fleet.writerMayReturn(key) && (now < until || unavailable) {
 			continue
 		}
@@ -277,7 +277,7 @@
 		}
 	}
 	fleet.node.table.Replace(servers)
-	fleet.node.limits.apply()
+	fleet.node.limits.updateAll()
 	fleet.logServerCounts(servers)
 }
 
@@ -289,11 +289,11 @@
 		return
 	}
 	until := fleet.coldUntil[key]
-	if since, evacuated := fleet.takenBack[instance.Zone]; evacuated {
+	if since, evacuated := fleet.evacuationEndedAt[instance.Zone]; evacuated {
 		until = max(until, since+service.ColdTime)
 	}
 	if until > fleet.node.Timers.Now() {
-		fleet.node.limits.noteCold(shedkeel.ColdServer{Server: instance.ID, Rate: service.ColdRate, Until: until})
+		fleet.node.limits.markCold(shedkeel.ColdServer{Server: instance.ID, Rate: service.ColdRate, Until: until})
 	}
 }
 
@@ -368,13 +368,13 @@
 }
 
 // highestEpoch returns the highest epoch in the backend servers' records, without those
-// of terms above mostTerm.
+// of terms above maxTerm.
 func (fleet *fleet) highestEpoch() uint64 {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
 	highest := uint64(0)
 	for _, instance := range fleet.instances {
-		if instance.Member != nil && instance.Member.Epoch/termEpochs <= mostTerm {
+		if instance.Member != nil && instance.Member.Epoch/epochsPerTerm <= maxTerm {
 			highest = max(highest, instance.Member.Epoch)
 		}
 	}
--- a/node/fleetsize.go
+++ b/node/fleetsize.go
@@ -57,22 +57,22 @@
 	return slices.Equal(size.Relays, current.Relays) && max(change, -change) <= sizeTolerance*float64(size.Nodes)
 }
 
-// keepSize writes the fleet's size if the stored record differs too much. Only the
+// maintainFleetSize writes the fleet's size if the stored record differs too much. Only the
 // leader calls it.
-func (controller *controller) keepSize(ctx context.Context, now time.Duration) {
+func (controller *controller) maintainFleetSize(ctx context.Context, now time.Duration) {
 	node := controller.node
-	if now-controller.sized < sizeCheckInterval {
+	if now-controller.sizeCheckedAt < sizeCheckInterval {
 		return
 	}
-	first := controller.sized == 0
-	controller.sized = now
+	first := controller.sizeCheckedAt == 0
+	controller.sizeCheckedAt = now
 	if first {
 		return // nodes that started together with this one may not be listed yet
 	}
 	var stored sizeRecord
 	record := node.mirror.Get(sizeKey)
 	if record.Revision.Exists() {
-		_ = node.fleet.read(record, &stored) // an unreadable record is overwritten
+		_ = node.fleet.decodeRecord(record, &stored) // an unreadable record is overwritten
 	}
 	size := newSizeRecord(node.peers.listed())
 	if stored.isCloseTo(size) {
@@ -100,10 +100,10 @@
 		return mirror.Advice{List: peers.isSeed() || len(peers.seeds) == 0, First: true}, nil
 	}
 	var size sizeRecord
-	if node.fleet.read(record, &size) != nil {
+	if node.fleet.decodeRecord(record, &size) != nil {
 		return mirror.Advice{List: true}, nil
 	}
-	node.member.hint.Store(max(node.member.hint.Load(), int64(size.Nodes)))
+	node.member.nodeCountHint.Store(max(node.member.nodeCountHint.Load(), int64(size.Nodes)))
 	isRelay := slices.ContainsFunc(size.Relays, func(relay startupRelay) bool { return relay.Control == node.Settings.Listen.Control })
 	if isRelay || len(size.Relays) == 0 {
 		return mirror.Advice{List: true}, nil
--- a/node/fleetsize_test.go
+++ b/node/fleetsize_test.go
@@ -66,7 +66,7 @@
 			assert.NilError(t, err)
 			assert.Equal(t, advice.List, test.list)
 			assert.Equal(t, len(advice.Peers), test.peers)
-			assert.Equal(t, node.member.hint.Load(), test.hint)
+			assert.Equal(t, node.member.nodeCountHint.Load(), test.hint)
 			for index, peer := range advice.Peers {
 				assert.Assert(t, index > 2 || peer.Name()[:2] == "z3", "%s is asked first", peer.Name())
 			}
@@ -90,7 +90,7 @@
 	check := func(nodes []nodeRecord) {
 		node.peers.update(nodes)
 		timers.Advance(sizeCheckInterval)
-		node.controller.keepSize(t.Context(), timers.Now())
+		node.controller.maintainFleetSize(t.Context(), timers.Now())
 	}
 	check(fleetOf(200, 3))
 	assert.Equal(t, len(written), 0, "no write at the first check: other nodes may not be listed yet")
@@ -104,6 +104,6 @@
 	assert.Equal(t, len(written), 3)
 	assert.Equal(t, len(written[2].Relays), 0)
 	timers.Advance(sizeCheckInterval - time.Millisecond)
-	node.controller.keepSize(t.Context(), timers.Now())
+	node.controller.maintainFleetSize(t.Context(), timers.Now())
 	assert.Equal(t, len(written), 3)
 }
--- a/node/follow.go
+++ b/node/follow.go
@@ -58,7 +58,7 @@
 	for index, node := range nodes {
 		wanted := (inZone[node.Zone] + followersPerRelay - 1) / followersPerRelay
 		suitable := node.Capacity >= minRelayCapacity*nodes[0].Capacity && !node.Stopping
-		if index < helpers || !suitable || taken[node.Zone] >= wanted {
+		if index < reservedNodes || !suitable || taken[node.Zone] >= wanted {
 			continue
 		}
 		taken[node.Zone]++
@@ -77,7 +77,7 @@
 
 // followOrderWithRelays is followOrder for known relays.
 func followOrderWithRelays(nodes []nodeRecord, relays []int, own int) []int {
-	if relay := slices.Index(relays, own); own < helpers || relay >= 0 {
+	if relay := slices.Index(relays, own); own < reservedNodes || relay >= 0 {
 		// If neither source reaches the service, the first relay follows the service
 		// itself, and the other relays follow it.
 		return slices.Concat(sourceIndexes[:], relays[:relay+1])
@@ -119,7 +119,7 @@
 func (peers *peers) choose() mirror.Peer {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
-	nodes, own, listed := peers.withOwn()
+	nodes, own, listed := peers.aliveWithSelf()
 	var first *peer
 	for _, index := range followOrder(nodes, own) {
 		if index >= len(nodes) {
@@ -129,7 +129,7 @@
 			return peers.startupSeed(listed && len(nodes) >= peers.node.member.expectedNodes()/2)
 		}
 		followed := peers.known[nodes[index].ID]
-		if !followed.failed.within(followBackoff, peers.node.Timers.Now()) {
+		if !followed.followFailure.isRecent(followBackoff, peers.node.Timers.Now()) {
 			return followed
 		}
 		if first == nil {
@@ -147,7 +147,7 @@
 		return nil
 	}
 	for _, seed := range peers.seeds {
-		if !seed.failed.within(followBackoff, peers.node.Timers.Now()) {
+		if !seed.followFailure.isRecent(followBackoff, peers.node.Timers.Now()) {
 			return seed
 		}
 	}
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -122,7 +122,7 @@
 			node, timers := newTestNode(t)
 			node.Settings.Node, node.Settings.Capacity = "d", 0.2
 			node.member.startedAt.Store(int64(timers.Now()))
-			node.member.hint.Store(test.hint)
+			node.member.nodeCountHint.Store(test.hint)
 			node.Settings.Listen.Control = "own:1"
 			node.Settings.Seeds = test.seeds
 			node.peers.prepare()
@@ -154,7 +154,7 @@
 		t.Run(name, func(t *testing.T) {
 			nodes := fleetOf(20, 0)
 			node, timers := newListedNode(t, nodes[12].ID, nodes)
-			detector := &judged{liveness: map[shedkeel.NodeID]shedkeel.Liveness{}}
+			detector := &fakeDetector{liveness: map[shedkeel.NodeID]shedkeel.Liveness{}}
 			for _, index := range test.suspected {
 				detector.liveness[nodes[index].ID] = shedkeel.Suspected
 			}
@@ -179,7 +179,7 @@
 	assert.Assert(t, len(relays) > 3)
 	own := nodes[250]
 	node, _ := newListedNode(t, own.ID, nodes)
-	detector := &judged{liveness: map[shedkeel.NodeID]shedkeel.Liveness{}}
+	detector := &fakeDetector{liveness: map[shedkeel.NodeID]shedkeel.Liveness{}}
 	node.gossip.detector = detector
 	followed := map[string]bool{}
 	for range len(relays) {
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -178,11 +178,11 @@
 	return slices.DeleteFunc(slices.Clone(nodes), func(record nodeRecord) bool { return gossip.detector.Liveness(record.ID) != shedkeel.Alive })
 }
 
-// serves reports whether callers may be sent to a node: to an alive one, and to a
+// mayServeCallers reports whether callers may be sent to a node: to an alive one, and to a
 // suspected one, which may only be paused for a moment.
-func (gossip *gossip) serves(id shedkeel.NodeID) bool { return mayServe(gossip.liveness(id)) }
+func (gossip *gossip) mayServeCallers(id shedkeel.NodeID) bool { return mayServe(gossip.liveness(id)) }
 
-// mayServe is serves for a known liveness.
+// mayServe is mayServeCallers for a known liveness.
 func mayServe(liveness shedkeel.Liveness) bool {
 	return liveness == shedkeel.Alive || liveness == shedkeel.Suspected
 }
--- a/node/guard.go
+++ b/node/guard.go
@@ -36,9 +36,9 @@
 	resendInterval = time.Second
 	// writeInterval is the time between two checks for blames that must be written.
 	writeInterval = 100 * time.Millisecond
-	// keepTurn is how much later each further decider writes a blame that the key-value
+	// writeStagger is how much later each further decider writes a blame that the key-value
 	// service lacks. All nodes know of a write long before that.
-	keepTurn = time.Second
+	writeStagger = time.Second
 )
 
 // guard keeps requests that terminate backend servers from terminating more of them.
@@ -127,7 +127,7 @@
 		go guard.runSendToDecider(blame)
 		return
 	}
-	for _, peer := range guard.node.peers.answering() {
+	for _, peer := range guard.node.peers.alivePeers() {
 		go peer.runSendBlame(wire.BlameCall_TELL, blame)
 	}
 }
@@ -164,8 +164,8 @@
 	return &wire.Call{Kind: &wire.Call_Blame{Blame: call}}
 }
 
-// take answers a blame call of another node.
-func (guard *guard) take(call *wire.BlameCall) *wire.Reply {
+// handle answers a blame call of another node.
+func (guard *guard) handle(call *wire.BlameCall) *wire.Reply {
 	blame := shedkeel.Blame{Request: shedkeel.RequestDigest(call.GetRequest()), Round: call.GetRound()}
 	for _, server := range call.GetServers() {
 		blame.Servers = append(blame.Servers, shedkeel.InstanceID(server))
@@ -208,7 +208,7 @@
 func (peer *peer) requestTrial(ctx context.Context, blame shedkeel.Blame) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
-	reply, err := peer.asked.Do(ctx, peer.newBlameCall(wire.BlameCall_TRY, blame))
+	reply, err := peer.priorityWire.Do(ctx, peer.newBlameCall(wire.BlameCall_TRY, blame))
 	return reply.GetBlame().GetAllowed(), err
 }
 
@@ -238,7 +238,7 @@
 func (peers *peers) deciders(request shedkeel.RequestDigest) []shedkeel.NodeID {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
-	nodes, _, _ := peers.withOwn()
+	nodes, _, _ := peers.aliveWithSelf()
 	var ids []shedkeel.NodeID
 	for _, node := range nodes {
 		ids = append(ids, node.ID)
@@ -250,17 +250,17 @@
 // run writes blames to the key-value service until ctx ends.
 func (guard *guard) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		guard.keep(ctx, guard.node.Timers.Now())
+		guard.writePending(ctx, guard.node.Timers.Now())
 		timer.Sleep(ctx, writeInterval)
 	}
 }
 
-// keep writes the blames that the key-value service lacks and for which it is this
+// writePending writes the blames that the key-value service lacks and for which it is this
 // node's turn.
-func (guard *guard) keep(ctx context.Context, now time.Duration) {
+func (guard *guard) writePending(ctx context.Context, now time.Duration) {
 	guard.resendUnwritten(now)
 	state := guard.node.mirror.State()
-	if !state.Known || now-state.AsOf > troubleAge {
+	if !state.Known || now-state.AsOf > outageAge {
 		return
 	}
 	for request, since := range guard.unwrittenBlames() {
@@ -272,7 +272,7 @@
 			continue
 		}
 		turn := slices.Index(guard.node.peers.deciders(request), guard.node.Settings.Node)
-		if turn < 0 || now-since < time.Duration(turn)*keepTurn {
+		if turn < 0 || now-since < time.Duration(turn)*writeStagger {
 			continue
 		}
 		guard.write(ctx, change)
@@ -293,9 +293,9 @@
 	}
 }
 
-// keepAgain schedules all blames for comparison with the key-value service, after that
+// recheckAll schedules all blames for comparison with the key-value service, after that
 // has lost some of them.
-func (guard *guard) keepAgain() {
+func (guard *guard) recheckAll() {
 	now := guard.node.Timers.Now()
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
@@ -360,9 +360,9 @@
 	guard.node.mirror.Apply(mirrorUpdate(record))
 }
 
-// judged returns the quarantined and contained requests, sorted by digest, for
+// judgedRequests returns the quarantined and contained requests, sorted by digest, for
 // operators.
-func (guard *guard) judged() []BlameDump {
+func (guard *guard) judgedRequests() []BlameDump {
 	found := []BlameDump{}
 	for _, blame := range guard.ledger.All() {
 		if judgment := contain.Judge(blame); judgment != shedkeel.Unblamed {
@@ -373,12 +373,12 @@
 	return found
 }
 
-// takeRecord processes a record of a blame from the key-value service. Removal of the
+// applyRecord processes a record of a blame from the key-value service. Removal of the
 // record clears its request: it was answered, or an operator has released it.
-func (guard *guard) takeRecord(record shedkeel.Record) {
+func (guard *guard) applyRecord(record shedkeel.Record) {
 	request := shedkeel.RequestDigest(strings.TrimPrefix(record.Key, blamePrefix))
 	if record.Lost {
-		return // keepAgain has it written again
+		return // recheckAll has it written again
 	}
 	if record.Gone {
 		if before, now := guard.ledger.Clear(request); len(before.Servers) > 0 {
@@ -387,11 +387,11 @@
 		return
 	}
 	var blame shedkeel.Blame
-	if err := guard.node.fleet.read(record, &blame); err != nil {
+	if err := guard.node.fleet.decodeRecord(record, &blame); err != nil {
 		return
 	}
 	if blame.Request != request {
-		guard.node.fleet.skipped(record, &shedkeel.InvalidError{Where: record.Key, What: "it is not about the request that its key names", Remedy: "remove it"})
+		guard.node.fleet.skipRecord(record, &shedkeel.InvalidError{Where: record.Key, What: "it is not about the request that its key names", Remedy: "remove it"})
 		return
 	}
 	if merged, isNew := guard.ledger.Merge(blame); isNew {
--- a/node/guard_test.go
+++ b/node/guard_test.go
@@ -17,13 +17,13 @@
 // all of them.
 type blameStore struct {
 	Store
-	away    bool
-	changes []shedkeel.Change
-	era     int64
+	unavailable bool
+	changes     []shedkeel.Change
+	era         int64
 }
 
 func (store *blameStore) Commit(_ context.Context, change shedkeel.Change) (shedkeel.Revision, error) {
-	if store.away {
+	if store.unavailable {
 		return shedkeel.Revision{}, &shedkeel.UnavailableError{What: "store"}
 	}
 	store.changes = append(store.changes, change)
@@ -81,18 +81,18 @@
 // unavailable. The blame is written once, when the service answers again.
 func TestBlameIsKeptOnceTheStoreIsBack(t *testing.T) {
 	node, timers := newTestNode(t)
-	store := &blameStore{away: true}
+	store := &blameStore{unavailable: true}
 	node.Store = store
 	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 	for _, server := range []shedkeel.InstanceID{"a", "b", "c"} {
 		node.guard.Ended("r", server)
 	}
-	node.guard.keep(t.Context(), timers.Now())
+	node.guard.writePending(t.Context(), timers.Now())
 	assert.Equal(t, len(store.changes), 0)
-	store.away = false
+	store.unavailable = false
 	for range 5 {
 		timers.Advance(writeInterval)
-		node.guard.keep(t.Context(), timers.Now())
+		node.guard.writePending(t.Context(), timers.Now())
 	}
 	assert.Equal(t, len(store.changes), 1)
 	assert.Equal(t, node.guard.Judge("r"), shedkeel.Contained)
@@ -101,7 +101,7 @@
 	assert.Equal(t, node.guard.Judge("r"), shedkeel.Unblamed, "an operator has released it")
 	for range 5 {
 		timers.Advance(writeInterval)
-		node.guard.keep(t.Context(), timers.Now())
+		node.guard.writePending(t.Context(), timers.Now())
 	}
 	assert.Equal(t, len(store.changes), 1, "it is not written again")
 }
@@ -119,7 +119,7 @@
 	timers.Advance(time.Millisecond)
 	node.guard.Ended("r", "c")
 	node.guard.markWritten("r", changedAt)
-	node.guard.keep(t.Context(), timers.Now())
+	node.guard.writePending(t.Context(), timers.Now())
 	assert.Equal(t, len(store.changes), 1)
 	var written shedkeel.Blame
 	assert.NilError(t, json.Unmarshal(store.changes[0].Put[0].Value, &written))
@@ -148,7 +148,7 @@
 			node, _ := newTestNode(t)
 			node.mirror.Apply(mirrorUpdate(shedkeel.Record{Key: blamePrefix + test.key, Value: []byte(test.value), Revision: shedkeel.Revision{Number: 7}}))
 			assert.Equal(t, node.guard.Judge("r"), test.judgment)
-			assert.Equal(t, node.fleet.unread.Load(), test.skipped)
+			assert.Equal(t, node.fleet.skippedRecords.Load(), test.skipped)
 		})
 	}
 }
@@ -158,7 +158,7 @@
 func TestOneTrialAtATime(t *testing.T) {
 	node, timers := newTestNode(t)
 	ask := func(kind wire.BlameCall_Kind, servers ...string) bool {
-		return node.guard.take(&wire.BlameCall{Kind: kind, Request: "r", Servers: servers}).GetBlame().GetAllowed()
+		return node.guard.handle(&wire.BlameCall{Kind: kind, Request: "r", Servers: servers}).GetBlame().GetAllowed()
 	}
 	assert.Assert(t, ask(wire.BlameCall_TRY, "a", "b"))
 	assert.Equal(t, node.guard.Judge("r"), shedkeel.Quarantined, "the call carries the sender's blame")
--- a/node/heartbeat_test.go
+++ b/node/heartbeat_test.go
@@ -41,7 +41,7 @@
 	node, _ := newTestNode(t)
 	node.Decoder = heartbeatDecoder{}
 	node.fleet.view.Store(serve.NewView(&shedkeel.ServingConfig{Services: []shedkeel.RoutedService{{ID: "s"}}}))
-	node.fleet.changed(heartbeats(t, servers, 1))
+	node.fleet.applyChanges(heartbeats(t, servers, 1))
 	return node
 }
 
@@ -74,6 +74,6 @@
 		b.StopTimer()
 		records := heartbeats(b, each, sequence)
 		b.StartTimer()
-		node.fleet.changed(records)
+		node.fleet.applyChanges(records)
 	}
 }
--- a/node/lapse_test.go
+++ b/node/lapse_test.go
@@ -32,7 +32,7 @@
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: "servers/a", Revision: shedkeel.Revision{Number: 2}, Gone: true}}})
 			assert.Equal(t, len(node.fleet.instances) == 1, test.retained)
 
-			timers.Advance(lapseHold)
+			timers.Advance(deletedRecordHold)
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now()})
 			node.fleet.tick(timers.Now())
 			assert.Equal(t, len(node.fleet.instances), 0, "its record was not written again")
@@ -58,7 +58,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			node, timers := newTestNode(t)
-			detector := &judged{liveness: map[shedkeel.NodeID]shedkeel.Liveness{"b": test.before}}
+			detector := &fakeDetector{liveness: map[shedkeel.NodeID]shedkeel.Liveness{"b": test.before}}
 			node.gossip.detector = detector
 			value, err := json.Marshal(nodeRecord{ID: "b", Zone: "z", Callers: "127.0.0.1:1", Control: "127.0.0.1:2", Gossip: "127.0.0.1:2"})
 			assert.NilError(t, err)
@@ -71,7 +71,7 @@
 			timers.Advance(fleetTick)
 			node.fleet.tick(timers.Now())
 			assert.Equal(t, len(node.peers.listed()) == 1, test.retained)
-			timers.Advance(lapseHold)
+			timers.Advance(deletedRecordHold)
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now()})
 			node.fleet.tick(timers.Now())
 			assert.Equal(t, len(node.peers.listed()), 0, "its record was not written again")
--- a/node/lease.go
+++ b/node/lease.go
@@ -75,8 +75,8 @@
 	return true
 }
 
-// end releases the lease.
-func (lease *lease) end() {
+// release releases the lease.
+func (lease *lease) release() {
 	if !lease.held() {
 		return
 	}
--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -29,7 +29,7 @@
 
 // sendLoad sends rate requests a second to the nodes in turn and returns the number of
 // requests by status; 0 stands for an incomplete answer.
-func (world *world) sendLoad(nodes []*runningNode, path string, rate int, length time.Duration) map[int]int {
+func (cluster *testCluster) sendLoad(nodes []*runningNode, path string, rate int, length time.Duration) map[int]int {
 	statuses := make(chan int)
 	ticker := time.NewTicker(time.Second / time.Duration(rate))
 	defer ticker.Stop()
@@ -39,7 +39,7 @@
 		index := sent % len(nodes)
 		go func() {
 			id := platformstandin.RequestID(index, shedkeel.NewNonce())
-			status, _ := world.send(nodes[index].callers, id, path, "key-1", 50)
+			status, _ := cluster.send(nodes[index].callers, id, path, "key-1", 50)
 			statuses <- status
 		}()
 	}
@@ -68,27 +68,27 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			world := newServingWorld(t)
-			servers := world.limitedServers(test.path, test.all)
+			cluster := newServingCluster(t)
+			servers := cluster.limitedServers(test.path, test.all)
 			statedAt := time.Now()
 			for _, server := range servers {
-				world.fleet.Limit(server, fmt.Sprint(limit))
+				cluster.fleet.Limit(server, fmt.Sprint(limit))
 			}
-			targets := world.nodes
+			targets := cluster.nodes
 			if test.stop {
-				targets = world.nodes[1:]
-				time.AfterFunc(length/3, world.nodes[0].stop)
+				targets = cluster.nodes[1:]
+				time.AfterFunc(length/3, cluster.nodes[0].stop)
 			}
-			statuses := world.sendLoad(targets, test.path, rate, length)
+			statuses := cluster.sendLoad(targets, test.path, rate, length)
 			allowed := limit*3/2*int(limitWindow/time.Second) + limitBurst
 			for _, server := range servers {
-				arrivals := slices.DeleteFunc(world.fleet.Arrivals(server), func(at time.Time) bool { return at.Sub(statedAt) < limitSpreadTime })
+				arrivals := slices.DeleteFunc(cluster.fleet.Arrivals(server), func(at time.Time) bool { return at.Sub(statedAt) < limitSpreadTime })
 				most := platformstandin.MostArrivals(arrivals, limitWindow)
 				t.Logf("statuses %v; %s had %d once all knew, %d of them in %s, allowed %d", statuses, server, len(arrivals), most, limitWindow, allowed)
 				assert.Assert(t, most <= allowed, "%d requests in %s, allowed %d", most, limitWindow, allowed)
 				assert.Assert(t, most > 0, "a limited server still gets requests")
 			}
-			world.checkOperatorLimits(servers)
+			cluster.checkOperatorLimits(servers)
 			assert.Assert(t, statuses[http.StatusOK] > 0)
 			assert.Equal(t, statuses[0], 0, "every request gets a complete answer")
 		})
@@ -97,11 +97,11 @@
 
 // limitedServers returns the servers that are to limit their rate: all that serve
 // requests to the path, or one of them.
-func (world *world) limitedServers(path string, all bool) []string {
+func (cluster *testCluster) limitedServers(path string, all bool) []string {
 	servers := []string{"plain-0", "plain-1"}
 	if path == "/copy/a" {
 		servers = nil
-		for _, head := range world.fleet.Serving()["m0"] {
+		for _, head := range cluster.fleet.Serving()["m0"] {
 			servers = append(servers, head.ID)
 		}
 	}
@@ -112,9 +112,9 @@
 }
 
 // checkOperatorLimits checks that an operator's client shows the limited servers.
-func (world *world) checkOperatorLimits(limited []string) {
-	t := world.t
-	client := &operator.Client{Keeper: world.nodes[1].admin}
+func (cluster *testCluster) checkOperatorLimits(limited []string) {
+	t := cluster.t
+	client := &operator.Client{Keeper: cluster.nodes[1].admin}
 	status, err := client.Status(t.Context())
 	assert.NilError(t, err)
 	var printed bytes.Buffer
--- a/node/limits.go
+++ b/node/limits.go
@@ -50,7 +50,7 @@
 	badLoggedAt map[shedkeel.InstanceID]time.Duration        // when an unreadable limit of the server was last logged
 	pending     map[shedkeel.InstanceID]shedkeel.ServerLimit // to be sent to other nodes
 
-	peerViews uint64 // peers.views at the last update of granter; only run uses it
+	peerViews uint64 // peers.aliveVersion at the last update of granter; only run uses it
 }
 
 // Observe processes the limit that a server states in an answer. The request was sent
@@ -72,7 +72,7 @@
 func (limits *limits) merge(reported *wire.ServerLimit, from shedkeel.NodeID) {
 	now := limits.node.Timers.Now()
 	if cold, isCold := parseCold(reported, now); isCold {
-		limits.noteCold(cold)
+		limits.markCold(cold)
 	}
 	limit, valid := parseLimit(reported, now)
 	if !valid {
@@ -112,8 +112,8 @@
 	return stated.Rate, limited
 }
 
-// noteCold records that a server is cold.
-func (limits *limits) noteCold(cold shedkeel.ColdServer) {
+// markCold records that a server is cold.
+func (limits *limits) markCold(cold shedkeel.ColdServer) {
 	if limits.cold.Note(cold) {
 		limits.updateTable(cold.Server)
 	}
@@ -129,9 +129,9 @@
 	limits.pending[limit.Server] = limit
 }
 
-// apply sets all limits in the dispatch table again, after the list of servers has
+// updateAll sets all limits in the dispatch table again, after the list of servers has
 // changed.
-func (limits *limits) apply() {
+func (limits *limits) updateAll() {
 	for _, limit := range limits.book.All() {
 		limits.updateTable(limit.Server)
 	}
@@ -167,7 +167,7 @@
 // only a share of the server's rate, equal to the share of the listed nodes that it
 // hears: during a network partition, the nodes on the other side may grant the rest.
 func (limits *limits) grant(server shedkeel.InstanceID, rate float64, maxWait time.Duration) shedkeel.Permit {
-	part, settledSince := limits.node.peers.heard()
+	part, settledSince := limits.node.peers.aliveFraction()
 	ask := ratelimit.Ask{Server: server, Rate: rate * part, Patience: maxWait, Settled: settledSince}
 	return limits.granter.Grant(ask, limits.node.Timers.Now())
 }
@@ -182,7 +182,7 @@
 		Node: string(limits.node.Settings.Node), Limit: limits.wireState(server),
 		PatienceMs: uint32(max(maxWait, 0).Milliseconds()),
 	}
-	reply, err := peer.asked.Do(ctx, &wire.Call{Kind: &wire.Call_Permit{Permit: call}})
+	reply, err := peer.priorityWire.Do(ctx, &wire.Call{Kind: &wire.Call_Permit{Permit: call}})
 	answer := reply.GetPermit()
 	if err != nil || answer == nil {
 		return shedkeel.Permit{Wait: permitRetryDelay}
@@ -193,8 +193,8 @@
 	return shedkeel.Permit{Granted: answer.GetGranted(), Wait: time.Duration(answer.GetWaitMs()) * time.Millisecond}
 }
 
-// takePermit answers another node's question for a permit.
-func (limits *limits) takePermit(call *wire.PermitCall) *wire.Reply {
+// handlePermit answers another node's question for a permit.
+func (limits *limits) handlePermit(call *wire.PermitCall) *wire.Reply {
 	limits.merge(call.GetLimit(), shedkeel.NodeID(call.GetNode()))
 	server := shedkeel.InstanceID(call.GetLimit().GetServer())
 	permit := shedkeel.Permit{Wait: permitRetryDelay}
@@ -229,8 +229,8 @@
 	return state
 }
 
-// takeLimits processes the limits that another node has sent.
-func (limits *limits) takeLimits(call *wire.LimitCall) *wire.Reply {
+// handleLimits processes the limits that another node has sent.
+func (limits *limits) handleLimits(call *wire.LimitCall) *wire.Reply {
 	for _, limit := range call.GetLimits() {
 		limits.merge(limit, shedkeel.NodeID(call.GetNode()))
 	}
@@ -248,7 +248,7 @@
 // tick forgets the permits of servers that have another granter now, lifts the limits
 // of servers that are no longer cold, and sends changed limits.
 func (limits *limits) tick() {
-	if views := limits.node.peers.views.Load(); views != limits.peerViews {
+	if views := limits.node.peers.aliveVersion.Load(); views != limits.peerViews {
 		limits.peerViews = views
 		limits.granter.Retain(limits.isGranter)
 	}
@@ -270,7 +270,7 @@
 	changes := map[*peer][]shedkeel.ServerLimit{}
 	for _, limit := range changed {
 		if limits.isGranter(limit.Server) {
-			for _, peer := range limits.node.peers.answering() {
+			for _, peer := range limits.node.peers.alivePeers() {
 				changes[peer] = append(changes[peer], limit)
 			}
 			continue
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -35,22 +35,22 @@
 // those that stop are not.
 func TestShareOfLimitByNodesHeard(t *testing.T) {
 	node, timers := newListedNode(t, "a", fourNodes)
-	part, settled := node.peers.heard()
+	part, settled := node.peers.aliveFraction()
 	assert.Equal(t, part, 1.0)
 	assert.Equal(t, settled, timers.Now())
 
 	timers.Advance(time.Second)
 	node.peers.setAlive(fourNodes)
-	_, settled = node.peers.heard()
+	_, settled = node.peers.aliveFraction()
 	assert.Equal(t, settled, timers.Now()-time.Second, "nothing has changed")
 	node.peers.setAlive(fourNodes[:2])
-	part, settled = node.peers.heard()
+	part, settled = node.peers.aliveFraction()
 	assert.Equal(t, part, 0.5)
 	assert.Equal(t, settled, timers.Now())
 
 	node.peers.nodes = append([]nodeRecord{}, fourNodes...)
 	node.peers.nodes[2].Stopping, node.peers.nodes[3].Stopping = true, true
-	part, _ = node.peers.heard()
+	part, _ = node.peers.aliveFraction()
 	assert.Equal(t, part, 1.0)
 }
 
@@ -86,7 +86,7 @@
 			reported := &wire.ServerLimit{Server: newServerID(node, test.own), Rate: test.rate, AgeMs: 100, SinceMs: 100}
 			ask := func() bool {
 				call := &wire.PermitCall{Node: "b", Limit: reported, PatienceMs: 20}
-				return node.limits.takePermit(call).GetPermit().GetGranted()
+				return node.limits.handlePermit(call).GetPermit().GetGranted()
 			}
 			if test.lifted {
 				node.limits.merge(reported, "b")
@@ -102,12 +102,12 @@
 func TestLimitsAreAnnounced(t *testing.T) {
 	node, _ := newListedNode(t, "a", fourNodes)
 	own, other := newServerID(node, true), newServerID(node, false)
-	node.limits.takeLimits(&wire.LimitCall{Node: "b", Limits: []*wire.ServerLimit{{Server: own, Rate: 2}, {Server: other, Rate: 2}, {Rate: 2}, nil}})
+	node.limits.handleLimits(&wire.LimitCall{Node: "b", Limits: []*wire.ServerLimit{{Server: own, Rate: 2}, {Server: other, Rate: 2}, {Rate: 2}, nil}})
 	assert.Equal(t, len(node.limits.pending), 1)
 	assert.Assert(t, node.limits.pending[shedkeel.InstanceID(own)].Rate == 2)
 	node.limits.Observe("seen", shedkeel.StatedLimit{Stated: true, Rate: 3}, 0)
 	assert.Equal(t, len(node.limits.pending), 2)
-	node.limits.takeLimits(&wire.LimitCall{Node: "c", Limits: []*wire.ServerLimit{{Server: own, Rate: 2}}})
+	node.limits.handleLimits(&wire.LimitCall{Node: "c", Limits: []*wire.ServerLimit{{Server: own, Rate: 2}}})
 	assert.Equal(t, len(node.limits.pending), 2, "it is known already")
 	assert.Equal(t, len(node.limits.book.All()), 3)
 }
--- a/node/loads.go
+++ b/node/loads.go
@@ -13,8 +13,8 @@
 // follows.
 const loadsPrefix = "shedkeel/loads/"
 
-// keepLoads stores which loads are in progress, for the planner of the next leader.
-func (controller *controller) keepLoads(ctx context.Context, id shedkeel.ServiceID, loading map[shedkeel.InstanceID]shedkeel.ModelID) {
+// storeLoads stores which loads are in progress, for the planner of the next leader.
+func (controller *controller) storeLoads(ctx context.Context, id shedkeel.ServiceID, loading map[shedkeel.InstanceID]shedkeel.ModelID) {
 	node := controller.node
 	hasNew := false
 	for instance, model := range loading {
--- a/node/member.go
+++ b/node/member.go
@@ -22,24 +22,24 @@
 	smallFleetTTL = 1500 * time.Millisecond
 	// maxSmallFleet is the largest number of nodes of a small fleet.
 	maxSmallFleet = 12
-	// watchedFrom is the number of nodes from which their records have no lease. The
+	// unleasedFrom is the number of nodes from which their records have no lease. The
 	// failure detector finds dead nodes, and renewals would be most of the calls to the
 	// service.
-	watchedFrom = 48
+	unleasedFrom = 48
 	// returnToLeasesAt is the number of nodes at which a shrinking fleet uses leases
 	// again.
-	returnToLeasesAt = watchedFrom * 3 / 4
+	returnToLeasesAt = unleasedFrom * 3 / 4
 	// renewalsPerTTL is how often a lease is renewed within its time.
 	renewalsPerTTL = 3
-	// listedRetry is the delay after a failed call to the service if the service has
-	// answered any node since; maxListedRetry is the delay if it has not. A call that
+	// registrationRetry is the delay after a failed call to the service if the service has
+	// answered any node since; maxRegistrationRetry is the delay if it has not. A call that
 	// fails costs ten times as much as a renewal, and retries during an outage have no
 	// use.
-	listedRetry    = 500 * time.Millisecond
-	maxListedRetry = 4 * time.Second
-	// hintTime is how long after its start a node uses the number of nodes that a seed
-	// or the size record reported.
-	hintTime = 10 * time.Second
+	registrationRetry    = 500 * time.Millisecond
+	maxRegistrationRetry = 4 * time.Second
+	// nodeCountHintTTL is how long after its start a node uses the number of nodes that a
+	// seed or the size record reported.
+	nodeCountHintTTL = 10 * time.Second
 	// memberTick is how often a node checks whether its record must be written or renewed.
 	memberTick = 20 * time.Millisecond
 )
@@ -47,12 +47,12 @@
 // membership maintains the node's record in the key-value service. In a large fleet the
 // record has no lease, and other nodes remove it if this node is dead.
 type membership struct {
-	node    *Node
-	lease   lease
-	dirty   atomic.Bool  // the record must be written again
-	hint    atomic.Int64 // number of nodes, as reported by a seed or the size record at the start
-	listed  atomic.Bool  // the last call to the service succeeded, and the record is as it should be
-	watched atomic.Bool  // the record needs no lease: other nodes watch this one
+	node          *Node
+	lease         lease
+	dirty         atomic.Bool  // the record must be written again
+	nodeCountHint atomic.Int64 // number of nodes, as reported by a seed or the size record at the start
+	listed        atomic.Bool  // the last call to the service succeeded, and the record is as it should be
+	unleased      atomic.Bool  // the record needs no lease: other nodes watch this one
 
 	startedAt atomic.Int64 // when the node started, as a time.Duration; 0: not set yet
 
@@ -68,7 +68,7 @@
 		membership.tick(ctx)
 		timer.Sleep(ctx, memberTick)
 	}
-	membership.lease.end()
+	membership.lease.release()
 }
 
 // tick calls the service if a call is due.
@@ -91,10 +91,10 @@
 		return state.Known // a node without a copy can't serve callers, so it is not listed
 	case !membership.listed.Load():
 		return since >= membership.retryDelay(state.AsOf)
-	case membership.dirty.Load() || membership.needsNoLease() != membership.watched.Load():
+	case membership.dirty.Load() || membership.needsNoLease() != membership.unleased.Load():
 		return true
-	case membership.watched.Load():
-		return !membership.isRecordCurrent() && since >= listedRetry
+	case membership.unleased.Load():
+		return !membership.isRecordCurrent() && since >= registrationRetry
 	}
 	return since >= membership.lease.ttl/renewalsPerTTL
 }
@@ -103,35 +103,35 @@
 // any node.
 func (membership *membership) retryDelay(answered time.Duration) time.Duration {
 	if answered > membership.lastAttempt {
-		return listedRetry
+		return registrationRetry
 	}
-	return maxListedRetry
+	return maxRegistrationRetry
 }
 
 // needsNoLease reports whether the fleet is so large that its nodes watch each other
 // with the failure detector.
 func (membership *membership) needsNoLease() bool {
 	nodes := max(membership.node.fleet.nodeCount(), membership.expectedNodes())
-	if membership.watched.Load() {
+	if membership.unleased.Load() {
 		return nodes > returnToLeasesAt
 	}
-	return nodes >= watchedFrom
+	return nodes >= unleasedFrom
 }
 
 // expectedNodes returns a lower bound of the number of nodes, as reported at the start,
-// when not all of them may be listed yet. It is 0 once hintTime has passed.
+// when not all of them may be listed yet. It is 0 once nodeCountHintTTL has passed.
 func (membership *membership) expectedNodes() int {
-	if membership.node.Timers.Now()-time.Duration(membership.startedAt.Load()) >= hintTime {
+	if membership.node.Timers.Now()-time.Duration(membership.startedAt.Load()) >= nodeCountHintTTL {
 		return 0
 	}
-	return int(membership.hint.Load())
+	return int(membership.nodeCountHint.Load())
 }
 
 // step makes one attempt to list the node, with or without a lease as the fleet's size
 // requires, and reports whether the node is listed.
 func (membership *membership) step(ctx context.Context) bool {
 	watched := membership.needsNoLease()
-	membership.watched.Store(watched)
+	membership.unleased.Store(watched)
 	var listed bool
 	if watched {
 		listed = membership.keepUnleased(ctx)
@@ -158,7 +158,7 @@
 		return false
 	}
 	var listed nodeRecord
-	return membership.node.fleet.read(record, &listed) == nil && listed.equalsExceptIncarnation(membership.node.ownRecord())
+	return membership.node.fleet.decodeRecord(record, &listed) == nil && listed.equalsExceptIncarnation(membership.node.ownRecord())
 }
 
 // key returns the key of the node's record.
@@ -195,7 +195,7 @@
 func (node *Node) ownRecord() nodeRecord {
 	return nodeRecord{
 		ID: node.Settings.Node, Incarnation: node.Incarnation, Zone: node.Settings.Zone, Capacity: node.Settings.Capacity,
-		Callers: node.Settings.Listen.Callers, Control: node.Settings.Listen.Control, Gossip: node.Settings.Listen.Gossip, Stopping: node.stopping.Load(), Watched: node.member.watched.Load(),
+		Callers: node.Settings.Listen.Callers, Control: node.Settings.Listen.Control, Gossip: node.Settings.Listen.Gossip, Stopping: node.stopping.Load(), Watched: node.member.unleased.Load(),
 	}
 }
 
@@ -204,7 +204,7 @@
 // fails, this node writes itself. So does a stopping node, which can't wait.
 func (membership *membership) commitRecord(ctx context.Context, put shedkeel.Put) (shedkeel.Revision, error) {
 	node := membership.node
-	if membership.watched.Load() && !node.stopping.Load() {
+	if membership.unleased.Load() && !node.stopping.Load() {
 		if followed, _ := node.peers.choose().(*peer); followed != nil {
 			if revision, err := followed.register(ctx, put.Value); err == nil {
 				return revision, nil
--- a/node/member_test.go
+++ b/node/member_test.go
@@ -22,8 +22,8 @@
 	}{
 		"none is known yet": {0, largeFleetTTL, 1, 1},
 		"a small fleet":     {9, smallFleetTTL, 2, 2},
-		"a larger fleet":    {watchedFrom - 1, largeFleetTTL, 1, 1},
-		"a large fleet":     {watchedFrom, largeFleetTTL, 0, 1},
+		"a larger fleet":    {unleasedFrom - 1, largeFleetTTL, 1, 1},
+		"a large fleet":     {unleasedFrom, largeFleetTTL, 0, 1},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -57,10 +57,10 @@
 		answeredAfter  time.Duration // time from the failure until another node got an answer; 0: never
 		wantRetryAfter time.Duration // time from the failure until the retry
 	}{
-		"the service is unavailable":           {0, maxListedRetry},
-		"it is unavailable for this node only": {10 * time.Millisecond, listedRetry},
+		"the service is unavailable":           {0, maxRegistrationRetry},
+		"it is unavailable for this node only": {10 * time.Millisecond, registrationRetry},
 		"it is back after a second":            {time.Second, time.Second},
-		"it is back before the next retry":     {200 * time.Millisecond, listedRetry},
+		"it is back before the next retry":     {200 * time.Millisecond, registrationRetry},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -70,11 +70,11 @@
 			node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 			node.member.tick(t.Context())
 			timers.Advance(largeFleetTTL / renewalsPerTTL)
-			store.away = true
+			store.unavailable = true
 			node.member.tick(t.Context())
 			failed := timers.Now()
-			calls := store.calls
-			for store.calls == calls && timers.Now() < failed+time.Minute {
+			calls := store.renewCalls
+			for store.renewCalls == calls && timers.Now() < failed+time.Minute {
 				timers.Advance(memberTick)
 				if answered := failed + test.answeredAfter; test.answeredAfter > 0 && timers.Now() >= answered {
 					node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 1}, AsOf: answered})
--- a/node/node.go
+++ b/node/node.go
@@ -123,8 +123,8 @@
 	Metrics   net.Listener // nil: none
 }
 
-// Faces are the handlers of the HTTP endpoints that the platform calls.
-type Faces struct {
+// Handlers are the HTTP handlers of the endpoints that the platform calls.
+type Handlers struct {
 	Directory http.Handler
 	Readiness http.Handler
 }
@@ -137,8 +137,8 @@
 	node.handler = serve.Handler{
 		Protocol: node.Protocol, Backend: node.Backend, Table: &node.table, Timers: node.Timers, Log: node.Log,
 		Budget:        &serve.Budget{Ratio: bounds.RetryRatio, Window: time.Duration(bounds.RetryWindow), FixedRetries: bounds.RetrySlack, SafetyFactor: retryBudgetFraction, StartedAt: node.Timers.Now(), RandomOffset: rand.New(node.Random).Float64()},
-		CurrentConfig: node.believe, Recommend: node.peers.spread, RetryBudgetNodes: node.fleet.nodeCount, ServingNodes: node.fleet.servingCount,
-		Guard: &node.guard, Limits: &node.limits, OnDraining: node.peers.draining, ServerCheck: node.Check, DigestKey: []byte(node.Settings.Wire.Key),
+		CurrentConfig: node.currentConfig, Recommend: node.peers.adviseSpread, RetryBudgetNodes: node.fleet.nodeCount, ServingNodes: node.fleet.servingCount,
+		Guard: &node.guard, Limits: &node.limits, OnDraining: node.peers.reportDraining, ServerCheck: node.Check, DigestKey: []byte(node.Settings.Wire.Key),
 		MaxConfigAge: time.Duration(float64(bounds.Revoke) * proofAgeFraction), RefuseStaleKeys: bounds.RefuseStaleKeys, MaxBackoff: time.Duration(bounds.MaxBackoff), StoreOutage: node.follower.Outage,
 	}
 	if node.Metrics != nil {
@@ -160,18 +160,18 @@
 	node.controller.node = node
 	node.controller.prepare()
 	node.mirror.ListenRestored(node.handleRestore)
-	node.mirror.Listen(node.fleet.changed)
+	node.mirror.Listen(node.fleet.applyChanges)
 	node.follower = mirror.Follower{Mirror: &node.mirror, Source: node.Store, Timers: node.Timers, Log: node.Log, Choose: node.peers.choose, Others: node.peers.others,
 		Advise: node.peers.advise, Hops: node.peers.hops, Processes: node.fleet.nodeCount, Random: rand.NewPCG(node.Random.Uint64(), node.Random.Uint64())}
 }
 
 // Run serves until the context is canceled, then shuts down gracefully.
-func (node *Node) Run(ctx context.Context, listeners Listeners, faces Faces) error {
+func (node *Node) Run(ctx context.Context, listeners Listeners, handlers Handlers) error {
 	node.Log.Write(event.Started, slog.String("incarnation", node.Incarnation))
 	callers := &http.Server{Handler: &node.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
 	servers := []*http.Server{
-		node.startServer(listeners.Directory, faces.Directory),
-		node.startServer(listeners.Readiness, faces.Readiness),
+		node.startServer(listeners.Directory, handlers.Directory),
+		node.startServer(listeners.Readiness, handlers.Readiness),
 	}
 	if listeners.Metrics != nil {
 		servers = append(servers, node.startServer(listeners.Metrics, node.adminHandler()))
@@ -191,12 +191,12 @@
 	node.goroutines.Go(func() { node.controller.runLease(workCtx) })
 	cancelSilence := node.Timers.Subscribe(silenceTick, node.reportSilentServers)
 	cancelReport := node.Timers.Subscribe(time.Second, node.report)
-	cancelPaces := node.Timers.Subscribe(paceEvery/paceParts, node.controller.paces.tick)
-	cancelDemand := node.Timers.Subscribe(demandEvery, node.controller.demand.tick)
+	cancelPaces := node.Timers.Subscribe(paceInterval/paceBatches, node.controller.paces.tick)
+	cancelDemand := node.Timers.Subscribe(demandInterval, node.controller.demand.tick)
 	cancelFleet := node.Timers.Subscribe(fleetTick, node.fleet.tick)
 	cancelExpiry := node.Timers.Subscribe(expiryTick, node.handler.CancelOverdue)
 	cancelGossip := node.Timers.Subscribe(gossipTick, node.gossip.tick)
-	cancelRemover := node.Timers.Subscribe(removerTick, node.remover.tick)
+	cancelRemover := node.Timers.Subscribe(removerInterval, node.remover.tick)
 
 	<-ctx.Done()
 	err := node.stop(callers)
@@ -251,8 +251,8 @@
 	return err
 }
 
-// believe returns the active configuration and the time of its latest proof.
-func (node *Node) believe() serve.ConfigState {
+// currentConfig returns the active configuration and the time of its latest proof.
+func (node *Node) currentConfig() serve.ConfigState {
 	return serve.ConfigState{View: node.fleet.view.Load(), ProvenAt: node.mirror.State().AsOf}
 }
 
@@ -274,7 +274,7 @@
 		if silence.Server.Group.Group == "" {
 			continue
 		}
-		node.peers.suspect(silence.Server.Group)
+		node.peers.reportSuspect(silence.Server.Group)
 	}
 }
 
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -30,9 +30,9 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// world is a store, backend servers and nodes in one process, each at an address of its
-// own.
-type world struct {
+// testCluster is a store, backend servers and nodes in one process, each at an address of
+// its own.
+type testCluster struct {
 	t      *testing.T
 	data   *standin.Store
 	store  *httptest.Server
@@ -65,33 +65,33 @@
  "limits":{"max_header_bytes":16384,"max_body_bytes":65536,"header_timeout_ms":3000,"idle_timeout_ms":15000},
  "tenants":[{"name":"shop","api_keys":[%s]}]}`
 
-// newWorld starts a store, 8 engine servers, 2 plain servers and so many nodes.
-func newWorld(t *testing.T, nodes int) *world {
+// newTestCluster starts a store, 8 engine servers, 2 plain servers and so many nodes.
+func newTestCluster(t *testing.T, nodes int) *testCluster {
 	t.Helper()
-	world := &world{t: t, data: standin.NewStore(), client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
-	world.store = httptest.NewServer((&platformstandin.Store{Data: world.data}).Handler())
-	t.Cleanup(world.store.Close)
-	world.fleet = &platformstandin.Fleet{
-		Data: world.data, Step: 10 * time.Millisecond,
+	cluster := &testCluster{t: t, data: standin.NewStore(), client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
+	cluster.store = httptest.NewServer((&platformstandin.Store{Data: cluster.data}).Handler())
+	t.Cleanup(cluster.store.Close)
+	cluster.fleet = &platformstandin.Fleet{
+		Data: cluster.data, Step: 10 * time.Millisecond,
 		Models: map[string]platformstandin.Timing{"m0": {Size: 2, Load: 300 * time.Millisecond, Warmup: 200 * time.Millisecond, Rejoin: 50 * time.Millisecond}},
 	}
-	world.configure(1, `"key-1","key-2"`)
+	cluster.configure(1, `"key-1","key-2"`)
 	for index := range 8 {
-		world.serve(&platformstandin.Server{ID: fmt.Sprint("engine-", index), Service: "llm", Domain: fmt.Sprint("rack-", index/4), Born: 1000})
+		cluster.serve(&platformstandin.Server{ID: fmt.Sprint("engine-", index), Service: "llm", Domain: fmt.Sprint("rack-", index/4), Born: 1000})
 	}
 	for index := range 2 {
-		world.serve(&platformstandin.Server{ID: fmt.Sprint("plain-", index), Service: "plain"})
+		cluster.serve(&platformstandin.Server{ID: fmt.Sprint("plain-", index), Service: "plain"})
 	}
 	for index := range nodes {
-		world.start(index)
+		cluster.start(index)
 	}
-	return world
+	return cluster
 }
 
 // configure writes a configuration with this version and these API keys.
-func (world *world) configure(version int, keys string) {
-	_, err := world.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: "op/config", Value: fmt.Appendf(nil, testConfig, version, keys)}}})
-	assert.NilError(world.t, err)
+func (cluster *testCluster) configure(version int, keys string) {
+	_, err := cluster.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: "op/config", Value: fmt.Appendf(nil, testConfig, version, keys)}}})
+	assert.NilError(cluster.t, err)
 }
 
 // restartDelay is how long a server that a request crashed stays down.
@@ -99,30 +99,30 @@
 
 // serve serves a server at an address of its own. A server that a request crashes
 // starts again at the same address after restartDelay.
-func (world *world) serve(server *platformstandin.Server) {
-	listener := listen(world.t)
+func (cluster *testCluster) serve(server *platformstandin.Server) {
+	listener := listen(cluster.t)
 	server.Address = listener.Addr().String()
-	world.fleet.Add(server)
-	running := world.runServer(server, listener)
+	cluster.fleet.Add(server)
+	running := cluster.runServer(server, listener)
 	server.End = func() {
 		_ = running.Close()
 		time.AfterFunc(restartDelay, func() {
 			restarted, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", server.Address)
 			if err != nil {
-				world.t.Errorf("server %s does not start again: %v", server.ID, err)
+				cluster.t.Errorf("server %s does not start again: %v", server.ID, err)
 				return
 			}
-			running = world.runServer(server, restarted)
-			world.fleet.Restart(server.ID)
+			running = cluster.runServer(server, restarted)
+			cluster.fleet.Restart(server.ID)
 		})
 	}
 }
 
 // runServer serves a server at the listener until the test ends.
-func (world *world) runServer(server *platformstandin.Server, listener net.Listener) *http.Server {
+func (cluster *testCluster) runServer(server *platformstandin.Server, listener net.Listener) *http.Server {
 	running := &http.Server{Handler: server, ReadHeaderTimeout: time.Second}
 	go func() { _ = running.Serve(listener) }()
-	world.t.Cleanup(func() { _ = running.Close() })
+	cluster.t.Cleanup(func() { _ = running.Close() })
 	return running
 }
 
@@ -141,8 +141,8 @@
 }
 
 // start starts a node with these seeds.
-func (world *world) start(index int, seeds ...string) {
-	t := world.t
+func (cluster *testCluster) start(index int, seeds ...string) {
+	t := cluster.t
 	listeners := node.Listeners{Callers: listen(t), Directory: listen(t), Readiness: listen(t), Control: listen(t), Gossip: listenDatagrams(t), Metrics: listen(t)}
 	settings := config.DefaultNodeSettings()
 	settings.Node = shedkeel.NodeID(fmt.Sprint("node-", index))
@@ -158,7 +158,7 @@
 	values := metrics.New("test")
 	process := &node.Node{
 		Settings: settings, Incarnation: shedkeel.NewNonce(),
-		Store:   &platform.Store{Address: strings.TrimPrefix(world.store.URL, "http://"), Timeout: 700 * time.Millisecond, WatchMargin: 400 * time.Millisecond, Client: &http.Client{Transport: &http.Transport{}}},
+		Store:   &platform.Store{Address: strings.TrimPrefix(cluster.store.URL, "http://"), Timeout: 700 * time.Millisecond, WatchMargin: 400 * time.Millisecond, Client: &http.Client{Transport: &http.Transport{}}},
 		Decoder: platform.Decoder{}, Protocol: platform.Callers{}, Backend: transport, Check: transport,
 		Engines: &platform.Engines{Timeout: 300 * time.Millisecond, Client: &http.Client{Transport: &http.Transport{}}},
 		Timers:  &timer.System{}, Random: rand.NewPCG(uint64(index), 1),
@@ -170,12 +170,12 @@
 		Node: process, stop: stop, callers: listeners.Callers.Addr().String(),
 		control: listeners.Control.Addr().String(), directory: listeners.Directory.Addr().String(), readiness: listeners.Readiness.Addr().String(), admin: listeners.Metrics.Addr().String(),
 	}
-	faces := node.Faces{
+	handlers := node.Handlers{
 		Directory: &platform.Directory{Addresses: process.Addresses, Keep: node.DirectoryKeep},
 		Readiness: &platform.Readiness{Ready: process.Ready},
 	}
-	running.ended.Go(func() { _ = process.Run(ctx, listeners, faces) })
-	world.nodes = append(world.nodes, running)
+	running.ended.Go(func() { _ = process.Run(ctx, listeners, handlers) })
+	cluster.nodes = append(cluster.nodes, running)
 	t.Cleanup(func() {
 		stop()
 		running.ended.Wait()
@@ -190,19 +190,19 @@
 
 // send sends one request and returns the status and body of the answer. The status is 0
 // if the answer was incomplete.
-func (world *world) send(address, id, path, key string, tokens int) (int, string) {
-	return world.sendBody(address, id, path, key, "x", tokens)
+func (cluster *testCluster) send(address, id, path, key string, tokens int) (int, string) {
+	return cluster.sendBody(address, id, path, key, "x", tokens)
 }
 
 // sendBody is send with a given request body.
-func (world *world) sendBody(address, id, path, key, sent string, tokens int) (int, string) {
-	request, err := http.NewRequestWithContext(world.t.Context(), http.MethodPost, "http://"+address+path, strings.NewReader(sent))
-	assert.NilError(world.t, err)
+func (cluster *testCluster) sendBody(address, id, path, key, sent string, tokens int) (int, string) {
+	request, err := http.NewRequestWithContext(cluster.t.Context(), http.MethodPost, "http://"+address+path, strings.NewReader(sent))
+	assert.NilError(cluster.t, err)
 	request.Host = "h.example"
 	for name, value := range map[string]string{"X-Shedkeel-Attempt-Id": id, "X-Shedkeel-Key": key, "X-Shedkeel-Deadline-Ms": "8000", "X-Shedkeel-Model": "m0", "X-Shedkeel-Token-Usage": fmt.Sprint("100,", tokens)} {
 		request.Header.Set(name, value)
 	}
-	response, err := world.client.Do(request)
+	response, err := cluster.client.Do(request)
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -215,18 +215,18 @@
 }
 
 // eventually waits until the condition holds, and fails the test after 15 s.
-func (world *world) eventually(what string, holds func() bool) {
-	world.t.Helper()
+func (cluster *testCluster) eventually(what string, holds func() bool) {
+	cluster.t.Helper()
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if holds() {
 			return
 		}
 	}
-	world.t.Fatal("condition did not hold within 15 s: " + what)
+	cluster.t.Fatal("condition did not hold within 15 s: " + what)
 }
 
-// wholeStream returns the complete body of a stream with so many events.
-func wholeStream(events int) string {
+// completeStream returns the complete body of a stream with so many events.
+func completeStream(events int) string {
 	var text strings.Builder
 	for number := 1; number <= events; number++ {
 		fmt.Fprintf(&text, "id: %d\ndata: token %d\n\n", number, number)
@@ -235,8 +235,8 @@
 }
 
 // addresses returns the directory's answer of a node.
-func (world *world) addresses(index int) []string {
-	response, err := world.client.Get("http://" + world.nodes[index].directory + "/shedkeel/resolve?name=h.example&zone=z")
+func (cluster *testCluster) addresses(index int) []string {
+	response, err := cluster.client.Get("http://" + cluster.nodes[index].directory + "/shedkeel/resolve?name=h.example&zone=z")
 	if err != nil {
 		return nil
 	}
@@ -254,70 +254,70 @@
 // requests, the loss of members during streams, the removal of a key, an outage of the
 // store, and a node's graceful shutdown.
 func TestWholePath(t *testing.T) {
-	world := newWorld(t, 3)
-	world.eventually("two groups serve", func() bool { return len(world.fleet.Serving()["m0"]) >= 2 })
-	world.eventually("a stream is complete", func() bool {
-		status, body := world.send(world.nodes[0].callers, shedkeel.NewNonce(), "/copy/a", "key-1", 50)
-		return status == 200 && body == wholeStream(10)
+	cluster := newTestCluster(t, 3)
+	cluster.eventually("two groups serve", func() bool { return len(cluster.fleet.Serving()["m0"]) >= 2 })
+	cluster.eventually("a stream is complete", func() bool {
+		status, body := cluster.send(cluster.nodes[0].callers, shedkeel.NewNonce(), "/copy/a", "key-1", 50)
+		return status == 200 && body == completeStream(10)
 	})
-	for _, node := range world.nodes {
-		world.eventually("a plain request is answered", func() bool {
-			status, body := world.send(node.callers, shedkeel.NewNonce(), "/look/a%2Fb?x=1", "key-2", 0)
+	for _, node := range cluster.nodes {
+		cluster.eventually("a plain request is answered", func() bool {
+			status, body := cluster.send(node.callers, shedkeel.NewNonce(), "/look/a%2Fb?x=1", "key-2", 0)
 			return status == 200 && body == "POST /look/a%2Fb?x=1 for shop"
 		})
 	}
-	status, _ := world.send(world.nodes[1].callers, "a1", "/look/x", "key-9", 0)
+	status, _ := cluster.send(cluster.nodes[1].callers, "a1", "/look/x", "key-9", 0)
 	assert.Equal(t, status, 401)
-	status, _ = world.send(world.nodes[1].callers, "a2", "/none/x", "key-1", 0)
+	status, _ = cluster.send(cluster.nodes[1].callers, "a2", "/none/x", "key-1", 0)
 	assert.Equal(t, status, 404)
 
-	world.killMembers()
-	world.restartMembers()
-	world.addInvalidRecords()
-	world.removeKey()
-	world.interruptStore()
-	world.stopNode()
+	cluster.killMembers()
+	cluster.restartMembers()
+	cluster.addInvalidRecords()
+	cluster.removeKey()
+	cluster.interruptStore()
+	cluster.stopNode()
 }
 
 // TestStartsWhileTheStoreIsAway starts a node during an outage of the store, with two
 // seeds of which one is down. The node must serve from the other seed's copy.
 func TestStartsWhileTheStoreIsAway(t *testing.T) {
-	world := newWorld(t, 2)
+	cluster := newTestCluster(t, 2)
 	serves := func(node *runningNode) bool {
-		status, _ := world.send(node.callers, shedkeel.NewNonce(), "/look/x", "key-1", 0)
+		status, _ := cluster.send(node.callers, shedkeel.NewNonce(), "/look/x", "key-1", 0)
 		return status == 200
 	}
-	world.eventually("both nodes serve", func() bool { return serves(world.nodes[0]) && serves(world.nodes[1]) })
-	world.data.SetFaults(standin.Faults{Outage: true})
+	cluster.eventually("both nodes serve", func() bool { return serves(cluster.nodes[0]) && serves(cluster.nodes[1]) })
+	cluster.data.SetFaults(standin.Faults{Outage: true})
 	down := listen(t)
 	assert.NilError(t, down.Close())
 	began := time.Now()
-	world.start(2, down.Addr().String(), world.nodes[1].control)
-	world.eventually("the third node serves", func() bool { return serves(world.nodes[2]) })
+	cluster.start(2, down.Addr().String(), cluster.nodes[1].control)
+	cluster.eventually("the third node serves", func() bool { return serves(cluster.nodes[2]) })
 	assert.Assert(t, time.Since(began) < time.Second, "it took %s", time.Since(began))
-	assert.Assert(t, world.nodes[2].Ready())
+	assert.Assert(t, cluster.nodes[2].Ready())
 }
 
 // killMembers kills a member of each group but one while streams run. Each stream must be
 // complete and run at most twice, and the groups must be complete again afterwards.
-func (world *world) killMembers() {
-	heads := world.fleet.Serving()["m0"]
+func (cluster *testCluster) killMembers() {
+	heads := cluster.fleet.Serving()["m0"]
 	victims := map[string]bool{}
 	for _, head := range heads[1:] {
 		victims[head.Members()[1]] = true
 	}
-	world.interruptStreams("lost-", func() {
+	cluster.interruptStreams("lost-", func() {
 		for victim := range victims {
-			world.fleet.Kill(victim)
+			cluster.fleet.Kill(victim)
 		}
 	})
 	for index := range interruptedStreams {
-		assert.Assert(world.t, world.fleet.Ran(fmt.Sprint("lost-", index)) <= 2)
+		assert.Assert(cluster.t, cluster.fleet.Ran(fmt.Sprint("lost-", index)) <= 2)
 	}
 	for victim := range victims {
-		assert.NilError(world.t, world.fleet.Lapse(victim))
+		assert.NilError(cluster.t, cluster.fleet.Lapse(victim))
 	}
-	world.eventually("as many groups serve again", func() bool { return len(world.fleet.Serving()["m0"]) >= len(heads) })
+	cluster.eventually("as many groups serve again", func() bool { return len(cluster.fleet.Serving()["m0"]) >= len(heads) })
 }
 
 // interruptedStreams is how many streams run during a fault.
@@ -325,12 +325,12 @@
 
 // interruptStreams injects a fault while streams run, and checks that all of them are
 // complete.
-func (world *world) interruptStreams(prefix string, fault func()) {
+func (cluster *testCluster) interruptStreams(prefix string, fault func()) {
 	var calls sync.WaitGroup
 	results := make([]string, interruptedStreams)
 	for index := range results {
 		calls.Go(func() {
-			status, body := world.send(world.nodes[index%3].callers, fmt.Sprint(prefix, index), "/copy/a", "key-1", 200)
+			status, body := cluster.send(cluster.nodes[index%3].callers, fmt.Sprint(prefix, index), "/copy/a", "key-1", 200)
 			results[index] = fmt.Sprint(status, " ", body)
 		})
 	}
@@ -338,43 +338,43 @@
 	fault()
 	calls.Wait()
 	for index, result := range results {
-		assert.Equal(world.t, result, "200 "+wholeStream(40), "stream %d", index)
+		assert.Equal(cluster.t, result, "200 "+completeStream(40), "stream %d", index)
 	}
 }
 
 // restartMembers restarts a member of each group but one under its former ID while
 // streams run. The restarted member is in no group, and no stream that breaks off there
 // may count as complete.
-func (world *world) restartMembers() {
-	heads := world.fleet.Serving()["m0"]
-	world.interruptStreams("again-", func() {
+func (cluster *testCluster) restartMembers() {
+	heads := cluster.fleet.Serving()["m0"]
+	cluster.interruptStreams("again-", func() {
 		for _, head := range heads[1:] {
-			world.fleet.Restart(head.Members()[1])
+			cluster.fleet.Restart(head.Members()[1])
 		}
 	})
-	world.eventually("as many groups serve again", func() bool { return len(world.fleet.Serving()["m0"]) >= len(heads) })
-	assert.Equal(world.t, len(world.fleet.Broken()), 0, "%v", world.fleet.Broken())
+	cluster.eventually("as many groups serve again", func() bool { return len(cluster.fleet.Serving()["m0"]) >= len(heads) })
+	assert.Equal(cluster.t, len(cluster.fleet.Broken()), 0, "%v", cluster.fleet.Broken())
 }
 
 // addInvalidRecords has another writer add invalid server records. The other servers must
 // stay in use.
-func (world *world) addInvalidRecords() {
+func (cluster *testCluster) addInvalidRecords() {
 	for index, value := range []string{"", "\x00\x01", "null", "[]", `{"service":"plain"}`, `{"service":"plain","address":"127.0.0.1:1","zone":"z","version":"v1","slots":8,"state":"resting","cold_remaining_ms":0,"seq":1}`} {
-		_, err := world.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: fmt.Sprint("servers/odd-", index), Value: []byte(value)}}})
-		assert.NilError(world.t, err)
+		_, err := cluster.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: fmt.Sprint("servers/odd-", index), Value: []byte(value)}}})
+		assert.NilError(cluster.t, err)
 	}
 	for index := range 30 {
-		status, body := world.send(world.nodes[index%3].callers, fmt.Sprint("odd-", index), "/look/x", "key-2", 0)
-		assert.Equal(world.t, status, 200, "%s", body)
+		status, body := cluster.send(cluster.nodes[index%3].callers, fmt.Sprint("odd-", index), "/look/x", "key-2", 0)
+		assert.Equal(cluster.t, status, 200, "%s", body)
 	}
 }
 
 // removeKey removes an API key. No node may accept it afterwards.
-func (world *world) removeKey() {
-	world.configure(2, `"key-2"`)
-	for _, node := range world.nodes {
-		world.eventually("the key is refused", func() bool {
-			status, _ := world.send(node.callers, shedkeel.NewNonce(), "/look/x", "key-1", 0)
+func (cluster *testCluster) removeKey() {
+	cluster.configure(2, `"key-2"`)
+	for _, node := range cluster.nodes {
+		cluster.eventually("the key is refused", func() bool {
+			status, _ := cluster.send(node.callers, shedkeel.NewNonce(), "/look/x", "key-1", 0)
 			return status == 401
 		})
 	}
@@ -383,18 +383,18 @@
 // interruptStore makes the store unavailable. Nodes serve while their proof of the
 // configuration is valid, and then refuse keys with 503. After the store's return they
 // accept keys again.
-func (world *world) interruptStore() {
-	world.data.SetFaults(standin.Faults{Outage: true})
-	status, _ := world.send(world.nodes[0].callers, "store-1", "/look/x", "key-2", 0)
-	assert.Equal(world.t, status, 200, "requests are served at the start of an outage")
-	world.eventually("keys are refused once the proof has expired", func() bool {
-		status, _ := world.send(world.nodes[0].callers, shedkeel.NewNonce(), "/look/x", "key-2", 0)
+func (cluster *testCluster) interruptStore() {
+	cluster.data.SetFaults(standin.Faults{Outage: true})
+	status, _ := cluster.send(cluster.nodes[0].callers, "store-1", "/look/x", "key-2", 0)
+	assert.Equal(cluster.t, status, 200, "requests are served at the start of an outage")
+	cluster.eventually("keys are refused once the proof has expired", func() bool {
+		status, _ := cluster.send(cluster.nodes[0].callers, shedkeel.NewNonce(), "/look/x", "key-2", 0)
 		return status == 503
 	})
-	world.data.SetFaults(standin.Faults{})
-	for _, node := range world.nodes {
-		world.eventually("keys are accepted again at every node", func() bool {
-			status, _ := world.send(node.callers, shedkeel.NewNonce(), "/look/x", "key-2", 0)
+	cluster.data.SetFaults(standin.Faults{})
+	for _, node := range cluster.nodes {
+		cluster.eventually("keys are accepted again at every node", func() bool {
+			status, _ := cluster.send(node.callers, shedkeel.NewNonce(), "/look/x", "key-2", 0)
 			return status == 200
 		})
 	}
@@ -402,28 +402,28 @@
 
 // stopNode stops a node gracefully. It must leave the directory, serve callers that still
 // have its address, and complete its running stream.
-func (world *world) stopNode() {
-	stopping := world.nodes[2]
-	world.eventually("the directory names all nodes", func() bool { return len(world.addresses(0)) == 3 })
+func (cluster *testCluster) stopNode() {
+	stopping := cluster.nodes[2]
+	cluster.eventually("the directory names all nodes", func() bool { return len(cluster.addresses(0)) == 3 })
 	var calls sync.WaitGroup
 	calls.Go(func() {
-		status, body := world.send(stopping.callers, "stop-1", "/copy/a", "key-2", 200)
-		assert.Equal(world.t, status, 200, "%s", body)
-		assert.Equal(world.t, body, wholeStream(40))
+		status, body := cluster.send(stopping.callers, "stop-1", "/copy/a", "key-2", 200)
+		assert.Equal(cluster.t, status, 200, "%s", body)
+		assert.Equal(cluster.t, body, completeStream(40))
 	})
 	time.Sleep(50 * time.Millisecond)
 	stopping.stop()
-	world.eventually("the stopping node is not ready", func() bool {
-		response, err := world.client.Get("http://" + stopping.readiness + "/shedkeel/ready")
+	cluster.eventually("the stopping node is not ready", func() bool {
+		response, err := cluster.client.Get("http://" + stopping.readiness + "/shedkeel/ready")
 		if err != nil {
 			return true
 		}
 		_ = response.Body.Close()
 		return response.StatusCode == http.StatusServiceUnavailable
 	})
-	status, _ := world.send(stopping.callers, "stop-2", "/look/x", "key-2", 0)
-	assert.Equal(world.t, status, 200, "callers may still hold its address")
-	world.eventually("the directory no longer names the stopping node", func() bool { return len(world.addresses(0)) == 2 })
+	status, _ := cluster.send(stopping.callers, "stop-2", "/look/x", "key-2", 0)
+	assert.Equal(cluster.t, status, 200, "callers may still hold its address")
+	cluster.eventually("the directory no longer names the stopping node", func() bool { return len(cluster.addresses(0)) == 2 })
 	calls.Wait()
 	stopping.ended.Wait()
 }
--- a/node/nodes.go
+++ b/node/nodes.go
@@ -53,11 +53,11 @@
 // decodeNode decodes and validates a node's record, and logs one that is invalid.
 func (fleet *fleet) decodeNode(record shedkeel.Record) (nodeRecord, error) {
 	var node nodeRecord
-	if err := fleet.read(record, &node); err != nil {
+	if err := fleet.decodeRecord(record, &node); err != nil {
 		return node, err
 	}
 	if err := node.validate(record.Key); err != nil {
-		fleet.skipped(record, err)
+		fleet.skipRecord(record, err)
 		return node, err
 	}
 	return node, nil
@@ -142,7 +142,7 @@
 	for _, other := range nodes {
 		own := other.ID == node.Settings.Node
 		selfListed = selfListed || own
-		if other.Stopping || own && !node.Ready() || !own && !node.gossip.serves(other.ID) {
+		if other.Stopping || own && !node.Ready() || !own && !node.gossip.mayServeCallers(other.ID) {
 			continue
 		}
 		if string(other.Zone) == zone {
--- a/node/notice_test.go
+++ b/node/notice_test.go
@@ -31,7 +31,7 @@
 			node.table.Replace([]dispatch.Server{{Service: "llm", Model: "m", Instance: "i", Group: group}})
 
 			notice := &wire.NoticeCall{Node: "other", Group: string(group.Group), Epoch: group.Epoch, ForMs: uint32(test.avoid.Milliseconds())}
-			node.peers.takeNotice(notice)
+			node.peers.handleNotice(notice)
 			chosen := node.table.Choose(dispatch.Query{Service: "llm", Model: "m", Now: timers.Now()})
 			assert.Equal(t, chosen == nil, test.avoided)
 			assert.Equal(t, len(node.controller.suspects) == 1, test.suspected)
@@ -52,9 +52,9 @@
 	node.Settings.Wire.Key = "k"
 	node.peers.update([]nodeRecord{{ID: "planner", Control: listener.Addr().String()}})
 	defer node.peers.close()
-	lead, err := json.Marshal(leaderRecord{Node: "planner"})
+	lead, err := json.Marshal(leadRecord{Node: "planner"})
 	assert.NilError(t, err)
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: leadKey, Value: lead, Revision: shedkeel.Revision{Number: 2}}}})
+	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: leaderKey, Value: lead, Revision: shedkeel.Revision{Number: 2}}}})
 	head := leader.fleet.groupServices()["s"][0]
 	assert.Assert(t, !head.Draining)
 	node.handler.OnDraining(head.ID)
--- a/node/notices.go
+++ b/node/notices.go
@@ -18,10 +18,11 @@
 	noticeTimeout = 500 * time.Millisecond
 )
 
-// suspect reports to the leader that a group does not respond to this node. The leader
-// finds out whether a member is lost. A group that reads long prompts does not respond
-// either: if each node told all others, all would leave it for the remaining groups.
-func (peers *peers) suspect(group shedkeel.Assignment) {
+// reportSuspect reports to the leader that a group does not respond to this node. The
+// leader finds out whether a member is lost. A group that reads long prompts does not
+// respond either: if each node told all others, all would leave it for the remaining
+// groups.
+func (peers *peers) reportSuspect(group shedkeel.Assignment) {
 	leader := peers.node.controller.leader()
 	if leader == peers.node.Settings.Node {
 		peers.node.controller.suspect(group)
@@ -32,10 +33,10 @@
 	}
 }
 
-// draining reports to the leader that a backend server has told this node that it
+// reportDraining reports to the leader that a backend server has told this node that it
 // drains. The leader may not learn it otherwise: it may send that server no requests,
 // and the server's record may not say so.
-func (peers *peers) draining(server shedkeel.InstanceID) {
+func (peers *peers) reportDraining(server shedkeel.InstanceID) {
 	if peer := peers.peer(peers.node.controller.leader()); peer != nil {
 		go peer.runSendNotice(&wire.NoticeCall{Draining: string(server)})
 	}
@@ -63,9 +64,9 @@
 	_, _ = peer.wire.Do(ctx, &wire.Call{Kind: &wire.Call_Notice{Notice: notice}})
 }
 
-// takeNotice handles a notice of another node: a server drains, or a group is to be
+// handleNotice handles a notice of another node: a server drains, or a group is to be
 // avoided or is suspected.
-func (peers *peers) takeNotice(notice *wire.NoticeCall) *wire.Reply {
+func (peers *peers) handleNotice(notice *wire.NoticeCall) *wire.Reply {
 	node := peers.node
 	reply := &wire.Reply{Kind: &wire.Reply_Notice{Notice: &wire.NoticeReply{}}}
 	if server := notice.GetDraining(); server != "" {
--- a/node/operator_test.go
+++ b/node/operator_test.go
@@ -16,11 +16,11 @@
 // TestOperatorsClient queries running nodes with the operators' client: the status, a group,
 // a failed request, and IDs that the nodes don't know.
 func TestOperatorsClient(t *testing.T) {
-	world := newWorld(t, 2)
-	world.eventually("two groups serve", func() bool { return len(world.fleet.Serving()["m0"]) >= 2 })
-	client := &operator.Client{Keeper: world.nodes[0].admin}
+	cluster := newTestCluster(t, 2)
+	cluster.eventually("two groups serve", func() bool { return len(cluster.fleet.Serving()["m0"]) >= 2 })
+	client := &operator.Client{Keeper: cluster.nodes[0].admin}
 	var status bytes.Buffer
-	world.eventually("the node shows open groups", func() bool {
+	cluster.eventually("the node shows open groups", func() bool {
 		answer, err := client.Status(t.Context())
 		assert.NilError(t, err)
 		assert.Assert(t, answer.Keeper == nil)
@@ -35,7 +35,7 @@
 	view, err := client.Status(t.Context())
 	assert.NilError(t, err)
 	group := string(view.Node.Groups[0].Group)
-	for _, running := range world.nodes {
+	for _, running := range cluster.nodes {
 		if answer, err := client.Status(t.Context()); err == nil && answer.Node.Leader == running.Settings.Node {
 			leader = &operator.Client{Keeper: running.admin}
 		}
@@ -48,8 +48,8 @@
 	assert.Equal(t, len(explanation.Node.Members), 2)
 
 	id := shedkeel.NewNonce()
-	world.eventually("a node that has its configuration refuses an unknown key", func() bool {
-		code, _ := world.send(world.nodes[0].callers, id, "/copy/a", "unknown-key", 5)
+	cluster.eventually("a node that has its configuration refuses an unknown key", func() bool {
+		code, _ := cluster.send(cluster.nodes[0].callers, id, "/copy/a", "unknown-key", 5)
 		return code == http.StatusUnauthorized
 	})
 	log, err := client.Request(t.Context(), id)
@@ -69,7 +69,7 @@
 	_, err = client.Explain(t.Context(), "m0/nowhere/1")
 	assert.ErrorContains(t, err, "no listed server tells of group m0/nowhere/1")
 
-	response, err := world.client.Get("http://" + world.nodes[0].admin + "/metrics")
+	response, err := cluster.client.Get("http://" + cluster.nodes[0].admin + "/metrics")
 	assert.NilError(t, err)
 	defer func() { _ = response.Body.Close() }()
 	page, err := io.ReadAll(response.Body)
--- a/node/paces.go
+++ b/node/paces.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// paceEvery is how often the leader asks each member of a group for its pace. Each
+	// paceInterval is how often the leader asks each member of a group for its pace. Each
 	// call costs as much as a probe.
-	paceEvery = 2 * time.Second
-	// paceParts is the number of batches into which the members are split, so that the
+	paceInterval = 2 * time.Second
+	// paceBatches is the number of batches into which the members are split, so that the
 	// calls are spread evenly over time.
-	paceParts = 10
+	paceBatches = 10
 	// paceTimeout is how long an answer may take. Probes deal with a server that does
 	// not answer.
 	paceTimeout = 200 * time.Millisecond
@@ -67,7 +67,7 @@
 // servers that have left their group.
 func (paces *paces) queryBatch(instances []shedkeel.Instance) {
 	for index, instance := range instances {
-		if index%paceParts == paces.batch%paceParts && (instance.Member != nil || paces.isSlow(instance.ID)) {
+		if index%paceBatches == paces.batch%paceBatches && (instance.Member != nil || paces.isSlow(instance.ID)) {
 			go paces.runQuery(instance)
 		}
 	}
--- a/node/peers.go
+++ b/node/peers.go
@@ -26,7 +26,7 @@
 	mutex         sync.Mutex
 	nodes         []nodeRecord                            // listed nodes in the order of compareNodes, including this one
 	alive         []nodeRecord                            // those of them that are alive
-	views         atomic.Uint64                           // how often alive has changed
+	aliveVersion  atomic.Uint64                           // how often alive has changed
 	aliveSince    time.Duration                           // when alive last changed
 	lastJoin      time.Duration                           // when a node was last listed that was not listed before
 	granters      map[shedkeel.InstanceID]shedkeel.NodeID // cache of granter; nil: alive has changed since
@@ -43,12 +43,12 @@
 
 // peer is the client of one other node.
 type peer struct {
-	id     shedkeel.NodeID
-	node   *Node
-	wire   *wire.Peer
-	asked  *wire.Peer // connection for calls that must not wait while wire connects
-	failed failure    // as a node to follow
-	mute   failure    // as the node that places requests for the fleet
+	id            shedkeel.NodeID
+	node          *Node
+	wire          *wire.Peer
+	priorityWire  *wire.Peer // connection for calls that must not wait while wire connects
+	followFailure failure    // as a node to follow
+	spreadFailure failure    // as the node that places requests for the fleet
 }
 
 // prepare creates the peers for the seeds. The address of a seed serves as its ID until
@@ -65,7 +65,7 @@
 // dial returns a new peer for the address. It connects at its first call.
 func (peers *peers) dial(id shedkeel.NodeID, address string) *peer {
 	key := peers.node.Settings.Wire.Key
-	return &peer{id: id, node: peers.node, wire: &wire.Peer{Address: address, Key: key}, asked: &wire.Peer{Address: address, Key: key}}
+	return &peer{id: id, node: peers.node, wire: &wire.Peer{Address: address, Key: key}, priorityWire: &wire.Peer{Address: address, Key: key}}
 }
 
 // update replaces the known nodes. It closes the connections to nodes that are no longer
@@ -132,12 +132,12 @@
 	peers.alive = alive
 	peers.granters = nil
 	peers.aliveSince = peers.node.Timers.Now()
-	peers.views.Add(1)
+	peers.aliveVersion.Add(1)
 }
 
-// heard returns which fraction of the listed nodes is alive, not counting stopping nodes,
-// and since when the set of alive nodes is unchanged.
-func (peers *peers) heard() (fraction float64, since time.Duration) {
+// aliveFraction returns which fraction of the listed nodes is alive, not counting stopping
+// nodes, and since when the set of alive nodes is unchanged.
+func (peers *peers) aliveFraction() (fraction float64, since time.Duration) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	countServing := func(records []nodeRecord) (count int) {
@@ -173,13 +173,13 @@
 	return first.ID, true
 }
 
-// withOwn returns the alive nodes in order and this node's index among them. This node is
-// inserted if it is not listed yet, because it follows others as well. The caller holds
-// the mutex.
+// aliveWithSelf returns the alive nodes in order and this node's index among them. This
+// node is inserted if it is not listed yet, because it follows others as well. The caller
+// holds the mutex.
 //
 // Suspected nodes are left out, so the duties of one node for the whole fleet pass to
 // the next as soon as it is suspected.
-func (peers *peers) withOwn() (nodes []nodeRecord, own int, listed bool) {
+func (peers *peers) aliveWithSelf() (nodes []nodeRecord, own int, listed bool) {
 	record := peers.node.ownRecord()
 	index, listed := slices.BinarySearchFunc(peers.alive, record, compareNodes)
 	if listed {
@@ -191,7 +191,7 @@
 // others returns the other nodes whose mirrors may be asked: the alive ones if there are
 // any, else all listed ones, else the seeds.
 func (peers *peers) others() []mirror.Peer {
-	asked := peers.answering()
+	asked := peers.alivePeers()
 	if len(asked) == 0 {
 		asked = peers.all()
 	}
@@ -205,8 +205,8 @@
 	return found
 }
 
-// lastCame returns when a node was last listed that was not listed before.
-func (peers *peers) lastCame() time.Duration {
+// lastJoinTime returns when a node was last listed that was not listed before.
+func (peers *peers) lastJoinTime() time.Duration {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	return peers.lastJoin
@@ -237,8 +237,8 @@
 	return found
 }
 
-// answering returns the clients of the other nodes that are alive.
-func (peers *peers) answering() []*peer {
+// alivePeers returns the clients of the other nodes that are alive.
+func (peers *peers) alivePeers() []*peer {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	var found []*peer
@@ -259,7 +259,7 @@
 
 func (peer *peer) close() {
 	peer.wire.Close()
-	peer.asked.Close()
+	peer.priorityWire.Close()
 }
 
 // Name returns the node's ID, or its address while only that is known.
@@ -271,26 +271,26 @@
 	case *wire.Call_Relay:
 		return peers.handleRelay(ctx, kind.Relay)
 	case *wire.Call_Notice:
-		return peers.takeNotice(kind.Notice)
+		return peers.handleNotice(kind.Notice)
 	case *wire.Call_Spread:
-		return peers.takeSpread(kind.Spread)
+		return peers.handleSpread(kind.Spread)
 	case *wire.Call_Demand:
-		return peers.takeDemand(kind.Demand)
+		return peers.handleDemand(kind.Demand)
 	case *wire.Call_Blame:
-		return peers.node.guard.take(kind.Blame)
+		return peers.node.guard.handle(kind.Blame)
 	case *wire.Call_Permit:
-		return peers.node.limits.takePermit(kind.Permit)
+		return peers.node.limits.handlePermit(kind.Permit)
 	case *wire.Call_Limit:
-		return peers.node.limits.takeLimits(kind.Limit)
+		return peers.node.limits.handleLimits(kind.Limit)
 	case *wire.Call_Register:
 		return peers.node.registrar.handle(ctx, kind.Register)
 	}
 	return &wire.Reply{Error: "a node answers relays, notices, spreads, demands, blames, permits, limits and registrations only; upgrade one side"}
 }
 
-// place returns this node's index among the listed nodes, or their number if it is not
+// ownIndex returns this node's index among the listed nodes, or their number if it is not
 // listed.
-func (peers *peers) place() int {
+func (peers *peers) ownIndex() int {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	for index, node := range peers.nodes {
--- a/node/peers_test.go
+++ b/node/peers_test.go
@@ -31,7 +31,7 @@
 		t.Run(name, func(t *testing.T) {
 			node, timers := newListedNode(t, test.own, test.nodes)
 			for _, id := range test.failed {
-				node.peers.known[id].failed.note(timers.Now())
+				node.peers.known[id].followFailure.record(timers.Now())
 			}
 			followed := ""
 			if peer := node.peers.choose(); peer != nil {
--- a/node/prober_test.go
+++ b/node/prober_test.go
@@ -13,8 +13,8 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// answering fakes servers: those with the addresses in up answer, others do not.
-type answering struct {
+// fakeEngines fakes servers: those with the addresses in up answer, others do not.
+type fakeEngines struct {
 	shedkeel.GroupEngines
 	up    map[string]bool
 	born  map[string]int64 // the start time that a server reports
@@ -22,14 +22,14 @@
 	asked atomic.Int64
 }
 
-func (answering *answering) Report(ctx context.Context, address string) (shedkeel.EngineReport, error) {
-	answering.asked.Add(1)
-	if !answering.up[address] {
+func (engines *fakeEngines) Report(ctx context.Context, address string) (shedkeel.EngineReport, error) {
+	engines.asked.Add(1)
+	if !engines.up[address] {
 		<-ctx.Done()
-		time.Sleep(answering.slow)
+		time.Sleep(engines.slow)
 		return shedkeel.EngineReport{}, ctx.Err()
 	}
-	return shedkeel.EngineReport{Born: answering.born[address]}, nil
+	return shedkeel.EngineReport{Born: engines.born[address]}, nil
 }
 
 // TestProbe checks when a server counts as alive or as dead, and when a probe is
@@ -54,7 +54,7 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			engines := &answering{up: map[string]bool{}, born: map[string]int64{"a": test.born}, slow: test.slow}
+			engines := &fakeEngines{up: map[string]bool{}, born: map[string]int64{"a": test.born}, slow: test.slow}
 			for _, address := range test.up {
 				engines.up[address] = true
 			}
--- a/node/registrar_test.go
+++ b/node/registrar_test.go
@@ -124,7 +124,7 @@
 			}}
 			node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 			node.member.startedAt.Store(int64(timers.Now()))
-			node.member.hint.Store(watchedFrom)
+			node.member.nodeCountHint.Store(unleasedFrom)
 			started := time.Now()
 			assert.Assert(t, node.member.step(t.Context()))
 			assert.Equal(t, own, test.wantOwnWrites)
--- a/node/relay.go
+++ b/node/relay.go
@@ -24,7 +24,7 @@
 func (peer *peer) Relay(ctx context.Context, since shedkeel.Revision, wait time.Duration) (mirror.Update, error) {
 	update, err := peer.fetchUpdate(ctx, since, wait)
 	if err != nil && ctx.Err() == nil || err == nil && (update.Away || -update.AsOf > peer.maxCopyAge()) {
-		peer.failed.note(peer.node.Timers.Now())
+		peer.followFailure.record(peer.node.Timers.Now())
 	}
 	return update, err
 }
@@ -62,7 +62,7 @@
 	if err != nil {
 		return false, err
 	}
-	hint := &peer.node.member.hint
+	hint := &peer.node.member.nodeCountHint
 	hint.Store(max(hint.Load(), int64(reply.GetNodes())))
 	return reply.GetKnown(), nil
 }
--- a/node/remover.go
+++ b/node/remover.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// removerTick is how often a node checks which records it should remove.
-	removerTick = 500 * time.Millisecond
+	// removerInterval is how often a node checks which records it should remove.
+	removerInterval = 500 * time.Millisecond
 	// removalStagger is how much later each further node removes a record. It is several
 	// times what all nodes need to learn of a removal.
 	removalStagger = time.Second
@@ -43,7 +43,7 @@
 func (remover *remover) tick(now time.Duration) {
 	node := remover.node
 	state := node.mirror.State()
-	if !state.Known || now-state.AsOf > troubleAge || node.stopping.Load() || node.gossip.isolated() {
+	if !state.Known || now-state.AsOf > outageAge || node.stopping.Load() || node.gossip.isolated() {
 		return
 	}
 	for _, record := range remover.dueRecords(node.peers.listed(), now) {
@@ -56,7 +56,7 @@
 func (remover *remover) dueRecords(nodes []nodeRecord, now time.Duration) []nodeRecord {
 	remover.mutex.Lock()
 	defer remover.mutex.Unlock()
-	alive := slices.DeleteFunc(slices.Clone(nodes), func(record nodeRecord) bool { return !remover.node.gossip.serves(record.ID) })
+	alive := slices.DeleteFunc(slices.Clone(nodes), func(record nodeRecord) bool { return !remover.node.gossip.mayServeCallers(record.ID) })
 	before := remover.dueAt
 	remover.dueAt = map[shedkeel.NodeID]time.Duration{}
 	var found []nodeRecord
--- a/node/remover_test.go
+++ b/node/remover_test.go
@@ -12,17 +12,19 @@
 	"shedkeel.org/shedkeel/mirror"
 )
 
-// judged is a failure detector with fixed results.
-type judged struct {
+// fakeDetector is a failure detector with fixed results.
+type fakeDetector struct {
 	shedkeel.FailureDetector
 	liveness map[shedkeel.NodeID]shedkeel.Liveness
 	isolated bool
 }
 
-func (judged *judged) SetPeers([]shedkeel.NodeID)                    {}
-func (judged *judged) Isolated(time.Duration) bool                   { return judged.isolated }
-func (judged *judged) Liveness(id shedkeel.NodeID) shedkeel.Liveness { return judged.liveness[id] }
-func (judged *judged) Tick(time.Duration) []shedkeel.GossipDatagram  { return nil }
+func (detector *fakeDetector) SetPeers([]shedkeel.NodeID)  {}
+func (detector *fakeDetector) Isolated(time.Duration) bool { return detector.isolated }
+func (detector *fakeDetector) Liveness(id shedkeel.NodeID) shedkeel.Liveness {
+	return detector.liveness[id]
+}
+func (detector *fakeDetector) Tick(time.Duration) []shedkeel.GossipDatagram { return nil }
 
 // TestRemovalTurns checks that the live nodes all have different ranks in the removal of
 // each dead node's record, so that one node removes it first and the others follow in
@@ -67,7 +69,7 @@
 		"all are dead":                  {shedkeel.Dead, 5, true, false, 0, 5},
 		"one has a record with a lease": {shedkeel.Dead, 1, false, false, 0, 0},
 		"this one is itself cut off":    {shedkeel.Dead, 5, true, true, 0, 0},
-		"its mirror is outdated":        {shedkeel.Dead, 5, true, false, troubleAge + time.Second, 0},
+		"its mirror is outdated":        {shedkeel.Dead, 5, true, false, outageAge + time.Second, 0},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -76,7 +78,7 @@
 				nodes[index].Watched = test.watched
 			}
 			node, timers := newListedNode(t, nodes[0].ID, nodes)
-			detector := &judged{liveness: map[shedkeel.NodeID]shedkeel.Liveness{}, isolated: test.isolated}
+			detector := &fakeDetector{liveness: map[shedkeel.NodeID]shedkeel.Liveness{}, isolated: test.isolated}
 			for _, record := range nodes[1 : test.count+1] {
 				detector.liveness[record.ID] = test.liveness
 			}
@@ -118,11 +120,11 @@
 	revision := int64(1000)
 	store.commit = func(shedkeel.Change) (int64, error) {
 		revision += 10
-		store.calls++
+		store.renewCalls++
 		return revision, nil
 	}
 	node.Store = store
-	node.member.hint.Store(nodes)
+	node.member.nodeCountHint.Store(nodes)
 	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 	return node, store
 }
@@ -139,29 +141,29 @@
 			node.member.tick(t.Context())
 		}
 	}
-	advance(hintTime / 2)
-	assert.Equal(t, store.calls, 1, "the record is written once")
+	advance(nodeCountHintTTL / 2)
+	assert.Equal(t, store.renewCalls, 1, "the record is written once")
 	assert.Equal(t, store.granted, shedkeel.LeaseID{})
 	assert.Assert(t, node.member.listed.Load())
 	written := node.mirror.Get(node.member.key())
 
 	node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 1015}, AsOf: node.Timers.Now(), Records: []shedkeel.Record{{Key: written.Key, Revision: shedkeel.Revision{Number: 1015}, Gone: true}}})
-	advance(2 * listedRetry)
-	assert.Equal(t, store.calls, 2, "the node is alive and writes its removed record again")
+	advance(2 * registrationRetry)
+	assert.Equal(t, store.renewCalls, 2, "the node is alive and writes its removed record again")
 
 	restarted, restartedStore := newWatchedNode(t, 295)
 	restarted.Incarnation = "second"
 	restarted.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 1030}, AsOf: restarted.Timers.Now(), Records: []shedkeel.Record{{Key: written.Key, Value: written.Value, Revision: shedkeel.Revision{Number: 1030}}}})
 	restarted.member.tick(t.Context())
-	assert.Equal(t, restartedStore.calls, 0, "the record exists already")
+	assert.Equal(t, restartedStore.renewCalls, 0, "the record exists already")
 	assert.Assert(t, restarted.member.listed.Load())
 }
 
 // TestSmallFleetIsLeased checks that a node of a small fleet writes its record with a
 // lease.
 func TestSmallFleetIsLeased(t *testing.T) {
-	node, store := newWatchedNode(t, watchedFrom-1)
+	node, store := newWatchedNode(t, unleasedFrom-1)
 	node.member.tick(t.Context())
 	assert.Equal(t, store.granted, shedkeel.LeaseID{Number: 1})
-	assert.Assert(t, !node.member.watched.Load())
+	assert.Assert(t, !node.member.unleased.Load())
 }
--- a/node/report.go
+++ b/node/report.go
@@ -19,14 +19,14 @@
 	scope := node.Metrics.Scope
 	scope.Gauge("store_era").Update(float64(node.mirror.State().At.Era))
 	scope.Gauge("mirror_age_seconds").Update((now - node.mirror.State().AsOf).Seconds())
-	scope.Gauge("records_skipped").Update(float64(node.fleet.unread.Load()))
+	scope.Gauge("records_skipped").Update(float64(node.fleet.skippedRecords.Load()))
 	scope.Gauge("nodes").Update(float64(node.fleet.nodeCount()))
 	scope.Gauge("nodes_unnamed").Update(float64(len(node.excludedNodes())))
 	scope.Gauge("planner_waits").Update(float64(len(node.controller.waits())))
 	node.reportLimits(scope)
 	scope.Gauge("zones_evacuated").Update(float64(len(node.fleet.evacuations())))
 	judged := map[string]int{shedkeel.Quarantined.String(): 0, shedkeel.Contained.String(): 0}
-	for _, blame := range node.guard.judged() {
+	for _, blame := range node.guard.judgedRequests() {
 		judged[blame.Judgment]++
 	}
 	for judgment, count := range judged {
--- a/node/restore.go
+++ b/node/restore.go
@@ -14,7 +14,7 @@
 	node.Log.Write(event.StoreRestored, slog.String("from", restore.From.String()), slog.String("to", restore.To.String()), slog.Int("lost", restore.Lost))
 	node.fleet.retainLostRecords()
 	node.member.requestWrite()
-	node.guard.keepAgain()
+	node.guard.recheckAll()
 }
 
 // retainLostRecords retains the records that the restored snapshot lacks until their
@@ -23,6 +23,6 @@
 func (fleet *fleet) retainLostRecords() {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
-	fleet.outageUntil = fleet.node.Timers.Now() + lapseHold
+	fleet.outageUntil = fleet.node.Timers.Now() + deletedRecordHold
 	fleet.afterRestore = true
 }
--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -61,7 +61,7 @@
 			node.mirror.Apply(mirror.Update{At: rewritten, AsOf: timers.Now(), Records: test.after})
 			node.fleet.tick(timers.Now())
 			assert.Equal(t, usable(), test.wantUsable[1])
-			timers.Advance(max(lapseHold, returnHold))
+			timers.Advance(max(deletedRecordHold, restoredServerHold))
 			node.mirror.Apply(mirror.Update{At: rewritten, AsOf: timers.Now()})
 			node.fleet.tick(timers.Now())
 			assert.Equal(t, usable(), test.wantUsable[2])
@@ -94,12 +94,12 @@
 // to another node now. No node may lead by that record, and new terms must be above those
 // that the snapshot lacks.
 func TestLeadEndsWithTheEra(t *testing.T) {
-	node, timers, store := electedNode(t)
+	node, timers, store := newListedCandidate(t)
 	var last shedkeel.Change
 	store.commit = func(change shedkeel.Change) (int64, error) { last = change; return 2, nil }
 	elect(t, node, timers)
 	assert.Assert(t, node.controller.leading(timers.Now()))
-	lead := node.mirror.Get(leadKey)
+	lead := node.mirror.Get(leaderKey)
 	lead.Revision = shedkeel.Revision{Era: 1, Number: 2}
 	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Era: 1, Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{lead}})
 	assert.Assert(t, !node.controller.leading(timers.Now()))
@@ -108,15 +108,15 @@
 
 	store.granted.Era = 1
 	elect(t, node, timers)
-	assert.DeepEqual(t, last.If[0], shedkeel.Condition{Key: leadKey, Revision: lead.Revision})
+	assert.DeepEqual(t, last.If[0], shedkeel.Condition{Key: leaderKey, Revision: lead.Revision})
 	assert.Equal(t, last.Put[0].Lease.Era, int64(1))
-	assert.Assert(t, node.controller.nextTerm(shedkeel.Record{}) > eraTerms, "servers may have stored terms of the first era")
+	assert.Assert(t, node.controller.nextTerm(shedkeel.Record{}) > termsPerEra, "servers may have stored terms of the first era")
 }
 
 // TestNodeIsListedAgain checks that a node writes its record again after a restore of the
 // service.
 func TestNodeIsListedAgain(t *testing.T) {
-	node, timers, store := electedNode(t)
+	node, timers, store := newListedCandidate(t)
 	writes := 0
 	store.commit = func(shedkeel.Change) (int64, error) { writes++; return 3, nil }
 	node.member.lastAttempt = timers.Now()
@@ -140,10 +140,10 @@
 	}
 	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 	keep := func() {
-		timers.Advance(keepTurn)
+		timers.Advance(writeStagger)
 		node.mirror.Apply(mirror.Update{At: node.mirror.State().At, AsOf: timers.Now()})
-		node.guard.keep(context.Background(), timers.Now())
-		node.guard.keep(context.Background(), timers.Now())
+		node.guard.writePending(context.Background(), timers.Now())
+		node.guard.writePending(context.Background(), timers.Now())
 	}
 	keep()
 	assert.Equal(t, len(store.changes), 1)
@@ -157,13 +157,13 @@
 // TestLoadsAreKeptAgain checks that the running model loads are written again after a restore
 // of the service.
 func TestLoadsAreKeptAgain(t *testing.T) {
-	node, timers, store := electedNode(t)
+	node, timers, store := newListedCandidate(t)
 	writes := 0
 	store.commit = func(shedkeel.Change) (int64, error) { writes++; return 3, nil }
 	loading := map[shedkeel.InstanceID]shedkeel.ModelID{"a": "m"}
 	keep := func() {
-		node.controller.noteEra(timers.Now())
-		node.controller.keepLoads(t.Context(), "s", loading)
+		node.controller.trackEra(timers.Now())
+		node.controller.storeLoads(t.Context(), "s", loading)
 	}
 	keep()
 	keep()
@@ -182,18 +182,18 @@
 	}{
 		"in the same era":       {0, time.Second, false},
 		"in a later one":        {1, time.Second, true},
-		"in a later one, later": {1, removalKeep, false},
+		"in a later one, later": {1, removalRetention, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			var removals removals
-			removals.note("a", 0, 0)
+			removals.recordRemoval("a", 0, 0)
 			removals.expire(test.at)
-			removals.returned("a", test.era, test.at)
+			removals.recordReturn("a", test.era, test.at)
 			assert.Equal(t, removals.withheld("a"), test.withheld)
-			assert.Equal(t, removals.expire(test.at+returnHold), test.withheld)
+			assert.Equal(t, removals.expire(test.at+restoredServerHold), test.withheld)
 			assert.Assert(t, !removals.withheld("a"))
-			removals.returned("a", test.era, test.at+returnHold)
+			removals.recordReturn("a", test.era, test.at+restoredServerHold)
 			assert.Assert(t, !removals.withheld("a"), "it still writes its record")
 		})
 	}
@@ -214,22 +214,22 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			node, timers, _ := electedNode(t)
-			node.controller.since = 0
+			node, timers, _ := newListedCandidate(t)
+			node.controller.eraSince = 0
 			apply := func(era int64) {
 				node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Era: era, Number: 9}, AsOf: timers.Now()})
-				node.controller.noteEra(timers.Now())
+				node.controller.trackEra(timers.Now())
 			}
 			apply(test.before)
 			if test.after != test.before {
 				timers.Advance(time.Minute)
 				apply(test.after)
 			}
-			assert.Equal(t, node.controller.settled(timers.Now()), !test.waits)
-			timers.Advance(lapseHold - 1)
-			assert.Equal(t, node.controller.settled(timers.Now()), !test.waits)
+			assert.Equal(t, node.controller.recordsRewritten(timers.Now()), !test.waits)
+			timers.Advance(deletedRecordHold - 1)
+			assert.Equal(t, node.controller.recordsRewritten(timers.Now()), !test.waits)
 			timers.Advance(1)
-			assert.Assert(t, node.controller.settled(timers.Now()))
+			assert.Assert(t, node.controller.recordsRewritten(timers.Now()))
 		})
 	}
 }
--- a/node/restored_service_test.go
+++ b/node/restored_service_test.go
@@ -35,59 +35,59 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			world := newServingWorld(t)
-			world.data.Snapshot()
-			world.changeUnusedRecords(lostChanges)
-			world.configure(2, `"key-1","key-lost"`)
-			world.eventually("the lost configuration is active", func() bool { return world.acceptingNodes("key-lost") == len(world.nodes) })
+			cluster := newServingCluster(t)
+			cluster.data.Snapshot()
+			cluster.changeUnusedRecords(lostChanges)
+			cluster.configure(2, `"key-1","key-lost"`)
+			cluster.eventually("the lost configuration is active", func() bool { return cluster.acceptingNodes("key-lost") == len(cluster.nodes) })
 			for range test.restores {
-				world.data.SetFaults(standin.Faults{Outage: true})
+				cluster.data.SetFaults(standin.Faults{Outage: true})
 				time.Sleep(time.Second)
-				world.data.Restore()
+				cluster.data.Restore()
 				if !test.overtaken {
-					world.data.SetFaults(standin.Faults{})
+					cluster.data.SetFaults(standin.Faults{})
 					time.Sleep(500 * time.Millisecond)
 				}
 			}
-			world.configure(3, `"key-3"`)
-			world.fleet.Drain("plain-0")
+			cluster.configure(3, `"key-3"`)
+			cluster.fleet.Drain("plain-0")
 			if test.overtaken {
-				world.changeUnusedRecords(2 * lostChanges)
-				world.data.SetFaults(standin.Faults{})
+				cluster.changeUnusedRecords(2 * lostChanges)
+				cluster.data.SetFaults(standin.Faults{})
 			}
 			began := time.Now()
-			world.eventually("the new key is known", func() bool { return world.acceptingNodes("key-3") == len(world.nodes) })
+			cluster.eventually("the new key is known", func() bool { return cluster.acceptingNodes("key-3") == len(cluster.nodes) })
 			assert.Assert(t, time.Since(began) < maxApplyDelay, "it took %s", time.Since(began))
 			time.Sleep(maxApplyDelay - time.Since(began))
-			requests := world.fleet.Came("plain-0")
+			requests := cluster.fleet.Came("plain-0")
 			for range 20 {
-				for _, node := range world.nodes {
-					status, body := world.send(node.callers, shedkeel.NewNonce(), "/look/x", "key-3", 0)
+				for _, node := range cluster.nodes {
+					status, body := cluster.send(node.callers, shedkeel.NewNonce(), "/look/x", "key-3", 0)
 					assert.Equal(t, status, 200, body)
-					status, _ = world.send(node.callers, shedkeel.NewNonce(), "/look/x", "key-1", 0)
+					status, _ = cluster.send(node.callers, shedkeel.NewNonce(), "/look/x", "key-1", 0)
 					assert.Equal(t, status, 401, "the key was removed")
 				}
 			}
-			assert.Equal(t, world.fleet.Came("plain-0"), requests, "a draining server got requests")
-			world.eventually("groups are planned", func() bool { return len(world.fleet.Serving()["m0"]) >= 2 })
-			assert.DeepEqual(t, world.fleet.Broken(), []string(nil))
+			assert.Equal(t, cluster.fleet.Came("plain-0"), requests, "a draining server got requests")
+			cluster.eventually("groups are planned", func() bool { return len(cluster.fleet.Serving()["m0"]) >= 2 })
+			assert.DeepEqual(t, cluster.fleet.Broken(), []string(nil))
 		})
 	}
 }
 
 // changeUnusedRecords makes so many changes of records that no node uses.
-func (world *world) changeUnusedRecords(count int) {
+func (cluster *testCluster) changeUnusedRecords(count int) {
 	for index := range count {
-		_, err := world.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: fmt.Sprint("other/", index%7), Value: fmt.Append(nil, index)}}})
-		assert.NilError(world.t, err)
+		_, err := cluster.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: fmt.Sprint("other/", index%7), Value: fmt.Append(nil, index)}}})
+		assert.NilError(cluster.t, err)
 	}
 }
 
 // acceptingNodes returns how many nodes serve a request with the key.
-func (world *world) acceptingNodes(key string) int {
+func (cluster *testCluster) acceptingNodes(key string) int {
 	count := 0
-	for _, node := range world.nodes {
-		if status, _ := world.send(node.callers, shedkeel.NewNonce(), "/look/x", key, 0); status == 200 {
+	for _, node := range cluster.nodes {
+		if status, _ := cluster.send(node.callers, shedkeel.NewNonce(), "/look/x", key, 0); status == 200 {
 			count++
 		}
 	}
--- a/node/spread.go
+++ b/node/spread.go
@@ -19,27 +19,27 @@
 	spreaderBackoff = time.Second
 )
 
-// helpers is how many of the first nodes have other work: to plan, and to follow the
+// reservedNodes is how many of the first nodes have other work: to plan, and to follow the
 // key-value service. They spread requests only if no other node does.
-const helpers = 2
+const reservedNodes = 2
 
 // failure is the time at which something last failed. The zero value means never.
 type failure struct{ at atomic.Int64 }
 
-// note records a failure at the time now.
-func (failure *failure) note(now time.Duration) { failure.at.Store(int64(now)) }
+// record records a failure at the time now.
+func (failure *failure) record(now time.Duration) { failure.at.Store(int64(now)) }
 
-// within reports whether the last failure is less than span before now.
-func (failure *failure) within(span, now time.Duration) bool {
+// isRecent reports whether the last failure is less than span before now.
+func (failure *failure) isRecent(span, now time.Duration) bool {
 	at := time.Duration(failure.at.Load())
 	return at != 0 && now-at < span
 }
 
-// spread asks the spreader to which group a request is best sent, or answers itself if
-// this node is the spreader. It returns false if there is no answer. The load is what
+// adviseSpread asks the spreader to which group a request is best sent, or answers itself
+// if this node is the spreader. It returns false if there is no answer. The load is what
 // this node has running on the model's groups. The groups of a model are split into
 // parts; spread picks one at random.
-func (peers *peers) spread(ctx context.Context, query dispatch.Query, load dispatch.Load) (dispatch.Advice, bool) {
+func (peers *peers) adviseSpread(ctx context.Context, query dispatch.Query, load dispatch.Load) (dispatch.Advice, bool) {
 	query.Parts = peers.node.table.Parts(query.Service, query.Model)
 	if query.Parts > 1 {
 		query.Part = peers.randomPart(query.Parts)
@@ -62,11 +62,11 @@
 	for head, running := range load.Groups {
 		call.Groups = append(call.Groups, &wire.GroupLoad{Instance: string(head), Running: uint32(running)})
 	}
-	reply, err := peer.asked.Do(callCtx, &wire.Call{Kind: &wire.Call_Spread{Spread: call}})
+	reply, err := peer.priorityWire.Do(callCtx, &wire.Call{Kind: &wire.Call_Spread{Spread: call}})
 	answer := reply.GetSpread()
 	if err != nil || answer == nil {
 		if ctx.Err() == nil {
-			peer.mute.note(peers.node.Timers.Now())
+			peer.spreadFailure.record(peers.node.Timers.Now())
 		}
 		return dispatch.Advice{}, false
 	}
@@ -88,14 +88,15 @@
 // spreader returns the spreader of a part of a model's groups, or whether it is this
 // node. A spreader assigns the requests of all nodes to the groups of a part. Each part
 // has its own as far as there are enough nodes. If it has not answered recently, the
-// first nodes (see helpers) replace it; if neither has, spreader returns nil and false.
+// first nodes (see reservedNodes) replace it; if neither has, spreader returns nil and
+// false.
 func (peers *peers) spreader(part int, now time.Duration) (asked *peer, own bool) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
-	nodes, _, _ := peers.withOwn()
-	candidates := []int{helpers - 1, helpers - 2}
-	if rest := len(nodes) - helpers; rest > 0 {
-		candidates = append([]int{helpers + part%rest}, candidates...)
+	nodes, _, _ := peers.aliveWithSelf()
+	candidates := []int{reservedNodes - 1, reservedNodes - 2}
+	if rest := len(nodes) - reservedNodes; rest > 0 {
+		candidates = append([]int{reservedNodes + part%rest}, candidates...)
 	}
 	for _, place := range candidates {
 		if place >= len(nodes) {
@@ -104,15 +105,15 @@
 		if nodes[place].ID == peers.node.Settings.Node {
 			return nil, true
 		}
-		if peer := peers.known[nodes[place].ID]; !peer.mute.within(spreaderBackoff, now) {
+		if peer := peers.known[nodes[place].ID]; !peer.spreadFailure.isRecent(spreaderBackoff, now) {
 			return peer, false
 		}
 	}
 	return nil, false
 }
 
-// takeSpread answers another node's question to which group a request is best sent.
-func (peers *peers) takeSpread(call *wire.SpreadCall) *wire.Reply {
+// handleSpread answers another node's question to which group a request is best sent.
+func (peers *peers) handleSpread(call *wire.SpreadCall) *wire.Reply {
 	query := dispatch.Query{
 		Service: shedkeel.ServiceID(call.GetService()), Model: shedkeel.ModelID(call.GetModel()), Prompt: int(call.GetPrompt()), Answer: int(call.GetAnswer()), Now: peers.node.Timers.Now(),
 		Part: int(call.GetPart()), Parts: int(call.GetParts()),
--- a/node/spread_test.go
+++ b/node/spread_test.go
@@ -33,7 +33,7 @@
 		t.Run(name, func(t *testing.T) {
 			node, timers := newListedNode(t, test.own, test.nodes)
 			for _, id := range test.failed {
-				node.peers.known[id].mute.note(timers.Now())
+				node.peers.known[id].spreadFailure.record(timers.Now())
 			}
 			peer, own := node.peers.spreader(test.part, timers.Now())
 			asked := shedkeel.NodeID("")
@@ -59,13 +59,13 @@
 	defer node.peers.close()
 	query := dispatch.Query{Service: "s", Model: "m", Now: timers.Now()}
 	began := time.Now()
-	_, known := node.peers.spread(t.Context(), query, dispatch.Load{})
+	_, known := node.peers.adviseSpread(t.Context(), query, dispatch.Load{})
 	assert.Assert(t, !known)
 	assert.Assert(t, time.Since(began) < 50*spreadTimeout, "the request waited too long")
 
 	// The node spreads requests itself now, until spreaderBackoff is over.
 	node.table.Replace([]dispatch.Server{{Service: "s", Model: "m", Instance: "i"}})
-	advice, known := node.peers.spread(t.Context(), query, dispatch.Load{Running: dispatch.Running{OnTime: 2}})
+	advice, known := node.peers.adviseSpread(t.Context(), query, dispatch.Load{Running: dispatch.Running{OnTime: 2}})
 	assert.Assert(t, known)
 	assert.DeepEqual(t, advice, dispatch.Advice{Head: "i", Running: dispatch.Running{OnTime: 2}})
 	_, own := node.peers.spreader(0, timers.Now()+spreaderBackoff)
@@ -83,7 +83,7 @@
 	node.Settings.Node = "a"
 	node.peers.update([]nodeRecord{{ID: "a"}, {ID: "b"}, {ID: "c", Control: listener.Addr().String()}})
 	load := dispatch.Load{Running: dispatch.Running{OnTime: 3, Late: 1}, Groups: map[shedkeel.InstanceID]int{"busy": 4}}
-	advice, known := node.peers.spread(t.Context(), dispatch.Query{Service: "s", Model: "m", Now: timers.Now()}, load)
+	advice, known := node.peers.adviseSpread(t.Context(), dispatch.Query{Service: "s", Model: "m", Now: timers.Now()}, load)
 	assert.Assert(t, known)
 	assert.DeepEqual(t, advice, dispatch.Advice{Head: "idle", Running: dispatch.Running{OnTime: 3, Late: 1}})
 	node.peers.close()
--- a/node/testnode_test.go
+++ b/node/testnode_test.go
@@ -36,7 +36,7 @@
 	log, err := event.NewLog(io.Discard, "info")
 	assert.NilError(t, err)
 	timers := &timer.Manual{}
-	node := &Node{Log: log, Timers: timers, Random: rand.NewPCG(1, 2), Decoder: keyDecoder{}, Engines: &answering{}}
+	node := &Node{Log: log, Timers: timers, Random: rand.NewPCG(1, 2), Decoder: keyDecoder{}, Engines: &fakeEngines{}}
 	node.Settings.Node = "node-1"
 	node.Incarnation = "first"
 	node.Prepare()
--- a/node/waits.go
+++ b/node/waits.go
@@ -33,9 +33,9 @@
 	return found
 }
 
-// waitsOf returns the waits that concern a group: those of the group, of its domain and
-// of its members.
-func (controller *controller) waitsOf(group shedkeel.GroupID, members []MemberDump, now time.Duration) []WaitDump {
+// waitsForGroup returns the waits that concern a group: those of the group, of its domain
+// and of its members.
+func (controller *controller) waitsForGroup(group shedkeel.GroupID, members []MemberDump, now time.Duration) []WaitDump {
 	servers := map[shedkeel.InstanceID]bool{}
 	for _, member := range members {
 		servers[member.Server] = true
--- a/node/waits_test.go
+++ b/node/waits_test.go
@@ -33,12 +33,12 @@
 	plan()
 	timers.Advance(3 * time.Second)
 	plan()
-	waits := controller.waitsOf("m/d/1", nil, timers.Now())
+	waits := controller.waitsForGroup("m/d/1", nil, timers.Now())
 	assert.Equal(t, len(waits), 1, "%+v", waits)
 	assert.Equal(t, waits[0].Reason, formation.WaitHead)
 	assert.Equal(t, waits[0].For, "3s")
 	assert.Equal(t, waits[0].Bound, "20s")
-	assert.Equal(t, len(controller.waitsOf("m/elsewhere/1", nil, timers.Now())), 0)
+	assert.Equal(t, len(controller.waitsForGroup("m/elsewhere/1", nil, timers.Now())), 0)
 	assert.Equal(t, lines.Len(), 0, lines.String())
 
 	timers.Advance(18 * time.Second) // no plan is made, so the wait stays as it was
--- a/operator/print_node.go
+++ b/operator/print_node.go
@@ -24,10 +24,10 @@
 	if status.Isolated {
 		_, _ = fmt.Fprintf(writer, "node %s hears no other node and no answer of the store: it judges nobody\n", status.Node)
 	}
-	for _, unnamed := range status.Unnamed {
+	for _, unnamed := range status.ExcludedNodes {
 		_, _ = fmt.Fprintf(writer, "callers are not sent to %s: %s\n", unnamed.Node, unnamed.Reason)
 	}
-	for _, judged := range status.Judged {
+	for _, judged := range status.BlamedRequests {
 		_, _ = fmt.Fprintf(writer, "request %s is %s: servers ended under it: %s\n", judged.Request, judged.Judgment, joinNames(judged.Servers))
 	}
 	for _, evacuation := range status.Evacuated {
--- a/program/node.go
+++ b/program/node.go
@@ -95,12 +95,12 @@
 	process.Prepare()
 	reload := &reloader{hangups: hangups, path: command.String("settings"), process: process, log: log}
 	go reload.run(ctx)
-	faces := node.Faces{
+	handlers := node.Handlers{
 		Directory: &platform.Directory{Addresses: process.Addresses, Keep: min(node.DirectoryKeep, time.Duration(settings.Bounds.Directory))},
 		Readiness: &platform.Readiness{Ready: process.Ready},
 	}
 	daemon := &daemon{log: log}
-	return daemon.finish(process.Run(ctx, listeners, faces))
+	return daemon.finish(process.Run(ctx, listeners, handlers))
 }
 
 // notifyHangups handles SIGHUP from before the settings are read until the process
