--- a/dispatch/backoff_simulation_test.go
+++ b/dispatch/backoff_simulation_test.go
@@ -13,7 +13,7 @@
 	"shedkeel.org/shedkeel"
 )
 
-// sizes makes TestWaysOfBackingOff simulate all sizes and seeds.
+// sizes makes TestBackoffStrategies simulate all sizes and seeds.
 var sizes = flag.Bool("sizes", false, "compare backoff strategies at all sizes")
 
 // strategy is how nodes act on a backoff that a server asks for.
@@ -134,7 +134,7 @@
 
 // send sends a request that the excluded servers have rejected.
 func (simulation *simulation) send(node int, excluded []shedkeel.InstanceID) {
-	choice := simulation.nodes[node].Choose(Query{Service: "s", Avoid: excluded, Now: simulation.now})
+	choice := simulation.nodes[node].Choose(Query{Service: "s", Exclude: excluded, Now: simulation.now})
 	if choice == nil || len(excluded) == simMaxAttempts {
 		return
 	}
@@ -173,7 +173,7 @@
 	server.running++
 	simulation.after(simRequestTime, func() {
 		server.running--
-		choice.Sign(simulation.now)
+		choice.RecordResponse(simulation.now)
 		choice.End(false, simulation.now)
 		simulation.served++
 		if len(excluded) > 0 {
@@ -206,11 +206,11 @@
 	}
 }
 
-// TestWaysOfBackingOff compares strategies for backoffs: some or all of the servers reject
+// TestBackoffStrategies compares strategies for backoffs: some or all of the servers reject
 // requests for 2 to 9 s and ask for a backoff of 3 s, and a server whose slots are taken
 // asks for 500 ms. The strategy in use must violate no backoff, and serve as many requests
 // as any other that violates none, within 2 percentage points.
-func TestWaysOfBackingOff(t *testing.T) {
+func TestBackoffStrategies(t *testing.T) {
 	nodes, seeds := []int{9}, 3
 	if *sizes {
 		nodes, seeds = []int{9, 66}, 10
--- a/dispatch/condition.go
+++ b/dispatch/condition.go
@@ -52,7 +52,7 @@
 // responseReceived records an event or answer of the server. A response to a request that
 // was sent before the backoff ended does not count as an answered probe.
 func (condition *condition) responseReceived(choice *Choice) {
-	if condition != nil && choice.Began >= condition.backoffUntil {
+	if condition != nil && choice.ChosenAt >= condition.backoffUntil {
 		condition.needsProbe, condition.probe = false, nil
 	}
 }
@@ -138,8 +138,9 @@
 	return result
 }
 
-// Retain drops the conditions of servers that have been unlisted for conditionRetention.
-func (table *Table) Retain(listed func(shedkeel.InstanceID) bool, now time.Duration) {
+// RetainConditions drops the conditions of servers that have been unlisted for
+// conditionRetention.
+func (table *Table) RetainConditions(listed func(shedkeel.InstanceID) bool, now time.Duration) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	for server, condition := range table.conditions {
--- a/dispatch/condition_test.go
+++ b/dispatch/condition_test.go
@@ -77,8 +77,8 @@
 func (table *Table) relist(servers []shedkeel.InstanceID, missing time.Duration) {
 	unlisted := func(shedkeel.InstanceID) bool { return false }
 	table.Replace(nil)
-	table.Retain(unlisted, 1)
-	table.Retain(unlisted, 1+missing)
+	table.RetainConditions(unlisted, 1)
+	table.RetainConditions(unlisted, 1+missing)
 	var relisted []Server
 	for _, server := range servers {
 		relisted = append(relisted, Server{Service: "s", Instance: server, Slots: 4})
@@ -86,8 +86,8 @@
 	table.Replace(relisted)
 }
 
-// TestConditionsHoldForEveryChoice checks that NextPermit, Take and Spread leave out
-// servers that back off or drain, as Choose does.
+// TestConditionsHoldForEveryChoice checks that NextPermit, ChooseServer and Recommend leave
+// out servers that back off or drain, as Choose does.
 func TestConditionsHoldForEveryChoice(t *testing.T) {
 	for name, apply := range map[string]func(*Table){
 		"backs off": func(table *Table) { table.BackOff("a", time.Second, 0) },
@@ -99,13 +99,13 @@
 			query := Query{Service: "s"}
 			next, found := table.NextPermit(query)
 			assert.Assert(t, found && next == "a")
-			assert.Equal(t, table.Spread(query, Reporter{}).Head, shedkeel.InstanceID("a"))
+			assert.Equal(t, table.Recommend(query, Reporter{}).Head, shedkeel.InstanceID("a"))
 			apply(table)
 			_, found = table.NextPermit(query)
 			assert.Assert(t, !found)
-			assert.Assert(t, table.Take(query, "a") == nil)
+			assert.Assert(t, table.ChooseServer(query, "a") == nil)
 			assert.Assert(t, table.Choose(query) == nil)
-			assert.Equal(t, table.Spread(query, Reporter{}).Head, shedkeel.InstanceID(""))
+			assert.Equal(t, table.Recommend(query, Reporter{}).Head, shedkeel.InstanceID(""))
 		})
 	}
 }
@@ -119,7 +119,7 @@
 		more    bool
 	}{
 		"under way": {func(*Choice) {}, false},
-		"answered":  {func(choice *Choice) { choice.Sign(end) }, true},
+		"answered":  {func(choice *Choice) { choice.RecordResponse(end) }, true},
 		"failed":    {func(choice *Choice) { choice.End(true, end) }, true},
 		"canceled":  {func(choice *Choice) { choice.Cancel() }, true},
 	}
--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -24,7 +24,8 @@
 	demand.amount = demand.amount.Scaled(math.Exp(-elapsed.Seconds() / demandTimeConstant.Seconds()))
 }
 
-// recordDemand counts a request that Spread was asked for. The caller must hold table.mutex.
+// recordDemand counts a request that Recommend was asked for. The caller must hold
+// table.mutex.
 func (table *Table) recordDemand(query Query) {
 	key := poolKey{query.Service, query.Model}
 	if table.demand == nil {
@@ -36,7 +37,7 @@
 		table.demand[key] = entry
 	}
 	entry.decay(query.Now)
-	entry.amount = entry.amount.Plus(shedkeel.ModelDemand{Requests: 1, PromptTokens: float64(query.Prompt), AnswerTokens: float64(query.Answer)})
+	entry.amount = entry.amount.Plus(shedkeel.ModelDemand{Requests: 1, PromptTokens: float64(query.PromptTokens), AnswerTokens: float64(query.MaxAnswerTokens)})
 }
 
 // Demand returns the recent demand for each model of a service, by the requests that this
@@ -54,9 +55,9 @@
 	return demands
 }
 
-// MostParts returns the largest number of partitions that the groups of any model of a
+// MaxPartitions returns the largest number of partitions that the groups of any model of a
 // service are split into, and at least 1.
-func (table *Table) MostParts(service shedkeel.ServiceID) int {
+func (table *Table) MaxPartitions(service shedkeel.ServiceID) int {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	highest := 1
--- a/dispatch/limit.go
+++ b/dispatch/limit.go
@@ -7,7 +7,7 @@
 	"shedkeel.org/shedkeel"
 )
 
-// permitIntervalShare is the share of the time between two permits after which Spread
+// permitIntervalShare is the share of the time between two permits after which Recommend
 // recommends the server again. It is below 1, since a permit that nobody asks for is lost.
 const permitIntervalShare = 0.8
 
@@ -16,7 +16,7 @@
 type limit struct {
 	rate           float64       // requests per second of all processes
 	heldUntil      time.Duration // no permit is available before
-	nextAssignment time.Duration // when Spread may recommend the server again
+	nextAssignment time.Duration // when Recommend may recommend the server again
 }
 
 // SetLimit sets a server's rate limit in requests per second, or removes it if limited is
@@ -43,9 +43,9 @@
 	}
 }
 
-// Hold keeps requests from a rate-limited server until the given time, as no permit is
+// HoldUntil keeps requests from a rate-limited server until the given time, as no permit is
 // available before.
-func (table *Table) Hold(server shedkeel.InstanceID, until time.Duration) {
+func (table *Table) HoldUntil(server shedkeel.InstanceID, until time.Duration) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	if limit := table.limits[server]; limit != nil {
@@ -73,9 +73,9 @@
 	return earliest.Instance, true
 }
 
-// Take chooses the given server for the request. It returns nil if the server is not usable.
-// It does not check the rate limit.
-func (table *Table) Take(query Query, server shedkeel.InstanceID) *Choice {
+// ChooseServer chooses the given server for the request. It returns nil if the server is
+// not usable. It does not check the rate limit.
+func (table *Table) ChooseServer(query Query, server shedkeel.InstanceID) *Choice {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	for _, candidate := range table.pools[poolKey{query.Service, query.Model}] {
@@ -87,21 +87,21 @@
 }
 
 // rateLimited reports whether the server's rate limit keeps the request from it now.
-func (state *serverState) rateLimited(query Query) bool {
-	return state.limit != nil && (query.Free || state.limit.heldUntil > query.Now)
+func (serverState *serverState) rateLimited(query Query) bool {
+	return serverState.limit != nil && (query.UnlimitedOnly || serverState.limit.heldUntil > query.Now)
 }
 
 // concurrency is how many requests the server runs at once: its slots, or fewer if its rate
 // limit admits fewer within the mean duration of a stream.
-func (state *serverState) concurrency() int {
-	if state.limit == nil {
-		return state.Slots
+func (serverState *serverState) concurrency() int {
+	if serverState.limit == nil {
+		return serverState.Slots
 	}
-	byRate := int(math.Ceil(state.limit.rate * meanStreamDuration.Seconds()))
-	return min(state.Slots, byRate)
+	byRate := int(math.Ceil(serverState.limit.rate * meanStreamDuration.Seconds()))
+	return min(serverState.Slots, byRate)
 }
 
-// recordAssignment records that Spread recommended the server for a request.
+// recordAssignment records that Recommend recommended the server for a request.
 func (limit *limit) recordAssignment(now time.Duration) {
 	if limit == nil {
 		return
@@ -113,7 +113,8 @@
 	limit.nextAssignment = max(limit.nextAssignment, now) + interval
 }
 
-// saturated reports whether Spread has recommended the server as often as its rate admits.
+// saturated reports whether Recommend has recommended the server as often as its rate
+// admits.
 func (limit *limit) saturated(now time.Duration) bool {
 	return limit != nil && limit.nextAssignment > now
 }
--- a/dispatch/limit_test.go
+++ b/dispatch/limit_test.go
@@ -27,7 +27,7 @@
 // has no permit available, and once its limit is removed.
 func TestLimitedServerIsHeld(t *testing.T) {
 	query := Query{Service: "s", Model: "m", Now: time.Second}
-	tried := Query{Service: "s", Model: "m", Now: time.Second, Avoid: []shedkeel.InstanceID{"b"}}
+	tried := Query{Service: "s", Model: "m", Now: time.Second, Exclude: []shedkeel.InstanceID{"b"}}
 	cases := map[string]struct {
 		prepare func(*Table)
 		query   Query
@@ -35,11 +35,11 @@
 		limited bool
 	}{
 		"has permits":            {func(*Table) {}, tried, "a", true},
-		"held":                   {func(table *Table) { table.Hold("a", 2*time.Second) }, tried, "", false},
-		"held, other unlimited":  {func(table *Table) { table.Hold("a", 2*time.Second) }, query, "b", false},
-		"held until now":         {func(table *Table) { table.Hold("a", time.Second) }, tried, "a", true},
-		"only unlimited servers": {func(*Table) {}, Query{Service: "s", Model: "m", Free: true, Avoid: []shedkeel.InstanceID{"b"}}, "", false},
-		"limit removed":          {func(table *Table) { table.Hold("a", 2*time.Second); table.SetLimit("a", 0, false) }, tried, "a", false},
+		"held":                   {func(table *Table) { table.HoldUntil("a", 2*time.Second) }, tried, "", false},
+		"held, other unlimited":  {func(table *Table) { table.HoldUntil("a", 2*time.Second) }, query, "b", false},
+		"held until now":         {func(table *Table) { table.HoldUntil("a", time.Second) }, tried, "a", true},
+		"only unlimited servers": {func(*Table) {}, Query{Service: "s", Model: "m", UnlimitedOnly: true, Exclude: []shedkeel.InstanceID{"b"}}, "", false},
+		"limit removed":          {func(table *Table) { table.HoldUntil("a", 2*time.Second); table.SetLimit("a", 0, false) }, tried, "a", false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -69,14 +69,14 @@
 	assert.Equal(t, table.Load("s", "m", time.Second).Slots, 2, "the limit is two requests per second")
 }
 
-// TestSpreadHeedsLimits checks that Spread recommends a rate-limited server about as
+// TestSpreadHeedsLimits checks that Recommend recommends a rate-limited server about as
 // often as its rate admits, although the server appears idle.
 func TestSpreadHeedsLimits(t *testing.T) {
 	table := limitTable()
 	recommended := map[shedkeel.InstanceID]int{}
 	for now := time.Second; now < 11*time.Second; now += 50 * time.Millisecond {
-		advice := table.Spread(Query{Service: "s", Model: "m", Now: now}, Reporter{Process: "p"})
-		recommended[advice.Head]++
+		recommendation := table.Recommend(Query{Service: "s", Model: "m", Now: now}, Reporter{Process: "p"})
+		recommended[recommendation.Head]++
 	}
 	assert.Assert(t, recommended["a"] >= 15 && recommended["a"] <= 26, "%v", recommended)
 	assert.Equal(t, recommended["a"]+recommended["b"], 200)
@@ -87,12 +87,12 @@
 	table := limitTable()
 	query := Query{Service: "s", Model: "m", Now: time.Second}
 	table.SetLimit("b", 1, true)
-	table.Hold("a", 3*time.Second)
-	table.Hold("b", 2*time.Second)
+	table.HoldUntil("a", 3*time.Second)
+	table.HoldUntil("b", 2*time.Second)
 	server, found := table.NextPermit(query)
 	assert.Assert(t, found)
 	assert.Equal(t, server, shedkeel.InstanceID("b"))
-	query.Avoid = []shedkeel.InstanceID{"a", "b"}
+	query.Exclude = []shedkeel.InstanceID{"a", "b"}
 	_, found = table.NextPermit(query)
 	assert.Assert(t, !found)
 }
--- a/dispatch/spread.go
+++ b/dispatch/spread.go
@@ -36,7 +36,7 @@
 )
 
 // workload estimates the work that a group has of all processes, as of a point in time:
-// what Spread assigned to it, corrected by the reports of the processes.
+// what Recommend assigned to it, corrected by the reports of the processes.
 type workload struct {
 	at      time.Duration
 	prefill time.Duration // pending prefill work
@@ -56,8 +56,8 @@
 	workload.running *= remainingShare(elapsed)
 }
 
-// Running counts the requests that run on a model.
-type Running struct {
+// RunningRequests counts the requests that run on a model.
+type RunningRequests struct {
 	OnTime int // requests that may be on time
 	Late   int // requests that are queued behind them
 }
@@ -67,51 +67,51 @@
 type Reporter struct {
 	Process string
 	Zone    shedkeel.ZoneID
-	Running Running // what the process has running on the model, without this request
+	Running RunningRequests // what the process has running on the model, without this request
 	// Groups counts the process's running requests by the head of their group.
 	Groups map[shedkeel.InstanceID]int
 }
 
-// Advice is the answer of Spread for one request.
-type Advice struct {
+// Recommendation is the answer of Recommend for one request.
+type Recommendation struct {
 	Head    shedkeel.InstanceID // head of the recommended group; empty: no group is usable
-	Running Running             // of all processes, on all groups of the model
+	Running RunningRequests     // of all processes, on all groups of the model
 }
 
 // report is the last report of a process on its running requests.
 type report struct {
-	running Running
+	running RunningRequests
 	groups  map[shedkeel.InstanceID]float64 // running requests by head, with those assigned since the report
 	at      time.Duration
 }
 
-// Spread returns the group of a model that is expected to be the first to send an event,
+// Recommend returns the group of a model that is expected to be the first to send an event,
 // given the requests that it assigned before, and assigns this request to it. It also
 // takes in the reporter's running requests.
 //
 // One process spreads the requests of all processes, or of a partition of the groups:
 // each process alone knows few of the requests that run on a group, and prompts that a
 // group prefills at the same time delay each other.
-func (table *Table) Spread(query Query, reporter Reporter) Advice {
+func (table *Table) Recommend(query Query, reporter Reporter) Recommendation {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	key := poolKey{query.Service, query.Model}
 	table.recordDemand(query)
 	current := table.recordReport(key, reporter, query.Now)
-	advice := Advice{Running: table.totalRunning(key, query.Now)}
+	recommendation := Recommendation{Running: table.totalRunning(key, query.Now)}
 	if best := table.fastestGroup(query, reporter.Zone); best != nil {
-		best.assigned.prefill += best.prefillTime(query.Prompt)
+		best.assigned.prefill += best.prefillTime(query.PromptTokens)
 		best.assigned.running++
 		best.limit.recordAssignment(query.Now)
 		current.groups[best.Instance]++
-		advice.Head = best.Instance
+		recommendation.Head = best.Instance
 	}
-	return advice
+	return recommendation
 }
 
-// Parts returns the number of partitions that the groups of a model are split into. A
+// Partitions returns the number of partitions that the groups of a model are split into. A
 // different process may spread requests over each.
-func (table *Table) Parts(service shedkeel.ServiceID, model shedkeel.ModelID) int {
+func (table *Table) Partitions(service shedkeel.ServiceID, model shedkeel.ModelID) int {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	return partitionCount(len(table.pools[poolKey{service, model}]))
@@ -157,8 +157,8 @@
 
 // totalRunning returns what all processes have running on a model, and drops reports older
 // than reportExpiry. The caller must hold table.mutex.
-func (table *Table) totalRunning(key poolKey, now time.Duration) Running {
-	var total Running
+func (table *Table) totalRunning(key poolKey, now time.Duration) RunningRequests {
+	var total RunningRequests
 	for process, report := range table.reports[key] {
 		if now-report.at > reportExpiry {
 			delete(table.reports[key], process)
@@ -178,7 +178,7 @@
 	var best *serverState
 	shortest := 0.0
 	for _, candidate := range members {
-		if !candidate.usable(query) || candidate.limit.saturated(query.Now) || candidate.hash%uint32(max(query.Parts, 1)) != uint32(query.Part) {
+		if !candidate.usable(query) || candidate.limit.saturated(query.Now) || candidate.hash%uint32(max(query.Partitions, 1)) != uint32(query.Partition) {
 			continue
 		}
 		wait := candidate.expectedWait(zone, medianRatio, query.Now)
@@ -208,22 +208,22 @@
 // expectedWait estimates the time to the first event in seconds, including the attempts
 // that a failing group takes. medianRatio is the current median latency ratio of the
 // model's groups.
-func (state *serverState) expectedWait(zone shedkeel.ZoneID, medianRatio float64, now time.Duration) float64 {
-	state.assigned.decay(now)
-	delayPerRequest := state.Each
+func (serverState *serverState) expectedWait(zone shedkeel.ZoneID, medianRatio float64, now time.Duration) float64 {
+	serverState.assigned.decay(now)
+	delayPerRequest := serverState.DelayPerRequest
 	if delayPerRequest <= 0 {
 		delayPerRequest = defaultDelayPerRequest
 	}
-	wait := idleFirstEventTime + state.assigned.prefill + time.Duration(state.assigned.running*float64(delayPerRequest))
-	if queued := state.assigned.running + 1 - float64(state.Slots); state.Slots > 0 && queued > 0 {
-		wait += time.Duration(queued / float64(state.Slots) * float64(meanStreamDuration))
+	wait := idleFirstEventTime + serverState.assigned.prefill + time.Duration(serverState.assigned.running*float64(delayPerRequest))
+	if queued := serverState.assigned.running + 1 - float64(serverState.Slots); serverState.Slots > 0 && queued > 0 {
+		wait += time.Duration(queued / float64(serverState.Slots) * float64(meanStreamDuration))
 	}
-	if state.Zone != zone {
+	if serverState.Zone != zone {
 		wait += remoteZoneDelay
 	}
-	cost := wait.Seconds() * expectedAttempts(state.failureRate)
-	if state.latencyRatio >= slowThreshold*medianRatio {
-		cost *= state.latencyRatio / medianRatio
+	cost := wait.Seconds() * expectedAttempts(serverState.failureRate)
+	if serverState.latencyRatio >= slowThreshold*medianRatio {
+		cost *= serverState.latencyRatio / medianRatio
 	}
 	return cost
 }
--- a/dispatch/spread_test.go
+++ b/dispatch/spread_test.go
@@ -28,7 +28,7 @@
 	random := rand.New(rand.NewPCG(seed, 1))
 	var servers []Server
 	for number := range spreadSimulation.groups {
-		servers = append(servers, Server{Service: "s", Model: "m", Instance: shedkeel.InstanceID(fmt.Sprint(number)), Zone: "z", Slots: 30, Rate: 23_000})
+		servers = append(servers, Server{Service: "s", Model: "m", Instance: shedkeel.InstanceID(fmt.Sprint(number)), Zone: "z", Slots: 30, PrefillRate: 23_000})
 	}
 	tables := make([]*Table, spreadSimulation.processes)
 	for number := range tables {
@@ -46,7 +46,7 @@
 	for now := time.Minute; now < 2*time.Minute; now += time.Duration(random.ExpFloat64() / spreadSimulation.rate * float64(time.Second)) {
 		for began, choice := range choices {
 			if now-began > choice.expectedResponseTime() {
-				choice.Sign(now)
+				choice.RecordResponse(now)
 			}
 			if now-began > time.Second {
 				choice.End(false, now)
@@ -54,10 +54,10 @@
 				running[owner[began]][choice.Instance]--
 			}
 		}
-		query := Query{Service: "s", Model: "m", Prompt: 1400, Now: now}
+		query := Query{Service: "s", Model: "m", PromptTokens: 1400, Now: now}
 		process := random.IntN(len(tables))
 		if spreadSimulation.spread {
-			query.Wish = tables[0].Spread(query, Reporter{Process: fmt.Sprint(process), Zone: "z", Groups: running[process]}).Head
+			query.Preferred = tables[0].Recommend(query, Reporter{Process: fmt.Sprint(process), Zone: "z", Groups: running[process]}).Head
 		}
 		choice := tables[process].Choose(query)
 		choices[now] = choice
@@ -89,14 +89,14 @@
 	}
 }
 
-// TestSpreadByWhatRuns checks that Spread follows the reports of three processes, although
-// it has assigned none of their running requests: a group without a free slot gets no
-// request while others have room, and requests that have ended stop counting.
-func TestSpreadByWhatRuns(t *testing.T) {
+// TestSpreadByReportedLoad checks that Recommend follows the reports of three processes,
+// although it has assigned none of their running requests: a group without a free slot gets
+// no request while others have room, and requests that have ended stop counting.
+func TestSpreadByReportedLoad(t *testing.T) {
 	table := &Table{Zone: "z", Random: rand.NewPCG(1, 1)}
 	var servers []Server
 	for _, name := range []shedkeel.InstanceID{"full", "half", "empty"} {
-		servers = append(servers, Server{Service: "s", Model: "m", Instance: name, Zone: "z", Slots: 26, Rate: 46_000})
+		servers = append(servers, Server{Service: "s", Model: "m", Instance: name, Zone: "z", Slots: 26, PrefillRate: 46_000})
 	}
 	table.Replace(servers)
 	running := []map[shedkeel.InstanceID]int{{"full": 9, "half": 4}, {"full": 9, "half": 5}, {"full": 8, "half": 4}}
@@ -104,7 +104,7 @@
 	ask := func(process int) shedkeel.InstanceID {
 		now += 50 * time.Millisecond
 		reporter := Reporter{Process: fmt.Sprint(process), Zone: "z", Groups: running[process]}
-		return table.Spread(Query{Service: "s", Model: "m", Prompt: 100, Now: now}, reporter).Head
+		return table.Recommend(Query{Service: "s", Model: "m", PromptTokens: 100, Now: now}, reporter).Head
 	}
 	for process := range running {
 		ask(process) // each process reports its running requests
@@ -137,7 +137,7 @@
 		minCount int
 	}{
 		"equal":              {func(*Table, *Server) {}, "z", 5, 5},
-		"avoided":            {func(table *Table, server *Server) { table.Avoid(server.Group, now, time.Second) }, "z", 0, 0},
+		"avoided":            {func(table *Table, server *Server) { table.AvoidGroup(server.Group, now, time.Second) }, "z", 0, 0},
 		"four times as slow": {func(table *Table, server *Server) { table.servers[server.key()].latencyRatio = 4 }, "z", 4, 1},
 		"both were slow in a traffic burst": {func(table *Table, server *Server) {
 			for _, state := range table.servers {
@@ -158,8 +158,8 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			table := &Table{Zone: "z", Random: rand.NewPCG(1, 1)}
-			first := Server{Service: "s", Model: "m", Instance: "first", Zone: "z", Group: shedkeel.Assignment{Group: "m/d/1", Epoch: 1}, Slots: 26, Rate: 23_000}
-			second := Server{Service: "s", Model: "m", Instance: "second", Zone: "far", Group: shedkeel.Assignment{Group: "m/d/2", Epoch: 1}, Slots: 26, Rate: 23_000}
+			first := Server{Service: "s", Model: "m", Instance: "first", Zone: "z", Group: shedkeel.Assignment{Group: "m/d/1", Epoch: 1}, Slots: 26, PrefillRate: 23_000}
+			second := Server{Service: "s", Model: "m", Instance: "second", Zone: "far", Group: shedkeel.Assignment{Group: "m/d/2", Epoch: 1}, Slots: 26, PrefillRate: 23_000}
 			table.Replace([]Server{first, second})
 			for _, state := range table.servers {
 				state.scoresUpdated = now
@@ -167,33 +167,33 @@
 			test.alter(table, &second)
 			got := map[shedkeel.InstanceID]int{}
 			for range 10 {
-				got[table.Spread(Query{Service: "s", Model: "m", Prompt: 1400, Now: now}, Reporter{Zone: test.zone}).Head]++
+				got[table.Recommend(Query{Service: "s", Model: "m", PromptTokens: 1400, Now: now}, Reporter{Zone: test.zone}).Head]++
 			}
 			assert.Assert(t, got["second"] <= test.maxCount && got["second"] >= test.minCount, "%v", got)
 		})
 	}
 	empty := &Table{}
-	assert.Equal(t, empty.Spread(Query{Service: "s", Model: "m", Now: now}, Reporter{Zone: "z"}).Head, shedkeel.InstanceID(""))
+	assert.Equal(t, empty.Recommend(Query{Service: "s", Model: "m", Now: now}, Reporter{Zone: "z"}).Head, shedkeel.InstanceID(""))
 }
 
-// TestRunningOfAll checks the sum of the running requests that three processes report. The
-// report of a process that sends no more expires.
-func TestRunningOfAll(t *testing.T) {
+// TestRunningOfAllProcesses checks the sum of the running requests that three processes
+// report. The report of a process that sends no more expires.
+func TestRunningOfAllProcesses(t *testing.T) {
 	table := &Table{}
-	ask := func(process string, onTime, late int, model shedkeel.ModelID, now time.Duration) Running {
+	ask := func(process string, onTime, late int, model shedkeel.ModelID, now time.Duration) RunningRequests {
 		query := Query{Service: "s", Model: model, Now: now}
-		return table.Spread(query, Reporter{Process: process, Running: Running{OnTime: onTime, Late: late}}).Running
+		return table.Recommend(query, Reporter{Process: process, Running: RunningRequests{OnTime: onTime, Late: late}}).Running
 	}
-	assert.DeepEqual(t, ask("a", 2, 0, "m", time.Second), Running{OnTime: 2})
-	assert.DeepEqual(t, ask("b", 3, 1, "m", time.Second), Running{OnTime: 5, Late: 1})
-	assert.DeepEqual(t, ask("c", 1, 0, "other", time.Second), Running{OnTime: 1})
-	assert.DeepEqual(t, ask("a", 0, 2, "m", 2*time.Second), Running{OnTime: 3, Late: 3})
+	assert.DeepEqual(t, ask("a", 2, 0, "m", time.Second), RunningRequests{OnTime: 2})
+	assert.DeepEqual(t, ask("b", 3, 1, "m", time.Second), RunningRequests{OnTime: 5, Late: 1})
+	assert.DeepEqual(t, ask("c", 1, 0, "other", time.Second), RunningRequests{OnTime: 1})
+	assert.DeepEqual(t, ask("a", 0, 2, "m", 2*time.Second), RunningRequests{OnTime: 3, Late: 3})
 	// The report of b has expired.
-	assert.DeepEqual(t, ask("a", 1, 0, "m", time.Second+reportExpiry+time.Millisecond), Running{OnTime: 1})
+	assert.DeepEqual(t, ask("a", 1, 0, "m", time.Second+reportExpiry+time.Millisecond), RunningRequests{OnTime: 1})
 }
 
-// TestWish checks when a process follows the recommendation of another.
-func TestWish(t *testing.T) {
+// TestPreferredServer checks when a process follows the recommendation of another.
+func TestPreferredServer(t *testing.T) {
 	const now = time.Minute
 	cases := map[string]struct {
 		wish  shedkeel.InstanceID // the recommended group
@@ -217,7 +217,7 @@
 					test.alter(state)
 				}
 			}
-			choice := table.Choose(Query{Service: "s", Model: "m", Wish: test.wish, Now: now})
+			choice := table.Choose(Query{Service: "s", Model: "m", Preferred: test.wish, Now: now})
 			assert.Equal(t, choice.Instance == test.wish, test.taken)
 		})
 	}
@@ -242,11 +242,11 @@
 				servers = append(servers, Server{Service: "s", Model: "m", Instance: shedkeel.InstanceID(name), Group: shedkeel.Assignment{Group: shedkeel.GroupID(name)}})
 			}
 			table.Replace(servers)
-			assert.Equal(t, table.Parts("s", "m"), test.parts)
+			assert.Equal(t, table.Partitions("s", "m"), test.parts)
 			partitions := map[shedkeel.InstanceID]int{}
 			for part := range test.parts {
 				for range 3 * test.groups {
-					head := table.Spread(Query{Service: "s", Model: "m", Prompt: 100, Part: part, Parts: test.parts, Now: time.Minute}, Reporter{}).Head
+					head := table.Recommend(Query{Service: "s", Model: "m", PromptTokens: 100, Partition: part, Partitions: test.parts, Now: time.Minute}, Reporter{}).Head
 					before, found := partitions[head]
 					assert.Assert(t, !found || before == part, "%s is in two partitions", head)
 					partitions[head] = part
@@ -268,6 +268,6 @@
 	now := time.Minute
 	for number := 0; b.Loop(); number++ {
 		now += time.Millisecond
-		table.Spread(Query{Service: "s", Model: "m", Prompt: 1400, Now: now}, Reporter{Process: fmt.Sprint(number % 380)})
+		table.Recommend(Query{Service: "s", Model: "m", PromptTokens: 1400, Now: now}, Reporter{Process: fmt.Sprint(number % 380)})
 	}
 }
--- a/dispatch/stall.go
+++ b/dispatch/stall.go
@@ -45,7 +45,7 @@
 // Stall reports a server that has stopped responding.
 type Stall struct {
 	Server  Server
-	For     time.Duration // time since its last event or answer
+	Elapsed time.Duration // time since its last event or answer
 	Running int           // requests of this process that run there
 }
 
@@ -56,7 +56,7 @@
 
 // prefillTime is the expected time to prefill a prompt of that many tokens.
 func (server *Server) prefillTime(promptTokens int) time.Duration {
-	rate := server.Rate
+	rate := server.PrefillRate
 	if rate <= 0 {
 		rate = defaultPrefillRate
 	}
@@ -73,34 +73,34 @@
 }
 
 // maxEventGap is the longest expected time between two events while the group works.
-func (state *serverState) maxEventGap() time.Duration {
-	if state.Pass <= 0 {
+func (serverState *serverState) maxEventGap() time.Duration {
+	if serverState.MaxEventGap <= 0 {
 		return defaultMaxEventGap
 	}
-	return state.Pass
+	return serverState.MaxEventGap
 }
 
 // expectedMaxGap is the longest time that the server is expected to send no event and no
 // answer, given the requests that this process has running there.
-func (state *serverState) expectedMaxGap() time.Duration {
-	if state.Model == "" {
+func (serverState *serverState) expectedMaxGap() time.Duration {
+	if serverState.Model == "" {
 		return plainStallTimeout
 	}
 	gap := maxFirstEventTime
-	for choice := range state.running {
+	for choice := range serverState.running {
 		if choice.responded {
 			// The engine may prefill prompts of other processes in every step.
-			return state.maxEventGap()
+			return serverState.maxEventGap()
 		}
 		gap += choice.prefillTime()
 	}
 	return gap
 }
 
-// FindSilent marks servers that have sent nothing for longer than expected as avoided and
+// FindStalled marks servers that have sent nothing for longer than expected as avoided and
 // notifies the requests that run there. It returns the stalls that were not reported
 // within stallReportInterval.
-func (table *Table) FindSilent(now time.Duration) []Stall {
+func (table *Table) FindStalled(now time.Duration) []Stall {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	var stalls []Stall
@@ -119,7 +119,7 @@
 		}
 		if report {
 			state.stallReported = now
-			stalls = append(stalls, Stall{Server: state.Server, For: elapsed, Running: len(state.running)})
+			stalls = append(stalls, Stall{Server: state.Server, Elapsed: elapsed, Running: len(state.running)})
 		}
 		state.avoidUntil = max(state.avoidUntil, now+avoidDuration)
 	}
@@ -149,10 +149,10 @@
 	}
 }
 
-// Avoid keeps requests from a group of that epoch for the duration and notifies those that
-// run there, as another node has reported it. A group that sent an event to this process
-// within maxDecodeGap is not avoided.
-func (table *Table) Avoid(group shedkeel.Assignment, now, duration time.Duration) {
+// AvoidGroup keeps requests from a group of that epoch for the duration and notifies those
+// that run there, as another node has reported it. A group that sent an event to this
+// process within maxDecodeGap is not avoided.
+func (table *Table) AvoidGroup(group shedkeel.Assignment, now, duration time.Duration) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	for _, state := range table.servers {
--- a/dispatch/table.go
+++ b/dispatch/table.go
@@ -32,7 +32,7 @@
 	// than expected, but not yet long enough to be avoided.
 	unresponsiveCost = 4
 	// maxPreferredCostRatio is how many times the cost of the cheapest server the
-	// preferred server of a request (Query.Wish) may have. With two requests of this
+	// preferred server of a request (Query.Preferred) may have. With two requests of this
 	// process it costs twice as much as with one; an unresponsive, slow or failing
 	// server costs more.
 	maxPreferredCostRatio = 3.5
@@ -44,16 +44,16 @@
 // Server is a backend server of a plain service, or a replica group that is addressed
 // by its head.
 type Server struct {
-	Service  shedkeel.ServiceID
-	Model    shedkeel.ModelID // empty for a plain service
-	Group    shedkeel.Assignment
-	Instance shedkeel.InstanceID
-	Address  string
-	Zone     shedkeel.ZoneID
-	Slots    int           // requests that the server runs concurrently
-	Rate     float64       // prompt tokens prefilled per second; 0: not stated
-	Pass     time.Duration // longest time between two events of a working server; 0: not stated
-	Each     time.Duration // increase of the time between two events per running request; 0: not stated
+	Service         shedkeel.ServiceID
+	Model           shedkeel.ModelID // empty for a plain service
+	Group           shedkeel.Assignment
+	Instance        shedkeel.InstanceID
+	Address         string
+	Zone            shedkeel.ZoneID
+	Slots           int           // requests that the server runs concurrently
+	PrefillRate     float64       // prompt tokens prefilled per second; 0: not stated
+	MaxEventGap     time.Duration // longest time between two events of a working server; 0: not stated
+	DelayPerRequest time.Duration // increase of the time between two events per running request; 0: not stated
 }
 
 // key identifies the server. A group that is formed again has another epoch, and so
@@ -74,8 +74,8 @@
 	limits  map[shedkeel.InstanceID]*limit // servers that limit their rate
 	// conditions holds the servers that have asked for a backoff or said that they drain.
 	conditions map[shedkeel.InstanceID]*condition
-	reports    map[poolKey]map[string]report // by process, for Spread
-	demand     map[poolKey]*demand           // of the requests that Spread was asked for
+	reports    map[poolKey]map[string]report // by process, for Recommend
+	demand     map[poolKey]*demand           // of the requests that Recommend was asked for
 }
 
 // poolKey identifies the servers that serve one model of a service.
@@ -93,9 +93,9 @@
 	failureRate   float64       // moving average: share of requests that failed
 	scoresUpdated time.Duration // when latencyRatio or failureRate last changed
 	avoidUntil    time.Duration // end of the avoidance after a stall here or a notice of another node
-	stallReported time.Duration // when FindSilent last returned the current stall; 0: not yet
+	stallReported time.Duration // when FindStalled last returned the current stall; 0: not yet
 	listed        bool
-	assigned      workload   // work of all processes, as estimated by Spread
+	assigned      workload   // work of all processes, as estimated by Recommend
 	hash          uint32     // hash of the group's name; selects its partition
 	limit         *limit     // nil: no rate limit
 	condition     *condition // nil: the server has stated no condition
@@ -135,26 +135,26 @@
 
 // Query describes the request that a server is chosen for.
 type Query struct {
-	Service shedkeel.ServiceID
-	Model   shedkeel.ModelID
-	Avoid   []shedkeel.InstanceID // servers that must not be chosen, such as those already tried
-	Prompt  int                   // prompt tokens
-	Answer  int                   // maximum tokens of the answer
-	Wish    shedkeel.InstanceID   // preferred server, as advised by the process that spreads all requests; empty: none
-	Late    bool                  // the request is queued behind others and cannot be on time
-	Free    bool                  // only servers without a rate limit
-	Part    int                   // for Spread: index of the partition of groups to choose from
-	Parts   int                   // number of partitions; 0 means 1
-	Now     time.Duration
+	Service         shedkeel.ServiceID
+	Model           shedkeel.ModelID
+	Exclude         []shedkeel.InstanceID // servers that must not be chosen, such as those already tried
+	PromptTokens    int
+	MaxAnswerTokens int                 // of the answer
+	Preferred       shedkeel.InstanceID // as recommended by the process that spreads all requests; empty: none
+	Late            bool                // the request is queued behind others and cannot be on time
+	UnlimitedOnly   bool                // only servers without a rate limit
+	Partition       int                 // for Recommend: index of the partition of groups to choose from
+	Partitions      int                 // number of partitions; 0 means 1
+	Now             time.Duration
 }
 
 // Choice is the server chosen for a request. The caller must call End once, or Cancel if
 // it sends nothing.
 type Choice struct {
 	Server
-	Began   time.Duration   // when the server was chosen
-	Limited bool            // the server limits its rate, so sending requires a permit
-	Stalled <-chan struct{} // receives each time that the server is reported as stalled
+	ChosenAt time.Duration   // when the server was chosen
+	Limited  bool            // the server limits its rate, so sending requires a permit
+	Stalled  <-chan struct{} // receives each time that the server is reported as stalled
 
 	table         *Table
 	state         *serverState
@@ -178,7 +178,7 @@
 			continue
 		}
 		cost := table.cost(candidate, query.Now)
-		if query.Wish != "" && candidate.Instance == query.Wish {
+		if query.Preferred != "" && candidate.Instance == query.Preferred {
 			preferred, preferredCost = candidate, cost
 		}
 		switch {
@@ -202,8 +202,8 @@
 
 // usable reports whether the server may be chosen for the request, except for its rate
 // limit.
-func (state *serverState) usable(query Query) bool {
-	return state.avoidUntil <= query.Now && state.condition.accepts(query.Now) && !containsInstance(query.Avoid, state.Instance)
+func (serverState *serverState) usable(query Query) bool {
+	return serverState.avoidUntil <= query.Now && serverState.condition.accepts(query.Now) && !containsInstance(query.Exclude, serverState.Instance)
 }
 
 func containsInstance(instances []shedkeel.InstanceID, instance shedkeel.InstanceID) bool {
@@ -237,33 +237,34 @@
 
 // decayPenalties halves the penalties of the server if penaltyHalfLife has passed since
 // they last changed.
-func (state *serverState) decayPenalties(now time.Duration) {
-	elapsed := now - state.scoresUpdated
+func (serverState *serverState) decayPenalties(now time.Duration) {
+	elapsed := now - serverState.scoresUpdated
 	if elapsed < penaltyHalfLife {
 		return
 	}
-	state.scoresUpdated = now
-	state.failureRate /= 2
-	state.latencyRatio = 1 + (state.latencyRatio-1)/2
+	serverState.scoresUpdated = now
+	serverState.failureRate /= 2
+	serverState.latencyRatio = 1 + (serverState.latencyRatio-1)/2
 }
 
 // startChoice records a request as running on the server. The caller must hold the
 // table's mutex.
-func (state *serverState) startChoice(table *Table, query Query) *Choice {
-	if len(state.running) == 0 {
-		state.lastActivity = query.Now
-		state.stallReported = 0
+func (serverState *serverState) startChoice(table *Table, query Query) *Choice {
+	if len(serverState.running) == 0 {
+		serverState.lastActivity = query.Now
+		serverState.stallReported = 0
 	}
 	stalled := make(chan struct{}, 1)
-	choice := &Choice{Server: state.Server, Limited: state.limit != nil, Stalled: stalled, table: table, state: state, Began: query.Now, promptTokens: query.Prompt, late: query.Late, stalled: stalled}
-	state.running[choice] = struct{}{}
-	state.condition.requestSent(choice)
+	choice := &Choice{Server: serverState.Server, Limited: serverState.limit != nil, Stalled: stalled, table: table, state: serverState, ChosenAt: query.Now, promptTokens: query.PromptTokens, late: query.Late, stalled: stalled}
+	serverState.running[choice] = struct{}{}
+	serverState.condition.requestSent(choice)
 	return choice
 }
 
-// Sign records that the server sent an event or an answer for this request. It ends the
-// server's avoidance and takes back the stall notices of all requests that run there.
-func (choice *Choice) Sign(now time.Duration) {
+// RecordResponse records that the server sent an event or an answer for this request. It
+// ends the server's avoidance and takes back the stall notices of all requests that run
+// there.
+func (choice *Choice) RecordResponse(now time.Duration) {
 	choice.table.mutex.Lock()
 	defer choice.table.mutex.Unlock()
 	state := choice.state
@@ -276,14 +277,14 @@
 	}
 	if !choice.responded {
 		choice.responded = true
-		state.recordLatency(float64(now-choice.Began)/float64(choice.expectedResponseTime()), now)
+		state.recordLatency(float64(now-choice.ChosenAt)/float64(choice.expectedResponseTime()), now)
 	}
 }
 
 // recordLatency adds the ratio of an actual to its expected response time to the average.
-func (state *serverState) recordLatency(ratio float64, now time.Duration) {
-	state.latencyRatio += latencyWeight * (ratio - state.latencyRatio)
-	state.scoresUpdated = now
+func (serverState *serverState) recordLatency(ratio float64, now time.Duration) {
+	serverState.latencyRatio += latencyWeight * (ratio - serverState.latencyRatio)
+	serverState.scoresUpdated = now
 }
 
 // End records that the request is no longer running there, and whether it failed.
@@ -319,7 +320,7 @@
 
 // Load is what this process has running on the servers of a model.
 type Load struct {
-	Running
+	RunningRequests
 	Groups map[shedkeel.InstanceID]int // running requests by server; servers without any are missing
 	Slots  int                         // requests that the usable servers run concurrently
 	Usable int                         // servers that requests may be sent to
--- a/dispatch/table_test.go
+++ b/dispatch/table_test.go
@@ -55,10 +55,10 @@
 		query Query
 		want  shedkeel.InstanceID
 	}{
-		"tried servers":  {Query{Service: "llm", Model: "m", Avoid: []shedkeel.InstanceID{"a"}}, "b"},
+		"tried servers":  {Query{Service: "llm", Model: "m", Exclude: []shedkeel.InstanceID{"a"}}, "b"},
 		"other models":   {Query{Service: "llm", Model: "other"}, ""},
 		"other services": {Query{Service: "other", Model: "m"}, ""},
-		"all tried":      {Query{Service: "llm", Model: "m", Avoid: []shedkeel.InstanceID{"a", "b"}}, ""},
+		"all tried":      {Query{Service: "llm", Model: "m", Exclude: []shedkeel.InstanceID{"a", "b"}}, ""},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +77,7 @@
 func TestFailingServerIsAvoidedAndRetried(t *testing.T) {
 	table := testTable("a", "b")
 	for range 10 {
-		choice := table.Choose(Query{Service: "llm", Model: "m", Avoid: []shedkeel.InstanceID{"b"}})
+		choice := table.Choose(Query{Service: "llm", Model: "m", Exclude: []shedkeel.InstanceID{"b"}})
 		choice.End(true, 0)
 	}
 	for range 5 {
@@ -99,17 +99,17 @@
 // requests are notified, and that it is avoided until it responds.
 func TestStalledServer(t *testing.T) {
 	table := testTable("a", "b")
-	choice := table.Choose(Query{Service: "llm", Model: "m", Avoid: []shedkeel.InstanceID{"b"}})
-	waiting := table.Choose(Query{Service: "llm", Model: "m", Avoid: []shedkeel.InstanceID{"b"}})
-	choice.Sign(100 * time.Millisecond)
+	choice := table.Choose(Query{Service: "llm", Model: "m", Exclude: []shedkeel.InstanceID{"b"}})
+	waiting := table.Choose(Query{Service: "llm", Model: "m", Exclude: []shedkeel.InstanceID{"b"}})
+	choice.RecordResponse(100 * time.Millisecond)
 	const timeout = defaultMaxEventGap + stallMargin
-	assert.Equal(t, len(table.FindSilent(100*time.Millisecond+timeout-1)), 0, "too early")
+	assert.Equal(t, len(table.FindStalled(100*time.Millisecond+timeout-1)), 0, "too early")
 
 	now := 100*time.Millisecond + timeout
-	found := table.FindSilent(now)
+	found := table.FindStalled(now)
 	assert.Equal(t, len(found), 1)
 	assert.Equal(t, found[0].Server.Instance, shedkeel.InstanceID("a"))
-	assert.Equal(t, len(table.FindSilent(now+1)), 0, "the stall was reported twice")
+	assert.Equal(t, len(table.FindStalled(now+1)), 0, "the stall was reported twice")
 	for name, notified := range map[string]<-chan struct{}{"responded": choice.Stalled, "waiting": waiting.Stalled} {
 		select {
 		case <-notified:
@@ -119,10 +119,10 @@
 	}
 	assert.Equal(t, table.Choose(at(now)).Instance, shedkeel.InstanceID("b"), "a stalled group got a request")
 
-	choice.Sign(now + 1)
-	busy := table.Choose(Query{Service: "llm", Model: "m", Avoid: []shedkeel.InstanceID{"b"}, Now: now + 2})
+	choice.RecordResponse(now + 1)
+	busy := table.Choose(Query{Service: "llm", Model: "m", Exclude: []shedkeel.InstanceID{"b"}, Now: now + 2})
 	assert.Assert(t, busy != nil, "an event must end the avoidance")
-	table.FindSilent(now + 1 + timeout)
+	table.FindStalled(now + 1 + timeout)
 	select {
 	case <-choice.Stalled:
 	default:
@@ -130,9 +130,9 @@
 	}
 }
 
-// TestSilenceIsToldAgain checks that a request is notified each time that a continuing
-// stall is reported, and that the notice is taken back once the group responds.
-func TestSilenceIsToldAgain(t *testing.T) {
+// TestContinuingStallIsNotifiedAgain checks that a request is notified each time that a
+// continuing stall is reported, and that the notice is taken back once the group responds.
+func TestContinuingStallIsNotifiedAgain(t *testing.T) {
 	table := testTable("a")
 	choice := table.Choose(query)
 	notified := func() bool {
@@ -144,40 +144,40 @@
 		}
 	}
 	const start = time.Minute
-	table.FindSilent(start)
+	table.FindStalled(start)
 	assert.Assert(t, notified())
-	table.FindSilent(start + stallReportInterval - 1)
+	table.FindStalled(start + stallReportInterval - 1)
 	assert.Assert(t, !notified())
-	table.FindSilent(start + stallReportInterval)
+	table.FindStalled(start + stallReportInterval)
 	assert.Assert(t, notified())
-	table.FindSilent(start + 2*stallReportInterval)
-	choice.Sign(start + 2*stallReportInterval)
+	table.FindStalled(start + 2*stallReportInterval)
+	choice.RecordResponse(start + 2*stallReportInterval)
 	assert.Assert(t, !notified(), "the stall is over")
 }
 
-// TestLongPassIsNoSilence checks that a group counts as stalled only after its stated
+// TestLongEventGapIsNoStall checks that a group counts as stalled only after its stated
 // maximum time between events. An engine may prefill prompts of other processes for a
 // whole step; counting that as a stall started two of three streams of a large model
 // twice.
-func TestLongPassIsNoSilence(t *testing.T) {
+func TestLongEventGapIsNoStall(t *testing.T) {
 	table := &Table{Zone: "z", Random: rand.NewPCG(1, 2)}
 	servers := groups("a")
-	servers[0].Pass = 300 * time.Millisecond
+	servers[0].MaxEventGap = 300 * time.Millisecond
 	table.Replace(servers)
-	table.Choose(query).Sign(0)
-	assert.Equal(t, len(table.FindSilent(300*time.Millisecond+stallMargin-1)), 0)
-	assert.Equal(t, len(table.FindSilent(300*time.Millisecond+stallMargin)), 1)
+	table.Choose(query).RecordResponse(0)
+	assert.Equal(t, len(table.FindStalled(300*time.Millisecond+stallMargin-1)), 0)
+	assert.Equal(t, len(table.FindStalled(300*time.Millisecond+stallMargin)), 1)
 }
 
 // TestContinuingStallIsReportedAgain checks that a continuing stall is returned again after
 // stallReportInterval.
 func TestContinuingStallIsReportedAgain(t *testing.T) {
 	table := testTable("a")
-	table.Choose(query).Sign(0)
+	table.Choose(query).RecordResponse(0)
 	const start = defaultMaxEventGap + stallMargin
-	assert.Equal(t, len(table.FindSilent(start)), 1)
-	assert.Equal(t, len(table.FindSilent(start+stallReportInterval-1)), 0)
-	assert.Equal(t, len(table.FindSilent(start+stallReportInterval)), 1)
+	assert.Equal(t, len(table.FindStalled(start)), 1)
+	assert.Equal(t, len(table.FindStalled(start+stallReportInterval-1)), 0)
+	assert.Equal(t, len(table.FindStalled(start+stallReportInterval)), 1)
 }
 
 // TestAvoidNoticeOfAnotherNode checks that a group is avoided on the notice of another node,
@@ -185,14 +185,14 @@
 func TestAvoidNoticeOfAnotherNode(t *testing.T) {
 	table := testTable("a", "b")
 	group := shedkeel.Assignment{Group: "a", Epoch: 1}
-	table.Avoid(group, time.Second, time.Second)
+	table.AvoidGroup(group, time.Second, time.Second)
 	assert.Equal(t, table.Choose(at(time.Second)).Instance, shedkeel.InstanceID("b"))
-	assert.Assert(t, table.Choose(Query{Service: "llm", Model: "m", Avoid: []shedkeel.InstanceID{"b"}, Now: 2 * time.Second}) != nil)
+	assert.Assert(t, table.Choose(Query{Service: "llm", Model: "m", Exclude: []shedkeel.InstanceID{"b"}, Now: 2 * time.Second}) != nil)
 
 	table = testTable("a")
 	choice := table.Choose(query)
-	choice.Sign(time.Second)
-	table.Avoid(group, time.Second+maxDecodeGap/2, time.Second)
+	choice.RecordResponse(time.Second)
+	table.AvoidGroup(group, time.Second+maxDecodeGap/2, time.Second)
 	assert.Assert(t, table.Choose(at(time.Second+maxDecodeGap/2)) != nil, "a group that responds to this process was avoided")
 }
 
@@ -200,7 +200,7 @@
 // group of another epoch starts without.
 func TestReplaceKeepsState(t *testing.T) {
 	table := testTable("a", "b")
-	running := table.Choose(Query{Service: "llm", Model: "m", Avoid: []shedkeel.InstanceID{"b"}})
+	running := table.Choose(Query{Service: "llm", Model: "m", Exclude: []shedkeel.InstanceID{"b"}})
 	table.Replace(groups("a", "b"))
 	assert.Equal(t, table.Choose(query).Instance, shedkeel.InstanceID("b"))
 	formedAgain := groups("a")
@@ -220,5 +220,5 @@
 	late.Late = true
 	table.Choose(late)
 	table.Choose(late)
-	assert.DeepEqual(t, table.Load("llm", "m", 0), Load{Running: Running{OnTime: 1, Late: 2}, Groups: map[shedkeel.InstanceID]int{"a": 3}, Slots: 4, Usable: 1})
+	assert.DeepEqual(t, table.Load("llm", "m", 0), Load{RunningRequests: RunningRequests{OnTime: 1, Late: 2}, Groups: map[shedkeel.InstanceID]int{"a": 3}, Slots: 4, Usable: 1})
 }
--- a/mutants_test.go
+++ b/mutants_test.go
@@ -281,16 +281,16 @@
 		"dispatch/table.go", "if preferred != nil && preferredCost <= maxPreferredCostRatio*lowest {", "if preferred != nil && preferredCost < 0 {", "TestSpreadKeepsPromptsApart", "./dispatch",
 	},
 	"nodes: the word is taken whatever this node sees": {
-		"dispatch/table.go", "preferredCost <= maxPreferredCostRatio*lowest", "preferredCost >= 0", "TestWish", "./dispatch",
+		"dispatch/table.go", "preferredCost <= maxPreferredCostRatio*lowest", "preferredCost >= 0", "TestPreferredServer", "./dispatch",
 	},
 	"nodes: prompts that wait are not counted": {
-		"dispatch/spread.go", "best.assigned.prefill += best.prefillTime(query.Prompt)", "best.assigned.prefill += 0", "TestSpread$|TestSpreadKeepsPromptsApart", "./dispatch",
+		"dispatch/spread.go", "best.assigned.prefill += best.prefillTime(query.PromptTokens)", "best.assigned.prefill += 0", "TestSpread$|TestSpreadKeepsPromptsApart", "./dispatch",
 	},
 	"nodes: a head out of reach is soon taken for gone": {
 		"formation/planner.go", "headTimeout = 20 * time.Second", "headTimeout = 5500 * time.Millisecond", "TestRulesHoldWhileServersArePartitioned", "./formation",
 	},
 	"nodes: what runs on groups is not told": {
-		"dispatch/spread.go", "max(state.assigned.running+change, 0)", "max(state.assigned.running+0*change, 0)", "TestSpreadByWhatRuns", "./dispatch",
+		"dispatch/spread.go", "max(state.assigned.running+change, 0)", "max(state.assigned.running+0*change, 0)", "TestSpreadByReportedLoad", "./dispatch",
 	},
 	"nodes: keys are taken whatever the configuration's age": {
 		"serve/handler.go", "if exchange.handler.RefuseStaleKeys && exchange.outOfDate() {", "if false {", "TestStaleConfiguration", "./serve",
@@ -308,10 +308,10 @@
 		"mirror/bootstrap.go", "follower.runBootstrap(ctx, peer)\n", "_ = peer\n", "TestBootstrapDuringOutage", "./mirror",
 	},
 	"nodes: a failure outweighs any wait": {
-		"dispatch/spread.go", "return 1 / max(1-failureRate, 1.0/maxAttempts)", "return 1 + maxAttempts*failureRate", "TestSpread$|TestWish", "./dispatch",
+		"dispatch/spread.go", "return 1 / max(1-failureRate, 1.0/maxAttempts)", "return 1 + maxAttempts*failureRate", "TestSpread$|TestPreferredServer", "./dispatch",
 	},
 	"nodes: a lasting silence is told once": {
-		"dispatch/stall.go", "choice.stallNotified = choice.stallNotified && !report", "_ = report", "TestSilenceIsToldAgain", "./dispatch",
+		"dispatch/stall.go", "choice.stallNotified = choice.stallNotified && !report", "_ = report", "TestContinuingStallIsNotifiedAgain", "./dispatch",
 	},
 	"nodes: a silent stream asks for another server once": {
 		"serve/stream.go", "if err := stream.startSource(ctx); err != nil {\n\t\toutcome", "stalled.hedged = true\n\tif err := stream.startSource(ctx); err != nil {\n\t\toutcome", "TestStalledStreamRetriesHedge", "./serve",
--- a/node/demand.go
+++ b/node/demand.go
@@ -100,7 +100,7 @@
 // spreaders returns the other nodes that may have spread requests for a service: the
 // spreader of each part, and the nodes that replace them.
 func (peers *peers) spreaders(service shedkeel.ServiceID) []*peer {
-	parts := peers.node.table.MostParts(service)
+	parts := peers.node.table.MaxPartitions(service)
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	nodes, _, _ := peers.aliveWithSelf()
--- a/node/demand_test.go
+++ b/node/demand_test.go
@@ -26,7 +26,7 @@
 	leaderNode.peers.update([]nodeRecord{{ID: "a"}, {ID: "b", Control: down.Addr().String()}, {ID: "c", Control: listener.Addr().String()}})
 	defer leaderNode.peers.close()
 	spread := func(node *Node, model shedkeel.ModelID) {
-		node.table.Spread(dispatch.Query{Service: "s", Model: model, Prompt: 100, Answer: 10, Now: timers.Now()}, dispatch.Reporter{Process: "x"})
+		node.table.Recommend(dispatch.Query{Service: "s", Model: model, PromptTokens: 100, MaxAnswerTokens: 10, Now: timers.Now()}, dispatch.Reporter{Process: "x"})
 	}
 	spread(spreaderNode, "m")
 	spread(spreaderNode, "m")
@@ -44,7 +44,7 @@
 	call := &wire.DemandCall{Service: "s"}
 	node, timers := newTestNode(t)
 	for range 100 {
-		node.table.Spread(dispatch.Query{Service: "s", Model: "m", Now: timers.Now()}, dispatch.Reporter{})
+		node.table.Recommend(dispatch.Query{Service: "s", Model: "m", Now: timers.Now()}, dispatch.Reporter{})
 	}
 	assert.Equal(t, node.peers.handleDemand(call).GetDemand().GetModels()[0].GetRequests(), 100.0)
 	timers.Advance(4 * demandInterval * 5)
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -261,7 +261,7 @@
 	}
 	isListed := func(server shedkeel.InstanceID) bool { return listed[server] }
 	fleet.node.limits.retain(isListed)
-	fleet.node.table.Retain(isListed, fleet.node.Timers.Now())
+	fleet.node.table.RetainConditions(isListed, fleet.node.Timers.Now())
 	epochs := formation.LatestEpochs(maps.Values(fleet.instances))
 	var servers []dispatch.Server
 	for key, instance := range fleet.instances {
@@ -314,15 +314,15 @@
 	server.Model = formation.ModelOf(head.Member.Group)
 	server.Group = head.Member.Assignment()
 	server.Slots = engine.Slots
-	server.Rate = engine.ReadPerSecond
+	server.PrefillRate = engine.ReadPerSecond
 	model := engine.Model(server.Model)
 	if model == nil {
 		return server
 	}
-	server.Pass = engine.LongestPass(model)
-	server.Each = time.Duration(engine.Stride) * engine.StepEach
-	server.Rate /= model.Slowdown()
-	server.Each = time.Duration(float64(server.Each) * model.Slowdown())
+	server.MaxEventGap = engine.LongestPass(model)
+	server.DelayPerRequest = time.Duration(engine.Stride) * engine.StepEach
+	server.PrefillRate /= model.Slowdown()
+	server.DelayPerRequest = time.Duration(float64(server.DelayPerRequest) * model.Slowdown())
 	return server
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -268,9 +268,9 @@
 // reportSilentServers logs backend servers that stopped responding and reports
 // their groups as suspected to the node that plans groups.
 func (node *Node) reportSilentServers(now time.Duration) {
-	for _, silence := range node.table.FindSilent(now) {
+	for _, silence := range node.table.FindStalled(now) {
 		node.Log.Write(event.ServerSilent, slog.String("server", string(silence.Server.Instance)), slog.String("group", string(silence.Server.Group.Group)),
-			slog.Uint64("epoch", silence.Server.Group.Epoch), slog.Duration("silent", silence.For), slog.Int("running", silence.Running))
+			slog.Uint64("epoch", silence.Server.Group.Epoch), slog.Duration("silent", silence.Elapsed), slog.Int("running", silence.Running))
 		if silence.Server.Group.Group == "" {
 			continue
 		}
--- a/node/notices.go
+++ b/node/notices.go
@@ -79,7 +79,7 @@
 	avoid := time.Duration(notice.GetForMs()) * time.Millisecond
 	node.Log.Write(event.NoticeTaken, slog.String("from", notice.GetNode()), slog.String("group", notice.GetGroup()), slog.Uint64("epoch", notice.GetEpoch()), slog.Duration("avoid", avoid))
 	if avoid > 0 {
-		node.table.Avoid(group, node.Timers.Now(), avoid)
+		node.table.AvoidGroup(group, node.Timers.Now(), avoid)
 	} else {
 		node.controller.suspect(group)
 	}
--- a/node/probes.go
+++ b/node/probes.go
@@ -128,7 +128,7 @@
 // reportLoss makes all nodes avoid a group that has lost a member.
 func (controller *controller) reportLoss(group shedkeel.Assignment) {
 	node := controller.node
-	node.table.Avoid(group, node.Timers.Now(), lostGroupAvoidTime)
+	node.table.AvoidGroup(group, node.Timers.Now(), lostGroupAvoidTime)
 	node.peers.broadcastLoss(group)
 }
 
--- a/node/spread.go
+++ b/node/spread.go
@@ -39,25 +39,25 @@
 // if this node is the spreader. It returns false if there is no answer. The load is what
 // this node has running on the model's groups. The groups of a model are split into
 // parts; spread picks one at random.
-func (peers *peers) adviseSpread(ctx context.Context, query dispatch.Query, load dispatch.Load) (dispatch.Advice, bool) {
-	query.Parts = peers.node.table.Parts(query.Service, query.Model)
-	if query.Parts > 1 {
-		query.Part = peers.randomPart(query.Parts)
+func (peers *peers) adviseSpread(ctx context.Context, query dispatch.Query, load dispatch.Load) (dispatch.Recommendation, bool) {
+	query.Partitions = peers.node.table.Partitions(query.Service, query.Model)
+	if query.Partitions > 1 {
+		query.Partition = peers.randomPart(query.Partitions)
 	}
-	peer, own := peers.spreader(query.Part, query.Now)
+	peer, own := peers.spreader(query.Partition, query.Now)
 	settings := &peers.node.Settings
 	if own {
-		return peers.node.table.Spread(query, dispatch.Reporter{Process: string(settings.Node), Zone: settings.Zone, Running: load.Running, Groups: load.Groups}), true
+		return peers.node.table.Recommend(query, dispatch.Reporter{Process: string(settings.Node), Zone: settings.Zone, Running: load.RunningRequests, Groups: load.Groups}), true
 	}
 	if peer == nil {
-		return dispatch.Advice{}, false
+		return dispatch.Recommendation{}, false
 	}
 	callCtx, cancel := context.WithTimeout(ctx, spreadTimeout)
 	defer cancel()
 	call := &wire.SpreadCall{
-		Node: string(settings.Node), Zone: string(settings.Zone), Service: string(query.Service), Model: string(query.Model), Prompt: uint32(max(query.Prompt, 0)), Answer: uint32(max(query.Answer, 0)),
+		Node: string(settings.Node), Zone: string(settings.Zone), Service: string(query.Service), Model: string(query.Model), Prompt: uint32(max(query.PromptTokens, 0)), Answer: uint32(max(query.MaxAnswerTokens, 0)),
 		Running: &wire.Running{OnTime: uint32(load.OnTime), Late: uint32(load.Late)},
-		Part:    uint32(query.Part), Parts: uint32(query.Parts),
+		Part:    uint32(query.Partition), Parts: uint32(query.Partitions),
 	}
 	for head, running := range load.Groups {
 		call.Groups = append(call.Groups, &wire.GroupLoad{Instance: string(head), Running: uint32(running)})
@@ -68,14 +68,14 @@
 		if ctx.Err() == nil {
 			peer.spreadFailure.record(peers.node.Timers.Now())
 		}
-		return dispatch.Advice{}, false
+		return dispatch.Recommendation{}, false
 	}
-	return dispatch.Advice{Head: shedkeel.InstanceID(answer.GetInstance()), Running: parseRunning(answer.GetRunning())}, true
+	return dispatch.Recommendation{Head: shedkeel.InstanceID(answer.GetInstance()), Running: parseRunning(answer.GetRunning())}, true
 }
 
 // parseRunning converts the numbers of running requests from their wire form.
-func parseRunning(running *wire.Running) dispatch.Running {
-	return dispatch.Running{OnTime: int(running.GetOnTime()), Late: int(running.GetLate())}
+func parseRunning(running *wire.Running) dispatch.RunningRequests {
+	return dispatch.RunningRequests{OnTime: int(running.GetOnTime()), Late: int(running.GetLate())}
 }
 
 // randomPart returns the index of a random part of so many.
@@ -115,15 +115,15 @@
 // handleSpread answers another node's question to which group a request is best sent.
 func (peers *peers) handleSpread(call *wire.SpreadCall) *wire.Reply {
 	query := dispatch.Query{
-		Service: shedkeel.ServiceID(call.GetService()), Model: shedkeel.ModelID(call.GetModel()), Prompt: int(call.GetPrompt()), Answer: int(call.GetAnswer()), Now: peers.node.Timers.Now(),
-		Part: int(call.GetPart()), Parts: int(call.GetParts()),
+		Service: shedkeel.ServiceID(call.GetService()), Model: shedkeel.ModelID(call.GetModel()), PromptTokens: int(call.GetPrompt()), MaxAnswerTokens: int(call.GetAnswer()), Now: peers.node.Timers.Now(),
+		Partition: int(call.GetPart()), Partitions: int(call.GetParts()),
 	}
 	reporter := dispatch.Reporter{Process: call.GetNode(), Zone: shedkeel.ZoneID(call.GetZone()), Running: parseRunning(call.GetRunning()), Groups: map[shedkeel.InstanceID]int{}}
 	for _, group := range call.GetGroups() {
 		reporter.Groups[shedkeel.InstanceID(group.GetInstance())] = int(group.GetRunning())
 	}
-	advice := peers.node.table.Spread(query, reporter)
+	recommendation := peers.node.table.Recommend(query, reporter)
 	return &wire.Reply{Kind: &wire.Reply_Spread{Spread: &wire.SpreadReply{
-		Instance: string(advice.Head), Running: &wire.Running{OnTime: uint32(advice.Running.OnTime), Late: uint32(advice.Running.Late)},
+		Instance: string(recommendation.Head), Running: &wire.Running{OnTime: uint32(recommendation.Running.OnTime), Late: uint32(recommendation.Running.Late)},
 	}}}
 }
--- a/node/spread_test.go
+++ b/node/spread_test.go
@@ -65,9 +65,9 @@
 
 	// The node spreads requests itself now, until spreaderBackoff is over.
 	node.table.Replace([]dispatch.Server{{Service: "s", Model: "m", Instance: "i"}})
-	advice, known := node.peers.adviseSpread(t.Context(), query, dispatch.Load{Running: dispatch.Running{OnTime: 2}})
+	recommendation, known := node.peers.adviseSpread(t.Context(), query, dispatch.Load{RunningRequests: dispatch.RunningRequests{OnTime: 2}})
 	assert.Assert(t, known)
-	assert.DeepEqual(t, advice, dispatch.Advice{Head: "i", Running: dispatch.Running{OnTime: 2}})
+	assert.DeepEqual(t, recommendation, dispatch.Recommendation{Head: "i", Running: dispatch.RunningRequests{OnTime: 2}})
 	_, own := node.peers.spreader(0, timers.Now()+spreaderBackoff)
 	assert.Assert(t, !own, "it is asked again after a while")
 }
@@ -82,10 +82,10 @@
 	node.Settings.Wire.Key = "k"
 	node.Settings.Node = "a"
 	node.peers.update([]nodeRecord{{ID: "a"}, {ID: "b"}, {ID: "c", Control: listener.Addr().String()}})
-	load := dispatch.Load{Running: dispatch.Running{OnTime: 3, Late: 1}, Groups: map[shedkeel.InstanceID]int{"busy": 4}}
-	advice, known := node.peers.adviseSpread(t.Context(), dispatch.Query{Service: "s", Model: "m", Now: timers.Now()}, load)
+	load := dispatch.Load{RunningRequests: dispatch.RunningRequests{OnTime: 3, Late: 1}, Groups: map[shedkeel.InstanceID]int{"busy": 4}}
+	recommendation, known := node.peers.adviseSpread(t.Context(), dispatch.Query{Service: "s", Model: "m", Now: timers.Now()}, load)
 	assert.Assert(t, known)
-	assert.DeepEqual(t, advice, dispatch.Advice{Head: "idle", Running: dispatch.Running{OnTime: 3, Late: 1}})
+	assert.DeepEqual(t, recommendation, dispatch.Recommendation{Head: "idle", Running: dispatch.RunningRequests{OnTime: 3, Late: 1}})
 	node.peers.close()
 	stop()
 }
--- a/route/router.go
+++ b/route/router.go
@@ -110,12 +110,12 @@
 }
 
 // update replaces the targets and reassigns the slots if any target was added or removed.
-func (pool *targetPool) update(targets []Target, now time.Duration) {
+func (targetPool *targetPool) update(targets []Target, now time.Duration) {
 	previous := map[string]*target{}
-	for _, target := range pool.targets {
+	for _, target := range targetPool.targets {
 		previous[target.Name] = target
 	}
-	sameTargets := len(targets) == len(pool.targets)
+	sameTargets := len(targets) == len(targetPool.targets)
 	next := make([]*target, 0, len(targets))
 	for _, reported := range targets {
 		updated := previous[reported.Name]
@@ -127,19 +127,19 @@
 		next = append(next, updated)
 	}
 	slices.SortFunc(next, func(a, b *target) int { return cmp.Compare(a.Name, b.Name) })
-	pool.targets = next
-	pool.usable = pool.usable[:0]
-	pool.load = 0
-	pool.capacity = 0
+	targetPool.targets = next
+	targetPool.usable = targetPool.usable[:0]
+	targetPool.load = 0
+	targetPool.capacity = 0
 	for _, target := range next {
 		if target.Until > now {
-			pool.usable = append(pool.usable, target)
-			pool.load += target.load()
-			pool.capacity += target.Capacity
+			targetPool.usable = append(targetPool.usable, target)
+			targetPool.load += target.load()
+			targetPool.capacity += target.Capacity
 		}
 	}
 	if !sameTargets {
-		pool.fillSlots()
+		targetPool.fillSlots()
 	}
 }
 
@@ -173,18 +173,18 @@
 
 // fillSlots assigns targets to each slot by rendezvous hashing, so that a target that is
 // added or removed moves few prefixes.
-func (pool *targetPool) fillSlots() {
-	for slot := range pool.slots {
-		pool.slots[slot] = [targetsPerSlot]*target{}
+func (targetPool *targetPool) fillSlots() {
+	for slot := range targetPool.slots {
+		targetPool.slots[slot] = [targetsPerSlot]*target{}
 		var best [targetsPerSlot]uint64
-		for _, candidate := range pool.targets {
+		for _, candidate := range targetPool.targets {
 			score := member.Score(candidate.Name, string([]byte{byte(slot), byte(slot >> 8)}))
 			for rank := range best {
-				if pool.slots[slot][rank] == nil || score > best[rank] {
+				if targetPool.slots[slot][rank] == nil || score > best[rank] {
 					copy(best[rank+1:], best[rank:])
-					copy(pool.slots[slot][rank+1:], pool.slots[slot][rank:])
+					copy(targetPool.slots[slot][rank+1:], targetPool.slots[slot][rank:])
 					best[rank] = score
-					pool.slots[slot][rank] = candidate
+					targetPool.slots[slot][rank] = candidate
 					break
 				}
 			}
--- a/serve/ended.go
+++ b/serve/ended.go
@@ -84,7 +84,7 @@
 		return
 	}
 	exchange.freshConnection.Store(true)
-	if choice.Began > at {
+	if choice.ChosenAt > at {
 		return
 	}
 	exchange.log(event.ServerEnded, slog.String("server", string(choice.Instance)), slog.String("digest", string(exchange.digest())))
--- a/serve/handler.go
+++ b/serve/handler.go
@@ -58,7 +58,7 @@
 	// Recommend asks the process that distributes the requests of all processes over
 	// the groups of a model which group should serve this one. It returns false if
 	// there is no answer. nil: no process does this.
-	Recommend func(context.Context, dispatch.Query, dispatch.Load) (dispatch.Advice, bool)
+	Recommend func(context.Context, dispatch.Query, dispatch.Load) (dispatch.Recommendation, bool)
 	// MaxConfigAge is how long after it was last proven current a configuration counts
 	// as out of date: keys may have been removed, and keys and routes added since.
 	MaxConfigAge time.Duration
--- a/serve/permit.go
+++ b/serve/permit.go
@@ -22,7 +22,7 @@
 // permitWaitFraction of the route's objective.
 func (exchange *exchange) chooseWithPermit(ctx context.Context, query dispatch.Query, mayWait bool) (*dispatch.Choice, error) {
 	for requested := 0; ; requested++ {
-		query.Free = requested >= maxPermitRequests
+		query.UnlimitedOnly = requested >= maxPermitRequests
 		choice := exchange.handler.Table.Choose(query)
 		if choice == nil {
 			break
@@ -35,7 +35,7 @@
 			return choice, nil
 		}
 		choice.Cancel()
-		exchange.handler.Table.Hold(choice.Instance, exchange.handler.Timers.Now()+permit.Wait)
+		exchange.handler.Table.HoldUntil(choice.Instance, exchange.handler.Timers.Now()+permit.Wait)
 	}
 	if !mayWait {
 		return nil, exchange.noServerError(query)
@@ -59,7 +59,7 @@
 	}
 	timer.Sleep(ctx, permit.Wait)
 	query.Now = exchange.handler.Timers.Now()
-	choice := exchange.handler.Table.Take(query, server)
+	choice := exchange.handler.Table.ChooseServer(query, server)
 	if choice == nil || ctx.Err() != nil {
 		if choice != nil {
 			choice.Cancel()
--- a/serve/plain.go
+++ b/serve/plain.go
@@ -81,7 +81,7 @@
 		}
 		return bufferedAnswer{}, err
 	}
-	choice.Sign(exchange.handler.Timers.Now())
+	choice.RecordResponse(exchange.handler.Timers.Now())
 	body, err := readWhole(response)
 	failed := err != nil || response.StatusCode >= http.StatusInternalServerError
 	choice.End(failed, exchange.handler.Timers.Now())
--- a/serve/send.go
+++ b/serve/send.go
@@ -44,7 +44,7 @@
 	if service := exchange.view.Service(exchange.service); service == nil || service.Engine == nil {
 		model = ""
 	}
-	query := dispatch.Query{Service: exchange.service, Model: model, Avoid: exchange.tried, Prompt: exchange.call.PromptTokens, Answer: exchange.call.AnswerTokens, Now: now}
+	query := dispatch.Query{Service: exchange.service, Model: model, Exclude: exchange.tried, PromptTokens: exchange.call.PromptTokens, MaxAnswerTokens: exchange.call.AnswerTokens, Now: now}
 	if model != "" && !retry {
 		if err := exchange.admitToModel(&query); err != nil {
 			return nil, err
@@ -78,7 +78,7 @@
 )
 
 // admitToModel is the admission control of a model. It marks the request as late, or
-// returns errFull, when the model's slots are filled, and sets query.Wish to the best
+// returns errFull, when the model's slots are filled, and sets query.Preferred to the best
 // group. Under overload some requests are served on time and some wait behind them:
 // if all waited in one queue, all would be late.
 func (exchange *exchange) admitToModel(query *dispatch.Query) error {
@@ -95,17 +95,18 @@
 }
 
 // modelCapacity returns the requests that run on a model and its slots, for all
-// processes together if Spread answers; it then sets query.Wish to the advised group.
-// Otherwise it returns the requests of this process and its equal share of the slots.
-func (exchange *exchange) modelCapacity(query *dispatch.Query, load dispatch.Load) (dispatch.Running, float64) {
+// processes together if Recommend answers; it then sets query.Preferred to the recommended
+// group. Otherwise it returns the requests of this process and its equal share of the
+// slots.
+func (exchange *exchange) modelCapacity(query *dispatch.Query, load dispatch.Load) (dispatch.RunningRequests, float64) {
 	if exchange.handler.Recommend != nil {
-		if advice, known := exchange.handler.Recommend(exchange.request.Context(), *query, load); known {
-			query.Wish = advice.Head
-			return advice.Running, float64(load.Slots)
+		if recommendation, known := exchange.handler.Recommend(exchange.request.Context(), *query, load); known {
+			query.Preferred = recommendation.Head
+			return recommendation.Running, float64(load.Slots)
 		}
 		count(exchange.handler.meter().noAdvice)
 	}
-	return load.Running, float64(load.Slots) / float64(max(exchange.handler.ServingNodes(), 1))
+	return load.RunningRequests, float64(load.Slots) / float64(max(exchange.handler.ServingNodes(), 1))
 }
 
 // priority returns the request's priority at an engine; 0 is most urgent.
@@ -212,7 +213,7 @@
 	}
 	proven := answer.Sealed && status < http.StatusMultipleChoices
 	if proven || answer.Limit.Stated || answer.Limit.Err != nil {
-		exchange.handler.Limits.Observe(choice.Instance, answer.Limit, choice.Began)
+		exchange.handler.Limits.Observe(choice.Instance, answer.Limit, choice.ChosenAt)
 	}
 }
 
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -208,7 +208,7 @@
 		CurrentConfig:    func() ConfigState { return ConfigState{View: view, ProvenAt: time.Duration(harness.asOf.Load())} },
 		RetryBudgetNodes: func() int { return 1 }, ServingNodes: func() int { return 1 }, MaxConfigAge: time.Second,
 	}
-	cancel := harness.clock.Subscribe(10*time.Millisecond, func(now time.Duration) { table.FindSilent(now) })
+	cancel := harness.clock.Subscribe(10*time.Millisecond, func(now time.Duration) { table.FindStalled(now) })
 	t.Cleanup(cancel)
 	return harness
 }
@@ -432,7 +432,7 @@
 func TestStalledStreamRetriesHedge(t *testing.T) {
 	harness := newHarness(t, step{events: 5, stallAfter: 2}, step{events: 5})
 	for _, other := range []shedkeel.GroupID{"g1", "g2"} {
-		harness.Table.Avoid(shedkeel.Assignment{Group: other, Epoch: 1}, harness.clock.Now(), 500*time.Millisecond)
+		harness.Table.AvoidGroup(shedkeel.Assignment{Group: other, Epoch: 1}, harness.clock.Now(), 500*time.Millisecond)
 	}
 	got := harness.post("/s/x", "prompt", "Model", "m")
 	assert.Assert(t, !got.broken)
--- a/serve/source.go
+++ b/serve/source.go
@@ -80,7 +80,7 @@
 		if err != nil {
 			return err
 		}
-		source.choice.Sign(stream.handler.Timers.Now())
+		source.choice.RecordResponse(stream.handler.Timers.Now())
 		number, id := eventID(message)
 		if !source.deliver(update{source: source, event: message, number: number, id: id}) {
 			return source.context.Err()
