--- a/mirror/bench_test.go
+++ b/mirror/bench_test.go
@@ -21,7 +21,7 @@
 	const count = 3300
 	mirror := &Mirror{}
 	records := benchRecords(count)
-	mirror.Apply(Update{Whole: true, At: shedkeel.Revision{Number: count}, Records: records})
+	mirror.Apply(Update{Full: true, At: shedkeel.Revision{Number: count}, Records: records})
 	change := Update{Records: records[:1:1]}
 	b.ReportAllocs()
 	for number := int64(count); b.Loop(); {
@@ -37,10 +37,10 @@
 	const count = 3300
 	mirror := &Mirror{}
 	records := benchRecords(count + 1)
-	mirror.Apply(Update{Whole: true, At: shedkeel.Revision{Number: count}, Records: records[:count]})
+	mirror.Apply(Update{Full: true, At: shedkeel.Revision{Number: count}, Records: records[:count]})
 	mirror.Apply(Update{At: shedkeel.Revision{Number: count + 1}, Records: records[count:]})
 	b.ReportAllocs()
 	for b.Loop() {
-		mirror.Since(shedkeel.Revision{Number: count})
+		mirror.UpdateSince(shedkeel.Revision{Number: count})
 	}
 }
--- a/mirror/bootstrap.go
+++ b/mirror/bootstrap.go
@@ -37,12 +37,12 @@
 
 // Advice says how a process without a copy gets one.
 type Advice struct {
-	// List says that the process lists the service's records at once, because others
+	// ListSource says that the process lists the service's records at once, because others
 	// will query it or because there are so few processes that all may list.
-	List bool
-	// First says that the fleet starts for the first time: no callers wait, and all
+	ListSource bool
+	// FirstStart says that the fleet starts for the first time: no callers wait, and all
 	// peers may still be starting.
-	First bool
+	FirstStart bool
 	// Peers are queried besides those that were known without the advice.
 	Peers []Peer
 }
@@ -72,19 +72,19 @@
 
 // runAdvice requests the advice until the service responds or the process has a copy.
 func (follower *Follower) runAdvice(ctx context.Context) {
-	if follower.Advise == nil {
+	if follower.RequestAdvice == nil {
 		follower.bootstrap.listsSource.Store(true)
 		return
 	}
 	delay := retryDelay
 	for ctx.Err() == nil && !follower.Mirror.State().Known {
 		follower.health.beginQuery(follower.Timers.Now(), 0)
-		advice, err := follower.Advise(ctx)
+		advice, err := follower.RequestAdvice(ctx)
 		follower.health.endQuery(err)
 		follower.logSourceState(ctx, err)
 		if err == nil {
-			follower.bootstrap.listsSource.Store(advice.List)
-			follower.bootstrap.firstStart.Store(advice.First)
+			follower.bootstrap.listsSource.Store(advice.ListSource)
+			follower.bootstrap.firstStart.Store(advice.FirstStart)
 			follower.bootstrapFrom(ctx, advice.Peers)
 			return
 		}
@@ -95,7 +95,7 @@
 
 // mayList reports whether a process without a copy may list the service's records now.
 func (bootstrap *bootstrap) mayList(follower *Follower) bool {
-	if bootstrap.listsSource.Load() || len(follower.Others()) == 0 {
+	if bootstrap.listsSource.Load() || len(follower.Peers()) == 0 {
 		return true
 	}
 	now := follower.Timers.Now()
@@ -132,7 +132,7 @@
 func (follower *Follower) runBootstrap(ctx context.Context, peer Peer) {
 	delay, wait := bootstrapRetryDelay, time.Duration(0) // the first response comes at once and shows whether the peer is running
 	for ctx.Err() == nil && !follower.Mirror.State().Known {
-		knows, err := peer.Knows(ctx, wait)
+		knows, err := peer.HasCopy(ctx, wait)
 		if err != nil {
 			timer.Sleep(ctx, delay)
 			delay = min(2*delay, maxRetryDelay)
--- a/mirror/bootstrap_test.go
+++ b/mirror/bootstrap_test.go
@@ -58,11 +58,11 @@
 	openAt time.Time
 }
 
-func (peer *latePeer) Knows(ctx context.Context, wait time.Duration) (bool, error) {
+func (peer *latePeer) HasCopy(ctx context.Context, wait time.Duration) (bool, error) {
 	if time.Now().Before(peer.openAt) {
 		return false, errors.New("connection refused")
 	}
-	return peer.peer.Knows(ctx, wait)
+	return peer.peer.HasCopy(ctx, wait)
 }
 
 // TestSimultaneousStart starts all processes of a fleet at one moment, as after a loss
@@ -102,12 +102,14 @@
 			var running sync.WaitGroup
 			for index, own := range mirrors {
 				follower := &Follower{
-					Mirror: own, Source: service, Timers: clock, Choose: func() Peer { return seedPeers[0] }, Others: func() []Peer { return seedPeers },
-					Advise:    func(context.Context) (Advice, error) { return Advice{List: index < seeds, First: test.first}, nil },
+					Mirror: own, Source: service, Timers: clock, Upstream: func() Peer { return seedPeers[0] }, Peers: func() []Peer { return seedPeers },
+					RequestAdvice: func(context.Context) (Advice, error) {
+						return Advice{ListSource: index < seeds, FirstStart: test.first}, nil
+					},
 					Processes: func() int { return processes }, Random: rand.NewPCG(uint64(index), 8),
 				}
 				if index < seeds {
-					follower.Choose = func() Peer { return nil }
+					follower.Upstream = func() Peer { return nil }
 					if !test.seedsRun {
 						continue
 					}
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -70,9 +70,9 @@
 	// Relay requests the changes after the revision, and waits up to wait for a
 	// change. The update's AsOf is minus the age of the peer's copy.
 	Relay(ctx context.Context, since shedkeel.Revision, wait time.Duration) (Update, error)
-	// Knows reports whether the peer has a copy. While it has none, the response is
+	// HasCopy reports whether the peer has a copy. While it has none, the response is
 	// delayed by up to wait.
-	Knows(ctx context.Context, wait time.Duration) (bool, error)
+	HasCopy(ctx context.Context, wait time.Duration) (bool, error)
 }
 
 // Follower keeps a mirror up to date. Its exported fields must be set before Run.
@@ -81,16 +81,16 @@
 	Source shedkeel.RecordSource
 	Timers shedkeel.Timers
 	Log    *event.Log
-	// Choose returns the upstream, which is the peer to follow, or nil to follow
+	// Upstream returns the peer to follow (this process's upstream), or nil to follow
 	// the service.
-	Choose func() Peer
-	// Others returns all peers. A process with a stale copy queries any of them,
+	Upstream func() Peer
+	// Peers returns all peers. A process with a stale copy queries any of them,
 	// whatever its upstream is. The peers present at the start are queried until
 	// the process has a copy.
-	Others func() []Peer
-	// Advise reads from the service how a process without a copy is to get one. If
+	Peers func() []Peer
+	// RequestAdvice reads from the service how a process without a copy is to get one. If
 	// it is nil, the process lists the service's records at once.
-	Advise func(ctx context.Context) (Advice, error)
+	RequestAdvice func(ctx context.Context) (Advice, error)
 	// Hops returns the largest number of other processes that a copy passes through
 	// on its way from the service to this one. If it is nil, the number is 1.
 	Hops func() int
@@ -111,7 +111,7 @@
 // Run keeps the mirror up to date until the context ends.
 func (follower *Follower) Run(ctx context.Context) {
 	follower.bootstrap.begin(follower)
-	follower.bootstrapFrom(ctx, follower.Others())
+	follower.bootstrapFrom(ctx, follower.Peers())
 	follower.running.Go(func() { follower.runPeers(ctx) })
 	follower.runSource(ctx)
 	follower.running.Wait()
@@ -180,7 +180,7 @@
 	if !state.Known {
 		return follower.bootstrap.mayList(follower)
 	}
-	if follower.Choose() == nil {
+	if follower.Upstream() == nil {
 		return true
 	}
 	if follower.fresh(state) {
@@ -257,7 +257,7 @@
 	if err != nil {
 		return err
 	}
-	follower.Mirror.Apply(Update{Records: records, Whole: true, At: at, AsOf: sent})
+	follower.Mirror.Apply(Update{Records: records, Full: true, At: at, AsOf: sent})
 	return nil
 }
 
@@ -285,8 +285,8 @@
 			timer.Sleep(ctx, retryDelay)
 			continue
 		}
-		peer, wait := follower.Choose(), RelayWait
-		stale := !follower.fresh(state) || follower.Away()
+		peer, wait := follower.Upstream(), RelayWait
+		stale := !follower.fresh(state) || follower.SourceUnreachable()
 		if stale {
 			// A peer that receives a change passes it at once to all whose requests wait.
 			peer, wait = follower.randomPeer(), retryDelay
@@ -328,7 +328,7 @@
 
 // randomPeer returns a peer at random, or nil if there is none.
 func (follower *Follower) randomPeer() Peer {
-	others := follower.Others()
+	others := follower.Peers()
 	if len(others) == 0 {
 		return nil
 	}
@@ -344,7 +344,7 @@
 	}
 	sent := follower.Timers.Now()
 	update, err := peer.Relay(ctx, state.At, wait)
-	if err == nil || errors.Is(err, ErrNothingKnown) {
+	if err == nil || errors.Is(err, ErrNoCopy) {
 		follower.health.notePeerResponse(follower.Timers.Now())
 	}
 	if err != nil {
@@ -352,5 +352,5 @@
 	}
 	update.AsOf += sent
 	follower.Mirror.Apply(update)
-	return true, update.Away
+	return true, update.SourceUnreachable
 }
--- a/mirror/health.go
+++ b/mirror/health.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// ErrNothingKnown means that a peer is running and has no copy yet.
-var ErrNothingKnown = errors.New("peer has no copy of the records yet")
+// ErrNoCopy means that a peer is running and has no copy yet.
+var ErrNoCopy = errors.New("peer has no copy of the records yet")
 
 const (
 	// responseTimeout is how long the service may take to respond before it counts
@@ -82,11 +82,11 @@
 	return 0, false
 }
 
-// Away reports whether this process is to follow the service and gets no response
-// from it.
-func (follower *Follower) Away() bool {
+// SourceUnreachable reports whether this process is to follow the service and gets no
+// response from it.
+func (follower *Follower) SourceUnreachable() bool {
 	now := follower.Timers.Now()
-	if follower.Choose() != nil {
+	if follower.Upstream() != nil {
 		return false
 	}
 	health := &follower.health
@@ -95,9 +95,9 @@
 	return health.failures >= unreachableFailures || health.querySent != 0 && now >= health.responseDue
 }
 
-// Answered returns when the last query was sent to which the service itself responded,
+// LastConfirmed returns when the last query was sent to which the service itself responded,
 // not a peer; 0 if it never did.
-func (follower *Follower) Answered() time.Duration {
+func (follower *Follower) LastConfirmed() time.Duration {
 	health := &follower.health
 	health.mutex.Lock()
 	defer health.mutex.Unlock()
@@ -112,7 +112,7 @@
 // queries to the service to others: for its callers the effect is the same.
 func (follower *Follower) Outage() (since time.Duration, unresponsive bool) {
 	now := follower.Timers.Now()
-	noPeers := len(follower.Others()) == 0
+	noPeers := len(follower.Peers()) == 0
 	health := &follower.health
 	health.mutex.Lock()
 	defer health.mutex.Unlock()
--- a/mirror/health_test.go
+++ b/mirror/health_test.go
@@ -66,7 +66,7 @@
 		t.Run(name, func(t *testing.T) {
 			timers := &timer.Manual{}
 			timers.Advance(time.Minute)
-			follower := &Follower{Timers: timers, Others: func() []Peer { return test.others }}
+			follower := &Follower{Timers: timers, Peers: func() []Peer { return test.others }}
 			test.events(&follower.health, timers.Now())
 			since, unresponsive := follower.Outage()
 			assert.Equal(t, unresponsive, test.unresponsive)
--- a/mirror/idle_test.go
+++ b/mirror/idle_test.go
@@ -34,7 +34,7 @@
 func (followerPeer *followerPeer) Relay(ctx context.Context, since shedkeel.Revision, wait time.Duration) (Update, error) {
 	followerPeer.requests.Add(1)
 	changed := followerPeer.Mirror.Changed()
-	if disconnected := followerPeer.Away(); !disconnected && !followerPeer.Mirror.State().At.After(since) {
+	if disconnected := followerPeer.SourceUnreachable(); !disconnected && !followerPeer.Mirror.State().At.After(since) {
 		select {
 		case <-ctx.Done():
 			return Update{}, ctx.Err()
@@ -42,13 +42,13 @@
 		case <-time.After(wait):
 		}
 	}
-	update := followerPeer.Mirror.Since(since)
+	update := followerPeer.Mirror.UpdateSince(since)
 	update.AsOf -= followerPeer.Timers.Now()
-	update.Away = followerPeer.Away()
+	update.SourceUnreachable = followerPeer.SourceUnreachable()
 	return update, nil
 }
 
-func (followerPeer *followerPeer) Knows(context.Context, time.Duration) (bool, error) {
+func (followerPeer *followerPeer) HasCopy(context.Context, time.Duration) (bool, error) {
 	return true, nil
 }
 
@@ -70,20 +70,20 @@
 	fleet := &idleFleet{source: &source{Store: store}, followerSource: &source{Store: store}}
 	clock := &timer.System{}
 	fleet.first = &followerPeer{Follower: &Follower{
-		Mirror: &Mirror{}, Source: fleet.source, Timers: clock, Choose: func() Peer { return nil }, Others: func() []Peer { return nil },
+		Mirror: &Mirror{}, Source: fleet.source, Timers: clock, Upstream: func() Peer { return nil }, Peers: func() []Peer { return nil },
 		Processes: func() int { return followers + 1 }, Random: rand.NewPCG(1, 2),
 	}}
 	var peers []Peer
 	for index := range followers {
 		follower := &Follower{
-			Mirror: &Mirror{}, Source: &refusingSource{RecordSource: fleet.followerSource}, Timers: clock, Choose: func() Peer { return fleet.first },
+			Mirror: &Mirror{}, Source: &refusingSource{RecordSource: fleet.followerSource}, Timers: clock, Upstream: func() Peer { return fleet.first },
 			Processes: func() int { return followers + 1 }, Random: rand.NewPCG(uint64(index), 2),
 		}
 		fleet.followers = append(fleet.followers, follower)
 		peers = append(peers, &followerPeer{Follower: follower})
 	}
 	for _, follower := range append(fleet.followers, fleet.first.Follower) {
-		follower.Others = func() []Peer { return peers }
+		follower.Peers = func() []Peer { return peers }
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -44,12 +44,12 @@
 // Update is a set of changes, or a full copy, that a mirror applies.
 type Update struct {
 	Records []shedkeel.Record // present or deleted records
-	Whole   bool              // Records is a full copy: keys that it lacks are deleted
+	Full    bool              // Records is a full copy: keys that it lacks are deleted
 	At      shedkeel.Revision
 	AsOf    time.Duration // when the request was sent that this update answers
-	// Away says that the sending peer follows the service and gets no response from
-	// it, so that the next change will not come from this peer.
-	Away bool
+	// SourceUnreachable says that the sending peer follows the service and gets no response
+	// from it, so that the next change will not come from this peer.
+	SourceUnreachable bool
 }
 
 // Listen registers a function that is called with the changed records of each
@@ -66,10 +66,10 @@
 	Lost     int // records that the older copy lacks
 }
 
-// ListenRestored registers a function that is called at each restore, before the
+// ListenRestore registers a function that is called at each restore, before the
 // functions of Listen receive the changed records. It must be called before the first
 // Apply.
-func (mirror *Mirror) ListenRestored(listener func(Restore)) {
+func (mirror *Mirror) ListenRestore(listener func(Restore)) {
 	mirror.restoreListeners = append(mirror.restoreListeners, listener)
 }
 
@@ -84,18 +84,18 @@
 		mirror.previous = map[string]shedkeel.Record{}
 	}
 	newEra := mirror.known && update.At.Era > mirror.at.Era
-	if update.At.Exists() && update.At.Era < mirror.at.Era || newEra && !update.Whole {
+	if update.At.Exists() && update.At.Era < mirror.at.Era || newEra && !update.Full {
 		return
 	}
 	oldRevision := mirror.at
 	mirror.at = shedkeel.LaterRevision(mirror.at, update.At)
 	changes := mirror.merge(update.Records)
-	if update.Whole {
+	if update.Full {
 		changes = append(changes, mirror.removeAbsent(update, newEra)...)
 		mirror.tombstoneFloor = shedkeel.LaterRevision(mirror.tombstoneFloor, update.At)
 	}
 	first := !mirror.known
-	mirror.known = mirror.known || update.Whole
+	mirror.known = mirror.known || update.Full
 	mirror.asOf = max(mirror.asOf, update.AsOf)
 	if newEra {
 		clear(mirror.previous) // they belong to the earlier era
@@ -225,16 +225,16 @@
 	return record
 }
 
-// Before returns the record that the current one of the key replaced. If it was not
+// Previous returns the record that the current one of the key replaced. If it was not
 // kept, it has the zero revision.
-func (mirror *Mirror) Before(key string) shedkeel.Record {
+func (mirror *Mirror) Previous(key string) shedkeel.Record {
 	mirror.mutex.Lock()
 	defer mirror.mutex.Unlock()
 	return mirror.previous[key]
 }
 
-// Below returns the records whose keys begin with the prefix, sorted by key.
-func (mirror *Mirror) Below(prefix string) []shedkeel.Record {
+// ListPrefix returns the records whose keys begin with the prefix, sorted by key.
+func (mirror *Mirror) ListPrefix(prefix string) []shedkeel.Record {
 	mirror.mutex.Lock()
 	defer mirror.mutex.Unlock()
 	var found []shedkeel.Record
@@ -247,9 +247,9 @@
 	return found
 }
 
-// Since returns the update for a mirror that has reached the revision. It is a full
+// UpdateSince returns the update for a mirror that has reached the revision. It is a full
 // copy if that mirror is of an earlier era or older than the tombstones.
-func (mirror *Mirror) Since(revision shedkeel.Revision) Update {
+func (mirror *Mirror) UpdateSince(revision shedkeel.Revision) Update {
 	mirror.mutex.Lock()
 	defer mirror.mutex.Unlock()
 	era, known := mirror.at.Era, revision.Number
@@ -257,7 +257,7 @@
 	if whole {
 		known = 0
 	}
-	update := Update{At: mirror.at, AsOf: mirror.asOf, Whole: whole}
+	update := Update{At: mirror.at, AsOf: mirror.asOf, Full: whole}
 	if revision.Era > era {
 		return update // the other mirror is in a later era
 	}
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -48,11 +48,11 @@
 			want:    map[string]int64{"a": 3}, at: 3,
 		},
 		"a full copy deletes the keys that it lacks": {
-			updates: []Update{{Records: []shedkeel.Record{record("a", 1), record("b", 2)}, At: shedkeel.Revision{Number: 2}}, {Records: []shedkeel.Record{record("b", 2)}, Whole: true, At: shedkeel.Revision{Number: 5}}},
+			updates: []Update{{Records: []shedkeel.Record{record("a", 1), record("b", 2)}, At: shedkeel.Revision{Number: 2}}, {Records: []shedkeel.Record{record("b", 2)}, Full: true, At: shedkeel.Revision{Number: 5}}},
 			want:    map[string]int64{"b": 2}, at: 5,
 		},
 		"a full copy keeps newer records": {
-			updates: []Update{{Records: []shedkeel.Record{record("a", 9)}, At: shedkeel.Revision{Number: 9}}, {Whole: true, At: shedkeel.Revision{Number: 5}}},
+			updates: []Update{{Records: []shedkeel.Record{record("a", 9)}, At: shedkeel.Revision{Number: 9}}, {Full: true, At: shedkeel.Revision{Number: 5}}},
 			want:    map[string]int64{"a": 9}, at: 9,
 		},
 	}
@@ -63,7 +63,7 @@
 				mirror.Apply(update)
 			}
 			found := map[string]int64{}
-			for _, record := range mirror.Below("") {
+			for _, record := range mirror.ListPrefix("") {
 				found[record.Key] = record.Revision.Number
 			}
 			assert.DeepEqual(t, found, test.want)
@@ -92,19 +92,19 @@
 			switch random.IntN(4) {
 			case 0:
 				records, at := store.List("")
-				first.Apply(Update{Records: records, Whole: true, At: at})
+				first.Apply(Update{Records: records, Full: true, At: at})
 			case 1:
 				records, at, err := store.Changes(t.Context(), "", first.State().At, 0)
 				assert.NilError(t, err)
 				first.Apply(Update{Records: records, At: at})
 			default:
-				second.Apply(first.Since(second.State().At))
+				second.Apply(first.UpdateSince(second.State().At))
 			}
 		}
 		records, at := store.List("")
-		first.Apply(Update{Records: records, Whole: true, At: at})
-		second.Apply(first.Since(second.State().At))
-		assert.DeepEqual(t, second.Below(""), records)
+		first.Apply(Update{Records: records, Full: true, At: at})
+		second.Apply(first.UpdateSince(second.State().At))
+		assert.DeepEqual(t, second.ListPrefix(""), records)
 	}
 }
 
@@ -194,12 +194,12 @@
 	if peer.mirror == nil {
 		return Update{}, errors.New("the peer has no copy yet")
 	}
-	update := peer.mirror.Since(since)
+	update := peer.mirror.UpdateSince(since)
 	update.AsOf -= peer.now()
 	return update, nil
 }
 
-func (peer *peer) Knows(ctx context.Context, wait time.Duration) (bool, error) {
+func (peer *peer) HasCopy(ctx context.Context, wait time.Duration) (bool, error) {
 	for began := time.Now(); time.Since(began) < wait && !peer.hasCopy() && ctx.Err() == nil; {
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -228,10 +228,10 @@
 	clock := &timer.System{}
 	peerMirror, own := &Mirror{}, &Mirror{}
 	provenAt := clock.Now() - 3*time.Second
-	peerMirror.Apply(Update{Whole: true, At: shedkeel.Revision{Number: 7}, AsOf: provenAt, Records: []shedkeel.Record{record("a", 7)}})
+	peerMirror.Apply(Update{Full: true, At: shedkeel.Revision{Number: 7}, AsOf: provenAt, Records: []shedkeel.Record{record("a", 7)}})
 	others := []Peer{&peer{now: clock.Now}, &peer{mirror: peerMirror, now: clock.Now}, unresponsivePeer{}}
 	follower := &Follower{
-		Mirror: own, Source: service, Timers: clock, Choose: func() Peer { return nil }, Others: func() []Peer { return others },
+		Mirror: own, Source: service, Timers: clock, Upstream: func() Peer { return nil }, Peers: func() []Peer { return others },
 		Processes: func() int { return 3 }, Random: rand.NewPCG(1, 2),
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -255,7 +255,7 @@
 	return Update{}, ctx.Err()
 }
 
-func (unresponsivePeer) Knows(ctx context.Context, _ time.Duration) (bool, error) {
+func (unresponsivePeer) HasCopy(ctx context.Context, _ time.Duration) (bool, error) {
 	<-ctx.Done()
 	return false, ctx.Err()
 }
@@ -274,10 +274,10 @@
 	var followers []*Follower
 	for index := range processes {
 		own := &Mirror{}
-		own.Apply(Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: clock.Now() - staleAge})
+		own.Apply(Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: clock.Now() - staleAge})
 		peers = append(peers, &peer{mirror: own, now: clock.Now})
 		followers = append(followers, &Follower{
-			Mirror: own, Source: service, Timers: clock, Choose: func() Peer { return emptyPeer }, Others: func() []Peer { return peers },
+			Mirror: own, Source: service, Timers: clock, Upstream: func() Peer { return emptyPeer }, Peers: func() []Peer { return peers },
 			Processes: func() int { return processes }, Random: rand.NewPCG(uint64(index), 4),
 		})
 	}
@@ -312,9 +312,9 @@
 	assert.NilError(t, err)
 	clock := &timer.System{}
 	own, emptyPeer := &Mirror{}, &peer{mirror: &Mirror{}, now: clock.Now}
-	own.Apply(Update{Whole: true, AsOf: clock.Now() - staleAge})
+	own.Apply(Update{Full: true, AsOf: clock.Now() - staleAge})
 	follower := &Follower{
-		Mirror: own, Source: &source{Store: store}, Timers: clock, Choose: func() Peer { return emptyPeer }, Others: func() []Peer { return nil },
+		Mirror: own, Source: &source{Store: store}, Timers: clock, Upstream: func() Peer { return emptyPeer }, Peers: func() []Peer { return nil },
 		Processes: func() int { return 9 }, Random: rand.NewPCG(1, 2),
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -342,7 +342,7 @@
 		defer mutex.Unlock()
 		return upstream
 	}
-	follower := &Follower{Mirror: own, Source: service, Timers: clock, Choose: choose, Others: func() []Peer { return nil }, Processes: func() int { return 1 }, Random: rand.NewPCG(1, 2)}
+	follower := &Follower{Mirror: own, Source: service, Timers: clock, Upstream: choose, Peers: func() []Peer { return nil }, Processes: func() int { return 1 }, Random: rand.NewPCG(1, 2)}
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	running.Go(func() { follower.Run(ctx) })
@@ -363,7 +363,7 @@
 	service.setErr(errors.New("service unavailable"))
 	age := clock.Now() - own.State().AsOf
 	records, at := store.List("")
-	other.Apply(Update{Records: append(records, record("c", at.Number+1)), Whole: true, At: shedkeel.Revision{Number: at.Number + 1}, AsOf: clock.Now()})
+	other.Apply(Update{Records: append(records, record("c", at.Number+1)), Full: true, At: shedkeel.Revision{Number: at.Number + 1}, AsOf: clock.Now()})
 	mutex.Lock()
 	upstream = &peer{mirror: other, now: clock.Now}
 	mutex.Unlock()
@@ -383,7 +383,7 @@
 	service := &source{Store: store, maxRecords: 50}
 	clock := &timer.System{}
 	own := &Mirror{}
-	follower := &Follower{Mirror: own, Source: service, Timers: clock, Choose: func() Peer { return nil }, Others: func() []Peer { return nil }, Processes: func() int { return 1 }, Random: rand.NewPCG(1, 2)}
+	follower := &Follower{Mirror: own, Source: service, Timers: clock, Upstream: func() Peer { return nil }, Peers: func() []Peer { return nil }, Processes: func() int { return 1 }, Random: rand.NewPCG(1, 2)}
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	running.Go(func() { follower.Run(ctx) })
--- a/mirror/restore_test.go
+++ b/mirror/restore_test.go
@@ -30,7 +30,7 @@
 
 // fullUpdate returns a full update of an era.
 func fullUpdate(era, at int64, asOf time.Duration, records ...shedkeel.Record) Update {
-	update := Update{Whole: true, At: shedkeel.Revision{Era: era, Number: at}, AsOf: asOf}
+	update := Update{Full: true, At: shedkeel.Revision{Era: era, Number: at}, AsOf: asOf}
 	for _, record := range records {
 		update.Records = append(update.Records, inEra(era, record))
 	}
@@ -66,7 +66,7 @@
 		t.Run(name, func(t *testing.T) {
 			mirror := &Mirror{}
 			lost, lostRecords := 0, 0
-			mirror.ListenRestored(func(restore Restore) { lost += restore.Lost })
+			mirror.ListenRestore(func(restore Restore) { lost += restore.Lost })
 			mirror.Listen(func(records []shedkeel.Record) {
 				for _, record := range records {
 					if record.Lost {
@@ -78,7 +78,7 @@
 				mirror.Apply(update)
 			}
 			found := map[string]string{}
-			for _, record := range mirror.Below("") {
+			for _, record := range mirror.ListPrefix("") {
 				found[record.Key] = record.Revision.String()
 			}
 			assert.DeepEqual(t, found, test.want)
@@ -117,10 +117,10 @@
 			}
 		}
 		records, at := store.List("")
-		mirrors[0].Apply(Update{Records: records, Whole: true, At: at})
+		mirrors[0].Apply(Update{Records: records, Full: true, At: at})
 		for _, mirror := range mirrors[1:] {
-			mirror.Apply(mirrors[0].Since(mirror.State().At))
-			assert.DeepEqual(t, mirror.Below(""), records)
+			mirror.Apply(mirrors[0].UpdateSince(mirror.State().At))
+			assert.DeepEqual(t, mirror.ListPrefix(""), records)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	index, from := random.IntN(len(mirrors)), random.IntN(len(mirrors)+1)
 	own := mirrors[index]
 	if from < len(mirrors) {
-		own.Apply(mirrors[from].Since(own.State().At))
+		own.Apply(mirrors[from].UpdateSince(own.State().At))
 		return
 	}
 	records, at, err := store.Changes(t.Context(), "", own.State().At, 0)
@@ -140,7 +140,7 @@
 		return
 	}
 	records, at = store.List("")
-	own.Apply(Update{Records: records, Whole: true, At: at})
+	own.Apply(Update{Records: records, Full: true, At: at})
 }
 
 // TestFollowerListsNewEra restores the service from an older copy and writes until its
@@ -158,7 +158,7 @@
 	clock := &timer.System{}
 	own := &Mirror{}
 	follower := &Follower{
-		Mirror: own, Source: &eraSource{source: &source{Store: store}, lists: &atomic.Int64{}}, Timers: clock, Choose: func() Peer { return nil }, Others: func() []Peer { return nil },
+		Mirror: own, Source: &eraSource{source: &source{Store: store}, lists: &atomic.Int64{}}, Timers: clock, Upstream: func() Peer { return nil }, Peers: func() []Peer { return nil },
 		Processes: func() int { return 1 }, Random: rand.NewPCG(1, 1),
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -243,13 +243,13 @@
 	for index := range processes {
 		follower := &Follower{
 			Mirror: &Mirror{}, Source: service, Timers: clock, Processes: func() int { return processes }, Random: rand.NewPCG(uint64(index), 3),
-			Choose: func() Peer {
+			Upstream: func() Peer {
 				if independent || index == 0 {
 					return nil
 				}
 				return peers[0]
 			},
-			Others: func() []Peer { return peers },
+			Peers: func() []Peer { return peers },
 		}
 		followers = append(followers, follower)
 		peers = append(peers, &followerPeer{Follower: follower})
--- a/mutants_test.go
+++ b/mutants_test.go
@@ -137,7 +137,7 @@
 		"serve/budget.go", "bound+budget.RandomOffset {", "bound+0*budget.RandomOffset {", "TestRetryBudgetAcrossRestarts", "./serve",
 	},
 	"copies: who is turned away follows the service alone": {
-		"mirror/follower.go", "!follower.fresh(state) || follower.Away()", "!follower.fresh(state)", "TestRefusedUpstreamAsksPeers", "./mirror",
+		"mirror/follower.go", "!follower.fresh(state) || follower.SourceUnreachable()", "!follower.fresh(state)", "TestRefusedUpstreamAsksPeers", "./mirror",
 	},
 	"copies: questions to any process do not wait": {
 		"mirror/follower.go", "peer, wait = follower.randomPeer(), retryDelay", "peer, wait = follower.randomPeer(), 0", "TestFollowersLeaveRefusedUpstream", "./mirror",
@@ -203,10 +203,10 @@
 		"platform/store.go", "func() { stallTimer.Reset(store.Timeout) })", "func() {})", "TestTransfers", "./platform",
 	},
 	"size: all nodes of a large fleet list the service's records": {
-		"node/fleetsize.go", "return mirror.Advice{Peers: peers.dialStartupRelays(size.Relays)}, nil", "return mirror.Advice{List: true}, nil", "TestAdvice", "./node",
+		"node/fleetsize.go", "return mirror.Advice{Peers: peers.dialStartupRelays(size.Relays)}, nil", "return mirror.Advice{ListSource: true}, nil", "TestAdvice", "./node",
 	},
 	"size: who has no advice to list does so at once": {
-		"mirror/bootstrap.go", "if bootstrap.listsSource.Load() || len(follower.Others()) == 0 {", "if true {", "TestSimultaneousStart", "./mirror",
+		"mirror/bootstrap.go", "if bootstrap.listsSource.Load() || len(follower.Peers()) == 0 {", "if true {", "TestSimultaneousStart", "./mirror",
 	},
 	"size: all follow one node": {
 		"node/follow.go", "return nodes > maxDirectFollowers }", "return nodes < 0 }", "TestFollowers", "./node",
--- a/node/config_test.go
+++ b/node/config_test.go
@@ -41,9 +41,9 @@
 				nodes[id] = node
 				node.Settings.Listen.Control = listener.Addr().String()
 				if id == "old" {
-					node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 9}, AsOf: timers.Now(), Records: []shedkeel.Record{configRecord(7, 0, 9)}})
+					node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 9}, AsOf: timers.Now(), Records: []shedkeel.Record{configRecord(7, 0, 9)}})
 				}
-				node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Era: 1, Number: 5}, AsOf: timers.Now(), Records: []shedkeel.Record{configRecord(6, 1, 5)}})
+				node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: 1, Number: 5}, AsOf: timers.Now(), Records: []shedkeel.Record{configRecord(6, 1, 5)}})
 			}
 			for from, to := range map[string]string{"old": "new", "new": "old"} {
 				record := nodeRecord{ID: shedkeel.NodeID(to), Control: nodes[to].Settings.Listen.Control}
@@ -96,7 +96,7 @@
 			node, _ := newTestNode(t)
 			node.Decoder = platform.Decoder{}
 			first := configRecord(6, 0, 3)
-			node.mirror.Apply(mirror.Update{Whole: true, At: first.Revision, Records: []shedkeel.Record{first}})
+			node.mirror.Apply(mirror.Update{Full: true, At: first.Revision, Records: []shedkeel.Record{first}})
 			node.fleet.receiveConfig(test.packed, "other")
 			assert.Equal(t, node.fleet.configVersion(), test.want)
 		})
--- a/node/copies_test.go
+++ b/node/copies_test.go
@@ -52,19 +52,19 @@
 	own.Settings.Wire.Key = "k"
 	peer := own.peers.dial("source", listener.Addr().String())
 	defer peer.close()
-	known, err := peer.Knows(t.Context(), 0)
+	known, err := peer.HasCopy(t.Context(), 0)
 	assert.NilError(t, err)
 	assert.Assert(t, !known, "the source has no copy yet")
 	time.AfterFunc(20*time.Millisecond, func() {
-		source.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 5000}, AsOf: timers.Now() - time.Second, Records: records})
+		source.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 5000}, AsOf: timers.Now() - time.Second, Records: records})
 	})
-	known, err = peer.Knows(t.Context(), 5*time.Second)
+	known, err = peer.HasCopy(t.Context(), 5*time.Second)
 	assert.NilError(t, err)
 	assert.Assert(t, known, "the wait ends when the source has a copy")
 	update, err := peer.Relay(t.Context(), shedkeel.Revision{}, 0)
 	assert.NilError(t, err)
 	assert.Equal(t, len(update.Records), len(records))
-	assert.Assert(t, update.Whole && update.At.Number == 5000 && update.AsOf < 0, "%v", update.AsOf)
+	assert.Assert(t, update.Full && update.At.Number == 5000 && update.AsOf < 0, "%v", update.AsOf)
 	own.mirror.Apply(update)
 	for _, record := range records {
 		assert.DeepEqual(t, own.mirror.Get(record.Key), record)
@@ -73,7 +73,7 @@
 	for _, record := range records {
 		plain += len(record.Key) + len(record.Value)
 	}
-	sent := proto.Size(source.peers.copies.Tell(source.mirror.Since(shedkeel.Revision{}), timers.Now()))
+	sent := proto.Size(source.peers.copies.Tell(source.mirror.UpdateSince(shedkeel.Revision{}), timers.Now()))
 	t.Logf("%d bytes as records, %d as sent", plain, sent)
 	assert.Assert(t, sent*5 < plain)
 	assert.Assert(t, sent < 160_000)
--- a/node/corrupt_test.go
+++ b/node/corrupt_test.go
@@ -34,7 +34,7 @@
 		node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 1}, AsOf: timers.Now(), Records: records})
 		node.fleet.tick(timers.Now())
 	}
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 	apply(0, serverRecord(2, 7, 0, shedkeel.MemberOpen), serverRecord(3, 7, 1, shedkeel.MemberReady))
 	return node, apply
 }
@@ -109,7 +109,7 @@
 			corrupt(&record)
 			value, err := json.Marshal(record)
 			assert.NilError(t, err)
-			node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: nodePrefix + "b", Value: value, Revision: shedkeel.Revision{Number: 1}}}})
+			node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: nodePrefix + "b", Value: value, Revision: shedkeel.Revision{Number: 1}}}})
 			assert.Equal(t, len(node.fleet.nodes), 0)
 			value, err = json.Marshal(valid)
 			assert.NilError(t, err)
--- a/node/election_test.go
+++ b/node/election_test.go
@@ -53,7 +53,7 @@
 	node, timers := newTestNode(t)
 	store := &leaseStore{renewed: map[shedkeel.LeaseID]int{}, commit: func(shedkeel.Change) (int64, error) { return 2, nil }}
 	node.Store = store
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 	assert.Assert(t, node.member.step(t.Context()))
 	return node, timers, store
 }
@@ -190,7 +190,7 @@
 			return 2, nil
 		}
 		node.Store = store
-		node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
+		node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 		node.member.listed.Store(true)
 		nodes, clocks = append(nodes, node), append(clocks, timers)
 	}
--- a/node/fleetsize.go
+++ b/node/fleetsize.go
@@ -97,16 +97,16 @@
 		return mirror.Advice{}, err
 	}
 	if !record.Revision.Exists() { // the fleet's first start
-		return mirror.Advice{List: peers.isSeed() || len(peers.seeds) == 0, First: true}, nil
+		return mirror.Advice{ListSource: peers.isSeed() || len(peers.seeds) == 0, FirstStart: true}, nil
 	}
 	var size sizeRecord
 	if node.fleet.decodeRecord(record, &size) != nil {
-		return mirror.Advice{List: true}, nil
+		return mirror.Advice{ListSource: true}, nil
 	}
 	node.member.nodeCountHint.Store(max(node.member.nodeCountHint.Load(), int64(size.Nodes)))
 	isRelay := slices.ContainsFunc(size.Relays, func(relay startupRelay) bool { return relay.Control == node.Settings.Listen.Control })
 	if isRelay || len(size.Relays) == 0 {
-		return mirror.Advice{List: true}, nil
+		return mirror.Advice{ListSource: true}, nil
 	}
 	return mirror.Advice{Peers: peers.dialStartupRelays(size.Relays)}, nil
 }
--- a/node/fleetsize_test.go
+++ b/node/fleetsize_test.go
@@ -64,7 +64,7 @@
 			node.Store = store
 			advice, err := node.peers.advise(t.Context())
 			assert.NilError(t, err)
-			assert.Equal(t, advice.List, test.list)
+			assert.Equal(t, advice.ListSource, test.list)
 			assert.Equal(t, len(advice.Peers), test.peers)
 			assert.Equal(t, node.member.nodeCountHint.Load(), test.hint)
 			for index, peer := range advice.Peers {
@@ -84,7 +84,7 @@
 		var size sizeRecord
 		assert.NilError(t, json.Unmarshal(change.Put[0].Value, &size))
 		written = append(written, size)
-		node.mirror.Apply(mirror.Update{Whole: true, At: revision, Records: []shedkeel.Record{{Key: sizeKey, Value: change.Put[0].Value, Revision: revision}}})
+		node.mirror.Apply(mirror.Update{Full: true, At: revision, Records: []shedkeel.Record{{Key: sizeKey, Value: change.Put[0].Value, Revision: revision}}})
 		return revision.Number, nil
 	}}
 	check := func(nodes []nodeRecord) {
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -106,7 +106,7 @@
 	if gossip.conn == nil {
 		return
 	}
-	answered := gossip.node.follower.Answered()
+	answered := gossip.node.follower.LastConfirmed()
 	gossip.mutex.Lock()
 	gossip.detector.Connect(answered)
 	sent := gossip.detector.Tick(now)
--- a/node/guard_test.go
+++ b/node/guard_test.go
@@ -83,7 +83,7 @@
 	node, timers := newTestNode(t)
 	store := &blameStore{unavailable: true}
 	node.Store = store
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 	for _, server := range []shedkeel.InstanceID{"a", "b", "c"} {
 		node.guard.Ended("r", server)
 	}
@@ -112,7 +112,7 @@
 	node, timers := newTestNode(t)
 	store := &blameStore{}
 	node.Store = store
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 	node.guard.Ended("r", "a")
 	node.guard.Ended("r", "b")
 	changedAt := node.guard.unwrittenBlames()["r"]
--- a/node/lapse_test.go
+++ b/node/lapse_test.go
@@ -26,7 +26,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			node, timers := newTestNode(t)
-			node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: "servers/a", Revision: shedkeel.Revision{Number: 1}}}})
+			node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: "servers/a", Revision: shedkeel.Revision{Number: 1}}}})
 			timers.Advance(test.age)
 			node.fleet.tick(timers.Now())
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: "servers/a", Revision: shedkeel.Revision{Number: 2}, Gone: true}}})
@@ -63,7 +63,7 @@
 			value, err := json.Marshal(nodeRecord{ID: "b", Zone: "z", Callers: "127.0.0.1:1", Control: "127.0.0.1:2", Gossip: "127.0.0.1:2"})
 			assert.NilError(t, err)
 			key := nodePrefix + "b"
-			node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: key, Value: value, Revision: shedkeel.Revision{Number: 1}}}})
+			node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: key, Value: value, Revision: shedkeel.Revision{Number: 1}}}})
 			timers.Advance(4 * time.Second)
 			node.fleet.tick(timers.Now())
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: key, Revision: shedkeel.Revision{Number: 2}, Gone: true}}})
--- a/node/member_test.go
+++ b/node/member_test.go
@@ -67,7 +67,7 @@
 			node, timers := newTestNode(t)
 			store := &leaseStore{renewed: map[shedkeel.LeaseID]int{}, commit: func(shedkeel.Change) (int64, error) { return 2, nil }}
 			node.Store = store
-			node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
+			node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 			node.member.tick(t.Context())
 			timers.Advance(largeFleetTTL / renewalsPerTTL)
 			store.unavailable = true
--- a/node/node.go
+++ b/node/node.go
@@ -159,10 +159,10 @@
 	node.member.lease = lease{node: node, ttl: largeFleetTTL}
 	node.controller.node = node
 	node.controller.prepare()
-	node.mirror.ListenRestored(node.handleRestore)
+	node.mirror.ListenRestore(node.handleRestore)
 	node.mirror.Listen(node.fleet.applyChanges)
-	node.follower = mirror.Follower{Mirror: &node.mirror, Source: node.Store, Timers: node.Timers, Log: node.Log, Choose: node.peers.choose, Others: node.peers.others,
-		Advise: node.peers.advise, Hops: node.peers.hops, Processes: node.fleet.nodeCount, Random: rand.NewPCG(node.Random.Uint64(), node.Random.Uint64())}
+	node.follower = mirror.Follower{Mirror: &node.mirror, Source: node.Store, Timers: node.Timers, Log: node.Log, Upstream: node.peers.choose, Peers: node.peers.others,
+		RequestAdvice: node.peers.advise, Hops: node.peers.hops, Processes: node.fleet.nodeCount, Random: rand.NewPCG(node.Random.Uint64(), node.Random.Uint64())}
 }
 
 // Run serves until the context is canceled, then shuts down gracefully.
--- a/node/notice_test.go
+++ b/node/notice_test.go
@@ -54,7 +54,7 @@
 	defer node.peers.close()
 	lead, err := json.Marshal(leadRecord{Node: "planner"})
 	assert.NilError(t, err)
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: leaderKey, Value: lead, Revision: shedkeel.Revision{Number: 2}}}})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: leaderKey, Value: lead, Revision: shedkeel.Revision{Number: 2}}}})
 	head := leader.fleet.groupServices()["s"][0]
 	assert.Assert(t, !head.Draining)
 	node.handler.OnDraining(head.ID)
--- a/node/registrar_test.go
+++ b/node/registrar_test.go
@@ -56,7 +56,7 @@
 				}
 				return 7, nil
 			}}
-			node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}})
+			node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}})
 			var asking sync.WaitGroup
 			written := make([]bool, test.nodes)
 			for index := range test.nodes {
@@ -101,7 +101,7 @@
 		t.Run(name, func(t *testing.T) {
 			other, _ := newTestNode(t)
 			other.Store = &leaseStore{commit: func(shedkeel.Change) (int64, error) { return 9, nil }}
-			other.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}})
+			other.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}})
 			listener := listenHere(t)
 			address := listener.Addr().String()
 			if test.handler == nil {
@@ -122,7 +122,7 @@
 				own++
 				return 9, nil
 			}}
-			node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
+			node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 			node.member.startedAt.Store(int64(timers.Now()))
 			node.member.nodeCountHint.Store(unleasedFrom)
 			started := time.Now()
--- a/node/relay.go
+++ b/node/relay.go
@@ -23,7 +23,7 @@
 // or has an old copy is not followed for a while.
 func (peer *peer) Relay(ctx context.Context, since shedkeel.Revision, wait time.Duration) (mirror.Update, error) {
 	update, err := peer.fetchUpdate(ctx, since, wait)
-	if err != nil && ctx.Err() == nil || err == nil && (update.Away || -update.AsOf > peer.maxCopyAge()) {
+	if err != nil && ctx.Err() == nil || err == nil && (update.SourceUnreachable || -update.AsOf > peer.maxCopyAge()) {
 		peer.followFailure.record(peer.node.Timers.Now())
 	}
 	return update, err
@@ -54,8 +54,8 @@
 	return update, err
 }
 
-// Knows asks whether the node's mirror has a copy.
-func (peer *peer) Knows(ctx context.Context, wait time.Duration) (bool, error) {
+// HasCopy asks whether the node's mirror has a copy.
+func (peer *peer) HasCopy(ctx context.Context, wait time.Duration) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+relayTimeoutMargin)
 	defer cancel()
 	reply, err := peer.callRelay(ctx, &wire.RelayCall{WaitMs: uint32(wait.Milliseconds()), OnlyKnown: true})
@@ -79,10 +79,10 @@
 		peer.node.fleet.receiveConfig(relay.GetConfig(), peer.id)
 	}
 	if !relay.GetKnown() {
-		return mirror.Update{}, mirror.ErrNothingKnown
+		return mirror.Update{}, mirror.ErrNoCopy
 	}
 	at := shedkeel.Revision{Era: relay.GetEra(), Number: relay.GetAt()}
-	update := mirror.Update{Whole: relay.GetWhole(), At: at, Away: relay.GetAway(), AsOf: -time.Duration(relay.GetAgeMs()) * time.Millisecond}
+	update := mirror.Update{Full: relay.GetWhole(), At: at, SourceUnreachable: relay.GetAway(), AsOf: -time.Duration(relay.GetAgeMs()) * time.Millisecond}
 	records, err := transfer.Records(relay)
 	if err != nil {
 		return mirror.Update{}, err
@@ -122,7 +122,7 @@
 	state := own.State()
 	since := shedkeel.Revision{Era: call.GetSinceEra(), Number: call.GetSince()}
 	peers.fetchConfig(shedkeel.NodeID(call.GetNode()), call.GetConfig())
-	unavailable := own.State().Known && peers.node.follower.Away() // answered without a wait, so that the caller asks the next node at once
+	unavailable := own.State().Known && peers.node.follower.SourceUnreachable() // answered without a wait, so that the caller asks the next node at once
 	if !unavailable && (!state.Known || !call.GetOnlyKnown() && !state.At.After(since)) {
 		timer := time.NewTimer(time.Duration(call.GetWaitMs()) * time.Millisecond)
 		select {
@@ -135,10 +135,10 @@
 	if call.GetOnlyKnown() || !own.State().Known {
 		return &wire.Reply{Kind: &wire.Reply_Relay{Relay: &wire.RelayReply{Known: own.State().Known, Nodes: peers.knownNodeCount()}}}
 	}
-	update := own.Since(since)
+	update := own.UpdateSince(since)
 	config := peers.node.fleet.newerConfig(call.GetConfig())
 	now := peers.node.Timers.Now()
-	if update.Whole {
+	if update.Full {
 		reply := peers.copies.Tell(update, now)
 		reply.Config = config
 		return &wire.Reply{Kind: &wire.Reply_Relay{Relay: reply}}
@@ -176,7 +176,7 @@
 // encodeRecord encodes a record for a node that asks: as the difference from the former
 // value if the node has that, else complete. A server's heartbeat changes only one number.
 func (peers *peers) encodeRecord(record shedkeel.Record, since shedkeel.Revision, differences bool) *wire.StoreRecord {
-	former := peers.node.mirror.Before(record.Key)
+	former := peers.node.mirror.Previous(record.Key)
 	usable := former.Revision.Exists() && !former.Revision.After(since) && record.Revision.After(former.Revision)
 	if differences && !record.Gone && usable {
 		if encoded := transfer.Differ(record, former); encoded != nil {
--- a/node/relay_test.go
+++ b/node/relay_test.go
@@ -26,7 +26,7 @@
 	write := func(to *Node, number int64, whole bool) {
 		value := fmt.Appendf(nil, "%s\"seq\":%d}", bytes.Repeat([]byte("server "), 60), number)
 		revision := shedkeel.Revision{Number: number}
-		to.mirror.Apply(mirror.Update{Whole: whole, At: revision, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: "servers/a", Value: value, Revision: revision}}})
+		to.mirror.Apply(mirror.Update{Full: whole, At: revision, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: "servers/a", Value: value, Revision: revision}}})
 	}
 	follow := func() {
 		update, err := peer.Relay(t.Context(), own.mirror.State().At, 0)
--- a/node/remover_test.go
+++ b/node/remover_test.go
@@ -96,7 +96,7 @@
 				records = append(records, shedkeel.Record{Key: nodePrefix + string(record.ID), Value: []byte("{}"), Revision: shedkeel.Revision{Number: 5}})
 			}
 			for range len(nodes) {
-				node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 5}, AsOf: timers.Now() - test.age, Records: records})
+				node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 5}, AsOf: timers.Now() - test.age, Records: records})
 				node.remover.tick(timers.Now())
 				timers.Advance(removalStagger)
 			}
@@ -125,7 +125,7 @@
 	}
 	node.Store = store
 	node.member.nodeCountHint.Store(nodes)
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 	return node, store
 }
 
--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -49,13 +49,13 @@
 			node, timers := newTestNode(t)
 			node.Decoder = platform.Decoder{}
 			node.fleet.view.Store(newServiceView(shedkeel.RoutedService{ID: "p"}))
-			node.mirror.Apply(mirror.Update{Whole: true, At: old, AsOf: timers.Now()})
+			node.mirror.Apply(mirror.Update{Full: true, At: old, AsOf: timers.Now()})
 			for _, record := range test.before {
 				node.mirror.Apply(mirror.Update{At: record.Revision, AsOf: timers.Now(), Records: []shedkeel.Record{record}})
 				node.fleet.tick(timers.Now())
 			}
 			usable := func() int { return node.table.Load("p", "", timers.Now()).Usable }
-			node.mirror.Apply(mirror.Update{Whole: true, At: restored, AsOf: timers.Now(), Records: test.restored})
+			node.mirror.Apply(mirror.Update{Full: true, At: restored, AsOf: timers.Now(), Records: test.restored})
 			node.fleet.tick(timers.Now())
 			assert.Equal(t, usable(), test.wantUsable[0])
 			node.mirror.Apply(mirror.Update{At: rewritten, AsOf: timers.Now(), Records: test.after})
@@ -80,8 +80,8 @@
 			`"group":{"name":"m/d/1","epoch":%d,"rank":0,"state":"open"}}`, orders, epoch)
 		return shedkeel.Record{Key: "servers/i-1", Value: []byte(value), Revision: revision}
 	}
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 9}, Records: []shedkeel.Record{member(shedkeel.Revision{Number: 9}, 6, 4)}})
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Era: 1, Number: 5}, AsOf: timers.Now(), Records: []shedkeel.Record{member(shedkeel.Revision{Era: 1, Number: 5}, 5, 2)}})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 9}, Records: []shedkeel.Record{member(shedkeel.Revision{Number: 9}, 6, 4)}})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: 1, Number: 5}, AsOf: timers.Now(), Records: []shedkeel.Record{member(shedkeel.Revision{Era: 1, Number: 5}, 5, 2)}})
 	assert.Equal(t, node.fleet.groupServices()["s"][0].Member.Epoch, uint64(6))
 	assert.Equal(t, node.fleet.highestEpoch(), uint64(6))
 	node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Era: 1, Number: 6}, AsOf: timers.Now(), Records: []shedkeel.Record{member(shedkeel.Revision{Era: 1, Number: 6}, 7, 6)}})
@@ -101,7 +101,7 @@
 	assert.Assert(t, node.controller.leading(timers.Now()))
 	lead := node.mirror.Get(leaderKey)
 	lead.Revision = shedkeel.Revision{Era: 1, Number: 2}
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Era: 1, Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{lead}})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: 1, Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{lead}})
 	assert.Assert(t, !node.controller.leading(timers.Now()))
 	assert.Equal(t, node.controller.leader(), shedkeel.NodeID(""))
 	assert.Assert(t, !node.member.lease.valid(timers.Now()))
@@ -123,7 +123,7 @@
 	node.member.dirty.Store(false)
 	node.member.tick(t.Context())
 	assert.Equal(t, writes, 0, "it is listed")
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Era: 1, Number: 1}, AsOf: timers.Now()})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: 1, Number: 1}, AsOf: timers.Now()})
 	node.member.tick(t.Context())
 	assert.Equal(t, writes, 1)
 }
@@ -138,7 +138,7 @@
 	for _, server := range []shedkeel.InstanceID{"a", "b", "c"} {
 		node.guard.Ended("r", server)
 	}
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 	keep := func() {
 		timers.Advance(writeStagger)
 		node.mirror.Apply(mirror.Update{At: node.mirror.State().At, AsOf: timers.Now()})
@@ -148,7 +148,7 @@
 	keep()
 	assert.Equal(t, len(store.changes), 1)
 	store.era = 1
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Era: 1, Number: 1}, AsOf: timers.Now()})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: 1, Number: 1}, AsOf: timers.Now()})
 	assert.Equal(t, node.guard.Judge("r"), shedkeel.Contained)
 	keep()
 	assert.Equal(t, len(store.changes), 2, "the blame is written again")
@@ -168,7 +168,7 @@
 	keep()
 	keep()
 	assert.Equal(t, writes, 1)
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Era: 1, Number: 1}, AsOf: timers.Now()})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: 1, Number: 1}, AsOf: timers.Now()})
 	keep()
 	assert.Equal(t, writes, 2)
 }
@@ -217,7 +217,7 @@
 			node, timers, _ := newListedCandidate(t)
 			node.controller.eraSince = 0
 			apply := func(era int64) {
-				node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Era: era, Number: 9}, AsOf: timers.Now()})
+				node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: era, Number: 9}, AsOf: timers.Now()})
 				node.controller.trackEra(timers.Now())
 			}
 			apply(test.before)
--- a/node/services_test.go
+++ b/node/services_test.go
@@ -16,7 +16,7 @@
 // and dead servers of the other.
 func TestSuspectsOfEachService(t *testing.T) {
 	node, timers := newTestNode(t)
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 	engine := &shedkeel.Engine{Models: []shedkeel.Model{{ID: "m", Size: 1, Share: 1}}}
 	node.fleet.view.Store(serve.NewView(&shedkeel.ServingConfig{Services: []shedkeel.RoutedService{{ID: "one", Engine: engine}, {ID: "two", Engine: engine}}}))
 	node.fleet.instances = map[string]shedkeel.Instance{}
--- a/transfer/copies.go
+++ b/transfer/copies.go
@@ -54,7 +54,7 @@
 func (copies *Copies) compress(update mirror.Update, now time.Duration) {
 	copies.data = compressRecords(uncompressedRecords(update.Records))
 	copies.compressedAt = now
-	copies.snapshot = mirror.Update{Whole: update.Whole, At: update.At, AsOf: update.AsOf}
+	copies.snapshot = mirror.Update{Full: update.Full, At: update.At, AsOf: update.AsOf}
 }
 
 // uncompressedRecords encodes the records one by one.
@@ -86,5 +86,5 @@
 // than the copy's.
 func Reply(update mirror.Update, now time.Duration) *wire.RelayReply {
 	age := now - update.AsOf
-	return &wire.RelayReply{Whole: update.Whole, Era: update.At.Era, At: update.At.Number, AgeMs: uint64(age.Milliseconds()) + 1, Known: true}
+	return &wire.RelayReply{Whole: update.Full, Era: update.At.Era, At: update.At.Number, AgeMs: uint64(age.Milliseconds()) + 1, Known: true}
 }
--- a/transfer/copies_test.go
+++ b/transfer/copies_test.go
@@ -19,13 +19,13 @@
 		records = append(records, shedkeel.Record{Key: fmt.Sprint("servers/", number), Value: []byte("v"), Revision: shedkeel.Revision{Number: number + 1}})
 	}
 	own := &mirror.Mirror{}
-	own.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 3}, AsOf: time.Minute, Records: records})
+	own.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 3}, AsOf: time.Minute, Records: records})
 	copies := &Copies{}
 	now := time.Minute + time.Second
-	assert.Equal(t, copies.Tell(own.Since(shedkeel.Revision{}), now).GetAgeMs(), uint64(1001))
+	assert.Equal(t, copies.Tell(own.UpdateSince(shedkeel.Revision{}), now).GetAgeMs(), uint64(1001))
 	own.Apply(mirror.Update{At: shedkeel.Revision{Number: 9}, AsOf: now, Records: []shedkeel.Record{{Key: "a", Revision: shedkeel.Revision{Number: 9}}}})
-	cached := copies.Tell(own.Since(shedkeel.Revision{}), now+snapshotMaxAge/2)
+	cached := copies.Tell(own.UpdateSince(shedkeel.Revision{}), now+snapshotMaxAge/2)
 	assert.Equal(t, cached.GetAt(), int64(3), "the snapshot is sent again")
 	assert.Equal(t, cached.GetAgeMs(), uint64(1001+snapshotMaxAge.Milliseconds()/2), "the age counts from the snapshot")
-	assert.Equal(t, copies.Tell(own.Since(shedkeel.Revision{}), now+snapshotMaxAge).GetAt(), int64(9))
+	assert.Equal(t, copies.Tell(own.UpdateSince(shedkeel.Revision{}), now+snapshotMaxAge).GetAt(), int64(9))
 }
