--- a/node/config.go
+++ b/node/config.go
@@ -99,7 +99,7 @@
 // receiveConfig applies a configuration that another node sent, if it is newer.
 func (fleet *fleet) receiveConfig(packed []byte, from shedkeel.NodeID) {
 	record := shedkeel.Record{Key: fleet.node.Decoder.ConfigKey()}
-	value, err := transfer.Inflate(packed, transfer.MaxValue)
+	value, err := transfer.Inflate(packed, transfer.MaxValueSize)
 	if err != nil {
 		fleet.skipRecord(record, fmt.Errorf("node %s: %w", from, err))
 		return
--- a/node/copies_test.go
+++ b/node/copies_test.go
@@ -73,7 +73,7 @@
 	for _, record := range records {
 		plain += len(record.Key) + len(record.Value)
 	}
-	sent := proto.Size(source.peers.copies.Tell(source.mirror.UpdateSince(shedkeel.Revision{}), timers.Now()))
+	sent := proto.Size(source.peers.snapshots.Encode(source.mirror.UpdateSince(shedkeel.Revision{}), timers.Now()))
 	t.Logf("%d bytes as records, %d as sent", plain, sent)
 	assert.Assert(t, sent*5 < plain)
 	assert.Assert(t, sent < 160_000)
--- a/node/peers.go
+++ b/node/peers.go
@@ -36,9 +36,9 @@
 	// random is used only with the mutex held, and nowhere else.
 	random shedkeel.Random
 
-	packer  transfer.Packer
-	copies  transfer.Copies
-	batches transfer.Batches
+	encoder   transfer.Encoder
+	snapshots transfer.SnapshotCache
+	batches   transfer.BatchCache
 }
 
 // peer is the client of one other node.
--- a/node/relay.go
+++ b/node/relay.go
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithTimeout(ctx, wait+margin)
 	defer cancel()
 	update, err := peer.requestUpdate(ctx, &wire.RelayCall{SinceEra: since.Era, Since: since.Number, WaitMs: uint32(wait.Milliseconds()), Differences: true})
-	if errors.Is(err, transfer.ErrOtherBase) {
+	if errors.Is(err, transfer.ErrBaseMismatch) {
 		return peer.requestUpdate(ctx, &wire.RelayCall{SinceEra: since.Era, Since: since.Number})
 	}
 	return update, err
@@ -83,7 +83,7 @@
 	}
 	at := shedkeel.Revision{Era: relay.GetEra(), Number: relay.GetAt()}
 	update := mirror.Update{Full: relay.GetWhole(), At: at, SourceUnreachable: relay.GetAway(), AsOf: -time.Duration(relay.GetAgeMs()) * time.Millisecond}
-	records, err := transfer.Records(relay)
+	records, err := transfer.DecodeRecords(relay)
 	if err != nil {
 		return mirror.Update{}, err
 	}
@@ -108,9 +108,9 @@
 // value that this node has.
 func (peer *peer) decodeRecord(sent *wire.StoreRecord, era int64) (shedkeel.Record, error) {
 	if sent.GetBase() != 0 {
-		return transfer.Undiffer(sent, era, peer.node.mirror.Get(sent.GetKey()))
+		return transfer.ApplyDifference(sent, era, peer.node.mirror.Get(sent.GetKey()))
 	}
-	return transfer.Unpack(sent, era)
+	return transfer.Decode(sent, era)
 }
 
 // handleRelay answers a relay call. It waits until the mirror has something new, for at
@@ -139,17 +139,17 @@
 	config := peers.node.fleet.newerConfig(call.GetConfig())
 	now := peers.node.Timers.Now()
 	if update.Full {
-		reply := peers.copies.Tell(update, now)
+		reply := peers.snapshots.Encode(update, now)
 		reply.Config = config
 		return &wire.Reply{Kind: &wire.Reply_Relay{Relay: reply}}
 	}
-	reply := transfer.Reply(update, now)
+	reply := transfer.EncodeReply(update, now)
 	reply.Away, reply.Config = unavailable, config
 	encode := func() []*wire.StoreRecord { return peers.encodeRecords(update.Records, since, call.GetDifferences()) }
-	if len(update.Records) < transfer.BatchMin {
+	if len(update.Records) < transfer.MinBatchRecords {
 		reply.Records = encode()
 	} else {
-		peers.batches.Tell(reply, transfer.Batch{Since: since, At: update.At, Differences: call.GetDifferences()}, encode)
+		peers.batches.Encode(reply, transfer.Batch{Since: since, At: update.At, Differences: call.GetDifferences()}, encode)
 	}
 	return &wire.Reply{Kind: &wire.Reply_Relay{Relay: reply}}
 }
@@ -179,11 +179,11 @@
 	former := peers.node.mirror.Previous(record.Key)
 	usable := former.Revision.Exists() && !former.Revision.After(since) && record.Revision.After(former.Revision)
 	if differences && !record.Gone && usable {
-		if encoded := transfer.Differ(record, former); encoded != nil {
+		if encoded := transfer.EncodeDifference(record, former); encoded != nil {
 			return encoded
 		}
 	}
-	return peers.packer.Pack(record)
+	return peers.encoder.Encode(record)
 }
 
 // mirrorUpdate returns a mirror update of records that this node wrote itself. It does not
--- a/transfer/batches.go
+++ b/transfer/batches.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// BatchMin is the number of records from which changes are compressed together.
+	// MinBatchRecords is the number of records from which changes are compressed together.
 	// Similar records compress well; a few are not worth the time.
-	BatchMin = 32
+	MinBatchRecords = 32
 	// maxCachedBatches is how many compressed batches are kept. Processes that follow
 	// the same one request the same changes, or the ones just before.
 	maxCachedBatches = 4
@@ -25,9 +25,9 @@
 	Differences bool // the receiver accepts differences
 }
 
-// Batches compresses batches of changes, each one once for all processes that request
+// BatchCache compresses batches of changes, each one once for all processes that request
 // it. The zero value is ready for use.
-type Batches struct {
+type BatchCache struct {
 	mutex  sync.Mutex
 	cached []compressedBatch // newest last
 }
@@ -38,12 +38,12 @@
 	data  []byte
 }
 
-// Tell puts the records of a batch into the reply. It calls encode for them unless the
+// Encode puts the records of a batch into the reply. It calls encode for them unless the
 // batch is cached.
-func (batches *Batches) Tell(reply *wire.RelayReply, batch Batch, encode func() []*wire.StoreRecord) {
-	batches.mutex.Lock()
-	defer batches.mutex.Unlock()
-	for _, cached := range batches.cached {
+func (cache *BatchCache) Encode(reply *wire.RelayReply, batch Batch, encode func() []*wire.StoreRecord) {
+	cache.mutex.Lock()
+	defer cache.mutex.Unlock()
+	for _, cached := range cache.cached {
 		if cached.batch == batch {
 			reply.Packed = cached.data
 			return
@@ -55,10 +55,10 @@
 		reply.Records = records
 		return
 	}
-	if len(batches.cached) == maxCachedBatches {
-		batches.cached = slices.Delete(batches.cached, 0, 1)
+	if len(cache.cached) == maxCachedBatches {
+		cache.cached = slices.Delete(cache.cached, 0, 1)
 	}
-	batches.cached = append(batches.cached, compressedBatch{batch, data})
+	cache.cached = append(cache.cached, compressedBatch{batch, data})
 	reply.Packed = data
 }
 
--- a/transfer/batches_test.go
+++ b/transfer/batches_test.go
@@ -21,7 +21,7 @@
 		key := fmt.Sprintf("servers/i-%08x", uint32(index)*2654435761) // spread like real server names
 		old := shedkeel.Record{Key: key, Value: fmt.Appendf(nil, value, 100+index%7), Revision: shedkeel.Revision{Number: int64(5000 + index)}}
 		heartbeat := shedkeel.Record{Key: key, Value: fmt.Appendf(nil, value, 101+index%7), Revision: shedkeel.Revision{Number: int64(9000 + index)}}
-		delta := Differ(heartbeat, old)
+		delta := EncodeDifference(heartbeat, old)
 		assert.Assert(t, delta != nil)
 		deltas = append(deltas, delta)
 	}
@@ -45,15 +45,15 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			batches := &Batches{}
+			batches := &BatchCache{}
 			encoded := 0
 			for _, batch := range test.requests {
 				reply := &wire.RelayReply{}
-				batches.Tell(reply, batch, func() []*wire.StoreRecord {
+				batches.Encode(reply, batch, func() []*wire.StoreRecord {
 					encoded++
 					return []*wire.StoreRecord{{Key: fmt.Sprint(batch), Revision: 7}}
 				})
-				records, err := Records(reply)
+				records, err := DecodeRecords(reply)
 				assert.NilError(t, err)
 				assert.Equal(t, len(records), 1)
 				assert.Equal(t, records[0].GetKey(), fmt.Sprint(batch), "the reply holds another batch")
@@ -69,7 +69,7 @@
 	deltas := heartbeatDeltas(t, 580)
 	uncompressed := proto.Size(&wire.RelayReply{Records: deltas})
 	reply := &wire.RelayReply{}
-	(&Batches{}).Tell(reply, Batch{}, func() []*wire.StoreRecord { return deltas })
+	(&BatchCache{}).Encode(reply, Batch{}, func() []*wire.StoreRecord { return deltas })
 	t.Logf("%d bytes uncompressed, %d compressed together", uncompressed, proto.Size(reply))
 	assert.Assert(t, proto.Size(reply)*10 <= uncompressed*6, "%d bytes of %d", proto.Size(reply), uncompressed)
 }
@@ -78,8 +78,8 @@
 	deltas := heartbeatDeltas(b, 580)
 	for b.Loop() {
 		reply := &wire.RelayReply{}
-		(&Batches{}).Tell(reply, Batch{}, func() []*wire.StoreRecord { return deltas })
-		_, err := Records(reply)
+		(&BatchCache{}).Encode(reply, Batch{}, func() []*wire.StoreRecord { return deltas })
+		_, err := DecodeRecords(reply)
 		assert.NilError(b, err)
 	}
 }
--- a/transfer/difference.go
+++ b/transfer/difference.go
@@ -11,14 +11,14 @@
 // to be sent as a difference, whose fields take some twelve bytes.
 const minCommonBytes = 32
 
-// ErrOtherBase means that a difference applies to another revision of the record than
+// ErrBaseMismatch means that a difference applies to another revision of the record than
 // the receiver has, or does not fit its value.
-var ErrOtherBase = errors.New("the difference applies to a value that this process does not have")
+var ErrBaseMismatch = errors.New("the difference applies to a value that this process does not have")
 
-// Differ encodes a record as its difference from the value that it replaced: the common
-// prefix and suffix, and the bytes between. It returns nil if they have too little in
-// common.
-func Differ(record, base shedkeel.Record) *wire.StoreRecord {
+// EncodeDifference encodes a record as its difference from the value that it replaced: the
+// common prefix and suffix, and the bytes between. It returns nil if they have too little
+// in common.
+func EncodeDifference(record, base shedkeel.Record) *wire.StoreRecord {
 	prefix := commonPrefix(record.Value, base.Value)
 	suffix := commonSuffix(record.Value[prefix:], base.Value[prefix:])
 	if prefix+suffix < minCommonBytes {
@@ -46,14 +46,15 @@
 	return count
 }
 
-// Undiffer restores a record of the era from its difference. The base is the record that
-// this process has; ErrOtherBase is returned if it is not the one that the sender used.
-func Undiffer(delta *wire.StoreRecord, era int64, base shedkeel.Record) (shedkeel.Record, error) {
+// ApplyDifference restores a record of the era from its difference. The base is the record
+// that this process has; ErrBaseMismatch is returned if it is not the one that the sender
+// used.
+func ApplyDifference(delta *wire.StoreRecord, era int64, base shedkeel.Record) (shedkeel.Record, error) {
 	record := shedkeel.Record{Key: delta.GetKey(), Revision: shedkeel.Revision{Era: era, Number: delta.GetRevision()}}
 	baseRevision := shedkeel.Revision{Era: era, Number: delta.GetBase()}
 	prefix, suffix := int(delta.GetPrefix()), int(delta.GetSuffix())
 	if base.Revision != baseRevision || prefix+suffix > len(base.Value) {
-		return record, ErrOtherBase
+		return record, ErrBaseMismatch
 	}
 	record.Value = append(record.Value, base.Value[:prefix]...)
 	record.Value = append(record.Value, delta.GetValue()...)
--- a/transfer/difference_test.go
+++ b/transfer/difference_test.go
@@ -14,7 +14,7 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-func TestDiffer(t *testing.T) {
+func TestEncodeDifference(t *testing.T) {
 	long := bytes.Repeat([]byte("server "), 20)
 	cases := map[string]struct {
 		base, value []byte
@@ -33,17 +33,17 @@
 		t.Run(name, func(t *testing.T) {
 			base := shedkeel.Record{Key: "k", Value: bytes.Clone(test.base), Revision: shedkeel.Revision{Number: 3}}
 			record := shedkeel.Record{Key: "k", Value: bytes.Clone(test.value), Revision: shedkeel.Revision{Number: 8}}
-			delta := Differ(record, base)
+			delta := EncodeDifference(record, base)
 			assert.Equal(t, delta != nil, test.encoded)
 			if delta == nil {
 				return
 			}
-			restored, err := Undiffer(delta, 0, base)
+			restored, err := ApplyDifference(delta, 0, base)
 			assert.NilError(t, err)
 			assert.DeepEqual(t, restored, record)
 			base.Revision.Number = 4
-			_, err = Undiffer(delta, 0, base)
-			assert.Assert(t, errors.Is(err, ErrOtherBase))
+			_, err = ApplyDifference(delta, 0, base)
+			assert.Assert(t, errors.Is(err, ErrBaseMismatch))
 		})
 	}
 }
@@ -59,21 +59,21 @@
 			return append(bytes.Repeat([]byte("a"), random.IntN(60)), text...)
 		}
 		base, record := shedkeel.Record{Value: value(), Revision: shedkeel.Revision{Number: 1}}, shedkeel.Record{Value: value(), Revision: shedkeel.Revision{Number: 2}}
-		delta := Differ(record, base)
+		delta := EncodeDifference(record, base)
 		if delta == nil {
 			continue
 		}
-		restored, err := Undiffer(delta, 0, base)
+		restored, err := ApplyDifference(delta, 0, base)
 		assert.NilError(t, err)
 		assert.Assert(t, bytes.Equal(restored.Value, record.Value), "%q from %q", restored.Value, base.Value)
 	}
 }
 
-// TestUndifferRefuses applies a difference whose prefix and suffix are longer than the
-// base value.
-func TestUndifferRefuses(t *testing.T) {
-	_, err := Undiffer(&wire.StoreRecord{Base: 1, Prefix: 4, Suffix: 4}, 0, shedkeel.Record{Value: []byte("short"), Revision: shedkeel.Revision{Number: 1}})
-	assert.Assert(t, errors.Is(err, ErrOtherBase))
+// TestApplyDifferenceRefuses applies a difference whose prefix and suffix are longer than
+// the base value.
+func TestApplyDifferenceRefuses(t *testing.T) {
+	_, err := ApplyDifference(&wire.StoreRecord{Base: 1, Prefix: 4, Suffix: 4}, 0, shedkeel.Record{Value: []byte("short"), Revision: shedkeel.Revision{Number: 1}})
+	assert.Assert(t, errors.Is(err, ErrBaseMismatch))
 }
 
 // TestHeartbeatIsSmall compares the size of a server's heartbeat as a full record with
@@ -86,8 +86,8 @@
 	}
 	old := shedkeel.Record{Key: "servers/i-015bfff921", Value: value(41), Revision: shedkeel.Revision{Number: 1200}}
 	record := shedkeel.Record{Key: "servers/i-015bfff921", Value: value(42), Revision: shedkeel.Revision{Number: 1251}}
-	full := proto.Size((&Packer{}).Pack(record))
-	delta := proto.Size(Differ(record, old))
+	full := proto.Size((&Encoder{}).Encode(record))
+	delta := proto.Size(EncodeDifference(record, old))
 	t.Logf("%d bytes as a full record, %d as a difference", full, delta)
 	assert.Assert(t, delta*8 < full)
 }
--- a/transfer/packer.go
+++ b/transfer/encoder.go
@@ -19,13 +19,13 @@
 	// other nodes: an uncompressed configuration of many routes would fill a slow
 	// link.
 	minCompressedSize = 4 << 10
-	// MaxValue bounds a decompressed value, in bytes. The service accepts values of
+	// MaxValueSize bounds a decompressed value, in bytes. The service accepts values of
 	// one megabyte.
-	MaxValue = 4 << 20
+	MaxValueSize = 4 << 20
 )
 
-// Packer compresses large records, each revision once. The zero value is ready for use.
-type Packer struct {
+// Encoder compresses large records, each revision once. The zero value is ready for use.
+type Encoder struct {
 	mutex  sync.Mutex
 	cached map[string]compressedRecord // by key, the latest revision that was encoded
 }
@@ -36,26 +36,26 @@
 	message  *wire.StoreRecord
 }
 
-// Pack encodes a record for other nodes.
-func (packer *Packer) Pack(record shedkeel.Record) *wire.StoreRecord {
+// Encode encodes a record for other nodes.
+func (encoder *Encoder) Encode(record shedkeel.Record) *wire.StoreRecord {
 	uncompressed := uncompressedRecord(record)
 	if len(record.Value) < minCompressedSize {
 		return uncompressed
 	}
-	packer.mutex.Lock()
-	defer packer.mutex.Unlock()
-	if entry := packer.cached[record.Key]; entry.message != nil && entry.revision == record.Revision {
+	encoder.mutex.Lock()
+	defer encoder.mutex.Unlock()
+	if entry := encoder.cached[record.Key]; entry.message != nil && entry.revision == record.Revision {
 		return entry.message
 	}
 	value, err := Deflate(record.Value)
 	if err != nil {
 		return uncompressed // cannot happen: writes to memory do not fail
 	}
-	if packer.cached == nil {
-		packer.cached = map[string]compressedRecord{}
+	if encoder.cached == nil {
+		encoder.cached = map[string]compressedRecord{}
 	}
 	message := &wire.StoreRecord{Key: record.Key, Value: value, Revision: record.Revision.Number, Packed: true}
-	packer.cached[record.Key] = compressedRecord{record.Revision, message}
+	encoder.cached[record.Key] = compressedRecord{record.Revision, message}
 	return message
 }
 
@@ -80,13 +80,13 @@
 	return compressed.Bytes(), nil
 }
 
-// Unpack decodes a record of the era that Pack encoded, and decompresses it if needed.
-func Unpack(message *wire.StoreRecord, era int64) (shedkeel.Record, error) {
+// Decode decodes a record of the era that Encode encoded, and decompresses it if needed.
+func Decode(message *wire.StoreRecord, era int64) (shedkeel.Record, error) {
 	record := shedkeel.Record{Key: message.GetKey(), Value: message.GetValue(), Revision: shedkeel.Revision{Era: era, Number: message.GetRevision()}, Gone: message.GetGone()}
 	if !message.GetPacked() {
 		return record, nil
 	}
-	value, err := Inflate(record.Value, MaxValue)
+	value, err := Inflate(record.Value, MaxValueSize)
 	if err != nil {
 		return record, fmt.Errorf("record %s from another node: %w", record.Key, err)
 	}
--- a/transfer/packer_test.go
+++ b/transfer/encoder_test.go
@@ -11,7 +11,7 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-func TestPack(t *testing.T) {
+func TestEncode(t *testing.T) {
 	var routes bytes.Buffer
 	for index := range 1900 {
 		fmt.Fprintf(&routes, `{"name":"r-%d","host":"h%d.example","path_prefix":"/p%d/","kind":"streaming","timeout_ms":8000}`, index, index%9, index)
@@ -26,29 +26,29 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			packer := &Packer{}
-			message := packer.Pack(test.record)
+			encoder := &Encoder{}
+			message := encoder.Encode(test.record)
 			assert.Equal(t, message.GetPacked(), test.packed)
 			if test.packed {
 				assert.Assert(t, len(message.GetValue())*5 < len(test.record.Value), "%d bytes", len(message.GetValue()))
-				assert.Assert(t, packer.Pack(test.record) == message, "the same revision was compressed twice")
+				assert.Assert(t, encoder.Encode(test.record) == message, "the same revision was compressed twice")
 				newer := test.record
 				newer.Revision.Number++
-				assert.Equal(t, packer.Pack(newer).GetRevision(), newer.Revision.Number)
+				assert.Equal(t, encoder.Encode(newer).GetRevision(), newer.Revision.Number)
 			}
-			record, err := Unpack(message, 0)
+			record, err := Decode(message, 0)
 			assert.NilError(t, err)
 			assert.DeepEqual(t, record, test.record)
 		})
 	}
 }
 
-func TestUnpackRefuses(t *testing.T) {
-	bomb, err := Deflate(make([]byte, MaxValue+1))
+func TestDecodeRefuses(t *testing.T) {
+	bomb, err := Deflate(make([]byte, MaxValueSize+1))
 	assert.NilError(t, err)
 	for name, value := range map[string][]byte{"not compressed data": []byte("xyz"), "exceeds the limit": bomb} {
 		t.Run(name, func(t *testing.T) {
-			_, err := Unpack(&wire.StoreRecord{Key: "a", Value: value, Packed: true}, 0)
+			_, err := Decode(&wire.StoreRecord{Key: "a", Value: value, Packed: true}, 0)
 			assert.ErrorContains(t, err, "record a")
 		})
 	}
--- a/transfer/copies.go
+++ b/transfer/snapshot.go
@@ -19,42 +19,42 @@
 	maxSnapshotSize = 32 << 20
 )
 
-// Copies compresses snapshots of a mirror for processes that have no copy, each snapshot
-// once for all requests within snapshotMaxAge. The zero value is ready for use.
-type Copies struct {
+// SnapshotCache compresses snapshots of a mirror for processes that have no copy, each
+// snapshot once for all requests within snapshotMaxAge. The zero value is ready for use.
+type SnapshotCache struct {
 	mutex        sync.Mutex
 	compressedAt time.Duration
 	snapshot     mirror.Update // without its records
 	data         []byte        // compressed records of the snapshot; nil: there is none
 }
 
-// Tell returns the reply with the full update, or with an older snapshot of the same
+// Encode returns the reply with the full update, or with an older snapshot of the same
 // era that may still be sent. The records are compressed together, as similar records compress well.
-func (copies *Copies) Tell(update mirror.Update, now time.Duration) *wire.RelayReply {
-	copies.mutex.Lock()
-	defer copies.mutex.Unlock()
-	expired := now-copies.compressedAt >= snapshotMaxAge && update.At != copies.snapshot.At || update.At.Era != copies.snapshot.At.Era
-	if copies.data == nil || expired {
-		copies.compress(update, now)
+func (cache *SnapshotCache) Encode(update mirror.Update, now time.Duration) *wire.RelayReply {
+	cache.mutex.Lock()
+	defer cache.mutex.Unlock()
+	expired := now-cache.compressedAt >= snapshotMaxAge && update.At != cache.snapshot.At || update.At.Era != cache.snapshot.At.Era
+	if cache.data == nil || expired {
+		cache.compress(update, now)
 	}
-	if copies.data == nil {
-		reply := Reply(update, now)
+	if cache.data == nil {
+		reply := EncodeReply(update, now)
 		reply.Records = uncompressedRecords(update.Records)
 		return reply
 	}
-	if copies.snapshot.At == update.At {
-		copies.snapshot.AsOf = update.AsOf
+	if cache.snapshot.At == update.At {
+		cache.snapshot.AsOf = update.AsOf
 	}
-	reply := Reply(copies.snapshot, now)
-	reply.Packed = copies.data
+	reply := EncodeReply(cache.snapshot, now)
+	reply.Packed = cache.data
 	return reply
 }
 
 // compress replaces the snapshot by the update.
-func (copies *Copies) compress(update mirror.Update, now time.Duration) {
-	copies.data = compressRecords(uncompressedRecords(update.Records))
-	copies.compressedAt = now
-	copies.snapshot = mirror.Update{Full: update.Full, At: update.At, AsOf: update.AsOf}
+func (cache *SnapshotCache) compress(update mirror.Update, now time.Duration) {
+	cache.data = compressRecords(uncompressedRecords(update.Records))
+	cache.compressedAt = now
+	cache.snapshot = mirror.Update{Full: update.Full, At: update.At, AsOf: update.AsOf}
 }
 
 // uncompressedRecords encodes the records one by one.
@@ -66,8 +66,8 @@
 	return messages
 }
 
-// Records returns the records of a reply, decompressed if needed.
-func Records(reply *wire.RelayReply) ([]*wire.StoreRecord, error) {
+// DecodeRecords returns the records of a reply, decompressed if needed.
+func DecodeRecords(reply *wire.RelayReply) ([]*wire.StoreRecord, error) {
 	if len(reply.GetPacked()) == 0 {
 		return reply.GetRecords(), nil
 	}
@@ -82,9 +82,9 @@
 	return unpacked.GetRecords(), nil
 }
 
-// Reply encodes an update without its records. The age in milliseconds is never less
+// EncodeReply encodes an update without its records. The age in milliseconds is never less
 // than the copy's.
-func Reply(update mirror.Update, now time.Duration) *wire.RelayReply {
+func EncodeReply(update mirror.Update, now time.Duration) *wire.RelayReply {
 	age := now - update.AsOf
 	return &wire.RelayReply{Whole: update.Full, Era: update.At.Era, At: update.At.Number, AgeMs: uint64(age.Milliseconds()) + 1, Known: true}
 }
--- a/transfer/copies_test.go
+++ b/transfer/snapshot_test.go
@@ -20,12 +20,12 @@
 	}
 	own := &mirror.Mirror{}
 	own.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 3}, AsOf: time.Minute, Records: records})
-	copies := &Copies{}
+	snapshots := &SnapshotCache{}
 	now := time.Minute + time.Second
-	assert.Equal(t, copies.Tell(own.UpdateSince(shedkeel.Revision{}), now).GetAgeMs(), uint64(1001))
+	assert.Equal(t, snapshots.Encode(own.UpdateSince(shedkeel.Revision{}), now).GetAgeMs(), uint64(1001))
 	own.Apply(mirror.Update{At: shedkeel.Revision{Number: 9}, AsOf: now, Records: []shedkeel.Record{{Key: "a", Revision: shedkeel.Revision{Number: 9}}}})
-	cached := copies.Tell(own.UpdateSince(shedkeel.Revision{}), now+snapshotMaxAge/2)
+	cached := snapshots.Encode(own.UpdateSince(shedkeel.Revision{}), now+snapshotMaxAge/2)
 	assert.Equal(t, cached.GetAt(), int64(3), "the snapshot is sent again")
 	assert.Equal(t, cached.GetAgeMs(), uint64(1001+snapshotMaxAge.Milliseconds()/2), "the age counts from the snapshot")
-	assert.Equal(t, copies.Tell(own.UpdateSince(shedkeel.Revision{}), now+snapshotMaxAge).GetAt(), int64(9))
+	assert.Equal(t, snapshots.Encode(own.UpdateSince(shedkeel.Revision{}), now+snapshotMaxAge).GetAt(), int64(9))
 }
