--- a/mutants_test.go
+++ b/mutants_test.go
@@ -32,7 +32,7 @@
 		"serve/send.go", "|| exchange.freshConnection.Load()", "", "TestFreshConnectionAfterServerEnd", "./serve",
 	},
 	"rate limits of servers: every permit is granted": {
-		"ratelimit/granter.go", "if delay > ask.Patience {", "if false {", "TestServerLimitHoldsOverAllNodes", "./node",
+		"ratelimit/granter.go", "if delay > request.MaxWait {", "if false {", "TestServerLimitHoldsOverAllNodes", "./node",
 	},
 	"rate limits of servers: each half of a cut fleet grants all": {
 		"node/limits.go", "Rate: rate * part,", "Rate: rate + 0*part,", "TestHalfOfTheFleetGrantsHalf", "./node",
@@ -41,10 +41,10 @@
 		"serve/permit.go", "if !choice.Limited ||", "if !mayWait || !choice.Limited ||", "TestEveryAttemptNeedsPermit", "./serve",
 	},
 	"rate limits of servers: a new granter does not wait": {
-		"ratelimit/granter.go", "grantsFrom: max(now, ask.Settled+handoverDelay)", "grantsFrom: now", "TestGranterHandover", "./ratelimit",
+		"ratelimit/granter.go", "grantsFrom: max(now, request.SettledSince+handoverDelay)", "grantsFrom: now", "TestGranterHandover", "./ratelimit",
 	},
 	"rate limits of servers: an answer that comes late lifts a limit": {
-		"ratelimit/book.go", "Lifted: true, At: sent}", "Lifted: true, At: now}", "TestBook", "./ratelimit",
+		"ratelimit/limits.go", "Lifted: true, At: sent}", "Lifted: true, At: now}", "TestLimits", "./ratelimit",
 	},
 	"evacuated zones: they get requests": {
 		"node/fleet.go", "|| fleet.evacuated[instance.Zone]:", ":", "TestEvacuatedZoneGetsNothing", "./node",
--- a/node/limits.go
+++ b/node/limits.go
@@ -42,8 +42,8 @@
 // that it is cold.
 type limits struct {
 	node    *Node
-	book    ratelimit.Book
-	cold    ratelimit.Cold
+	known   ratelimit.Limits
+	cold    ratelimit.ColdServers
 	granter ratelimit.Granter
 
 	mutex       sync.Mutex
@@ -61,7 +61,7 @@
 		limits.logBadLimit(server, limit.Err, now)
 		return
 	}
-	if known, changed := limits.book.Observe(server, limit, sent, now); changed {
+	if known, changed := limits.known.Observe(server, limit, sent, now); changed {
 		limits.limitChanged(known, limits.node.Settings.Node)
 		limits.announce(known)
 	}
@@ -78,7 +78,7 @@
 	if !valid {
 		return
 	}
-	known, changed := limits.book.Merge(limit)
+	known, changed := limits.known.Merge(limit)
 	if !changed {
 		return
 	}
@@ -104,8 +104,8 @@
 // rate returns how many requests per second a server accepts from all nodes together,
 // and whether that number is limited: the server states a limit, or it is cold.
 func (limits *limits) rate(server shedkeel.InstanceID, now time.Duration) (rate float64, limited bool) {
-	stated, limited := limits.book.Limit(server)
-	cold, isCold := limits.cold.Server(server, now)
+	stated, limited := limits.known.Limit(server)
+	cold, isCold := limits.cold.Lookup(server, now)
 	if isCold && (!limited || cold.Rate < stated.Rate) {
 		return cold.Rate, true
 	}
@@ -114,7 +114,7 @@
 
 // markCold records that a server is cold.
 func (limits *limits) markCold(cold shedkeel.ColdServer) {
-	if limits.cold.Note(cold) {
+	if limits.cold.Add(cold) {
 		limits.updateTable(cold.Server)
 	}
 }
@@ -132,7 +132,7 @@
 // updateAll sets all limits in the dispatch table again, after the list of servers has
 // changed.
 func (limits *limits) updateAll() {
-	for _, limit := range limits.book.All() {
+	for _, limit := range limits.known.All() {
 		limits.updateTable(limit.Server)
 	}
 	for _, cold := range limits.cold.All(limits.node.Timers.Now()) {
@@ -168,8 +168,8 @@
 // hears: during a network partition, the nodes on the other side may grant the rest.
 func (limits *limits) grant(server shedkeel.InstanceID, rate float64, maxWait time.Duration) shedkeel.Permit {
 	part, settledSince := limits.node.peers.aliveFraction()
-	ask := ratelimit.Ask{Server: server, Rate: rate * part, Patience: maxWait, Settled: settledSince}
-	return limits.granter.Grant(ask, limits.node.Timers.Now())
+	request := ratelimit.PermitRequest{Server: server, Rate: rate * part, MaxWait: maxWait, SettledSince: settledSince}
+	return limits.granter.Grant(request, limits.node.Timers.Now())
 }
 
 // requestPermit asks the server's granter for a permit. If that does not answer, no
@@ -199,7 +199,7 @@
 	server := shedkeel.InstanceID(call.GetLimit().GetServer())
 	permit := shedkeel.Permit{Wait: permitRetryDelay}
 	rate, limited := limits.rate(server, limits.node.Timers.Now())
-	stated, _ := limits.book.Limit(server)
+	stated, _ := limits.known.Limit(server)
 	switch {
 	case !limits.isGranter(server): // this node and the sender see different nodes alive
 	case limited:
@@ -216,9 +216,9 @@
 // knows nothing.
 func (limits *limits) wireState(server shedkeel.InstanceID) *wire.ServerLimit {
 	now := limits.node.Timers.Now()
-	stated, _ := limits.book.Limit(server)
+	stated, _ := limits.known.Limit(server)
 	state := toWireLimit(stated, now)
-	cold, isCold := limits.cold.Server(server, now)
+	cold, isCold := limits.cold.Lookup(server, now)
 	if !isCold {
 		return state
 	}
@@ -301,7 +301,7 @@
 func (limits *limits) dump() []LimitDump {
 	now := limits.node.Timers.Now()
 	found := []LimitDump{}
-	for _, limit := range limits.book.All() {
+	for _, limit := range limits.known.All() {
 		dump := limits.dumpServer(limit.Server, limit.Rate)
 		dump.For = (now - limit.Since).Round(time.Millisecond).String()
 		found = append(found, dump)
@@ -371,7 +371,7 @@
 
 // retain forgets the servers that are no longer listed.
 func (limits *limits) retain(listed func(shedkeel.InstanceID) bool) {
-	limits.book.Retain(listed)
+	limits.known.Retain(listed)
 	limits.granter.Retain(listed)
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -109,7 +109,7 @@
 	assert.Equal(t, len(node.limits.pending), 2)
 	node.limits.handleLimits(&wire.LimitCall{Node: "c", Limits: []*wire.ServerLimit{{Server: own, Rate: 2}}})
 	assert.Equal(t, len(node.limits.pending), 2, "it is known already")
-	assert.Equal(t, len(node.limits.book.All()), 3)
+	assert.Equal(t, len(node.limits.known.All()), 3)
 }
 
 // TestNoPermitWithoutGranter checks that a node grants no permits in place of a granter
--- a/ratelimit/cold.go
+++ b/ratelimit/cold.go
@@ -10,58 +10,59 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Cold holds the backend servers that are cold: they have started lately and take fewer
-// requests until they are warm. The zero value is empty. It is safe for concurrent use.
-type Cold struct {
+// ColdServers holds the backend servers that are cold: they have started lately and take
+// fewer requests until they are warm. The zero value is empty. It is safe for concurrent
+// use.
+type ColdServers struct {
 	mutex   sync.RWMutex
 	servers map[shedkeel.InstanceID]shedkeel.ColdServer
 }
 
-// Note records that a server is cold, and reports whether that changed anything. Until is
+// Add records that a server is cold, and reports whether that changed anything. Until is
 // never moved to an earlier time.
-func (cold *Cold) Note(server shedkeel.ColdServer) bool {
-	cold.mutex.Lock()
-	defer cold.mutex.Unlock()
-	before, known := cold.servers[server.Server]
+func (servers *ColdServers) Add(server shedkeel.ColdServer) bool {
+	servers.mutex.Lock()
+	defer servers.mutex.Unlock()
+	before, known := servers.servers[server.Server]
 	if known {
 		server.Until = max(server.Until, before.Until)
 	}
 	if known && server == before {
 		return false
 	}
-	if cold.servers == nil {
-		cold.servers = map[shedkeel.InstanceID]shedkeel.ColdServer{}
+	if servers.servers == nil {
+		servers.servers = map[shedkeel.InstanceID]shedkeel.ColdServer{}
 	}
-	cold.servers[server.Server] = server
+	servers.servers[server.Server] = server
 	return true
 }
 
-// Server returns the record of a server, and whether it is cold now.
-func (cold *Cold) Server(server shedkeel.InstanceID, now time.Duration) (shedkeel.ColdServer, bool) {
-	cold.mutex.RLock()
-	defer cold.mutex.RUnlock()
-	known, found := cold.servers[server]
+// Lookup returns the record of a server, and whether it is cold now.
+func (servers *ColdServers) Lookup(server shedkeel.InstanceID, now time.Duration) (shedkeel.ColdServer, bool) {
+	servers.mutex.RLock()
+	defer servers.mutex.RUnlock()
+	known, found := servers.servers[server]
 	return known, found && known.Until > now
 }
 
 // All returns the servers that are cold now, ordered by ID.
-func (cold *Cold) All(now time.Duration) []shedkeel.ColdServer {
-	cold.mutex.RLock()
-	defer cold.mutex.RUnlock()
-	found := slices.DeleteFunc(slices.Collect(maps.Values(cold.servers)), func(server shedkeel.ColdServer) bool { return server.Until <= now })
+func (servers *ColdServers) All(now time.Duration) []shedkeel.ColdServer {
+	servers.mutex.RLock()
+	defer servers.mutex.RUnlock()
+	found := slices.DeleteFunc(slices.Collect(maps.Values(servers.servers)), func(server shedkeel.ColdServer) bool { return server.Until <= now })
 	slices.SortFunc(found, func(a, b shedkeel.ColdServer) int { return cmp.Compare(a.Server, b.Server) })
 	return found
 }
 
 // Expire removes the servers that are warm now and returns their IDs.
-func (cold *Cold) Expire(now time.Duration) []shedkeel.InstanceID {
-	cold.mutex.Lock()
-	defer cold.mutex.Unlock()
+func (servers *ColdServers) Expire(now time.Duration) []shedkeel.InstanceID {
+	servers.mutex.Lock()
+	defer servers.mutex.Unlock()
 	var warm []shedkeel.InstanceID
-	for server, known := range cold.servers {
+	for server, known := range servers.servers {
 		if known.Until <= now {
 			warm = append(warm, server)
-			delete(cold.servers, server)
+			delete(servers.servers, server)
 		}
 	}
 	return warm
--- a/ratelimit/cold_test.go
+++ b/ratelimit/cold_test.go
@@ -29,13 +29,13 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			var cold ratelimit.Cold
+			var cold ratelimit.ColdServers
 			for _, call := range test.notes {
-				assert.Equal(t, cold.Note(shedkeel.ColdServer{Server: "s", Rate: 2, Until: call.until}), call.changed)
+				assert.Equal(t, cold.Add(shedkeel.ColdServer{Server: "s", Rate: 2, Until: call.until}), call.changed)
 			}
-			_, isCold := cold.Server("s", test.until)
+			_, isCold := cold.Lookup("s", test.until)
 			assert.Assert(t, !isCold, "it is warm from then on")
-			known, isCold := cold.Server("s", test.until-1)
+			known, isCold := cold.Lookup("s", test.until-1)
 			assert.Assert(t, isCold)
 			assert.Equal(t, known.Rate, 2.0)
 			assert.Equal(t, len(cold.All(test.until-1)), 1)
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -48,26 +48,26 @@
 	Refused int64
 }
 
-// Ask is a request for one permit.
-type Ask struct {
-	Server   shedkeel.InstanceID
-	Rate     float64       // requests a second that this process may grant
-	Patience time.Duration // longest wait for which a permit is granted in advance
-	Settled  time.Duration // since when the set of live processes has not changed
+// PermitRequest is a request for one permit.
+type PermitRequest struct {
+	Server       shedkeel.InstanceID
+	Rate         float64       // requests a second that this process may grant
+	MaxWait      time.Duration // longest wait for which a permit is granted in advance
+	SettledSince time.Duration // since when the set of live processes has not changed
 }
 
 // Grant grants or refuses a permit. A granted permit may be used after its Wait, which is
-// at most ask.Patience. After a refusal, a new attempt makes sense after Wait.
-func (granter *Granter) Grant(ask Ask, now time.Duration) shedkeel.Permit {
+// at most request.MaxWait. After a refusal, a new attempt makes sense after Wait.
+func (granter *Granter) Grant(request PermitRequest, now time.Duration) shedkeel.Permit {
 	granter.mutex.Lock()
 	defer granter.mutex.Unlock()
-	bucket := granter.bucket(ask, now)
+	bucket := granter.bucket(request, now)
 	if now < bucket.grantsFrom {
 		return bucket.refuse(bucket.grantsFrom-now, now)
 	}
 	reservation := bucket.tokens.ReserveN(instant(now), 1)
 	delay := reservation.DelayFrom(instant(now))
-	if delay > ask.Patience {
+	if delay > request.MaxWait {
 		reservation.CancelAt(instant(now))
 		return bucket.refuse(delay, now)
 	}
@@ -75,11 +75,11 @@
 	return shedkeel.Permit{Granted: true, Wait: delay}
 }
 
-// bucket returns the server's bucket, with the rate set to ask.Rate. It creates an empty
-// one for a new server. The caller holds the mutex.
-func (granter *Granter) bucket(ask Ask, now time.Duration) *bucket {
-	perSecond := rate.Limit(max(ask.Rate, probeRate))
-	known := granter.buckets[ask.Server]
+// bucket returns the server's bucket, with the rate set to request.Rate. It creates an
+// empty one for a new server. The caller holds the mutex.
+func (granter *Granter) bucket(request PermitRequest, now time.Duration) *bucket {
+	perSecond := rate.Limit(max(request.Rate, probeRate))
+	known := granter.buckets[request.Server]
 	if known != nil {
 		if known.tokens.Limit() != perSecond {
 			known.tokens.SetLimitAt(instant(now), perSecond)
@@ -87,12 +87,12 @@
 		}
 		return known
 	}
-	known = &bucket{tokens: rate.NewLimiter(perSecond, burst(perSecond)), grantsFrom: max(now, ask.Settled+handoverDelay)}
+	known = &bucket{tokens: rate.NewLimiter(perSecond, burst(perSecond)), grantsFrom: max(now, request.SettledSince+handoverDelay)}
 	known.tokens.AllowN(instant(known.grantsFrom), burst(perSecond))
 	if granter.buckets == nil {
 		granter.buckets = map[shedkeel.InstanceID]*bucket{}
 	}
-	granter.buckets[ask.Server] = known
+	granter.buckets[request.Server] = known
 	return known
 }
 
--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -11,9 +11,9 @@
 
 // requestPermits asks for a permit at every interval, for a length of time, and returns
 // when permits were granted.
-func requestPermits(granter *Granter, ask Ask, from, every, length time.Duration) (granted []time.Duration) {
+func requestPermits(granter *Granter, request PermitRequest, from, every, length time.Duration) (granted []time.Duration) {
 	for now := from; now < from+length; now += every {
-		if granter.Grant(ask, now).Granted {
+		if granter.Grant(request, now).Granted {
 			granted = append(granted, now)
 		}
 	}
@@ -27,7 +27,7 @@
 	cases := map[string]float64{"a half": 0.5, "two": 2, "twenty": 20, "two hundred": 200}
 	for name, rate := range cases {
 		t.Run(name, func(t *testing.T) {
-			granted := requestPermits(&Granter{}, Ask{Server: "s", Rate: rate}, start, time.Millisecond, length)
+			granted := requestPermits(&Granter{}, PermitRequest{Server: "s", Rate: rate}, start, time.Millisecond, length)
 			total := rate * length.Seconds()
 			assert.Assert(t, float64(len(granted)) >= 0.9*total-1, "%d of %.0f used", len(granted), total)
 			first := 0
@@ -54,8 +54,8 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			ask := Ask{Server: "s", Rate: 10, Settled: test.settled}
-			granted := requestPermits(&Granter{}, ask, time.Minute, 10*time.Millisecond, 3*time.Second)
+			request := PermitRequest{Server: "s", Rate: 10, SettledSince: test.settled}
+			granted := requestPermits(&Granter{}, request, time.Minute, 10*time.Millisecond, 3*time.Second)
 			interval := 100 * time.Millisecond
 			assert.Assert(t, granted[0] >= test.first+interval && granted[0] <= test.first+2*interval, "first at %s", granted[0])
 		})
@@ -66,7 +66,7 @@
 // refused ones get different times for a new attempt.
 func TestGranterWaits(t *testing.T) {
 	const now = time.Minute
-	ask := Ask{Server: "s", Rate: 2, Patience: time.Second}
+	request := PermitRequest{Server: "s", Rate: 2, MaxWait: time.Second}
 	granter := &Granter{}
 	for index, want := range []shedkeel.Permit{
 		{Granted: true, Wait: 500 * time.Millisecond},
@@ -75,7 +75,7 @@
 		{Wait: 2 * time.Second},
 		{Wait: maxRetryWait},
 	} {
-		assert.Equal(t, granter.Grant(ask, now), want, "request %d", index)
+		assert.Equal(t, granter.Grant(request, now), want, "request %d", index)
 	}
 }
 
@@ -83,13 +83,13 @@
 // that takes no requests is probed at probeRate.
 func TestGranterFollowsTheLimit(t *testing.T) {
 	granter := &Granter{}
-	ask := Ask{Server: "s", Rate: 5}
-	assert.Equal(t, len(requestPermits(granter, ask, time.Minute, 10*time.Millisecond, 10*time.Second)), 49)
-	ask.Rate = 1
-	reduced := len(requestPermits(granter, ask, 2*time.Minute, 10*time.Millisecond, 10*time.Second))
+	request := PermitRequest{Server: "s", Rate: 5}
+	assert.Equal(t, len(requestPermits(granter, request, time.Minute, 10*time.Millisecond, 10*time.Second)), 49)
+	request.Rate = 1
+	reduced := len(requestPermits(granter, request, 2*time.Minute, 10*time.Millisecond, 10*time.Second))
 	assert.Assert(t, reduced >= 10 && reduced <= 10+minBurst, "%d", reduced)
-	ask.Rate = 0
-	trials := len(requestPermits(granter, ask, 3*time.Minute, 10*time.Millisecond, time.Minute))
+	request.Rate = 0
+	trials := len(requestPermits(granter, request, 3*time.Minute, 10*time.Millisecond, time.Minute))
 	assert.Assert(t, trials >= 6 && trials <= 6+minBurst, "%d", trials)
 	granter.Retain(func(shedkeel.InstanceID) bool { return false })
 	assert.Equal(t, len(granter.buckets), 0)
@@ -100,11 +100,11 @@
 	granter := &Granter{}
 	now := time.Minute
 	for index := range 1000 {
-		granter.Grant(Ask{Server: shedkeel.InstanceID(rune('a' + index)), Rate: 2}, now)
+		granter.Grant(PermitRequest{Server: shedkeel.InstanceID(rune('a' + index)), Rate: 2}, now)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		now += time.Microsecond
-		granter.Grant(Ask{Server: "b", Rate: 2}, now)
+		granter.Grant(PermitRequest{Server: "b", Rate: 2}, now)
 	}
 }
--- a/ratelimit/book.go
+++ b/ratelimit/limits.go
@@ -13,68 +13,68 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Book holds the known rate limits of backend servers. The zero value is empty. It is
+// Limits holds the known rate limits of backend servers. The zero value is empty. It is
 // safe for concurrent use.
-type Book struct {
+type Limits struct {
 	mutex  sync.RWMutex
 	limits map[shedkeel.InstanceID]shedkeel.ServerLimit // lifted ones too
 	inUse  atomic.Int64                                 // limits that are not lifted
 }
 
 // Idle reports whether no server is known to limit its rate.
-func (book *Book) Idle() bool { return book.inUse.Load() == 0 }
+func (limits *Limits) Idle() bool { return limits.inUse.Load() == 0 }
 
 // Observe records what an answer that is received now states. Sent is when its request
 // was sent: an answer without a limit proves only that there was none at that time. It
 // returns the limit that is known now, and whether it has changed.
-func (book *Book) Observe(server shedkeel.InstanceID, limit shedkeel.StatedLimit, sent, now time.Duration) (shedkeel.ServerLimit, bool) {
+func (limits *Limits) Observe(server shedkeel.InstanceID, limit shedkeel.StatedLimit, sent, now time.Duration) (shedkeel.ServerLimit, bool) {
 	if !limit.Stated {
-		if book.Idle() {
+		if limits.Idle() {
 			return shedkeel.ServerLimit{}, false
 		}
-		return book.Merge(shedkeel.ServerLimit{Server: server, Lifted: true, At: sent})
+		return limits.Merge(shedkeel.ServerLimit{Server: server, Lifted: true, At: sent})
 	}
-	return book.Merge(shedkeel.ServerLimit{Server: server, Rate: limit.Rate, At: now, Since: now})
+	return limits.Merge(shedkeel.ServerLimit{Server: server, Rate: limit.Rate, At: now, Since: now})
 }
 
 // Merge records a limit, possibly from another process. The newest statement of a server
 // wins. It returns the limit that is known now, and whether it has changed.
-func (book *Book) Merge(limit shedkeel.ServerLimit) (shedkeel.ServerLimit, bool) {
-	book.mutex.Lock()
-	defer book.mutex.Unlock()
-	before, known := book.limits[limit.Server]
+func (limits *Limits) Merge(limit shedkeel.ServerLimit) (shedkeel.ServerLimit, bool) {
+	limits.mutex.Lock()
+	defer limits.mutex.Unlock()
+	before, known := limits.limits[limit.Server]
 	if !known && limit.Lifted || known && limit.At <= before.At {
 		return before, false
 	}
 	if known && !before.Lifted && !limit.Lifted {
 		limit.Since = min(limit.Since, before.Since)
 	}
-	if book.limits == nil {
-		book.limits = map[shedkeel.InstanceID]shedkeel.ServerLimit{}
+	if limits.limits == nil {
+		limits.limits = map[shedkeel.InstanceID]shedkeel.ServerLimit{}
 	}
-	book.limits[limit.Server] = limit
+	limits.limits[limit.Server] = limit
 	changed := !known || before.Lifted != limit.Lifted || before.Rate != limit.Rate
 	if changed {
-		book.updateInUse()
+		limits.updateInUse()
 	}
 	return limit, changed
 }
 
 // Limit returns the known limit of a server, and whether it is in use, that is, known
 // and not lifted.
-func (book *Book) Limit(server shedkeel.InstanceID) (shedkeel.ServerLimit, bool) {
-	book.mutex.RLock()
-	defer book.mutex.RUnlock()
-	limit, known := book.limits[server]
+func (limits *Limits) Limit(server shedkeel.InstanceID) (shedkeel.ServerLimit, bool) {
+	limits.mutex.RLock()
+	defer limits.mutex.RUnlock()
+	limit, known := limits.limits[server]
 	return limit, known && !limit.Lifted
 }
 
 // All returns the limits in use, ordered by server.
-func (book *Book) All() []shedkeel.ServerLimit {
-	book.mutex.RLock()
-	defer book.mutex.RUnlock()
+func (limits *Limits) All() []shedkeel.ServerLimit {
+	limits.mutex.RLock()
+	defer limits.mutex.RUnlock()
 	found := []shedkeel.ServerLimit{}
-	for _, limit := range book.limits {
+	for _, limit := range limits.limits {
 		if !limit.Lifted {
 			found = append(found, limit)
 		}
@@ -84,24 +84,24 @@
 }
 
 // Retain removes the servers for which listed returns false.
-func (book *Book) Retain(listed func(shedkeel.InstanceID) bool) {
-	book.mutex.Lock()
-	defer book.mutex.Unlock()
-	for server := range book.limits {
+func (limits *Limits) Retain(listed func(shedkeel.InstanceID) bool) {
+	limits.mutex.Lock()
+	defer limits.mutex.Unlock()
+	for server := range limits.limits {
 		if !listed(server) {
-			delete(book.limits, server)
+			delete(limits.limits, server)
 		}
 	}
-	book.updateInUse()
+	limits.updateInUse()
 }
 
 // updateInUse recounts the limits in use. The caller holds the mutex.
-func (book *Book) updateInUse() {
+func (limits *Limits) updateInUse() {
 	inUse := int64(0)
-	for _, limit := range book.limits {
+	for _, limit := range limits.limits {
 		if !limit.Lifted {
 			inUse++
 		}
 	}
-	book.inUse.Store(inUse)
+	limits.inUse.Store(inUse)
 }
--- a/ratelimit/book_test.go
+++ b/ratelimit/limits_test.go
@@ -9,9 +9,9 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestBook checks the known limit of a server after a sequence of its answers, in the
+// TestLimits checks the known limit of a server after a sequence of its answers, in the
 // order in which they arrive.
-func TestBook(t *testing.T) {
+func TestLimits(t *testing.T) {
 	type answer struct {
 		limit     float64 // below 0: none
 		sent, now time.Duration
@@ -33,17 +33,17 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			var book Book
+			var limits Limits
 			changes := 0
 			for _, answer := range test.answers {
 				stated := shedkeel.StatedLimit{Stated: answer.limit >= 0, Rate: max(answer.limit, 0)}
-				if _, changed := book.Observe("s", stated, answer.sent, answer.now); changed {
+				if _, changed := limits.Observe("s", stated, answer.sent, answer.now); changed {
 					changes++
 				}
 			}
-			limit, limited := book.Limit("s")
+			limit, limited := limits.Limit("s")
 			assert.Equal(t, limited, test.limited)
-			assert.Equal(t, book.Idle(), !test.limited)
+			assert.Equal(t, limits.Idle(), !test.limited)
 			assert.Equal(t, limit.Rate, test.rate)
 			assert.Equal(t, changes, test.changes)
 		})
@@ -53,17 +53,17 @@
 // TestBookMerge checks that the newest statement wins, from whichever process it comes,
 // and that Retain removes servers that are not listed.
 func TestBookMerge(t *testing.T) {
-	var book Book
-	book.Merge(shedkeel.ServerLimit{Server: "s", Rate: 2, At: 10, Since: 10})
-	_, changed := book.Merge(shedkeel.ServerLimit{Server: "s", Rate: 9, At: 5, Since: 5})
+	var limits Limits
+	limits.Merge(shedkeel.ServerLimit{Server: "s", Rate: 2, At: 10, Since: 10})
+	_, changed := limits.Merge(shedkeel.ServerLimit{Server: "s", Rate: 9, At: 5, Since: 5})
 	assert.Assert(t, !changed, "older than what is known")
-	known, changed := book.Merge(shedkeel.ServerLimit{Server: "s", Rate: 3, At: 12, Since: 4})
+	known, changed := limits.Merge(shedkeel.ServerLimit{Server: "s", Rate: 3, At: 12, Since: 4})
 	assert.Assert(t, changed)
 	assert.Equal(t, known.Since, time.Duration(4))
-	book.Merge(shedkeel.ServerLimit{Server: "gone", Rate: 1, At: 1})
-	assert.Equal(t, len(book.All()), 2)
-	book.Retain(func(server shedkeel.InstanceID) bool { return server == "s" })
-	assert.Equal(t, len(book.All()), 1)
+	limits.Merge(shedkeel.ServerLimit{Server: "gone", Rate: 1, At: 1})
+	assert.Equal(t, len(limits.All()), 2)
+	limits.Retain(func(server shedkeel.InstanceID) bool { return server == "s" })
+	assert.Equal(t, len(limits.All()), 1)
 }
 
 // BenchmarkObserve measures an answer with and without a limit, while no server limits
@@ -79,15 +79,15 @@
 	}
 	for name, test := range cases {
 		b.Run(name, func(b *testing.B) {
-			var book Book
+			var limits Limits
 			for index := range test.limited {
-				book.Merge(shedkeel.ServerLimit{Server: shedkeel.InstanceID(rune('a' + index)), Rate: 2, At: 1})
+				limits.Merge(shedkeel.ServerLimit{Server: shedkeel.InstanceID(rune('a' + index)), Rate: 2, At: 1})
 			}
 			now := time.Second
 			b.ReportAllocs()
 			for b.Loop() {
 				now++
-				book.Observe("b", test.answer, 1, now)
+				limits.Observe("b", test.answer, 1, now)
 			}
 		})
 	}
--- a/ratelimit/sharing_test.go
+++ b/ratelimit/sharing_test.go
@@ -524,7 +524,7 @@
 	if !singleGranter.fullRate {
 		limit *= fleet.aliveFraction(granter)
 	}
-	return granter.granter.Grant(Ask{Server: "s", Rate: limit, Settled: fleet.stableSince(granter)}, fleet.now)
+	return granter.granter.Grant(PermitRequest{Server: "s", Rate: limit, SettledSince: fleet.stableSince(granter)}, fleet.now)
 }
 
 func (singleGranter) restart(*simNode) {}
