--- a/contain/ledger.go
+++ b/contain/ledger.go
@@ -76,9 +76,9 @@
 	return blames
 }
 
-// Ended records that a server failed while it ran a request. It returns the record of the
-// request and whether it changed.
-func (ledger *Ledger) Ended(request shedkeel.RequestDigest, server shedkeel.InstanceID) (shedkeel.Blame, bool) {
+// RecordFailure records that a server failed while it ran a request. It returns the record
+// of the request and whether it changed.
+func (ledger *Ledger) RecordFailure(request shedkeel.RequestDigest, server shedkeel.InstanceID) (shedkeel.Blame, bool) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	entry := ledger.entry(request)
--- a/contain/ledger_test.go
+++ b/contain/ledger_test.go
@@ -31,7 +31,7 @@
 		t.Run(name, func(t *testing.T) {
 			ledger := &Ledger{}
 			for _, server := range test.ended {
-				ledger.Ended("r", server)
+				ledger.RecordFailure("r", server)
 			}
 			assert.Equal(t, Judge(ledger.Blame("r")), test.judgment)
 			assert.Equal(t, Judge(ledger.Blame("other")), shedkeel.Unblamed)
@@ -44,8 +44,8 @@
 // earlier round ineffective, while later failures count.
 func TestClear(t *testing.T) {
 	ledger := &Ledger{}
-	ledger.Ended("r", "a")
-	ledger.Ended("r", "b")
+	ledger.RecordFailure("r", "a")
+	ledger.RecordFailure("r", "b")
 	before, now := ledger.Clear("r")
 	assert.Equal(t, len(before.Servers), 2)
 	assert.Equal(t, now.Round, uint32(1))
@@ -54,7 +54,7 @@
 	assert.Assert(t, !changed, "a message of an earlier round was applied")
 	assert.Equal(t, Judge(ledger.Blame("r")), shedkeel.Unblamed)
 	for _, server := range []shedkeel.InstanceID{"d", "e", "f"} {
-		ledger.Ended("r", server)
+		ledger.RecordFailure("r", server)
 	}
 	assert.Equal(t, Judge(ledger.Blame("r")), shedkeel.Contained)
 	_, now = ledger.Clear("unknown")
@@ -74,7 +74,7 @@
 				messages = append(messages, now)
 				continue
 			}
-			now, _ := source.Ended("r", shedkeel.InstanceID(fmt.Sprint("s", step)))
+			now, _ := source.RecordFailure("r", shedkeel.InstanceID(fmt.Sprint("s", step)))
 			messages = append(messages, now)
 		}
 		for range 5 {
@@ -94,10 +94,10 @@
 func TestMemoryIsBounded(t *testing.T) {
 	ledger := &Ledger{}
 	for _, server := range []shedkeel.InstanceID{"a", "b", "c"} {
-		ledger.Ended("deadly", server)
+		ledger.RecordFailure("deadly", server)
 	}
 	for index := range 3 * maxRequests {
-		ledger.Ended(shedkeel.RequestDigest(fmt.Sprint(index)), "a")
+		ledger.RecordFailure(shedkeel.RequestDigest(fmt.Sprint(index)), "a")
 		ledger.Blame("0")
 	}
 	assert.Equal(t, len(ledger.All()), maxRequests)
--- a/contain/simulation_test.go
+++ b/contain/simulation_test.go
@@ -299,7 +299,7 @@
 		return
 	}
 	if simulation.strategy.keepsLedger {
-		blame, changed := simulation.nodes[sent.node].ledger.Ended(request, server)
+		blame, changed := simulation.nodes[sent.node].ledger.RecordFailure(request, server)
 		simulation.recordUpdated(sent.node, blame, changed, true)
 	}
 	if sent.exclusive {
@@ -386,10 +386,11 @@
 	})
 }
 
-// TestWays compares strategies on the same simulations, and checks the bound of the one in
-// use: once three servers have failed and all connected nodes could know of it, at most three
-// more copies of the request reach servers, whatever fault the fleet has.
-func TestWays(t *testing.T) {
+// TestContainmentStrategies compares strategies on the same simulations, and checks the
+// bound of the one in use: once three servers have failed and all connected nodes could
+// know of it, at most three more copies of the request reach servers, whatever fault the
+// fleet has.
+func TestContainmentStrategies(t *testing.T) {
 	strategies := map[string]strategy{
 		"1 bounded by attempts":          {},
 		"2 each node for itself":         {keepsLedger: true},
--- a/node/guard.go
+++ b/node/guard.go
@@ -74,7 +74,7 @@
 // Ended records that a server has terminated while running a request, and reports it to
 // other nodes.
 func (guard *guard) Ended(request shedkeel.RequestDigest, server shedkeel.InstanceID) {
-	blame, isNew := guard.ledger.Ended(request, server)
+	blame, isNew := guard.ledger.RecordFailure(request, server)
 	if isNew {
 		guard.blameChanged(blame)
 		guard.send(blame, contain.Judge(blame) != shedkeel.Unblamed)
