--- a/formation/correlated_loss_test.go
+++ b/formation/correlated_loss_test.go
@@ -32,7 +32,7 @@
 	}
 	input := Input{
 		Now: fleet.now, Engine: fleet.engine, Instances: fleet.instances(), Traffic: true,
-		Dead: map[shedkeel.InstanceID]bool{lost[0]: true}, Probed: map[shedkeel.InstanceID]bool{lost[0]: true, lost[1]: true},
+		Dead: map[shedkeel.InstanceID]bool{lost[0]: true}, ProbePending: map[shedkeel.InstanceID]bool{lost[0]: true, lost[1]: true},
 	}
 	for _, action := range planner.Plan(input) {
 		assert.Assert(t, action.Order.Kind != shedkeel.OrderJoin, "%v", action.Order)
@@ -72,7 +72,7 @@
 		}
 	}
 	assert.Assert(t, len(free) >= 2, "%v", free)
-	input := Input{Now: fleet.now, Engine: fleet.engine, Instances: fleet.instances(), Traffic: true, Dead: dead, Probed: probed}
+	input := Input{Now: fleet.now, Engine: fleet.engine, Instances: fleet.instances(), Traffic: true, Dead: dead, ProbePending: probed}
 	for _, action := range planner.Plan(input) {
 		assert.Assert(t, action.Order.Kind != shedkeel.OrderJoin && action.Order.Kind != shedkeel.OrderLeave, "%v", action.Order)
 	}
--- a/formation/fake_test.go
+++ b/formation/fake_test.go
@@ -349,9 +349,9 @@
 			after := 2*time.Second + time.Duration(fleet.random.Int64N(int64(10*time.Second)))
 			fleet.lateOrders = append(fleet.lateOrders, lateOrder{action.Order, fleet.now + after})
 		case fleet.execute(action.Order):
-			planner.Confirm(action.Order)
+			planner.Confirmed(action.Order)
 		default:
-			planner.Refuse(action.Order)
+			planner.Refused(action.Order)
 		}
 	}
 }
--- a/formation/fleet_test.go
+++ b/formation/fleet_test.go
@@ -314,7 +314,7 @@
 	loading := former.Loading()
 	assert.Equal(t, len(loading), 2)
 	next := newPlanner(2)
-	next.Adopt(loading, fleet.engine, fleet.now)
+	next.AdoptLoads(loading, fleet.engine, fleet.now)
 	for end := fleet.now + 10*time.Second; fleet.now < end; {
 		actions := next.Plan(Input{Now: fleet.now, Engine: fleet.engine, Instances: fleet.instances(), Dead: fleet.dead(), Traffic: true})
 		assert.Equal(t, len(actions), 0, "%v", actions)
@@ -363,7 +363,7 @@
 	actions = planner.Plan(input)
 	for _, action := range actions {
 		assert.Equal(t, action.Order.Kind, shedkeel.OrderLeave, "%v", action.Order)
-		planner.Confirm(action.Order)
+		planner.Confirmed(action.Order)
 	}
 	assert.Assert(t, len(actions) > 0)
 	input.Now += testStep
--- a/formation/forget_test.go
+++ b/formation/forget_test.go
@@ -25,7 +25,7 @@
 			}})
 		}
 		for _, action := range planner.Plan(Input{Now: now, Engine: engine, Instances: listed, Traffic: true}) {
-			planner.Confirm(action.Order)
+			planner.Confirmed(action.Order)
 		}
 	}
 	const most = 10 // formations within retentionTime, and those that are about to expire
--- a/formation/form.go
+++ b/formation/form.go
@@ -25,7 +25,7 @@
 
 // isBeingProbed reports whether a liveness probe of the server is pending.
 func (round *round) isBeingProbed(instance *shedkeel.Instance) bool {
-	return round.input.Probed[instance.ID] && !round.input.Dead[instance.ID]
+	return round.input.ProbePending[instance.ID] && !round.input.Dead[instance.ID]
 }
 
 // awaitsProbeResults reports whether probes of free servers of a domain are
--- a/formation/loads_test.go
+++ b/formation/loads_test.go
@@ -27,7 +27,7 @@
 	t.Parallel()
 	fleet := newFakeFleet(7, 1, 8)
 	planner := newPlanner(2)
-	planner.Adopt(loadsOfLostServers(fleet.engine.LoadsAtOnce), fleet.engine, fleet.now)
+	planner.AdoptLoads(loadsOfLostServers(fleet.engine.LoadsAtOnce), fleet.engine, fleet.now)
 	fleet.run(planner, settleTime+25*time.Second, true)
 	serving := fleet.serving()
 	assert.Assert(t, serving["large"]+serving["small"] >= 1, "%v", serving)
--- a/formation/planner.go
+++ b/formation/planner.go
@@ -80,15 +80,15 @@
 
 // Input is the state that one call of Plan decides on.
 type Input struct {
-	Now       time.Duration
-	Engine    *shedkeel.Engine
-	Instances []shedkeel.Instance                       // instances of the service, as listed
-	Dead      map[shedkeel.InstanceID]bool              // they answer no liveness probe
-	Probed    map[shedkeel.InstanceID]bool              // a liveness probe is pending
-	Slow      map[shedkeel.InstanceID]float64           // they work, but slower by this factor
-	Stalled   map[shedkeel.Assignment]bool              // groups whose requests receive no output
-	Demand    map[shedkeel.ModelID]shedkeel.ModelDemand // as measured; if empty, the configured shares apply
-	Traffic   bool                                      // callers are being served, so loads are limited
+	Now          time.Duration
+	Engine       *shedkeel.Engine
+	Instances    []shedkeel.Instance                       // instances of the service, as listed
+	Dead         map[shedkeel.InstanceID]bool              // they answer no liveness probe
+	ProbePending map[shedkeel.InstanceID]bool              // a liveness probe is pending
+	Slow         map[shedkeel.InstanceID]float64           // they work, but slower by this factor
+	Stalled      map[shedkeel.Assignment]bool              // groups whose requests receive no output
+	Demand       map[shedkeel.ModelID]shedkeel.ModelDemand // as measured; if empty, the configured shares apply
+	Traffic      bool                                      // callers are being served, so loads are limited
 }
 
 // Planner plans the groups of one service. Set its exported fields before the first
@@ -177,8 +177,8 @@
 	return round.actions
 }
 
-// Confirm records that an engine accepted the order.
-func (planner *Planner) Confirm(order shedkeel.GroupOrder) {
+// Confirmed records that an engine accepted the order.
+func (planner *Planner) Confirmed(order shedkeel.GroupOrder) {
 	delete(planner.unanswered, order.To)
 	planner.confirmLoad(order)
 	if order.Kind == shedkeel.OrderLeave {
@@ -218,9 +218,9 @@
 	return found
 }
 
-// Adopt takes over the loads that a previous planner ordered. Ordering them again
+// AdoptLoads takes over the loads that a previous planner ordered. Ordering them again
 // would restart them. Call it before the first call of Plan.
-func (planner *Planner) Adopt(models map[shedkeel.InstanceID]shedkeel.ModelID, engine *shedkeel.Engine, now time.Duration) {
+func (planner *Planner) AdoptLoads(models map[shedkeel.InstanceID]shedkeel.ModelID, engine *shedkeel.Engine, now time.Duration) {
 	planner.loading = map[shedkeel.InstanceID]loading{}
 	for id, model := range models {
 		if known := engine.Model(model); known != nil {
@@ -243,9 +243,9 @@
 	}
 }
 
-// Refuse records that an engine refused the order because it does not fit the
+// Refused records that an engine refused the order because it does not fit the
 // engine's state.
-func (planner *Planner) Refuse(order shedkeel.GroupOrder) {
+func (planner *Planner) Refused(order shedkeel.GroupOrder) {
 	if order.Kind == shedkeel.OrderStage {
 		planner.confirmLoad(order) // it is loading already, by an order whose answer was lost
 		return
--- a/formation/repair.go
+++ b/formation/repair.go
@@ -160,7 +160,7 @@
 		round.recordGroupWait(group, WaitProbe, probeTimeout)
 	case round.toleratesUnlisted(group, intact):
 		round.reserveMembers(group)
-		round.recordGroupWait(group, WaitListed, unlistedGrace+drainTimeout)
+		round.recordGroupWait(group, WaitUnlisted, unlistedGrace+drainTimeout)
 	default:
 		round.repair(group)
 	}
@@ -289,7 +289,7 @@
 		round.orderHead(group, shedkeel.OrderLeave, "a member is lost and there is no substitute")
 	default:
 		round.reserveMembers(group)
-		round.recordGroupWait(group, WaitHead, headTimeout)
+		round.recordGroupWait(group, WaitHeadUnreachable, headTimeout)
 	}
 }
 
--- a/formation/usage.go
+++ b/formation/usage.go
@@ -5,12 +5,12 @@
 // DomainUsage counts a domain's backend servers by what they are used for. Logs
 // show from it why some of them serve nobody.
 type DomainUsage struct {
-	Domain  shedkeel.DomainID
-	Serving map[shedkeel.ModelID]int // members of active or forming groups
-	Spare   map[shedkeel.ModelID]int // free, by the model on their hosts
-	Loading int                      // free, loading weights
-	Empty   int                      // free, without weights
-	Lost    int                      // draining, dead, or skipped because they leave orders unanswered
+	Domain      shedkeel.DomainID
+	Serving     map[shedkeel.ModelID]int // members of active or forming groups
+	Spare       map[shedkeel.ModelID]int // free, by the model on their hosts
+	Loading     int                      // free, loading weights
+	Empty       int                      // free, without weights
+	Unavailable int                      // draining, dead, or skipped because they leave orders unanswered
 }
 
 // Usage returns what the servers were used for in the latest plan, by domain.
@@ -39,7 +39,7 @@
 	_, loads := round.planner.loading[instance.ID]
 	switch {
 	case !round.usable(instance):
-		domain.Lost++
+		domain.Unavailable++
 	case !IsFree(instance) && (round.reserved[instance.ID] || round.inActiveGroup(instance)):
 		domain.Serving[ModelOf(instance.Member.Group)]++
 	case loads:
--- a/formation/wait.go
+++ b/formation/wait.go
@@ -14,14 +14,14 @@
 
 // The reasons for which a planner waits.
 const (
-	WaitJoin       WaitReason = "members join, or load weights to join"
-	WaitProbe      WaitReason = "it is being found out who answers"
-	WaitListed     WaitReason = "a member is not listed, and its group works on"
-	WaitHead       WaitReason = "the head is out of reach and may still serve"
-	WaitDrained    WaitReason = "the group finishes what runs"
-	WaitAnswer     WaitReason = "the server has left orders unanswered"
-	WaitLoad       WaitReason = "the host loads weights"
-	WaitLoadPermit WaitReason = "as many loads run as the weight store serves at full speed"
+	WaitJoin            WaitReason = "members join, or load weights to join"
+	WaitProbe           WaitReason = "it is being found out who answers"
+	WaitUnlisted        WaitReason = "a member is not listed, and its group works on"
+	WaitHeadUnreachable WaitReason = "the head is out of reach and may still serve"
+	WaitDrained         WaitReason = "the group finishes what runs"
+	WaitAnswer          WaitReason = "the server has left orders unanswered"
+	WaitLoad            WaitReason = "the host loads weights"
+	WaitLoadPermit      WaitReason = "as many loads run as the weight store serves at full speed"
 )
 
 const (
--- a/formation/wait_test.go
+++ b/formation/wait_test.go
@@ -37,7 +37,7 @@
 	default:
 		fleet.laterTerms++
 		next := newPlanner(1 + fleet.laterTerms)
-		next.Adopt(planner.Loading(), fleet.engine, fleet.now) // as read from the stored record of loads
+		next.AdoptLoads(planner.Loading(), fleet.engine, fleet.now) // as read from the stored record of loads
 		return next
 	}
 	return planner
@@ -159,9 +159,9 @@
 		}
 		return found
 	}
-	assert.Assert(t, slices.Contains(reasons(), WaitHead), "%+v", planner.Waits())
+	assert.Assert(t, slices.Contains(reasons(), WaitHeadUnreachable), "%+v", planner.Waits())
 	fleet.run(planner, headTimeout, true)
-	assert.Assert(t, !slices.Contains(reasons(), WaitHead), "the wait for the head does not end: %+v", planner.Waits())
+	assert.Assert(t, !slices.Contains(reasons(), WaitHeadUnreachable), "the wait for the head does not end: %+v", planner.Waits())
 	assert.Assert(t, Wait{Since: time.Second, Bound: time.Second}.Overdue(2100*time.Millisecond))
 	assert.Assert(t, !Wait{Since: time.Second}.Overdue(time.Hour), "no bound")
 }
--- a/node/controller.go
+++ b/node/controller.go
@@ -140,7 +140,7 @@
 		slow := maps.Clone(controller.paces.slow)
 		demand := controller.demand.forService(id)
 		actions := planner.Plan(formation.Input{
-			Now: now, Engine: view.Service(id).Engine, Instances: instances, Dead: dead, Probed: maps.Clone(controller.probing), Slow: slow, Stalled: controller.stalledGroups(now), Demand: demand, Traffic: node.handler.RequestCount() > 0,
+			Now: now, Engine: view.Service(id).Engine, Instances: instances, Dead: dead, ProbePending: maps.Clone(controller.probing), Slow: slow, Stalled: controller.stalledGroups(now), Demand: demand, Traffic: node.handler.RequestCount() > 0,
 		})
 		loading := planner.Loading()
 		if usageDue {
@@ -159,7 +159,7 @@
 func (controller *controller) logUsage(planner *formation.Planner) {
 	for _, usage := range planner.Usage() {
 		controller.node.Log.Write(event.DomainUsage, slog.String("domain", string(usage.Domain)), slog.Any("serving", usage.Serving), slog.Any("spare", usage.Spare),
-			slog.Int("loading", usage.Loading), slog.Int("empty", usage.Empty), slog.Int("lost", usage.Lost))
+			slog.Int("loading", usage.Loading), slog.Int("empty", usage.Empty), slog.Int("lost", usage.Unavailable))
 	}
 }
 
@@ -179,7 +179,7 @@
 	if controller.node.fleet.decodeRecord(record, &loading) != nil {
 		return planner
 	}
-	planner.Adopt(loading, engine, now)
+	planner.AdoptLoads(loading, engine, now)
 	controller.storedLoads[id] = loading
 	return planner
 }
@@ -197,9 +197,9 @@
 	controller.mutex.Lock()
 	switch {
 	case err == nil:
-		planner.Confirm(order)
+		planner.Confirmed(order)
 	case errors.As(err, &refused):
-		planner.Refuse(order)
+		planner.Refused(order)
 		outcome = err.Error()
 	default:
 		planner.Unanswered(order, node.Timers.Now())
--- a/node/waits_test.go
+++ b/node/waits_test.go
@@ -35,7 +35,7 @@
 	plan()
 	waits := controller.waitsForGroup("m/d/1", nil, timers.Now())
 	assert.Equal(t, len(waits), 1, "%+v", waits)
-	assert.Equal(t, waits[0].Reason, formation.WaitHead)
+	assert.Equal(t, waits[0].Reason, formation.WaitHeadUnreachable)
 	assert.Equal(t, waits[0].For, "3s")
 	assert.Equal(t, waits[0].Bound, "20s")
 	assert.Equal(t, len(controller.waitsForGroup("m/elsewhere/1", nil, timers.Now())), 0)
@@ -43,7 +43,7 @@
 
 	timers.Advance(18 * time.Second) // no plan is made, so the wait stays as it was
 	controller.logOverdueWaits(timers.Now())
-	assert.Assert(t, strings.Contains(lines.String(), string(formation.WaitHead)), lines.String())
+	assert.Assert(t, strings.Contains(lines.String(), string(formation.WaitHeadUnreachable)), lines.String())
 	controller.leads = false
 	assert.Equal(t, len(controller.waits()), 0, "another node plans")
 }
