--- a/capacity_test.go
+++ b/capacity_test.go
@@ -73,7 +73,7 @@
 	for keeper := 1; keeper <= keepers; keeper++ {
 		fleet.start(t, keeper, keepers)
 	}
-	client := &operator.Client{Keeper: fleet.host + ".1:7400", Key: "operator-key"}
+	client := &operator.Client{Address: fleet.host + ".1:7400", Key: "operator-key"}
 	fleet.apply(t, client, groups)
 	fleet.awaitWhole(t, client, groups)
 	time.Sleep(3 * time.Second)
--- a/node/backoff_test.go
+++ b/node/backoff_test.go
@@ -29,17 +29,17 @@
 			cluster := newServingCluster(t)
 			servers := cluster.limitedServers(test.path, test.all)
 			for _, server := range servers {
-				cluster.fleet.BackOff(server, backoffLength)
+				cluster.fleet.SetBackoff(server, backoffLength)
 			}
 			// The servers accept requests again while nodes still remember the last backoff.
 			time.AfterFunc(length/2, func() {
 				for _, server := range servers {
-					cluster.fleet.BackOff(server, 0)
+					cluster.fleet.SetBackoff(server, 0)
 				}
 			})
 			statuses := cluster.sendLoad(cluster.nodes, test.path, rate, length)
 			t.Logf("statuses %v", statuses)
-			assert.DeepEqual(t, cluster.fleet.Broken(), []string(nil))
+			assert.DeepEqual(t, cluster.fleet.Violations(), []string(nil))
 			assert.Equal(t, statuses[0], 0, "every request gets a complete answer")
 			assert.Assert(t, statuses[http.StatusOK] > statuses[http.StatusServiceUnavailable]/3, "served again after the backoff")
 			if !test.all {
@@ -56,10 +56,10 @@
 	for name, path := range map[string]string{"replica group": "/copy/a", "plain server": "/look/a"} {
 		t.Run(name, func(t *testing.T) {
 			cluster := newServingCluster(t)
-			cluster.fleet.DrainByAnswers(cluster.limitedServers(path, false)[0])
+			cluster.fleet.AnnounceDraining(cluster.limitedServers(path, false)[0])
 			statuses := cluster.sendLoad(cluster.nodes, path, rate, length)
 			t.Logf("statuses %v", statuses)
-			assert.DeepEqual(t, cluster.fleet.Broken(), []string(nil))
+			assert.DeepEqual(t, cluster.fleet.Violations(), []string(nil))
 			assert.Equal(t, statuses[http.StatusServiceUnavailable]+statuses[0], 0, "the other servers serve meanwhile")
 		})
 	}
--- a/node/cold_test.go
+++ b/node/cold_test.go
@@ -28,17 +28,17 @@
 		server func(*testCluster) string
 		cool   func(*testCluster, string)
 	}{
-		"replica group, by its record": {"/copy/a", func(cluster *testCluster) string { return cluster.fleet.Serving()["m0"][0].ID }, func(cluster *testCluster, server string) {
-			cluster.fleet.Cool(server, coldFor)
+		"replica group, by its record": {"/copy/a", func(cluster *testCluster) string { return cluster.fleet.OpenHeads()["m0"][0].ID }, func(cluster *testCluster, server string) {
+			cluster.fleet.SetCold(server, coldFor)
 		}},
 		"plain server, by its record": {"/look/a", func(*testCluster) string { return "plain-1" }, func(cluster *testCluster, server string) {
-			cluster.fleet.Cool(server, coldFor)
+			cluster.fleet.SetCold(server, coldFor)
 		}},
 		"plain server, evacuated": {"/look/a", func(*testCluster) string { return "plain-1" }, func(cluster *testCluster, server string) {
-			cluster.fleet.Place(server, evacuatedZone)
+			cluster.fleet.SetZone(server, evacuatedZone)
 			cluster.evacuate(evacuatedZone, true)
 			time.Sleep(evacuationSpreadTime)
-			cluster.fleet.Limit(server, "") // count its arrivals from now on
+			cluster.fleet.SetLimit(server, "") // count its arrivals from now on
 			cluster.evacuate(evacuatedZone, false)
 		}},
 	}
@@ -51,7 +51,7 @@
 			time.Sleep(evacuationSpreadTime / 2) // all nodes know of it by then
 			statuses := cluster.sendLoad(cluster.nodes, test.path, rate, coldFor-time.Second)
 			arrivals := cluster.fleet.Arrivals(server)
-			most := platformstandin.MostArrivals(arrivals, time.Second)
+			most := platformstandin.MaxArrivals(arrivals, time.Second)
 			t.Logf("statuses %v; %d arrivals in %s, most in a second %d, allowed %d", statuses, len(arrivals), time.Since(since), most, maxColdRate)
 			assert.Assert(t, most <= maxColdRate, "%d requests in a second, allowed %d", most, maxColdRate)
 			assert.Assert(t, most > 0, "a cold server still gets requests")
@@ -59,7 +59,7 @@
 			assert.Assert(t, statuses[http.StatusOK] > 0)
 			cluster.eventually("it gets more once it is warm", func() bool {
 				cluster.sendLoad(cluster.nodes, test.path, rate, time.Second)
-				return platformstandin.MostArrivals(cluster.fleet.Arrivals(server), time.Second) > maxColdRate
+				return platformstandin.MaxArrivals(cluster.fleet.Arrivals(server), time.Second) > maxColdRate
 			})
 		})
 	}
--- a/node/contain_test.go
+++ b/node/contain_test.go
@@ -28,13 +28,13 @@
 func newDeadlyCluster(t *testing.T, nodes int) *testCluster {
 	t.Helper()
 	cluster := newTestCluster(t, nodes)
-	cluster.fleet.Deadly = "deadly"
+	cluster.fleet.CrashPrefix = "deadly"
 	cluster.eventually("all nodes are in the directory", func() bool { return len(cluster.addresses(0)) == nodes })
 	return cluster
 }
 
 // terminated returns how many servers the deadly request has terminated.
-func (cluster *testCluster) terminated() int { return cluster.fleet.Ended()["deadly"] }
+func (cluster *testCluster) terminated() int { return cluster.fleet.CrashCounts()["deadly"] }
 
 // waitServing waits until the node answers other requests for the model and two groups
 // serve it.
@@ -42,7 +42,7 @@
 	cluster.t.Helper()
 	cluster.eventually("the node serves", func() bool {
 		status, body := cluster.send(cluster.nodes[index].callers, shedkeel.NewNonce(), "/copy/a", "key-1", 50)
-		return status == 200 && body == completeStream(10) && len(cluster.fleet.Serving()["m0"]) >= 2
+		return status == 200 && body == completeStream(10) && len(cluster.fleet.OpenHeads()["m0"]) >= 2
 	})
 }
 
@@ -73,7 +73,7 @@
 	id := shedkeel.NewNonce()
 	status, body := cluster.sendBody(cluster.nodes[0].callers, id, "/copy/a", "key-1", "deadly", 50)
 	assert.Equal(t, status, http.StatusServiceUnavailable, body)
-	client := &operator.Client{Keeper: cluster.nodes[0].admin}
+	client := &operator.Client{Address: cluster.nodes[0].admin}
 	story, err := client.Request(t.Context(), id)
 	assert.NilError(t, err)
 	var printed bytes.Buffer
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -22,7 +22,7 @@
 
 // evacuate has an operator evacuate a zone, or end its evacuation.
 func (cluster *testCluster) evacuate(zone string, begin bool) {
-	_, err := cluster.data.Commit(platform.Evacuation(shedkeel.ZoneID(zone), begin))
+	_, err := cluster.data.Commit(platform.EvacuationChange(shedkeel.ZoneID(zone), begin))
 	assert.NilError(cluster.t, err)
 }
 
@@ -30,7 +30,7 @@
 func (cluster *testCluster) countArrivals(servers []string) int {
 	count := 0
 	for _, server := range servers {
-		count += cluster.fleet.Came(server)
+		count += cluster.fleet.RequestCount(server)
 	}
 	return count
 }
@@ -50,7 +50,7 @@
 		t.Run(name, func(t *testing.T) {
 			cluster := newServingCluster(t)
 			for _, server := range test.servers {
-				cluster.fleet.Place(server, evacuatedZone)
+				cluster.fleet.SetZone(server, evacuatedZone)
 			}
 			cluster.sendLoad(cluster.nodes, test.path, rate, time.Second)
 			assert.Assert(t, cluster.countArrivals(test.servers) > 0, "they serve before the evacuation")
@@ -87,6 +87,6 @@
 	for index, node := range cluster.nodes {
 		status, body := cluster.send(node.callers, fmt.Sprint("none-", index), "/look/a", "key-1", 0)
 		assert.Equal(t, status, http.StatusServiceUnavailable, body)
-		assert.Equal(t, cluster.fleet.Ran(fmt.Sprint("none-", index)), 0)
+		assert.Equal(t, cluster.fleet.RunCount(fmt.Sprint("none-", index)), 0)
 	}
 }
--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -72,7 +72,7 @@
 			servers := cluster.limitedServers(test.path, test.all)
 			statedAt := time.Now()
 			for _, server := range servers {
-				cluster.fleet.Limit(server, fmt.Sprint(limit))
+				cluster.fleet.SetLimit(server, fmt.Sprint(limit))
 			}
 			targets := cluster.nodes
 			if test.stop {
@@ -83,7 +83,7 @@
 			allowed := limit*3/2*int(limitWindow/time.Second) + limitBurst
 			for _, server := range servers {
 				arrivals := slices.DeleteFunc(cluster.fleet.Arrivals(server), func(at time.Time) bool { return at.Sub(statedAt) < limitSpreadTime })
-				most := platformstandin.MostArrivals(arrivals, limitWindow)
+				most := platformstandin.MaxArrivals(arrivals, limitWindow)
 				t.Logf("statuses %v; %s had %d once all knew, %d of them in %s, allowed %d", statuses, server, len(arrivals), most, limitWindow, allowed)
 				assert.Assert(t, most <= allowed, "%d requests in %s, allowed %d", most, limitWindow, allowed)
 				assert.Assert(t, most > 0, "a limited server still gets requests")
@@ -101,7 +101,7 @@
 	servers := []string{"plain-0", "plain-1"}
 	if path == "/copy/a" {
 		servers = nil
-		for _, head := range cluster.fleet.Serving()["m0"] {
+		for _, head := range cluster.fleet.OpenHeads()["m0"] {
 			servers = append(servers, head.ID)
 		}
 	}
@@ -114,7 +114,7 @@
 // checkOperatorLimits checks that an operator's client shows the limited servers.
 func (cluster *testCluster) checkOperatorLimits(limited []string) {
 	t := cluster.t
-	client := &operator.Client{Keeper: cluster.nodes[1].admin}
+	client := &operator.Client{Address: cluster.nodes[1].admin}
 	status, err := client.Status(t.Context())
 	assert.NilError(t, err)
 	var printed bytes.Buffer
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -104,7 +104,7 @@
 	server.Address = listener.Addr().String()
 	cluster.fleet.Add(server)
 	running := cluster.runServer(server, listener)
-	server.End = func() {
+	server.OnCrash = func() {
 		_ = running.Close()
 		time.AfterFunc(restartDelay, func() {
 			restarted, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", server.Address)
@@ -159,8 +159,8 @@
 	process := &node.Node{
 		Settings: settings, Incarnation: shedkeel.NewNonce(),
 		Store:   &platform.Store{Address: strings.TrimPrefix(cluster.store.URL, "http://"), Timeout: 700 * time.Millisecond, WatchMargin: 400 * time.Millisecond, Client: &http.Client{Transport: &http.Transport{}}},
-		Decoder: platform.Decoder{}, Protocol: platform.Callers{}, Backend: transport, Check: transport,
-		Engines: &platform.Engines{Timeout: 300 * time.Millisecond, Client: &http.Client{Transport: &http.Transport{}}},
+		Decoder: platform.Decoder{}, Protocol: platform.HeaderCodec{}, Backend: transport, Check: transport,
+		Engines: &platform.EngineClient{Timeout: 300 * time.Millisecond, Client: &http.Client{Transport: &http.Transport{}}},
 		Timers:  &timer.System{}, Random: rand.NewPCG(uint64(index), 1),
 		Log: log.With(slog.String("node", string(settings.Node))), Metrics: values,
 	}
@@ -171,7 +171,7 @@
 		control: listeners.Control.Addr().String(), directory: listeners.Directory.Addr().String(), readiness: listeners.Readiness.Addr().String(), admin: listeners.Metrics.Addr().String(),
 	}
 	handlers := node.Handlers{
-		Directory: &platform.Directory{Addresses: process.Addresses, Keep: node.DirectoryKeep},
+		Directory: &platform.Directory{Addresses: process.Addresses, TTL: node.DirectoryKeep},
 		Readiness: &platform.Readiness{Ready: process.Ready},
 	}
 	running.ended.Go(func() { _ = process.Run(ctx, listeners, handlers) })
@@ -255,7 +255,7 @@
 // store, and a node's graceful shutdown.
 func TestWholePath(t *testing.T) {
 	cluster := newTestCluster(t, 3)
-	cluster.eventually("two groups serve", func() bool { return len(cluster.fleet.Serving()["m0"]) >= 2 })
+	cluster.eventually("two groups serve", func() bool { return len(cluster.fleet.OpenHeads()["m0"]) >= 2 })
 	cluster.eventually("a stream is complete", func() bool {
 		status, body := cluster.send(cluster.nodes[0].callers, shedkeel.NewNonce(), "/copy/a", "key-1", 50)
 		return status == 200 && body == completeStream(10)
@@ -301,7 +301,7 @@
 // killMembers kills a member of each group but one while streams run. Each stream must be
 // complete and run at most twice, and the groups must be complete again afterwards.
 func (cluster *testCluster) killMembers() {
-	heads := cluster.fleet.Serving()["m0"]
+	heads := cluster.fleet.OpenHeads()["m0"]
 	victims := map[string]bool{}
 	for _, head := range heads[1:] {
 		victims[head.Members()[1]] = true
@@ -312,12 +312,12 @@
 		}
 	})
 	for index := range interruptedStreams {
-		assert.Assert(cluster.t, cluster.fleet.Ran(fmt.Sprint("lost-", index)) <= 2)
+		assert.Assert(cluster.t, cluster.fleet.RunCount(fmt.Sprint("lost-", index)) <= 2)
 	}
 	for victim := range victims {
-		assert.NilError(cluster.t, cluster.fleet.Lapse(victim))
+		assert.NilError(cluster.t, cluster.fleet.RemoveRecord(victim))
 	}
-	cluster.eventually("as many groups serve again", func() bool { return len(cluster.fleet.Serving()["m0"]) >= len(heads) })
+	cluster.eventually("as many groups serve again", func() bool { return len(cluster.fleet.OpenHeads()["m0"]) >= len(heads) })
 }
 
 // interruptedStreams is how many streams run during a fault.
@@ -346,14 +346,14 @@
 // streams run. The restarted member is in no group, and no stream that breaks off there
 // may count as complete.
 func (cluster *testCluster) restartMembers() {
-	heads := cluster.fleet.Serving()["m0"]
+	heads := cluster.fleet.OpenHeads()["m0"]
 	cluster.interruptStreams("again-", func() {
 		for _, head := range heads[1:] {
 			cluster.fleet.Restart(head.Members()[1])
 		}
 	})
-	cluster.eventually("as many groups serve again", func() bool { return len(cluster.fleet.Serving()["m0"]) >= len(heads) })
-	assert.Equal(cluster.t, len(cluster.fleet.Broken()), 0, "%v", cluster.fleet.Broken())
+	cluster.eventually("as many groups serve again", func() bool { return len(cluster.fleet.OpenHeads()["m0"]) >= len(heads) })
+	assert.Equal(cluster.t, len(cluster.fleet.Violations()), 0, "%v", cluster.fleet.Violations())
 }
 
 // addInvalidRecords has another writer add invalid server records. The other servers must
--- a/node/operator_test.go
+++ b/node/operator_test.go
@@ -17,8 +17,8 @@
 // a failed request, and IDs that the nodes don't know.
 func TestOperatorsClient(t *testing.T) {
 	cluster := newTestCluster(t, 2)
-	cluster.eventually("two groups serve", func() bool { return len(cluster.fleet.Serving()["m0"]) >= 2 })
-	client := &operator.Client{Keeper: cluster.nodes[0].admin}
+	cluster.eventually("two groups serve", func() bool { return len(cluster.fleet.OpenHeads()["m0"]) >= 2 })
+	client := &operator.Client{Address: cluster.nodes[0].admin}
 	var status bytes.Buffer
 	cluster.eventually("the node shows open groups", func() bool {
 		answer, err := client.Status(t.Context())
@@ -37,7 +37,7 @@
 	group := string(view.Node.Groups[0].Group)
 	for _, running := range cluster.nodes {
 		if answer, err := client.Status(t.Context()); err == nil && answer.Node.Leader == running.Settings.Node {
-			leader = &operator.Client{Keeper: running.admin}
+			leader = &operator.Client{Address: running.admin}
 		}
 	}
 	explanation, err := leader.Explain(t.Context(), group)
--- a/node/restored_service_test.go
+++ b/node/restored_service_test.go
@@ -59,7 +59,7 @@
 			cluster.eventually("the new key is known", func() bool { return cluster.acceptingNodes("key-3") == len(cluster.nodes) })
 			assert.Assert(t, time.Since(began) < maxApplyDelay, "it took %s", time.Since(began))
 			time.Sleep(maxApplyDelay - time.Since(began))
-			requests := cluster.fleet.Came("plain-0")
+			requests := cluster.fleet.RequestCount("plain-0")
 			for range 20 {
 				for _, node := range cluster.nodes {
 					status, body := cluster.send(node.callers, shedkeel.NewNonce(), "/look/x", "key-3", 0)
@@ -68,9 +68,9 @@
 					assert.Equal(t, status, 401, "the key was removed")
 				}
 			}
-			assert.Equal(t, cluster.fleet.Came("plain-0"), requests, "a draining server got requests")
-			cluster.eventually("groups are planned", func() bool { return len(cluster.fleet.Serving()["m0"]) >= 2 })
-			assert.DeepEqual(t, cluster.fleet.Broken(), []string(nil))
+			assert.Equal(t, cluster.fleet.RequestCount("plain-0"), requests, "a draining server got requests")
+			cluster.eventually("groups are planned", func() bool { return len(cluster.fleet.OpenHeads()["m0"]) >= 2 })
+			assert.DeepEqual(t, cluster.fleet.Violations(), []string(nil))
 		})
 	}
 }
--- a/operator/client.go
+++ b/operator/client.go
@@ -25,9 +25,9 @@
 
 // Client calls one keeper, entry or node.
 type Client struct {
-	Keeper string       // address of the process: host:port, or an https URL
-	Key    string       // operators' bearer key
-	HTTP   *http.Client // nil: http.DefaultClient
+	Address string       // address of the process: host:port, or an https URL
+	Key     string       // operators' bearer key
+	HTTP    *http.Client // nil: http.DefaultClient
 }
 
 // Config returns the configuration in force.
@@ -106,10 +106,10 @@
 	}
 	response, err := httpClient.Do(request)
 	if err != nil && method == http.MethodPut {
-		return &shedkeel.UnknownOutcomeError{What: "change sent to keeper " + client.Keeper, Cause: err}
+		return &shedkeel.UnknownOutcomeError{What: "change sent to keeper " + client.Address, Cause: err}
 	}
 	if err != nil {
-		return &shedkeel.UnavailableError{What: "keeper " + client.Keeper, RetryAfter: time.Second, Cause: err}
+		return &shedkeel.UnavailableError{What: "keeper " + client.Address, RetryAfter: time.Second, Cause: err}
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
@@ -124,10 +124,10 @@
 
 // url returns the URL of a path, with http unless the address is an https URL.
 func (client *Client) url(path string) string {
-	if len(client.Keeper) > 8 && client.Keeper[:8] == "https://" {
-		return client.Keeper + path
+	if len(client.Address) > 8 && client.Address[:8] == "https://" {
+		return client.Address + path
 	}
-	return "http://" + client.Keeper + path
+	return "http://" + client.Address + path
 }
 
 // Error is an answer with an error status.
--- a/program/node.go
+++ b/program/node.go
@@ -83,10 +83,10 @@
 		Store: &platform.Store{Address: settings.Store, Timeout: storeTimeout, WatchMargin: watchMargin, Client: newHTTPClient(4),
 			OnMalformedEra: func(err error) { log.Write(event.StoreEraBad, slog.String("error", err.Error())) }},
 		Decoder:  platform.Decoder{},
-		Protocol: platform.Callers{},
+		Protocol: platform.HeaderCodec{},
 		Backend:  transport,
 		Check:    transport,
-		Engines:  &platform.Engines{Timeout: orderTimeout, Client: newHTTPClient(1)},
+		Engines:  &platform.EngineClient{Timeout: orderTimeout, Client: newHTTPClient(1)},
 		Timers:   &timer.System{},
 		Random:   rand.NewPCG(seed, seed),
 		Log:      log,
@@ -96,7 +96,7 @@
 	reload := &reloader{hangups: hangups, path: command.String("settings"), process: process, log: log}
 	go reload.run(ctx)
 	handlers := node.Handlers{
-		Directory: &platform.Directory{Addresses: process.Addresses, Keep: min(node.DirectoryKeep, time.Duration(settings.Bounds.Directory))},
+		Directory: &platform.Directory{Addresses: process.Addresses, TTL: min(node.DirectoryKeep, time.Duration(settings.Bounds.Directory))},
 		Readiness: &platform.Readiness{Ready: process.Ready},
 	}
 	daemon := &daemon{log: log}
--- a/program/operator.go
+++ b/program/operator.go
@@ -121,7 +121,7 @@
 // newOperatorClient returns a client for the process that the flags name, with TLS if
 // they name certificates.
 func newOperatorClient(command *cli.Command) (*operator.Client, error) {
-	client := &operator.Client{Keeper: command.String("keeper"), Key: command.String("key")}
+	client := &operator.Client{Address: command.String("keeper"), Key: command.String("key")}
 	settings := config.TLSSettings{Certificate: command.String("certificate"), Key: command.String("certificate-key"), Authority: command.String("authority")}
 	clientTLS, err := settings.Client()
 	if err != nil || clientTLS == nil {
@@ -326,7 +326,7 @@
 	}
 	store := &platform.Store{Address: command.String("store"), Timeout: evacuateTimeout}
 	withdraw := command.Bool("withdraw")
-	if _, err := store.Commit(ctx, platform.Evacuation(shedkeel.ZoneID(zone), !withdraw)); err != nil {
+	if _, err := store.Commit(ctx, platform.EvacuationChange(shedkeel.ZoneID(zone), !withdraw)); err != nil {
 		return err
 	}
 	what := "evacuated"
--- a/program/trace.go
+++ b/program/trace.go
@@ -45,7 +45,7 @@
 		if err != nil {
 			return err
 		}
-		client.Keeper = address
+		client.Address = address
 		if err := client.Trace(ctx, trace); err != nil {
 			_, _ = fmt.Fprintf(command.Root().ErrWriter, "%s: %s\n", address, err)
 		}
--- a/scenario_test.go
+++ b/scenario_test.go
@@ -426,7 +426,7 @@
 	for node := 1; script.Getenv(fmt.Sprintf("ENTRY%d", node)) != ""; node++ {
 		cmdAwait(script, false, []string{"30s", "status", script.Getenv(fmt.Sprintf("ENTRY%d", node)), "200"})
 	}
-	status, err := (&operator.Client{Keeper: script.Getenv("KEEPER1"), Key: "operator-key"}).Status(context.Background())
+	status, err := (&operator.Client{Address: script.Getenv("KEEPER1"), Key: "operator-key"}).Status(context.Background())
 	script.Check(err)
 	cmdAwait(script, false, []string{"30s", "whole", "1", strconv.Itoa(len(status.Keeper.Groups))})
 }
@@ -544,7 +544,7 @@
 	if err != nil {
 		return err.Error(), false
 	}
-	client := &operator.Client{Keeper: fleet.address(node, 7400), Key: "operator-key"}
+	client := &operator.Client{Address: fleet.address(node, 7400), Key: "operator-key"}
 	answer, err := client.Status(ctx)
 	if err != nil {
 		return err.Error(), false
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -87,7 +87,7 @@
 	}
 	world.fleet.Kill(id)
 	time.AfterFunc(1500*time.Millisecond, func() {
-		_ = world.fleet.Lapse(id) // the stand-in's store takes it always
+		_ = world.fleet.RemoveRecord(id) // the stand-in's store takes it always
 	})
 	world.replaceServer(random, service)
 	return "lost " + id
@@ -103,7 +103,7 @@
 
 // victim returns a server that still lives, one of three of the plain ones.
 func (world *world) victim(random *rand.Rand) (service, id string) {
-	living := world.fleet.Living()
+	living := world.fleet.LiveServers()
 	slices.Sort(living)
 	if len(living) < 8 {
 		return "", ""
@@ -129,7 +129,7 @@
 	length := between(random, 200, 2000)
 	time.Sleep(length)
 	way.set(passing)
-	world.fleet.ExcuseAll(id)
+	world.fleet.ForgetServer(id)
 	return fmt.Sprintf("way to %s in manner %d for %s", id, manner, length)
 }
 
@@ -211,7 +211,7 @@
 	}
 	limit := float64(random.IntN(8)) / 2
 	length := limitContact + between(random, 1000, 5000)
-	world.fleet.Limit(id, fmt.Sprint(limit))
+	world.fleet.SetLimit(id, fmt.Sprint(limit))
 	go world.runLimited(id, limit, length)
 	return fmt.Sprintf("%s states a limit of %v for %s", id, limit, length)
 }
@@ -225,10 +225,10 @@
 	case <-time.After(length):
 	}
 	arrivals := world.fleet.Arrivals(id)
-	world.fleet.Limit(id, "")
+	world.fleet.SetLimit(id, "")
 	known := slices.DeleteFunc(arrivals, func(at time.Time) bool { return at.Sub(stated) < limitContact })
 	allowed := int(1.5*limit*limitWindow.Seconds()) + limitBurst + unawareSends*world.wokenSince(stated)
-	if most := platformstandin.MostArrivals(known, limitWindow); most > allowed {
+	if most := platformstandin.MaxArrivals(known, limitWindow); most > allowed {
 		world.judge.breaks("server %s that states a limit of %v got %d requests in %s, allowed %d", id, limit, most, limitWindow, allowed)
 	}
 }
@@ -240,8 +240,8 @@
 		return "no server to back off"
 	}
 	length, lasts := between(random, 600, 3000), between(random, 500, 5000)
-	world.fleet.BackOff(id, length)
-	time.AfterFunc(lasts, func() { world.fleet.BackOff(id, 0) })
+	world.fleet.SetBackoff(id, length)
+	time.AfterFunc(lasts, func() { world.fleet.SetBackoff(id, 0) })
 	return fmt.Sprintf("%s asks for backoffs of %s for %s", id, length, lasts)
 }
 
@@ -249,7 +249,7 @@
 func (world *world) endServer(id string, after time.Duration) {
 	time.AfterFunc(after, func() {
 		world.fleet.Kill(id)
-		_ = world.fleet.Lapse(id) // the stand-in's store takes it always
+		_ = world.fleet.RemoveRecord(id) // the stand-in's store takes it always
 	})
 }
 
@@ -259,7 +259,7 @@
 	if id == "" {
 		return "no server to drain"
 	}
-	world.fleet.DrainByAnswers(id)
+	world.fleet.AnnounceDraining(id)
 	world.endServer(id, 3500*time.Millisecond)
 	world.replaceServer(random, service)
 	return "drained by its answers " + id
@@ -284,7 +284,7 @@
 
 // wakes notes that a node starts, or stood still until now.
 func (world *world) wakes(process *process) {
-	world.fleet.Excuse(slices.Index(world.nodes, process))
+	world.fleet.ForgetNode(slices.Index(world.nodes, process))
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
 	world.woken = append(world.woken, time.Now())
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -223,26 +223,26 @@
 	judge.mutex.Lock()
 	defer judge.mutex.Unlock()
 	for _, id := range judge.once {
-		if runs := judge.world.fleet.Ran(id); runs > 1 {
+		if runs := judge.world.fleet.RunCount(id); runs > 1 {
 			t.Errorf("%s may run once and ran %d times", id, runs)
 		}
 	}
 	for _, id := range judge.refused {
-		if judge.world.fleet.Ran(id) > 0 {
+		if judge.world.fleet.RunCount(id) > 0 {
 			t.Errorf("%s was told that it did not run, and ran", id)
 		}
 	}
-	for body, ended := range judge.world.fleet.Ended() {
+	for body, ended := range judge.world.fleet.CrashCounts() {
 		if ended > mostEnded {
 			t.Errorf("%d servers ended under %s", ended, body)
 		}
 	}
-	for _, broken := range append(judge.broken, judge.world.fleet.Broken()...) {
+	for _, broken := range append(judge.broken, judge.world.fleet.Violations()...) {
 		t.Error(broken)
 	}
 	answered := judge.outcomes["/copy/ 200"] + judge.outcomes["/look/ 200"] + judge.outcomes["/fee/ 200"]
 	if answered == 0 {
 		t.Error("nothing was answered, so nothing was checked")
 	}
-	t.Logf("outcomes: %v; servers ended: %v", judge.outcomes, judge.world.fleet.Ended())
+	t.Logf("outcomes: %v; servers ended: %v", judge.outcomes, judge.world.fleet.CrashCounts())
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -129,7 +129,7 @@
 	world.store = httptest.NewServer((&platformstandin.Store{Data: world.data}).Handler())
 	t.Cleanup(world.store.Close)
 	world.fleet = &platformstandin.Fleet{
-		Data: world.data, Deadly: deadlyPrefix, Step: 15 * time.Millisecond,
+		Data: world.data, CrashPrefix: deadlyPrefix, Step: 15 * time.Millisecond,
 		Models: map[string]platformstandin.Timing{"m0": {Size: 2, Load: 500 * time.Millisecond, Warmup: 200 * time.Millisecond, Rejoin: 50 * time.Millisecond}},
 	}
 	world.configure()
@@ -161,7 +161,7 @@
 	defer world.mutex.Unlock()
 	_, err := world.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: "op/config", Value: fmt.Appendf(nil, configText, world.version, world.version)}}})
 	assert.NilError(world.t, err)
-	world.fleet.WriteAgain()
+	world.fleet.RewriteRecords()
 }
 
 func (world *world) key() string {
@@ -185,7 +185,7 @@
 		http.Close()
 	})
 	world.servers[server.ID] = way
-	server.End = func() {
+	server.OnCrash = func() {
 		way.end()
 		time.AfterFunc(backTime, func() { world.serverBack(server.ID, way) })
 	}
