--- a/mutants_test.go
+++ b/mutants_test.go
@@ -32,7 +32,7 @@
 		"serve/send.go", "|| exchange.freshConnection.Load()", "", "TestFreshConnectionAfterServerEnd", "./serve",
 	},
 	"rate limits of servers: every permit is granted": {
-		"ratelimit/granter.go", "if delay > ask.Patience {", "if false {", "TestServerLimitHoldsOverAllNodes", "./node",
+		"ratelimit/granter.go", "if delay > request.MaxWait {", "if false {", "TestServerLimitHoldsOverAllNodes", "./node",
 	},
 	"rate limits of servers: each half of a cut fleet grants all": {
 		"node/limits.go", "Rate: rate * part,", "Rate: rate + 0*part,", "TestHalfOfTheFleetGrantsHalf", "./node",
@@ -41,10 +41,10 @@
 		"serve/permit.go", "if !choice.Limited ||", "if !mayWait || !choice.Limited ||", "TestEveryAttemptNeedsPermit", "./serve",
 	},
 	"rate limits of servers: a new granter does not wait": {
-		"ratelimit/granter.go", "grantsFrom: max(now, ask.Settled+handoverDelay)", "grantsFrom: now", "TestGranterHandover", "./ratelimit",
+		"ratelimit/granter.go", "grantsFrom: max(now, request.SettledSince+handoverDelay)", "grantsFrom: now", "TestGranterHandover", "./ratelimit",
 	},
 	"rate limits of servers: an answer that comes late lifts a limit": {
-		"ratelimit/book.go", "Lifted: true, At: sent}", "Lifted: true, At: now}", "TestBook", "./ratelimit",
+		"ratelimit/limits.go", "Lifted: true, At: sent}", "Lifted: true, At: now}", "TestLimits", "./ratelimit",
 	},
 	"evacuated zones: they get requests": {
 		"node/fleet.go", "|| fleet.evacuated[instance.Zone]:", ":", "TestEvacuatedZoneGetsNothing", "./node",
@@ -89,7 +89,7 @@
 		"node/election.go", "return lead, lead.Era >= mirror.State().At.Era", "return lead, true", "TestLeadEndsWithTheEra", "./node",
 	},
 	"restored store: terms begin anew": {
-		"node/election.go", ", era*eraTerms) + 1", ", 0*era) + 1", "TestLeadEndsWithTheEra", "./node",
+		"node/election.go", ", era*termsPerEra) + 1", ", 0*era) + 1", "TestLeadEndsWithTheEra", "./node",
 	},
 	"restored store: a drain goes back": {
 		"node/fleet.go", "wasReady := known.Draining && !instance.Draining", "wasReady := false", "TestServersAfterARestore", "./node",
@@ -98,7 +98,7 @@
 		"node/removal.go", "case era > known.era:", "case false:", "TestServersAfterARestore", "./node",
 	},
 	"restored store: lost records are not believed": {
-		"node/restore.go", "fleet.outageUntil = fleet.node.Timers.Now() + lapseHold", "", "TestServersAfterARestore", "./node",
+		"node/restore.go", "fleet.outageUntil = fleet.node.Timers.Now() + deletedRecordHold", "", "TestServersAfterARestore", "./node",
 	},
 	"restored store: orders go back": {
 		"node/fleet.go", "(wasReady || instance.Sequence < known.Sequence)", "wasReady", "TestOrdersAreKnownAfterARestore", "./node",
@@ -107,10 +107,10 @@
 		"node/config.go", "if version >= fleet.configVersion() || !fleet.activeConfig.newerThanStore.Load() {", "if true {", "TestNodeThatStartsAfterARestore", "./node",
 	},
 	"restored store: the planner goes by older records": {
-		"node/controller.go", "return controller.era == 0 || now-controller.since >= lapseHold", "return true", "TestPlannerWaitsForRecordsAfterARestore", "./node",
+		"node/controller.go", "return controller.era == 0 || now-controller.eraSince >= deletedRecordHold", "return true", "TestPlannerWaitsForRecordsAfterARestore", "./node",
 	},
 	"restored store: blames are not written again": {
-		"node/restore.go", "node.guard.keepAgain()", "", "TestBlamesOutliveARestore", "./node",
+		"node/restore.go", "node.guard.recheckAll()", "", "TestBlamesOutliveARestore", "./node",
 	},
 	"backoff of servers: it ends with the request": {
 		"dispatch/condition.go", "condition.backoffUntil = max(condition.backoffUntil, until)", "", "TestBackoffIsHeeded/all", "./node",
@@ -122,7 +122,7 @@
 		"dispatch/limit.go", "candidate.limit == nil || !candidate.usable(query)", "candidate.limit == nil", "TestConditionsHoldForEveryChoice", "./dispatch",
 	},
 	"backoff of servers: callers are not told its end": {
-		"serve/front.go", "cause = causeBackoff", "cause = causeNoCapacity", "TestRetryAfterABackoff", "./serve",
+		"serve/handler.go", "cause = causeBackoff", "cause = causeNoCapacity", "TestRetryAfterABackoff", "./serve",
 	},
 	"draining servers: their own answers are not heeded": {
 		"dispatch/condition.go", "condition.draining = true", "", "TestDrainInAnswersIsHeeded", "./node",
@@ -131,13 +131,13 @@
 		"dispatch/condition.go", "case now-condition.unlistedSince >= conditionRetention:", "default:", "TestConditions", "./dispatch",
 	},
 	"budget of repeats: a process that starts has all of it": {
-		"serve/budget.go", "warmup := min(float64(now-budget.Began)/float64(budget.Window), 1)", "warmup := 1.0", "TestRetryBudgetAcrossRestarts", "./serve",
+		"serve/budget.go", "warmup := min(float64(now-budget.StartedAt)/float64(budget.Window), 1)", "warmup := 1.0", "TestRetryBudgetAcrossRestarts", "./serve",
 	},
 	"budget of repeats: more processes than repeats have none": {
-		"serve/budget.go", "bound+budget.Lot {", "bound+0*budget.Lot {", "TestRetryBudgetAcrossRestarts", "./serve",
+		"serve/budget.go", "bound+budget.RandomOffset {", "bound+0*budget.RandomOffset {", "TestRetryBudgetAcrossRestarts", "./serve",
 	},
 	"copies: who is turned away follows the service alone": {
-		"mirror/follower.go", "!follower.fresh(state) || follower.Away()", "!follower.fresh(state)", "TestRefusedUpstreamAsksPeers", "./mirror",
+		"mirror/follower.go", "!follower.fresh(state) || follower.SourceUnreachable()", "!follower.fresh(state)", "TestRefusedUpstreamAsksPeers", "./mirror",
 	},
 	"copies: questions to any process do not wait": {
 		"mirror/follower.go", "peer, wait = follower.randomPeer(), retryDelay", "peer, wait = follower.randomPeer(), 0", "TestFollowersLeaveRefusedUpstream", "./mirror",
@@ -203,22 +203,22 @@
 		"platform/store.go", "func() { stallTimer.Reset(store.Timeout) })", "func() {})", "TestTransfers", "./platform",
 	},
 	"size: all nodes of a large fleet list the service's records": {
-		"node/fleetsize.go", "return mirror.Advice{Peers: peers.dialStartupRelays(size.Relays)}, nil", "return mirror.Advice{List: true}, nil", "TestAdvice", "./node",
+		"node/fleetsize.go", "return mirror.Advice{Peers: peers.dialStartupRelays(size.Relays)}, nil", "return mirror.Advice{ListSource: true}, nil", "TestAdvice", "./node",
 	},
 	"size: who has no advice to list does so at once": {
-		"mirror/bootstrap.go", "if bootstrap.listsSource.Load() || len(follower.Others()) == 0 {", "if true {", "TestSimultaneousStart", "./mirror",
+		"mirror/bootstrap.go", "if bootstrap.listsSource.Load() || len(follower.Peers()) == 0 {", "if true {", "TestSimultaneousStart", "./mirror",
 	},
 	"size: all follow one node": {
 		"node/follow.go", "return nodes > maxDirectFollowers }", "return nodes < 0 }", "TestFollowers", "./node",
 	},
 	"lives: the directory asks nobody who lives": {
-		"node/nodes.go", "!own && !node.gossip.serves(other.ID)", "false", "TestDirectoryLeavesOutDeadNodes", "./node",
+		"node/nodes.go", "!own && !node.gossip.mayServeCallers(other.ID)", "false", "TestDirectoryLeavesOutDeadNodes", "./node",
 	},
 	"lives: nodes that do not answer keep their work for all": {
 		"node/gossip.go", "return gossip.detector.Liveness(record.ID) != shedkeel.Alive", "return false", "TestDutiesPassOn", "./node",
 	},
 	"lives: a dead node whose record went is kept": {
-		"node/fleet.go", "return !isNode || fleet.node.gossip.serves(shedkeel.NodeID(id))", "return !isNode || id != \"\"", "TestGoneNodes", "./node",
+		"node/fleet.go", "return !isNode || fleet.node.gossip.mayServeCallers(shedkeel.NodeID(id))", "return !isNode || id != \"\"", "TestGoneNodes", "./node",
 	},
 	"lives: a node that is cut off removes records": {
 		"node/remover.go", "node.stopping.Load() || node.gossip.isolated()", "node.stopping.Load()", "TestRemoverTakes", "./node",
@@ -239,7 +239,7 @@
 		"program/node.go", "case <-ctx.Done():\n\t\t\treturn\n", "case <-ctx.Done():\n\t\t\tsignal.Reset(syscall.SIGHUP)\n\t\t\treturn\n", "TestSignalsWhileStopping", "./soak",
 	},
 	"size: a node that lives stays removed": {
-		"node/member.go", "return !membership.isRecordCurrent() && since >= listedRetry", "return false", "TestWatchedMembership", "./node",
+		"node/member.go", "return !membership.isRecordCurrent() && since >= registrationRetry", "return false", "TestWatchedMembership", "./node",
 	},
 	"lost together: a group is formed anew by the first word": {
 		"formation/repair.go", "	case round.hasProbePending(group):\n", "	case false:\n", "TestServersLostTogether", "./formation",
@@ -272,31 +272,31 @@
 		"node/election.go", "lease := shedkeel.LeaseID{Era: lead.Era, Number: lead.Lease}", "lease := controller.lease.ID()", "TestLateWriteOfFormerLease", "./node",
 	},
 	"nodes: a source that failed is followed on": {
-		"node/follow.go", "if !followed.failed.within(followBackoff, peers.node.Timers.Now()) {", "if true {", "TestChoose", "./node",
+		"node/follow.go", "if !followed.followFailure.isRecent(followBackoff, peers.node.Timers.Now()) {", "if true {", "TestChoose", "./node",
 	},
 	"nodes: renewals go on in an outage": {
-		"node/member.go", "\treturn maxListedRetry\n", "\treturn listedRetry\n", "TestRenewalsInAnOutage", "./node",
+		"node/member.go", "\treturn maxRegistrationRetry\n", "\treturn registrationRetry\n", "TestRenewalsInAnOutage", "./node",
 	},
 	"nodes: the word of the node that spreads is not taken": {
 		"dispatch/table.go", "if preferred != nil && preferredCost <= maxPreferredCostRatio*lowest {", "if preferred != nil && preferredCost < 0 {", "TestSpreadKeepsPromptsApart", "./dispatch",
 	},
 	"nodes: the word is taken whatever this node sees": {
-		"dispatch/table.go", "preferredCost <= maxPreferredCostRatio*lowest", "preferredCost >= 0", "TestWish", "./dispatch",
+		"dispatch/table.go", "preferredCost <= maxPreferredCostRatio*lowest", "preferredCost >= 0", "TestPreferredServer", "./dispatch",
 	},
 	"nodes: prompts that wait are not counted": {
-		"dispatch/spread.go", "best.assigned.prefill += best.prefillTime(query.Prompt)", "best.assigned.prefill += 0", "TestSpread$|TestSpreadKeepsPromptsApart", "./dispatch",
+		"dispatch/spread.go", "best.assigned.prefill += best.prefillTime(query.PromptTokens)", "best.assigned.prefill += 0", "TestSpread$|TestSpreadKeepsPromptsApart", "./dispatch",
 	},
 	"nodes: a head out of reach is soon taken for gone": {
 		"formation/planner.go", "headTimeout = 20 * time.Second", "headTimeout = 5500 * time.Millisecond", "TestRulesHoldWhileServersArePartitioned", "./formation",
 	},
 	"nodes: what runs on groups is not told": {
-		"dispatch/spread.go", "max(state.assigned.running+change, 0)", "max(state.assigned.running+0*change, 0)", "TestSpreadByWhatRuns", "./dispatch",
+		"dispatch/spread.go", "max(state.assigned.running+change, 0)", "max(state.assigned.running+0*change, 0)", "TestSpreadByReportedLoad", "./dispatch",
 	},
 	"nodes: keys are taken whatever the configuration's age": {
-		"serve/front.go", "if exchange.front.RefuseStaleKeys && exchange.outOfDate() {", "if false {", "TestStaleConfiguration", "./serve",
+		"serve/handler.go", "if exchange.handler.RefuseStaleKeys && exchange.outOfDate() {", "if false {", "TestStaleConfiguration", "./serve",
 	},
 	"nodes: what an old configuration does not know is wrong": {
-		"serve/front.go", "if exchange.outOfDate() {\n\t\treturn exchange.refuse(causeStaleConfig, reason+", "if false {\n\t\treturn exchange.refuse(causeStaleConfig, reason+", "TestStaleConfiguration", "./serve",
+		"serve/handler.go", "if exchange.outOfDate() {\n\t\treturn exchange.refuse(causeStaleConfig, reason+", "if false {\n\t\treturn exchange.refuse(causeStaleConfig, reason+", "TestStaleConfiguration", "./serve",
 	},
 	"nodes: callers come back at once in an outage": {
 		"serve/retryafter.go", "return max(retryOutage, now-since)", "return min(retrySoon, now-since)", "TestRetryAfter", "./serve",
@@ -308,10 +308,10 @@
 		"mirror/bootstrap.go", "follower.runBootstrap(ctx, peer)\n", "_ = peer\n", "TestBootstrapDuringOutage", "./mirror",
 	},
 	"nodes: a failure outweighs any wait": {
-		"dispatch/spread.go", "return 1 / max(1-failureRate, 1.0/maxAttempts)", "return 1 + maxAttempts*failureRate", "TestSpread$|TestWish", "./dispatch",
+		"dispatch/spread.go", "return 1 / max(1-failureRate, 1.0/maxAttempts)", "return 1 + maxAttempts*failureRate", "TestSpread$|TestPreferredServer", "./dispatch",
 	},
 	"nodes: a lasting silence is told once": {
-		"dispatch/stall.go", "choice.stallNotified = choice.stallNotified && !report", "_ = report", "TestSilenceIsToldAgain", "./dispatch",
+		"dispatch/stall.go", "choice.stallNotified = choice.stallNotified && !report", "_ = report", "TestContinuingStallIsNotifiedAgain", "./dispatch",
 	},
 	"nodes: a silent stream asks for another server once": {
 		"serve/stream.go", "if err := stream.startSource(ctx); err != nil {\n\t\toutcome", "stalled.hedged = true\n\tif err := stream.startSource(ctx); err != nil {\n\t\toutcome", "TestStalledStreamRetriesHedge", "./serve",
@@ -332,7 +332,7 @@
 		"formation/repair.go", "case round.planner.released[assignment]:", "case false:", "TestGroupsFollowDemand", "./formation",
 	},
 	"nodes: a difference is taken of any value": {
-		"transfer/difference.go", "if base.Revision != baseRevision ||", "if base.Revision.Era != baseRevision.Era ||", "TestDiffer", "./transfer",
+		"transfer/difference.go", "if base.Revision != baseRevision ||", "if base.Revision.Era != baseRevision.Era ||", "TestEncodeDifference", "./transfer",
 	},
 	"nodes: former formations are remembered": {
 		"formation/planner.go", "if now-at <= retentionTime {", "if now-at <= 1000*retentionTime {", "TestFormerFormationsAreForgotten", "./formation",
--- a/node/fleetsize_test.go
+++ b/node/fleetsize_test.go
@@ -64,9 +64,9 @@
 			node.Store = store
 			advice, err := node.peers.advise(t.Context())
 			assert.NilError(t, err)
-			assert.Equal(t, advice.List, test.list)
+			assert.Equal(t, advice.ListSource, test.list)
 			assert.Equal(t, len(advice.Peers), test.peers)
-			assert.Equal(t, node.member.hint.Load(), test.hint)
+			assert.Equal(t, node.member.nodeCountHint.Load(), test.hint)
 			for index, peer := range advice.Peers {
 				assert.Assert(t, index > 2 || peer.Name()[:2] == "z3", "%s is asked first", peer.Name())
 			}
@@ -84,13 +84,13 @@
 		var size sizeRecord
 		assert.NilError(t, json.Unmarshal(change.Put[0].Value, &size))
 		written = append(written, size)
-		node.mirror.Apply(mirror.Update{Whole: true, At: revision, Records: []shedkeel.Record{{Key: sizeKey, Value: change.Put[0].Value, Revision: revision}}})
+		node.mirror.Apply(mirror.Update{Full: true, At: revision, Records: []shedkeel.Record{{Key: sizeKey, Value: change.Put[0].Value, Revision: revision}}})
 		return revision.Number, nil
 	}}
 	check := func(nodes []nodeRecord) {
 		node.peers.update(nodes)
 		timers.Advance(sizeCheckInterval)
-		node.controller.keepSize(t.Context(), timers.Now())
+		node.controller.maintainFleetSize(t.Context(), timers.Now())
 	}
 	check(fleetOf(200, 3))
 	assert.Equal(t, len(written), 0, "no write at the first check: other nodes may not be listed yet")
@@ -104,6 +104,6 @@
 	assert.Equal(t, len(written), 3)
 	assert.Equal(t, len(written[2].Relays), 0)
 	timers.Advance(sizeCheckInterval - time.Millisecond)
-	node.controller.keepSize(t.Context(), timers.Now())
+	node.controller.maintainFleetSize(t.Context(), timers.Now())
 	assert.Equal(t, len(written), 3)
 }
--- a/node/limits.go
+++ b/node/limits.go
@@ -42,15 +42,15 @@
 // that it is cold.
 type limits struct {
 	node    *Node
-	book    ratelimit.Book
-	cold    ratelimit.Cold
+	known   ratelimit.Limits
+	cold    ratelimit.ColdServers
 	granter ratelimit.Granter
 
 	mutex       sync.Mutex
 	badLoggedAt map[shedkeel.InstanceID]time.Duration        // when an unreadable limit of the server was last logged
 	pending     map[shedkeel.InstanceID]shedkeel.ServerLimit // to be sent to other nodes
 
-	peerViews uint64 // peers.views at the last update of granter; only run uses it
+	peerViews uint64 // peers.aliveVersion at the last update of granter; only run uses it
 }
 
 // Observe processes the limit that a server states in an answer. The request was sent
@@ -61,7 +61,7 @@
 		limits.logBadLimit(server, limit.Err, now)
 		return
 	}
-	if known, changed := limits.book.Observe(server, limit, sent, now); changed {
+	if known, changed := limits.known.Observe(server, limit, sent, now); changed {
 		limits.limitChanged(known, limits.node.Settings.Node)
 		limits.announce(known)
 	}
@@ -72,13 +72,13 @@
 func (limits *limits) merge(reported *wire.ServerLimit, from shedkeel.NodeID) {
 	now := limits.node.Timers.Now()
 	if cold, isCold := parseCold(reported, now); isCold {
-		limits.noteCold(cold)
+		limits.markCold(cold)
 	}
 	limit, valid := parseLimit(reported, now)
 	if !valid {
 		return
 	}
-	known, changed := limits.book.Merge(limit)
+	known, changed := limits.known.Merge(limit)
 	if !changed {
 		return
 	}
@@ -104,17 +104,17 @@
 // rate returns how many requests per second a server accepts from all nodes together,
 // and whether that number is limited: the server states a limit, or it is cold.
 func (limits *limits) rate(server shedkeel.InstanceID, now time.Duration) (rate float64, limited bool) {
-	stated, limited := limits.book.Limit(server)
-	cold, isCold := limits.cold.Server(server, now)
+	stated, limited := limits.known.Limit(server)
+	cold, isCold := limits.cold.Lookup(server, now)
 	if isCold && (!limited || cold.Rate < stated.Rate) {
 		return cold.Rate, true
 	}
 	return stated.Rate, limited
 }
 
-// noteCold records that a server is cold.
-func (limits *limits) noteCold(cold shedkeel.ColdServer) {
-	if limits.cold.Note(cold) {
+// markCold records that a server is cold.
+func (limits *limits) markCold(cold shedkeel.ColdServer) {
+	if limits.cold.Add(cold) {
 		limits.updateTable(cold.Server)
 	}
 }
@@ -129,10 +129,10 @@
 	limits.pending[limit.Server] = limit
 }
 
-// apply sets all limits in the dispatch table again, after the list of servers has
+// updateAll sets all limits in the dispatch table again, after the list of servers has
 // changed.
-func (limits *limits) apply() {
-	for _, limit := range limits.book.All() {
+func (limits *limits) updateAll() {
+	for _, limit := range limits.known.All() {
 		limits.updateTable(limit.Server)
 	}
 	for _, cold := range limits.cold.All(limits.node.Timers.Now()) {
@@ -167,9 +167,9 @@
 // only a share of the server's rate, equal to the share of the listed nodes that it
 // hears: during a network partition, the nodes on the other side may grant the rest.
 func (limits *limits) grant(server shedkeel.InstanceID, rate float64, maxWait time.Duration) shedkeel.Permit {
-	part, settledSince := limits.node.peers.heard()
-	ask := ratelimit.Ask{Server: server, Rate: rate * part, Patience: maxWait, Settled: settledSince}
-	return limits.granter.Grant(ask, limits.node.Timers.Now())
+	part, settledSince := limits.node.peers.aliveFraction()
+	request := ratelimit.PermitRequest{Server: server, Rate: rate * part, MaxWait: maxWait, SettledSince: settledSince}
+	return limits.granter.Grant(request, limits.node.Timers.Now())
 }
 
 // requestPermit asks the server's granter for a permit. If that does not answer, no
@@ -182,7 +182,7 @@
 		Node: string(limits.node.Settings.Node), Limit: limits.wireState(server),
 		PatienceMs: uint32(max(maxWait, 0).Milliseconds()),
 	}
-	reply, err := peer.asked.Do(ctx, &wire.Call{Kind: &wire.Call_Permit{Permit: call}})
+	reply, err := peer.priorityWire.Do(ctx, &wire.Call{Kind: &wire.Call_Permit{Permit: call}})
 	answer := reply.GetPermit()
 	if err != nil || answer == nil {
 		return shedkeel.Permit{Wait: permitRetryDelay}
@@ -193,13 +193,13 @@
 	return shedkeel.Permit{Granted: answer.GetGranted(), Wait: time.Duration(answer.GetWaitMs()) * time.Millisecond}
 }
 
-// takePermit answers another node's question for a permit.
-func (limits *limits) takePermit(call *wire.PermitCall) *wire.Reply {
+// handlePermit answers another node's question for a permit.
+func (limits *limits) handlePermit(call *wire.PermitCall) *wire.Reply {
 	limits.merge(call.GetLimit(), shedkeel.NodeID(call.GetNode()))
 	server := shedkeel.InstanceID(call.GetLimit().GetServer())
 	permit := shedkeel.Permit{Wait: permitRetryDelay}
 	rate, limited := limits.rate(server, limits.node.Timers.Now())
-	stated, _ := limits.book.Limit(server)
+	stated, _ := limits.known.Limit(server)
 	switch {
 	case !limits.isGranter(server): // this node and the sender see different nodes alive
 	case limited:
@@ -216,9 +216,9 @@
 // knows nothing.
 func (limits *limits) wireState(server shedkeel.InstanceID) *wire.ServerLimit {
 	now := limits.node.Timers.Now()
-	stated, _ := limits.book.Limit(server)
+	stated, _ := limits.known.Limit(server)
 	state := toWireLimit(stated, now)
-	cold, isCold := limits.cold.Server(server, now)
+	cold, isCold := limits.cold.Lookup(server, now)
 	if !isCold {
 		return state
 	}
@@ -229,8 +229,8 @@
 	return state
 }
 
-// takeLimits processes the limits that another node has sent.
-func (limits *limits) takeLimits(call *wire.LimitCall) *wire.Reply {
+// handleLimits processes the limits that another node has sent.
+func (limits *limits) handleLimits(call *wire.LimitCall) *wire.Reply {
 	for _, limit := range call.GetLimits() {
 		limits.merge(limit, shedkeel.NodeID(call.GetNode()))
 	}
@@ -248,7 +248,7 @@
 // tick forgets the permits of servers that have another granter now, lifts the limits
 // of servers that are no longer cold, and sends changed limits.
 func (limits *limits) tick() {
-	if views := limits.node.peers.views.Load(); views != limits.peerViews {
+	if views := limits.node.peers.aliveVersion.Load(); views != limits.peerViews {
 		limits.peerViews = views
 		limits.granter.Retain(limits.isGranter)
 	}
@@ -270,7 +270,7 @@
 	changes := map[*peer][]shedkeel.ServerLimit{}
 	for _, limit := range changed {
 		if limits.isGranter(limit.Server) {
-			for _, peer := range limits.node.peers.answering() {
+			for _, peer := range limits.node.peers.alivePeers() {
 				changes[peer] = append(changes[peer], limit)
 			}
 			continue
@@ -301,7 +301,7 @@
 func (limits *limits) dump() []LimitDump {
 	now := limits.node.Timers.Now()
 	found := []LimitDump{}
-	for _, limit := range limits.book.All() {
+	for _, limit := range limits.known.All() {
 		dump := limits.dumpServer(limit.Server, limit.Rate)
 		dump.For = (now - limit.Since).Round(time.Millisecond).String()
 		found = append(found, dump)
@@ -371,7 +371,7 @@
 
 // retain forgets the servers that are no longer listed.
 func (limits *limits) retain(listed func(shedkeel.InstanceID) bool) {
-	limits.book.Retain(listed)
+	limits.known.Retain(listed)
 	limits.granter.Retain(listed)
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -49,19 +49,19 @@
 			node, timers := newTestNode(t)
 			node.Decoder = platform.Decoder{}
 			node.fleet.view.Store(newServiceView(shedkeel.RoutedService{ID: "p"}))
-			node.mirror.Apply(mirror.Update{Whole: true, At: old, AsOf: timers.Now()})
+			node.mirror.Apply(mirror.Update{Full: true, At: old, AsOf: timers.Now()})
 			for _, record := range test.before {
 				node.mirror.Apply(mirror.Update{At: record.Revision, AsOf: timers.Now(), Records: []shedkeel.Record{record}})
 				node.fleet.tick(timers.Now())
 			}
 			usable := func() int { return node.table.Load("p", "", timers.Now()).Usable }
-			node.mirror.Apply(mirror.Update{Whole: true, At: restored, AsOf: timers.Now(), Records: test.restored})
+			node.mirror.Apply(mirror.Update{Full: true, At: restored, AsOf: timers.Now(), Records: test.restored})
 			node.fleet.tick(timers.Now())
 			assert.Equal(t, usable(), test.wantUsable[0])
 			node.mirror.Apply(mirror.Update{At: rewritten, AsOf: timers.Now(), Records: test.after})
 			node.fleet.tick(timers.Now())
 			assert.Equal(t, usable(), test.wantUsable[1])
-			timers.Advance(max(lapseHold, returnHold))
+			timers.Advance(max(deletedRecordHold, restoredServerHold))
 			node.mirror.Apply(mirror.Update{At: rewritten, AsOf: timers.Now()})
 			node.fleet.tick(timers.Now())
 			assert.Equal(t, usable(), test.wantUsable[2])
@@ -80,8 +80,8 @@
 			`"group":{"name":"m/d/1","epoch":%d,"rank":0,"state":"open"}}`, orders, epoch)
 		return shedkeel.Record{Key: "servers/i-1", Value: []byte(value), Revision: revision}
 	}
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 9}, Records: []shedkeel.Record{member(shedkeel.Revision{Number: 9}, 6, 4)}})
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Era: 1, Number: 5}, AsOf: timers.Now(), Records: []shedkeel.Record{member(shedkeel.Revision{Era: 1, Number: 5}, 5, 2)}})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 9}, Records: []shedkeel.Record{member(shedkeel.Revision{Number: 9}, 6, 4)}})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: 1, Number: 5}, AsOf: timers.Now(), Records: []shedkeel.Record{member(shedkeel.Revision{Era: 1, Number: 5}, 5, 2)}})
 	assert.Equal(t, node.fleet.groupServices()["s"][0].Member.Epoch, uint64(6))
 	assert.Equal(t, node.fleet.highestEpoch(), uint64(6))
 	node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Era: 1, Number: 6}, AsOf: timers.Now(), Records: []shedkeel.Record{member(shedkeel.Revision{Era: 1, Number: 6}, 7, 6)}})
@@ -94,36 +94,36 @@
 // to another node now. No node may lead by that record, and new terms must be above those
 // that the snapshot lacks.
 func TestLeadEndsWithTheEra(t *testing.T) {
-	node, timers, store := electedNode(t)
+	node, timers, store := newListedCandidate(t)
 	var last shedkeel.Change
 	store.commit = func(change shedkeel.Change) (int64, error) { last = change; return 2, nil }
 	elect(t, node, timers)
 	assert.Assert(t, node.controller.leading(timers.Now()))
-	lead := node.mirror.Get(leadKey)
+	lead := node.mirror.Get(leaderKey)
 	lead.Revision = shedkeel.Revision{Era: 1, Number: 2}
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Era: 1, Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{lead}})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: 1, Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{lead}})
 	assert.Assert(t, !node.controller.leading(timers.Now()))
 	assert.Equal(t, node.controller.leader(), shedkeel.NodeID(""))
 	assert.Assert(t, !node.member.lease.valid(timers.Now()))
 
 	store.granted.Era = 1
 	elect(t, node, timers)
-	assert.DeepEqual(t, last.If[0], shedkeel.Condition{Key: leadKey, Revision: lead.Revision})
+	assert.DeepEqual(t, last.If[0], shedkeel.Condition{Key: leaderKey, Revision: lead.Revision})
 	assert.Equal(t, last.Put[0].Lease.Era, int64(1))
-	assert.Assert(t, node.controller.nextTerm(shedkeel.Record{}) > eraTerms, "servers may have stored terms of the first era")
+	assert.Assert(t, node.controller.nextTerm(shedkeel.Record{}) > termsPerEra, "servers may have stored terms of the first era")
 }
 
 // TestNodeIsListedAgain checks that a node writes its record again after a restore of the
 // service.
 func TestNodeIsListedAgain(t *testing.T) {
-	node, timers, store := electedNode(t)
+	node, timers, store := newListedCandidate(t)
 	writes := 0
 	store.commit = func(shedkeel.Change) (int64, error) { writes++; return 3, nil }
 	node.member.lastAttempt = timers.Now()
 	node.member.dirty.Store(false)
 	node.member.tick(t.Context())
 	assert.Equal(t, writes, 0, "it is listed")
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Era: 1, Number: 1}, AsOf: timers.Now()})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: 1, Number: 1}, AsOf: timers.Now()})
 	node.member.tick(t.Context())
 	assert.Equal(t, writes, 1)
 }
@@ -138,17 +138,17 @@
 	for _, server := range []shedkeel.InstanceID{"a", "b", "c"} {
 		node.guard.Ended("r", server)
 	}
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 	keep := func() {
-		timers.Advance(keepTurn)
+		timers.Advance(writeStagger)
 		node.mirror.Apply(mirror.Update{At: node.mirror.State().At, AsOf: timers.Now()})
-		node.guard.keep(context.Background(), timers.Now())
-		node.guard.keep(context.Background(), timers.Now())
+		node.guard.writePending(context.Background(), timers.Now())
+		node.guard.writePending(context.Background(), timers.Now())
 	}
 	keep()
 	assert.Equal(t, len(store.changes), 1)
 	store.era = 1
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Era: 1, Number: 1}, AsOf: timers.Now()})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: 1, Number: 1}, AsOf: timers.Now()})
 	assert.Equal(t, node.guard.Judge("r"), shedkeel.Contained)
 	keep()
 	assert.Equal(t, len(store.changes), 2, "the blame is written again")
@@ -157,18 +157,18 @@
 // TestLoadsAreKeptAgain checks that the running model loads are written again after a restore
 // of the service.
 func TestLoadsAreKeptAgain(t *testing.T) {
-	node, timers, store := electedNode(t)
+	node, timers, store := newListedCandidate(t)
 	writes := 0
 	store.commit = func(shedkeel.Change) (int64, error) { writes++; return 3, nil }
 	loading := map[shedkeel.InstanceID]shedkeel.ModelID{"a": "m"}
 	keep := func() {
-		node.controller.noteEra(timers.Now())
-		node.controller.keepLoads(t.Context(), "s", loading)
+		node.controller.trackEra(timers.Now())
+		node.controller.storeLoads(t.Context(), "s", loading)
 	}
 	keep()
 	keep()
 	assert.Equal(t, writes, 1)
-	node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Era: 1, Number: 1}, AsOf: timers.Now()})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: 1, Number: 1}, AsOf: timers.Now()})
 	keep()
 	assert.Equal(t, writes, 2)
 }
@@ -182,18 +182,18 @@
 	}{
 		"in the same era":       {0, time.Second, false},
 		"in a later one":        {1, time.Second, true},
-		"in a later one, later": {1, removalKeep, false},
+		"in a later one, later": {1, removalRetention, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			var removals removals
-			removals.note("a", 0, 0)
+			removals.recordRemoval("a", 0, 0)
 			removals.expire(test.at)
-			removals.returned("a", test.era, test.at)
+			removals.recordReturn("a", test.era, test.at)
 			assert.Equal(t, removals.withheld("a"), test.withheld)
-			assert.Equal(t, removals.expire(test.at+returnHold), test.withheld)
+			assert.Equal(t, removals.expire(test.at+restoredServerHold), test.withheld)
 			assert.Assert(t, !removals.withheld("a"))
-			removals.returned("a", test.era, test.at+returnHold)
+			removals.recordReturn("a", test.era, test.at+restoredServerHold)
 			assert.Assert(t, !removals.withheld("a"), "it still writes its record")
 		})
 	}
@@ -214,22 +214,22 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			node, timers, _ := electedNode(t)
-			node.controller.since = 0
+			node, timers, _ := newListedCandidate(t)
+			node.controller.eraSince = 0
 			apply := func(era int64) {
-				node.mirror.Apply(mirror.Update{Whole: true, At: shedkeel.Revision{Era: era, Number: 9}, AsOf: timers.Now()})
-				node.controller.noteEra(timers.Now())
+				node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: era, Number: 9}, AsOf: timers.Now()})
+				node.controller.trackEra(timers.Now())
 			}
 			apply(test.before)
 			if test.after != test.before {
 				timers.Advance(time.Minute)
 				apply(test.after)
 			}
-			assert.Equal(t, node.controller.settled(timers.Now()), !test.waits)
-			timers.Advance(lapseHold - 1)
-			assert.Equal(t, node.controller.settled(timers.Now()), !test.waits)
+			assert.Equal(t, node.controller.recordsRewritten(timers.Now()), !test.waits)
+			timers.Advance(deletedRecordHold - 1)
+			assert.Equal(t, node.controller.recordsRewritten(timers.Now()), !test.waits)
 			timers.Advance(1)
-			assert.Assert(t, node.controller.settled(timers.Now()))
+			assert.Assert(t, node.controller.recordsRewritten(timers.Now()))
 		})
 	}
 }
--- a/soak/checker_test.go
+++ b/soak/checker_test.go
@@ -228,26 +228,26 @@
 	checker.mutex.Lock()
 	defer checker.mutex.Unlock()
 	for _, id := range checker.atMostOnce {
-		if runs := checker.cluster.fleet.Ran(id); runs > 1 {
+		if runs := checker.cluster.fleet.RunCount(id); runs > 1 {
 			t.Errorf("unsafe call %s ran %d times, want at most once", id, runs)
 		}
 	}
 	for _, id := range checker.rejected {
-		if checker.cluster.fleet.Ran(id) > 0 {
+		if checker.cluster.fleet.RunCount(id) > 0 {
 			t.Errorf("%s ran, although its answer said that it did not", id)
 		}
 	}
-	for body, ended := range checker.cluster.fleet.Ended() {
+	for body, ended := range checker.cluster.fleet.CrashCounts() {
 		if ended > maxServersCrashed {
 			t.Errorf("%d servers crashed on request %s", ended, body)
 		}
 	}
-	for _, violation := range append(checker.violations, checker.cluster.fleet.Broken()...) {
+	for _, violation := range append(checker.violations, checker.cluster.fleet.Violations()...) {
 		t.Error(violation)
 	}
 	answered := checker.outcomes["/copy/ 200"] + checker.outcomes["/look/ 200"] + checker.outcomes["/fee/ 200"]
 	if answered == 0 {
 		t.Error("no call was answered, so the test checked nothing")
 	}
-	t.Logf("outcomes: %v; servers crashed: %v", checker.outcomes, checker.cluster.fleet.Ended())
+	t.Logf("outcomes: %v; servers crashed: %v", checker.outcomes, checker.cluster.fleet.CrashCounts())
 }
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -95,7 +95,7 @@
 	}
 	cluster.fleet.Kill(id)
 	time.AfterFunc(1500*time.Millisecond, func() {
-		_ = cluster.fleet.Lapse(id) // the fake store always accepts it
+		_ = cluster.fleet.RemoveRecord(id) // the fake store always accepts it
 	})
 	cluster.replaceServer(random, service)
 	return "killed " + id
@@ -114,7 +114,7 @@
 // randomServer returns a live server and its service, or "" if fewer than eight are
 // live.
 func (cluster *cluster) randomServer(random *rand.Rand) (service, id string) {
-	living := cluster.fleet.Living()
+	living := cluster.fleet.LiveServers()
 	slices.Sort(living)
 	if len(living) < 8 {
 		return "", ""
@@ -141,7 +141,7 @@
 	length := between(random, 200, 2000)
 	time.Sleep(length)
 	link.set(passing)
-	cluster.fleet.ExcuseAll(id)
+	cluster.fleet.ForgetServer(id)
 	return fmt.Sprintf("link to %s in mode %d for %s", id, mode, length)
 }
 
@@ -230,7 +230,7 @@
 	}
 	limit := float64(random.IntN(8)) / 2
 	length := limitPropagation + between(random, 1000, 5000)
-	cluster.fleet.Limit(id, fmt.Sprint(limit))
+	cluster.fleet.SetLimit(id, fmt.Sprint(limit))
 	go cluster.runLimited(id, limit, length)
 	return fmt.Sprintf("%s announces a limit of %v for %s", id, limit, length)
 }
@@ -245,10 +245,10 @@
 	case <-time.After(length):
 	}
 	arrivals := cluster.fleet.Arrivals(id)
-	cluster.fleet.Limit(id, "")
+	cluster.fleet.SetLimit(id, "")
 	known := slices.DeleteFunc(arrivals, func(at time.Time) bool { return at.Sub(stated) < limitPropagation })
 	allowed := int(1.5*limit*limitWindow.Seconds()) + limitBurst + requestsBeforeLimitKnown*cluster.resumesSince(stated)
-	if most := platformstandin.MostArrivals(known, limitWindow); most > allowed {
+	if most := platformstandin.MaxArrivals(known, limitWindow); most > allowed {
 		cluster.checker.recordViolation("server %s with a limit of %v received %d requests in %s, want at most %d", id, limit, most, limitWindow, allowed)
 	}
 }
@@ -260,8 +260,8 @@
 		return "no server to back off"
 	}
 	length, lasts := between(random, 600, 3000), between(random, 500, 5000)
-	cluster.fleet.BackOff(id, length)
-	time.AfterFunc(lasts, func() { cluster.fleet.BackOff(id, 0) })
+	cluster.fleet.SetBackoff(id, length)
+	time.AfterFunc(lasts, func() { cluster.fleet.SetBackoff(id, 0) })
 	return fmt.Sprintf("%s asks for backoffs of %s for %s", id, length, lasts)
 }
 
@@ -269,7 +269,7 @@
 func (cluster *cluster) endServerAfter(id string, after time.Duration) {
 	time.AfterFunc(after, func() {
 		cluster.fleet.Kill(id)
-		_ = cluster.fleet.Lapse(id) // the fake store always accepts it
+		_ = cluster.fleet.RemoveRecord(id) // the fake store always accepts it
 	})
 }
 
@@ -280,7 +280,7 @@
 	if id == "" {
 		return "no server to drain"
 	}
-	cluster.fleet.DrainByAnswers(id)
+	cluster.fleet.AnnounceDraining(id)
 	cluster.endServerAfter(id, 3500*time.Millisecond)
 	cluster.replaceServer(random, service)
 	return "drained, announced only in answers: " + id
@@ -306,7 +306,7 @@
 
 // recordResume records that a node has started or has resumed after a freeze.
 func (cluster *cluster) recordResume(process *process) {
-	cluster.fleet.Excuse(slices.Index(cluster.nodes, process))
+	cluster.fleet.ForgetNode(slices.Index(cluster.nodes, process))
 	cluster.mutex.Lock()
 	defer cluster.mutex.Unlock()
 	cluster.resumes = append(cluster.resumes, time.Now())
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -132,7 +132,7 @@
 	cluster.store = httptest.NewServer((&platformstandin.Store{Data: cluster.data}).Handler())
 	t.Cleanup(cluster.store.Close)
 	cluster.fleet = &platformstandin.Fleet{
-		Data: cluster.data, Deadly: deadlyPrefix, Step: 15 * time.Millisecond,
+		Data: cluster.data, CrashPrefix: deadlyPrefix, Step: 15 * time.Millisecond,
 		Models: map[string]platformstandin.Timing{"m0": {Size: 2, Load: 500 * time.Millisecond, Warmup: 200 * time.Millisecond, Rejoin: 50 * time.Millisecond}},
 	}
 	cluster.configure()
@@ -164,7 +164,7 @@
 	defer cluster.mutex.Unlock()
 	_, err := cluster.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: "op/config", Value: fmt.Appendf(nil, configText, cluster.version, cluster.version)}}})
 	assert.NilError(cluster.t, err)
-	cluster.fleet.WriteAgain()
+	cluster.fleet.RewriteRecords()
 }
 
 // key returns the API key that the last configuration added.
@@ -191,7 +191,7 @@
 		http.Close()
 	})
 	cluster.servers[server.ID] = link
-	server.End = func() {
+	server.OnCrash = func() {
 		link.stopListening()
 		time.AfterFunc(serverRestartDelay, func() { cluster.restartServer(server.ID, link) })
 	}
