--- a/admit/admit.go
+++ b/admit/admit.go
@@ -13,12 +13,15 @@
 )
 
 const (
-	// burstTime is the time for which an account's unused rate accumulates.
+	// burstTime is the longest time for which the unused rate of an account
+	// accumulates; it bounds how many requests are admitted in one burst.
 	burstTime = time.Second
-	// busyFraction is the fraction of a service's capacity in use at and above
-	// which accounts are limited to their fair shares.
+	// busyFraction is the fraction of a service's capacity that must be in use by
+	// this box for the service to count as busy. It also counts as busy if the
+	// chosen target is full.
 	busyFraction = 0.9
-	// runTimeWeight is the weight of the newest run time in the moving average.
+	// runTimeWeight is the weight of the newest run time in the exponential
+	// moving average of run times.
 	runTimeWeight = 0.05
 	// minRetryAfter and maxRetryAfter bound the Retry-After times that callers receive.
 	minRetryAfter = time.Second
@@ -26,9 +29,9 @@
 )
 
 // Limiter enforces the rate limits of client accounts on one entry box with token
-// buckets. Each box enforces an equal part of a rate, divided by the configured
-// number of entry boxes. All boxes together thus stay within the rate even if
-// they cannot communicate. The zero value admits everything.
+// buckets. Each box enforces the rate divided by the configured number of entry
+// boxes, so that all boxes together stay within the rate even if they cannot
+// communicate. The zero value admits everything.
 type Limiter struct {
 	mutex   sync.Mutex
 	buckets map[shedkeel.AccountID]*bucket
@@ -41,8 +44,9 @@
 	updated time.Duration // time for which tokens was last computed
 }
 
-// Configure sets the accounts, whose rates apply to all entry boxes together, and
-// the number of entry boxes. Accounts that had a rate limit keep their tokens.
+// Configure sets the accounts and the number of entry boxes. The rate of an account
+// applies to all entry boxes together; a rate of 0 or less is no limit. Accounts
+// that already had a rate limit keep their tokens.
 func (limiter *Limiter) Configure(accounts []shedkeel.Account, boxes int, now time.Duration) {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
@@ -67,7 +71,8 @@
 func bucketSize(rate float64) float64 { return max(rate*burstTime.Seconds(), 1) }
 
 // Take takes a token for one request of the account. If there is none, it returns
-// a NotRunError with the time after which the next request can be admitted.
+// a NotRunError whose RetryAfter is the time until there is one, limited by
+// clampRetryAfter. Accounts without a rate limit are always admitted.
 func (limiter *Limiter) Take(account shedkeel.AccountID, now time.Duration) error {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
@@ -91,9 +96,9 @@
 	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-// Gate refuses requests that cannot begin before their deadline, and limits
-// accounts to their fair shares while a service is busy. The zero value is ready
-// to use.
+// Gate refuses requests that are not expected to begin before their deadline, and
+// limits accounts to their fair shares while a service is busy. The zero value is
+// ready to use.
 type Gate struct {
 	mutex    sync.Mutex
 	services map[shedkeel.ServiceID]*usage
@@ -101,24 +106,26 @@
 
 // usage counts the requests of a service that this box has in flight.
 type usage struct {
-	inFlightOf  map[shedkeel.AccountID]int // accounts without requests in flight are not listed
-	inFlight    int
-	meanRunTime time.Duration // moving average of the run times of requests; 0: none yet
+	inFlightByAccount map[shedkeel.AccountID]int // requests in flight of each account; accounts with none are not listed
+	inFlight          int
+	meanRunTime       time.Duration // moving average of the run times of completed requests; 0: none has completed
 }
 
 // Request is the input for Enter's decision.
 type Request struct {
 	Service  shedkeel.ServiceID
 	Account  shedkeel.AccountID
-	Weight   func(shedkeel.AccountID) int
-	Deadline time.Duration // maximum time until the request begins
-	Capacity int           // requests that all usable targets of the service run concurrently
-	Load     int           // estimated requests on the chosen target without this one
-	Room     int           // requests that the chosen target runs concurrently
+	Weight   func(shedkeel.AccountID) int // weight of an account in fair shares; below 1 counts as 1
+	Deadline time.Duration                // maximum time from now until the request begins
+	Capacity int                          // requests that all usable targets of the service run concurrently
+	Load     int                          // estimated requests on the chosen target without this one
+	Room     int                          // requests that the chosen target runs concurrently
 }
 
 // Enter admits a request, or returns a NotRunError with the time after which to
-// retry. The caller must call Leave for each admitted request.
+// retry. It refuses a request whose estimated wait exceeds its deadline. While the
+// service is busy, it also refuses requests of accounts that have their fair share
+// in flight. The caller must call Leave for each admitted request.
 func (gate *Gate) Enter(request Request) error {
 	gate.mutex.Lock()
 	defer gate.mutex.Unlock()
@@ -131,19 +138,20 @@
 		}
 	}
 	busy := request.Load >= request.Room || float64(usage.inFlight) >= busyFraction*float64(request.Capacity)
-	if busy && float64(usage.inFlightOf[request.Account]) >= usage.fairShare(request) {
+	if busy && float64(usage.inFlightByAccount[request.Account]) >= usage.fairShare(request) {
 		return &shedkeel.NotRunError{
 			Reason:     fmt.Sprintf("service %s is busy and account %s has its fair share of it", request.Service, request.Account),
 			RetryAfter: clampRetryAfter(usage.meanRunTime), Overloaded: true,
 		}
 	}
-	usage.inFlightOf[request.Account]++
+	usage.inFlightByAccount[request.Account]++
 	usage.inFlight++
 	return nil
 }
 
-// wait estimates how long a request is queued at a target before it begins, from
-// the target's load and room and the mean run time.
+// wait estimates how long a request is queued at a target before it begins. load
+// is the number of requests at the target without this one, room the number that
+// it runs concurrently.
 func (usage *usage) wait(load, room int) time.Duration {
 	if room <= 0 || load < room {
 		return 0
@@ -152,16 +160,16 @@
 }
 
 // fairShare returns the number of requests that the account may have in flight:
-// the larger of the service's capacity and the requests in flight, divided by
-// weight among the accounts with requests in flight and this one. It is at least
-// 1, and without limit if no other account has requests in flight.
+// the larger of the service's capacity and the requests in flight, divided in
+// proportion to weight among this account and the others with requests in flight.
+// The share is at least 1, and infinite if no other account has requests in flight.
 func (usage *usage) fairShare(request Request) float64 {
 	weights := 0
-	for account := range usage.inFlightOf {
+	for account := range usage.inFlightByAccount {
 		weights += max(request.Weight(account), 1)
 	}
 	own := max(request.Weight(request.Account), 1)
-	if usage.inFlightOf[request.Account] == 0 {
+	if usage.inFlightByAccount[request.Account] == 0 {
 		weights += own
 	}
 	if weights == own {
@@ -171,16 +179,16 @@
 	return max(float64(running)*float64(own)/float64(weights), 1)
 }
 
-// Leave records that an admitted request has ended. ran is its run time if it
-// completed, and 0 otherwise.
+// Leave records that an admitted request has ended. ran is the request's run time
+// if it completed, and 0 otherwise.
 func (gate *Gate) Leave(service shedkeel.ServiceID, account shedkeel.AccountID, ran time.Duration) {
 	gate.mutex.Lock()
 	defer gate.mutex.Unlock()
 	usage := gate.usage(service)
 	usage.inFlight--
-	usage.inFlightOf[account]--
-	if usage.inFlightOf[account] <= 0 {
-		delete(usage.inFlightOf, account)
+	usage.inFlightByAccount[account]--
+	if usage.inFlightByAccount[account] <= 0 {
+		delete(usage.inFlightByAccount, account)
 	}
 	switch {
 	case ran <= 0:
@@ -192,14 +200,14 @@
 }
 
 // usage returns the usage of a service, which it creates if there is none. The
-// mutex is held.
+// caller must hold the mutex.
 func (gate *Gate) usage(service shedkeel.ServiceID) *usage {
 	if gate.services == nil {
 		gate.services = map[shedkeel.ServiceID]*usage{}
 	}
 	known := gate.services[service]
 	if known == nil {
-		known = &usage{inFlightOf: map[shedkeel.AccountID]int{}}
+		known = &usage{inFlightByAccount: map[shedkeel.AccountID]int{}}
 		gate.services[service] = known
 	}
 	return known
@@ -207,18 +215,18 @@
 
 // Budget is a retry budget: it limits retries to a fraction of first attempts, so
 // that retries do not multiply the load on a failing zone. The zero value allows
-// initialRetries retries before any first attempt.
+// initialRetries retries before the first attempt is recorded.
 type Budget struct {
 	mutex   sync.Mutex
-	charged float64 // retries charged to the budget, less what first attempts have restored
+	charged float64 // retries made, less what first attempts have restored; at least 0, at most initialRetries
 }
 
 const (
-	retryRatio     = 0.1 // retries that each first attempt allows
-	initialRetries = 10  // retries allowed without any first attempts
+	retryRatio     = 0.1 // retries that each first attempt restores to the budget
+	initialRetries = 10  // size of the budget: retries allowed in a row without first attempts
 )
 
-// First records a first attempt.
+// First records the first attempt of a request.
 func (budget *Budget) First() {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -13,10 +13,11 @@
 
 // TestRateHoldsOverAllBoxes sends more requests than the rate to nine boxes that
 // do not communicate. Together they must admit no more than the rate, whether the
-// requests are spread over all boxes or all go to one.
+// requests are spread over all boxes or all go to one. Spread at random over all
+// boxes, at least 90% of the rate must be admitted.
 func TestRateHoldsOverAllBoxes(t *testing.T) {
 	const boxes, rate, seconds = 9, 90.0, 30
-	for name, skew := range map[string]int{"all boxes": boxes, "one box": 1} {
+	for name, usedBoxes := range map[string]int{"all boxes": boxes, "one box": 1} {
 		t.Run(name, func(t *testing.T) {
 			limiters := make([]*Limiter, boxes)
 			for index := range limiters {
@@ -25,40 +26,44 @@
 			}
 			random := rand.New(rand.NewPCG(1, 1))
 			admitted := 0
+			// 1000 requests per second, more than ten times the rate.
 			for now := time.Duration(0); now < seconds*time.Second; now += time.Millisecond {
-				if limiters[random.IntN(skew)].Take("a", now) == nil {
+				if limiters[random.IntN(usedBoxes)].Take("a", now) == nil {
 					admitted++
 				}
 			}
-			assert.Assert(t, admitted <= rate*(seconds+1), "%d admitted", admitted)
-			if skew == boxes {
-				assert.Assert(t, admitted >= rate*seconds*9/10, "%d admitted", admitted)
+			// The buckets start full, with the tokens of one second (burstTime).
+			assert.Assert(t, admitted <= rate*(seconds+1), "%d requests admitted, want at most %v", admitted, rate*(seconds+1))
+			if usedBoxes == boxes {
+				assert.Assert(t, admitted >= rate*seconds*9/10, "%d requests admitted, want at least %v", admitted, rate*seconds*9/10)
 			}
 		})
 	}
 }
 
-// TestTakeTellsWhenToComeBack checks that a request is admitted after the
+// TestTakeRetryAfter checks that a request is admitted after the
 // RetryAfter of its refusal, that accounts without a rate are not limited, and that
 // a new configuration does not refill a bucket.
-func TestTakeTellsWhenToComeBack(t *testing.T) {
+func TestTakeRetryAfter(t *testing.T) {
 	limiter := &Limiter{}
-	limiter.Configure([]shedkeel.Account{{ID: "slow", Rate: 0.2}, {ID: "free"}}, 1, 0)
+	limiter.Configure([]shedkeel.Account{{ID: "slow", Rate: 0.2}, {ID: "unlimited"}}, 1, 0)
 	assert.NilError(t, limiter.Take("slow", 0))
 	var notRun *shedkeel.NotRunError
 	assert.Assert(t, errors.As(limiter.Take("slow", 0), &notRun))
-	assert.Equal(t, notRun.RetryAfter, 5*time.Second)
+	assert.Equal(t, notRun.RetryAfter, 5*time.Second, "a rate of 0.2 per second gives a token every 5 s")
 	assert.Assert(t, notRun.Overloaded)
 	assert.NilError(t, limiter.Take("slow", notRun.RetryAfter), "the request must be admitted after RetryAfter")
 	for range 1000 {
-		assert.NilError(t, limiter.Take("free", 0))
+		assert.NilError(t, limiter.Take("unlimited", 0))
 	}
 	limiter.Configure([]shedkeel.Account{{ID: "slow", Rate: 0.2}}, 1, 6*time.Second)
 	assert.Assert(t, limiter.Take("slow", 6*time.Second) != nil, "a new configuration must not refill a bucket")
 }
 
-// enter offers a request to a gate for a service whose targets run 40 requests
-// concurrently. load is the load of the chosen target, which runs 10.
+// enter offers a request with a deadline of 1 s to a gate, for a service whose
+// targets together run 40 requests concurrently. load is the number of requests at
+// the chosen target, which can run 10 concurrently. The account heavy has weight 3
+// and all others weight 1.
 func enter(gate *Gate, account shedkeel.AccountID, load int) error {
 	weights := map[shedkeel.AccountID]int{"heavy": 3}
 	return gate.Enter(Request{
@@ -68,7 +73,9 @@
 }
 
 // TestFlood sends far more requests of one account than a busy service can run, and
-// checks that the other accounts get their weighted shares.
+// checks that the other accounts get their weighted shares. The weights 1 (light),
+// 3 (heavy) and 1 (flood) divide 40 slots into 8, 24 and 8. Each bound allows one
+// request more or less for each account with weight 1, and three for heavy.
 func TestFlood(t *testing.T) {
 	gate := &Gate{}
 	running := map[shedkeel.AccountID]int{}
@@ -87,24 +94,27 @@
 	assert.Assert(t, running["flood"] <= 40/5+1, "the account flood has %d requests in flight", running["flood"])
 	assert.Assert(t, running["light"] >= 7, "the account light has %d requests in flight", running["light"])
 	assert.Assert(t, running["heavy"] >= 3*running["light"]-3, "the account heavy has %d requests in flight, the account light %d", running["heavy"], running["light"])
+	// After its requests have ended, the account is admitted again.
 	for range running["flood"] {
 		gate.Leave("s", "flood", 0)
 	}
 	assert.NilError(t, enter(gate, "flood", 0))
 }
 
-// TestAloneMayUseAll checks that an account is not limited to a share of a busy
+// TestOnlyAccountMayUseWholeService checks that an account is not limited to a share of a busy
 // service while no other account uses it.
-func TestAloneMayUseAll(t *testing.T) {
+func TestOnlyAccountMayUseWholeService(t *testing.T) {
 	gate := &Gate{}
 	for range 200 {
 		assert.NilError(t, enter(gate, "alone", 10))
 	}
 }
 
-// TestRefusedWhatCannotBeInTime checks that requests are refused if their estimated
-// wait exceeds their deadline of 1 s, with the difference as RetryAfter.
-func TestRefusedWhatCannotBeInTime(t *testing.T) {
+// TestRefuseRequestsThatWouldMissDeadline checks that requests are refused if their estimated
+// wait exceeds their deadline of 1 s, with the difference as RetryAfter. The mean
+// run time is 2 s and the target runs 10 requests, so the estimated wait is 0.2 s
+// for each request by which the load, with this request, exceeds 10.
+func TestRefuseRequestsThatWouldMissDeadline(t *testing.T) {
 	gate := &Gate{}
 	assert.NilError(t, enter(gate, "a", 0))
 	gate.Leave("s", "a", 2*time.Second) // sets the mean run time
@@ -113,9 +123,9 @@
 		retryAfter time.Duration // expected RetryAfter; 0: admitted
 	}{
 		"one free slot":            {9, 0},
-		"a short queue":            {12, 0},
-		"queue too long":           {20, 1200 * time.Millisecond},
-		"queue far too long":       {60, 9200 * time.Millisecond},
+		"wait of 0.6 s":            {12, 0},
+		"wait of 2.2 s":            {20, 1200 * time.Millisecond},
+		"wait of 10.2 s":           {60, 9200 * time.Millisecond},
 		"limited to maxRetryAfter": {1000, time.Minute},
 	}
 	for name, test := range cases {
@@ -133,8 +143,8 @@
 	}
 }
 
-// TestBudget checks that retries stay within the budget, and use it, if every
-// attempt fails.
+// TestBudget checks that, if every attempt fails and each request asks for two
+// retries, the retries stay within the budget and use at least 90% of it.
 func TestBudget(t *testing.T) {
 	budget := &Budget{}
 	retries := 0
