--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -17,6 +17,7 @@
 	"shedkeel.org/shedkeel/internal/standin"
 )
 
+// nonces counts the nonces of all committers in the tests, so that each is unique.
 var nonces atomic.Int64
 
 // newCommitter returns a committer with a batch interval of 1 ms.
@@ -31,15 +32,16 @@
 	return committer
 }
 
-// operation is the input of one claim in a history.
+// operation is the input of one call of Claim in a history.
 type operation struct {
 	key     string
 	attempt string
 }
 
 // claimModel is the specification for the linearizability check: each key is held
-// by at most one attempt. A claim that ended with an error (status 0) may or may
-// not have been stored.
+// by at most one attempt. The state of a key is the ID of the attempt that holds it,
+// or "". A call of Claim that ended with an error (status 0) may or may not have
+// stored a claim.
 var claimModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -74,10 +76,10 @@
 
 func operationOf(recorded porcupine.Operation) operation { return recorded.Input.(operation) }
 
-// TestOneRightForEachKey runs three committers on the same shard concurrently, while
-// replies are lost and the key-value service has outages. The history must be
+// TestKeyIsGrantedToOneAttempt runs three committers on the same shard concurrently, while
+// replies of the key-value service are lost and it has outages. The history must be
 // linearizable under claimModel: no key is granted to two attempts.
-func TestOneRightForEachKey(t *testing.T) {
+func TestKeyIsGrantedToOneAttempt(t *testing.T) {
 	for seed := range uint64(40) {
 		store := standin.NewStore()
 		ctx, cancel := context.WithCancel(t.Context())
@@ -95,8 +97,9 @@
 	}
 }
 
-// claimConcurrently runs 8 clients with 12 claims each on 4 keys, with random faults,
-// and returns the history.
+// claimConcurrently runs 8 clients that call Claim 12 times each on 4 keys, with random
+// faults of the store, and returns the history. The times in the history come from a
+// counter.
 func claimConcurrently(ctx context.Context, t *testing.T, committers []*Committer, store *standin.Store, seed uint64) []porcupine.Operation {
 	t.Helper()
 	var mutex sync.Mutex
@@ -127,28 +130,28 @@
 	return history
 }
 
-// TestDecisions checks the decision on a second request for each relation to the
-// first.
+// TestDecisions checks the decision on a second request, depending on how its key,
+// attempt, digest and InsteadOf relate to a first request that was granted.
 func TestDecisions(t *testing.T) {
-	standing := Request{Key: "aa", Attempt: "first", Holder: "box/1", Digest: "d"}
+	firstRequest := Request{Key: "aa", Attempt: "first", Holder: "box/1", Digest: "d"}
 	cases := map[string]struct {
 		request Request
 		want    Status
 	}{
-		"another key":              {Request{Key: "bb", Attempt: "second", Digest: "d"}, Granted},
-		"the same attempt again":   {standing, Granted},
-		"another attempt":          {Request{Key: "aa", Attempt: "second", Digest: "d"}, Taken},
-		"another request":          {Request{Key: "aa", Attempt: "second", Digest: "other"}, Mismatch},
-		"in place of one not run":  {Request{Key: "aa", Attempt: "second", Digest: "d", InsteadOf: "first"}, Granted},
-		"in place of a wrong one":  {Request{Key: "aa", Attempt: "second", Digest: "d", InsteadOf: "zeroth"}, Taken},
-		"mismatch despite instead": {Request{Key: "aa", Attempt: "second", Digest: "x", InsteadOf: "first"}, Mismatch},
+		"another key":                           {Request{Key: "bb", Attempt: "second", Digest: "d"}, Granted},
+		"the same attempt again":                {firstRequest, Granted},
+		"another attempt":                       {Request{Key: "aa", Attempt: "second", Digest: "d"}, Taken},
+		"another digest":                        {Request{Key: "aa", Attempt: "second", Digest: "other"}, Mismatch},
+		"instead of the holder":                 {Request{Key: "aa", Attempt: "second", Digest: "d", InsteadOf: "first"}, Granted},
+		"instead of a non-holder":               {Request{Key: "aa", Attempt: "second", Digest: "d", InsteadOf: "zeroth"}, Taken},
+		"another digest, instead of the holder": {Request{Key: "aa", Attempt: "second", Digest: "x", InsteadOf: "first"}, Mismatch},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			committer := newCommitter(standin.NewStore())
 			stop := runCommitter(t, committer)
 			defer stop()
-			first, err := committer.Claim(t.Context(), standing)
+			first, err := committer.Claim(t.Context(), firstRequest)
 			assert.NilError(t, err)
 			assert.Equal(t, first.Status, Granted)
 			second, err := committer.Claim(t.Context(), test.request)
@@ -171,7 +174,8 @@
 }
 
 // TestOutage checks that a new claim is refused with an UnavailableError during an
-// outage, and that an earlier claim is still known after it.
+// outage of the key-value service, and that an earlier claim is still known after
+// the outage.
 func TestOutage(t *testing.T) {
 	store := standin.NewStore()
 	committer := newCommitter(store)
@@ -195,6 +199,7 @@
 	committer := newCommitter(store)
 	stop := runCommitter(t, committer)
 	var callers sync.WaitGroup
+	// The claims have the keys 0000 to 09c3, in hexadecimal.
 	for number := range sealThreshold + 500 {
 		callers.Go(func() {
 			_, err := committer.Claim(t.Context(), Request{Key: fmt.Sprintf("%04x", number), Attempt: "first"})
@@ -207,6 +212,7 @@
 	assert.Assert(t, len(head.Sealed) > 0, "no claims were moved to a segment")
 	other := newCommitter(store)
 	defer runCommitter(t, other)()
+	// The first key, the one at sealThreshold and the last one.
 	for _, key := range []string{"0000", "07d0", "09c3"} {
 		again, err := other.Claim(t.Context(), Request{Key: key, Attempt: "second"})
 		assert.NilError(t, err)
@@ -215,7 +221,7 @@
 }
 
 // TestRestored checks that a committer writes its claims back to a key-value service
-// that was restored from older data.
+// that was restored from older data, so that other committers know them again.
 func TestRestored(t *testing.T) {
 	store := standin.NewStore()
 	committer := newCommitter(store)
@@ -237,7 +243,9 @@
 	assert.Equal(t, result.Status, Taken, "the claim that the restore lost must be written back")
 }
 
-// TestRetention checks that only segments older than the retention time are dropped.
+// TestRetention checks that only segments whose newest claim is older than the
+// retention time are dropped. Newest is in minutes; at minute 230, with a retention
+// time of one hour, the limit is minute 170.
 func TestRetention(t *testing.T) {
 	head := Head{Sealed: []Segment{{Key: "old", Newest: 100}, {Key: "new", Newest: 200}}}
 	dropped := head.expire(230, time.Hour)
@@ -245,8 +253,8 @@
 	assert.DeepEqual(t, head.Sealed, []Segment{{Key: "new", Newest: 200}})
 }
 
-// BenchmarkClaims measures concurrent claims on one committer, and the writes per
-// claim.
+// BenchmarkClaims measures concurrent calls of Claim on one committer, and the writes
+// to the store for each call.
 func BenchmarkClaims(b *testing.B) {
 	store := standin.NewStore()
 	committer := newCommitter(store)
--- a/claim/committer.go
+++ b/claim/committer.go
@@ -12,31 +12,35 @@
 )
 
 const (
-	// sealThreshold is the number of claims above which a head's claims move to
-	// a segment. They take about 400 KB; the service's limit is 1 MB.
+	// sealThreshold is the number of claims in a head above which all of them move
+	// to a segment. So many claims take about 400 KB; the key-value service's
+	// limit for a record is 1 MB.
 	sealThreshold = 2000
-	// maxTries limits how often a batch is tried when other writers conflict.
+	// maxTries limits how often a batch is tried while writes of other processes
+	// to the same head conflict with it.
 	maxTries = 5
-	// maxBatch limits the requests decided with one write.
+	// maxBatch limits the requests in a batch.
 	maxBatch = 1000
-	// queueLength limits the waiting requests; further ones are refused at once.
+	// queueLength limits the requests waiting for a batch; Claim refuses further
+	// ones at once.
 	queueLength = 4000
 )
 
-// Committer decides the requests for one shard in batches, with at most one write
-// to the head per try of a batch. Its exported fields are set before Run.
+// Committer decides the requests for one shard in batches, and writes the head at
+// most once for each try of a batch. Its exported fields must be set before Run and
+// not changed afterwards.
 type Committer struct {
 	Store     shedkeel.Store
-	Prefix    string           // of the keys of the shard's records
-	Batch     time.Duration    // minimum time between two batches
-	Retention time.Duration    // how long claims are kept at least
+	Prefix    string           // prefix of the keys of the shard's records
+	Batch     time.Duration    // minimum time from the end of a batch to the next one
+	Retention time.Duration    // minimum time for which claims are kept
 	Nonce     func() string    // returns a new unique string for each write
 	Wall      func() time.Time // wall clock, for the expiry of claims
 
 	queue chan pendingRequest
 	shard *shard
-	// revision is that of the stored head. headStale is set if the head must be
-	// read before the next batch.
+	// revision is the revision of the head last read or written. headStale is set
+	// if the head must be read before the next try of a batch.
 	revision  shedkeel.Revision
 	headStale bool
 }
@@ -53,14 +57,16 @@
 	err    error
 }
 
-// NewCommitter returns a committer. The caller must set its exported fields.
+// NewCommitter returns a committer that knows no claims yet. The caller must set its
+// exported fields.
 func NewCommitter() *Committer {
 	return &Committer{queue: make(chan pendingRequest, queueLength), shard: newShard(), headStale: true}
 }
 
-// Claim requests the right to run a call and waits until the claim is decided and
-// written. On an UnavailableError the attempt must never run; its claim may
-// nevertheless have been stored.
+// Claim requests the right to run a call and waits until the request is decided and,
+// if it is granted, the claim is written. Every error is an UnavailableError. After
+// one, the attempt must never run, although its claim may have been stored. Claim may
+// be called concurrently.
 func (committer *Committer) Claim(ctx context.Context, request Request) (Result, error) {
 	pending := pendingRequest{request: request, answer: make(chan outcome, 1)}
 	select {
@@ -76,7 +82,7 @@
 	}
 }
 
-// Run decides requests until the context ends.
+// Run decides requests until the context ends. It must run only once at a time.
 func (committer *Committer) Run(ctx context.Context) {
 	for {
 		select {
@@ -90,8 +96,8 @@
 	}
 }
 
-// collectBatch returns the first request with those that are waiting behind it, up
-// to maxBatch.
+// collectBatch returns the first request and those that are waiting in the queue,
+// together at most maxBatch.
 func (committer *Committer) collectBatch(first pendingRequest) []pendingRequest {
 	batch := []pendingRequest{first}
 	for len(batch) < maxBatch {
@@ -105,8 +111,9 @@
 	return batch
 }
 
-// waitInterval waits for the minimum time between two batches. It runs after a
-// batch, so the first request after an idle time does not wait.
+// waitInterval waits for the minimum time between two batches or until the context
+// ends. It runs after a batch, so that the first request after an idle time does not
+// wait.
 func (committer *Committer) waitInterval(ctx context.Context) {
 	timer := time.NewTimer(committer.Batch)
 	defer timer.Stop()
@@ -117,10 +124,11 @@
 }
 
 // commit decides a batch and answers its requests. After a conflict it reads the
-// head again and decides anew. A batch that grants nothing needs no write, so while
-// the head is known it is answered also when the key-value service is not
-// available. That is safe, because a claim is only ever replaced through
-// InsteadOf.
+// head again and decides anew, up to maxTries times. A batch without new claims needs
+// no write, so it is answered also while the key-value service is not available,
+// unless the head must be read. Its answers are safe even if another process has
+// since written the head: a claim is replaced only by a request whose InsteadOf names
+// the claim's attempt, and that attempt never runs.
 func (committer *Committer) commit(ctx context.Context, batch []pendingRequest) {
 	var err error
 	for range maxTries {
@@ -163,10 +171,12 @@
 // currentMinute returns the wall clock in minutes since the Unix epoch.
 func (committer *Committer) currentMinute() int64 { return committer.Wall().Unix() / 60 }
 
+// headKey returns the key of the head's record.
 func (committer *Committer) headKey() string { return committer.Prefix + "head" }
 
-// loadHead reads the head and the segments that are not yet in memory. If the head
-// is older than the known one, it recovers the claims that are missing in it.
+// loadHead reads the head and those of its segments that are not yet in memory. If
+// the stored head is older than the known one, loadHead adds the claims that are
+// missing in it (see recoverClaims).
 func (committer *Committer) loadHead(ctx context.Context) error {
 	record, err := committer.Store.Get(ctx, committer.headKey())
 	if err != nil {
@@ -211,8 +221,9 @@
 }
 
 // writeHead writes the head with the batch's claims, by compare-and-swap against the
-// known revision. It removes expired segments and seals the claims if there are
-// more than sealThreshold. On an error the head must be read again.
+// known revision. It removes expired segments, and moves the head's claims to a
+// segment if there are more than sealThreshold. If writing a segment or the head
+// fails, it sets headStale.
 func (committer *Committer) writeHead(ctx context.Context) error {
 	nonce := committer.Nonce()
 	next := committer.shard.nextHead(nonce)
@@ -242,7 +253,7 @@
 	return nil
 }
 
-// applyWrite makes the head just written the known one.
+// applyWrite records in memory that the head was written, with the batch's claims.
 func (committer *Committer) applyWrite(head Head) {
 	for key, claim := range committer.shard.pending {
 		committer.shard.claims[key] = claim
@@ -253,8 +264,9 @@
 	committer.shard.head = head
 }
 
-// seal moves the head's claims into a new segment. The segment's key is unique, so
-// a segment whose head is never written has no effect.
+// seal writes the head's claims to a new segment and replaces them in the head by a
+// reference to it. The segment's key is unique, so a segment has no effect if the
+// head that refers to it is never written.
 func (committer *Committer) seal(ctx context.Context, head *Head) error {
 	value, err := json.Marshal(head.Claims)
 	if err != nil {
@@ -273,7 +285,8 @@
 }
 
 // clearSegments removes the claims of dropped segments from memory and empties
-// their records to free space. A failure only leaves space in use.
+// their records to free space. It ignores errors: they only leave memory and space in
+// the key-value service in use.
 func (committer *Committer) clearSegments(ctx context.Context, dropped []Segment) {
 	for _, segment := range dropped {
 		record, err := committer.Store.Get(ctx, segment.Key)
--- a/claim/head.go
+++ b/claim/head.go
@@ -1,8 +1,8 @@
 // Package claim records in the platform's key-value service which attempt has
 // claimed each call that must run at most once. Claims are spread over shards. The
-// head record of a shard changes only by compare-and-swap, so two writers can
-// never both grant one key. Correctness does not depend on which process writes
-// a shard; a single writer only avoids conflicts.
+// head record of a shard changes only by compare-and-swap, so two processes can
+// never both grant the same key. Correctness does not depend on which processes
+// write a shard; one process for each shard only avoids conflicts.
 package claim
 
 import (
@@ -15,17 +15,17 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Shards is the number of shards. Each shard is written at most once per batch
-// interval, so more shards allow more writes a second in total.
+// Shards is the number of shards. A Committer waits for its Batch interval after each
+// batch, so more shards allow more batches a second in total.
 const Shards = 4
 
 // Request asks for the right to run a call.
 type Request struct {
 	Key       string // as KeyOf returns it
 	Attempt   string // ID of the attempt; unique in the fleet
-	Holder    string // the entry that makes the attempt
-	Digest    string // of the request
-	InsteadOf string // ID of an attempt that its holder knows will never run; its claim may be replaced
+	Holder    string // the entry process that makes the attempt
+	Digest    string // digest of the call's content, to notice another call with the same Key
+	InsteadOf string // ID of another attempt, or "": one that its holder knows will never run, so that its claim may be replaced
 }
 
 // Status is the decision on a request.
@@ -35,7 +35,7 @@
 const (
 	Granted  Status = iota + 1 // the attempt, and no other, may run the call
 	Taken                      // another attempt holds the claim
-	Mismatch                   // the key was used for another request
+	Mismatch                   // the key was claimed for a call with another digest
 )
 
 // Result is the decision on a request and the claim now in force for its key.
@@ -51,18 +51,19 @@
 	Attempt string `json:"a"`
 	Holder  string `json:"h"`
 	Digest  string `json:"d"`
-	Minute  int64  `json:"t"` // when it was granted, in minutes since the Unix epoch by the writer's clock; it expires by this
+	Minute  int64  `json:"t"` // when it was granted, in minutes since the Unix epoch by the writer's clock; the retention time counts from then
 }
 
 // Segment refers to a record that holds claims moved out of the head. The record
-// does not change until it expires.
+// does not change until the segment is removed from the head; see Head.expire.
 type Segment struct {
 	Key    string `json:"key"`
-	Newest int64  `json:"newest"` // Minute of its newest claim
+	Newest int64  `json:"newest"` // Minute of the segment's newest claim
 }
 
-// Head is the record of a shard that each batch changes. It holds the newest claims
-// and lists the segments with older ones.
+// Head is the record of a shard that each batch with new claims changes. It holds the
+// newest claims and lists the segments with older ones. Generation counts the writes;
+// Nonce is unique to each write.
 type Head struct {
 	Generation uint64    `json:"generation"`
 	Nonce      string    `json:"nonce"`
@@ -81,7 +82,8 @@
 	return hex.EncodeToString(sum[:keyBytes])
 }
 
-// ShardOf returns the shard of a key that KeyOf returned.
+// ShardOf returns the shard, from 0 to Shards-1, of a key that KeyOf returned. For a
+// string that is not hexadecimal or is empty, it returns 0.
 func ShardOf(key string) int {
 	raw, err := hex.DecodeString(key)
 	if err != nil || len(raw) == 0 {
@@ -90,27 +92,30 @@
 	return int(raw[0]) % Shards
 }
 
-// ShardName returns the name of a shard, used in record keys and in the choice of
-// the process that writes it.
+// ShardName returns the name of a shard, a letter from a on. It is used in record keys
+// and in the choice of the process that writes the shard.
 func ShardName(shard int) string { return string(rune('a' + shard)) }
 
-// shard holds a shard's claims in memory.
+// shard holds the claims of a shard that one process knows.
 type shard struct {
 	head           Head
-	claims         map[string]Claim // of the head and of all sealed segments
+	claims         map[string]Claim // by Key: the claims of the head and of loadedSegments
 	loadedSegments map[string]bool  // keys of the segments whose claims are in claims
-	pending        map[string]Claim // granted in the current batch and not yet written
+	pending        map[string]Claim // by Key: the claims granted in this try of the batch and not yet written
 }
 
 func newShard() *shard {
 	return &shard{claims: map[string]Claim{}, loadedSegments: map[string]bool{}}
 }
 
-// beginBatch starts a batch and discards what an unwritten one granted.
+// beginBatch starts a try of a batch and discards the pending claims of the previous
+// try.
 func (shard *shard) beginBatch() { shard.pending = map[string]Claim{} }
 
-// decide decides one request given the claims and what the batch has granted so
-// far. A repeated request of the attempt that holds the claim is granted again.
+// decide decides one request, given the known claims and those that the batch has
+// granted so far, and adds a new claim to pending. A repeated request of the attempt
+// that holds the claim is granted again. nowMinute is the current time in minutes
+// since the Unix epoch.
 func (shard *shard) decide(request Request, nowMinute int64) Result {
 	current, found := shard.pending[request.Key]
 	if !found {
@@ -129,8 +134,8 @@
 	return Result{Status: Granted, Claim: claim}
 }
 
-// nextHead returns the head that follows the known one: with the batch's claims,
-// which replace claims of the same keys.
+// nextHead returns the head to write next: the known head with the pending claims
+// added, which replace claims of the same keys in it.
 func (shard *shard) nextHead(nonce string) Head {
 	next := Head{Generation: shard.head.Generation + 1, Nonce: nonce, Sealed: slices.Clone(shard.head.Sealed)}
 	for _, claim := range shard.head.Claims {
@@ -144,8 +149,9 @@
 	return next
 }
 
-// setHead makes a head that was read the known one, adds its claims, and returns
-// those of its segments that must still be loaded.
+// setHead makes the given head, which was read from the key-value service, the known
+// one and adds its claims to claims. It returns the segments of the head that are not
+// in loadedSegments.
 func (shard *shard) setHead(head Head) (missing []Segment) {
 	shard.head = head
 	for _, segment := range head.Sealed {
@@ -159,9 +165,10 @@
 	return missing
 }
 
-// recoverClaims returns the head to use when the stored head is older than the known
-// one because the service was restored from older data: the stored head with all
-// claims added that are known here and missing in it. The next write stores it.
+// recoverClaims returns the head to use when the stored head, older, has a lower
+// generation than the known one because the key-value service was restored from
+// older data: the stored head with the known generation and with all known claims
+// whose keys are not among its own. The next write stores it.
 func (shard *shard) recoverClaims(older Head) Head {
 	present := map[string]bool{}
 	for _, claim := range older.Claims {
@@ -179,7 +186,8 @@
 }
 
 // expire removes from the head the segments whose newest claim is older than the
-// retention time, and returns them. The minute is the current one.
+// retention time, and returns them. nowMinute is the current time in minutes since
+// the Unix epoch.
 func (head *Head) expire(nowMinute int64, retention time.Duration) (dropped []Segment) {
 	oldest := nowMinute - int64(retention/time.Minute)
 	kept := make([]Segment, 0, len(head.Sealed))
--- a/mutants_test.go
+++ b/mutants_test.go
@@ -188,7 +188,7 @@
 		"entry/plain.go", "earlier, err := entry.claim(ctx, call, key)", "var earlier *answer\n\tvar err error\n\t_ = key\n\t_ = entry.claim", "TestScenarios/at_most_once", ".",
 	},
 	"5 at most once: claims are not compared and swapped": {
-		"claim/committer.go", "committer.headKey(), committer.revision, value, writtenByUs)", "committer.headKey(), func() shedkeel.Revision { r, _ := committer.Store.Get(ctx, committer.headKey()); return r.Revision }(), value, writtenByUs)", "TestOneRightForEachKey", "./claim",
+		"claim/committer.go", "committer.headKey(), committer.revision, value, writtenByUs)", "committer.headKey(), func() shedkeel.Revision { r, _ := committer.Store.Get(ctx, committer.headKey()); return r.Revision }(), value, writtenByUs)", "TestKeyIsGrantedToOneAttempt", "./claim",
 	},
 	"6 leaving: the word that a box leaves is not heeded": {
 		"member/permit.go", "if leaving[member.Box] {", "if false && leaving[member.Box] {", "TestScenarios/leaving", ".",
