--- a/admit/admit.go
+++ b/admit/admit.go
@@ -71,8 +71,9 @@
 func bucketSize(rate float64) float64 { return max(rate*burstTime.Seconds(), 1) }
 
 // Take takes a token for one request of the account. If there is none, it returns
-// a NotRunError whose RetryAfter is the time until there is one, limited by
-// clampRetryAfter. Accounts without a rate limit are always admitted.
+// a NotRunError whose RetryAfter is the time until there is one, but at least
+// minRetryAfter and at most maxRetryAfter. Accounts without a rate limit are always
+// admitted.
 func (limiter *Limiter) Take(account shedkeel.AccountID, now time.Duration) error {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
@@ -123,7 +124,7 @@
 }
 
 // Enter admits a request, or returns a NotRunError with the time after which to
-// retry. It refuses a request whose estimated wait exceeds its deadline. While the
+// retry (from minRetryAfter to maxRetryAfter). It refuses a request whose estimated wait exceeds its deadline. While the
 // service is busy, it also refuses requests of accounts that have their fair share
 // in flight. The caller must call Leave for each admitted request.
 func (gate *Gate) Enter(request Request) error {
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -33,9 +33,9 @@
 				}
 			}
 			// The buckets start full, with the tokens of one second (burstTime).
-			assert.Assert(t, admitted <= rate*(seconds+1), "%d requests admitted, want at most %v", admitted, rate*(seconds+1))
+			assert.Assert(t, admitted <= rate*(seconds+1), "%d requests admitted, more than the rate and the full buckets allow", admitted)
 			if usedBoxes == boxes {
-				assert.Assert(t, admitted >= rate*seconds*9/10, "%d requests admitted, want at least %v", admitted, rate*seconds*9/10)
+				assert.Assert(t, admitted >= rate*seconds*9/10, "%d requests admitted, less than 90%% of the rate", admitted)
 			}
 		})
 	}
@@ -50,7 +50,7 @@
 	assert.NilError(t, limiter.Take("slow", 0))
 	var notRun *shedkeel.NotRunError
 	assert.Assert(t, errors.As(limiter.Take("slow", 0), &notRun))
-	assert.Equal(t, notRun.RetryAfter, 5*time.Second, "a rate of 0.2 per second gives a token every 5 s")
+	assert.Equal(t, notRun.RetryAfter, 5*time.Second) // 0.2 per second is a token every 5 s
 	assert.Assert(t, notRun.Overloaded)
 	assert.NilError(t, limiter.Take("slow", notRun.RetryAfter), "the request must be admitted after RetryAfter")
 	for range 1000 {
--- a/group/planner_test.go
+++ b/group/planner_test.go
@@ -153,7 +153,7 @@
 			test.loss.box = boxIndex(fleet, fleet.placement.Groups[0].Members[1].Box)
 			fleet.applyLoss(test.loss)
 			elapsed := timeToRecover(fleet, 2, time.Hour)
-			assert.Assert(t, elapsed <= test.longest, "all groups were whole after %s, want at most %s", elapsed, test.longest)
+			assert.Assert(t, elapsed <= test.longest, "all groups were whole only after %s", elapsed)
 			assert.Assert(t, elapsed > 0)
 		})
 	}
--- a/group/reserve.go
+++ b/group/reserve.go
@@ -63,10 +63,11 @@
 
 // Fallback decides, while the key-value service is not available, which groups
 // use their reserve, and returns for each of them the member that the reserve
-// replaces. A group is repaired only if it is not draining, is not in a domain
-// found by findSilentDomains, has exactly one member in lostMembers, and has a
-// reserve that can join at once (reserveReady). Each group has a single reserve, so
-// it is repaired at most once.
+// replaces. A group is repaired only if it is not draining, exactly one member has
+// lost its state, is no longer listed or has been silent for at least the table's
+// WarmPatience, and the reserve responds and has the weights. Groups in domains found
+// by findSilentDomains are left alone. Each group has a single reserve, so it is
+// repaired at most once.
 func (planner *Planner) Fallback(input shedkeel.PlanInput) map[shedkeel.GroupID]shedkeel.BoxID {
 	planner.trackSilence(input)
 	round := newRound(planner, input)
--- a/group/trace_test.go
+++ b/group/trace_test.go
@@ -268,7 +268,7 @@
 }
 
 // candidates returns the planners and tables to compare. The shipped policy karadere
-// favours group uptime and keeps spares that have the weights; nafha keeps no spares
+// favors group uptime and keeps spares that have the weights; nafha keeps no spares
 // and lets groups span domains. With 36 boxes in each of 4 domains, 16 groups leave
 // 4 boxes of each domain over; 18 groups need all boxes, so 2 of them must span
 // domains. With 32 boxes in each domain, 16 groups leave none over.
--- a/member/table_test.go
+++ b/member/table_test.go
@@ -31,7 +31,7 @@
 // in random order, with repeats and concurrent writers, and with a partition of
 // nodes 0 to 2 from the others in the first 150 of 200 steps. The generation that a
 // node knows may never fall, and after the nodes have exchanged with their
-// neighbours as many times as there are nodes, all must know the newest one.
+// neighbors as many times as there are nodes, all must know the newest one.
 func TestRecordGenerationNeverFalls(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 2))
