--- a/group/planner_test.go
+++ b/group/planner_test.go
@@ -198,7 +198,8 @@
 // each lost a member become one whole group, and that without it both stay
 // incomplete. No box is left over as a substitute.
 func TestShortGroupsAreConsolidated(t *testing.T) {
-	// The number of whole groups that is expected with each table.
+	// The expected number of whole groups with each table. Only the table with 1 sets
+	// Consolidate. The fields unset below would also affect repairs.
 	for name, want := range map[string]int{"no spares, cross-domain": 1, "two cold spares, no patience": 0} {
 		t.Run(name, func(t *testing.T) {
 			table := testParameters[name]
