--- a/group/fleet_test.go
+++ b/group/fleet_test.go
@@ -50,8 +50,9 @@
 	requestTimeout = 30 * time.Second  // the service's request timeout
 )
 
-// newFleet returns a fleet with empty boxes and one service, which wants the given
-// number of groups with as many members each.
+// newFleet returns a fleet of empty boxes, boxesEach in each domain, with one service.
+// The service wants the given number of groups, and each group has the given number
+// of members.
 func newFleet(planner shedkeel.Planner, table shedkeel.Table, domains, boxesEach, groups, members int) *fleet {
 	fleet := &fleet{
 		planner: planner, table: table, isOutage: func(time.Duration) bool { return false },
