--- a/mutants_test.go
+++ b/mutants_test.go
@@ -158,7 +158,7 @@
 		"member/exchange.go", "digestFromWire(digest, sent)", "digestFromWire(digest, now)", "TestDigestNeverLooksYounger", "./member",
 	},
 	"2 one group a box: a taken box counts as free": {
-		"group/planner.go", "if !round.assigned[id] && round.usable(view) {", "if round.usable(view) {", "TestOneGroupForEachBox", "./group",
+		"group/planner.go", "if !round.assigned[id] && round.usable(view) {", "if round.usable(view) {", "TestBoxIsInAtMostOneGroup", "./group",
 	},
 	"2 one group a box: the lease counts from the reply": {
 		"lease/lease.go", "lease.validUntil = lease.sentAt + lease.TTL - lease.Margin", "lease.validUntil = lease.sentAt + 2*lease.TTL", "TestNeverTwoHolders", "./lease",
@@ -188,13 +188,13 @@
 		"entry/plain.go", "earlier, err := entry.claim(ctx, call, key)", "var earlier *answer\n\tvar err error\n\t_ = key\n\t_ = entry.claim", "TestScenarios/at_most_once", ".",
 	},
 	"5 at most once: claims are not compared and swapped": {
-		"claim/committer.go", "committer.headKey(), committer.revision, value, writtenByUs)", "committer.headKey(), func() shedkeel.Revision { r, _ := committer.Store.Get(ctx, committer.headKey()); return r.Revision }(), value, writtenByUs)", "TestOneRightForEachKey", "./claim",
+		"claim/committer.go", "committer.headKey(), committer.revision, value, writtenByUs)", "committer.headKey(), func() shedkeel.Revision { r, _ := committer.Store.Get(ctx, committer.headKey()); return r.Revision }(), value, writtenByUs)", "TestKeyIsGrantedToOneAttempt", "./claim",
 	},
 	"6 leaving: the word that a box leaves is not heeded": {
 		"member/permit.go", "if leaving[member.Box] {", "if false && leaving[member.Box] {", "TestScenarios/leaving", ".",
 	},
 	"6 leaving: a group is changed while it runs requests": {
-		"group/repair.go", "if len(failed) == 0 && !round.isDrained(*group) {", "if false {", "TestLeavingMemberIsReplacedQuietly", "./group",
+		"group/repair.go", "if len(failed) == 0 && !round.isDrained(*group) {", "if false {", "TestLeavingMemberIsReplacedWhenIdle", "./group",
 	},
 	"outage: reserves are not used": {
 		"keeper/plan.go", "if zone.canFallBack(", "if false && zone.canFallBack(", "TestScenarios/outage", ".",
@@ -257,7 +257,7 @@
 		"entry/entry.go", "return callers.Shutdown(ctx)", "_ = ctx\n\treturn callers.Close()", "TestScenarios/planned_stop", ".",
 	},
 	"8 configuration: an older record is taken": {
-		"member/table.go", "if found && record.Generation <= known.Generation {", "if found && record.Generation == known.Generation {", "TestNeverAnOlderRecord", "./member",
+		"member/table.go", "if found && record.Generation <= known.Generation {", "if found && record.Generation == known.Generation {", "TestRecordGenerationNeverFalls", "./member",
 	},
 	"8 configuration: a restored service is not healed": {
 		"keeper/spread.go", "keeper.writeBack(stored, known)\n\t\treturn", "return", "TestScenarios/configuration", ".",
