--- a/formation/correlated_loss_test.go
+++ b/formation/correlated_loss_test.go
@@ -11,9 +11,9 @@
 )
 
 // TestServersLostTogether kills two members of a group at the same moment, as a fault of
-// their domain causes. The planner learns of the second some milliseconds after the first. The
-// group must not be formed again with the second: it would wait for an order that is never
-// answered.
+// their domain does. The planner learns of the second loss some milliseconds after the first.
+// It must not form the group again with the second lost member, whose order to join would
+// never be answered.
 func TestServersLostTogether(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(3, 2, 16)
@@ -51,8 +51,8 @@
 
 // TestRepairWaitsForProbesOfSubstitutes has a group lose a member while the free servers of
 // its domain are being probed too: the planner must wait for the results, then form the group
-// with a live one. Formed with a lost server, the group recovered 0.9 s later; with no
-// substitute, it was released.
+// with a live one. When it did not wait, it formed the group with a lost server, which took
+// 0.9 s longer, or released the group for lack of a substitute.
 func TestRepairWaitsForProbesOfSubstitutes(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(3, 2, 16)
--- a/formation/demand.go
+++ b/formation/demand.go
@@ -10,18 +10,19 @@
 	// configuredWeight is the number of measured requests at which measured and
 	// configured shares have equal weight.
 	configuredWeight = 200.0
-	// sameDemandRatio is the ratio up to which a measured share counts as equal to
-	// the configured one. At a steady 130 requests a second, measured shares vary
-	// by a tenth. A burst of 1.6 times the requests of one model and 0.7 times
-	// those of the other for 14 s ends before moving a group for it pays off.
+	// sameDemandRatio is the ratio, in either direction, up to which a measured share
+	// counts as equal to the configured one. At a steady 130 requests a second,
+	// measured shares vary by a tenth. A burst of 14 s, with 1.6 times the requests of
+	// one model and 0.7 times those of the other, ends before the move of a group
+	// between models pays off.
 	sameDemandRatio = 1.5
 )
 
 // workShares returns each model's share of the total work, measured in box time. It
-// returns the configured shares if the measurement is not usable or all measured shares
-// are within sameDemandRatio of them. Otherwise it returns the mean of both, weighted by
-// the number of measured requests. The configured shares are only an estimate from before
-// any request arrives.
+// averages measured and configured shares: the more requests were measured, the more the
+// measured shares count, because the configured ones are only an estimate from before any
+// request arrived. It returns the configured shares if the measurement is not usable or
+// all averages are within sameDemandRatio of them.
 func workShares(engine *shedkeel.Engine, demand map[shedkeel.ModelID]shedkeel.ModelDemand) map[shedkeel.ModelID]float64 {
 	configured := map[shedkeel.ModelID]float64{}
 	total, work, requests := 0.0, 0.0, 0.0
@@ -51,8 +52,8 @@
 	return measured
 }
 
-// boxWork returns the box time, in seconds, that the demand on a model takes:
-// reading the prompts, and what each request adds to the decoding steps. It leaves
+// boxWork returns the box time, in seconds, that the demand on a model takes: the time
+// for reading the prompts, and what each request adds to the decoding steps. It leaves
 // out the base time of a step, which all running requests share.
 func boxWork(engine *shedkeel.Engine, model *shedkeel.Model, demand shedkeel.ModelDemand) float64 {
 	if engine.ReadPerSecond <= 0 {
--- a/formation/demand_test.go
+++ b/formation/demand_test.go
@@ -16,13 +16,12 @@
 	"shedkeel.org/shedkeel"
 )
 
-// demandOf returns a demand of so many requests a second of each model over five seconds,
-// with the request sizes that the configured shares are based on.
+// demandOf returns the demand of five seconds at the given rates, in requests a second, with the request sizes that the configured shares are based on.
 func demandOf(large, small float64) map[shedkeel.ModelID]shedkeel.ModelDemand {
-	const weighed = 5
+	const seconds = 5
 	return map[shedkeel.ModelID]shedkeel.ModelDemand{
-		"large": shedkeel.ModelDemand{Requests: 1, PromptTokens: 1650, AnswerTokens: 90}.Scaled(weighed * large),
-		"small": shedkeel.ModelDemand{Requests: 1, PromptTokens: 714, AnswerTokens: 135}.Scaled(weighed * small),
+		"large": shedkeel.ModelDemand{Requests: 1, PromptTokens: 1650, AnswerTokens: 90}.Scaled(seconds * large),
+		"small": shedkeel.ModelDemand{Requests: 1, PromptTokens: 714, AnswerTokens: 135}.Scaled(seconds * small),
 	}
 }
 
@@ -32,10 +31,12 @@
 	smallRate = 50.0
 )
 
+// TestShares checks which demands change the shares from the configured 0.67 and 0.33. The
+// bounds leave room for the weight of the configured shares.
 func TestShares(t *testing.T) {
 	cases := map[string]struct {
 		demand      map[shedkeel.ModelID]shedkeel.ModelDemand
-		least, most float64 // of the large model
+		least, most float64 // bounds of the large model's share
 	}{
 		"nothing measured":           {nil, 0.67, 0.67},
 		"about as configured":        {demandOf(largeRate, smallRate), 0.67, 0.67},
@@ -89,10 +90,10 @@
 	t.Parallel()
 	cases := map[string]struct {
 		demand     func(since time.Duration) map[shedkeel.ModelID]shedkeel.ModelDemand
-		large      int // minimum number of groups at the end
-		small      int
-		mostLoads  int
-		mostClosed int
+		large      int // minimum number of the large model's groups at the end
+		small      int // the same for the small model
+		mostLoads  int // maximum number of load orders
+		mostClosed int // maximum number of orders to close a group
 	}{
 		"as configured":  {func(time.Duration) map[shedkeel.ModelID]shedkeel.ModelDemand { return demandOf(largeRate, smallRate) }, 6, 6, 0, 0},
 		"no measurement": {func(time.Duration) map[shedkeel.ModelID]shedkeel.ModelDemand { return nil }, 6, 6, 0, 0},
@@ -139,9 +140,9 @@
 	}
 }
 
-// TestHostsOfSmallGroupsStageLargeModel checks that hosts load, before traffic starts,
-// what a shift of demand would need, and that groups then follow the shift faster than a
-// load takes.
+// TestHostsOfSmallGroupsStageLargeModel checks that, before traffic starts, hosts of small
+// groups load the large model, and that more of its groups then serve sooner after a shift
+// of demand than a load takes.
 func TestHostsOfSmallGroupsStageLargeModel(t *testing.T) {
 	fleet := newFakeFleet(3, 6, 8)
 	fleet.engine.Models[0].Share, fleet.engine.Models[1].Share = 0.33, 0.67 // swapped
@@ -169,7 +170,7 @@
 	assert.Equal(t, len(fleet.violations), 0, "%v", fleet.violations)
 }
 
-// histories is the number of random histories to simulate.
+// histories is the number of random histories, sequences of faults, that each test simulates.
 var histories = flag.Int("histories", 12, "random histories to simulate")
 
 // TestRulesHoldWhileGroupsAreReleased shifts the demand between models while members are lost,
--- a/formation/fake_test.go
+++ b/formation/fake_test.go
@@ -20,7 +20,8 @@
 	}
 }
 
-// fakeServer is a backend server that follows the protocol of engines.
+// fakeServer is one start of a backend server that follows the protocol of engines. Its
+// exported fields are what it reports.
 type fakeServer struct {
 	shedkeel.Instance
 	highestEpoch     uint64
@@ -42,8 +43,8 @@
 // isPartitioned reports whether the server is partitioned from the planner.
 func (server *fakeServer) isPartitioned(now time.Duration) bool { return now < server.partitionedUntil }
 
-// unlisted reports whether a partitioned server is missing from the list. Its entry
-// expires after three heartbeats and returns some time after the partition.
+// unlisted reports whether a partitioned server is missing from the list. Its record there
+// expires after three heartbeats, and returns 1.4 s after the partition.
 func (server *fakeServer) unlisted(now time.Duration) bool {
 	const gone, back = 3600 * time.Millisecond, 1400 * time.Millisecond
 	return server.partitionedUntil-server.partitionedAt > gone && now > server.partitionedAt+gone && now < server.partitionedUntil+back
@@ -59,11 +60,11 @@
 	answerLoss  float64 // probability that the answer to an order is lost
 	violations  []string
 	lastServer  int
-	laterTerms  uint64 // planners after the first one
+	laterTerms  uint64 // number of planners after the first one
 	demand      map[shedkeel.ModelID]shedkeel.ModelDemand
 	orderCounts map[shedkeel.GroupOrderKind]int // orders sent
-	lagSteps    int                             // how many steps the list is late
-	history     [][]shedkeel.Instance
+	lagSteps    int                             // how many steps of testStep the list is late
+	history     [][]shedkeel.Instance           // the list at each call of instances
 }
 
 // lateOrder is an unanswered order and the time at which it is carried out.
@@ -90,8 +91,8 @@
 	fleet.servers[id] = server
 }
 
-// restart has a server start again under its name. It loses its state, and its host keeps
-// its weights.
+// restart has a server start again under its name. The server loses its state, and its
+// host keeps the weights that it has loaded.
 func (fleet *fakeFleet) restart(id shedkeel.InstanceID) {
 	former := fleet.servers[id]
 	former.diedAt, former.restarted, former.Member = fleet.now, true, nil
@@ -101,8 +102,8 @@
 	fleet.servers[next.ID] = next
 }
 
-// current returns the start of a server that receives an order to it: engines identify
-// themselves by server name alone.
+// current returns the latest start of the server. It receives the orders to all earlier
+// starts, because engines identify themselves by server name alone.
 func (fleet *fakeFleet) current(id shedkeel.InstanceID) *fakeServer {
 	server := fleet.servers[id]
 	for server.restarted {
@@ -168,7 +169,7 @@
 	return found
 }
 
-// head returns the head of a formation, or nil.
+// head returns the head of the formation that a membership is of, or nil if it has none.
 func (fleet *fakeFleet) head(member *shedkeel.Membership) *fakeServer {
 	for _, server := range fleet.servers {
 		if server.Member != nil && server.Member.Group == member.Group && server.Member.Epoch == member.Epoch && server.Member.Rank == 0 {
@@ -178,7 +179,8 @@
 	return nil
 }
 
-// execute has a server carry out an order. It returns false if the server refuses it.
+// execute has the latest start of a server carry out an order. It returns false if the
+// server refuses it.
 func (fleet *fakeFleet) execute(order shedkeel.GroupOrder) bool {
 	server := fleet.current(order.To)
 	matches := server.Member != nil && server.Member.Group == order.Group && server.Member.Epoch == order.Epoch
@@ -209,8 +211,9 @@
 	return true
 }
 
-// join has a server carry out an order to join. It records a violation if the server
-// leaves a group whose head serves.
+// join has a server carry out an order to join, and returns false if the server refuses it.
+// It records a violation if the server leaves a group whose head serves. A head that died
+// more than 5 s ago does not serve.
 func (fleet *fakeFleet) join(server *fakeServer, order shedkeel.GroupOrder) bool {
 	same := server.Member != nil && server.Member.Group == order.Group && server.Member.Epoch == order.Epoch
 	if order.Epoch < server.highestEpoch || same && !slices.Equal(server.members, order.Members) {
@@ -367,9 +370,11 @@
 	return counts
 }
 
+// testStep is the simulated time between two plans.
 const testStep = 50 * time.Millisecond
 
-// run runs planner and fleet for a time.
+// run alternates plans and steps of the fleet for a simulated time. Without traffic, loads
+// are not limited.
 func (fleet *fakeFleet) run(planner *Planner, length time.Duration, traffic bool) {
 	for end := fleet.now + length; fleet.now < end; {
 		fleet.deliver(planner, planner.Plan(Input{Now: fleet.now, Engine: fleet.engine, Instances: fleet.instances(), Dead: fleet.dead(), Demand: fleet.demand, Traffic: traffic}))
@@ -377,7 +382,7 @@
 	}
 }
 
-// newPlanner returns the planner of a term.
+// newPlanner returns a planner whose epochs are higher than those of all lower terms.
 func newPlanner(term uint64) *Planner {
 	epochs := uint64(0)
 	return &Planner{NextEpoch: func() uint64 {
@@ -394,8 +399,8 @@
 	}
 }
 
-// injectLoss kills a member and adds an empty server. With probability 1/times it also
-// returns the planner of the next term, which has no state.
+// injectLoss kills a member and adds an empty server. With probability 1/times it returns
+// the planner of the next term, which has no state, and otherwise the given planner.
 func (fleet *fakeFleet) injectLoss(planner *Planner, times int) *Planner {
 	fleet.killRandom()
 	fleet.addServer(shedkeel.DomainID(fmt.Sprintf("d%d", fleet.random.IntN(6))))
--- a/formation/fleet_test.go
+++ b/formation/fleet_test.go
@@ -11,6 +11,8 @@
 	"shedkeel.org/shedkeel"
 )
 
+// TestFormsEveryGroupThatHasRoom has room for six groups of four and six of two, beside the
+// spares of six domains of eight servers.
 func TestFormsEveryGroupThatHasRoom(t *testing.T) {
 	fleet := newFakeFleet(1, 6, 8)
 	fleet.run(newPlanner(1), 30*time.Second, false)
@@ -30,7 +32,7 @@
 	for seed := range seeds {
 		fleet := newFakeFleet(uint64(seed), 6, 8)
 		planner := newPlanner(1)
-		fleet.lagSteps = seed % 4 // 0 to 150 ms
+		fleet.lagSteps = seed % 4 // the list is 0 to 150 ms late
 		fleet.run(planner, 30*time.Second, false)
 		for round := range 12 {
 			fleet.answerLoss = []float64{0, 0.3}[round%2]
@@ -43,7 +45,7 @@
 }
 
 // checkRecovery runs a minute without faults, then checks that no rule was violated and
-// that at least so many groups of each model serve.
+// that at least the given number of groups of each model serve.
 func (fleet *fakeFleet) checkRecovery(t *testing.T, planner *Planner, seed, least int) {
 	t.Helper()
 	fleet.run(planner, time.Minute, true)
@@ -52,9 +54,9 @@
 	assert.Assert(t, serving["large"] >= least && serving["small"] >= least, "seed %d: %v", seed, serving)
 }
 
-// TestRulesHoldWhileServersAreUnreachable has serving servers fail probes for a while:
-// their groups are formed again without them, and they become reachable again after
-// their membership was given to others.
+// TestRulesHoldWhileServersAreUnreachable has serving servers fail probes and leave orders
+// unanswered for a while: their groups are formed again without them, and they become
+// reachable again when other servers have taken their ranks.
 func TestRulesHoldWhileServersAreUnreachable(t *testing.T) {
 	t.Parallel()
 	for seed := range 40 {
@@ -135,9 +137,9 @@
 }
 
 // TestMemberThatRestarts covers a member of an open group that restarts under its name.
-// The planner mistook it for the same instance: it left the group alone for six seconds,
-// as if a member were only unlisted, and reserved the members for twenty, because an
-// unreachable head may serve. A head that has restarted can't.
+// The planner mistook it for the same instance: it left the group unchanged for
+// unlistedGrace, as if a member were only unlisted, and reserved the members for
+// headTimeout, because an unreachable head may serve. A head that has restarted can't.
 func TestMemberThatRestarts(t *testing.T) {
 	t.Parallel()
 	for name, rank := range map[string]int{"head": 0, "member": 1} {
@@ -158,8 +160,9 @@
 	}
 }
 
-// TestWarmSparesJoinFast kills one member after the other. With a spare on standby the
-// group recovers in less time than a cold spare takes to warm up.
+// TestWarmSparesJoinFast kills four members, one after the other. With a spare on standby
+// the group recovers within 1 s of the detection; a spare that is not on standby takes
+// 1.1 s or 1.6 s to warm up.
 func TestWarmSparesJoinFast(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(3, 6, 8)
@@ -180,8 +183,8 @@
 }
 
 // TestSparesReplaceMembersOfEitherModel kills two members of one model in a domain that has
-// a spare of each model. When a spare had only one model's weights, the second group waited
-// 16 s for a load although the other model's spare was free.
+// a spare of each model. When each spare had only one model's weights, the second group
+// waited 16 s for a load although the other model's spare was free.
 func TestSparesReplaceMembersOfEitherModel(t *testing.T) {
 	t.Parallel()
 	for _, model := range []shedkeel.ModelID{"large", "small"} {
@@ -212,8 +215,8 @@
 	}
 }
 
-// TestHostsKeepWhatTheyLoaded covers hosts that keep the weights of one model only, with
-// three models: a spare must not load one after the other without end.
+// TestHostsKeepWhatTheyLoaded covers three models where each host keeps the weights of only
+// one: a spare must not go on loading one model after the other.
 func TestHostsKeepWhatTheyLoaded(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(3, 6, 8)
@@ -227,8 +230,9 @@
 	}
 }
 
-// TestRepairWithoutAnotherFormation covers a head that was taken as its own substitute: the
-// group was ordered to form again every 250 ms and never opened.
+// TestRepairWithoutAnotherFormation covers a group that lost a member and whose head was
+// chosen as its own substitute: the group was ordered to form again every 250 ms and never
+// opened.
 func TestRepairWithoutAnotherFormation(t *testing.T) {
 	fleet := newFakeFleet(3, 1, 4)
 	fleet.engine.Models = fleet.engine.Models[1:] // groups of two
@@ -256,8 +260,8 @@
 	assert.Equal(t, fleet.serving()["small"], 1)
 }
 
-// TestUnresponsiveServerIsSkipped covers a substitute that answers no order: the group must
-// form with another one.
+// TestUnresponsiveServerIsSkipped covers a server that leaves maxUnanswered orders
+// unanswered: it is not usable for unreachableBackoff.
 func TestUnresponsiveServerIsSkipped(t *testing.T) {
 	planner := newPlanner(1)
 	fleet := newFakeFleet(4, 1, 8)
@@ -272,8 +276,9 @@
 	assert.Assert(t, round.usable(&fleet.servers["s001"].Instance))
 }
 
-// TestMemberThatIsNoLongerListed covers servers that are partitioned from the list alone:
-// their groups keep working, and must not be formed again immediately.
+// TestMemberThatIsNoLongerListed covers members that only the list can't reach: their groups
+// keep working and must not be formed again immediately, unless their requests receive no
+// output.
 func TestMemberThatIsNoLongerListed(t *testing.T) {
 	fleet := newFakeFleet(6, 1, 8)
 	planner := newPlanner(1)
@@ -301,9 +306,9 @@
 	assert.Equal(t, actions[0].Order.Kind, shedkeel.OrderJoin, "a stalled group is formed again immediately")
 }
 
-// TestLoadsAreAdopted covers a planner that ordered the loads of its predecessor again,
-// which restarted them. When the planner changed every few seconds, no spare ever became
-// ready.
+// TestLoadsAreAdopted checks that a new planner does not order the loads of its predecessor
+// again. That would restart them: with a new planner every few seconds, no spare would ever
+// have its weights.
 func TestLoadsAreAdopted(t *testing.T) {
 	fleet := newFakeFleet(7, 1, 8)
 	former := newPlanner(1)
@@ -322,8 +327,9 @@
 	}
 }
 
-// TestLostLoadIsOrderedAgain covers an order to load that was lost: the planner considered
-// the server to be loading for half a minute while it did nothing.
+// TestLostLoadIsOrderedAgain covers an order to load that was lost: the planner counted the
+// server as loading for half a minute although it was not. The servers must have their
+// weights after unreachableBackoff and the longest load, 16 s, plus a second.
 func TestLostLoadIsOrderedAgain(t *testing.T) {
 	fleet := newFakeFleet(8, 1, 8)
 	planner := newPlanner(1)
@@ -339,8 +345,8 @@
 }
 
 // TestReadyHeadMayBeOpening covers a head that was ordered to open and is still listed as
-// ready: it was used as a substitute while it served. Its members are free only once it has
-// confirmed that it left.
+// ready: it was used as a substitute while it served. The members of its group are free only
+// once the head has confirmed that it left.
 func TestReadyHeadMayBeOpening(t *testing.T) {
 	member := func(id string, group shedkeel.GroupID, rank int, state shedkeel.MemberState) shedkeel.Instance {
 		return shedkeel.Instance{
@@ -371,6 +377,8 @@
 	assert.Equal(t, actions[0].Order.Kind, shedkeel.OrderJoin)
 }
 
+// TestLoadsAreBoundedUnderTraffic forms all groups of 80 servers while loads are limited to
+// LoadsPerSecond over loadWindow, 4 times 5 s, and to LoadsAtOnce.
 func TestLoadsAreBoundedUnderTraffic(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(5, 10, 8)
@@ -399,8 +407,8 @@
 
 // TestLateJoinOfRestartedServer restarts a member while an order to join its group,
 // which its previous start did not answer, may still be carried out. The planner ordered the
-// new start to go on standby just after it had carried out the late order, and so took it
-// out of a group whose head served.
+// new start to go on standby just after that start had carried out the late order, and so
+// took it out of a group whose head served.
 func TestLateJoinOfRestartedServer(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
--- a/formation/forget_test.go
+++ b/formation/forget_test.go
@@ -10,7 +10,8 @@
 )
 
 // TestFormerFormationsAreForgotten has a planner observe one formation after the other for
-// an hour, each with a head that is lost: its state must not grow with time.
+// an hour, each for 10 s and with a head that is lost after 5 s: the planner's state must not
+// grow with time.
 func TestFormerFormationsAreForgotten(t *testing.T) {
 	engine := &shedkeel.Engine{Models: []shedkeel.Model{{ID: "m", Size: 2, Share: 1}}}
 	planner := &Planner{NextEpoch: func() uint64 { return 1 << 40 }}
@@ -28,7 +29,7 @@
 			planner.Confirmed(action.Order)
 		}
 	}
-	const most = 10 // formations within retentionTime, and those that are about to expire
+	const most = 10 // six or seven formations within retentionTime, and some that are about to expire
 	sizes := map[string]int{
 		"lastMembers": len(planner.lastMembers), "headMissingSince": len(planner.headMissingSince), "leftAt": len(planner.leftAt),
 		"memberMissingSince": len(planner.memberMissingSince), "lastReported": len(planner.lastReported), "sentAt": len(planner.sentAt), "standbyOrderedAt": len(planner.standbyOrderedAt),
--- a/formation/form.go
+++ b/formation/form.go
@@ -28,8 +28,8 @@
 	return round.input.ProbePending[instance.ID] && !round.input.Dead[instance.ID]
 }
 
-// awaitsProbeResults reports whether probes of free servers of a domain are
-// pending. Results arrive within some tenths of a second.
+// awaitsProbeResults reports whether liveness probes of usable free servers of a domain
+// are pending. Results arrive within some tenths of a second.
 func (round *round) awaitsProbeResults(domain shedkeel.DomainID) bool {
 	return slices.ContainsFunc(round.byDomain[domain], func(instance *shedkeel.Instance) bool {
 		return round.isBeingProbed(instance) && IsFree(instance) && !round.reserved[instance.ID] && round.usable(instance)
@@ -42,7 +42,7 @@
 	if IsFree(instance) {
 		return false
 	}
-	group := round.byName[instance.Member.Group]
+	group := round.groupsByName[instance.Member.Group]
 	if group.epoch == instance.Member.Epoch {
 		return round.headMayServe(group)
 	}
@@ -84,8 +84,9 @@
 	return costLoad
 }
 
-// formNewGroups forms groups from free backend servers as long as there is room,
-// each for the model that has the most work per group at that point.
+// formNewGroups forms groups from free backend servers as long as nextGroup finds room,
+// each for the model that needs a group most at that point. Then it orders the loads for
+// further groups.
 func (round *round) formNewGroups() {
 	counts := round.groupCounts()
 	for range len(round.input.Instances) {
@@ -100,8 +101,8 @@
 	round.stageNewGroups(counts)
 }
 
-// stageNewGroups has free servers load the weights of groups that could be formed
-// once the weights are on their hosts. It reserves these servers for the rest of
+// stageNewGroups orders free servers to load weights for groups that can be formed once
+// the weights are on their hosts. It reserves these servers for the rest of
 // the round, so that they do not count as spares.
 func (round *round) stageNewGroups(counts map[shedkeel.ModelID]int) {
 	candidates := func(domain shedkeel.DomainID, model *shedkeel.Model, count int) []*shedkeel.Instance {
@@ -123,8 +124,8 @@
 	}
 }
 
-// convertNeedRatio is the minimum ratio of needs at which spares of one model load
-// another. A spare is not available for the whole load.
+// convertNeedRatio is the minimum ratio of one model's need to another's at which spares
+// that hold the other's weights load the first. A spare is not available while it loads.
 const convertNeedRatio = 1.5
 
 // picker returns up to count free servers of a domain for a model.
@@ -132,8 +133,8 @@
 
 // candidates returns up to count free servers that have the model's weights, are
 // loading them, or could load them, the cheapest first. A server that holds
-// another model's weights counts only if that model's need for groups is lower by
-// convertNeedRatio.
+// another model's weights counts only if this model's need for groups is at
+// least convertNeedRatio times that of the other.
 func (round *round) candidates(domain shedkeel.DomainID, model *shedkeel.Model, count int, counts map[shedkeel.ModelID]int) []*shedkeel.Instance {
 	found := slices.DeleteFunc(round.free(domain), func(instance *shedkeel.Instance) bool {
 		if joinCost(instance, model.ID) < costLoad || len(instance.Staged) == 0 {
@@ -231,10 +232,11 @@
 // keeps its spares after a new group of the model is formed there. Small groups
 // thus leave the larger gaps to larger groups.
 //
-// With onlyEmpty, only domains without groups count. nextGroup sets it for a model
-// that needs a group much less than another does. Otherwise three free servers of a
-// domain stayed unused for as long as no server joined: they were kept for a model
-// that had lost its groups everywhere, and its groups were too large for the domain.
+// With useSpares, the domain need not keep its spares. With onlyEmpty, only domains
+// without groups count. nextGroup sets it for a model that needs a group much less than
+// another does. Such a model may still use a domain without groups: otherwise three free
+// servers of a domain could stay unused for as long as no server joins, kept for a model
+// that has lost its groups everywhere and whose groups are too large for the domain.
 func (round *round) domainFor(model *shedkeel.Model, pick picker, useSpares, onlyEmpty bool) (shedkeel.DomainID, bool) {
 	fewestFree := math.MaxInt
 	var bestDomain shedkeel.DomainID
@@ -248,7 +250,7 @@
 			continue
 		}
 		if useSpares || empty {
-			spares = 0 // one group is worth more than spares for none
+			spares = 0 // without a group, spares have nothing to replace
 		}
 		room := len(round.free(domain)) - model.Size - spares
 		if room >= 0 && room < fewestFree && len(pick(domain, model, model.Size)) == model.Size {
@@ -258,13 +260,13 @@
 	return bestDomain, fewestFree < math.MaxInt
 }
 
-// minSpares returns the minimum number of a domain's servers to keep free. More
-// stay free if they are too few for a whole group.
+// minSpares returns the minimum number of servers to keep free in a domain with the given
+// number of servers. More stay free if the rest is too small for another group.
 //
 // An eighth is rounded up as far as pairLossSpares, because servers are lost in
 // pairs: with one spare among ten servers, the second loss has no substitute. Above
-// that it is rounded down: rounded up, an eighth of 27 servers in groups of 12 and 6
-// left nine of them free, because there was no room for the fourth group.
+// that number it is rounded down: rounded up, an eighth of 27 servers in groups of 12
+// and 6 left nine of them free, because there was no room for the fourth group.
 func minSpares(servers int) int {
 	part := float64(servers) * spareShare
 	return max(int(part), min(int(math.Ceil(part)), pairLossSpares))
@@ -286,7 +288,7 @@
 // demand above the configured share.
 func (round *round) lacksGroups(model *shedkeel.Model, counts map[shedkeel.ModelID]int) bool {
 	if !round.input.Traffic {
-		return false // the first groups are formed one model after the other
+		return false // while the first groups are formed, models lack groups only for the moment
 	}
 	for index := range round.input.Engine.Models {
 		other := &round.input.Engine.Models[index]
@@ -307,7 +309,8 @@
 	return slices.ContainsFunc(round.byDomain[domain], func(instance *shedkeel.Instance) bool { return round.reserved[instance.ID] })
 }
 
-// newGroupName returns a name that no listed or forming group has.
+// newGroupName returns a new name for a group, different from those of the listed and
+// forming groups.
 func (round *round) newGroupName(model *shedkeel.Model, domain shedkeel.DomainID) shedkeel.GroupID {
 	for {
 		round.planner.lastGroupIndex++
--- a/formation/form_test.go
+++ b/formation/form_test.go
@@ -10,12 +10,12 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestLastSparesServeTheModelThatLacksGroups covers domains that kept their spares for the
-// one group in them while another model had lost half of its groups.
+// TestLastSparesServeTheModelThatLacksGroups covers a domain with one group of the small
+// model, which kept its spares although the large model had lost most of its groups.
 func TestLastSparesServeTheModelThatLacksGroups(t *testing.T) {
 	cases := map[string]struct {
-		large  int // groups that serve in other domains
-		formed bool
+		large  int  // groups of the large model that serve in other domains
+		formed bool // a group of the large model is formed from the spares
 	}{
 		"enough groups":  {6, false},
 		"too few groups": {2, true},
--- a/formation/groups.go
+++ b/formation/groups.go
@@ -8,7 +8,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Group is a replica group as its members report it.
+// Group is a replica group as its members report it. Members are in the order of the
+// list, not by rank.
 type Group struct {
 	Group   shedkeel.GroupID
 	Epoch   uint64
@@ -30,18 +31,18 @@
 }
 
 // Groups returns the replica groups that the backend servers report, sorted by
-// name, each with the members of its highest epoch.
+// ID, each with the members of its highest epoch.
 func Groups(instances []shedkeel.Instance) []Group {
 	epochs := LatestEpochs(slices.Values(instances))
-	byName := map[shedkeel.GroupID]*Group{}
+	byID := map[shedkeel.GroupID]*Group{}
 	for _, instance := range instances {
 		if instance.Member == nil || instance.Member.Epoch != epochs[instance.Member.Group] {
 			continue
 		}
-		group := byName[instance.Member.Group]
+		group := byID[instance.Member.Group]
 		if group == nil {
 			group = &Group{Group: instance.Member.Group, Epoch: instance.Member.Epoch, Model: ModelOf(instance.Member.Group)}
-			byName[group.Group] = group
+			byID[group.Group] = group
 		}
 		group.Members = append(group.Members, instance.ID)
 		if instance.Member.Rank == 0 {
@@ -49,7 +50,7 @@
 		}
 	}
 	var found []Group
-	for _, group := range byName {
+	for _, group := range byID {
 		found = append(found, *group)
 	}
 	slices.SortFunc(found, func(a, b Group) int { return cmp.Compare(a.Group, b.Group) })
--- a/formation/loads_test.go
+++ b/formation/loads_test.go
@@ -11,7 +11,7 @@
 	"shedkeel.org/shedkeel"
 )
 
-// loadsOfLostServers returns loads that were ordered from servers that are gone.
+// loadsOfLostServers returns loads of the large model on servers that are not listed.
 func loadsOfLostServers(count int) map[shedkeel.InstanceID]shedkeel.ModelID {
 	found := map[shedkeel.InstanceID]shedkeel.ModelID{}
 	for index := range count {
@@ -21,8 +21,8 @@
 }
 
 // TestLoadsOfLostServersBlockNoOthers covers a planner that adopted as many loads as may run
-// at once, all from servers that were lost since: it waited for them for ever, and formed no
-// group from eight empty servers of a domain.
+// at once, all on servers that have been lost since: it waited for these loads forever, and formed
+// no group from eight empty servers of a domain.
 func TestLoadsOfLostServersBlockNoOthers(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(7, 1, 8)
--- a/formation/names.go
+++ b/formation/names.go
@@ -8,8 +8,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// groupName returns the name MODEL/DOMAIN/INDEX. The name carries model and domain
-// so that a new planner knows what a group is for.
+// groupName returns the name MODEL/DOMAIN/INDEX. The name contains model and
+// domain so that a new planner can read from it which model and domain a group is for.
 func groupName(model shedkeel.ModelID, domain shedkeel.DomainID, index int) shedkeel.GroupID {
 	return shedkeel.GroupID(fmt.Sprintf("%s/%s/%d", model, domain, index))
 }
@@ -35,7 +35,7 @@
 }
 
 // standbyPart takes the place of the domain in the names of standby formations.
-// They end in an instance instead of an index, so parseGroupName rejects them.
+// These names end in an instance ID instead of an index, so parseGroupName rejects them.
 const standbyPart = "standby"
 
 // standbyName returns the name of the formation in which a spare is on standby.
--- a/formation/planner.go
+++ b/formation/planner.go
@@ -53,8 +53,8 @@
 	loadWindow = 5 * time.Second
 	// spareShare is the share of a domain's servers that are kept free as spares.
 	spareShare = 0.125
-	// pairLossSpares is the number of spares that replaces two servers lost at the
-	// same time.
+	// pairLossSpares is the number of spares that suffices to replace two servers lost
+	// at the same time.
 	pairLossSpares = 2
 )
 
@@ -63,18 +63,19 @@
 	// server is skipped. Even if a third of all answers is lost, two consecutive
 	// losses are rare.
 	maxUnanswered = 2
-	// unreachableBackoff is how long such a server is skipped.
+	// unreachableBackoff is how long a server is skipped after maxUnanswered orders.
 	unreachableBackoff = 3 * time.Second
 	// unlistedGrace is how long a working group is left unchanged although a member
-	// is no longer listed. A member that is partitioned from the list alone comes
-	// back; one that leaves without notice serves for some more seconds.
+	// is no longer listed. A member that only the list can't reach is listed again; one
+	// that leaves without notice serves for some more seconds.
 	unlistedGrace = 6 * time.Second
 	// retentionTime is how long the planner keeps the state of a formation that no
 	// listed server reports. It is much longer than a partitioned server of the
 	// formation could go on serving.
 	retentionTime = time.Minute
-	// minNeedRatio is the minimum ratio of a model's need to the highest need at
-	// which the model gets more groups. The servers left over remain spares.
+	// minNeedRatio is the minimum ratio of a model's need to the highest need at which
+	// a model that has minGroups gets more groups in domains that have groups. The
+	// servers left over remain spares.
 	minNeedRatio = 0.5
 )
 
@@ -83,9 +84,9 @@
 	Now          time.Duration
 	Engine       *shedkeel.Engine
 	Instances    []shedkeel.Instance                       // instances of the service, as listed
-	Dead         map[shedkeel.InstanceID]bool              // they answer no liveness probe
-	ProbePending map[shedkeel.InstanceID]bool              // a liveness probe is pending
-	Slow         map[shedkeel.InstanceID]float64           // they work, but slower by this factor
+	Dead         map[shedkeel.InstanceID]bool              // instances that answer no liveness probe
+	ProbePending map[shedkeel.InstanceID]bool              // instances with a pending liveness probe
+	Slow         map[shedkeel.InstanceID]float64           // instances that work, but slower by this factor
 	Stalled      map[shedkeel.Assignment]bool              // groups whose requests receive no output
 	Demand       map[shedkeel.ModelID]shedkeel.ModelDemand // as measured; if empty, the configured shares apply
 	Traffic      bool                                      // callers are being served, so loads are limited
@@ -94,7 +95,7 @@
 // Planner plans the groups of one service. Set its exported fields before the first
 // call of Plan. Its methods are not safe for concurrent use.
 type Planner struct {
-	NextEpoch func() uint64
+	NextEpoch func() uint64 // returns a unique epoch for a new formation
 
 	firstListed        map[shedkeel.InstanceID]time.Duration // when the instance was first listed
 	lastArrival        map[shedkeel.DomainID]time.Duration   // when the last instance joined the domain
@@ -125,7 +126,7 @@
 // loading is an ordered load of a model's weights onto a host.
 type loading struct {
 	model     shedkeel.ModelID
-	deadline  time.Duration // no longer waited for after this time
+	deadline  time.Duration // the load is no longer tracked after this time
 	confirmed bool          // the server has confirmed the order
 }
 
@@ -149,7 +150,7 @@
 	epoch         uint64
 	model         shedkeel.ModelID
 	members       []shedkeel.InstanceID
-	headConfirmed bool                         // the other members may be ordered to join
+	headConfirmed bool                         // the head has confirmed its join order or is listed as joined; the others may be ordered to join
 	confirmed     map[shedkeel.InstanceID]bool // members that confirmed their order to join
 }
 
@@ -209,7 +210,7 @@
 }
 
 // Loading returns the models that servers were ordered to load onto their hosts and
-// have not finished loading.
+// have not finished loading, by server.
 func (planner *Planner) Loading() map[shedkeel.InstanceID]shedkeel.ModelID {
 	found := map[shedkeel.InstanceID]shedkeel.ModelID{}
 	for id, loading := range planner.loading {
@@ -247,12 +248,12 @@
 // engine's state.
 func (planner *Planner) Refused(order shedkeel.GroupOrder) {
 	if order.Kind == shedkeel.OrderStage {
-		planner.confirmLoad(order) // it is loading already, by an order whose answer was lost
+		planner.confirmLoad(order) // the host is loading already: an earlier answer was lost
 		return
 	}
 	forming := planner.forming[order.Group]
 	if forming != nil && order.Kind == shedkeel.OrderJoin && forming.epoch == order.Epoch {
-		// The engine has seen a higher epoch; the next formation gets one.
+		// The engine has seen a higher epoch. The next formation gets a new one.
 		planner.abandonForming(order.Group)
 	}
 }
@@ -266,9 +267,9 @@
 }
 
 // abandonForming abandons a formation that was ordered. It reserves the members for
-// listDelay, because the list may not show yet which of them have joined. Without
-// that, a member was ordered elsewhere immediately; it carried out that order late
-// and so left its group, which had formed after all.
+// listDelay, because the list may not show yet which of them have joined. Otherwise a
+// member could be ordered to join another group immediately, and carry out that order
+// after this formation has completed and serves.
 func (planner *Planner) abandonForming(group shedkeel.GroupID) {
 	for _, member := range planner.forming[group].members {
 		planner.reservedUntil[member] = planner.lastPlanTime() + listDelay
@@ -314,7 +315,8 @@
 	planner.expire(input.Now)
 }
 
-// expire removes the state of orders, standbys and formations that is out of date.
+// expire removes the state of orders and standbys that is out of date, and that of
+// formations that no server has reported for retentionTime.
 func (planner *Planner) expire(now time.Duration) {
 	maps.DeleteFunc(planner.sentAt, func(_ orderKey, at time.Duration) bool { return now-at > retentionTime })
 	for server, joins := range planner.pendingJoins {
--- a/formation/reallocate.go
+++ b/formation/reallocate.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// reallocationNeedRatio is the minimum ratio of a model's need to that of
-	// another model, after that released a group, at which the group is released. A
-	// group is not available for some seconds, and a smaller imbalance is corrected
-	// when the next group is lost.
+	// reallocationNeedRatio is the minimum ratio of the recipient's need to the donor's
+	// need, as it will be without the released group. The servers of a released group
+	// are not available for some seconds, and a smaller imbalance is corrected when the
+	// next group is lost.
 	reallocationNeedRatio = 1.3
 	// excessGroups is the number of groups above its fair share from which a model
-	// releases one for a model whose demand is not raised. That the other has lost
-	// groups is not sufficient: its servers come back.
+	// releases one for a model whose demand is not raised. A loss of groups by that
+	// other model is not sufficient, because its servers come back.
 	excessGroups = 1.5
 	// imbalanceTime is how long the imbalance must have lasted.
 	imbalanceTime = 3 * time.Second
 	// reallocationPause is the minimum time between reallocations, so that the
 	// effect of the previous one is visible.
 	reallocationPause = 6 * time.Second
-	// releaseTimeout is the longest time that the release of one group may take. Its
-	// hosts load the other model meanwhile, while the group serves.
+	// releaseTimeout is the longest time that the release of one group may take. The
+	// hosts of the group load the other model meanwhile, while the group serves.
 	releaseTimeout = 40 * time.Second
 )
 
@@ -40,8 +40,8 @@
 	since      time.Duration       // start of the current group's release
 }
 
-// reallocateGroups has a model with more groups than its work needs release some for a
-// model that lacks groups. The hosts load the other model while the groups serve, then
+// reallocateGroups releases groups of a model with more groups than its work needs, for
+// a model that lacks groups. The hosts load the other model while the groups serve, then
 // the groups close and their members are free. Each domain has at most one reallocation
 // at a time.
 func (round *round) reallocateGroups() {
@@ -97,9 +97,9 @@
 
 // imbalance returns the model that can release a group and the model that needs one
 // most, or nil for both if the models are balanced. The donor keeps at least minGroups.
-// The other's need must exceed the donor's by reallocationNeedRatio after the release.
-// Either the donor has excessGroups more than its fair share, or the other's demand is
-// raised.
+// The recipient's need must be at least reallocationNeedRatio times the donor's need after
+// the release. In addition, the donor must have excessGroups more than its fair share, or
+// the recipient's demand must be raised.
 func (round *round) imbalance(counts map[shedkeel.ModelID]int) (from, to *shedkeel.Model) {
 	models := round.input.Engine.Models
 	for index := range models {
@@ -125,8 +125,8 @@
 	return from, to
 }
 
-// demandIsRaised reports whether the measured share of a model exceeds its configured
-// share by sameDemandRatio.
+// demandIsRaised reports whether a model's share of the work is at least sameDemandRatio
+// times its configured share.
 func (round *round) demandIsRaised(model *shedkeel.Model) bool {
 	return round.shares[model.ID] >= sameDemandRatio*model.Share
 }
@@ -145,9 +145,9 @@
 	return float64(boxes) * round.shares[model.ID] / max(total, math.SmallestNonzeroFloat64) / float64(max(model.Size, 1))
 }
 
-// groupToRelease returns an open group of a model to release for a group of another,
-// and how many groups its domain has to release for that, or nil if no domain can. The
-// domain's free servers count, except its spares. It chooses the domain and the group
+// groupToRelease returns an open group of one model to release first for a group of
+// another, and how many groups its domain has to release in total. The group is nil if
+// no domain can. The domain's free servers beyond its spares are used too. It chooses the domain and the group
 // that need the fewest released groups and loads.
 func (round *round) groupToRelease(from, to *shedkeel.Model) (group *observedGroup, groups int) {
 	var best *observedGroup
@@ -195,7 +195,7 @@
 	if round.hasLeft(reallocation.group) && !round.nextRelease(reallocation) {
 		return false
 	}
-	group := round.byName[reallocation.group.Group]
+	group := round.groupsByName[reallocation.group.Group]
 	if !round.canRelease(group, reallocation) || round.input.Now-reallocation.since > releaseTimeout {
 		return false
 	}
@@ -238,14 +238,14 @@
 	return true
 }
 
-// canRelease reports whether the group being released is unchanged and complete, and
-// its head is usable.
+// canRelease reports whether the group being released is unchanged and complete, its head
+// is usable, and the engine still has the model that the servers are for.
 func (round *round) canRelease(group *observedGroup, reallocation *reallocation) bool {
 	return group != nil && group.assignment() == reallocation.group && round.input.Engine.Model(reallocation.to) != nil &&
 		!slices.Contains(group.members, nil) && round.usable(group.head())
 }
 
-// stageMembers has members load the weights of another model, within the limit for
+// stageMembers orders members to load the weights of another model, within the limit for
 // loads ahead of need.
 func (round *round) stageMembers(members []*shedkeel.Instance, model shedkeel.ModelID) {
 	for _, member := range members {
@@ -255,7 +255,7 @@
 	}
 }
 
-// isBeingReleased reports whether the group is being released.
+// isBeingReleased reports whether a reallocation is currently releasing the group.
 func (round *round) isBeingReleased(group *observedGroup) bool {
 	reallocation := round.planner.reallocations[group.domain]
 	return reallocation != nil && reallocation.group == group.assignment()
--- a/formation/repair.go
+++ b/formation/repair.go
@@ -7,8 +7,9 @@
 	"shedkeel.org/shedkeel"
 )
 
-// continueForming sends the join orders of formations in progress, to the head
-// first. It abandons formations that can no longer complete.
+// continueForming sends the join orders of formations in progress, to the other members
+// only after the head has joined. It ends formations that are complete, and abandons those
+// that can't complete any more.
 func (round *round) continueForming() {
 	for id, forming := range round.planner.forming {
 		if !round.stillForming(id, forming) {
@@ -35,8 +36,8 @@
 	}
 }
 
-// stillForming reports whether a formation is still in progress: not all members
-// are ready yet, and all can still join.
+// stillForming reports whether a formation is still in progress: some member has not
+// joined or is joining, and all can still join. It notes that the head has joined.
 func (round *round) stillForming(id shedkeel.GroupID, forming *formingGroup) bool {
 	allReady := true
 	for _, member := range forming.members {
@@ -80,8 +81,8 @@
 	round.dismissFormerHeads()
 }
 
-// reserveRestarted reserves servers that have restarted while an order to an earlier
-// start may still be carried out. Engines identify themselves by server name and lose
+// reserveRestarted reserves servers that have restarted while a join order to an earlier
+// start may still be carried out and the head of its formation may serve. Engines identify themselves by server name and lose
 // the highest epoch on a restart, so the new start may already be a member of a serving
 // group before the list shows it.
 func (round *round) reserveRestarted() {
@@ -95,8 +96,8 @@
 	}
 }
 
-// replaceSlow forms an open group again without its slow members if there are
-// substitutes for all of them. The slowest member sets the speed of its group.
+// replaceSlow forms an open group again without its slow members if there are substitutes
+// for all of them. If the head is slow, it first orders the head to leave. The slowest member sets the speed of its group.
 func (round *round) replaceSlow(group *observedGroup) {
 	fast := slices.DeleteFunc(slices.Clone(group.members), func(member *shedkeel.Instance) bool {
 		_, slow := round.input.Slow[member.ID]
@@ -115,8 +116,8 @@
 	}
 }
 
-// reconcile decides on one group: whether to leave it, open it, close it, wait for it
-// or repair it. Members of a group that it does not reserve are free for other groups.
+// reconcile decides on one group: whether to leave it unchanged, open it, close it, wait
+// for it or repair it. Members of a group that it does not reserve are free for other groups.
 func (round *round) reconcile(group *observedGroup) {
 	assignment := group.assignment()
 	intact, draining := true, false
@@ -131,7 +132,7 @@
 	if round.usable(group.head()) {
 		delete(round.planner.headMissingSince, assignment)
 	} else {
-		round.headMissingSince(assignment)
+		round.recordHeadMissing(assignment)
 	}
 	switch {
 	case round.planner.released[assignment]:
@@ -169,17 +170,17 @@
 // hasProbePending reports whether a liveness probe of a member is pending.
 //
 // Servers that share a fault are lost at the same moment, but their probes time out
-// one after the other. A group that was formed again at the first result had others
-// of the lost servers among its members, and waited 0.3 to 3 s for them.
+// one after the other. A group that is formed again at the first result can have other
+// lost servers among its members, and then waits 0.3 to 3 s for them.
 func (round *round) hasProbePending(group *observedGroup) bool {
 	return slices.ContainsFunc(group.members, func(member *shedkeel.Instance) bool {
 		return member != nil && round.isBeingProbed(member)
 	})
 }
 
-// toleratesUnlisted reports whether an open group that works is left unchanged for now
-// although a member is not listed. After unlistedGrace it orders the head to close if
-// there are substitutes.
+// toleratesUnlisted reports whether an open group that works is not repaired for now
+// although a member is not listed. After unlistedGrace it orders the head to close, if
+// there are substitutes, so that the group finishes its requests before the repair.
 func (round *round) toleratesUnlisted(group *observedGroup, intact bool) bool {
 	assignment := group.assignment()
 	if intact || round.input.Stalled[assignment] || !round.usable(group.head()) || group.headState() != shedkeel.MemberOpen {
@@ -236,12 +237,11 @@
 // survivors returns the usable members in order of rank, except those that are in a
 // formation in progress.
 //
-// A list that lags still shows members in the group after they were ordered into
-// another formation. When they were treated as free, they were ordered into a third
-// one, and a late execution of that order took a server out of the second while it
-// served. This round's formations count too: a member whose head had restarted
-// was free, became a substitute in one group, and was ordered into its own group's new
-// formation in the same round.
+// The list lags, so it still shows members in this group after they were ordered into
+// another formation. If they were treated as free, they would be ordered into a third
+// formation, and carrying out that order late would take a server out of the second one
+// while that serves. Formations that began in this round count too: a member whose head
+// has restarted is free and may have become a substitute in another group in this round.
 func (round *round) survivors(group *observedGroup) []*shedkeel.Instance {
 	var found []*shedkeel.Instance
 	for _, member := range group.members {
@@ -293,9 +293,9 @@
 	}
 }
 
-// headMayServe reports whether the head of a group may be serving, or stalled while
-// open, as far as its engine knows. A head that is listed as ready may be opening by an
-// order in transit, even one of a previous planner.
+// headMayServe reports whether the head of a group may be serving. An open head that is
+// stalled counts as serving, and an unusable one counts until headTimeout has passed. A head that is listed as ready may be about to open: an order to
+// open, even one of a previous planner, may be in transit.
 func (round *round) headMayServe(group *observedGroup) bool {
 	if round.headHasEnded(group.assignment()) {
 		return false
@@ -303,7 +303,7 @@
 	if round.usable(group.head()) {
 		return group.headState() != shedkeel.MemberBroken
 	}
-	return round.input.Now-round.headMissingSince(group.assignment()) < headTimeout
+	return round.input.Now-round.recordHeadMissing(group.assignment()) < headTimeout
 }
 
 // headHasEnded reports whether the head of a formation has left it or its server has
@@ -313,15 +313,15 @@
 }
 
 // hasLeft reports whether the head of a formation has confirmed that it left and is not
-// listed in it again. It can join again if it carries out an earlier join order late.
+// listed in it again. A head that left can join again, by carrying out an earlier join order late.
 func (round *round) hasLeft(assignment shedkeel.Assignment) bool {
 	_, left := round.planner.leftAt[assignment]
 	return left
 }
 
 // formerHeadMayServe is headMayServe for a formation that a later one of the same group
-// has replaced. Its head was considered lost, and may be outside the later formation and
-// still serve.
+// has replaced. The head of the former one was considered lost; it may not be a member of
+// the later one and may still serve.
 func (round *round) formerHeadMayServe(former shedkeel.Assignment) bool {
 	if round.headHasEnded(former) {
 		return false
@@ -333,7 +333,7 @@
 	case round.usable(head):
 		return head.Member.State != shedkeel.MemberBroken
 	}
-	return round.input.Now-round.headMissingSince(former) < headTimeout
+	return round.input.Now-round.recordHeadMissing(former) < headTimeout
 }
 
 // dismissFormerHeads orders heads to leave formations that were replaced without them.
@@ -341,7 +341,7 @@
 	for index := range round.input.Instances {
 		instance := &round.input.Instances[index]
 		member := instance.Member
-		if member == nil || member.Rank != 0 || member.Epoch == round.byName[member.Group].epoch || round.reserved[instance.ID] || !round.usable(instance) {
+		if member == nil || member.Rank != 0 || member.Epoch == round.groupsByName[member.Group].epoch || round.reserved[instance.ID] || !round.usable(instance) {
 			continue
 		}
 		if round.formerHeadMayServe(member.Assignment()) {
@@ -350,9 +350,9 @@
 	}
 }
 
-// headMissingSince returns the time since which a formation's head is not usable, and
-// stores the current time if none is stored.
-func (round *round) headMissingSince(assignment shedkeel.Assignment) time.Duration {
+// recordHeadMissing returns the time since which a formation's head is not usable. If none
+// is stored, it stores the current time and returns that.
+func (round *round) recordHeadMissing(assignment shedkeel.Assignment) time.Duration {
 	since, known := round.planner.headMissingSince[assignment]
 	if !known {
 		since = round.input.Now
@@ -361,7 +361,8 @@
 	return since
 }
 
-// beginForming starts a formation with a new epoch and orders its head to join.
+// beginForming starts a formation with a new epoch and orders its head, the first of the
+// members, to join. It reserves the members. A join that loads weights counts as a load.
 func (round *round) beginForming(id shedkeel.GroupID, model *shedkeel.Model, members []*shedkeel.Instance) {
 	forming := &formingGroup{epoch: round.planner.NextEpoch(), model: model.ID, confirmed: map[shedkeel.InstanceID]bool{}}
 	for _, member := range members {
--- a/formation/round.go
+++ b/formation/round.go
@@ -10,37 +10,37 @@
 
 // round is one call of Plan: its input, indexes of it, and the orders so far.
 type round struct {
-	planner      *Planner
-	input        Input
-	shares       map[shedkeel.ModelID]float64 // each model's share of the work, in box time
-	donor        shedkeel.ModelID             // the model that releases groups and gets no new ones; "": none
-	byID         map[shedkeel.InstanceID]*shedkeel.Instance
-	listedStarts map[shedkeel.ServerID]shedkeel.InstanceID // the listed instance of each server
-	byDomain     map[shedkeel.DomainID][]*shedkeel.Instance
-	domains      []shedkeel.DomainID                 // sorted
-	groups       []*observedGroup                    // sorted by name
-	byName       map[shedkeel.GroupID]*observedGroup // groups by name
-	reserved     map[shedkeel.InstanceID]bool        // not available in this round: in a group, forming or held back
-	inForming    map[shedkeel.InstanceID]bool        // in a formation whose members are not all ready
-	actions      []Action
-	waits        map[waitKey]Wait
+	planner         *Planner
+	input           Input
+	shares          map[shedkeel.ModelID]float64 // each model's share of the work, in box time
+	donor           shedkeel.ModelID             // the model that releases groups and gets no new ones; "": none
+	byID            map[shedkeel.InstanceID]*shedkeel.Instance
+	listedInstances map[shedkeel.ServerID]shedkeel.InstanceID // the listed instance of each server
+	byDomain        map[shedkeel.DomainID][]*shedkeel.Instance
+	domains         []shedkeel.DomainID                 // sorted
+	groups          []*observedGroup                    // sorted by name
+	groupsByName    map[shedkeel.GroupID]*observedGroup // groups by name
+	reserved        map[shedkeel.InstanceID]bool        // not available in this round: in a group, in a formation in progress, or reserved by reservedUntil
+	inForming       map[shedkeel.InstanceID]bool        // in a formation whose members are not all ready
+	actions         []Action
+	waits           map[waitKey]Wait
 }
 
 // indexInstances indexes the backend servers by instance, server and domain.
 func (round *round) indexInstances() {
 	round.byDomain = map[shedkeel.DomainID][]*shedkeel.Instance{}
-	round.listedStarts = map[shedkeel.ServerID]shedkeel.InstanceID{}
+	round.listedInstances = map[shedkeel.ServerID]shedkeel.InstanceID{}
 	for index := range round.input.Instances {
 		instance := &round.input.Instances[index]
 		round.byID[instance.ID] = instance
-		round.listedStarts[instance.ID.Server()] = instance.ID
+		round.listedInstances[instance.ID.Server()] = instance.ID
 		round.byDomain[instance.Domain] = append(round.byDomain[instance.Domain], instance)
 	}
 	round.domains = slices.Sorted(maps.Keys(round.byDomain))
 }
 
-// usable reports whether an instance is listed, answers probes and orders, and is
-// not draining.
+// usable reports whether an instance is listed, is not draining, is not dead, and is not
+// skipped for unanswered orders.
 func (round *round) usable(instance *shedkeel.Instance) bool {
 	return instance != nil && !instance.Draining && !round.input.Dead[instance.ID] && round.planner.skippedUntil[instance.ID] <= round.input.Now
 }
@@ -78,7 +78,7 @@
 // observeGroups builds the groups from what the engines report.
 func (round *round) observeGroups() {
 	byName := map[shedkeel.GroupID]*observedGroup{}
-	round.byName = byName
+	round.groupsByName = byName
 	epochs := LatestEpochs(slices.Values(round.input.Instances))
 	for index := range round.input.Instances {
 		instance := &round.input.Instances[index]
@@ -95,7 +95,7 @@
 		group.epoch = epochs[group.id]
 		round.recordMember(instance)
 		if at, known := round.planner.leftAt[instance.Member.Assignment()]; known && instance.Member.Rank == 0 && round.input.Now-at > listDelay {
-			delete(round.planner.leftAt, instance.Member.Assignment()) // it has joined again
+			delete(round.planner.leftAt, instance.Member.Assignment()) // the head has joined again
 		}
 	}
 	for index := range round.input.Instances {
@@ -127,7 +127,7 @@
 // restarted reports whether a later start of the instance's server is listed. The
 // instance itself has then ended, whatever it last reported.
 func (round *round) restarted(id shedkeel.InstanceID) bool {
-	current, listed := round.listedStarts[id.Server()]
+	current, listed := round.listedInstances[id.Server()]
 	return listed && current.Born() > id.Born()
 }
 
--- a/formation/slow_test.go
+++ b/formation/slow_test.go
@@ -10,6 +10,8 @@
 	"shedkeel.org/shedkeel"
 )
 
+// TestSlowMembersAreReplaced checks the first order for an open group of two with and without
+// a spare, when a server is five times slower.
 func TestSlowMembersAreReplaced(t *testing.T) {
 	member := func(id string, rank int, state shedkeel.MemberState) shedkeel.Instance {
 		instance := shedkeel.Instance{ID: shedkeel.InstanceID(id), Domain: "d", Staged: []shedkeel.ModelID{"small"}, Models: []shedkeel.ModelID{"small"}}
--- a/formation/stage.go
+++ b/formation/stage.go
@@ -7,7 +7,7 @@
 	"shedkeel.org/shedkeel"
 )
 
-// stageSpares has free backend servers load weights ahead of need. Each domain gets
+// stageSpares orders free backend servers to load weights ahead of need. Each domain gets
 // spares for the models that its groups serve. It also repeats unanswered load orders.
 func (round *round) stageSpares() {
 	for id, loading := range round.planner.loading {
@@ -22,7 +22,7 @@
 	}
 }
 
-// stageDomain has the free servers of a domain load weights ahead of need: those
+// stageDomain orders the free servers of a domain to load weights ahead of need: those
 // without weights, then those whose host copy is redundant.
 func (round *round) stageDomain(domain shedkeel.DomainID) {
 	staged := map[shedkeel.ModelID]int{}
@@ -48,10 +48,11 @@
 	round.stageSecondModel(domain, free, staged)
 }
 
-// stageSecondModel has hosts whose copy is redundant load another model: those of the
-// candidates, which are spares, and, before traffic starts, those of expendableMembers.
+// stageSecondModel orders hosts whose copy is redundant to load another model. These are
+// hosts of the candidates, which are spares, and, before traffic starts, of
+// expendableMembers.
 //
-// A spare then replaces a member of either of two models. Otherwise the second loss of
+// Such a spare then replaces a member of either of two models. Otherwise the second loss of
 // a model in a domain waits 12 to 16 s for a load.
 func (round *round) stageSecondModel(domain shedkeel.DomainID, candidates []*shedkeel.Instance, staged map[shedkeel.ModelID]int) {
 	if !round.input.Traffic {
@@ -72,8 +73,9 @@
 // except one group. Releasing such a group costs least. The hosts of the excepted group
 // keep their own model's weights, so that a domain that restarts as a whole can form it.
 //
-// Before traffic starts, a load takes a tenth of the time. What these hosts load then
-// saves 12 to 16 s when the demand for another model exceeds its configured share.
+// Before traffic starts, a load takes a tenth of the time that it takes under traffic.
+// Weights that these hosts load before save 12 to 16 s when the demand for another model
+// exceeds its configured share.
 func (round *round) expendableMembers(domain shedkeel.DomainID) []*shedkeel.Instance {
 	var found []*shedkeel.Instance
 	excepted := false
@@ -118,8 +120,8 @@
 // in two batches of six, the first six servers are available after 16 s.
 func (round *round) mayLoad() bool { return round.mayLoadWithin(1) }
 
-// mayLoadWithin reports whether another load may begin within a part of the limits.
-// Before traffic starts there is no limit.
+// mayLoadWithin reports whether another load may begin if only a part, from 0 to 1, of the
+// load limits may be used. Before traffic starts there is no limit.
 func (round *round) mayLoadWithin(part float64) bool {
 	if !round.input.Traffic {
 		return true
@@ -143,10 +145,10 @@
 	return time.Duration(slowLoadFactor*batches) * longest
 }
 
-// activeLoads returns how many of the ordered loads may be running. It leaves out lost
-// servers. When their orders counted until they expired, a planner whose loads were all
-// on lost servers ordered no other, and no group was formed although eight servers of a
-// domain were up.
+// activeLoads returns how many of the ordered loads may be running. It leaves out loads on
+// dead or unlisted servers. If those counted until they expired, a planner whose loads are
+// all on lost servers would order no others, and would form no group even if other servers
+// are up.
 func (round *round) activeLoads() int {
 	count := 0
 	for id := range round.planner.loading {
@@ -181,7 +183,8 @@
 	round.addOrder(shedkeel.GroupOrder{Kind: shedkeel.OrderStage, To: instance.ID, Model: model}, reason)
 }
 
-// memberCounts returns how many members the groups of each model have in a domain.
+// memberCounts returns how many members the active and forming groups of each model have
+// in a domain.
 func (round *round) memberCounts(domain shedkeel.DomainID) map[shedkeel.ModelID]int {
 	members := map[shedkeel.ModelID]int{}
 	for _, group := range round.groups {
--- a/formation/standby.go
+++ b/formation/standby.go
@@ -6,15 +6,15 @@
 	"shedkeel.org/shedkeel"
 )
 
-// standbyRetryInterval is the time after which a spare that has loaded no model is
-// ordered to go on standby again, because the order or its answer was lost. It is
+// standbyRetryInterval is the time after which a spare that still has no model loaded is
+// ordered to go on standby again: the order or its answer may have been lost. It is
 // longer than a warm-up.
 const standbyRetryInterval = 5 * time.Second
 
-// orderStandbys has free servers whose weights are only on their hosts join a
-// formation of their own, which is never opened. A server that was in a formation
-// of a model joins the next one of it in a fraction of the time. A server ends its
-// standby by joining another formation.
+// orderStandbys orders each spare that has weights on its host, but no model loaded, to
+// join a formation of its own, which is never opened. A server that has already joined a
+// formation of a model joins another formation of the same model in a fraction of the
+// time. A server ends its standby by joining another formation.
 func (round *round) orderStandbys() {
 	for index := range round.input.Instances {
 		instance := &round.input.Instances[index]
@@ -25,11 +25,13 @@
 	}
 }
 
-// orderStandby orders a spare to go on standby for the model on its host, unless it
-// is loading, has a model loaded already, or was ordered lately.
+// orderStandby orders a spare to go on standby for the first model on its host. It does
+// nothing if the host is loading weights or has none, if the server has already loaded a
+// model, if the engine has no such model, or if the spare was given this order within
+// standbyRetryInterval.
 func (round *round) orderStandby(spare *shedkeel.Instance) {
 	if _, loads := round.planner.loading[spare.ID]; loads || len(spare.Staged) == 0 || len(spare.Models) > 0 {
-		return // a server with a loaded model is ready to substitute
+		return // a spare with a loaded model needs no standby
 	}
 	model := spare.Staged[0]
 	if round.input.Engine.Model(model) == nil {
--- a/formation/usage.go
+++ b/formation/usage.go
@@ -2,15 +2,15 @@
 
 import "shedkeel.org/shedkeel"
 
-// DomainUsage counts a domain's backend servers by what they are used for. Logs
-// show from it why some of them serve nobody.
+// DomainUsage counts a domain's backend servers by what they are used for. It
+// is logged to show why some servers take no requests.
 type DomainUsage struct {
 	Domain      shedkeel.DomainID
 	Serving     map[shedkeel.ModelID]int // members of active or forming groups
-	Spare       map[shedkeel.ModelID]int // free, by the model on their hosts
+	Spare       map[shedkeel.ModelID]int // free, by the first model on their hosts
 	Loading     int                      // free, loading weights
 	Empty       int                      // free, without weights
-	Unavailable int                      // draining, dead, or skipped because they leave orders unanswered
+	Unavailable int                      // draining, dead, or skipped because they left orders unanswered
 }
 
 // Usage returns what the servers were used for in the latest plan, by domain.
@@ -21,7 +21,7 @@
 	return planner.lastRound.usage()
 }
 
-// usage counts the servers of each domain.
+// usage counts the servers of each domain by what they are used for.
 func (round *round) usage() []DomainUsage {
 	var found []DomainUsage
 	for _, domain := range round.domains {
--- a/formation/wait.go
+++ b/formation/wait.go
@@ -26,7 +26,8 @@
 
 const (
 	// probeTimeout is the longest wait for the results of liveness probes: two probes
-	// and those of the witnesses, including their queues.
+	// of a server, and those of other servers that show whether this node reaches any,
+	// including their queues.
 	probeTimeout = 2 * time.Second
 	// drainTimeout is the longest time that a group takes to finish running requests.
 	// Callers wait no longer for an answer.
--- a/formation/wait_test.go
+++ b/formation/wait_test.go
@@ -11,12 +11,14 @@
 	"shedkeel.org/shedkeel"
 )
 
-// recoveryTime is the bound within which a group must serve in each domain with enough
-// reachable servers for one. The planner may have to wait for an unreachable head; then
-// weights are loaded, on six servers at once.
+// recoveryTime is the time within which a group must serve in each domain with enough
+// reachable servers for one. The planner may have to wait headTimeout for an unreachable
+// head; then weights are loaded, on six servers at once.
 const recoveryTime = headTimeout + 80*time.Second
 
-// injectFault injects one random fault of those that a planner has to wait for.
+// injectFault injects a random fault: a server dies, restarts, is unreachable or is
+// partitioned, an empty server is added, or the planner is replaced. It returns the current
+// planner.
 func (fleet *fakeFleet) injectFault(planner *Planner) *Planner {
 	living := fleet.living()
 	if len(living) == 0 {
@@ -100,7 +102,7 @@
 	}
 	assert.Equal(t, len(fleet.violations), 0, "seed %d: %v", seed, fleet.violations)
 	for domain, count := range fleet.livingPerDomain() {
-		if count >= 2+minSpares(count) {
+		if count >= 2+minSpares(count) { // enough for a group of the small model
 			assert.Assert(t, served[domain], "seed %d: %d servers of %s are alive, but no group serves: %+v", seed, count, domain, planner.Waits())
 		}
 	}
