--- a/dispatch/backoff_simulation_test.go
+++ b/dispatch/backoff_simulation_test.go
@@ -18,12 +18,12 @@
 
 // strategy is how nodes act on a backoff that a server asks for.
 type strategy struct {
-	honors     bool // later requests avoid the server
+	honors     bool // later requests of the node avoid the server
 	broadcasts bool // the node informs all other nodes
-	probes     bool // the first request after the backoff is a probe: others avoid the server while they can
+	probes     bool // the first request after the backoff is a probe: until it is answered, others prefer other servers
 }
 
-// strategies lists what is compared. The last one is in use.
+// strategies lists the strategies that are compared. The last one is in use.
 var strategies = []struct {
 	name     string
 	strategy strategy
@@ -54,14 +54,14 @@
 type simServer struct {
 	id       shedkeel.InstanceID
 	running  int
-	from, to time.Duration // period of the overload
-	stated   map[int][]statedBackoff
+	from, to time.Duration           // period of the overload
+	stated   map[int][]statedBackoff // by node
 }
 
 // statedBackoff is a backoff that a server asked a node for.
 type statedBackoff struct {
 	from, until time.Duration
-	arrivals    int
+	arrivals    int // requests of the node that arrived during the backoff, after its first 500 ms
 }
 
 const (
@@ -75,11 +75,13 @@
 	simMaxAttempts = 4
 )
 
+// simEvent is an action at a point in virtual time.
 type simEvent struct {
 	at  time.Duration
 	run func()
 }
 
+// events is a heap of events by time.
 type events []simEvent
 
 func (events events) Len() int           { return len(events) }
@@ -93,6 +95,7 @@
 	return last
 }
 
+// after schedules run after a wait in virtual time.
 func (simulation *simulation) after(wait time.Duration, run func()) {
 	heap.Push(&simulation.events, simEvent{simulation.now + wait, run})
 }
@@ -132,7 +135,8 @@
 	}
 }
 
-// send sends a request that the excluded servers have rejected.
+// send sends a request, which the excluded servers have rejected, to another server. The
+// request is lost if there is none or it was sent simMaxAttempts times.
 func (simulation *simulation) send(node int, excluded []shedkeel.InstanceID) {
 	choice := simulation.nodes[node].Choose(Query{Service: "s", Exclude: excluded, Now: simulation.now})
 	if choice == nil || len(excluded) == simMaxAttempts {
@@ -163,7 +167,7 @@
 	if server.running >= simSlots || simulation.now >= server.from && simulation.now < server.to {
 		length := 3 * time.Second
 		if simulation.now >= server.to {
-			length = 500 * time.Millisecond // only its slots are taken
+			length = 500 * time.Millisecond // the server isn't overloaded; its slots are taken
 		}
 		simulation.rejected++
 		server.stated[node] = append(server.stated[node], statedBackoff{simulation.now, simulation.now + length, 0})
@@ -198,6 +202,7 @@
 	simulation.send(node, append(excluded[:len(excluded):len(excluded)], choice.Instance))
 }
 
+// applyBackoff applies a backoff at a node, without a probe after it if the strategy has none.
 func (simulation *simulation) applyBackoff(node int, server shedkeel.InstanceID, until time.Duration) {
 	table := simulation.nodes[node]
 	table.BackOff(server, until, simulation.now)
--- a/dispatch/condition.go
+++ b/dispatch/condition.go
@@ -11,7 +11,7 @@
 	// is unanswered: the server may ask for another backoff.
 	probeCost = 8
 	// conditionRetention is how long the condition of an unlisted server is kept. The
-	// record of a server may lapse and return while the server drains.
+	// record of a server may expire and be written again while the server drains.
 	conditionRetention = 10 * time.Minute
 )
 
@@ -19,11 +19,11 @@
 // it accepts requests. It outlives the groups that the server heads, and the server's
 // record.
 type condition struct {
-	backoffUntil  time.Duration // the server accepts no request of this process before
-	needsProbe    bool          // the server has answered no request since its backoff
-	probe         *Choice       // the first request after the backoff, while it runs
+	backoffUntil  time.Duration // the server accepts no requests of this process before this time
+	needsProbe    bool          // the server has answered no request sent since its backoff ended
+	probe         *Choice       // the first request after the backoff, while it is unanswered; nil: none
 	draining      bool
-	unlistedSince time.Duration // 0: the server is listed
+	unlistedSince time.Duration // since when the server is not listed; 0: it is listed
 }
 
 // isDraining reports whether the server has said that it drains.
@@ -42,32 +42,33 @@
 	return probeCost
 }
 
-// requestSent records a request to the server. The first one after a backoff is the probe.
+// requestSent records a request to the server. The request becomes the probe if the server
+// needs one and none is unanswered.
 func (condition *condition) requestSent(choice *Choice) {
 	if condition != nil && condition.needsProbe && condition.probe == nil {
 		condition.probe = choice
 	}
 }
 
-// responseReceived records an event or answer of the server. A response to a request that
-// was sent before the backoff ended does not count as an answered probe.
+// responseReceived records an event or answer of the server. It ends the need for a probe,
+// unless the request was sent before the backoff ended.
 func (condition *condition) responseReceived(choice *Choice) {
 	if condition != nil && choice.ChosenAt >= condition.backoffUntil {
 		condition.needsProbe, condition.probe = false, nil
 	}
 }
 
-// requestEnded records that a request no longer runs on the server. If it was the probe,
-// the next request is.
+// requestEnded records that a request no longer runs on the server. If that was the
+// unanswered probe, the next request becomes the probe.
 func (condition *condition) requestEnded(choice *Choice) {
 	if condition != nil && condition.probe == choice {
 		condition.probe = nil
 	}
 }
 
-// BackOff keeps this process from sending requests to a server until the given time; a
-// later end stated earlier holds. It reports whether requests could be sent there
-// until now.
+// BackOff keeps this process from sending requests to a server until the given time, or
+// until a later time that an earlier call gave. It reports whether the server accepted
+// requests before the call.
 func (table *Table) BackOff(server shedkeel.InstanceID, until, now time.Duration) (began bool) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -79,7 +80,7 @@
 }
 
 // Drain keeps requests from a server that has said in an answer that it drains. It reports
-// whether this is a change.
+// whether that was not known before.
 func (table *Table) Drain(server shedkeel.InstanceID) bool {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -102,8 +103,8 @@
 	return draining
 }
 
-// Conditions returns how many servers back off, and how many have said that they drain. A
-// server that does both counts as draining.
+// Conditions returns how many servers have asked for a backoff that has not ended, and how many have said that they drain. A
+// server to which both apply counts as draining.
 func (table *Table) Conditions(now time.Duration) (backingOff, draining int) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -155,9 +156,9 @@
 	}
 }
 
-// BackoffEnd returns when the first server for the query accepts requests again. backsOff
-// is false if some server accepts requests now, or if none backs off. Servers that are
-// avoided or drain do not count.
+// BackoffEnd returns when the first server of the query's service and model accepts requests
+// again after a backoff. backsOff is false if some server accepts requests now, or if none
+// backs off. Servers that are avoided or drain do not count.
 func (table *Table) BackoffEnd(query Query) (end time.Duration, backsOff bool) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
--- a/dispatch/condition_test.go
+++ b/dispatch/condition_test.go
@@ -23,7 +23,8 @@
 	return table
 }
 
-// chooseAll returns the servers that are chosen for that many concurrent requests.
+// chooseAll returns the distinct servers that are chosen for that many concurrent requests,
+// sorted. It stops at the first request for which none is usable.
 func (table *Table) chooseAll(requests int, now time.Duration) []shedkeel.InstanceID {
 	var found []shedkeel.InstanceID
 	for range requests {
@@ -47,7 +48,7 @@
 	servers := []shedkeel.InstanceID{"a@1", "b@1"}
 	cases := map[string]struct {
 		apply func(*Table)
-		at    time.Duration
+		at    time.Duration // time of the choices
 		want  []shedkeel.InstanceID
 	}{
 		"nothing":                       {func(*Table) {}, 0, servers},
@@ -73,7 +74,7 @@
 	}
 }
 
-// relist lists the servers again after they were unlisted for that time.
+// relist removes all servers, and lists the given ones again after the missing time.
 func (table *Table) relist(servers []shedkeel.InstanceID, missing time.Duration) {
 	unlisted := func(shedkeel.InstanceID) bool { return false }
 	table.Replace(nil)
@@ -116,7 +117,7 @@
 	const end = time.Second
 	cases := map[string]struct {
 		outcome func(*Choice)
-		more    bool
+		more    bool // whether the server gets further requests after the outcome
 	}{
 		"under way": {func(*Choice) {}, false},
 		"answered":  {func(choice *Choice) { choice.RecordResponse(end) }, true},
@@ -144,7 +145,7 @@
 	cases := map[string]struct {
 		apply func(*Table)
 		end   time.Duration
-		want  bool
+		want  bool // whether BackoffEnd reports a backoff
 	}{
 		"none backs off":           {func(*Table) {}, 0, false},
 		"one does":                 {func(table *Table) { table.BackOff("a", time.Second, 0) }, 0, false},
--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -8,7 +8,8 @@
 )
 
 // demandTimeConstant is the time constant of the exponential decay of demand: requests of
-// that age count for a third. A burst of 1 s moves the demand by a fifth.
+// that age count for a third. A burst of 1 s changes the demand by a fifth of what it
+// would change by if the burst lasted.
 const demandTimeConstant = 5 * time.Second
 
 // demand is the decayed sum of the requests for a model, as of a point in time.
@@ -24,7 +25,7 @@
 	demand.amount = demand.amount.Scaled(math.Exp(-elapsed.Seconds() / demandTimeConstant.Seconds()))
 }
 
-// recordDemand counts a request that Recommend was asked for. The caller must hold
+// recordDemand counts a request for which Recommend was called. The caller must hold
 // table.mutex.
 func (table *Table) recordDemand(query Query) {
 	key := poolKey{query.Service, query.Model}
@@ -40,8 +41,9 @@
 	entry.amount = entry.amount.Plus(shedkeel.ModelDemand{Requests: 1, PromptTokens: float64(query.PromptTokens), AnswerTokens: float64(query.MaxAnswerTokens)})
 }
 
-// Demand returns the recent demand for each model of a service, by the requests that this
-// process spread. It is a sum that decays by demandTimeConstant.
+// Demand returns the recent demand for each model of a service, as a sum over the requests
+// for which this process recommended groups. Each request's part of the sum decays with
+// demandTimeConstant.
 func (table *Table) Demand(service shedkeel.ServiceID, now time.Duration) map[shedkeel.ModelID]shedkeel.ModelDemand {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
--- a/dispatch/limit.go
+++ b/dispatch/limit.go
@@ -8,14 +8,15 @@
 )
 
 // permitIntervalShare is the share of the time between two permits after which Recommend
-// recommends the server again. It is below 1, since a permit that nobody asks for is lost.
+// recommends the server again. It is below 1, because a permit that no process requests is
+// lost.
 const permitIntervalShare = 0.8
 
 // limit is a server's rate limit, as far as choices depend on it. Another component grants
 // the permits.
 type limit struct {
 	rate           float64       // requests per second of all processes
-	heldUntil      time.Duration // no permit is available before
+	heldUntil      time.Duration // no permit is available before this time
 	nextAssignment time.Duration // when Recommend may recommend the server again
 }
 
@@ -43,8 +44,8 @@
 	}
 }
 
-// HoldUntil keeps requests from a rate-limited server until the given time, as no permit is
-// available before.
+// HoldUntil keeps requests from a rate-limited server until the given time, because no
+// permit is available before then. It does nothing for a server without a rate limit.
 func (table *Table) HoldUntil(server shedkeel.InstanceID, until time.Duration) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -53,8 +54,8 @@
 	}
 }
 
-// NextPermit returns the rate-limited server that is likely to be the first with a permit
-// for the request, and whether there is one.
+// NextPermit returns the usable rate-limited server that is likely to have a permit for the
+// request first, and whether there is such a server.
 func (table *Table) NextPermit(query Query) (shedkeel.InstanceID, bool) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// rateLimited reports whether the server's rate limit keeps the request from it now.
+// rateLimited reports whether the server's rate limit rules it out for the request now.
 func (serverState *serverState) rateLimited(query Query) bool {
 	return serverState.limit != nil && (query.UnlimitedOnly || serverState.limit.heldUntil > query.Now)
 }
@@ -106,7 +107,7 @@
 	if limit == nil {
 		return
 	}
-	interval := time.Minute // for a rate of zero
+	interval := time.Minute // if the rate is zero
 	if limit.rate > 0 {
 		interval = time.Duration(permitIntervalShare * float64(time.Second) / limit.rate)
 	}
--- a/dispatch/limit_test.go
+++ b/dispatch/limit_test.go
@@ -32,7 +32,7 @@
 		prepare func(*Table)
 		query   Query
 		want    shedkeel.InstanceID // empty: none
-		limited bool
+		limited bool                // whether the chosen server has a rate limit
 	}{
 		"has permits":            {func(*Table) {}, tried, "a", true},
 		"held":                   {func(table *Table) { table.HoldUntil("a", 2*time.Second) }, tried, "", false},
@@ -70,7 +70,8 @@
 }
 
 // TestSpreadHeedsLimits checks that Recommend recommends a rate-limited server about as
-// often as its rate admits, although the server appears idle.
+// often as its rate admits, although the server appears idle: in 10 s, a server with a rate
+// of two a second is recommended about 25 times, as permitIntervalShare is 0.8.
 func TestSpreadHeedsLimits(t *testing.T) {
 	table := limitTable()
 	recommended := map[shedkeel.InstanceID]int{}
@@ -103,11 +104,12 @@
 	benchmarkChoose(b, true)
 }
 
-// BenchmarkChooseAmongFree measures the same without limits.
+// BenchmarkChooseAmongFree measures a choice among 1,000 groups without limits.
 func BenchmarkChooseAmongFree(b *testing.B) {
 	benchmarkChoose(b, false)
 }
 
+// benchmarkChoose measures a choice among 1,000 groups with or without rate limits.
 func benchmarkChoose(b *testing.B, limited bool) {
 	table := &Table{Random: rand.NewPCG(1, 2)}
 	var servers []Server
--- a/dispatch/spread.go
+++ b/dispatch/spread.go
@@ -21,29 +21,30 @@
 	defaultDelayPerRequest = time.Millisecond
 	// groupsPerPartition is how many groups of a model one process spreads requests over:
 	// enough that one of them is rarely busy, and few enough that answering the queries
-	// takes a few hundredths of the process's core.
+	// takes a few hundredths of one CPU core.
 	groupsPerPartition = 24
 	// slowThreshold is how many times the median latency ratio of the model's groups a
-	// group's ratio must reach to count as slow. Each process sees few responses of a
-	// group, and smaller differences are chance.
+	// group's ratio must reach for the group to count as slow. Each process sees few
+	// responses of a group, and smaller differences are due to chance.
 	slowThreshold = 2.0
-	// reportExpiry is how long the report of a process counts. A process that sends none
-	// for so long has few requests running.
+	// reportExpiry is how long the last report of a process counts. A process that sends no
+	// report for that long has few requests running.
 	reportExpiry = 3 * time.Second
 	// remoteZoneDelay is added to the expected wait of a group in another availability
 	// zone. The round trip of the link takes 1 to 2 ms.
 	remoteZoneDelay = 3 * time.Millisecond
 )
 
-// workload estimates the work that a group has of all processes, as of a point in time:
-// what Recommend assigned to it, corrected by the reports of the processes.
+// workload estimates the work that a group has from all processes, as of a point in time:
+// what Recommend assigned to the group, corrected by the reports of the processes.
 type workload struct {
 	at      time.Duration
 	prefill time.Duration // pending prefill work
 	running float64       // requests that are expected to be running
 }
 
-// remainingShare is the share of requests that are expected to run still after a time.
+// remainingShare is the share of requests that are expected to be still running after the
+// elapsed time.
 func remainingShare(elapsed time.Duration) float64 {
 	return math.Exp(-elapsed.Seconds() / meanStreamDuration.Seconds())
 }
@@ -59,7 +60,7 @@
 // RunningRequests counts the requests that run on a model.
 type RunningRequests struct {
 	OnTime int // requests that may be on time
-	Late   int // requests that are queued behind them
+	Late   int // requests that can't be on time, queued behind those
 }
 
 // Reporter is a process that asks for the best group for a request, with its report of
@@ -67,7 +68,7 @@
 type Reporter struct {
 	Process string
 	Zone    shedkeel.ZoneID
-	Running RunningRequests // what the process has running on the model, without this request
+	Running RunningRequests // requests of the process that run on the model, without the one asked for
 	// Groups counts the process's running requests by the head of their group.
 	Groups map[shedkeel.InstanceID]int
 }
@@ -81,13 +82,13 @@
 // report is the last report of a process on its running requests.
 type report struct {
 	running RunningRequests
-	groups  map[shedkeel.InstanceID]float64 // running requests by head, with those assigned since the report
+	groups  map[shedkeel.InstanceID]float64 // running requests by head, including those assigned since the report
 	at      time.Duration
 }
 
 // Recommend returns the group of a model that is expected to be the first to send an event,
-// given the requests that it assigned before, and assigns this request to it. It also
-// takes in the reporter's running requests.
+// given the requests that it assigned before, and assigns this request to that group. First
+// it records the request as demand and replaces the reporter's last report.
 //
 // One process spreads the requests of all processes, or of a partition of the groups:
 // each process alone knows few of the requests that run on a group, and prompts that a
@@ -109,8 +110,8 @@
 	return recommendation
 }
 
-// Partitions returns the number of partitions that the groups of a model are split into. A
-// different process may spread requests over each.
+// Partitions returns the number of partitions that the groups of a model are split into. The
+// requests for each partition may be spread by a different process.
 func (table *Table) Partitions(service shedkeel.ServiceID, model shedkeel.ModelID) int {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -127,11 +128,11 @@
 }
 
 // recordReport replaces the last report of a process and corrects the workloads of the
-// groups: by the running requests that it reports, less those that are expected of its
-// last report and the assignments since. The caller must hold table.mutex.
+// groups: by the running requests that it reports, minus those that are expected to be still
+// running of its last report and of the assignments since. The caller must hold table.mutex.
 //
-// Assignments alone are a poor estimate of what runs, as streams last longer on fuller
-// groups.
+// Assignments alone are a poor estimate of the running requests, because streams last longer
+// on groups with more of them.
 func (table *Table) recordReport(key poolKey, reporter Reporter, now time.Duration) report {
 	if table.reports == nil {
 		table.reports = map[poolKey]map[string]report{}
@@ -155,7 +156,7 @@
 	return current
 }
 
-// totalRunning returns what all processes have running on a model, and drops reports older
+// totalRunning returns the running requests of all processes on a model, and drops reports older
 // than reportExpiry. The caller must hold table.mutex.
 func (table *Table) totalRunning(key poolKey, now time.Duration) RunningRequests {
 	var total RunningRequests
@@ -170,8 +171,8 @@
 	return total
 }
 
-// fastestGroup returns the usable group of the query's partition with the shortest expected
-// wait, or nil. The caller must hold table.mutex.
+// fastestGroup returns the group with the shortest expected wait, weighted for failures and
+// slowness, among those of the query's partition that are usable and not saturated, or nil. The caller must hold table.mutex.
 func (table *Table) fastestGroup(query Query, zone shedkeel.ZoneID) *serverState {
 	members := table.pools[poolKey{query.Service, query.Model}]
 	medianRatio := medianLatencyRatio(members, query.Now)
@@ -190,8 +191,8 @@
 }
 
 // medianLatencyRatio is the median latency ratio of a model's groups, and at least 1. A
-// traffic burst slows down all groups, and what remains of it in the ratios must not
-// count against some of them.
+// traffic burst slows down all groups, and its effect on the ratios must not make some of
+// them count as slow.
 func medianLatencyRatio(members []*serverState, now time.Duration) float64 {
 	var ratios []float64
 	for _, member := range members {
@@ -205,8 +206,8 @@
 	return max(ratios[(len(ratios)-1)/2], 1)
 }
 
-// expectedWait estimates the time to the first event in seconds, including the attempts
-// that a failing group takes. medianRatio is the current median latency ratio of the
+// expectedWait estimates the time to the first event in seconds, times the attempts that a
+// failing group takes, and longer for a slow group. medianRatio is the current median latency ratio of the
 // model's groups.
 func (serverState *serverState) expectedWait(zone shedkeel.ZoneID, medianRatio float64, now time.Duration) float64 {
 	serverState.assigned.decay(now)
@@ -229,10 +230,8 @@
 }
 
 // expectedAttempts is the mean number of attempts until a group with that failure rate
-// answers a request, and at most maxAttempts.
-//
-// A group that fails some requests gets fewer of them, and still some when the others
-// are full.
+// answers a request, and at most maxAttempts. As a factor of the cost, it gives a group that
+// fails some requests fewer of them, but still some when the other groups are full.
 func expectedAttempts(failureRate float64) float64 {
 	return 1 / max(1-failureRate, 1.0/maxAttempts)
 }
--- a/dispatch/spread_test.go
+++ b/dispatch/spread_test.go
@@ -17,11 +17,12 @@
 	processes int
 	groups    int
 	rate      float64 // requests per second of all processes
-	spread    bool    // one process spreads the requests of all
+	spread    bool    // one process recommends groups for the requests of all processes
 }
 
-// countConcurrentPrefills returns how many requests were sent to a group that had got two
-// or more others within prefillWindow. The group prefills their prompts at the same time.
+// countConcurrentPrefills returns how many requests were sent to a group that had received
+// two or more others within prefillWindow before. The group prefills these prompts at the
+// same time.
 func (spreadSimulation *spreadSimulation) countConcurrentPrefills(seed uint64) int {
 	// A group prefills one prompt and runs a step in this time.
 	const prefillWindow = 80 * time.Millisecond
@@ -177,7 +178,7 @@
 }
 
 // TestRunningOfAllProcesses checks the sum of the running requests that three processes
-// report. The report of a process that sends no more expires.
+// report. The report of a process that sends no further ones expires.
 func TestRunningOfAllProcesses(t *testing.T) {
 	table := &Table{}
 	ask := func(process string, onTime, late int, model shedkeel.ModelID, now time.Duration) RunningRequests {
@@ -196,9 +197,9 @@
 func TestPreferredServer(t *testing.T) {
 	const now = time.Minute
 	cases := map[string]struct {
-		wish  shedkeel.InstanceID // the recommended group
-		alter func(*serverState)  // changes the state of the recommended group
-		taken bool
+		recommended shedkeel.InstanceID // the recommended group
+		alter       func(*serverState)  // changes the state of the recommended group
+		followed    bool
 	}{
 		"equal":                       {"b", func(*serverState) {}, true},
 		"one request of this process": {"b", func(state *serverState) { state.running[&Choice{}] = struct{}{}; state.lastActivity = now }, true},
@@ -213,21 +214,21 @@
 			table := &Table{Zone: "z", Random: rand.NewPCG(1, 1)}
 			table.Replace([]Server{{Service: "s", Model: "m", Instance: "a", Zone: "z"}, {Service: "s", Model: "m", Instance: "b", Zone: "far"}})
 			for _, state := range table.servers {
-				if state.Instance == test.wish {
+				if state.Instance == test.recommended {
 					test.alter(state)
 				}
 			}
-			choice := table.Choose(Query{Service: "s", Model: "m", Preferred: test.wish, Now: now})
-			assert.Equal(t, choice.Instance == test.wish, test.taken)
+			choice := table.Choose(Query{Service: "s", Model: "m", Preferred: test.recommended, Now: now})
+			assert.Equal(t, choice.Instance == test.recommended, test.followed)
 		})
 	}
 }
 
-// TestParts checks that each group is in exactly one partition, by spreading requests over
-// one partition after the other.
-func TestParts(t *testing.T) {
+// TestPartitions checks the number of partitions and that each group is in exactly one of them,
+// by asking Recommend for one partition after the other.
+func TestPartitions(t *testing.T) {
 	cases := map[string]struct {
-		groups, parts int
+		groups, partitions int
 	}{
 		"none": {0, 0},
 		"few":  {groupsPerPartition, 1},
@@ -242,11 +243,11 @@
 				servers = append(servers, Server{Service: "s", Model: "m", Instance: shedkeel.InstanceID(name), Group: shedkeel.Assignment{Group: shedkeel.GroupID(name)}})
 			}
 			table.Replace(servers)
-			assert.Equal(t, table.Partitions("s", "m"), test.parts)
+			assert.Equal(t, table.Partitions("s", "m"), test.partitions)
 			partitions := map[shedkeel.InstanceID]int{}
-			for part := range test.parts {
+			for part := range test.partitions {
 				for range 3 * test.groups {
-					head := table.Recommend(Query{Service: "s", Model: "m", PromptTokens: 100, Partition: part, Partitions: test.parts, Now: time.Minute}, Reporter{}).Head
+					head := table.Recommend(Query{Service: "s", Model: "m", PromptTokens: 100, Partition: part, Partitions: test.partitions, Now: time.Minute}, Reporter{}).Head
 					before, found := partitions[head]
 					assert.Assert(t, !found || before == part, "%s is in two partitions", head)
 					partitions[head] = part
@@ -257,6 +258,7 @@
 	}
 }
 
+// BenchmarkSpread measures Recommend in a full partition with reports of 380 processes.
 func BenchmarkSpread(b *testing.B) {
 	table := &Table{}
 	var servers []Server
--- a/dispatch/stall.go
+++ b/dispatch/stall.go
@@ -14,18 +14,18 @@
 	// does not state its engine's times.
 	defaultMaxEventGap = 120 * time.Millisecond
 	// stallReportInterval is how often a continuing stall is reported and its requests are
-	// notified again. The process that investigates it may have been replaced, and
-	// groups that were not available may be back.
+	// notified again. The process that investigates the stall may have been replaced
+	// meanwhile, and other groups may have become available for the requests.
 	stallReportInterval = 500 * time.Millisecond
 	// maxFirstEventTime is the longest expected time to the first event of a short prompt.
 	// Requests queue in the engine under load: with 400 to 600 ms, half of the stalls
-	// reported in a traffic burst were false alarms, and each had a prompt prefilled
-	// twice. Callers wait for 2 s.
+	// reported in a traffic burst were false alarms, and each of these caused a prompt to be
+	// prefilled twice. Callers wait 2 s for the first event.
 	maxFirstEventTime = 800 * time.Millisecond
-	// stallMargin is added to the longest expected time without events before a group counts as
-	// stalled. It covers delays of the links and of this process's timers. Earlier
+	// stallMargin is added to the longest expected time without events or answers before a
+	// server counts as stalled. It covers delays of the links and of this process's timers. Earlier
 	// detection saves no stream, since a first event from another group takes 180 to
-	// 240 ms, and each false alarm has a prompt prefilled twice (docs/PLATFORM.md).
+	// 240 ms, and each false alarm causes a prompt to be prefilled twice (docs/PLATFORM.md).
 	stallMargin = 60 * time.Millisecond
 	// plainStallTimeout is how long a plain server with running requests may send no
 	// answer before it counts as stalled; stallMargin is added.
@@ -97,8 +97,8 @@
 	return gap
 }
 
-// FindStalled marks servers that have sent nothing for longer than expected as avoided and
-// notifies the requests that run there. It returns the stalls that were not reported
+// FindStalled finds servers with running requests that have sent nothing for longer than
+// expected. It avoids them for avoidDuration and notifies the requests that run there. It returns the stalls that were not reported
 // within stallReportInterval.
 func (table *Table) FindStalled(now time.Duration) []Stall {
 	table.mutex.Lock()
@@ -126,7 +126,7 @@
 	return stalls
 }
 
-// notifyStall signals Stalled, once until the stall is reported again. The caller must hold
+// notifyStall sends a notice on Stalled, once for each report of the stall. The caller must hold
 // the table's mutex.
 func (choice *Choice) notifyStall() {
 	if choice.stallNotified {
@@ -149,8 +149,8 @@
 	}
 }
 
-// AvoidGroup keeps requests from a group of that epoch for the duration and notifies those
-// that run there, as another node has reported it. A group that sent an event to this
+// AvoidGroup applies a stall that another node has reported: it keeps new requests from the
+// group of that epoch for the duration and notifies those that run there. A group that sent an event to this
 // process within maxDecodeGap is not avoided.
 func (table *Table) AvoidGroup(group shedkeel.Assignment, now, duration time.Duration) {
 	table.mutex.Lock()
--- a/dispatch/table.go
+++ b/dispatch/table.go
@@ -14,16 +14,17 @@
 
 const (
 	// latencyWeight is the weight of the newest response in a server's moving average
-	// of latency ratios: about the last ten responses decide.
+	// of latency ratios: the average is mostly over the last ten responses.
 	latencyWeight = 0.1
 	// failureWeight is the weight of the newest outcome in a server's failure rate.
 	failureWeight = 0.2
 	// failureCost scales the failure rate of a plain server in its cost: a server that
 	// fails every request costs 1 + failureCost times as much as one that fails none.
-	// A request that may run only once is lost with its first failure.
+	// The factor is high because a request that may run only once is lost with its first
+	// failure.
 	failureCost = 20
-	// maxAttempts bounds the attempts that a request is expected to need at a group
-	// that fails nearly every request.
+	// maxAttempts bounds the expected number of attempts of a request at a group that
+	// fails nearly every request.
 	maxAttempts = 20
 	// penaltyHalfLife is the time in which the penalties for latency and failures halve
 	// while the server gets no requests, so that it is tried again.
@@ -56,7 +57,7 @@
 	DelayPerRequest time.Duration // increase of the time between two events per running request; 0: not stated
 }
 
-// key identifies the server. A group that is formed again has another epoch, and so
+// key identifies the server. A group that is formed again has another epoch and therefore
 // counts as another server.
 func (server *Server) key() string {
 	return string(server.Instance) + "@" + string(server.Group.Group) + "@" + strconv.FormatUint(server.Group.Epoch, 10)
@@ -75,7 +76,7 @@
 	// conditions holds the servers that have asked for a backoff or said that they drain.
 	conditions map[shedkeel.InstanceID]*condition
 	reports    map[poolKey]map[string]report // by process, for Recommend
-	demand     map[poolKey]*demand           // of the requests that Recommend was asked for
+	demand     map[poolKey]*demand           // of the requests for which Recommend was called
 }
 
 // poolKey identifies the servers that serve one model of a service.
@@ -92,7 +93,7 @@
 	latencyRatio  float64       // moving average of actual to expected response times
 	failureRate   float64       // moving average: share of requests that failed
 	scoresUpdated time.Duration // when latencyRatio or failureRate last changed
-	avoidUntil    time.Duration // end of the avoidance after a stall here or a notice of another node
+	avoidUntil    time.Duration // the server is avoided until then, after a stall or a notice of another node
 	stallReported time.Duration // when FindStalled last returned the current stall; 0: not yet
 	listed        bool
 	assigned      workload   // work of all processes, as estimated by Recommend
@@ -139,8 +140,8 @@
 	Model           shedkeel.ModelID
 	Exclude         []shedkeel.InstanceID // servers that must not be chosen, such as those already tried
 	PromptTokens    int
-	MaxAnswerTokens int                 // of the answer
-	Preferred       shedkeel.InstanceID // as recommended by the process that spreads all requests; empty: none
+	MaxAnswerTokens int                 // maximum length of the answer
+	Preferred       shedkeel.InstanceID // recommended by the process that spreads the requests of all processes; empty: none
 	Late            bool                // the request is queued behind others and cannot be on time
 	UnlimitedOnly   bool                // only servers without a rate limit
 	Partition       int                 // for Recommend: index of the partition of groups to choose from
@@ -215,9 +216,9 @@
 	return false
 }
 
-// cost is the weight of a server in a choice: one more than its running requests, times
-// the penalties for latency, failures, a lack of events, another availability zone and an
-// unanswered probe. The caller must hold table.mutex.
+// cost is what Choose minimizes: one more than the running requests of this process on the
+// server, times the penalties for latency, failures, a lack of events, another availability
+// zone and an unanswered probe. The caller must hold table.mutex.
 func (table *Table) cost(candidate *serverState, now time.Duration) float64 {
 	candidate.decayPenalties(now)
 	cost := float64(len(candidate.running)+1) * candidate.latencyRatio
@@ -247,7 +248,7 @@
 	serverState.latencyRatio = 1 + (serverState.latencyRatio-1)/2
 }
 
-// startChoice records a request as running on the server. The caller must hold the
+// startChoice records a request as running on the server and returns its choice. The caller must hold the
 // table's mutex.
 func (serverState *serverState) startChoice(table *Table, query Query) *Choice {
 	if len(serverState.running) == 0 {
@@ -287,7 +288,7 @@
 	serverState.scoresUpdated = now
 }
 
-// End records that the request is no longer running there, and whether it failed.
+// End records that the request no longer runs on the server, and whether it failed.
 func (choice *Choice) End(failed bool, now time.Duration) {
 	choice.table.mutex.Lock()
 	defer choice.table.mutex.Unlock()
@@ -318,7 +319,7 @@
 	return choice.state.listed && !choice.state.condition.isDraining()
 }
 
-// Load is what this process has running on the servers of a model.
+// Load describes the requests of this process that run on the servers of a model.
 type Load struct {
 	RunningRequests
 	Groups map[shedkeel.InstanceID]int // running requests by server; servers without any are missing
@@ -326,7 +327,7 @@
 	Usable int                         // servers that requests may be sent to
 }
 
-// Load returns what runs on the servers that serve a model of a service. OnTime, Late,
+// Load returns the load of the servers that serve a model of a service. OnTime, Late,
 // Slots and Usable leave out servers that are avoided, back off or drain; Groups
 // includes them.
 func (table *Table) Load(service shedkeel.ServiceID, model shedkeel.ModelID, now time.Duration) Load {
--- a/dispatch/table_test.go
+++ b/dispatch/table_test.go
@@ -29,9 +29,10 @@
 	return servers
 }
 
+// query is the query that most tests use.
 var query = Query{Service: "llm", Model: "m"}
 
-// at returns the common query at that time.
+// at returns the query that most tests use, at that time.
 func at(now time.Duration) Query {
 	at := query
 	at.Now = now
@@ -72,8 +73,8 @@
 	}
 }
 
-// TestFailingServerIsAvoidedAndRetried checks that a server that fails requests gets none,
-// and some again once its penalty has decayed.
+// TestFailingServerIsAvoidedAndRetried checks that a server that fails requests gets no more
+// of them until its penalty has decayed.
 func TestFailingServerIsAvoidedAndRetried(t *testing.T) {
 	table := testTable("a", "b")
 	for range 10 {
@@ -157,8 +158,8 @@
 
 // TestLongEventGapIsNoStall checks that a group counts as stalled only after its stated
 // maximum time between events. An engine may prefill prompts of other processes for a
-// whole step; counting that as a stall started two of three streams of a large model
-// twice.
+// whole step; when that counted as a stall, two of three streams of a large model were
+// started twice.
 func TestLongEventGapIsNoStall(t *testing.T) {
 	table := &Table{Zone: "z", Random: rand.NewPCG(1, 2)}
 	servers := groups("a")
@@ -197,7 +198,7 @@
 }
 
 // TestReplaceKeepsState checks that a listed server keeps its running requests, and that a
-// group of another epoch starts without.
+// group of another epoch starts without running requests.
 func TestReplaceKeepsState(t *testing.T) {
 	table := testTable("a", "b")
 	running := table.Choose(Query{Service: "llm", Model: "m", Exclude: []shedkeel.InstanceID{"b"}})
