--- a/route/router.go
+++ b/route/router.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// DefaultBound is how many times the mean load a target may have and still get a request
-	// for a prefix that it likely has cached.
+	// DefaultBound is the load, as a multiple of the mean load, up to which a target gets
+	// requests for prefixes that it likely has cached.
 	DefaultBound = 1.25
-	// prefixSlots is the number of slots that prefix hashes are mapped to.
+	// prefixSlots is the number of slots to which prefix hashes are mapped.
 	prefixSlots = 1024
 	// targetsPerSlot is how many targets a slot has, in order of preference.
 	targetsPerSlot = 2
@@ -42,7 +42,7 @@
 // before use. Its methods may be called concurrently.
 type Router struct {
 	Random shedkeel.Random
-	Bound  float64 // zero: DefaultBound; negative: no prefix affinity
+	Bound  float64 // replaces DefaultBound; zero: DefaultBound; negative: no prefix affinity
 
 	mutex sync.Mutex
 	pools map[shedkeel.ServiceID]*targetPool
@@ -53,7 +53,7 @@
 	targets  []*target
 	usable   []*target // targets that were usable at the last update
 	slots    [prefixSlots][targetsPerSlot]*target
-	inFlight int
+	inFlight int // requests of this process in flight
 	load     int // sum over the usable targets, as of the last update
 	capacity int // sum over the usable targets
 }
@@ -61,7 +61,7 @@
 // target is a Target with the changes that this process made to its load.
 type target struct {
 	Target
-	inFlight  int
+	inFlight  int      // requests of this process in flight
 	changes   []change // since the report
 	changeSum int      // sum of the changes' deltas
 }
@@ -82,8 +82,8 @@
 	target *target
 }
 
-// Update replaces the targets of a service. It keeps the requests in flight of targets
-// that remain.
+// Update replaces the targets of a service. Targets that remain, by name, keep their
+// requests in flight.
 func (router *Router) Update(service shedkeel.ServiceID, targets []Target, now time.Duration) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
@@ -109,7 +109,7 @@
 	}
 }
 
-// update replaces the targets and reassigns the slots if any target was added or removed.
+// update replaces the targets, and reassigns the slots if any target was added or removed.
 func (targetPool *targetPool) update(targets []Target, now time.Duration) {
 	previous := map[string]*target{}
 	for _, target := range targetPool.targets {
@@ -221,8 +221,8 @@
 	return choice, nil
 }
 
-// retryAfterNoTarget is when callers may retry if no target is usable. A group is rarely
-// restored sooner.
+// retryAfterNoTarget is the time after which callers should retry if no target is usable. A
+// group is rarely formed again sooner.
 const retryAfterNoTarget = 2 * time.Second
 
 // allows reports whether the target is usable and the request does not exclude it.
@@ -230,8 +230,9 @@
 	return target != nil && target.Until > request.Now && !slices.Contains(request.Avoid, target.Name)
 }
 
-// chooseByPrefix returns the first target of the prefix's slot that is not overloaded, or
-// nil.
+// chooseByPrefix returns the first target of the prefix's slot that the request allows and
+// whose load is within the bound. It returns nil if there is none or the request has no
+// affinity.
 func (router *Router) chooseByPrefix(pool *targetPool, request Request) *target {
 	bound := router.Bound
 	if bound == 0 {
@@ -251,7 +252,8 @@
 }
 
 // chooseRandom returns the less loaded of two usable targets drawn at random. If maxDraws
-// draws find fewer than two, it returns the one found or the first that is allowed, or nil.
+// draws find only one, it returns that. If they find none, it returns the first in order of
+// names that the request allows, or nil.
 func (router *Router) chooseRandom(pool *targetPool, request Request) *target {
 	var first *target
 	for range maxDraws {
--- a/route/router_test.go
+++ b/route/router_test.go
@@ -32,7 +32,7 @@
 		until time.Duration
 		now   time.Duration
 		avoid []string
-		want  bool
+		want  bool // a target is chosen
 	}{
 		"one":              {1, time.Second, 0, nil, true},
 		"none":             {0, time.Second, 0, nil, false},
@@ -102,7 +102,8 @@
 	assert.Assert(t, moved > 0 && moved < prefixes/5, "%d prefixes moved", moved)
 }
 
-// TestHotPrefixSpills checks that a prefix of all requests does not overload its group.
+// TestHotPrefixSpills checks that a prefix that all requests have does not overload the group
+// that has it cached: with a mean of 100 requests, no group gets more than 180.
 func TestHotPrefixSpills(t *testing.T) {
 	router := newRouter(10)
 	counts := map[string]int{}
--- a/route/simulation_test.go
+++ b/route/simulation_test.go
@@ -21,22 +21,24 @@
 
 const (
 	simTick          = 10 * time.Millisecond
-	simGroups        = 30
+	simGroups        = 30 // each with simSlots slots
 	simSlots         = 16
-	simEntries       = 9
+	simEntries       = 9 // processes that receive requests and route them
 	simLength        = 40 * time.Second
-	meanRunTime      = time.Second // mean time from the first token to the end
+	meanRunTime      = time.Second // mean time from the first token to the end of the answer
 	cacheMissPrefill = 400 * time.Millisecond
 	cacheHitPrefill  = 80 * time.Millisecond
-	cacheSize        = 40
-	prefixes         = 900
-	reportLag        = time.Second
+	cacheSize        = 40          // prefixes that a group keeps cached
+	prefixes         = 900         // number of different prefixes
+	reportLag        = time.Second // age of the load reports that entries receive
 	simDeadline      = 5 * time.Second
 	firstTokenTarget = 700 * time.Millisecond
 )
 
 // routingRule chooses a group for each request that arrives at an entry.
 type routingRule interface {
+	// choose returns the index of a group and a function to call when the request has
+	// ended, or false if the request is refused.
 	choose(entry int, affinity uint64, now time.Duration) (int, func(time.Duration), bool)
 	update(entry int, targets []Target, now time.Duration)
 }
@@ -137,6 +139,7 @@
 	cache   []uint64
 }
 
+// job is one request at a group.
 type job struct {
 	arrived time.Duration
 	prefix  uint64
@@ -161,10 +164,11 @@
 
 // outcome counts what callers observed.
 type outcome struct {
-	offered, inTime, hits, started int
+	offered, inTime, hits, started int // numbers of requests; hits: started with the prefix cached
 	firstTokenTimes                []time.Duration
 }
 
+// percentile returns a quantile of the times to the first token, as a part from 0 to 1.
 func (outcome *outcome) percentile(part float64) time.Duration {
 	if len(outcome.firstTokenTimes) == 0 {
 		return 0
@@ -173,8 +177,9 @@
 	return outcome.firstTokenTimes[int(part*float64(len(outcome.firstTokenTimes)-1))]
 }
 
-// simulate offers a load, as a multiple of the capacity, and counts the requests answered in
-// time. With outage set, a third of the groups fails for the middle third of the simulation.
+// simulate offers a load, as a multiple of the capacity without cached prefixes, and counts
+// the requests answered in time: within simDeadline, with the first token within
+// firstTokenTarget. With outage set, a third of the groups fails for the middle third of the simulation.
 func simulate(rule routingRule, load float64, outage bool) outcome {
 	random := rand.New(rand.NewPCG(11, 11))
 	servers := make([]*server, simGroups)
@@ -297,8 +302,9 @@
 	}
 }
 
-// TestRoutingRules compares routing rules when load reports lag. It prints a table with -v;
-// -loads adds loads.
+// TestRoutingRules compares routing rules when load reports lag. The rule "ours", with
+// admission control, must answer at least as many requests in time as each baseline. It
+// prints a table with -v; -loads adds loads.
 func TestRoutingRules(t *testing.T) {
 	rules := map[string]func() routingRule{
 		"random":             func() routingRule { return &baseline{rule: "random", random: rand.New(rand.NewPCG(5, 5))} },
