--- a/ratelimit/cold.go
+++ b/ratelimit/cold.go
@@ -18,8 +18,8 @@
 	servers map[shedkeel.InstanceID]shedkeel.ColdServer
 }
 
-// Add records that a server is cold, and reports whether that changed anything. Until is
-// never moved to an earlier time.
+// Add records that a server is cold, and reports whether the record of the server changed.
+// It never moves Until to an earlier time.
 func (servers *ColdServers) Add(server shedkeel.ColdServer) bool {
 	servers.mutex.Lock()
 	defer servers.mutex.Unlock()
@@ -37,7 +37,8 @@
 	return true
 }
 
-// Lookup returns the record of a server, and whether it is cold now.
+// Lookup returns the record of a server, and whether the server is cold now. A server that
+// became warm has a record until Expire removes it.
 func (servers *ColdServers) Lookup(server shedkeel.InstanceID, now time.Duration) (shedkeel.ColdServer, bool) {
 	servers.mutex.RLock()
 	defer servers.mutex.RUnlock()
--- a/ratelimit/cold_test.go
+++ b/ratelimit/cold_test.go
@@ -10,16 +10,16 @@
 	"shedkeel.org/shedkeel/ratelimit"
 )
 
-// TestColdServersAreKnownUntilWarm records a server as cold once and again, and checks
-// that it is cold until the latest time recorded.
+// TestColdServersAreKnownUntilWarm records a server as cold one or more times, and checks
+// that it is cold until the latest time recorded, and that Add reports changes.
 func TestColdServersAreKnownUntilWarm(t *testing.T) {
 	type call struct {
 		until   time.Duration
-		changed bool
+		changed bool // what Add returns
 	}
 	cases := map[string]struct {
-		notes []call
-		until time.Duration
+		calls []call
+		until time.Duration // when the server becomes warm
 	}{
 		"once":                {[]call{{5, true}}, 5},
 		"again, the same":     {[]call{{5, true}, {5, false}}, 5},
@@ -30,7 +30,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			var cold ratelimit.ColdServers
-			for _, call := range test.notes {
+			for _, call := range test.calls {
 				assert.Equal(t, cold.Add(shedkeel.ColdServer{Server: "s", Rate: 2, Until: call.until}), call.changed)
 			}
 			_, isCold := cold.Lookup("s", test.until)
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// handoverDelay is how long after a change of the set of live processes a process
-	// grants no permits of servers that it takes over: the previous granter may still
-	// be granting them.
+	// handoverDelay is the time after a change of the set of live processes in which a
+	// process grants no permits of servers that it takes over: the previous granter may
+	// still be granting them.
 	handoverDelay = time.Second
 	// probeRate is the lowest rate at which permits are granted, in requests a second,
-	// even if the server takes no requests: only its answers show that the limit has
-	// been lifted.
+	// even if the server states a rate of zero: only the answers to requests show that
+	// the limit has been lifted.
 	probeRate = 0.1
-	// A bucket holds the permits of burstDuration, but at least minBurst.
+	// A bucket holds up to the permits of burstDuration, or minBurst if that is more.
 	minBurst      = 2
 	burstDuration = 50 * time.Millisecond
-	// maxRetryWait bounds the Wait of a refusal, so that refused processes ask again at least this often.
+	// maxRetryWait bounds the Wait of a refusal, so that refused processes ask again at
+	// least this often.
 	maxRetryWait = 2 * time.Second
 )
 
@@ -36,8 +37,8 @@
 // bucket is the token bucket of one server. It starts empty.
 type bucket struct {
 	tokens     *rate.Limiter
-	grantsFrom time.Duration // no permits are granted before
-	nextRetry  time.Duration // earliest time that the next refusal may name for a retry
+	grantsFrom time.Duration // no permits are granted before this time
+	nextRetry  time.Duration // earliest time for a retry that the next refusal may state
 	usage      Usage
 }
 
@@ -52,12 +53,13 @@
 type PermitRequest struct {
 	Server       shedkeel.InstanceID
 	Rate         float64       // requests a second that this process may grant
-	MaxWait      time.Duration // longest wait for which a permit is granted in advance
+	MaxWait      time.Duration // a permit is granted in advance if it is valid within this time
 	SettledSince time.Duration // since when the set of live processes has not changed
 }
 
 // Grant grants or refuses a permit. A granted permit may be used after its Wait, which is
-// at most request.MaxWait. After a refusal, a new attempt makes sense after Wait.
+// at most request.MaxWait. After a refusal, the caller should ask again no earlier than
+// after Wait.
 func (granter *Granter) Grant(request PermitRequest, now time.Duration) shedkeel.Permit {
 	granter.mutex.Lock()
 	defer granter.mutex.Unlock()
@@ -101,7 +103,7 @@
 	return max(minBurst, int(float64(perSecond)*burstDuration.Seconds()))
 }
 
-// refuse returns a refusal and when to ask again. Successive refusals are spaced at the
+// refuse counts and returns a refusal, with the time after which to ask again. Successive refusals are spaced at the
 // server's rate, so that refused processes do not all ask at the same time.
 func (bucket *bucket) refuse(delay, now time.Duration) shedkeel.Permit {
 	bucket.usage.Refused++
@@ -111,7 +113,8 @@
 	return shedkeel.Permit{Wait: wait}
 }
 
-// Usage returns how many permits of a server were granted and refused.
+// Usage returns how many permits of a server this process has granted and refused, or zeros
+// if it holds no bucket of the server.
 func (granter *Granter) Usage(server shedkeel.InstanceID) Usage {
 	granter.mutex.Lock()
 	defer granter.mutex.Unlock()
--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -20,8 +20,9 @@
 	return granted
 }
 
-// TestGranterKeepsTheRate checks that a server gets requests at its rate, and no more than
-// that in each window of four seconds, from the first permit on.
+// TestGranterKeepsTheRate checks that at least 90% of a rate, less one permit, is granted
+// when permits are asked for each millisecond, and that no window of four seconds has more permits than the rate
+// and a full bucket allow, from the first permit on.
 func TestGranterKeepsTheRate(t *testing.T) {
 	const start, length, window = time.Minute, 20 * time.Second, 4 * time.Second
 	cases := map[string]float64{"a half": 0.5, "two": 2, "twenty": 20, "two hundred": 200}
@@ -46,8 +47,8 @@
 // changed for long.
 func TestGranterHandover(t *testing.T) {
 	cases := map[string]struct {
-		settled time.Duration
-		first   time.Duration
+		settled time.Duration // since when the set of live processes has not changed
+		first   time.Duration // from when the bucket, which starts empty, fills
 	}{
 		"long ago": {0, time.Minute},
 		"just now": {time.Minute, time.Minute + handoverDelay},
@@ -79,8 +80,9 @@
 	}
 }
 
-// TestGranterFollowsTheLimit checks that a changed limit applies at once, and that a server
-// that takes no requests is probed at probeRate.
+// TestGranterFollowsTheLimit checks that a changed limit applies immediately, and that a
+// server with a limit of zero gets requests at probeRate, six in a minute. A full bucket adds
+// up to minBurst permits.
 func TestGranterFollowsTheLimit(t *testing.T) {
 	granter := &Granter{}
 	request := PermitRequest{Server: "s", Rate: 5}
@@ -89,8 +91,8 @@
 	reduced := len(requestPermits(granter, request, 2*time.Minute, 10*time.Millisecond, 10*time.Second))
 	assert.Assert(t, reduced >= 10 && reduced <= 10+minBurst, "%d", reduced)
 	request.Rate = 0
-	trials := len(requestPermits(granter, request, 3*time.Minute, 10*time.Millisecond, time.Minute))
-	assert.Assert(t, trials >= 6 && trials <= 6+minBurst, "%d", trials)
+	probes := len(requestPermits(granter, request, 3*time.Minute, 10*time.Millisecond, time.Minute))
+	assert.Assert(t, probes >= 6 && probes <= 6+minBurst, "%d", probes)
 	granter.Retain(func(shedkeel.InstanceID) bool { return false })
 	assert.Equal(t, len(granter.buckets), 0)
 }
--- a/ratelimit/limits.go
+++ b/ratelimit/limits.go
@@ -1,6 +1,6 @@
 // Package ratelimit shares the rate limits of backend servers among processes. It keeps
-// the limits that servers state, and grants permits: for each server, one process
-// grants the permits of all processes.
+// the limits that servers state, and grants permits, each for one request: for each
+// server, one process grants permits to all processes.
 package ratelimit
 
 import (
@@ -17,15 +17,15 @@
 // safe for concurrent use.
 type Limits struct {
 	mutex  sync.RWMutex
-	limits map[shedkeel.InstanceID]shedkeel.ServerLimit // lifted ones too
+	limits map[shedkeel.InstanceID]shedkeel.ServerLimit // including lifted ones
 	inUse  atomic.Int64                                 // limits that are not lifted
 }
 
 // Idle reports whether no server is known to limit its rate.
 func (limits *Limits) Idle() bool { return limits.inUse.Load() == 0 }
 
-// Observe records what an answer that is received now states. Sent is when its request
-// was sent: an answer without a limit proves only that there was none at that time. It
+// Observe records the limit that an answer, received now, states or does not state. Sent is
+// when the request of the answer was sent: an answer without a limit proves only that there was none at that time. It
 // returns the limit that is known now, and whether it has changed.
 func (limits *Limits) Observe(server shedkeel.InstanceID, limit shedkeel.StatedLimit, sent, now time.Duration) (shedkeel.ServerLimit, bool) {
 	if !limit.Stated {
@@ -37,8 +37,8 @@
 	return limits.Merge(shedkeel.ServerLimit{Server: server, Rate: limit.Rate, At: now, Since: now})
 }
 
-// Merge records a limit, possibly from another process. The newest statement of a server
-// wins. It returns the limit that is known now, and whether it has changed.
+// Merge records a limit, possibly from another process, unless the known limit of the server
+// is as new or newer. It returns the limit that is known now, and whether it has changed.
 func (limits *Limits) Merge(limit shedkeel.ServerLimit) (shedkeel.ServerLimit, bool) {
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
--- a/ratelimit/limits_test.go
+++ b/ratelimit/limits_test.go
@@ -13,14 +13,14 @@
 // order in which they arrive.
 func TestLimits(t *testing.T) {
 	type answer struct {
-		limit     float64 // below 0: none
+		limit     float64 // the stated limit; below 0: the answer states none
 		sent, now time.Duration
 	}
 	cases := map[string]struct {
 		answers []answer
 		limited bool
 		rate    float64
-		changes int
+		changes int // number of answers that change the known limit
 	}{
 		"never stated":                 {[]answer{{-1, 0, 1}}, false, 0, 0},
 		"stated":                       {[]answer{{2, 0, 1}}, true, 2, 1},
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestBookMerge checks that the newest statement wins, from whichever process it comes,
+// TestLimitsMerge checks that the newest statement wins, from whichever process it comes,
 // and that Retain removes servers that are not listed.
-func TestBookMerge(t *testing.T) {
+func TestLimitsMerge(t *testing.T) {
 	var limits Limits
 	limits.Merge(shedkeel.ServerLimit{Server: "s", Rate: 2, At: 10, Since: 10})
 	_, changed := limits.Merge(shedkeel.ServerLimit{Server: "s", Rate: 9, At: 5, Since: 5})
--- a/ratelimit/sharing_test.go
+++ b/ratelimit/sharing_test.go
@@ -21,9 +21,10 @@
 
 // scheme is how nodes share the limit of a server.
 type scheme interface {
-	// ask requests a permit for the node, and calls answer now or later.
+	// ask requests a permit for the node. It calls answer before it returns or later in
+	// virtual time.
 	ask(fleet *simFleet, node *simNode, answer func(permit shedkeel.Permit))
-	// restart clears what the scheme keeps for the node.
+	// restart clears the state that the scheme keeps for the node.
 	restart(node *simNode)
 }
 
@@ -31,8 +32,8 @@
 const (
 	simDuration     = 24 * time.Second
 	simWindow       = 4 * time.Second // in which requests to the server are counted
-	propagationTime = 3 * time.Second // in which all nodes should have received a limit
-	simBurst        = 5               // allowed in a window in addition to one and a half times the limit
+	propagationTime = 3 * time.Second // within which all nodes should have received a limit
+	simBurst        = 5               // requests allowed in a window in addition to one and a half times the limit
 	linkDelay       = 2 * time.Millisecond
 	callTimeout     = 30 * time.Millisecond
 	retryPause      = 200 * time.Millisecond
@@ -160,9 +161,9 @@
 
 	granter       Granter
 	bucket        *rate.Limiter
-	leasedPermits int           // permits left of its block
-	leaseEnd      time.Duration // when they expire
-	recent        float64       // requests, decayed by half each second
+	leasedPermits int           // permits left of its block, for leasedBlocks
+	leaseEnd      time.Duration // when the permits of the block expire
+	recent        float64       // number of requests that arrived at the node, halved each second
 }
 
 // randomBetween returns a random duration from least up to most.
@@ -448,9 +449,9 @@
 
 // outcome is the result of one simulation.
 type outcome struct {
-	worst       float64 // most requests in a window, as a fraction of what is allowed
+	worst       float64 // highest ratio, over all windows, of the requests to those allowed
 	utilization float64 // fraction of the limit that was used
-	calls       float64 // between nodes, a second
+	calls       float64 // calls between nodes, per second
 }
 
 // evaluate counts the requests of nodes that knew the limit, in sliding windows.
@@ -618,12 +619,13 @@
 
 func (twoSenders) restart(*simNode) {}
 
-// minUtilization is the fraction of a limit that must be used without faults when demand
-// exceeds the limit: a limited server must still get its requests.
+// minUtilization is the minimum fraction of a limit to be used without faults when demand
+// exceeds the limit: a limited server must still get requests at about its limit.
 const minUtilization = 0.7
 
 // TestSharingSchemes simulates the same scenarios with each scheme and prints the outcomes.
-// The scheme that the product uses must keep the limit in all of them, and use it.
+// The scheme that the product uses must keep the limit in all of them, and without faults use
+// minUtilization of it.
 func TestSharingSchemes(t *testing.T) {
 	sizes, rates, seeds := []int{9, 66}, []float64{0.5, 2, 20}, uint64(2)
 	if *allSizes {
