--- a/contain/ledger.go
+++ b/contain/ledger.go
@@ -14,10 +14,12 @@
 
 const (
 	// quarantineThreshold is the number of failed servers from which a request is quarantined.
-	// One failed server does not single out a request: it runs tens of them when it fails.
+	// One failed server does not single out a request: a server runs tens of requests when
+	// it fails.
 	quarantineThreshold = 2
-	// containThreshold is the number from which a request is contained. A request that runs
-	// beside one that makes servers fail may see a second server fail, and rarely a third.
+	// containThreshold is the number of failed servers from which a request is contained. A
+	// harmless request that runs beside one that makes servers fail may be on a second failed
+	// server too, but rarely on a third.
 	containThreshold = 3
 	// maxRequests bounds the requests in a ledger.
 	maxRequests = 4096
@@ -41,7 +43,7 @@
 	mutex    sync.Mutex
 	entries  map[shedkeel.RequestDigest]*entry
 	useCount uint64       // incremented with each use of an entry
-	blamed   atomic.Int64 // entries with at least one server
+	blamed   atomic.Int64 // number of entries with at least one failed server
 }
 
 // entry is the record of one request.
@@ -76,7 +78,8 @@
 	return blames
 }
 
-// RecordFailure records that a server failed while it ran a request. It returns the record
+// RecordFailure records that a server failed while it ran a request, unless containThreshold
+// servers are recorded already. It returns the record
 // of the request and whether it changed.
 func (ledger *Ledger) RecordFailure(request shedkeel.RequestDigest, server shedkeel.InstanceID) (shedkeel.Blame, bool) {
 	ledger.mutex.Lock()
@@ -100,8 +103,8 @@
 	return before, entry.copy()
 }
 
-// Merge adds the record of another ledger: the later round wins, and within a round the
-// servers add up. It returns the record of the request and whether it changed.
+// Merge adds the record of another ledger. The record of the later round replaces the other;
+// records of the same round are combined, up to containThreshold servers. It returns the record of the request and whether it changed.
 func (ledger *Ledger) Merge(other shedkeel.Blame) (shedkeel.Blame, bool) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
@@ -191,7 +194,7 @@
 	return entry.lastUsed < other.lastUsed
 }
 
-// copy returns the record with servers of its own, so that the caller may keep it.
+// copy returns a copy of the record that shares no memory with the entry.
 func (entry *entry) copy() shedkeel.Blame {
 	blame := entry.blame
 	blame.Servers = slices.Clone(blame.Servers)
--- a/contain/ledger_test.go
+++ b/contain/ledger_test.go
@@ -15,7 +15,7 @@
 // under its name counts as another one.
 func TestJudge(t *testing.T) {
 	cases := map[string]struct {
-		ended    []shedkeel.InstanceID
+		failed   []shedkeel.InstanceID
 		judgment shedkeel.Judgment
 	}{
 		"none":                      {nil, shedkeel.Unblamed},
@@ -30,12 +30,12 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			ledger := &Ledger{}
-			for _, server := range test.ended {
+			for _, server := range test.failed {
 				ledger.RecordFailure("r", server)
 			}
 			assert.Equal(t, Judge(ledger.Blame("r")), test.judgment)
 			assert.Equal(t, Judge(ledger.Blame("other")), shedkeel.Unblamed)
-			assert.Equal(t, ledger.Idle(), len(test.ended) == 0)
+			assert.Equal(t, ledger.Idle(), len(test.failed) == 0)
 		})
 	}
 }
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestMemoryIsBounded checks that a full ledger evicts entries, but neither a contained
-// request nor one in use.
+// TestMemoryIsBounded checks that a full ledger evicts entries, but neither the entry
+// of a contained request nor one that is read often.
 func TestMemoryIsBounded(t *testing.T) {
 	ledger := &Ledger{}
 	for _, server := range []shedkeel.InstanceID{"a", "b", "c"} {
--- a/contain/simulation_test.go
+++ b/contain/simulation_test.go
@@ -17,8 +17,8 @@
 
 // strategy is how nodes share records of servers that failed, and act on them.
 type strategy struct {
-	keepsLedger      bool // records are kept after the copy that they came from
-	coordinator      bool // one node per request receives every failure
+	keepsLedger      bool // a node keeps the record of a failure after the copy of the request has ended
+	coordinator      bool // one node per request is informed of records with a single failure
 	broadcast        bool // all nodes are informed from the second failure on
 	persisted        bool // the store keeps the record from the second failure on, and all nodes read it
 	withdrawsQueued  bool // copies queued at servers are withdrawn from the second failure on
@@ -26,6 +26,7 @@
 	fromFirstFailure bool // all of this applies from the first failure on
 }
 
+// current is the strategy that the product uses.
 var current = strategy{keepsLedger: true, coordinator: true, broadcast: true, persisted: true, withdrawsQueued: true, oneAtATime: true}
 
 // fault is what happens to the fleet while the request arrives that makes servers fail.
@@ -35,7 +36,7 @@
 	noFault          fault = iota
 	nodesKilled            // one after another
 	allNodesKilled         // at the same time
-	partitioned            // in halves that do not reach each other; one of them does not reach the store
+	partitioned            // in halves that do not reach each other, for faultDuration; one half does not reach the store
 	storeUnavailable       // for faultDuration
 	nodesFrozen            // a third of them, for faultDuration
 	faultCount             // number of faults
@@ -75,6 +76,7 @@
 	faultDuration = 4 * time.Second
 )
 
+// simNode is a node. Even ones are in partition 0 and odd ones in partition 1.
 type simNode struct {
 	ledger    *Ledger
 	partition int
@@ -83,7 +85,7 @@
 
 // head is the head of a replica group.
 type head struct {
-	incarnation int
+	incarnation int // incremented with each failure
 	unavailable bool
 	copies      []*requestCopy
 }
@@ -93,16 +95,18 @@
 	node      int
 	attempts  int
 	mayRetry  bool // its caller may send it once more
-	exclusive bool
+	exclusive bool // sent while the request is quarantined, so that nodes which know that send no other copy meanwhile
 	done      bool
 }
 
+// simEvent is an action at a point in virtual time. Events of the same time run by order.
 type simEvent struct {
 	at    time.Duration
 	order int
 	run   func()
 }
 
+// queue is a heap of events.
 type queue []simEvent
 
 func (queue queue) Len() int { return len(queue) }
@@ -117,15 +121,17 @@
 	return last
 }
 
+// after schedules run after a pause in virtual time.
 func (simulation *simulation) after(pause time.Duration, run func()) {
 	heap.Push(&simulation.events, simEvent{at: simulation.now + pause, order: simulation.events.Len() + int(simulation.random.Uint32()>>1), run: run})
 }
 
+// between returns a random duration from low up to high.
 func (simulation *simulation) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(simulation.random.Int64N(int64(high-low)))
 }
 
-// simulate runs a simulation in which the request arrives at that rate.
+// simulate runs a simulation in which the request arrives at that rate, as a Poisson process.
 func simulate(strategy strategy, nodes, heads int, perSecond float64, fault fault, seed uint64) *simulation {
 	simulation := &simulation{strategy: strategy, fault: fault, random: rand.New(rand.NewPCG(seed, uint64(nodes)))}
 	simulation.stored.Request = request
@@ -184,6 +190,7 @@
 	simulation.readStore(index)
 }
 
+// during reports whether the simulation has the fault and the fault lasts now.
 func (simulation *simulation) during(fault fault) bool {
 	return simulation.fault == fault && simulation.now >= faultStart && simulation.now < faultStart+faultDuration
 }
@@ -201,7 +208,8 @@
 	}
 }
 
-// arrive delivers the request to a node.
+// arrive delivers a copy of the request to a random node. The node sends the copy on unless
+// the request is contained, or is quarantined while another copy is being tried.
 func (simulation *simulation) arrive(mayRetry bool) {
 	index := simulation.random.IntN(len(simulation.nodes))
 	if simulation.nodes[index].frozen {
@@ -223,6 +231,7 @@
 	simulation.send(sent)
 }
 
+// judge returns the judgment of the request at a node.
 func (simulation *simulation) judge(index int) shedkeel.Judgment {
 	if !simulation.strategy.keepsLedger {
 		return shedkeel.Unblamed
@@ -230,6 +239,7 @@
 	return simulation.strategy.judge(simulation.nodes[index].ledger.Blame(request))
 }
 
+// judge returns the judgment that the strategy derives from a record.
 func (strategy strategy) judge(blame shedkeel.Blame) shedkeel.Judgment {
 	if strategy.fromFirstFailure && len(blame.Servers) == 1 {
 		return shedkeel.Quarantined
@@ -237,7 +247,8 @@
 	return Judge(blame)
 }
 
-// send sends a copy to an available head, which fails if it runs it.
+// send sends a copy to an available head. The server fails 40 to 100 ms after it starts to
+// run the copy.
 func (simulation *simulation) send(sent *requestCopy) {
 	var available []*head
 	for _, head := range simulation.heads {
@@ -268,14 +279,15 @@
 	})
 }
 
-// connected reports whether the node could receive what others know. One that is partitioned
-// from the store and the other nodes could not.
+// connected reports whether the node has been able to receive the records of the others. A
+// node that is cut off from the store and the other half has not, until convergenceTime
+// after the partition.
 func (simulation *simulation) connected(index int) bool {
 	cutOff := simulation.fault == partitioned && simulation.nodes[index].partition == 1
 	return !cutOff || simulation.now > faultStart+faultDuration+convergenceTime
 }
 
-// failServer has a server fail: the nodes lose all copies that it has.
+// failServer has a server fail: all copies that were sent to it are lost.
 func (simulation *simulation) failServer(failed *head) {
 	simulation.failedServers++
 	if simulation.failedServers == containThreshold {
@@ -352,6 +364,7 @@
 	}
 }
 
+// notify sends a record from one node to another, unless they are partitioned.
 func (simulation *simulation) notify(from, to int, blame shedkeel.Blame) {
 	if from == to || simulation.during(partitioned) && simulation.nodes[from].partition != simulation.nodes[to].partition {
 		return
@@ -363,6 +376,7 @@
 	})
 }
 
+// mergeRecord merges a received record into the ledger of a node.
 func (simulation *simulation) mergeRecord(index int, received shedkeel.Blame) {
 	blame, changed := simulation.nodes[index].ledger.Merge(received)
 	simulation.recordUpdated(index, blame, changed, len(blame.Servers) > len(received.Servers))
