--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,6 +1,6 @@
 // Package policy runs the policy programs of operators. A policy is a short Starlark program
 // with a function plan(facts) that returns table(...). It runs when it is applied and at
-// each planning tick, but never for a single request. It has no input or output, and the
+// each planning tick, but not for each request. It has no input or output, and the
 // number of its steps is bounded.
 package policy
 
@@ -23,11 +23,12 @@
 	// MaxSize bounds the source of a policy, in bytes.
 	MaxSize = 64 << 10
 
+	// maxSpares and maxPatience bound the arguments of table(...).
 	maxSpares   = 1000
 	maxPatience = time.Hour
 )
 
-// Facts is the input of plan: what is known of an availability zone.
+// Facts is the input of plan. It describes an availability zone.
 type Facts struct {
 	Zone        shedkeel.ZoneID
 	Members     int           // boxes in a group of the zone's largest service
@@ -37,17 +38,18 @@
 	Load        time.Duration // median time to load model weights
 }
 
-// DefaultTable is the table that applies until operators apply a policy, and supplies the
-// defaults of table(...).
+// DefaultTable returns the table that applies until operators apply a policy. It also
+// supplies the defaults of the arguments of table(...).
 func DefaultTable() shedkeel.Table {
 	return shedkeel.Table{Patience: 20 * time.Second, StormFraction: 0.5, WarmSpares: true}
 }
 
-// SampleFacts is the input that Check runs a policy with.
+// SampleFacts returns the input with which Check runs a policy.
 func SampleFacts() Facts {
 	return Facts{Zone: "zone", Members: 8, DomainBoxes: 32, Domains: 2, Restart: time.Minute, Load: 2 * time.Minute}
 }
 
+// fileOptions are the language options of policies: the set type is available.
 var fileOptions = &syntax.FileOptions{Set: true}
 
 // Check returns an InvalidError, with line and column, if the policy does not compile or
@@ -186,6 +188,7 @@
 	return policy.Name
 }
 
+// invalid returns an InvalidError that names the policy instead of a position in it.
 func invalid(policy shedkeel.Policy, what, remedy string) error {
 	return &shedkeel.InvalidError{Where: policy.Name, What: what, Remedy: remedy}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -18,7 +18,7 @@
 }
 
 // TestRefusals checks that invalid programs are refused with an InvalidError that names the
-// position or cause.
+// position or cause; want is a part of its text.
 func TestRefusals(t *testing.T) {
 	cases := map[string]struct{ program, want string }{
 		"syntax":                 {"def plan(facts)\n  return 1", "p.star:2:1: got newline, want ':'"},
@@ -48,7 +48,8 @@
 	}
 }
 
-// TestShippedPoliciesDiffer checks that the shipped policies are valid and decide differently.
+// TestShippedPoliciesDiffer checks that the policies in the folder policies are valid and
+// return different tables.
 func TestShippedPoliciesDiffer(t *testing.T) {
 	tables := map[string]shedkeel.Table{}
 	for _, name := range []string{"karadere", "nafha"} {
