--- a/dispatch/spread_test.go
+++ b/dispatch/spread_test.go
@@ -244,16 +244,16 @@
 			}
 			table.Replace(servers)
 			assert.Equal(t, table.Partitions("s", "m"), test.partitions)
-			partitions := map[shedkeel.InstanceID]int{}
+			partitionOf := map[shedkeel.InstanceID]int{}
 			for part := range test.partitions {
 				for range 3 * test.groups {
 					head := table.Recommend(Query{Service: "s", Model: "m", PromptTokens: 100, Partition: part, Partitions: test.partitions, Now: time.Minute}, Reporter{}).Head
-					before, found := partitions[head]
+					before, found := partitionOf[head]
 					assert.Assert(t, !found || before == part, "%s is in two partitions", head)
-					partitions[head] = part
+					partitionOf[head] = part
 				}
 			}
-			assert.Equal(t, len(partitions), test.groups)
+			assert.Equal(t, len(partitionOf), test.groups)
 		})
 	}
 }
--- a/formation/demand_test.go
+++ b/formation/demand_test.go
@@ -35,8 +35,8 @@
 // bounds leave room for the weight of the configured shares.
 func TestShares(t *testing.T) {
 	cases := map[string]struct {
-		demand      map[shedkeel.ModelID]shedkeel.ModelDemand
-		least, most float64 // bounds of the large model's share
+		demand             map[shedkeel.ModelID]shedkeel.ModelDemand
+		minShare, maxShare float64 // bounds of the large model's share
 	}{
 		"nothing measured":           {nil, 0.67, 0.67},
 		"about as configured":        {demandOf(largeRate, smallRate), 0.67, 0.67},
@@ -51,7 +51,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			found := workShares(testEngine(), test.demand)
-			assert.Assert(t, found["large"] >= test.least && found["large"] <= test.most, "%v", found)
+			assert.Assert(t, found["large"] >= test.minShare && found["large"] <= test.maxShare, "%v", found)
 			assert.Assert(t, math.Abs(found["large"]+found["small"]-1) < 0.01, "%v", found)
 		})
 	}
@@ -89,11 +89,11 @@
 func TestGroupsFollowDemand(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
-		demand     func(since time.Duration) map[shedkeel.ModelID]shedkeel.ModelDemand
-		large      int // minimum number of the large model's groups at the end
-		small      int // the same for the small model
-		mostLoads  int // maximum number of load orders
-		mostClosed int // maximum number of orders to close a group
+		demand    func(since time.Duration) map[shedkeel.ModelID]shedkeel.ModelDemand
+		large     int // minimum number of the large model's groups at the end
+		small     int // the same for the small model
+		maxLoads  int // maximum number of load orders
+		maxClosed int // maximum number of orders to close a group
 	}{
 		"as configured":  {func(time.Duration) map[shedkeel.ModelID]shedkeel.ModelDemand { return demandOf(largeRate, smallRate) }, 6, 6, 0, 0},
 		"no measurement": {func(time.Duration) map[shedkeel.ModelID]shedkeel.ModelDemand { return nil }, 6, 6, 0, 0},
@@ -130,8 +130,8 @@
 			serving := fleet.serving()
 			t.Logf("serving %v, orders %v", serving, fleet.orderCounts)
 			assert.Assert(t, serving["small"] >= test.small && serving["large"] >= test.large, "%v", serving)
-			assert.Assert(t, fleet.orderCounts[shedkeel.OrderStage] <= test.mostLoads, "%v", fleet.orderCounts)
-			assert.Assert(t, fleet.orderCounts[shedkeel.OrderClose] <= test.mostClosed, "%v", fleet.orderCounts)
+			assert.Assert(t, fleet.orderCounts[shedkeel.OrderStage] <= test.maxLoads, "%v", fleet.orderCounts)
+			assert.Assert(t, fleet.orderCounts[shedkeel.OrderClose] <= test.maxClosed, "%v", fleet.orderCounts)
 			assert.Equal(t, len(fleet.violations), 0, "%v", fleet.violations)
 			before := maps.Clone(fleet.orderCounts)
 			fleet.run(planner, time.Minute, true)
--- a/formation/fake_test.go
+++ b/formation/fake_test.go
@@ -46,8 +46,8 @@
 // unlisted reports whether a partitioned server is missing from the list. Its record there
 // expires after three heartbeats, and returns 1.4 s after the partition.
 func (server *fakeServer) unlisted(now time.Duration) bool {
-	const gone, back = 3600 * time.Millisecond, 1400 * time.Millisecond
-	return server.partitionedUntil-server.partitionedAt > gone && now > server.partitionedAt+gone && now < server.partitionedUntil+back
+	const expiry, relistDelay = 3600 * time.Millisecond, 1400 * time.Millisecond
+	return server.partitionedUntil-server.partitionedAt > expiry && now > server.partitionedAt+expiry && now < server.partitionedUntil+relistDelay
 }
 
 // fakeFleet simulates engines in virtual time and records violations of the protocol.
@@ -224,8 +224,8 @@
 	}
 	if server.Member != nil && server.Member.Group != order.Group {
 		head := fleet.head(server.Member)
-		released := head != nil && head.diedAt != 0 && fleet.now-head.diedAt > 5*time.Second
-		if head != nil && !released && (head.Member.State == shedkeel.MemberOpen || head.Member.State == shedkeel.MemberClosing) {
+		headLongDead := head != nil && head.diedAt != 0 && fleet.now-head.diedAt > 5*time.Second
+		if head != nil && !headLongDead && (head.Member.State == shedkeel.MemberOpen || head.Member.State == shedkeel.MemberClosing) {
 			fleet.violations = append(fleet.violations, fmt.Sprintf("%s: %s joins %s while the head of %s serves", fleet.now, server.ID, order.Group, server.Member.Group))
 		}
 	}
@@ -399,12 +399,12 @@
 	}
 }
 
-// injectLoss kills a member and adds an empty server. With probability 1/times it returns
+// injectLoss kills a member and adds an empty server. With probability 1/oneIn it returns
 // the planner of the next term, which has no state, and otherwise the given planner.
-func (fleet *fakeFleet) injectLoss(planner *Planner, times int) *Planner {
+func (fleet *fakeFleet) injectLoss(planner *Planner, oneIn int) *Planner {
 	fleet.killRandom()
 	fleet.addServer(shedkeel.DomainID(fmt.Sprintf("d%d", fleet.random.IntN(6))))
-	if fleet.random.IntN(times) != 0 {
+	if fleet.random.IntN(oneIn) != 0 {
 		return planner
 	}
 	fleet.laterTerms++
--- a/formation/fleet_test.go
+++ b/formation/fleet_test.go
@@ -46,12 +46,12 @@
 
 // checkRecovery runs a minute without faults, then checks that no rule was violated and
 // that at least the given number of groups of each model serve.
-func (fleet *fakeFleet) checkRecovery(t *testing.T, planner *Planner, seed, least int) {
+func (fleet *fakeFleet) checkRecovery(t *testing.T, planner *Planner, seed, minServing int) {
 	t.Helper()
 	fleet.run(planner, time.Minute, true)
 	assert.Equal(t, len(fleet.violations), 0, "seed %d: %v", seed, fleet.violations)
 	serving := fleet.serving()
-	assert.Assert(t, serving["large"] >= least && serving["small"] >= least, "seed %d: %v", seed, serving)
+	assert.Assert(t, serving["large"] >= minServing && serving["small"] >= minServing, "seed %d: %v", seed, serving)
 }
 
 // TestRulesHoldWhileServersAreUnreachable has serving servers fail probes and leave orders
--- a/formation/forget_test.go
+++ b/formation/forget_test.go
@@ -29,12 +29,12 @@
 			planner.Confirmed(action.Order)
 		}
 	}
-	const most = 10 // six or seven formations within retentionTime, and some that are about to expire
+	const maxEntries = 10 // six or seven formations within retentionTime, and some that are about to expire
 	sizes := map[string]int{
 		"lastMembers": len(planner.lastMembers), "headMissingSince": len(planner.headMissingSince), "leftAt": len(planner.leftAt),
 		"memberMissingSince": len(planner.memberMissingSince), "lastReported": len(planner.lastReported), "sentAt": len(planner.sentAt), "standbyOrderedAt": len(planner.standbyOrderedAt),
 	}
 	for name, size := range sizes {
-		assert.Assert(t, size <= most, "%s has %d entries", name, size)
+		assert.Assert(t, size <= maxEntries, "%s has %d entries", name, size)
 	}
 }
--- a/formation/stage.go
+++ b/formation/stage.go
@@ -200,12 +200,14 @@
 	return members
 }
 
-// modelToStage returns the model that a spare of the domain should load.
+// modelToStage returns the model that a spare of the domain should load, by leastCovered.
 func (round *round) modelToStage(domain shedkeel.DomainID, staged map[shedkeel.ModelID]int) shedkeel.ModelID {
 	return round.leastCovered(round.modelIDs(), domain, staged)
 }
 
-// leastCovered returns the model with the fewest spares per member in the domain.
+// leastCovered returns, of the models, the one with the fewest spares per member in the
+// domain; of equal ones, the one with the fewest spares. staged is the number of free servers
+// that have or load each model's weights.
 func (round *round) leastCovered(models []shedkeel.ModelID, domain shedkeel.DomainID, staged map[shedkeel.ModelID]int) shedkeel.ModelID {
 	members := round.memberCounts(domain)
 	best := models[0]
--- a/route/router_test.go
+++ b/route/router_test.go
@@ -99,6 +99,7 @@
 			moved++
 		}
 	}
+	// One of 20 groups has a twentieth of the prefixes on average; the bound is four times that.
 	assert.Assert(t, moved > 0 && moved < prefixes/5, "%d prefixes moved", moved)
 }
 
