--- a/call.go
+++ b/call.go
@@ -17,30 +17,30 @@
 	Model        ModelID       // "" if none
 	PromptTokens int           // as stated by the caller; 0: not stated
 	AnswerTokens int           // maximum that the caller states; 0: not stated
-	LastEvent    string        // the caller resumes a stream after the event with this ID
+	LastEventID  string        // the caller resumes a stream after the event with this ID
 }
 
-// Sending is one attempt: a call as it is sent to one backend server.
-type Sending struct {
-	Call      *Call
-	To        InstanceID
-	Account   AccountID     // "" on public routes
-	Deadline  time.Duration // time that remains for the backend server
-	LastEvent string        // resume the stream after the event with this ID; "": start from the beginning
-	Priority  int           // 0 is the most urgent
+// Attempt is one attempt: a call as it is sent to one backend server.
+type Attempt struct {
+	Call        *Call
+	Server      InstanceID
+	Account     AccountID     // "" on public routes
+	Deadline    time.Duration // time that remains for the backend server
+	LastEventID string        // resume the stream after the event with this ID; "": start from the beginning
+	Priority    int           // 0 is the most urgent
 }
 
 // BackendAnswer is the content of the header of a backend server's response.
 type BackendAnswer struct {
 	ID     string // ID of the attempt that it answers
-	Sealed bool   // the response carries the backend server's signature
+	Signed bool   // the response carries the backend server's signature
 	NotRun bool   // the server states that it did not run the request
 	Limit  StatedLimit
 	// Backoff is how long this process must send the server no requests; 0: not
 	// stated.
-	Backoff  time.Duration
-	Draining bool  // the server is about to stop
-	Invalid  error // header fields that cannot be parsed; they are ignored
+	Backoff     time.Duration
+	Draining    bool  // the server is about to stop
+	HeaderError error // header fields that cannot be parsed; they are ignored
 }
 
 // RequestDigest is a digest of the content of a request. All attempts of the same
@@ -54,7 +54,7 @@
 	Read(request *http.Request) (Call, error)
 	// Write sets the header of a request to a backend server. The header already
 	// has the caller's fields, without the hop-by-hop fields.
-	Write(header http.Header, sending Sending)
+	Write(header http.Header, sending Attempt)
 	// Answer parses the header of a backend server's response.
 	Answer(response *http.Response) BackendAnswer
 }
--- a/engine/client.go
+++ b/engine/client.go
@@ -52,12 +52,12 @@
 	return state, err
 }
 
-// Give sends an order to the engine at order.Address. It prevents net/http from
+// SendOrder sends an order to the engine at order.Address. It prevents net/http from
 // retrying the order and closes the connection after it. The client's timeout keeps
 // a delayed order from being sent late. The error is a
 // ConflictError if the engine rejects the order, an UnknownOutcomeError if no
 // answer came, and an untyped error for any other status.
-func (control *Control) Give(ctx context.Context, order shedkeel.Order) error {
+func (control *Control) SendOrder(ctx context.Context, order shedkeel.Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
 		return err
--- a/engine/transport.go
+++ b/engine/transport.go
@@ -111,9 +111,9 @@
 	return nil, &shedkeel.UnknownRunError{Reason: "backend server " + request.URL.Host + " gave no answer", Cause: err}
 }
 
-// Ended reports whether the address refuses connections, which means that no
+// Stopped reports whether the address refuses connections, which means that no
 // process listens there. A timeout or any other failure is no proof of that.
-func (transport *Transport) Ended(ctx context.Context, address string) bool {
+func (transport *Transport) Stopped(ctx context.Context, address string) bool {
 	dialer := &net.Dialer{}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err == nil {
--- a/engine/transport_test.go
+++ b/engine/transport_test.go
@@ -274,10 +274,10 @@
 	server := httptest.NewServer(http.NotFoundHandler())
 	address := server.Listener.Addr().String()
 	transport := &Transport{}
-	assert.Assert(t, !transport.Ended(t.Context(), address), "the server still listens")
+	assert.Assert(t, !transport.Stopped(t.Context(), address), "the server still listens")
 	server.Close()
-	assert.Assert(t, transport.Ended(t.Context(), address))
+	assert.Assert(t, transport.Stopped(t.Context(), address))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.Assert(t, !transport.Ended(ctx, address), "a canceled dial does not prove that the server ended")
+	assert.Assert(t, !transport.Stopped(ctx, address), "a canceled dial does not prove that the server ended")
 }
--- a/errors.go
+++ b/errors.go
@@ -59,10 +59,10 @@
 
 // NotRunError reports that a request was not run and may be sent again.
 type NotRunError struct {
-	Reason     string
-	RetryAfter time.Duration
-	Overloaded bool // the cause is the account's rate limit, load shedding or overload, not a fault
-	Arrived    bool // the server received the request and reported that it did not run it; otherwise nothing was sent
+	Reason        string
+	RetryAfter    time.Duration
+	Overloaded    bool // the cause is the account's rate limit, load shedding or overload, not a fault
+	ReachedServer bool // the server received the request and reported that it did not run it; otherwise nothing was sent
 }
 
 // Error returns the message, which ends with what the caller can do.
--- a/interfaces.go
+++ b/interfaces.go
@@ -137,9 +137,9 @@
 type Engines interface {
 	// Probe requests the state of an engine.
 	Probe(ctx context.Context, address string) (BoxState, error)
-	// Give sends an order. It returns a ConflictError if the engine has accepted
+	// SendOrder sends an order. It returns a ConflictError if the engine has accepted
 	// an order with a higher planner epoch.
-	Give(ctx context.Context, order Order) error
+	SendOrder(ctx context.Context, order Order) error
 }
 
 // Backend sends a request to a backend server. It never retries.
@@ -152,9 +152,9 @@
 // ServerCheck finds out whether a backend server whose connection broke has
 // stopped.
 type ServerCheck interface {
-	// Ended reports whether it is proven that no process listens at the address,
+	// Stopped reports whether it is proven that no process listens at the address,
 	// as by a refused connection. A missing reply proves nothing.
-	Ended(ctx context.Context, address string) bool
+	Stopped(ctx context.Context, address string) bool
 }
 
 // Timers is a clock with periodic timers. Times are durations on a monotonic
--- a/keeper/plan.go
+++ b/keeper/plan.go
@@ -358,7 +358,7 @@
 	if _, held := zone.lease.Held(now, orderLife); !held && !zone.inFallback {
 		return now, false
 	}
-	err := keeper.Engines.Give(ctx, order)
+	err := keeper.Engines.SendOrder(ctx, order)
 	var conflict *shedkeel.ConflictError
 	var unknown *shedkeel.UnknownOutcomeError
 	switch {
--- a/serve/digest_test.go
+++ b/serve/digest_test.go
@@ -28,7 +28,7 @@
 		same   bool
 	}{
 		"another ID":         {func(exchange *exchange) { exchange.call.ID = "r2" }, true},
-		"resumed":            {func(exchange *exchange) { exchange.call.LastEvent = "7" }, true},
+		"resumed":            {func(exchange *exchange) { exchange.call.LastEventID = "7" }, true},
 		"another key":        {func(exchange *exchange) { exchange.call.Key = "k2" }, true},
 		"another account":    {func(exchange *exchange) { exchange.account = &shedkeel.KeyedAccount{ID: "office"} }, false},
 		"no account":         {func(exchange *exchange) { exchange.account = nil }, false},
--- a/serve/ended.go
+++ b/serve/ended.go
@@ -98,7 +98,7 @@
 func (handler *Handler) serverEnded(address string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), endCheckTimeout)
 	defer cancel()
-	return handler.ServerCheck.Ended(ctx, address)
+	return handler.ServerCheck.Stopped(ctx, address)
 }
 
 // isDisconnect reports whether an attempt failed without an answer or refusal from
--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -75,7 +75,7 @@
 // fixedCheck is a fake shedkeel.ServerCheck that reports all servers as ended, or none.
 type fixedCheck bool
 
-func (check fixedCheck) Ended(context.Context, string) bool { return bool(check) }
+func (check fixedCheck) Stopped(context.Context, string) bool { return bool(check) }
 
 // TestGuardedRequests checks requests under which servers ended: the status must say
 // truly whether the request may have run, and a quarantined request runs on one server
--- a/serve/send.go
+++ b/serve/send.go
@@ -121,7 +121,7 @@
 // budget is charged only once an attempt has reached a server.
 func (exchange *exchange) uncountUnsent(err error) {
 	var notRun *shedkeel.NotRunError
-	if errors.As(err, &notRun) && !notRun.Arrived {
+	if errors.As(err, &notRun) && !notRun.ReachedServer {
 		exchange.attempts--
 	}
 }
@@ -168,7 +168,7 @@
 	if request.Header.Get("User-Agent") == "" {
 		request.Header.Set("User-Agent", "") // net/http would add its own
 	}
-	sending := shedkeel.Sending{Call: &exchange.call, To: choice.Instance, Deadline: remaining, LastEvent: lastEvent, Priority: exchange.priority()}
+	sending := shedkeel.Attempt{Call: &exchange.call, Server: choice.Instance, Deadline: remaining, LastEventID: lastEvent, Priority: exchange.priority()}
 	if exchange.account != nil {
 		sending.Account = exchange.account.ID
 	}
@@ -198,8 +198,8 @@
 	case answer.ID != "" && answer.ID != exchange.call.ID, answer.ID == "" && response.StatusCode < http.StatusMultipleChoices:
 		return &shedkeel.UnknownRunError{Reason: "server " + string(choice.Instance) + " answered for " + answer.ID, Cause: errForeignAnswer}
 	case answer.NotRun:
-		return &shedkeel.NotRunError{Reason: fmt.Sprintf("server %s refused it with status %d", choice.Instance, response.StatusCode), RetryAfter: answer.Backoff, Arrived: true}
-	case response.StatusCode < http.StatusMultipleChoices && !answer.Sealed, response.Header.Get("Content-Encoding") != "":
+		return &shedkeel.NotRunError{Reason: fmt.Sprintf("server %s refused it with status %d", choice.Instance, response.StatusCode), RetryAfter: answer.Backoff, ReachedServer: true}
+	case response.StatusCode < http.StatusMultipleChoices && !answer.Signed, response.Header.Get("Content-Encoding") != "":
 		return &shedkeel.UnknownRunError{Reason: "the answer of server " + string(choice.Instance) + " is not its own", Cause: errForeignAnswer}
 	}
 	return nil
@@ -211,7 +211,7 @@
 	if exchange.handler.Limits == nil || answer.ID != exchange.call.ID {
 		return
 	}
-	proven := answer.Sealed && status < http.StatusMultipleChoices
+	proven := answer.Signed && status < http.StatusMultipleChoices
 	if proven || answer.Limit.Stated || answer.Limit.Err != nil {
 		exchange.handler.Limits.Observe(choice.Instance, answer.Limit, choice.ChosenAt)
 	}
@@ -224,8 +224,8 @@
 		return
 	}
 	server := slog.String("server", string(choice.Instance))
-	if answer.Invalid != nil {
-		exchange.log(event.StatementBad, server, slog.String("error", answer.Invalid.Error()))
+	if answer.HeaderError != nil {
+		exchange.log(event.StatementBad, server, slog.String("error", answer.HeaderError.Error()))
 	}
 	if answer.Backoff > 0 {
 		exchange.applyBackoff(choice.Instance, answer.Backoff)
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -26,7 +26,7 @@
 func (testProtocol) Read(request *http.Request) (shedkeel.Call, error) {
 	call := shedkeel.Call{
 		ID: request.Header.Get("Id"), Host: request.Host, Path: request.URL.Path, Target: request.RequestURI, Key: request.Header.Get("Key"),
-		KeyCount: len(request.Header.Values("Key")), Model: shedkeel.ModelID(request.Header.Get("Model")), LastEvent: request.Header.Get("After"),
+		KeyCount: len(request.Header.Values("Key")), Model: shedkeel.ModelID(request.Header.Get("Model")), LastEventID: request.Header.Get("After"),
 	}
 	if text := request.Header.Get("Deadline"); text != "" {
 		deadline, err := time.ParseDuration(text)
@@ -38,16 +38,16 @@
 	return call, nil
 }
 
-func (testProtocol) Write(header http.Header, sending shedkeel.Sending) {
+func (testProtocol) Write(header http.Header, sending shedkeel.Attempt) {
 	header.Del("Key")
-	header.Set("To", string(sending.To))
+	header.Set("To", string(sending.Server))
 	header.Set("Account", string(sending.Account))
-	header.Set("After", sending.LastEvent)
+	header.Set("After", sending.LastEventID)
 	header.Set("Deadline", sending.Deadline.String())
 }
 
 func (testProtocol) Answer(response *http.Response) shedkeel.BackendAnswer {
-	answer := shedkeel.BackendAnswer{ID: response.Header.Get("Id"), Sealed: response.Header.Get("Seal") != "", NotRun: response.Header.Get("Not-Run") != ""}
+	answer := shedkeel.BackendAnswer{ID: response.Header.Get("Id"), Signed: response.Header.Get("Seal") != "", NotRun: response.Header.Get("Not-Run") != ""}
 	_, err := fmt.Sscan(response.Header.Get("Limit"), &answer.Limit.Rate)
 	answer.Limit.Stated = err == nil
 	answer.Draining = response.Header.Get("Drains") != ""
--- a/serve/stream.go
+++ b/serve/stream.go
@@ -50,8 +50,8 @@
 // run serves the stream until it is complete, cannot be completed or its context ends.
 func (stream *stream) run(ctx context.Context) error {
 	defer stream.cancelAll()
-	if stream.call.LastEvent != "" {
-		stream.lastID = stream.call.LastEvent
+	if stream.call.LastEventID != "" {
+		stream.lastID = stream.call.LastEventID
 		if number, err := strconv.ParseInt(stream.lastID, 10, 64); err == nil {
 			stream.lastNumber = number
 		}
