--- a/errors.go
+++ b/errors.go
@@ -84,21 +84,21 @@
 
 func (err *UnknownRunError) Unwrap() error { return err.Cause }
 
-// HistoryGoneError reports that the key-value service no longer has the changes
+// CompactedError reports that the key-value service no longer has the changes
 // since a revision.
-type HistoryGoneError struct {
+type CompactedError struct {
 	Since Revision
 }
 
 // Error returns the message, which ends with what the caller can do.
-func (err *HistoryGoneError) Error() string {
+func (err *CompactedError) Error() string {
 	return fmt.Sprintf("the changes since revision %s are forgotten; list the records anew", err.Since)
 }
 
-// LeaseGoneError reports that a lease has ended.
-type LeaseGoneError struct{}
+// LeaseEndedError reports that a lease has ended.
+type LeaseEndedError struct{}
 
 // Error returns the message, which ends with what the caller can do.
-func (*LeaseGoneError) Error() string {
+func (*LeaseEndedError) Error() string {
 	return "the lease is over; get a new one and write its records again"
 }
--- a/interfaces.go
+++ b/interfaces.go
@@ -8,11 +8,11 @@
 
 // Record is a key of the key-value service with its value.
 type Record struct {
-	Key      string
-	Value    []byte
-	Revision Revision // of the last change; zero: the key does not exist
-	Gone     bool     // in a change: the key was removed at the revision
-	Lost     bool     // in a change: the key is missing because the service was restored from an older backup
+	Key           string
+	Value         []byte
+	Revision      Revision // of the last change; zero: the key does not exist
+	Removed       bool     // in a change: the key was removed at the revision
+	LostInRestore bool     // in a change: the key is missing because the service was restored from an older backup
 }
 
 // Condition holds if the key has the revision. The zero revision means that the
@@ -30,13 +30,13 @@
 	Lease LeaseID
 }
 
-// MaxEntries is the maximum number of conditions, puts and removals together in
+// MaxTransactionEntries is the maximum number of conditions, puts and removals together in
 // one transaction.
-const MaxEntries = 32
+const MaxTransactionEntries = 32
 
-// Change is a transaction: it is applied as a whole if every condition holds, and
-// not at all otherwise. It has at most MaxEntries entries.
-type Change struct {
+// Transaction is a transaction: it is applied as a whole if every condition holds, and
+// not at all otherwise. It has at most MaxTransactionEntries entries.
+type Transaction struct {
 	If     []Condition
 	Put    []Put
 	Remove []string
@@ -44,8 +44,8 @@
 
 // Changes are the changes of the keys with a prefix since a revision.
 type Changes struct {
-	Records []Record
-	At      Revision // revision from which to read further changes
+	Records  []Record
+	Revision Revision // revision from which to read further changes
 	// More is set if the answer reached its maximum size. The service may already
 	// have later changes, so At may be older than its newest revision.
 	More bool
@@ -57,7 +57,7 @@
 	// follow changes.
 	List(ctx context.Context, prefix string) ([]Record, Revision, error)
 	// Changes waits up to the given time for changes after a revision. It returns
-	// a HistoryGoneError if the service no longer has these changes, for example
+	// a CompactedError if the service no longer has these changes, for example
 	// because it is in a later era.
 	Changes(ctx context.Context, prefix string, since Revision, wait time.Duration) (Changes, error)
 	// GetStale reads a key. The result may be some seconds old. It costs the
@@ -66,12 +66,12 @@
 }
 
 // LeasedStore writes records that are removed when their lease ends. Leases of
-// an earlier era have ended: Commit and Renew with one return a LeaseGoneError, and
+// an earlier era have ended: Commit and Renew with one return a LeaseEndedError, and
 // Release does nothing.
 type LeasedStore interface {
 	// Commit applies all changes or none. A condition with a revision of an
 	// earlier era does not hold.
-	Commit(ctx context.Context, change Change) (Revision, error)
+	Commit(ctx context.Context, change Transaction) (Revision, error)
 	// Grant returns a new lease and the time to live that the service gave it.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, time.Duration, error)
 	// Renew extends the lease by its time to live from the arrival of the call.
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -123,7 +123,7 @@
 
 // swap writes one key if it has the revision, and reports whether it did.
 func (store *Store) swap(key string, revision shedkeel.Revision, value []byte) (shedkeel.Revision, bool) {
-	written, err := store.Commit(shedkeel.Change{If: []shedkeel.Condition{{Key: key, Revision: revision}}, Put: []shedkeel.Put{{Key: key, Value: value}}})
+	written, err := store.Commit(shedkeel.Transaction{If: []shedkeel.Condition{{Key: key, Revision: revision}}, Put: []shedkeel.Put{{Key: key, Value: value}}})
 	return written, err == nil
 }
 
@@ -231,7 +231,7 @@
 		}
 		store.mutex.Unlock()
 		if gone {
-			return nil, at, &shedkeel.HistoryGoneError{Since: since}
+			return nil, at, &shedkeel.CompactedError{Since: since}
 		}
 		if len(matching) > 0 {
 			return matching, at, nil
@@ -264,7 +264,7 @@
 // Commit applies all changes at one revision, or none. Like the service, it ignores the
 // eras of revisions and leases. The error is a ConflictError if a key does not have the
 // required revision, or a LeaseGoneError.
-func (store *Store) Commit(change shedkeel.Change) (shedkeel.Revision, error) {
+func (store *Store) Commit(change shedkeel.Transaction) (shedkeel.Revision, error) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.expire()
@@ -276,7 +276,7 @@
 	}
 	for _, put := range change.Put {
 		if put.Lease.Number != 0 && store.leases[put.Lease.Number] == nil {
-			return store.currentRevision(), &shedkeel.LeaseGoneError{}
+			return store.currentRevision(), &shedkeel.LeaseEndedError{}
 		}
 	}
 	store.revision++
@@ -301,7 +301,7 @@
 		}
 		delete(store.data, key)
 		delete(store.leaseOfKey, key)
-		store.appendChange(shedkeel.Record{Key: key, Revision: store.currentRevision(), Gone: true})
+		store.appendChange(shedkeel.Record{Key: key, Revision: store.currentRevision(), Removed: true})
 	}
 }
 
@@ -325,7 +325,7 @@
 	store.counts.Reads++
 	active := store.leases[lease.Number]
 	if active == nil {
-		return 0, &shedkeel.LeaseGoneError{}
+		return 0, &shedkeel.LeaseEndedError{}
 	}
 	active.until = time.Now().Add(active.ttl)
 	time.AfterFunc(active.ttl+time.Millisecond, store.expireNow)
--- a/mirror/bootstrap_test.go
+++ b/mirror/bootstrap_test.go
@@ -44,7 +44,7 @@
 
 func (sharedLink *sharedLink) Changes(ctx context.Context, _ string, since shedkeel.Revision, wait time.Duration) (shedkeel.Changes, error) {
 	timer.Sleep(ctx, wait)
-	return shedkeel.Changes{At: since}, nil
+	return shedkeel.Changes{Revision: since}, nil
 }
 
 func (sharedLink *sharedLink) GetStale(ctx context.Context, key string) (shedkeel.Record, error) {
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -233,14 +233,14 @@
 	}
 	follower.health.beginQuery(sent, wait)
 	changes, err := follower.Source.Changes(ctx, "", state.At, wait)
-	var historyGone *shedkeel.HistoryGoneError
+	var historyGone *shedkeel.CompactedError
 	if errors.As(err, &historyGone) {
 		return false, follower.listSource(ctx, sent)
 	}
 	if err != nil {
 		return false, err
 	}
-	update := Update{Records: changes.Records, At: changes.At, AsOf: sent}
+	update := Update{Records: changes.Records, At: changes.Revision, AsOf: sent}
 	if changes.More {
 		// The response may lack changes that the service held when it was asked, so it
 		// proves no age. When it counted as a proof, a copy that was 8 s behind counted
--- a/mirror/idle_test.go
+++ b/mirror/idle_test.go
@@ -65,7 +65,7 @@
 func newIdleFleet(t *testing.T, followers int) *idleFleet {
 	t.Helper()
 	store := standin.NewStore()
-	_, err := store.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: "a", Value: []byte("v")}}})
+	_, err := store.Commit(shedkeel.Transaction{Put: []shedkeel.Put{{Key: "a", Value: []byte("v")}}})
 	assert.NilError(t, err)
 	fleet := &idleFleet{source: &source{Store: store}, followerSource: &source{Store: store}}
 	clock := &timer.System{}
@@ -137,7 +137,7 @@
 			}
 			began := time.Now()
 			time.Sleep(100 * time.Millisecond)
-			_, err := fleet.source.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: "a", Value: []byte("new")}}})
+			_, err := fleet.source.Commit(shedkeel.Transaction{Put: []shedkeel.Put{{Key: "a", Value: []byte("new")}}})
 			assert.NilError(t, err)
 			for _, follower := range fleet.followers {
 				eventually(t, "the change", func() bool { return string(follower.Mirror.Get("a").Value) == "new" })
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -117,7 +117,7 @@
 func (mirror *Mirror) notifyRestored(oldRevision shedkeel.Revision, changes []shedkeel.Record) {
 	restore := Restore{From: oldRevision, To: mirror.at}
 	for _, record := range changes {
-		if record.Lost {
+		if record.LostInRestore {
 			restore.Lost++
 		}
 	}
@@ -135,7 +135,7 @@
 			continue
 		}
 		changes = append(changes, record)
-		if record.Gone {
+		if record.Removed {
 			mirror.remove(record)
 		} else {
 			mirror.replace(record)
@@ -166,7 +166,7 @@
 func (mirror *Mirror) remove(record shedkeel.Record) {
 	delete(mirror.records, record.Key)
 	delete(mirror.previous, record.Key)
-	mirror.tombstones = append(mirror.tombstones, shedkeel.Record{Key: record.Key, Revision: record.Revision, Gone: true})
+	mirror.tombstones = append(mirror.tombstones, shedkeel.Record{Key: record.Key, Revision: record.Revision, Removed: true})
 	if len(mirror.tombstones) > maxTombstones {
 		mirror.tombstoneFloor = shedkeel.LaterRevision(mirror.tombstoneFloor, mirror.tombstones[0].Revision)
 		mirror.tombstones = mirror.tombstones[1:]
@@ -185,7 +185,7 @@
 		if present[key] || record.Revision.After(update.At) {
 			continue
 		}
-		tombstone := shedkeel.Record{Key: key, Revision: update.At, Gone: true, Lost: lost}
+		tombstone := shedkeel.Record{Key: key, Revision: update.At, Removed: true, LostInRestore: lost}
 		mirror.remove(tombstone)
 		removed = append(removed, tombstone)
 	}
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -21,7 +21,7 @@
 }
 
 func deleted(key string, revision int64) shedkeel.Record {
-	return shedkeel.Record{Key: key, Revision: shedkeel.Revision{Number: revision}, Gone: true}
+	return shedkeel.Record{Key: key, Revision: shedkeel.Revision{Number: revision}, Removed: true}
 }
 
 func TestApply(t *testing.T) {
@@ -113,11 +113,11 @@
 	t.Helper()
 	key := fmt.Sprint("k", random.IntN(5))
 	if random.IntN(3) == 0 {
-		_, err := store.Commit(shedkeel.Change{Remove: []string{key}})
+		_, err := store.Commit(shedkeel.Transaction{Remove: []string{key}})
 		assert.NilError(t, err)
 		return
 	}
-	_, err := store.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: key, Value: []byte("v")}}})
+	_, err := store.Commit(shedkeel.Transaction{Put: []shedkeel.Put{{Key: key, Value: []byte("v")}}})
 	assert.NilError(t, err)
 }
 
@@ -172,9 +172,9 @@
 		return shedkeel.Changes{}, failed // the connection was lost during the watch
 	}
 	if limit := source.maxRecords; limit > 0 && len(records) > limit {
-		return shedkeel.Changes{Records: records[:limit], At: records[limit-1].Revision, More: true}, err
+		return shedkeel.Changes{Records: records[:limit], Revision: records[limit-1].Revision, More: true}, err
 	}
-	return shedkeel.Changes{Records: records, At: at}, err
+	return shedkeel.Changes{Records: records, Revision: at}, err
 }
 
 func (source *source) GetStale(_ context.Context, key string) (shedkeel.Record, error) {
@@ -308,7 +308,7 @@
 // is stale and whose peers have nothing newer, queries the service without a delay.
 func TestSmallFleetQueriesSourceAtOnce(t *testing.T) {
 	store := standin.NewStore()
-	_, err := store.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: "a", Value: []byte("v")}}})
+	_, err := store.Commit(shedkeel.Transaction{Put: []shedkeel.Put{{Key: "a", Value: []byte("v")}}})
 	assert.NilError(t, err)
 	clock := &timer.System{}
 	own, emptyPeer := &Mirror{}, &peer{mirror: &Mirror{}, now: clock.Now}
@@ -347,7 +347,7 @@
 	var running sync.WaitGroup
 	running.Go(func() { follower.Run(ctx) })
 	put := func(key string) {
-		_, err := store.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: key, Value: []byte("v")}}})
+		_, err := store.Commit(shedkeel.Transaction{Put: []shedkeel.Put{{Key: key, Value: []byte("v")}}})
 		assert.NilError(t, err)
 	}
 	put("a")
@@ -391,10 +391,10 @@
 	const servers = 3000
 	began := clock.Now()
 	for index := range servers {
-		_, err := store.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: fmt.Sprint("servers/", index), Value: []byte("v")}}})
+		_, err := store.Commit(shedkeel.Transaction{Put: []shedkeel.Put{{Key: fmt.Sprint("servers/", index), Value: []byte("v")}}})
 		assert.NilError(t, err)
 	}
-	last, err := store.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: "config", Value: []byte("v")}}})
+	last, err := store.Commit(shedkeel.Transaction{Put: []shedkeel.Put{{Key: "config", Value: []byte("v")}}})
 	assert.NilError(t, err)
 	written := clock.Now()
 	for last.After(own.State().At) {
--- a/mirror/restore_test.go
+++ b/mirror/restore_test.go
@@ -69,7 +69,7 @@
 			mirror.ListenRestore(func(restore Restore) { lost += restore.Lost })
 			mirror.Listen(func(records []shedkeel.Record) {
 				for _, record := range records {
-					if record.Lost {
+					if record.LostInRestore {
 						lostRecords++
 					}
 				}
@@ -149,7 +149,7 @@
 func TestFollowerListsNewEra(t *testing.T) {
 	store := standin.NewStore()
 	put := func(key string) {
-		_, err := store.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: key, Value: []byte("v")}}})
+		_, err := store.Commit(shedkeel.Transaction{Put: []shedkeel.Put{{Key: key, Value: []byte("v")}}})
 		assert.NilError(t, err)
 	}
 	put("a")
@@ -185,8 +185,8 @@
 
 func (source *eraSource) Changes(ctx context.Context, prefix string, since shedkeel.Revision, wait time.Duration) (shedkeel.Changes, error) {
 	changes, err := source.source.Changes(ctx, prefix, since, wait)
-	if err == nil && changes.At.Era != since.Era {
-		err = &shedkeel.HistoryGoneError{Since: since}
+	if err == nil && changes.Revision.Era != since.Era {
+		err = &shedkeel.CompactedError{Since: since}
 	}
 	return changes, err
 }
@@ -231,7 +231,7 @@
 	store := standin.NewStore()
 	change := func(count int) {
 		for index := range count {
-			_, err := store.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: fmt.Sprint("servers/", index%100), Value: []byte("v")}}})
+			_, err := store.Commit(shedkeel.Transaction{Put: []shedkeel.Put{{Key: fmt.Sprint("servers/", index%100), Value: []byte("v")}}})
 			assert.NilError(t, err)
 		}
 	}
--- a/node/config.go
+++ b/node/config.go
@@ -60,7 +60,7 @@
 // applyConfigRecord applies the key-value service's configuration record and reports
 // whether it became the active configuration. The caller holds the mutex.
 func (fleet *fleet) applyConfigRecord(record shedkeel.Record) bool {
-	if record.Gone {
+	if record.Removed {
 		fleet.skipRecord(record, &shedkeel.InvalidError{Where: record.Key, What: "it was removed", Remedy: "write a configuration"})
 		return false
 	}
--- a/node/contain_test.go
+++ b/node/contain_test.go
@@ -87,7 +87,7 @@
 	operator.PrintStatus(&printed, answer)
 	assert.Assert(t, strings.Contains(printed.String(), "request "+digest[1]+" is contained"), printed.String())
 
-	_, err = cluster.data.Commit(shedkeel.Change{Remove: []string{"shedkeel/blames/" + digest[1]}})
+	_, err = cluster.data.Commit(shedkeel.Transaction{Remove: []string{"shedkeel/blames/" + digest[1]}})
 	assert.NilError(t, err)
 	cluster.eventually("it is released", func() bool {
 		answer, err := client.Status(t.Context())
--- a/node/corrupt_test.go
+++ b/node/corrupt_test.go
@@ -145,7 +145,7 @@
 				records = append(records, shedkeel.Record{Key: leaderKey, Value: []byte(test.lead), Revision: shedkeel.Revision{Number: 4}})
 			}
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 4}, AsOf: timers.Now(), Records: records})
-			store.commit = func(change shedkeel.Change) (int64, error) {
+			store.commit = func(change shedkeel.Transaction) (int64, error) {
 				for _, condition := range change.If {
 					assert.Equal(t, condition.Revision, node.mirror.Get(condition.Key).Revision, condition.Key)
 				}
--- a/node/directory_test.go
+++ b/node/directory_test.go
@@ -42,7 +42,7 @@
 			cluster.data.SetFaults(standin.Faults{Outage: true})
 			go func() {
 				time.Sleep(4 * time.Second)
-				_, err := cluster.data.Commit(shedkeel.Change{Remove: keys})
+				_, err := cluster.data.Commit(shedkeel.Transaction{Remove: keys})
 				assert.Check(cluster.t, err)
 				cluster.data.SetFaults(standin.Faults{})
 			}()
@@ -74,7 +74,7 @@
 // listDeadNodes adds the records of nodes that do not run. It returns the keys of the
 // records and the callers' addresses once all nodes know them.
 func (cluster *testCluster) listDeadNodes(count int) (keys, callers []string) {
-	var change shedkeel.Change
+	var change shedkeel.Transaction
 	for index := range count {
 		id := fmt.Sprint(deadPrefix, index)
 		address := closedAddress(cluster.t)
--- a/node/election.go
+++ b/node/election.go
@@ -234,7 +234,7 @@
 	if err != nil {
 		return
 	}
-	written, err := node.Store.Commit(ctx, shedkeel.Change{
+	written, err := node.Store.Commit(ctx, shedkeel.Transaction{
 		If:  []shedkeel.Condition{{Key: leaderKey, Revision: leadRevision}, {Key: termKey, Revision: termRevision}},
 		Put: []shedkeel.Put{{Key: leaderKey, Value: lead, Lease: lease}, {Key: termKey, Value: next}},
 	})
--- a/node/election_test.go
+++ b/node/election_test.go
@@ -21,7 +21,7 @@
 	ended       []shedkeel.LeaseID
 	unavailable bool // renewals fail
 	renewCalls  int  // calls of Renew
-	commit      func(shedkeel.Change) (int64, error)
+	commit      func(shedkeel.Transaction) (int64, error)
 }
 
 func (store *leaseStore) Grant(_ context.Context, ttl time.Duration) (shedkeel.LeaseID, time.Duration, error) {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-func (store *leaseStore) Commit(_ context.Context, change shedkeel.Change) (shedkeel.Revision, error) {
+func (store *leaseStore) Commit(_ context.Context, change shedkeel.Transaction) (shedkeel.Revision, error) {
 	number, err := store.commit(change)
 	return shedkeel.Revision{Number: number}, err
 }
@@ -51,7 +51,7 @@
 // newListedCandidate returns a node that is listed and knows that there is no leader.
 func newListedCandidate(t *testing.T) (*Node, *timer.Manual, *leaseStore) {
 	node, timers := newTestNode(t)
-	store := &leaseStore{renewed: map[shedkeel.LeaseID]int{}, commit: func(shedkeel.Change) (int64, error) { return 2, nil }}
+	store := &leaseStore{renewed: map[shedkeel.LeaseID]int{}, commit: func(shedkeel.Transaction) (int64, error) { return 2, nil }}
 	node.Store = store
 	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 	assert.Assert(t, node.member.step(t.Context()))
@@ -67,7 +67,7 @@
 }
 
 // changeUpdate returns the mirror update that a change causes.
-func changeUpdate(change shedkeel.Change, number int64, asOf time.Duration) mirror.Update {
+func changeUpdate(change shedkeel.Transaction, number int64, asOf time.Duration) mirror.Update {
 	revision := shedkeel.Revision{Number: number}
 	update := mirror.Update{At: revision, AsOf: asOf}
 	for _, put := range change.Put {
@@ -91,8 +91,8 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			node, timers, store := newListedCandidate(t)
-			var pending shedkeel.Change
-			store.commit = func(change shedkeel.Change) (int64, error) {
+			var pending shedkeel.Transaction
+			store.commit = func(change shedkeel.Transaction) (int64, error) {
 				pending = change
 				return 0, &shedkeel.UnknownOutcomeError{What: "write"}
 			}
@@ -111,15 +111,15 @@
 // lease. The record belongs to the first lease, which nobody renews.
 func TestLateWriteOfFormerLease(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
-	var first shedkeel.Change
-	store.commit = func(change shedkeel.Change) (int64, error) {
+	var first shedkeel.Transaction
+	store.commit = func(change shedkeel.Transaction) (int64, error) {
 		first = change
 		return 0, &shedkeel.UnknownOutcomeError{What: "write"}
 	}
 	elect(t, node, timers)
 	timers.Advance(2 * leaderTTL)
 	node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
-	store.commit = func(shedkeel.Change) (int64, error) { return 0, &shedkeel.ConflictError{What: "lead"} }
+	store.commit = func(shedkeel.Transaction) (int64, error) { return 0, &shedkeel.ConflictError{What: "lead"} }
 	elect(t, node, timers)
 	node.mirror.Apply(changeUpdate(first, 2, timers.Now()))
 	elect(t, node, timers)
@@ -130,15 +130,15 @@
 // for a moment. The epochs of the term must not be used a second time.
 func TestTermsEpochsAreUsedOnce(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
-	var lead shedkeel.Change
-	store.commit = func(change shedkeel.Change) (int64, error) {
+	var lead shedkeel.Transaction
+	store.commit = func(change shedkeel.Transaction) (int64, error) {
 		lead = change
 		return 2, nil
 	}
 	elect(t, node, timers)
 	assert.Assert(t, node.controller.leading(timers.Now()))
 	before := node.controller.nextEpoch()
-	node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 3}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: leaderKey, Revision: shedkeel.Revision{Number: 3}, Gone: true}}})
+	node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 3}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: leaderKey, Revision: shedkeel.Revision{Number: 3}, Removed: true}}})
 	assert.Assert(t, !node.controller.leading(timers.Now()))
 	node.mirror.Apply(changeUpdate(lead, 4, timers.Now()))
 	node.controller.elect(t.Context(), timers.Now())
@@ -181,7 +181,7 @@
 	for _, record := range all {
 		node, timers := newListedNode(t, record.ID, nil)
 		store := &leaseStore{renewed: map[shedkeel.LeaseID]int{}}
-		store.commit = func(change shedkeel.Change) (int64, error) {
+		store.commit = func(change shedkeel.Transaction) (int64, error) {
 			campaigns++
 			if elected != "" {
 				return 0, &shedkeel.ConflictError{}
--- a/node/evacuated_test.go
+++ b/node/evacuated_test.go
@@ -14,7 +14,7 @@
 func TestEvacuationsFollowRecords(t *testing.T) {
 	record := func(zone string) shedkeel.Record { return shedkeel.Record{Key: "evacuated/" + zone} }
 	gone := func(zone string, lost bool) shedkeel.Record {
-		return shedkeel.Record{Key: "evacuated/" + zone, Gone: true, Lost: lost}
+		return shedkeel.Record{Key: "evacuated/" + zone, Removed: true, LostInRestore: lost}
 	}
 	cases := map[string]struct {
 		records []shedkeel.Record
--- a/node/evacuation.go
+++ b/node/evacuation.go
@@ -22,12 +22,12 @@
 	case zone == "":
 		fleet.skipRecord(record, &shedkeel.InvalidError{Where: record.Key, What: "it names no availability zone", Remedy: "write it below the zone's name"})
 		return false
-	case record.Lost && before:
+	case record.LostInRestore && before:
 		fleet.node.Log.Write(event.EvacuationLost, fields...)
 		return false
-	case before != record.Gone:
+	case before != record.Removed:
 		return false
-	case record.Gone:
+	case record.Removed:
 		delete(fleet.evacuated, zone)
 		fleet.evacuationEndedAt[zone] = fleet.node.Timers.Now()
 		fleet.node.Log.Write(event.EvacuationEnded, fields...)
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -114,7 +114,7 @@
 // servers may get requests. A deleted record is retained for a while if the service
 // was unavailable. A record that is older than the known one is skipped.
 func (fleet *fleet) applyInstance(record shedkeel.Record, now time.Duration) bool {
-	if record.Gone {
+	if record.Removed {
 		return fleet.removeOrRetain(record.Key, now, func() { fleet.removeInstance(record.Key, record.Revision.Era, now) })
 	}
 	instance, err := fleet.node.Decoder.Instance(record.Key, record.Value)
--- a/node/fleetsize.go
+++ b/node/fleetsize.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return // never happens: the record can always be encoded
 	}
-	_, err = node.Store.Commit(ctx, shedkeel.Change{If: []shedkeel.Condition{{Key: sizeKey, Revision: record.Revision}}, Put: []shedkeel.Put{{Key: sizeKey, Value: value}}})
+	_, err = node.Store.Commit(ctx, shedkeel.Transaction{If: []shedkeel.Condition{{Key: sizeKey, Revision: record.Revision}}, Put: []shedkeel.Put{{Key: sizeKey, Value: value}}})
 	if err != nil {
 		node.Log.Write(event.SizeNotKept, slog.String("error", err.Error()))
 	}
--- a/node/fleetsize_test.go
+++ b/node/fleetsize_test.go
@@ -79,7 +79,7 @@
 	node, timers := newTestNode(t)
 	var written []sizeRecord
 	revision := shedkeel.Revision{Number: 10}
-	node.Store = &leaseStore{commit: func(change shedkeel.Change) (int64, error) {
+	node.Store = &leaseStore{commit: func(change shedkeel.Transaction) (int64, error) {
 		revision.Number++
 		var size sizeRecord
 		assert.NilError(t, json.Unmarshal(change.Put[0].Value, &size))
--- a/node/guard.go
+++ b/node/guard.go
@@ -324,13 +324,13 @@
 
 // recordChange returns the change that makes a record agree with the blame, and
 // whether a change is needed. Only quarantined and contained requests have a record.
-func recordChange(blame shedkeel.Blame, record shedkeel.Record) (shedkeel.Change, bool) {
+func recordChange(blame shedkeel.Blame, record shedkeel.Record) (shedkeel.Transaction, bool) {
 	key := blamePrefix + string(blame.Request)
 	exists := record.Revision.Exists()
 	var written shedkeel.Blame
 	readable := exists && json.Unmarshal(record.Value, &written) == nil && written.Request == blame.Request
 	current := readable && written.Round >= blame.Round && len(written.Servers) >= len(blame.Servers)
-	change := shedkeel.Change{If: []shedkeel.Condition{{Key: key, Revision: record.Revision}}}
+	change := shedkeel.Transaction{If: []shedkeel.Condition{{Key: key, Revision: record.Revision}}}
 	switch {
 	case contain.Judge(blame) == shedkeel.Unblamed:
 		change.Remove = []string{key}
@@ -347,14 +347,14 @@
 }
 
 // write commits a change and applies it to the mirror. keep retries what fails.
-func (guard *guard) write(ctx context.Context, change shedkeel.Change) {
+func (guard *guard) write(ctx context.Context, change shedkeel.Transaction) {
 	revision, err := guard.node.Store.Commit(ctx, change)
 	if err != nil {
 		guard.node.Log.Write(event.BlameNotKept, slog.String("error", err.Error()))
 		return
 	}
-	record := shedkeel.Record{Key: change.If[0].Key, Revision: revision, Gone: len(change.Remove) > 0}
-	if !record.Gone {
+	record := shedkeel.Record{Key: change.If[0].Key, Revision: revision, Removed: len(change.Remove) > 0}
+	if !record.Removed {
 		record.Value = change.Put[0].Value
 	}
 	guard.node.mirror.Apply(mirrorUpdate(record))
@@ -377,10 +377,10 @@
 // record clears its request: it was answered, or an operator has released it.
 func (guard *guard) applyRecord(record shedkeel.Record) {
 	request := shedkeel.RequestDigest(strings.TrimPrefix(record.Key, blamePrefix))
-	if record.Lost {
+	if record.LostInRestore {
 		return // recheckAll has it written again
 	}
-	if record.Gone {
+	if record.Removed {
 		if before, now := guard.ledger.Clear(request); len(before.Servers) > 0 {
 			guard.blameChanged(now)
 		}
--- a/node/guard_test.go
+++ b/node/guard_test.go
@@ -18,11 +18,11 @@
 type blameStore struct {
 	Store
 	unavailable bool
-	changes     []shedkeel.Change
+	changes     []shedkeel.Transaction
 	era         int64
 }
 
-func (store *blameStore) Commit(_ context.Context, change shedkeel.Change) (shedkeel.Revision, error) {
+func (store *blameStore) Commit(_ context.Context, change shedkeel.Transaction) (shedkeel.Revision, error) {
 	if store.unavailable {
 		return shedkeel.Revision{}, &shedkeel.UnavailableError{What: "store"}
 	}
@@ -97,7 +97,7 @@
 	assert.Equal(t, len(store.changes), 1)
 	assert.Equal(t, node.guard.Judge("r"), shedkeel.Contained)
 
-	node.mirror.Apply(mirrorUpdate(shedkeel.Record{Key: blamePrefix + "r", Gone: true, Revision: shedkeel.Revision{Number: 2000}}))
+	node.mirror.Apply(mirrorUpdate(shedkeel.Record{Key: blamePrefix + "r", Removed: true, Revision: shedkeel.Revision{Number: 2000}}))
 	assert.Equal(t, node.guard.Judge("r"), shedkeel.Unblamed, "an operator has released it")
 	for range 5 {
 		timers.Advance(writeInterval)
--- a/node/lapse_test.go
+++ b/node/lapse_test.go
@@ -29,7 +29,7 @@
 			node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: "servers/a", Revision: shedkeel.Revision{Number: 1}}}})
 			timers.Advance(test.age)
 			node.fleet.tick(timers.Now())
-			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: "servers/a", Revision: shedkeel.Revision{Number: 2}, Gone: true}}})
+			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: "servers/a", Revision: shedkeel.Revision{Number: 2}, Removed: true}}})
 			assert.Equal(t, len(node.fleet.instances) == 1, test.retained)
 
 			timers.Advance(deletedRecordHold)
@@ -66,7 +66,7 @@
 			node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: key, Value: value, Revision: shedkeel.Revision{Number: 1}}}})
 			timers.Advance(4 * time.Second)
 			node.fleet.tick(timers.Now())
-			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: key, Revision: shedkeel.Revision{Number: 2}, Gone: true}}})
+			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: key, Revision: shedkeel.Revision{Number: 2}, Removed: true}}})
 			detector.liveness["b"] = test.after
 			timers.Advance(fleetTick)
 			node.fleet.tick(timers.Now())
--- a/node/lease.go
+++ b/node/lease.go
@@ -54,7 +54,7 @@
 		lease.validUntil.Store(int64(sent + lease.ttl))
 		return true
 	}
-	var gone *shedkeel.LeaseGoneError
+	var gone *shedkeel.LeaseEndedError
 	if errors.As(err, &gone) {
 		lease.id.Store(nil)
 	}
--- a/node/loads.go
+++ b/node/loads.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return // does not happen: a map of strings can always be encoded
 	}
-	_, err = node.Store.Commit(ctx, shedkeel.Change{Put: []shedkeel.Put{{Key: loadsPrefix + string(id), Value: value}}})
+	_, err = node.Store.Commit(ctx, shedkeel.Transaction{Put: []shedkeel.Put{{Key: loadsPrefix + string(id), Value: value}}})
 	if err != nil {
 		node.Log.Write(event.LoadsNotKept, slog.String("error", err.Error()))
 		return
--- a/node/member.go
+++ b/node/member.go
@@ -211,7 +211,7 @@
 			}
 		}
 	}
-	return node.Store.Commit(ctx, shedkeel.Change{Put: []shedkeel.Put{put}})
+	return node.Store.Commit(ctx, shedkeel.Transaction{Put: []shedkeel.Put{put}})
 }
 
 // writeRecord writes the record and reports whether that succeeded. After a failure the
--- a/node/member_test.go
+++ b/node/member_test.go
@@ -29,7 +29,7 @@
 		t.Run(name, func(t *testing.T) {
 			node, _ := newTestNode(t)
 			var lease shedkeel.LeaseID
-			store := &leaseStore{renewed: map[shedkeel.LeaseID]int{}, commit: func(change shedkeel.Change) (int64, error) {
+			store := &leaseStore{renewed: map[shedkeel.LeaseID]int{}, commit: func(change shedkeel.Transaction) (int64, error) {
 				lease = change.Put[0].Lease
 				return 2, nil
 			}}
@@ -65,7 +65,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			node, timers := newTestNode(t)
-			store := &leaseStore{renewed: map[shedkeel.LeaseID]int{}, commit: func(shedkeel.Change) (int64, error) { return 2, nil }}
+			store := &leaseStore{renewed: map[shedkeel.LeaseID]int{}, commit: func(shedkeel.Transaction) (int64, error) { return 2, nil }}
 			node.Store = store
 			node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 			node.member.tick(t.Context())
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -90,7 +90,7 @@
 
 // configure writes a configuration with this version and these API keys.
 func (cluster *testCluster) configure(version int, keys string) {
-	_, err := cluster.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: "op/config", Value: fmt.Appendf(nil, testConfig, version, keys)}}})
+	_, err := cluster.data.Commit(shedkeel.Transaction{Put: []shedkeel.Put{{Key: "op/config", Value: fmt.Appendf(nil, testConfig, version, keys)}}})
 	assert.NilError(cluster.t, err)
 }
 
@@ -360,7 +360,7 @@
 // stay in use.
 func (cluster *testCluster) addInvalidRecords() {
 	for index, value := range []string{"", "\x00\x01", "null", "[]", `{"service":"plain"}`, `{"service":"plain","address":"127.0.0.1:1","zone":"z","version":"v1","slots":8,"state":"resting","cold_remaining_ms":0,"seq":1}`} {
-		_, err := cluster.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: fmt.Sprint("servers/odd-", index), Value: []byte(value)}}})
+		_, err := cluster.data.Commit(shedkeel.Transaction{Put: []shedkeel.Put{{Key: fmt.Sprint("servers/odd-", index), Value: []byte(value)}}})
 		assert.NilError(cluster.t, err)
 	}
 	for index := range 30 {
--- a/node/nodes.go
+++ b/node/nodes.go
@@ -35,7 +35,7 @@
 
 // applyNode applies a node's record and reports whether the nodes have changed.
 func (fleet *fleet) applyNode(record shedkeel.Record, now time.Duration) bool {
-	if record.Gone {
+	if record.Removed {
 		return fleet.removeOrRetain(record.Key, now, func() { delete(fleet.nodes, record.Key) })
 	}
 	node, err := fleet.decodeNode(record)
--- a/node/registrar.go
+++ b/node/registrar.go
@@ -71,7 +71,7 @@
 		go batch.run()
 	}
 	batch.puts[put.Key] = put
-	if len(batch.puts) == shedkeel.MaxEntries {
+	if len(batch.puts) == shedkeel.MaxTransactionEntries {
 		close(batch.full)
 		registrar.pending = nil
 	}
@@ -86,7 +86,7 @@
 	case <-batch.full:
 	}
 	timer.Stop()
-	change := shedkeel.Change{}
+	change := shedkeel.Transaction{}
 	for _, put := range batch.seal() {
 		change.Put = append(change.Put, put)
 	}
--- a/node/registrar_test.go
+++ b/node/registrar_test.go
@@ -43,11 +43,11 @@
 			node, _ := newTestNode(t)
 			var mutex sync.Mutex
 			writes, listed := 0, map[string]int{}
-			node.Store = &leaseStore{commit: func(change shedkeel.Change) (int64, error) {
+			node.Store = &leaseStore{commit: func(change shedkeel.Transaction) (int64, error) {
 				mutex.Lock()
 				defer mutex.Unlock()
 				writes++
-				assert.Check(t, len(change.Put) <= shedkeel.MaxEntries)
+				assert.Check(t, len(change.Put) <= shedkeel.MaxTransactionEntries)
 				if test.fails {
 					return 0, &shedkeel.UnavailableError{What: "key-value service"}
 				}
@@ -93,14 +93,14 @@
 		"this node stops": {func(other *Node) wire.Handler { return &other.peers }, true, 1},
 		"it is down":      {nil, false, 1},
 		"it does not write": {func(other *Node) wire.Handler {
-			other.Store = &leaseStore{commit: func(shedkeel.Change) (int64, error) { return 0, &shedkeel.UnavailableError{What: "service"} }}
+			other.Store = &leaseStore{commit: func(shedkeel.Transaction) (int64, error) { return 0, &shedkeel.UnavailableError{What: "service"} }}
 			return &other.peers
 		}, false, 1},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			other, _ := newTestNode(t)
-			other.Store = &leaseStore{commit: func(shedkeel.Change) (int64, error) { return 9, nil }}
+			other.Store = &leaseStore{commit: func(shedkeel.Transaction) (int64, error) { return 9, nil }}
 			other.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}})
 			listener := listenHere(t)
 			address := listener.Addr().String()
@@ -118,7 +118,7 @@
 			node.peers.prepare()
 			node.stopping.Store(test.stopping)
 			own := 0
-			node.Store = &leaseStore{commit: func(shedkeel.Change) (int64, error) {
+			node.Store = &leaseStore{commit: func(shedkeel.Transaction) (int64, error) {
 				own++
 				return 9, nil
 			}}
--- a/node/relay.go
+++ b/node/relay.go
@@ -178,7 +178,7 @@
 func (peers *peers) encodeRecord(record shedkeel.Record, since shedkeel.Revision, differences bool) *wire.StoreRecord {
 	former := peers.node.mirror.Previous(record.Key)
 	usable := former.Revision.Exists() && !former.Revision.After(since) && record.Revision.After(former.Revision)
-	if differences && !record.Gone && usable {
+	if differences && !record.Removed && usable {
 		if encoded := transfer.EncodeDifference(record, former); encoded != nil {
 			return encoded
 		}
--- a/node/remover.go
+++ b/node/remover.go
@@ -101,7 +101,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_, err := node.Store.Commit(ctx, shedkeel.Change{If: []shedkeel.Condition{{Key: key, Revision: seen.Revision}}, Remove: []string{key}})
+	_, err := node.Store.Commit(ctx, shedkeel.Transaction{If: []shedkeel.Condition{{Key: key, Revision: seen.Revision}}, Remove: []string{key}})
 	fields := []slog.Attr{slog.String("of", string(record.ID))}
 	if err != nil {
 		fields = append(fields, slog.String("error", err.Error()))
--- a/node/remover_test.go
+++ b/node/remover_test.go
@@ -85,7 +85,7 @@
 			node.gossip.detector = detector
 			removed := map[string]int{}
 			var mutex sync.Mutex
-			node.Store = &leaseStore{commit: func(change shedkeel.Change) (int64, error) {
+			node.Store = &leaseStore{commit: func(change shedkeel.Transaction) (int64, error) {
 				mutex.Lock()
 				defer mutex.Unlock()
 				removed[change.Remove[0]]++
@@ -118,7 +118,7 @@
 	node, timers := newTestNode(t)
 	store := &leaseStore{renewed: map[shedkeel.LeaseID]int{}}
 	revision := int64(1000)
-	store.commit = func(shedkeel.Change) (int64, error) {
+	store.commit = func(shedkeel.Transaction) (int64, error) {
 		revision += 10
 		store.renewCalls++
 		return revision, nil
@@ -147,7 +147,7 @@
 	assert.Assert(t, node.member.listed.Load())
 	written := node.mirror.Get(node.member.key())
 
-	node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 1015}, AsOf: node.Timers.Now(), Records: []shedkeel.Record{{Key: written.Key, Revision: shedkeel.Revision{Number: 1015}, Gone: true}}})
+	node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 1015}, AsOf: node.Timers.Now(), Records: []shedkeel.Record{{Key: written.Key, Revision: shedkeel.Revision{Number: 1015}, Removed: true}}})
 	advance(2 * registrationRetry)
 	assert.Equal(t, store.renewCalls, 2, "the node is alive and writes its removed record again")
 
--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -30,7 +30,7 @@
 func TestServersAfterARestore(t *testing.T) {
 	old, lost := shedkeel.Revision{Number: 1}, shedkeel.Revision{Number: 5}
 	restored, rewritten := shedkeel.Revision{Era: 1, Number: 1}, shedkeel.Revision{Era: 1, Number: 3}
-	deleted := shedkeel.Record{Key: "servers/i-9", Revision: lost, Gone: true}
+	deleted := shedkeel.Record{Key: "servers/i-9", Revision: lost, Removed: true}
 	cases := map[string]struct {
 		before     []shedkeel.Record // written one after the other before the restore
 		restored   []shedkeel.Record // content of the snapshot
@@ -95,8 +95,8 @@
 // that the snapshot lacks.
 func TestLeadEndsWithTheEra(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
-	var last shedkeel.Change
-	store.commit = func(change shedkeel.Change) (int64, error) { last = change; return 2, nil }
+	var last shedkeel.Transaction
+	store.commit = func(change shedkeel.Transaction) (int64, error) { last = change; return 2, nil }
 	elect(t, node, timers)
 	assert.Assert(t, node.controller.leading(timers.Now()))
 	lead := node.mirror.Get(leaderKey)
@@ -118,7 +118,7 @@
 func TestNodeIsListedAgain(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
 	writes := 0
-	store.commit = func(shedkeel.Change) (int64, error) { writes++; return 3, nil }
+	store.commit = func(shedkeel.Transaction) (int64, error) { writes++; return 3, nil }
 	node.member.lastAttempt = timers.Now()
 	node.member.dirty.Store(false)
 	node.member.tick(t.Context())
@@ -159,7 +159,7 @@
 func TestLoadsAreKeptAgain(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
 	writes := 0
-	store.commit = func(shedkeel.Change) (int64, error) { writes++; return 3, nil }
+	store.commit = func(shedkeel.Transaction) (int64, error) { writes++; return 3, nil }
 	loading := map[shedkeel.InstanceID]shedkeel.ModelID{"a": "m"}
 	keep := func() {
 		node.controller.trackEra(timers.Now())
--- a/node/restored_service_test.go
+++ b/node/restored_service_test.go
@@ -78,7 +78,7 @@
 // changeUnusedRecords makes so many changes of records that no node uses.
 func (cluster *testCluster) changeUnusedRecords(count int) {
 	for index := range count {
-		_, err := cluster.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: fmt.Sprint("other/", index%7), Value: fmt.Append(nil, index)}}})
+		_, err := cluster.data.Commit(shedkeel.Transaction{Put: []shedkeel.Put{{Key: fmt.Sprint("other/", index%7), Value: fmt.Append(nil, index)}}})
 		assert.NilError(cluster.t, err)
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -153,7 +153,7 @@
 	cluster.mutex.Lock()
 	defer cluster.mutex.Unlock()
 	cluster.version++
-	_, err := cluster.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: "op/config", Value: fmt.Appendf(nil, configText, cluster.version, cluster.version)}}})
+	_, err := cluster.data.Commit(shedkeel.Transaction{Put: []shedkeel.Put{{Key: "op/config", Value: fmt.Appendf(nil, configText, cluster.version, cluster.version)}}})
 	assert.NilError(cluster.t, err)
 	cluster.checker.keyRemoved(fmt.Sprint("key-", cluster.version-1))
 }
@@ -162,7 +162,7 @@
 func (cluster *cluster) rewriteRecords() {
 	cluster.mutex.Lock()
 	defer cluster.mutex.Unlock()
-	_, err := cluster.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: "op/config", Value: fmt.Appendf(nil, configText, cluster.version, cluster.version)}}})
+	_, err := cluster.data.Commit(shedkeel.Transaction{Put: []shedkeel.Put{{Key: "op/config", Value: fmt.Appendf(nil, configText, cluster.version, cluster.version)}}})
 	assert.NilError(cluster.t, err)
 	cluster.fleet.RewriteRecords()
 }
--- a/transfer/encoder.go
+++ b/transfer/encoder.go
@@ -61,7 +61,7 @@
 
 // uncompressedRecord encodes a record as it is.
 func uncompressedRecord(record shedkeel.Record) *wire.StoreRecord {
-	return &wire.StoreRecord{Key: record.Key, Value: record.Value, Revision: record.Revision.Number, Gone: record.Gone}
+	return &wire.StoreRecord{Key: record.Key, Value: record.Value, Revision: record.Revision.Number, Gone: record.Removed}
 }
 
 // Deflate compresses a value.
@@ -82,7 +82,7 @@
 
 // Decode decodes a record of the era that Encode encoded, and decompresses it if needed.
 func Decode(message *wire.StoreRecord, era int64) (shedkeel.Record, error) {
-	record := shedkeel.Record{Key: message.GetKey(), Value: message.GetValue(), Revision: shedkeel.Revision{Era: era, Number: message.GetRevision()}, Gone: message.GetGone()}
+	record := shedkeel.Record{Key: message.GetKey(), Value: message.GetValue(), Revision: shedkeel.Revision{Era: era, Number: message.GetRevision()}, Removed: message.GetGone()}
 	if !message.GetPacked() {
 		return record, nil
 	}
--- a/transfer/encoder_test.go
+++ b/transfer/encoder_test.go
@@ -22,7 +22,7 @@
 	}{
 		"small record":   {shedkeel.Record{Key: "a", Value: []byte("v"), Revision: shedkeel.Revision{Number: 3}}, false},
 		"large record":   {shedkeel.Record{Key: "a", Value: routes.Bytes(), Revision: shedkeel.Revision{Number: 3}}, true},
-		"deleted record": {shedkeel.Record{Key: "a", Revision: shedkeel.Revision{Number: 3}, Gone: true}, false},
+		"deleted record": {shedkeel.Record{Key: "a", Revision: shedkeel.Revision{Number: 3}, Removed: true}, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
