--- a/blame.go
+++ b/blame.go
@@ -46,12 +46,12 @@
 	Idle() bool
 	// Judge returns the judgment of a request.
 	Judge(request RequestDigest) Judgment
-	// Ended records that a server ended while it ran a request.
-	Ended(request RequestDigest, server InstanceID)
-	// Answered records that a server answered a request completely, which clears
+	// ServerEnded records that a server ended while it ran a request.
+	ServerEnded(request RequestDigest, server InstanceID)
+	// RequestAnswered records that a server answered a request completely, which clears
 	// the request.
-	Answered(request RequestDigest)
-	// Try reports whether this process may send a quarantined request now. If so,
+	RequestAnswered(request RequestDigest)
+	// AcquireAttempt reports whether this process may send a quarantined request now. If so,
 	// the caller must call done after the attempt.
-	Try(ctx context.Context, request RequestDigest) (done func(), allowed bool)
+	AcquireAttempt(ctx context.Context, request RequestDigest) (done func(), allowed bool)
 }
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -381,7 +381,7 @@
 // canceled once a member is known to be lost, and that the caller is told at
 // once.
 func TestBrokenGroupEndsItsRequests(t *testing.T) {
-	cases := map[string]shedkeel.Verdict{"refused": shedkeel.VerdictBroken, "silent": shedkeel.VerdictSilent}
+	cases := map[string]shedkeel.Verdict{"refused": shedkeel.VerdictBroken, "silent": shedkeel.VerdictNoReply}
 	for name, verdict := range cases {
 		t.Run(name, func(t *testing.T) {
 			harness := newHarness(t)
--- a/entry/http.go
+++ b/entry/http.go
@@ -298,5 +298,5 @@
 
 // claimHolder identifies this entry and its incarnation as the holder of claims.
 func (entry *Entry) claimHolder() string {
-	return shedkeel.HolderOf(entry.Settings.Node, entry.Incarnation)
+	return shedkeel.ClaimHolder(entry.Settings.Node, entry.Incarnation)
 }
--- a/group/fleet_test.go
+++ b/group/fleet_test.go
@@ -84,9 +84,9 @@
 func (fleet *fleet) views() map[shedkeel.BoxID]shedkeel.BoxView {
 	views := make(map[shedkeel.BoxID]shedkeel.BoxView, len(fleet.boxes))
 	for _, box := range fleet.boxes {
-		view := shedkeel.BoxView{Box: shedkeel.Box{ID: box.id, Address: string(box.id), Zone: "z", Domain: box.domain, Accelerators: 1, Leaving: box.leaving}, State: box.state, Seen: fleet.now}
+		view := shedkeel.BoxView{Box: shedkeel.Box{ID: box.id, Address: string(box.id), Zone: "z", Domain: box.domain, Accelerators: 1, Leaving: box.leaving}, State: box.state, LastReply: fleet.now}
 		if !box.up(fleet.now) {
-			view.Seen = fleet.now - time.Hour
+			view.LastReply = fleet.now - time.Hour
 		}
 		views[box.id] = view
 	}
--- a/group/naive.go
+++ b/group/naive.go
@@ -30,7 +30,7 @@
 	next.Groups = slices.DeleteFunc(next.Groups, func(group shedkeel.Group) bool {
 		return slices.ContainsFunc(group.Members, func(member shedkeel.Member) bool {
 			view, listed := input.Boxes[member.Box]
-			missing := !listed || view.Seen < 0 || input.Now-view.Seen > missAfter
+			missing := !listed || view.LastReply < 0 || input.Now-view.LastReply > missAfter
 			return missing || view.State.Boot != member.Boot || view.Box.Leaving || view.State.Leaving
 		})
 	})
@@ -44,7 +44,7 @@
 	free := map[shedkeel.DomainID][]shedkeel.BoxView{}
 	for _, id := range slices.Sorted(maps.Keys(input.Boxes)) {
 		view := input.Boxes[id]
-		responding := view.Seen >= 0 && input.Now-view.Seen <= missAfter
+		responding := view.LastReply >= 0 && input.Now-view.LastReply <= missAfter
 		if responding && !view.Box.Leaving && !view.State.Leaving && !taken[id] {
 			free[view.Box.Domain] = append(free[view.Box.Domain], view)
 		}
--- a/group/planner.go
+++ b/group/planner.go
@@ -96,7 +96,7 @@
 
 // isResponding reports whether the box answered a probe within the last MissAfter.
 func (planner *Planner) isResponding(view shedkeel.BoxView, now time.Duration) bool {
-	return view.Seen >= 0 && now-view.Seen <= planner.missAfter()
+	return view.LastReply >= 0 && now-view.LastReply <= planner.missAfter()
 }
 
 // condition is the health of a group member as the planner sees it.
--- a/group/planner_test.go
+++ b/group/planner_test.go
@@ -319,7 +319,7 @@
 		want    shedkeel.Verdict
 	}{
 		"all ready":              {ready, false, false, shedkeel.VerdictWhole},
-		"silent":                 {ready, true, false, shedkeel.VerdictSilent},
+		"silent":                 {ready, true, false, shedkeel.VerdictNoReply},
 		"connection refused":     {ready, true, true, shedkeel.VerdictBroken},
 		"another boot":           {with(func(state *shedkeel.BoxState) { state.Boot = "2" }), false, false, shedkeel.VerdictBroken},
 		"another epoch":          {with(func(state *shedkeel.BoxState) { state.Assigned.Epoch = 1 }), false, false, shedkeel.VerdictBroken},
--- a/group/reconcile.go
+++ b/group/reconcile.go
@@ -22,7 +22,7 @@
 		for _, member := range group.Members {
 			members[member.Box] = true
 			view, listed := input.Boxes[member.Box]
-			if !listed || view.Seen < 0 || view.State.Boot != member.Boot || hasJoined(view.State, group.Assignment()) {
+			if !listed || view.LastReply < 0 || view.State.Boot != member.Boot || hasJoined(view.State, group.Assignment()) {
 				continue
 			}
 			orders = append(orders, shedkeel.Order{
@@ -56,7 +56,7 @@
 	var orders []shedkeel.Order
 	for _, id := range slices.Sorted(maps.Keys(input.Boxes)) {
 		view := input.Boxes[id]
-		if members[id] || view.Seen < 0 || view.State.Assigned.Group == "" {
+		if members[id] || view.LastReply < 0 || view.State.Assigned.Group == "" {
 			continue
 		}
 		service := input.Config.Service(view.State.Weights)
@@ -82,7 +82,7 @@
 		case refused[member.Box]:
 			return shedkeel.VerdictBroken
 		case !answered:
-			verdict = shedkeel.VerdictSilent
+			verdict = shedkeel.VerdictNoReply
 			continue
 		case state.Boot != member.Boot || state.Assigned != group.Assignment() || state.Phase != shedkeel.PhaseReady:
 			return shedkeel.VerdictBroken
--- a/interfaces.go
+++ b/interfaces.go
@@ -181,9 +181,9 @@
 
 // BoxView is what the planner knows about a box.
 type BoxView struct {
-	Box   Box
-	State BoxState
-	Seen  time.Duration // time of its last reply to a probe; negative: never
+	Box       Box
+	State     BoxState
+	LastReply time.Duration // time of its last reply to a probe; negative: never
 }
 
 // PlanInput is the complete input of a planner.
--- a/keeper/plan.go
+++ b/keeper/plan.go
@@ -180,7 +180,7 @@
 			continue
 		}
 		for _, place := range placed.Members {
-			input.Boxes[place.Box] = shedkeel.BoxView{Seen: permit.Watched, State: shedkeel.BoxState{
+			input.Boxes[place.Box] = shedkeel.BoxView{LastReply: permit.Watched, State: shedkeel.BoxState{
 				Boot: place.Boot, Phase: shedkeel.PhaseReady, Weights: placed.Service, Assigned: placed.Assignment(), Running: permit.Load,
 			}}
 		}
@@ -210,7 +210,7 @@
 			continue
 		}
 		view := zone.boxView(box)
-		if unlisted[id] && (view.Seen < 0 || now-view.Seen > group.DefaultMissAfter) {
+		if unlisted[id] && (view.LastReply < 0 || now-view.LastReply > group.DefaultMissAfter) {
 			continue // neither listed nor answering: it no longer exists
 		}
 		input.Boxes[id] = view
@@ -247,8 +247,8 @@
 	orderedAt, outcomeUnknown := zone.unknownOutcomes[box.ID]
 	switch {
 	case !outcomeUnknown:
-	case view.Seen <= orderedAt:
-		view.Seen = -1
+	case view.LastReply <= orderedAt:
+		view.LastReply = -1
 	default:
 		delete(zone.unknownOutcomes, box.ID)
 	}
--- a/keeper/probe.go
+++ b/keeper/probe.go
@@ -75,7 +75,7 @@
 	defer prober.mutex.Unlock()
 	view := prober.views[box]
 	view.State = state
-	view.Seen = sent
+	view.LastReply = sent
 	prober.views[box] = view
 }
 
@@ -86,7 +86,7 @@
 	defer prober.mutex.Unlock()
 	view, known := prober.views[box.ID]
 	if !known {
-		view.Seen = -1
+		view.LastReply = -1
 	}
 	view.Box = box
 	return view
--- a/liveness.go
+++ b/liveness.go
@@ -15,9 +15,9 @@
 	Dead
 	// Left nodes announced that they stop.
 	Left
-	// Unheard nodes are listed as peers, but neither this node nor another one has
+	// Unconfirmed nodes are listed as peers, but neither this node nor another one has
 	// reported an answer from them yet.
-	Unheard
+	Unconfirmed
 )
 
 // String returns the name of the state for logs and operators. A state that
@@ -32,7 +32,7 @@
 		return "dead"
 	case Left:
 		return "left"
-	case Unheard:
+	case Unconfirmed:
 		return "unheard"
 	}
 	return "unknown"
@@ -43,9 +43,9 @@
 
 // The kinds of gossip messages.
 const (
-	GossipPing    GossipKind = iota + 1 // requests an ack
-	GossipAck                           // answers a ping
-	GossipPingFor                       // asks the receiver to ping Target for the sender (indirect ping)
+	GossipPing         GossipKind = iota + 1 // requests an ack
+	GossipAck                                // answers a ping
+	GossipIndirectPing                       // asks the receiver to ping Target for the sender (indirect ping)
 )
 
 // GossipMessage is the content of a datagram between failure detectors.
@@ -54,7 +54,7 @@
 	Sequence    uint64 // an ack repeats the number of its ping
 	From        NodeID
 	Incarnation uint32 // of the sender
-	// Target is the node to ping in a GossipPingFor, and the node that answered in
+	// Target is the node to ping in a GossipIndirectPing, and the node that answered in
 	// a GossipAck.
 	Target  NodeID
 	Updates []GossipUpdate
@@ -80,9 +80,9 @@
 type FailureDetector interface {
 	// SetPeers replaces the set of monitored nodes.
 	SetPeers(peers []NodeID)
-	// Connect records that a host other than a peer has answered this node at the
+	// NoteContact records that a host other than a peer has answered this node at the
 	// given time, so that the node is not isolated.
-	Connect(now time.Duration)
+	NoteContact(now time.Duration)
 	// Tick returns the datagrams that are due. The caller calls it several times
 	// per protocol period.
 	Tick(now time.Duration) []GossipDatagram
--- a/member/permit.go
+++ b/member/permit.go
@@ -87,7 +87,7 @@
 		finding.brokenAt = max(finding.brokenAt, asOf)
 	case shedkeel.VerdictDraining:
 		finding.drainingAt = max(finding.drainingAt, asOf)
-	case shedkeel.VerdictSilent:
+	case shedkeel.VerdictNoReply:
 		finding.silentAt = max(finding.silentAt, asOf)
 	}
 }
--- a/member/permit_test.go
+++ b/member/permit_test.go
@@ -30,7 +30,7 @@
 // broken. The group's current epoch is 4. Times with -1 are 1 ns earlier than now.
 func TestPermits(t *testing.T) {
 	const now = 100 * time.Second
-	whole, silent, broken, draining := shedkeel.VerdictWhole, shedkeel.VerdictSilent, shedkeel.VerdictBroken, shedkeel.VerdictDraining
+	whole, silent, broken, draining := shedkeel.VerdictWhole, shedkeel.VerdictNoReply, shedkeel.VerdictBroken, shedkeel.VerdictDraining
 	cases := map[string]struct {
 		digests  []Digest
 		drains   map[shedkeel.BoxID]bool // boxes that operators drain
--- a/names.go
+++ b/names.go
@@ -26,9 +26,9 @@
 	return strconv.FormatInt(now.UnixMilli(), 36) + "-" + NewNonce()[:4]
 }
 
-// HolderOf returns the name under which claims record an entry at one of its
+// ClaimHolder returns the name under which claims record an entry at one of its
 // starts: the node and its incarnation.
-func HolderOf(node NodeID, incarnation string) string {
+func ClaimHolder(node NodeID, incarnation string) string {
 	return string(node) + "/" + incarnation
 }
 
--- a/node/admin.go
+++ b/node/admin.go
@@ -120,7 +120,7 @@
 			found = append(found, ExcludedNodeDump{record.ID, reasonDead})
 		case liveness == shedkeel.Left:
 			found = append(found, ExcludedNodeDump{record.ID, reasonLeft})
-		case liveness == shedkeel.Unheard:
+		case liveness == shedkeel.Unconfirmed:
 			found = append(found, ExcludedNodeDump{record.ID, reasonNeverHeard})
 		case record.Stopping:
 			found = append(found, ExcludedNodeDump{record.ID, reasonStopping})
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -108,7 +108,7 @@
 	}
 	answered := gossip.node.follower.LastConfirmed()
 	gossip.mutex.Lock()
-	gossip.detector.Connect(answered)
+	gossip.detector.NoteContact(answered)
 	sent := gossip.detector.Tick(now)
 	changed := gossip.livenessChanged()
 	gossip.mutex.Unlock()
--- a/node/guard.go
+++ b/node/guard.go
@@ -73,7 +73,7 @@
 
 // Ended records that a server has terminated while running a request, and reports it to
 // other nodes.
-func (guard *guard) Ended(request shedkeel.RequestDigest, server shedkeel.InstanceID) {
+func (guard *guard) ServerEnded(request shedkeel.RequestDigest, server shedkeel.InstanceID) {
 	blame, isNew := guard.ledger.RecordFailure(request, server)
 	if isNew {
 		guard.blameChanged(blame)
@@ -83,7 +83,7 @@
 
 // Answered clears a request's blame: a request that a server has answered completely
 // does not terminate servers.
-func (guard *guard) Answered(request shedkeel.RequestDigest) {
+func (guard *guard) RequestAnswered(request shedkeel.RequestDigest) {
 	before, now := guard.ledger.Clear(request)
 	if len(before.Servers) == 0 {
 		return
@@ -186,7 +186,7 @@
 // Try reports whether a quarantined request may be sent to a server now. One node
 // decides for all and allows one trial at a time. If the trial is allowed, the caller
 // calls done when it has ended.
-func (guard *guard) Try(ctx context.Context, request shedkeel.RequestDigest) (done func(), allowed bool) {
+func (guard *guard) AcquireAttempt(ctx context.Context, request shedkeel.RequestDigest) (done func(), allowed bool) {
 	blame := guard.ledger.Blame(request)
 	for _, id := range guard.node.peers.deciders(request) {
 		if id == guard.node.Settings.Node {
--- a/node/guard_test.go
+++ b/node/guard_test.go
@@ -85,7 +85,7 @@
 	node.Store = store
 	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 	for _, server := range []shedkeel.InstanceID{"a", "b", "c"} {
-		node.guard.Ended("r", server)
+		node.guard.ServerEnded("r", server)
 	}
 	node.guard.writePending(t.Context(), timers.Now())
 	assert.Equal(t, len(store.changes), 0)
@@ -113,11 +113,11 @@
 	store := &blameStore{}
 	node.Store = store
 	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
-	node.guard.Ended("r", "a")
-	node.guard.Ended("r", "b")
+	node.guard.ServerEnded("r", "a")
+	node.guard.ServerEnded("r", "b")
 	changedAt := node.guard.unwrittenBlames()["r"]
 	timers.Advance(time.Millisecond)
-	node.guard.Ended("r", "c")
+	node.guard.ServerEnded("r", "c")
 	node.guard.markWritten("r", changedAt)
 	node.guard.writePending(t.Context(), timers.Now())
 	assert.Equal(t, len(store.changes), 1)
@@ -164,7 +164,7 @@
 	assert.Equal(t, node.guard.Judge("r"), shedkeel.Quarantined, "the call carries the sender's blame")
 	assert.Assert(t, !ask(wire.BlameCall_TRY, "a", "b"))
 	ask(wire.BlameCall_DONE)
-	done, allowed := node.guard.Try(t.Context(), "r")
+	done, allowed := node.guard.AcquireAttempt(t.Context(), "r")
 	assert.Assert(t, allowed)
 	assert.Assert(t, !ask(wire.BlameCall_TRY, "a", "b"))
 	done()
--- a/node/limits.go
+++ b/node/limits.go
@@ -329,7 +329,7 @@
 	}
 	return &wire.ServerLimit{
 		Server: string(limit.Server), Rate: limit.Rate, Lifted: limit.Lifted,
-		AgeMs: uint64(max(now-limit.At, 0).Milliseconds()), SinceMs: uint64(max(now-limit.Since, 0).Milliseconds()),
+		AgeMs: uint64(max(now-limit.AsOf, 0).Milliseconds()), SinceMs: uint64(max(now-limit.Since, 0).Milliseconds()),
 	}
 }
 
@@ -337,7 +337,7 @@
 func parseLimit(reported *wire.ServerLimit, now time.Duration) (shedkeel.ServerLimit, bool) {
 	limit := shedkeel.ServerLimit{
 		Server: shedkeel.InstanceID(reported.GetServer()), Rate: reported.GetRate(), Lifted: reported.GetLifted(),
-		At: now - time.Duration(reported.GetAgeMs())*time.Millisecond, Since: now - time.Duration(reported.GetSinceMs())*time.Millisecond,
+		AsOf: now - time.Duration(reported.GetAgeMs())*time.Millisecond, Since: now - time.Duration(reported.GetSinceMs())*time.Millisecond,
 	}
 	return limit, limit.Server != "" && limit.Rate >= 0 && !math.IsInf(limit.Rate, 0)
 }
--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -136,7 +136,7 @@
 	node.Store = store
 	node.peers.update([]nodeRecord{node.ownRecord()})
 	for _, server := range []shedkeel.InstanceID{"a", "b", "c"} {
-		node.guard.Ended("r", server)
+		node.guard.ServerEnded("r", server)
 	}
 	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 	keep := func() {
--- a/ratelimit.go
+++ b/ratelimit.go
@@ -19,7 +19,7 @@
 	Server InstanceID
 	Rate   float64       // requests per second from all processes together
 	Lifted bool          // the server no longer states a limit
-	At     time.Duration // time at which Rate and Lifted were true; the later one replaces the earlier
+	AsOf   time.Duration // time at which Rate and Lifted were true; the later one replaces the earlier
 	Since  time.Duration // time since which the server has stated a limit without a break
 }
 
--- a/ratelimit/limits.go
+++ b/ratelimit/limits.go
@@ -32,9 +32,9 @@
 		if limits.Idle() {
 			return shedkeel.ServerLimit{}, false
 		}
-		return limits.Merge(shedkeel.ServerLimit{Server: server, Lifted: true, At: sent})
+		return limits.Merge(shedkeel.ServerLimit{Server: server, Lifted: true, AsOf: sent})
 	}
-	return limits.Merge(shedkeel.ServerLimit{Server: server, Rate: limit.Rate, At: now, Since: now})
+	return limits.Merge(shedkeel.ServerLimit{Server: server, Rate: limit.Rate, AsOf: now, Since: now})
 }
 
 // Merge records a limit, possibly from another process. The newest statement of a server
@@ -43,7 +43,7 @@
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
 	before, known := limits.limits[limit.Server]
-	if !known && limit.Lifted || known && limit.At <= before.At {
+	if !known && limit.Lifted || known && limit.AsOf <= before.AsOf {
 		return before, false
 	}
 	if known && !before.Lifted && !limit.Lifted {
--- a/ratelimit/limits_test.go
+++ b/ratelimit/limits_test.go
@@ -54,13 +54,13 @@
 // and that Retain removes servers that are not listed.
 func TestBookMerge(t *testing.T) {
 	var limits Limits
-	limits.Merge(shedkeel.ServerLimit{Server: "s", Rate: 2, At: 10, Since: 10})
-	_, changed := limits.Merge(shedkeel.ServerLimit{Server: "s", Rate: 9, At: 5, Since: 5})
+	limits.Merge(shedkeel.ServerLimit{Server: "s", Rate: 2, AsOf: 10, Since: 10})
+	_, changed := limits.Merge(shedkeel.ServerLimit{Server: "s", Rate: 9, AsOf: 5, Since: 5})
 	assert.Assert(t, !changed, "older than what is known")
-	known, changed := limits.Merge(shedkeel.ServerLimit{Server: "s", Rate: 3, At: 12, Since: 4})
+	known, changed := limits.Merge(shedkeel.ServerLimit{Server: "s", Rate: 3, AsOf: 12, Since: 4})
 	assert.Assert(t, changed)
 	assert.Equal(t, known.Since, time.Duration(4))
-	limits.Merge(shedkeel.ServerLimit{Server: "gone", Rate: 1, At: 1})
+	limits.Merge(shedkeel.ServerLimit{Server: "gone", Rate: 1, AsOf: 1})
 	assert.Equal(t, len(limits.All()), 2)
 	limits.Retain(func(server shedkeel.InstanceID) bool { return server == "s" })
 	assert.Equal(t, len(limits.All()), 1)
@@ -81,7 +81,7 @@
 		b.Run(name, func(b *testing.B) {
 			var limits Limits
 			for index := range test.limited {
-				limits.Merge(shedkeel.ServerLimit{Server: shedkeel.InstanceID(rune('a' + index)), Rate: 2, At: 1})
+				limits.Merge(shedkeel.ServerLimit{Server: shedkeel.InstanceID(rune('a' + index)), Rate: 2, AsOf: 1})
 			}
 			now := time.Second
 			b.ReportAllocs()
--- a/serve/ended.go
+++ b/serve/ended.go
@@ -89,7 +89,7 @@
 	}
 	exchange.log(event.ServerEnded, slog.String("server", string(choice.Instance)), slog.String("digest", string(exchange.digest())))
 	if exchange.handler.Guard != nil {
-		exchange.handler.Guard.Ended(exchange.digest(), choice.Instance)
+		exchange.handler.Guard.ServerEnded(exchange.digest(), choice.Instance)
 	}
 }
 
--- a/serve/guard.go
+++ b/serve/guard.go
@@ -27,7 +27,7 @@
 	case shedkeel.Contained:
 		return nil, exchange.refuse(causeContained, errServersEnded.Error()+", so it is sent to none any more")
 	case shedkeel.Quarantined:
-		done, allowed := exchange.handler.Guard.Try(ctx, exchange.digest())
+		done, allowed := exchange.handler.Guard.AcquireAttempt(ctx, exchange.digest())
 		if !allowed {
 			return nil, exchange.refuse(causeQuarantined, errServersEnded.Error()+", and one try of it at a time is made")
 		}
@@ -50,7 +50,7 @@
 // reportAnswer tells the guard that a server has answered the request completely.
 func (exchange *exchange) reportAnswer() {
 	if exchange.handler.guardActive() {
-		exchange.handler.Guard.Answered(exchange.digest())
+		exchange.handler.Guard.RequestAnswered(exchange.digest())
 	}
 }
 
--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -46,19 +46,19 @@
 	return guard.judgment
 }
 
-func (guard *fixedGuard) Ended(_ shedkeel.RequestDigest, server shedkeel.InstanceID) {
+func (guard *fixedGuard) ServerEnded(_ shedkeel.RequestDigest, server shedkeel.InstanceID) {
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
 	guard.ended = append(guard.ended, server)
 }
 
-func (guard *fixedGuard) Answered(shedkeel.RequestDigest) {
+func (guard *fixedGuard) RequestAnswered(shedkeel.RequestDigest) {
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
 	guard.answers++
 }
 
-func (guard *fixedGuard) Try(context.Context, shedkeel.RequestDigest) (func(), bool) {
+func (guard *fixedGuard) AcquireAttempt(context.Context, shedkeel.RequestDigest) (func(), bool) {
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
 	if guard.refuses {
--- a/shedkeel.go
+++ b/shedkeel.go
@@ -279,10 +279,10 @@
 
 // The verdicts. Only VerdictWhole renews a group's permit to receive requests. A
 // member that does not reply is no evidence that the group is broken, so
-// VerdictSilent only lets the current permit expire. If it lasts beyond the permit,
+// VerdictNoReply only lets the current permit expire. If it lasts beyond the permit,
 // the group counts as broken.
 const (
-	VerdictSilent   Verdict = iota // some member did not reply
+	VerdictNoReply  Verdict = iota // some member did not reply
 	VerdictWhole                   // every member replied that it is ready, with the group's Assignment and the Boot of its Member
 	VerdictBroken                  // some member replied with another state, or refused the connection
 	VerdictDraining                // as VerdictWhole, but a member is leaving
--- a/swim/comparison_test.go
+++ b/swim/comparison_test.go
@@ -72,7 +72,7 @@
 	return found
 }
 
-func (heartbeatDetector *heartbeatDetector) Connect(time.Duration) {}
+func (heartbeatDetector *heartbeatDetector) NoteContact(time.Duration) {}
 func (heartbeatDetector *heartbeatDetector) Leave(time.Duration) []shedkeel.GossipDatagram {
 	return nil
 }
--- a/swim/detector.go
+++ b/swim/detector.go
@@ -148,9 +148,9 @@
 	detector.round = slices.DeleteFunc(detector.round, func(peer *peer) bool { return detector.peers[peer.id] != peer })
 }
 
-// Connect records that something other than a peer has responded to this node, which is
+// NoteContact records that something other than a peer has responded to this node, which is
 // therefore not cut off.
-func (detector *Detector) Connect(now time.Duration) {
+func (detector *Detector) NoteContact(now time.Duration) {
 	detector.lastConnected = max(detector.lastConnected, now)
 }
 
@@ -162,7 +162,7 @@
 	case peer == nil:
 		return shedkeel.Alive
 	case peer.lastAlive == never && !peer.presumedAlive && !deadOrLeft(peer):
-		return shedkeel.Unheard
+		return shedkeel.Unconfirmed
 	}
 	return peer.liveness
 }
--- a/swim/detector_test.go
+++ b/swim/detector_test.go
@@ -74,7 +74,7 @@
 				took = append(took, fleet.runUntil(10*time.Second, func() bool {
 					if test.size == 2 {
 						for _, node := range fleet.living() {
-							node.detector.Connect(fleet.now)
+							node.detector.NoteContact(fleet.now)
 						}
 					}
 					return fleet.countViews(dead, shedkeel.Dead) == test.dead*(test.size-test.dead)
--- a/swim/partition_test.go
+++ b/swim/partition_test.go
@@ -76,7 +76,7 @@
 			}
 			fleet.runUntil(6*time.Second, func() bool {
 				if connected {
-					survivor.detector.Connect(fleet.now)
+					survivor.detector.NoteContact(fleet.now)
 				}
 				return false
 			})
--- a/swim/probe.go
+++ b/swim/probe.go
@@ -24,7 +24,7 @@
 			probe.indirect = true
 			sent = append(sent, detector.pingExtra(now)...)
 			for _, relay := range detector.randomAlivePeers(indirectProbes, probe.target) {
-				sent = append(sent, detector.message(now, relay, shedkeel.GossipMessage{Kind: shedkeel.GossipPingFor, Sequence: sequence, Target: probe.target.id}))
+				sent = append(sent, detector.message(now, relay, shedkeel.GossipMessage{Kind: shedkeel.GossipIndirectPing, Sequence: sequence, Target: probe.target.id}))
 			}
 		}
 	}
--- a/swim/receive.go
+++ b/swim/receive.go
@@ -27,7 +27,7 @@
 	case shedkeel.GossipPing:
 		ack := shedkeel.GossipMessage{Kind: shedkeel.GossipAck, Sequence: message.Sequence, Target: detector.Self}
 		sent = append(sent, detector.reply(now, message.From, ack))
-	case shedkeel.GossipPingFor:
+	case shedkeel.GossipIndirectPing:
 		sent = append(sent, detector.relayPing(now, message)...)
 	case shedkeel.GossipAck:
 		sent = append(sent, detector.handleAck(now, message)...)
--- a/wire/datagram_test.go
+++ b/wire/datagram_test.go
@@ -14,7 +14,7 @@
 // rejected.
 func TestGossip(t *testing.T) {
 	message := shedkeel.GossipMessage{
-		Kind: shedkeel.GossipPingFor, Sequence: 7, From: "a", Incarnation: 3, Target: "b",
+		Kind: shedkeel.GossipIndirectPing, Sequence: 7, From: "a", Incarnation: 3, Target: "b",
 		Updates: []shedkeel.GossipUpdate{{Node: shedkeel.HashNode("c"), Liveness: shedkeel.Left, Incarnation: 9, Age: 1500 * time.Millisecond}, {Node: 1}},
 	}
 	sealed, err := SealGossip("k", message)
