--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -21,7 +21,7 @@
 func (demand *demand) decay(now time.Duration) {
 	elapsed := max(now-demand.at, 0)
 	demand.at = now
-	demand.amount = demand.amount.Scaled(math.Exp(-elapsed.Seconds() / demandTimeConstant.Seconds()))
+	demand.amount = demand.amount.Scale(math.Exp(-elapsed.Seconds() / demandTimeConstant.Seconds()))
 }
 
 // recordDemand counts a request that Recommend was asked for. The caller must hold
@@ -37,7 +37,7 @@
 		table.demand[key] = entry
 	}
 	entry.decay(query.Now)
-	entry.amount = entry.amount.Plus(shedkeel.ModelDemand{Requests: 1, PromptTokens: float64(query.PromptTokens), AnswerTokens: float64(query.MaxAnswerTokens)})
+	entry.amount = entry.amount.Add(shedkeel.ModelDemand{Requests: 1, PromptTokens: float64(query.PromptTokens), AnswerTokens: float64(query.MaxAnswerTokens)})
 }
 
 // Demand returns the recent demand for each model of a service, by the requests that this
--- a/formation/demand.go
+++ b/formation/demand.go
@@ -58,6 +58,6 @@
 	if engine.ReadPerSecond <= 0 {
 		return 0
 	}
-	seconds := demand.PromptTokens/engine.ReadPerSecond + demand.AnswerTokens*engine.StepEach.Seconds()
-	return seconds * model.Slowdown() * float64(model.Size)
+	seconds := demand.PromptTokens/engine.ReadPerSecond + demand.AnswerTokens*engine.StepPerRequest.Seconds()
+	return seconds * model.EffectiveSlowdown() * float64(model.Size)
 }
--- a/formation/demand_test.go
+++ b/formation/demand_test.go
@@ -21,8 +21,8 @@
 func demandOf(large, small float64) map[shedkeel.ModelID]shedkeel.ModelDemand {
 	const weighed = 5
 	return map[shedkeel.ModelID]shedkeel.ModelDemand{
-		"large": shedkeel.ModelDemand{Requests: 1, PromptTokens: 1650, AnswerTokens: 90}.Scaled(weighed * large),
-		"small": shedkeel.ModelDemand{Requests: 1, PromptTokens: 714, AnswerTokens: 135}.Scaled(weighed * small),
+		"large": shedkeel.ModelDemand{Requests: 1, PromptTokens: 1650, AnswerTokens: 90}.Scale(weighed * large),
+		"small": shedkeel.ModelDemand{Requests: 1, PromptTokens: 714, AnswerTokens: 135}.Scale(weighed * small),
 	}
 }
 
--- a/formation/fake_test.go
+++ b/formation/fake_test.go
@@ -12,7 +12,7 @@
 // testEngine has a model of four boxes and one of two.
 func testEngine() *shedkeel.Engine {
 	return &shedkeel.Engine{
-		Slots: 26, LoadsPerSecond: 4, LoadsAtOnce: 6, ReadPerSecond: 46_000, StepEach: 241 * time.Microsecond,
+		Slots: 26, LoadsPerSecond: 4, LoadsAtOnce: 6, ReadPerSecond: 46_000, StepPerRequest: 241 * time.Microsecond,
 		Models: []shedkeel.Model{
 			{ID: "large", Size: 4, Share: 0.67, Load: 16 * time.Second, Warmup: 1600 * time.Millisecond},
 			{ID: "small", Size: 2, Share: 0.33, Load: 12 * time.Second, Warmup: 1100 * time.Millisecond},
--- a/instance_test.go
+++ b/instance_test.go
@@ -45,7 +45,7 @@
 	}
 	known := record()
 	same := record()
-	assert.Assert(t, known.Same(&same))
+	assert.Assert(t, known.EqualExceptSequence(&same))
 	fields := reflect.TypeFor[shedkeel.Instance]()
 	for index := range fields.NumField() {
 		other := record()
@@ -54,10 +54,10 @@
 		if fields.Field(index).Name == "Draining" {
 			field.SetBool(true)
 		}
-		assert.Equal(t, known.Same(&other), fields.Field(index).Name == "Sequence", fields.Field(index).Name)
-		assert.Equal(t, other.Same(&known), fields.Field(index).Name == "Sequence", fields.Field(index).Name)
+		assert.Equal(t, known.EqualExceptSequence(&other), fields.Field(index).Name == "Sequence", fields.Field(index).Name)
+		assert.Equal(t, other.EqualExceptSequence(&known), fields.Field(index).Name == "Sequence", fields.Field(index).Name)
 	}
 	other := record()
 	other.Member.Epoch++
-	assert.Assert(t, !known.Same(&other))
+	assert.Assert(t, !known.EqualExceptSequence(&other))
 }
--- a/node/demand.go
+++ b/node/demand.go
@@ -89,7 +89,7 @@
 			totalMutex.Lock()
 			defer totalMutex.Unlock()
 			for model, demand := range part {
-				total[model] = total[model].Plus(demand)
+				total[model] = total[model].Add(demand)
 			}
 		})
 	}
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -135,7 +135,7 @@
 	fleet.coldUntil[record.Key] = now + instance.ColdFor
 	// A heartbeat changes only the sequence. Thousands arrive per second, so they must
 	// not rebuild the table.
-	return !listed || wasUnreadable || !instance.Same(&known)
+	return !listed || wasUnreadable || !instance.EqualExceptSequence(&known)
 }
 
 // isOutdated reports whether a server's record is older than the known one: it is of
@@ -320,9 +320,9 @@
 		return server
 	}
 	server.MaxEventGap = engine.LongestPass(model)
-	server.DelayPerRequest = time.Duration(engine.Stride) * engine.StepEach
-	server.PrefillRate /= model.Slowdown()
-	server.DelayPerRequest = time.Duration(float64(server.DelayPerRequest) * model.Slowdown())
+	server.DelayPerRequest = time.Duration(engine.StepsPerPass) * engine.StepPerRequest
+	server.PrefillRate /= model.EffectiveSlowdown()
+	server.DelayPerRequest = time.Duration(float64(server.DelayPerRequest) * model.EffectiveSlowdown())
 	return server
 }
 
--- a/node/paces.go
+++ b/node/paces.go
@@ -89,7 +89,7 @@
 	if err != nil || !report.From(instance.ID) {
 		return // if its group stops responding, probes find out whether it is alive
 	}
-	paces.update(instance.ID, report.Pace)
+	paces.update(instance.ID, report.Slowdown)
 }
 
 // update processes the pace that a server reports.
--- a/serving.go
+++ b/serving.go
@@ -64,21 +64,21 @@
 
 // Model is a model that replica groups of a service serve.
 type Model struct {
-	ID     ModelID
-	Size   int           // boxes per group
-	Share  float64       // expected share of the work; the planner weighs it against measured demand
-	Pace   float64       // multiplier of the engine's times; 0 counts as 1
-	Load   time.Duration // time to load the weights from the weight store
-	Warmup time.Duration // time to load the weights from the box's host memory
+	ID       ModelID
+	Size     int           // boxes per group
+	Share    float64       // expected share of the work; the planner weighs it against measured demand
+	Slowdown float64       // multiplier of the engine's times; 0 counts as 1
+	Load     time.Duration // time to load the weights from the weight store
+	Warmup   time.Duration // time to load the weights from the box's host memory
 }
 
-// Slowdown returns the multiplier of the engine's times: Pace, or 1 if Pace is
+// EffectiveSlowdown returns the multiplier of the engine's times: Pace, or 1 if Pace is
 // not set.
-func (model *Model) Slowdown() float64 {
-	if model.Pace <= 0 {
+func (model *Model) EffectiveSlowdown() float64 {
+	if model.Slowdown <= 0 {
 		return 1
 	}
-	return model.Pace
+	return model.Slowdown
 }
 
 // ModelDemand is the demand for a model: a sum over the requests of the last seconds
@@ -89,16 +89,16 @@
 	AnswerTokens float64 // upper bounds that callers state
 }
 
-// Plus returns the sum of the demands.
-func (demand ModelDemand) Plus(other ModelDemand) ModelDemand {
+// Add returns the sum of the demands.
+func (demand ModelDemand) Add(other ModelDemand) ModelDemand {
 	demand.Requests += other.Requests
 	demand.PromptTokens += other.PromptTokens
 	demand.AnswerTokens += other.AnswerTokens
 	return demand
 }
 
-// Scaled returns the demand multiplied by a factor.
-func (demand ModelDemand) Scaled(by float64) ModelDemand {
+// Scale returns the demand multiplied by a factor.
+func (demand ModelDemand) Scale(by float64) ModelDemand {
 	return ModelDemand{Requests: by * demand.Requests, PromptTokens: by * demand.PromptTokens, AnswerTokens: by * demand.AnswerTokens}
 }
 
@@ -106,10 +106,10 @@
 type Engine struct {
 	Models         []Model
 	Slots          int           // requests that a group runs concurrently
-	Stride         int           // steps in one pass over all running requests of a group
+	StepsPerPass   int           // steps in one pass over all running requests of a group
 	Chunk          int           // maximum prompt tokens that one step reads
 	Step           time.Duration // duration of a step that generates one token for one request
-	StepEach       time.Duration // time that each running request adds to a step
+	StepPerRequest time.Duration // time that each running request adds to a step
 	ReadPerSecond  float64       // prompt tokens read per second
 	LoadsPerSecond float64       // maximum rate of load starts on all boxes together
 	LoadsAtOnce    int           // number of concurrent loads above which each load takes longer
@@ -125,8 +125,8 @@
 		return 0
 	}
 	reading := time.Duration(float64(engine.Chunk) / engine.ReadPerSecond * float64(time.Second))
-	step := reading + engine.Step + time.Duration(engine.Slots)*engine.StepEach
-	return time.Duration(float64(engine.Stride) * float64(step) * model.Slowdown())
+	step := reading + engine.Step + time.Duration(engine.Slots)*engine.StepPerRequest
+	return time.Duration(float64(engine.StepsPerPass) * float64(step) * model.EffectiveSlowdown())
 }
 
 // Model returns the model with the ID, or nil if there is none.
@@ -207,8 +207,8 @@
 	Member   *Membership // nil: in no group
 }
 
-// Same reports whether two records of a server are equal except for Sequence.
-func (instance *Instance) Same(other *Instance) bool {
+// EqualExceptSequence reports whether two records of a server are equal except for Sequence.
+func (instance *Instance) EqualExceptSequence(other *Instance) bool {
 	return instance.ID == other.ID && instance.Service == other.Service && instance.Address == other.Address &&
 		instance.Zone == other.Zone && instance.Slots == other.Slots && instance.Draining == other.Draining &&
 		instance.ColdFor == other.ColdFor && instance.Domain == other.Domain &&
@@ -253,10 +253,10 @@
 // EngineReport is an engine's report of its load. It is some hundred milliseconds
 // old.
 type EngineReport struct {
-	Queued int     // queued requests
-	Active int     // running requests
-	Pace   float64 // current multiplier of its times; above 1: slow
-	Born   int64   // start of the server in Unix milliseconds; 0: not reported
+	Queued   int     // queued requests
+	Active   int     // running requests
+	Slowdown float64 // current multiplier of its times; above 1: slow
+	Born     int64   // start of the server in Unix milliseconds; 0: not reported
 }
 
 // From reports whether the report can be from this instance, rather than from
