--- a/group/fleet_test.go
+++ b/group/fleet_test.go
@@ -12,7 +12,7 @@
 // restart and leave, and a planner that runs once a tick.
 type fleet struct {
 	planner     shedkeel.Planner
-	table       shedkeel.Table
+	table       shedkeel.PlannerParameters
 	config      shedkeel.Config
 	boxes       []*box
 	byID        map[shedkeel.BoxID]*box
@@ -53,7 +53,7 @@
 // newFleet returns a fleet of empty boxes, boxesEach in each domain, with one service.
 // The service wants the given number of groups, and each group has the given number
 // of members.
-func newFleet(planner shedkeel.Planner, table shedkeel.Table, domains, boxesEach, groups, members int) *fleet {
+func newFleet(planner shedkeel.Planner, table shedkeel.PlannerParameters, domains, boxesEach, groups, members int) *fleet {
 	fleet := &fleet{
 		planner: planner, table: table, isOutage: func(time.Duration) bool { return false },
 		config: shedkeel.Config{Services: []shedkeel.Service{{
@@ -126,7 +126,7 @@
 		return
 	}
 	lost := planner.Fallback(input)
-	fleet.placement = fleet.placement.With(shedkeel.Fallback{Zone: "z", Base: fleet.placement.Generation, Lost: lost})
+	fleet.placement = fleet.placement.WithFallback(shedkeel.Fallback{Zone: "z", Base: fleet.placement.Generation, Lost: lost})
 	input.Placement = fleet.placement
 	for _, order := range Reconcile(input) {
 		fleet.applyOrder(order)
--- a/group/planner.go
+++ b/group/planner.go
@@ -164,7 +164,7 @@
 			silent[view.Box.Domain]++
 		}
 	}
-	fraction := round.input.Table.StormFraction
+	fraction := round.input.Table.DomainFailureFraction
 	for domain, count := range total {
 		if fraction > 0 && silent[domain] > 1 && float64(silent[domain]) >= fraction*float64(count) {
 			round.silentDomains[domain] = true
--- a/group/planner_test.go
+++ b/group/planner_test.go
@@ -13,10 +13,10 @@
 
 // testParameters are the planner parameters that the tests run with, as a policy would
 // return them.
-var testParameters = map[string]shedkeel.Table{
+var testParameters = map[string]shedkeel.PlannerParameters{
 	"all zero":                     {},
-	"one warm spare":               {Spares: 1, WarmSpares: true, Patience: 5 * time.Second, WarmPatience: 5 * time.Second, Consolidate: true, StormFraction: 0.5},
-	"no spares, cross-domain":      {WarmSpares: true, Patience: 5 * time.Second, Consolidate: true, CrossDomain: true, StormFraction: 0.5},
+	"one warm spare":               {Spares: 1, WarmSpares: true, ReplaceAfter: 5 * time.Second, WarmReplaceAfter: 5 * time.Second, Consolidate: true, DomainFailureFraction: 0.5},
+	"no spares, cross-domain":      {WarmSpares: true, ReplaceAfter: 5 * time.Second, Consolidate: true, CrossDomain: true, DomainFailureFraction: 0.5},
 	"two cold spares, no patience": {Spares: 2, CrossDomain: true},
 }
 
@@ -38,7 +38,7 @@
 
 // runHistory runs one random history and returns the number of whole groups,
 // summed over all ticks.
-func runHistory(t *testing.T, table shedkeel.Table, seed uint64) int {
+func runHistory(t *testing.T, table shedkeel.PlannerParameters, seed uint64) int {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 5))
 	fleet := newFleet(&Planner{}, table, 3, 10, 6, 4)
@@ -93,7 +93,7 @@
 
 // newSteadyFleet returns a fleet with groups of 4 members that has run for 1500 s,
 // after which all its groups must be whole.
-func newSteadyFleet(t *testing.T, table shedkeel.Table, domains, boxesEach, groups int) *fleet {
+func newSteadyFleet(t *testing.T, table shedkeel.PlannerParameters, domains, boxesEach, groups int) *fleet {
 	t.Helper()
 	fleet := newFleet(&Planner{}, table, domains, boxesEach, groups, 4)
 	for range 1500 {
@@ -136,15 +136,15 @@
 	// (DefaultMissAfter) and the ticks until the orders are carried out. In the
 	// case within the patience, 4 s are the pause itself and 1 s is a tick.
 	cases := map[string]struct {
-		table   shedkeel.Table
+		table   shedkeel.PlannerParameters
 		boxes   int // in the only domain
 		loss    loss
 		longest time.Duration // until all groups are whole again
 	}{
 		"a restart, with a warm spare":           {testParameters["one warm spare"], 9, loss{duration: 2 * time.Minute}, 5*time.Second + joinTime + 6*time.Second},
-		"a restart, without spares":              {shedkeel.Table{WarmSpares: true, Patience: 5 * time.Second}, 8, loss{duration: 2 * time.Minute}, 2*time.Minute + loadTime + joinTime + 5*time.Second},
+		"a restart, without spares":              {shedkeel.PlannerParameters{WarmSpares: true, ReplaceAfter: 5 * time.Second}, 8, loss{duration: 2 * time.Minute}, 2*time.Minute + loadTime + joinTime + 5*time.Second},
 		"a pause within the patience":            {testParameters["one warm spare"], 9, loss{duration: 4 * time.Second, keepsState: true}, 5 * time.Second},
-		"a pause, without patience":              {shedkeel.Table{WarmSpares: true}, 9, loss{duration: 4 * time.Second, keepsState: true}, joinTime + 5*time.Second},
+		"a pause, without patience":              {shedkeel.PlannerParameters{WarmSpares: true}, 9, loss{duration: 4 * time.Second, keepsState: true}, joinTime + 5*time.Second},
 		"a failure for hours, with a warm spare": {testParameters["one warm spare"], 9, loss{duration: 4 * time.Hour}, 5*time.Second + joinTime + 6*time.Second},
 	}
 	for name, test := range cases {
@@ -203,7 +203,7 @@
 	for name, want := range map[string]int{"no spares, cross-domain": 1, "two cold spares, no patience": 0} {
 		t.Run(name, func(t *testing.T) {
 			table := testParameters[name]
-			table.CrossDomain, table.Spares, table.StormFraction = false, 0, 0
+			table.CrossDomain, table.Spares, table.DomainFailureFraction = false, 0, 0
 			fleet := newSteadyFleet(t, table, 1, 8, 2)
 			for _, group := range fleet.placement.Groups {
 				fleet.applyLoss(loss{box: boxIndex(fleet, group.Members[0].Box), duration: time.Hour})
--- a/group/repair.go
+++ b/group/repair.go
@@ -104,10 +104,10 @@
 // WarmPatience in place of Patience, because a replacement is then cheap and
 // waiting is rarely worth it.
 func (round *round) withinPatience(group *shedkeel.Group, member shedkeel.Member) bool {
-	patience := round.input.Table.Patience
+	patience := round.input.Table.ReplaceAfter
 	for _, substitute := range round.substitutes(group, 1) {
 		if hasWeights(substitute, group.Service) {
-			patience = round.input.Table.WarmPatience
+			patience = round.input.Table.WarmReplaceAfter
 			continue
 		}
 		round.prefetch[substitute.Box.ID] = group.Service
--- a/group/reserve.go
+++ b/group/reserve.go
@@ -101,7 +101,7 @@
 		case conditionLost:
 			missing = append(missing, member.Box)
 		case conditionSilent:
-			if silent >= round.input.Table.WarmPatience {
+			if silent >= round.input.Table.WarmReplaceAfter {
 				missing = append(missing, member.Box)
 			}
 		case conditionHealthy, conditionLeaving:
--- a/group/trace_test.go
+++ b/group/trace_test.go
@@ -187,7 +187,7 @@
 	name       string
 	naive      bool
 	asserted   bool // TestTrace asserts something on its result
-	table      shedkeel.Table
+	table      shedkeel.PlannerParameters
 	groups     int  // that the service wants
 	boxes      int  // in each domain; 0: traceBoxes
 	noFallback bool // groups are not repaired in outages
@@ -196,7 +196,7 @@
 
 // shippedTable returns the table that the policy in policies/NAME.star gives for
 // the fleet of the trace.
-func shippedTable(t *testing.T, name string) shedkeel.Table {
+func shippedTable(t *testing.T, name string) shedkeel.PlannerParameters {
 	t.Helper()
 	program, err := os.ReadFile(filepath.Join("..", "policies", name+".star"))
 	assert.NilError(t, err)
@@ -275,28 +275,28 @@
 func candidates(t *testing.T) []candidate {
 	t.Helper()
 	karadere, nafha := shippedTable(t, "karadere"), shippedTable(t, "nafha")
-	variant := func(table shedkeel.Table, change func(*shedkeel.Table)) shedkeel.Table {
+	variant := func(table shedkeel.PlannerParameters, change func(*shedkeel.PlannerParameters)) shedkeel.PlannerParameters {
 		change(&table)
 		return table
 	}
 	return []candidate{
 		{asserted: true, name: "naive, 16 groups", naive: true, groups: 16},
 		{asserted: true, name: "karadere, 16 groups", table: karadere, groups: 16},
-		{name: "karadere without warm spares", table: variant(karadere, func(table *shedkeel.Table) { table.WarmSpares = false }), groups: 16},
-		{name: "karadere with 5 s of patience for a warm spare", table: variant(karadere, func(table *shedkeel.Table) { table.WarmPatience = 5 * time.Second }), groups: 16},
-		{name: "karadere with consolidation", table: variant(karadere, func(table *shedkeel.Table) { table.Consolidate = true }), groups: 16},
-		{name: "karadere with StormFraction 0", table: variant(karadere, func(table *shedkeel.Table) { table.StormFraction = 0 }), groups: 16},
+		{name: "karadere without warm spares", table: variant(karadere, func(table *shedkeel.PlannerParameters) { table.WarmSpares = false }), groups: 16},
+		{name: "karadere with 5 s of patience for a warm spare", table: variant(karadere, func(table *shedkeel.PlannerParameters) { table.WarmReplaceAfter = 5 * time.Second }), groups: 16},
+		{name: "karadere with consolidation", table: variant(karadere, func(table *shedkeel.PlannerParameters) { table.Consolidate = true }), groups: 16},
+		{name: "karadere with StormFraction 0", table: variant(karadere, func(table *shedkeel.PlannerParameters) { table.DomainFailureFraction = 0 }), groups: 16},
 		{asserted: true, name: "naive, 18 groups wanted", naive: true, groups: 18},
 		{asserted: true, name: "nafha, 18 groups wanted", table: nafha, groups: 18},
-		{name: "nafha without cross-domain groups", table: variant(nafha, func(table *shedkeel.Table) { table.CrossDomain = false }), groups: 18},
-		{name: "nafha without patience", table: variant(nafha, func(table *shedkeel.Table) { table.Patience = 0 }), groups: 18},
-		{name: "nafha with consolidation", table: variant(nafha, func(table *shedkeel.Table) { table.Consolidate = true }), groups: 18},
+		{name: "nafha without cross-domain groups", table: variant(nafha, func(table *shedkeel.PlannerParameters) { table.CrossDomain = false }), groups: 18},
+		{name: "nafha without patience", table: variant(nafha, func(table *shedkeel.PlannerParameters) { table.ReplaceAfter = 0 }), groups: 18},
+		{name: "nafha with consolidation", table: variant(nafha, func(table *shedkeel.PlannerParameters) { table.Consolidate = true }), groups: 18},
 		{name: "naive, no boxes over", naive: true, groups: 16, boxes: 32},
 		{name: "nafha, no boxes over", table: nafha, groups: 16, boxes: 32},
-		{name: "nafha with consolidation, no boxes over", table: variant(nafha, func(table *shedkeel.Table) { table.Consolidate = true }), groups: 16, boxes: 32},
-		{name: "nafha with StormFraction 0, no boxes over", table: variant(nafha, func(table *shedkeel.Table) { table.StormFraction = 0 }), groups: 16, boxes: 32},
-		{name: "nafha without patience, no boxes over", table: variant(nafha, func(table *shedkeel.Table) { table.Patience = 0 }), groups: 16, boxes: 32},
-		{name: "nafha without cross-domain groups, no boxes over", table: variant(nafha, func(table *shedkeel.Table) { table.CrossDomain = false }), groups: 16, boxes: 32},
+		{name: "nafha with consolidation, no boxes over", table: variant(nafha, func(table *shedkeel.PlannerParameters) { table.Consolidate = true }), groups: 16, boxes: 32},
+		{name: "nafha with StormFraction 0, no boxes over", table: variant(nafha, func(table *shedkeel.PlannerParameters) { table.DomainFailureFraction = 0 }), groups: 16, boxes: 32},
+		{name: "nafha without patience, no boxes over", table: variant(nafha, func(table *shedkeel.PlannerParameters) { table.ReplaceAfter = 0 }), groups: 16, boxes: 32},
+		{name: "nafha without cross-domain groups, no boxes over", table: variant(nafha, func(table *shedkeel.PlannerParameters) { table.CrossDomain = false }), groups: 16, boxes: 32},
 		{name: "naive, 16 groups, service outages", naive: true, groups: 16, outages: true},
 		{name: "karadere without reserves, service outages", table: karadere, groups: 16, outages: true, noFallback: true},
 		{name: "karadere, 16 groups, service outages", table: karadere, groups: 16, outages: true},
--- a/interfaces.go
+++ b/interfaces.go
@@ -191,7 +191,7 @@
 	Now       time.Duration
 	Zone      ZoneID
 	Config    Config
-	Table     Table
+	Table     PlannerParameters
 	Boxes     map[BoxID]BoxView
 	Placement Placement
 }
--- a/keeper/agree.go
+++ b/keeper/agree.go
@@ -91,7 +91,7 @@
 	}
 	zone.placement = placement
 	zone.revision = record.Revision
-	zone.fenced = zone.commitPlacement(ctx, placement.With(zone.currentFallback()))
+	zone.fenced = zone.commitPlacement(ctx, placement.WithFallback(zone.currentFallback()))
 	return zone.fenced
 }
 
--- a/keeper/fallback.go
+++ b/keeper/fallback.go
@@ -66,7 +66,7 @@
 	if len(fallback.Lost) == 0 {
 		return
 	}
-	input.Placement = zone.placement.With(fallback)
+	input.Placement = zone.placement.WithFallback(fallback)
 	zone.inFallback = true
 	zone.sendOrders(ctx, zone.placement.PlannerEpoch, group.Reconcile(input))
 	zone.inFallback = false
--- a/keeper/operator.go
+++ b/keeper/operator.go
@@ -322,7 +322,7 @@
 type Dump struct {
 	Status            Status                       `json:"status"`
 	Config            shedkeel.Config              `json:"config"`
-	PolicyTable       shedkeel.Table               `json:"policy_table"`
+	PolicyTable       shedkeel.PlannerParameters   `json:"policy_table"`
 	RecordGenerations map[string]uint64            `json:"record_generations"`
 	Digests           []member.Digest              `json:"digests"`
 	Decisions         []shedkeel.Decision          `json:"decisions"`
--- a/keeper/plan.go
+++ b/keeper/plan.go
@@ -43,7 +43,7 @@
 	revision        shedkeel.Revision
 	fenced          bool // the stored placement carries the current epoch
 	inFallback      bool // sending fallback orders during an outage of the store
-	policyTable     shedkeel.Table
+	policyTable     shedkeel.PlannerParameters
 	tableGeneration uint64                           // configuration generation that the policies were computed from
 	unknownOutcomes map[shedkeel.BoxID]time.Duration // by box: end of the last order with unknown outcome
 	decisions       []shedkeel.Decision
@@ -257,7 +257,7 @@
 
 // refreshPolicyTable runs the policy program if the configuration has changed. If
 // the program fails, the previous table stays in use.
-func (zone *zonePlanner) refreshPolicyTable(config shedkeel.Config, boxes []shedkeel.Box) shedkeel.Table {
+func (zone *zonePlanner) refreshPolicyTable(config shedkeel.Config, boxes []shedkeel.Box) shedkeel.PlannerParameters {
 	if zone.tableGeneration == config.Generation {
 		return zone.policyTable
 	}
--- a/member/table.go
+++ b/member/table.go
@@ -296,7 +296,7 @@
 		return
 	}
 	for index := range table.placements {
-		table.placements[index] = table.placements[index].With(fallback)
+		table.placements[index] = table.placements[index].WithFallback(fallback)
 	}
 }
 
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -39,8 +39,8 @@
 
 // DefaultTable is the table that applies until operators apply a policy, and supplies the
 // defaults of table(...).
-func DefaultTable() shedkeel.Table {
-	return shedkeel.Table{Patience: 20 * time.Second, StormFraction: 0.5, WarmSpares: true}
+func DefaultTable() shedkeel.PlannerParameters {
+	return shedkeel.PlannerParameters{ReplaceAfter: 20 * time.Second, DomainFailureFraction: 0.5, WarmSpares: true}
 }
 
 // SampleFacts is the input that Check runs a policy with.
@@ -59,12 +59,12 @@
 
 // Run runs a policy and returns its table, which is DefaultTable for an empty program. Its
 // error is an InvalidError.
-func Run(policy shedkeel.Policy, facts Facts) (shedkeel.Table, error) {
+func Run(policy shedkeel.Policy, facts Facts) (shedkeel.PlannerParameters, error) {
 	if policy.Program == "" {
 		return DefaultTable(), nil
 	}
 	if len(policy.Program) > MaxSize {
-		return shedkeel.Table{}, invalid(policy, fmt.Sprintf("it is %d bytes long", len(policy.Program)), fmt.Sprintf("keep it within %d", MaxSize))
+		return shedkeel.PlannerParameters{}, invalid(policy, fmt.Sprintf("it is %d bytes long", len(policy.Program)), fmt.Sprintf("keep it within %d", MaxSize))
 	}
 	thread := &starlark.Thread{Name: policy.Name, Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(MaxSteps)
@@ -73,19 +73,19 @@
 		"table": starlark.NewBuiltin("table", builder.table),
 	})
 	if err != nil {
-		return shedkeel.Table{}, invalidProgram(policy, err)
+		return shedkeel.PlannerParameters{}, invalidProgram(policy, err)
 	}
 	plan, ok := globals["plan"].(starlark.Callable)
 	if !ok {
-		return shedkeel.Table{}, invalid(policy, "it has no function plan", "define plan(facts) and return table(...)")
+		return shedkeel.PlannerParameters{}, invalid(policy, "it has no function plan", "define plan(facts) and return table(...)")
 	}
 	result, err := starlark.Call(thread, plan, starlark.Tuple{facts.value()}, nil)
 	if err != nil {
-		return shedkeel.Table{}, invalidProgram(policy, err)
+		return shedkeel.PlannerParameters{}, invalidProgram(policy, err)
 	}
 	value, ok := result.(*tableValue)
 	if !ok {
-		return shedkeel.Table{}, invalid(policy, "plan returned a "+result.Type(), "return table(...)")
+		return shedkeel.PlannerParameters{}, invalid(policy, "plan returned a "+result.Type(), "return table(...)")
 	}
 	return value.table, nil
 }
@@ -105,7 +105,7 @@
 // tableValue is the Starlark value that table(...) returns.
 type tableValue struct {
 	*starlarkstruct.Struct
-	table shedkeel.Table
+	table shedkeel.PlannerParameters
 }
 
 // builder implements the built-in function table.
@@ -114,9 +114,9 @@
 // table builds and validates a table from the keyword arguments of table(...).
 func (*builder) table(_ *starlark.Thread, function *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	table := DefaultTable()
-	patience := starlark.Value(starlark.Float(table.Patience.Seconds()))
-	warmPatience := starlark.Value(starlark.Float(table.WarmPatience.Seconds()))
-	storm := starlark.Value(starlark.Float(table.StormFraction))
+	patience := starlark.Value(starlark.Float(table.ReplaceAfter.Seconds()))
+	warmPatience := starlark.Value(starlark.Float(table.WarmReplaceAfter.Seconds()))
+	storm := starlark.Value(starlark.Float(table.DomainFailureFraction))
 	err := starlark.UnpackArgs(function.Name(), args, kwargs,
 		"spares?", &table.Spares,
 		"warm_spares?", &table.WarmSpares,
@@ -129,10 +129,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if table.Patience, err = durationArgument("patience_seconds", patience); err != nil {
+	if table.ReplaceAfter, err = durationArgument("patience_seconds", patience); err != nil {
 		return nil, err
 	}
-	if table.WarmPatience, err = durationArgument("warm_patience_seconds", warmPatience); err != nil {
+	if table.WarmReplaceAfter, err = durationArgument("warm_patience_seconds", warmPatience); err != nil {
 		return nil, err
 	}
 	fraction, ok := starlark.AsFloat(storm)
@@ -142,7 +142,7 @@
 	if table.Spares < 0 || table.Spares > maxSpares {
 		return nil, fmt.Errorf("spares must be from 0 to %d", maxSpares)
 	}
-	table.StormFraction = fraction
+	table.DomainFailureFraction = fraction
 	return &tableValue{Struct: starlarkstruct.FromStringDict(starlarkstruct.Default, nil), table: table}, nil
 }
 
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -13,7 +13,7 @@
 )
 
 // run runs a program with the sample facts.
-func run(program string) (shedkeel.Table, error) {
+func run(program string) (shedkeel.PlannerParameters, error) {
 	return Run(shedkeel.Policy{Name: "p.star", Program: program}, SampleFacts())
 }
 
@@ -50,7 +50,7 @@
 
 // TestShippedPoliciesDiffer checks that the shipped policies are valid and decide differently.
 func TestShippedPoliciesDiffer(t *testing.T) {
-	tables := map[string]shedkeel.Table{}
+	tables := map[string]shedkeel.PlannerParameters{}
 	for _, name := range []string{"karadere", "nafha"} {
 		program, err := os.ReadFile(filepath.Join("..", "policies", name+".star"))
 		assert.NilError(t, err)
@@ -66,7 +66,7 @@
 	table, err := Run(shedkeel.Policy{}, SampleFacts())
 	assert.NilError(t, err)
 	assert.DeepEqual(t, table, DefaultTable())
-	assert.Equal(t, table.Patience, 20*time.Second)
+	assert.Equal(t, table.ReplaceAfter, 20*time.Second)
 }
 
 // FuzzPolicy checks that any program gives either a table or an InvalidError.
--- a/shedkeel.go
+++ b/shedkeel.go
@@ -129,9 +129,9 @@
 	Lost       map[GroupID]BoxID `json:"lost"` // the member that each group's reserve replaces
 }
 
-// With returns the placement with the substitutions of the fallback applied. It
+// WithFallback returns the placement with the substitutions of the fallback applied. It
 // ignores a fallback for another generation or zone.
-func (placement *Placement) With(fallback Fallback) Placement {
+func (placement *Placement) WithFallback(fallback Fallback) Placement {
 	if fallback.Base != placement.Generation || fallback.Zone != placement.Zone {
 		return *placement
 	}
@@ -320,20 +320,20 @@
 	Unfenced     bool       `json:"-"`             // the box does not check the fencing token, so the keeper first waits until orders of a former lease holder have expired
 }
 
-// Table is the result of a policy program: the parameters of the planner.
-type Table struct {
+// PlannerParameters is the result of a policy program: the parameters of the planner.
+type PlannerParameters struct {
 	Spares     int  `json:"spares"`      // boxes to keep free in each fabric domain
 	WarmSpares bool `json:"warm_spares"` // free boxes load weights in advance
-	// Patience is how long the planner waits for a member that does not reply
+	// ReplaceAfter is how long the planner waits for a member that does not reply
 	// before it replaces the member. The substitute loads the weights meanwhile.
-	Patience time.Duration `json:"patience"`
-	// WarmPatience takes the place of Patience if a substitute already has the
+	ReplaceAfter time.Duration `json:"patience"`
+	// WarmReplaceAfter takes the place of Patience if a substitute already has the
 	// weights loaded, so that the replacement is fast.
-	WarmPatience time.Duration `json:"warm_patience"`
-	Consolidate  bool          `json:"consolidate"`  // dissolve one incomplete group to repair others
-	CrossDomain  bool          `json:"cross_domain"` // form a slower group across fabric domains if no domain has enough boxes
-	// StormFraction is the fraction of a domain's boxes that must fail to reply,
+	WarmReplaceAfter time.Duration `json:"warm_patience"`
+	Consolidate      bool          `json:"consolidate"`  // dissolve one incomplete group to repair others
+	CrossDomain      bool          `json:"cross_domain"` // form a slower group across fabric domains if no domain has enough boxes
+	// DomainFailureFraction is the fraction of a domain's boxes that must fail to reply,
 	// two boxes at least, for the domain itself to count as failed. Meanwhile the
 	// planner replaces no members and forms no groups there. 0: never.
-	StormFraction float64 `json:"storm_fraction"`
+	DomainFailureFraction float64 `json:"storm_fraction"`
 }
