--- a/call.go
+++ b/call.go
@@ -54,7 +54,7 @@
 	Read(request *http.Request) (Call, error)
 	// Write sets the header of a request to a backend server. The header already
 	// has the caller's fields, without the hop-by-hop fields.
-	Write(header http.Header, sending Attempt)
+	Write(header http.Header, attempt Attempt)
 	// Answer parses the header of a backend server's response.
 	Answer(response *http.Response) BackendAnswer
 }
--- a/engine/transport_test.go
+++ b/engine/transport_test.go
@@ -269,8 +269,8 @@
 	assert.Equal(t, conn.bytesWritten(), int64(0))
 }
 
-// TestEnded checks that Ended is true only for a refused connection.
-func TestEnded(t *testing.T) {
+// TestStopped checks that Stopped is true only for a refused connection.
+func TestStopped(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	address := server.Listener.Addr().String()
 	transport := &Transport{}
--- a/group/planner.go
+++ b/group/planner.go
@@ -23,18 +23,19 @@
 	DefaultDrainIdle = 8 * time.Second
 )
 
-// Planner is the planner used in production. Its parameters are in the policy's
-// table (Table in the input). It follows four rules:
+// Planner is the planner used in production. Its parameters are the result
+// of the policy (Table in the input). It follows four rules:
 //   - A member that lost its state is replaced at once, if possible by a box that
 //     has the weights loaded.
-//   - A silent member is replaced only after the table's Patience, or WarmPatience
-//     if its substitute has the weights; meanwhile the substitute loads them.
+//   - A silent member is replaced only after ReplaceAfter of the parameters, or
+//     WarmReplaceAfter if its substitute has the weights; meanwhile the substitute
+//     loads them.
 //   - A leaving member is replaced only when its group has no requests in flight
 //     and its substitute has the weights, unless the group must be changed anyway
 //     because another member has failed.
 //   - No group of a fabric domain is repaired, and none is formed in it, while so
 //     many of its boxes are silent that the cause is taken to be the domain (the
-//     table's StormFraction).
+//     parameters' DomainFailureFraction).
 //
 // A Planner keeps state between calls and must not be used concurrently.
 type Planner struct {
@@ -153,8 +154,8 @@
 }
 
 // findSilentDomains marks the fabric domains in which at least two boxes, and at
-// least the fraction StormFraction of all boxes, are silent. The cause is then taken
-// to be the domain and not its boxes. With a StormFraction of 0 it marks none.
+// least the fraction DomainFailureFraction of all boxes, are silent. The cause is then
+// taken to be the domain and not its boxes. With a fraction of 0 it marks none.
 func (round *round) findSilentDomains() {
 	total := map[shedkeel.DomainID]int{}
 	silent := map[shedkeel.DomainID]int{}
--- a/group/planner_test.go
+++ b/group/planner_test.go
@@ -131,10 +131,10 @@
 // again.
 func TestRecoveryTime(t *testing.T) {
 	// The two groups of 4 members take 8 boxes; a ninth box is a spare. The first
-	// 5 s of the bounds with a warm spare are the table's Patience. The last 5 s or
+	// 5 s of the bounds with a warm spare are ReplaceAfter. The last 5 s or
 	// 6 s of each bound allow for the time until a silent box is noticed
 	// (DefaultMissAfter) and the ticks until the orders are carried out. In the
-	// case within the patience, 4 s are the pause itself and 1 s is a tick.
+	// case within ReplaceAfter, 4 s are the pause itself and 1 s is a tick.
 	cases := map[string]struct {
 		table   shedkeel.PlannerParameters
 		boxes   int // in the only domain
@@ -170,7 +170,7 @@
 }
 
 // TestPauseWithinPatienceChangesNoGroup checks that a member that is silent for
-// less than the patience and keeps its state causes no change of the groups.
+// less than ReplaceAfter and keeps its state causes no change of the groups.
 func TestPauseWithinPatienceChangesNoGroup(t *testing.T) {
 	fleet := newSteadyFleet(t, testParameters["one warm spare"], 1, 9, 2)
 	before := fleet.placement.Clone()
--- a/group/repair.go
+++ b/group/repair.go
@@ -99,9 +99,9 @@
 }
 
 // withinPatience reports whether a silent member must not be replaced yet, because
-// it has been silent for less than the table's Patience. If the best substitute
+// it has been silent for less than ReplaceAfter. If the best substitute
 // lacks the weights, it is made to load them. If it has them, the limit is
-// WarmPatience in place of Patience, because a replacement is then cheap and
+// WarmReplaceAfter in place of ReplaceAfter, because a replacement is then cheap and
 // waiting is rarely worth it.
 func (round *round) withinPatience(group *shedkeel.Group, member shedkeel.Member) bool {
 	patience := round.input.Table.ReplaceAfter
--- a/group/reserve.go
+++ b/group/reserve.go
@@ -64,8 +64,8 @@
 // Fallback decides, while the key-value service is not available, which groups
 // use their reserve, and returns for each of them the member that the reserve
 // replaces. A group is repaired only if it is not draining, exactly one member has
-// lost its state, is no longer listed or has been silent for at least the table's
-// WarmPatience, and the reserve responds and has the weights. Groups in domains found
+// lost its state, is no longer listed or has been silent for at least
+// WarmReplaceAfter, and the reserve responds and has the weights. Groups in domains found
 // by findSilentDomains are left alone. Each group has a single reserve, so it is
 // repaired at most once.
 func (planner *Planner) Fallback(input shedkeel.PlanInput) map[shedkeel.GroupID]shedkeel.BoxID {
@@ -92,7 +92,7 @@
 }
 
 // lostMembers returns the boxes of the members that have lost their state, are no
-// longer listed or have been silent for at least the table's WarmPatience.
+// longer listed or have been silent for at least WarmReplaceAfter.
 func (round *round) lostMembers(group *shedkeel.Group) []shedkeel.BoxID {
 	var missing []shedkeel.BoxID
 	for _, member := range group.Members {
--- a/group/trace_test.go
+++ b/group/trace_test.go
@@ -97,7 +97,7 @@
 }
 
 // settleTicks is how many ticks without a change must pass before run skips time.
-// It is longer than any Patience in the tables that are measured here.
+// It is longer than any ReplaceAfter in the parameters that are measured here.
 const settleTicks = 90
 
 // run simulates the fleet under a trace until its time is length. After settleTicks
--- a/instance_test.go
+++ b/instance_test.go
@@ -33,10 +33,10 @@
 	}
 }
 
-// TestInstancesSame changes each field of a record in turn and checks that Same
+// TestEqualExceptSequence changes each field of a record in turn and checks that it
 // notices every change except that of Sequence. It finds the fields by reflection,
 // so that a field that is added later is covered too.
-func TestInstancesSame(t *testing.T) {
+func TestEqualExceptSequence(t *testing.T) {
 	record := func() shedkeel.Instance {
 		return shedkeel.Instance{
 			ID: "a", Service: "s", Address: "h:1", Zone: "z", Slots: 2, ColdFor: time.Second, Sequence: 7, Domain: "d",
--- a/interfaces.go
+++ b/interfaces.go
@@ -30,12 +30,12 @@
 	Lease LeaseID
 }
 
-// MaxTransactionEntries is the maximum number of conditions, puts and removals together in
-// one transaction.
+// MaxTransactionEntries is the maximum number of conditions, puts and removals
+// together in one transaction.
 const MaxTransactionEntries = 32
 
-// Transaction is a transaction: it is applied as a whole if every condition holds, and
-// not at all otherwise. It has at most MaxTransactionEntries entries.
+// Transaction is a set of changes that is applied as a whole if every condition holds,
+// and not at all otherwise. It has at most MaxTransactionEntries entries.
 type Transaction struct {
 	If     []Condition
 	Put    []Put
@@ -47,7 +47,7 @@
 	Records  []Record
 	Revision Revision // revision from which to read further changes
 	// More is set if the answer reached its maximum size. The service may already
-	// have later changes, so At may be older than its newest revision.
+	// have later changes, so Revision may be older than its newest revision.
 	More bool
 }
 
--- a/keeper/probe.go
+++ b/keeper/probe.go
@@ -79,8 +79,8 @@
 	prober.views[box] = view
 }
 
-// lastView returns the last state that a box reported, with Seen negative if the
-// box has never answered.
+// lastView returns the last state that a box reported, with LastReply negative if
+// the box has never answered.
 func (prober *prober) lastView(box shedkeel.Box) shedkeel.BoxView {
 	prober.mutex.Lock()
 	defer prober.mutex.Unlock()
--- a/mutants_test.go
+++ b/mutants_test.go
@@ -44,13 +44,13 @@
 		"ratelimit/granter.go", "grantsFrom: max(now, request.SettledSince+handoverDelay)", "grantsFrom: now", "TestGranterHandover", "./ratelimit",
 	},
 	"rate limits of servers: an answer that comes late lifts a limit": {
-		"ratelimit/limits.go", "Lifted: true, At: sent}", "Lifted: true, At: now}", "TestLimits", "./ratelimit",
+		"ratelimit/limits.go", "Lifted: true, AsOf: sent}", "Lifted: true, AsOf: now}", "TestLimits", "./ratelimit",
 	},
 	"evacuated zones: they get requests": {
 		"node/fleet.go", "|| fleet.evacuated[instance.Zone]:", ":", "TestEvacuatedZoneGetsNothing", "./node",
 	},
 	"evacuated zones: a lost record ends an evacuation": {
-		"node/evacuation.go", "case record.Lost && before:", "case false && before:", "TestEvacuationsFollowRecords", "./node",
+		"node/evacuation.go", "case record.LostInRestore && before:", "case false && before:", "TestEvacuationsFollowRecords", "./node",
 	},
 	"cold servers: their records are not heeded": {
 		"node/fleet.go", "until := fleet.coldUntil[key]", "until := 0 * fleet.coldUntil[key]", "TestColdServersGetLittle", "./node",
@@ -248,7 +248,7 @@
 		"formation/stage.go", "float64(round.activeLoads()) >= part*float64(engine.LoadsAtOnce) {", "false {", "TestLoadsAreBoundedUnderTraffic", "./formation",
 	},
 	"box list: a member that answers is lost with its entry": {
-		"keeper/plan.go", "if unlisted[id] && (view.Seen < 0", "if unlisted[id] && (true || view.Seen < 0", "TestScenarios/box_list", ".",
+		"keeper/plan.go", "if unlisted[id] && (view.LastReply < 0", "if unlisted[id] && (true || view.LastReply < 0", "TestScenarios/box_list", ".",
 	},
 	"7 planned stop: it does not wait to be forgotten": {
 		"entry/entry.go", "\tentry.waitAddressExpiry()\n\tctx", "\tctx", "TestScenarios/planned_stop", ".",
--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -20,7 +20,7 @@
 // its calls.
 type fixedGuard struct {
 	judgment shedkeel.Judgment
-	refuses  bool // Try allows nothing
+	refuses  bool // AcquireAttempt allows nothing
 	idle     bool
 	worsens  bool // requests are quarantined once a server has ended
 
--- a/serve/send.go
+++ b/serve/send.go
@@ -168,11 +168,11 @@
 	if request.Header.Get("User-Agent") == "" {
 		request.Header.Set("User-Agent", "") // net/http would add its own
 	}
-	sending := shedkeel.Attempt{Call: &exchange.call, Server: choice.Instance, Deadline: remaining, LastEventID: lastEvent, Priority: exchange.priority()}
+	attempt := shedkeel.Attempt{Call: &exchange.call, Server: choice.Instance, Deadline: remaining, LastEventID: lastEvent, Priority: exchange.priority()}
 	if exchange.account != nil {
-		sending.Account = exchange.account.ID
+		attempt.Account = exchange.account.ID
 	}
-	exchange.handler.Protocol.Write(request.Header, sending)
+	exchange.handler.Protocol.Write(request.Header, attempt)
 	return request, nil
 }
 
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -38,12 +38,12 @@
 	return call, nil
 }
 
-func (testProtocol) Write(header http.Header, sending shedkeel.Attempt) {
+func (testProtocol) Write(header http.Header, attempt shedkeel.Attempt) {
 	header.Del("Key")
-	header.Set("To", string(sending.Server))
-	header.Set("Account", string(sending.Account))
-	header.Set("After", sending.LastEventID)
-	header.Set("Deadline", sending.Deadline.String())
+	header.Set("To", string(attempt.Server))
+	header.Set("Account", string(attempt.Account))
+	header.Set("After", attempt.LastEventID)
+	header.Set("Deadline", attempt.Deadline.String())
 }
 
 func (testProtocol) Answer(response *http.Response) shedkeel.BackendAnswer {
--- a/serving.go
+++ b/serving.go
@@ -72,8 +72,8 @@
 	Warmup   time.Duration // time to load the weights from the box's host memory
 }
 
-// EffectiveSlowdown returns the multiplier of the engine's times: Pace, or 1 if Pace is
-// not set.
+// EffectiveSlowdown returns the multiplier of the engine's times: Slowdown, or 1 if
+// Slowdown is not set.
 func (model *Model) EffectiveSlowdown() float64 {
 	if model.Slowdown <= 0 {
 		return 1
--- a/shedkeel.go
+++ b/shedkeel.go
@@ -327,13 +327,13 @@
 	// ReplaceAfter is how long the planner waits for a member that does not reply
 	// before it replaces the member. The substitute loads the weights meanwhile.
 	ReplaceAfter time.Duration `json:"patience"`
-	// WarmReplaceAfter takes the place of Patience if a substitute already has the
+	// WarmReplaceAfter takes the place of ReplaceAfter if a substitute already has the
 	// weights loaded, so that the replacement is fast.
 	WarmReplaceAfter time.Duration `json:"warm_patience"`
 	Consolidate      bool          `json:"consolidate"`  // dissolve one incomplete group to repair others
 	CrossDomain      bool          `json:"cross_domain"` // form a slower group across fabric domains if no domain has enough boxes
-	// DomainFailureFraction is the fraction of a domain's boxes that must fail to reply,
-	// two boxes at least, for the domain itself to count as failed. Meanwhile the
-	// planner replaces no members and forms no groups there. 0: never.
+	// DomainFailureFraction is the fraction of a domain's boxes that must fail to
+	// reply, two boxes at least, for the domain itself to count as failed. Meanwhile
+	// the planner replaces no members and forms no groups there. 0: never.
 	DomainFailureFraction float64 `json:"storm_fraction"`
 }
--- a/swim/detector.go
+++ b/swim/detector.go
@@ -155,7 +155,7 @@
 }
 
 // Liveness returns the liveness of a node. A node that is not monitored is Alive. One
-// that was listed after this node's start is Unheard until something shows that it lives.
+// that was listed after this node's start is Unconfirmed until something shows that it lives.
 func (detector *Detector) Liveness(id shedkeel.NodeID) shedkeel.Liveness {
 	peer := detector.peers[id]
 	switch {
--- a/swim/receive.go
+++ b/swim/receive.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// confirmAlive records that a node is alive now. If the node was Unheard before, others are
-// informed.
+// confirmAlive records that a node is alive now. If the node was Unconfirmed before, others
+// are informed.
 func (detector *Detector) confirmAlive(now time.Duration, peer *peer) {
 	if peer.lastAlive == never && !peer.presumedAlive {
 		peer.transmitsLeft = detector.transmitLimit()
