--- a/entry/sync.go
+++ b/entry/sync.go
@@ -48,10 +48,10 @@
 	}
 	entry.keeperUnreachable = err != nil
 	if err != nil {
-		entry.Log.Write(event.KeeperAway, slog.String("error", err.Error()))
+		entry.Log.Write(event.KeeperUnavailable, slog.String("error", err.Error()))
 		return
 	}
-	entry.Log.Write(event.KeeperBack)
+	entry.Log.Write(event.KeeperAvailable)
 }
 
 // rebuildSnapshot replaces the snapshot by one built from the table, updates the
--- a/event/event.go
+++ b/event/event.go
@@ -20,93 +20,93 @@
 
 // The events. The number of a removed event is never used again.
 var (
-	Started         = Event{100, slog.LevelInfo, "process started"}
-	Stopping        = Event{101, slog.LevelInfo, "planned stop begun"}
-	Stopped         = Event{102, slog.LevelInfo, "process stopped"}
-	Failed          = Event{103, slog.LevelError, "process failed"}
-	Reloaded        = Event{104, slog.LevelInfo, "settings read again"}
-	ReloadFailed    = Event{105, slog.LevelError, "settings cannot be read again; those in force stay"}
-	LinesLeftOut    = Event{106, slog.LevelWarn, "log lines were left out"}
-	StoreAway       = Event{200, slog.LevelWarn, "key-value service does not answer"}
-	StoreBack       = Event{201, slog.LevelInfo, "key-value service answers again"}
-	StoreOlder      = Event{202, slog.LevelWarn, "key-value service holds an older record than is in force"}
-	StoreHealed     = Event{203, slog.LevelInfo, "record in force written back to the key-value service"}
-	RecordBad       = Event{204, slog.LevelError, "record of the key-value service cannot be read"}
-	BoxListAway     = Event{205, slog.LevelWarn, "box list does not answer"}
-	StoreRestored   = Event{206, slog.LevelWarn, "key-value service has come back from an older copy"}
-	StoreEraBad     = Event{207, slog.LevelWarn, "answer of the key-value service has an era that cannot be read"}
-	Settled         = Event{300, slog.LevelInfo, "keeper knows what is in force"}
-	ConfigInForce   = Event{301, slog.LevelInfo, "configuration in force"}
-	ConfigAccepted  = Event{302, slog.LevelInfo, "configuration accepted from an operator"}
-	ConfigRefused   = Event{303, slog.LevelWarn, "configuration of an operator refused"}
-	LeaseGained     = Event{400, slog.LevelInfo, "planner lease gained"}
-	LeaseLost       = Event{401, slog.LevelWarn, "planner lease lost"}
-	PlacementAgreed = Event{402, slog.LevelInfo, "placement agreed"}
-	PlacementFailed = Event{403, slog.LevelWarn, "placement was not agreed"}
-	Decided         = Event{404, slog.LevelInfo, "planner decided"}
-	OrderFailed     = Event{405, slog.LevelWarn, "order failed"}
-	OrderRefused    = Event{406, slog.LevelWarn, "order refused by a fence"}
-	GroupChanged    = Event{407, slog.LevelInfo, "group found in another state"}
-	ReserveUsed     = Event{409, slog.LevelWarn, "reserve takes a lost member's place in an outage"}
-	PolicyFailed    = Event{408, slog.LevelError, "policy failed; the table in use stays"}
-	KeeperAway      = Event{500, slog.LevelWarn, "keeper does not answer"}
-	KeeperBack      = Event{501, slog.LevelInfo, "keeper answers again"}
-	StreamAborted   = Event{600, slog.LevelWarn, "stream cut off before its end"}
-	StreamResumed   = Event{601, slog.LevelInfo, "stream resumed"}
-	WrongAnswer     = Event{602, slog.LevelError, "backend server answered for another request"}
-	RequestPanic    = Event{603, slog.LevelError, "request handler failed"}
-	Answered        = Event{610, slog.LevelInfo, "request answered"}
-	Refused         = Event{611, slog.LevelWarn, "request refused or failed"}
-	BrokenOff       = Event{612, slog.LevelWarn, "answer broken off, or its caller left"}
-	SendingFailed   = Event{613, slog.LevelWarn, "server did not answer a request as it should"}
-	StreamMoved     = Event{614, slog.LevelWarn, "stream begun at another server because its own is silent"}
-	ServerEnded     = Event{615, slog.LevelWarn, "backend server ended under a request"}
-	RequestJudged   = Event{616, slog.LevelWarn, "request under which servers ended is judged anew"}
-	BlameNotKept    = Event{617, slog.LevelWarn, "what is held against a request was not written"}
-	LimitChanged    = Event{618, slog.LevelInfo, "backend server limits the rate of its requests otherwise than before"}
-	LimitBad        = Event{619, slog.LevelWarn, "backend server states a limit that cannot be read; the former one stays"}
-	ServerSilent    = Event{620, slog.LevelWarn, "server or group has gone silent"}
-	NoticeTaken     = Event{621, slog.LevelInfo, "another process reports a group silent or lost"}
-	BackoffStated   = Event{622, slog.LevelInfo, "backend server wants no requests of this node for a while"}
-	DrainingStated  = Event{623, slog.LevelInfo, "backend server says in an answer that it drains"}
-	EvacuationBegun = Event{625, slog.LevelInfo, "availability zone is evacuated; its backend servers get no requests"}
-	EvacuationEnded = Event{626, slog.LevelInfo, "availability zone is taken back; its backend servers get requests again"}
-	EvacuationLost  = Event{627, slog.LevelWarn, "key-value service has lost an evacuation, which stays in force; write it again, or write and remove it to withdraw it"}
-	StatementBad    = Event{624, slog.LevelWarn, "answer of a backend server has a header that cannot be read; nothing is stated by it"}
-	ServersChanged  = Event{630, slog.LevelInfo, "list of servers and groups changed"}
-	ViewChanged     = Event{631, slog.LevelInfo, "serving configuration in force"}
-	NodesChanged    = Event{632, slog.LevelInfo, "list of nodes changed"}
-	RecordSkipped   = Event{633, slog.LevelWarn, "record cannot be read; what was in force stays"}
-	OrderGiven      = Event{640, slog.LevelInfo, "order to an engine"}
-	LeadGained      = Event{641, slog.LevelInfo, "this node plans replica groups now"}
-	LeadLost        = Event{642, slog.LevelInfo, "this node no longer plans replica groups"}
-	MemberDead      = Event{643, slog.LevelWarn, "member of a replica group does not answer"}
-	MemberAlive     = Event{644, slog.LevelInfo, "member of a replica group answers again"}
-	ProbeUnsure     = Event{647, slog.LevelWarn, "probe of a member proves nothing"}
-	DomainUsage     = Event{648, slog.LevelInfo, "what the backend servers of a domain are used for"}
-	PaceChanged     = Event{649, slog.LevelInfo, "member of a replica group became slow or sound"}
-	Demand          = Event{650, slog.LevelInfo, "what callers ask of each model"}
-	LeaseRenewFail  = Event{645, slog.LevelWarn, "lease of this node was not renewed"}
-	NodeDead        = Event{651, slog.LevelWarn, "node gives no answer; its record is removed"}
-	SizeNotKept     = Event{652, slog.LevelWarn, "size of the fleet was not written for nodes that start"}
-	NodeHeld        = Event{654, slog.LevelInfo, "node is believed though its record went"}
-	NodesJudged     = Event{655, slog.LevelInfo, "nodes were found dead, have left, or live again"}
-	GossipFailed    = Event{656, slog.LevelWarn, "datagram between nodes could not be used"}
-	Followed        = Event{657, slog.LevelInfo, "copy of another process is followed"}
-	NodesRegistered = Event{658, slog.LevelInfo, "records of nodes that follow this one were written"}
-	WaitOverdue     = Event{653, slog.LevelWarn, "planner waits for longer than it should"}
-	LoadsNotKept    = Event{646, slog.LevelWarn, "loads under way were not written for the next planner"}
+	Started               = Event{100, slog.LevelInfo, "process started"}
+	Stopping              = Event{101, slog.LevelInfo, "planned stop begun"}
+	Stopped               = Event{102, slog.LevelInfo, "process stopped"}
+	Failed                = Event{103, slog.LevelError, "process failed"}
+	Reloaded              = Event{104, slog.LevelInfo, "settings read again"}
+	ReloadFailed          = Event{105, slog.LevelError, "settings cannot be read again; those in force stay"}
+	LinesDropped          = Event{106, slog.LevelWarn, "log lines were left out"}
+	StoreUnavailable      = Event{200, slog.LevelWarn, "key-value service does not answer"}
+	StoreAvailable        = Event{201, slog.LevelInfo, "key-value service answers again"}
+	StoreOlder            = Event{202, slog.LevelWarn, "key-value service holds an older record than is in force"}
+	StoreHealed           = Event{203, slog.LevelInfo, "record in force written back to the key-value service"}
+	RecordInvalid         = Event{204, slog.LevelError, "record of the key-value service cannot be read"}
+	BoxListUnavailable    = Event{205, slog.LevelWarn, "box list does not answer"}
+	StoreRestored         = Event{206, slog.LevelWarn, "key-value service has come back from an older copy"}
+	StoreEraInvalid       = Event{207, slog.LevelWarn, "answer of the key-value service has an era that cannot be read"}
+	KeeperSynced          = Event{300, slog.LevelInfo, "keeper knows what is in force"}
+	ConfigInForce         = Event{301, slog.LevelInfo, "configuration in force"}
+	ConfigAccepted        = Event{302, slog.LevelInfo, "configuration accepted from an operator"}
+	ConfigRefused         = Event{303, slog.LevelWarn, "configuration of an operator refused"}
+	LeaseGained           = Event{400, slog.LevelInfo, "planner lease gained"}
+	LeaseLost             = Event{401, slog.LevelWarn, "planner lease lost"}
+	PlacementAgreed       = Event{402, slog.LevelInfo, "placement agreed"}
+	PlacementFailed       = Event{403, slog.LevelWarn, "placement was not agreed"}
+	PlannerDecision       = Event{404, slog.LevelInfo, "planner decided"}
+	OrderFailed           = Event{405, slog.LevelWarn, "order failed"}
+	OrderRefused          = Event{406, slog.LevelWarn, "order refused by a fence"}
+	GroupChanged          = Event{407, slog.LevelInfo, "group found in another state"}
+	ReserveUsed           = Event{409, slog.LevelWarn, "reserve takes a lost member's place in an outage"}
+	PolicyFailed          = Event{408, slog.LevelError, "policy failed; the table in use stays"}
+	KeeperUnavailable     = Event{500, slog.LevelWarn, "keeper does not answer"}
+	KeeperAvailable       = Event{501, slog.LevelInfo, "keeper answers again"}
+	StreamAborted         = Event{600, slog.LevelWarn, "stream cut off before its end"}
+	StreamResumed         = Event{601, slog.LevelInfo, "stream resumed"}
+	WrongAnswer           = Event{602, slog.LevelError, "backend server answered for another request"}
+	RequestPanic          = Event{603, slog.LevelError, "request handler failed"}
+	Answered              = Event{610, slog.LevelInfo, "request answered"}
+	Refused               = Event{611, slog.LevelWarn, "request refused or failed"}
+	AnswerAborted         = Event{612, slog.LevelWarn, "answer broken off, or its caller left"}
+	AttemptFailed         = Event{613, slog.LevelWarn, "server did not answer a request as it should"}
+	StreamMoved           = Event{614, slog.LevelWarn, "stream begun at another server because its own is silent"}
+	ServerEnded           = Event{615, slog.LevelWarn, "backend server ended under a request"}
+	RequestJudged         = Event{616, slog.LevelWarn, "request under which servers ended is judged anew"}
+	BlameWriteFailed      = Event{617, slog.LevelWarn, "what is held against a request was not written"}
+	LimitChanged          = Event{618, slog.LevelInfo, "backend server limits the rate of its requests otherwise than before"}
+	LimitInvalid          = Event{619, slog.LevelWarn, "backend server states a limit that cannot be read; the former one stays"}
+	ServerUnresponsive    = Event{620, slog.LevelWarn, "server or group has gone silent"}
+	NoticeReceived        = Event{621, slog.LevelInfo, "another process reports a group silent or lost"}
+	BackoffStated         = Event{622, slog.LevelInfo, "backend server wants no requests of this node for a while"}
+	DrainingStated        = Event{623, slog.LevelInfo, "backend server says in an answer that it drains"}
+	EvacuationBegun       = Event{625, slog.LevelInfo, "availability zone is evacuated; its backend servers get no requests"}
+	EvacuationEnded       = Event{626, slog.LevelInfo, "availability zone is taken back; its backend servers get requests again"}
+	EvacuationLost        = Event{627, slog.LevelWarn, "key-value service has lost an evacuation, which stays in force; write it again, or write and remove it to withdraw it"}
+	HeaderInvalid         = Event{624, slog.LevelWarn, "answer of a backend server has a header that cannot be read; nothing is stated by it"}
+	ServersChanged        = Event{630, slog.LevelInfo, "list of servers and groups changed"}
+	ServingConfigInForce  = Event{631, slog.LevelInfo, "serving configuration in force"}
+	NodesChanged          = Event{632, slog.LevelInfo, "list of nodes changed"}
+	RecordSkipped         = Event{633, slog.LevelWarn, "record cannot be read; what was in force stays"}
+	OrderSent             = Event{640, slog.LevelInfo, "order to an engine"}
+	LeadGained            = Event{641, slog.LevelInfo, "this node plans replica groups now"}
+	LeadLost              = Event{642, slog.LevelInfo, "this node no longer plans replica groups"}
+	MemberDead            = Event{643, slog.LevelWarn, "member of a replica group does not answer"}
+	MemberAlive           = Event{644, slog.LevelInfo, "member of a replica group answers again"}
+	ProbeInconclusive     = Event{647, slog.LevelWarn, "probe of a member proves nothing"}
+	DomainUsage           = Event{648, slog.LevelInfo, "what the backend servers of a domain are used for"}
+	PaceChanged           = Event{649, slog.LevelInfo, "member of a replica group became slow or sound"}
+	Demand                = Event{650, slog.LevelInfo, "what callers ask of each model"}
+	LeaseRenewalFailed    = Event{645, slog.LevelWarn, "lease of this node was not renewed"}
+	NodeDead              = Event{651, slog.LevelWarn, "node gives no answer; its record is removed"}
+	FleetSizeWriteFailed  = Event{652, slog.LevelWarn, "size of the fleet was not written for nodes that start"}
+	NodeKeptWithoutRecord = Event{654, slog.LevelInfo, "node is believed though its record went"}
+	NodeStatesChanged     = Event{655, slog.LevelInfo, "nodes were found dead, have left, or live again"}
+	GossipFailed          = Event{656, slog.LevelWarn, "datagram between nodes could not be used"}
+	MirrorSourceChanged   = Event{657, slog.LevelInfo, "copy of another process is followed"}
+	NodesRegistered       = Event{658, slog.LevelInfo, "records of nodes that follow this one were written"}
+	WaitOverdue           = Event{653, slog.LevelWarn, "planner waits for longer than it should"}
+	LoadsWriteFailed      = Event{646, slog.LevelWarn, "loads under way were not written for the next planner"}
 )
 
 // Catalog returns all events.
 func Catalog() []Event {
 	return []Event{
-		Started, Stopping, Stopped, Failed, Reloaded, ReloadFailed, LinesLeftOut, StoreAway, StoreBack, StoreOlder, StoreHealed, RecordBad, BoxListAway, StoreRestored, StoreEraBad,
-		Settled, ConfigInForce, ConfigAccepted, ConfigRefused, LeaseGained, LeaseLost, PlacementAgreed,
-		PlacementFailed, Decided, OrderFailed, OrderRefused, GroupChanged, PolicyFailed, ReserveUsed, KeeperAway, KeeperBack,
+		Started, Stopping, Stopped, Failed, Reloaded, ReloadFailed, LinesDropped, StoreUnavailable, StoreAvailable, StoreOlder, StoreHealed, RecordInvalid, BoxListUnavailable, StoreRestored, StoreEraInvalid,
+		KeeperSynced, ConfigInForce, ConfigAccepted, ConfigRefused, LeaseGained, LeaseLost, PlacementAgreed,
+		PlacementFailed, PlannerDecision, OrderFailed, OrderRefused, GroupChanged, PolicyFailed, ReserveUsed, KeeperUnavailable, KeeperAvailable,
 		StreamAborted, StreamResumed, WrongAnswer, RequestPanic,
-		Answered, Refused, BrokenOff, SendingFailed, StreamMoved, ServerEnded, RequestJudged, BlameNotKept, LimitChanged, LimitBad, ServerSilent, NoticeTaken, BackoffStated, DrainingStated, StatementBad, EvacuationBegun, EvacuationEnded, EvacuationLost, ServersChanged, ViewChanged,
-		NodesChanged, RecordSkipped, OrderGiven, LeadGained, LeadLost, MemberDead, MemberAlive, ProbeUnsure, DomainUsage, PaceChanged, Demand, LeaseRenewFail, LoadsNotKept, NodeDead, SizeNotKept, WaitOverdue, NodeHeld, NodesJudged, GossipFailed, Followed, NodesRegistered,
+		Answered, Refused, AnswerAborted, AttemptFailed, StreamMoved, ServerEnded, RequestJudged, BlameWriteFailed, LimitChanged, LimitInvalid, ServerUnresponsive, NoticeReceived, BackoffStated, DrainingStated, HeaderInvalid, EvacuationBegun, EvacuationEnded, EvacuationLost, ServersChanged, ServingConfigInForce,
+		NodesChanged, RecordSkipped, OrderSent, LeadGained, LeadLost, MemberDead, MemberAlive, ProbeInconclusive, DomainUsage, PaceChanged, Demand, LeaseRenewalFailed, LoadsWriteFailed, NodeDead, FleetSizeWriteFailed, WaitOverdue, NodeKeptWithoutRecord, NodeStatesChanged, GossipFailed, MirrorSourceChanged, NodesRegistered,
 	}
 }
 
@@ -157,10 +157,10 @@
 		return
 	}
 	for number, count := range log.limits.takeDropped() {
-		log.write(LinesLeftOut, slog.Int("of", number), slog.Int64("count", count))
+		log.write(LinesDropped, slog.Int("of", number), slog.Int64("count", count))
 	}
 	if count := log.queue.Dropped(); count > 0 {
-		log.write(LinesLeftOut, slog.Int64("count", count))
+		log.write(LinesDropped, slog.Int64("count", count))
 	}
 }
 
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -50,7 +50,7 @@
 	assert.NilError(t, err)
 	log.Write(Started)
 	assert.Equal(t, buffer.Len(), 0, "an event below the level was written")
-	log.Write(StoreAway, slog.String("error", "x"))
+	log.Write(StoreUnavailable, slog.String("error", "x"))
 	var line map[string]any
 	assert.NilError(t, json.Unmarshal(buffer.Bytes(), &line))
 	assert.Equal(t, line["event"], 200.0)
@@ -89,9 +89,9 @@
 	queue.Close()
 }
 
-// TestVolumeIsBounded checks that info events are dropped above their rate limit
+// TestRateLimits checks that info events are dropped above their rate limit
 // while as many warnings are written, and that the dropped lines are reported.
-func TestVolumeIsBounded(t *testing.T) {
+func TestRateLimits(t *testing.T) {
 	var buffer bytes.Buffer
 	log, err := NewBoundedLog(&buffer, "info")
 	assert.NilError(t, err)
@@ -106,7 +106,7 @@
 	}
 	assert.Assert(t, count(Answered.Number) < routineRate*3/2)
 	assert.Equal(t, count(Refused.Number), 3*routineRate, "a warning was dropped at a rate that is within its limit")
-	assert.Equal(t, count(LinesLeftOut.Number), 1)
+	assert.Equal(t, count(LinesDropped.Number), 1)
 }
 
 // TestRecent queries the recent lines of a log after more lines were written than
--- a/keeper/agree.go
+++ b/keeper/agree.go
@@ -21,7 +21,7 @@
 	rank, candidate := member.Place(keeper.Settings.Node, leaseRankPrefix+string(zone.id), zone.id, keeper.table.Live(now))
 	keeper.mutex.Unlock()
 	if err := zone.lease.Observe(record.Revision, record.Value, now); err != nil {
-		keeper.Log.Write(event.RecordBad, slog.String("error", err.Error()))
+		keeper.Log.Write(event.RecordInvalid, slog.String("error", err.Error()))
 		return
 	}
 	if _, held := zone.lease.Held(now, 0); !candidate && !held {
@@ -82,7 +82,7 @@
 	placement := shedkeel.Placement{Zone: zone.id}
 	if record.Revision.Exists() {
 		if err := json.Unmarshal(record.Value, &placement); err != nil {
-			zone.keeper.Log.Write(event.RecordBad, slog.String("error", err.Error()))
+			zone.keeper.Log.Write(event.RecordInvalid, slog.String("error", err.Error()))
 			return false
 		}
 	}
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -195,7 +195,7 @@
 	defer keeper.mutex.Unlock()
 	if !keeper.settled {
 		keeper.settled = true
-		keeper.Log.Write(event.Settled, slog.String("by", source))
+		keeper.Log.Write(event.KeeperSynced, slog.String("by", source))
 	}
 }
 
--- a/keeper/plan.go
+++ b/keeper/plan.go
@@ -303,7 +303,7 @@
 		if slices.Contains(zone.recentDecisions(), decision) {
 			continue
 		}
-		zone.keeper.Log.Write(event.Decided, slog.String("zone", string(zone.id)), slog.String("group", string(decision.Group)),
+		zone.keeper.Log.Write(event.PlannerDecision, slog.String("zone", string(zone.id)), slog.String("group", string(decision.Group)),
 			slog.String("box", string(decision.Box)), slog.String("action", decision.Action), slog.String("reason", decision.Reason))
 		zone.keeper.mutex.Lock()
 		zone.decisions = append(zone.decisions, decision)
--- a/keeper/spread.go
+++ b/keeper/spread.go
@@ -104,10 +104,10 @@
 	}
 	keeper.unreachable[address] = err != nil
 	if err != nil {
-		keeper.Log.Write(event.KeeperAway, slog.String("address", address), slog.String("error", err.Error()))
+		keeper.Log.Write(event.KeeperUnavailable, slog.String("address", address), slog.String("error", err.Error()))
 		return
 	}
-	keeper.Log.Write(event.KeeperBack, slog.String("address", address))
+	keeper.Log.Write(event.KeeperAvailable, slog.String("address", address))
 }
 
 // peer returns the connection to a keeper, creating it on first use.
@@ -195,10 +195,10 @@
 	}
 	keeper.storeUnavailable = err != nil
 	if err != nil {
-		keeper.Log.Write(event.StoreAway, slog.String("error", err.Error()))
+		keeper.Log.Write(event.StoreUnavailable, slog.String("error", err.Error()))
 		return
 	}
-	keeper.Log.Write(event.StoreBack)
+	keeper.Log.Write(event.StoreAvailable)
 }
 
 // handleStoreRecord merges a record reported by the watch. If the record is older
@@ -211,7 +211,7 @@
 		err = nil
 	}
 	if err != nil {
-		keeper.Log.Write(event.RecordBad, slog.String("error", err.Error()))
+		keeper.Log.Write(event.RecordInvalid, slog.String("error", err.Error()))
 		return
 	}
 	keeper.mutex.Lock()
@@ -279,7 +279,7 @@
 // mutex must be held.
 func (keeper *Keeper) recordBoxListError(err error) {
 	if !keeper.unreachable["box list"] {
-		keeper.Log.Write(event.BoxListAway, slog.String("error", err.Error()))
+		keeper.Log.Write(event.BoxListUnavailable, slog.String("error", err.Error()))
 	}
 	keeper.unreachable["box list"] = true
 }
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -270,10 +270,10 @@
 	state := follower.Mirror.State()
 	fields := []slog.Attr{slog.String("revision", state.At.String()), slog.Duration("age", follower.Timers.Now()-state.AsOf)}
 	if err != nil {
-		follower.Log.Write(event.StoreAway, append(fields, slog.String("error", err.Error()))...)
+		follower.Log.Write(event.StoreUnavailable, append(fields, slog.String("error", err.Error()))...)
 		return
 	}
-	follower.Log.Write(event.StoreBack, fields...)
+	follower.Log.Write(event.StoreAvailable, fields...)
 }
 
 // runPeers follows the upstream while there is one, and queries random peers while
@@ -316,7 +316,7 @@
 		return
 	}
 	follower.upstream = name
-	follower.Log.Write(event.Followed, slog.String("of", name), slog.Duration("age", follower.Timers.Now()-state.AsOf))
+	follower.Log.Write(event.MirrorSourceChanged, slog.String("of", name), slog.Duration("age", follower.Timers.Now()-state.AsOf))
 }
 
 // randomBelow returns a random number below the bound.
--- a/node/config.go
+++ b/node/config.go
@@ -82,7 +82,7 @@
 	}
 	fleet.view.Store(serve.NewView(config))
 	fleet.activeConfig.set(record.Value)
-	fleet.node.Log.Write(event.ViewChanged, slog.Int64("version", config.Version), slog.String("revision", record.Revision.String()), slog.Int("routes", len(config.Routes)))
+	fleet.node.Log.Write(event.ServingConfigInForce, slog.Int64("version", config.Version), slog.String("revision", record.Revision.String()), slog.Int("routes", len(config.Routes)))
 	return true
 }
 
--- a/node/controller.go
+++ b/node/controller.go
@@ -206,6 +206,6 @@
 		outcome = err.Error()
 	}
 	controller.mutex.Unlock()
-	node.Log.Write(event.OrderGiven, slog.String("order", string(order.Kind)), slog.String("to", string(order.To)), slog.String("group", string(order.Group)),
+	node.Log.Write(event.OrderSent, slog.String("order", string(order.Kind)), slog.String("to", string(order.To)), slog.String("group", string(order.Group)),
 		slog.Uint64("epoch", order.Epoch), slog.String("reason", action.Reason), slog.String("outcome", outcome))
 }
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -184,7 +184,7 @@
 	}
 	fleet.retained[key] = fleet.outageUntil
 	if id, isNode := strings.CutPrefix(key, nodePrefix); isNode {
-		fleet.node.Log.Write(event.NodeHeld, slog.String("of", id), slog.Duration("until", fleet.outageUntil-now), slog.Duration("age", fleet.mirrorAge()))
+		fleet.node.Log.Write(event.NodeKeptWithoutRecord, slog.String("of", id), slog.Duration("until", fleet.outageUntil-now), slog.Duration("age", fleet.mirrorAge()))
 	}
 	return false
 }
--- a/node/fleetsize.go
+++ b/node/fleetsize.go
@@ -84,7 +84,7 @@
 	}
 	_, err = node.Store.Commit(ctx, shedkeel.Transaction{If: []shedkeel.Condition{{Key: sizeKey, Revision: record.Revision}}, Put: []shedkeel.Put{{Key: sizeKey, Value: value}}})
 	if err != nil {
-		node.Log.Write(event.SizeNotKept, slog.String("error", err.Error()))
+		node.Log.Write(event.FleetSizeWriteFailed, slog.String("error", err.Error()))
 	}
 }
 
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -209,6 +209,6 @@
 	gossip.mutex.Unlock()
 	lost, back := changedKeys(before, now)
 	if len(lost)+len(back) > 0 {
-		gossip.node.Log.Write(event.NodesJudged, slog.Int("unnamed", len(now)), slog.Any("lost", lost), slog.Any("back", back))
+		gossip.node.Log.Write(event.NodeStatesChanged, slog.Int("unnamed", len(now)), slog.Any("lost", lost), slog.Any("back", back))
 	}
 }
--- a/node/guard.go
+++ b/node/guard.go
@@ -350,7 +350,7 @@
 func (guard *guard) write(ctx context.Context, change shedkeel.Transaction) {
 	revision, err := guard.node.Store.Commit(ctx, change)
 	if err != nil {
-		guard.node.Log.Write(event.BlameNotKept, slog.String("error", err.Error()))
+		guard.node.Log.Write(event.BlameWriteFailed, slog.String("error", err.Error()))
 		return
 	}
 	record := shedkeel.Record{Key: change.If[0].Key, Revision: revision, Removed: len(change.Remove) > 0}
--- a/node/lease.go
+++ b/node/lease.go
@@ -58,7 +58,7 @@
 	if errors.As(err, &gone) {
 		lease.id.Store(nil)
 	}
-	lease.node.Log.Write(event.LeaseRenewFail, slog.String("error", err.Error()))
+	lease.node.Log.Write(event.LeaseRenewalFailed, slog.String("error", err.Error()))
 	return false
 }
 
@@ -67,7 +67,7 @@
 	sent := lease.node.Timers.Now()
 	granted, ttl, err := lease.node.Store.Grant(ctx, lease.ttl)
 	if err != nil {
-		lease.node.Log.Write(event.LeaseRenewFail, slog.String("error", err.Error()))
+		lease.node.Log.Write(event.LeaseRenewalFailed, slog.String("error", err.Error()))
 		return false
 	}
 	lease.validUntil.Store(int64(sent + min(ttl, lease.ttl)))
--- a/node/limits.go
+++ b/node/limits.go
@@ -365,7 +365,7 @@
 	}
 	limits.mutex.Unlock()
 	if due {
-		limits.node.Log.Write(event.LimitBad, slog.String("server", string(server)), slog.String("error", err.Error()))
+		limits.node.Log.Write(event.LimitInvalid, slog.String("server", string(server)), slog.String("error", err.Error()))
 	}
 }
 
--- a/node/loads.go
+++ b/node/loads.go
@@ -29,7 +29,7 @@
 	}
 	_, err = node.Store.Commit(ctx, shedkeel.Transaction{Put: []shedkeel.Put{{Key: loadsPrefix + string(id), Value: value}}})
 	if err != nil {
-		node.Log.Write(event.LoadsNotKept, slog.String("error", err.Error()))
+		node.Log.Write(event.LoadsWriteFailed, slog.String("error", err.Error()))
 		return
 	}
 	controller.storedLoads[id] = loading
--- a/node/member.go
+++ b/node/member.go
@@ -226,7 +226,7 @@
 	revision, err := membership.commitRecord(ctx, put)
 	if err != nil {
 		membership.dirty.Store(true)
-		node.Log.Write(event.LeaseRenewFail, slog.String("error", err.Error()))
+		node.Log.Write(event.LeaseRenewalFailed, slog.String("error", err.Error()))
 		return false
 	}
 	node.mirror.Apply(mirrorUpdate(shedkeel.Record{Key: put.Key, Value: value, Revision: revision}))
--- a/node/node.go
+++ b/node/node.go
@@ -269,7 +269,7 @@
 // their groups as suspected to the node that plans groups.
 func (node *Node) reportSilentServers(now time.Duration) {
 	for _, silence := range node.table.FindStalled(now) {
-		node.Log.Write(event.ServerSilent, slog.String("server", string(silence.Server.Instance)), slog.String("group", string(silence.Server.Group.Group)),
+		node.Log.Write(event.ServerUnresponsive, slog.String("server", string(silence.Server.Instance)), slog.String("group", string(silence.Server.Group.Group)),
 			slog.Uint64("epoch", silence.Server.Group.Epoch), slog.Duration("silent", silence.Elapsed), slog.Int("running", silence.Running))
 		if silence.Server.Group.Group == "" {
 			continue
--- a/node/notices.go
+++ b/node/notices.go
@@ -77,7 +77,7 @@
 	}
 	group := shedkeel.Assignment{Group: shedkeel.GroupID(notice.GetGroup()), Epoch: notice.GetEpoch()}
 	avoid := time.Duration(notice.GetForMs()) * time.Millisecond
-	node.Log.Write(event.NoticeTaken, slog.String("from", notice.GetNode()), slog.String("group", notice.GetGroup()), slog.Uint64("epoch", notice.GetEpoch()), slog.Duration("avoid", avoid))
+	node.Log.Write(event.NoticeReceived, slog.String("from", notice.GetNode()), slog.String("group", notice.GetGroup()), slog.Uint64("epoch", notice.GetEpoch()), slog.Duration("avoid", avoid))
 	if avoid > 0 {
 		node.table.AvoidGroup(group, node.Timers.Now(), avoid)
 	} else {
--- a/node/probes.go
+++ b/node/probes.go
@@ -140,7 +140,7 @@
 	_, dead := controller.dead[instance.ID]
 	switch {
 	case errors.Is(err, errInconclusive):
-		controller.node.Log.Write(event.ProbeUnsure, slog.String("server", string(instance.ID)), slog.String("error", err.Error()))
+		controller.node.Log.Write(event.ProbeInconclusive, slog.String("server", string(instance.ID)), slog.String("error", err.Error()))
 	case err != nil:
 		controller.dead[instance.ID] = controller.node.Timers.Now() + reprobeInterval
 		if instance.Member != nil {
--- a/program/node.go
+++ b/program/node.go
@@ -81,7 +81,7 @@
 	process := &node.Node{
 		Settings: settings, Incarnation: shedkeel.NewIncarnation(time.Now()),
 		Store: &platform.Store{Address: settings.Store, Timeout: storeTimeout, WatchMargin: watchMargin, Client: newHTTPClient(4),
-			OnMalformedEra: func(err error) { log.Write(event.StoreEraBad, slog.String("error", err.Error())) }},
+			OnMalformedEra: func(err error) { log.Write(event.StoreEraInvalid, slog.String("error", err.Error())) }},
 		Decoder:  platform.Decoder{},
 		Protocol: platform.HeaderCodec{},
 		Backend:  transport,
--- a/serve/handler.go
+++ b/serve/handler.go
@@ -308,7 +308,7 @@
 		return
 	case errors.Is(err, errAborted):
 		count(meter.aborted)
-		exchange.log(event.BrokenOff, slog.Duration("took", took), slog.Int("sendings", exchange.attempts), slog.String("reason", err.Error()))
+		exchange.log(event.AnswerAborted, slog.Duration("took", took), slog.Int("sendings", exchange.attempts), slog.String("reason", err.Error()))
 		panic(http.ErrAbortHandler) // the caller must see that its answer is incomplete
 	case !errors.As(err, &refused):
 		refused = &refusal{status: http.StatusBadGateway, reason: err.Error()}
--- a/serve/plain.go
+++ b/serve/plain.go
@@ -44,7 +44,7 @@
 			serverFailure, err = answer, errServerFailed
 		}
 		count(exchange.handler.meter().failedAttempts)
-		exchange.log(event.SendingFailed, slog.String("server", string(choice.Instance)), slog.String("reason", err.Error()))
+		exchange.log(event.AttemptFailed, slog.String("server", string(choice.Instance)), slog.String("reason", err.Error()))
 		reason = err
 		exchange.uncountUnsent(err)
 		var notRun *shedkeel.NotRunError
--- a/serve/send.go
+++ b/serve/send.go
@@ -225,7 +225,7 @@
 	}
 	server := slog.String("server", string(choice.Instance))
 	if answer.HeaderError != nil {
-		exchange.log(event.StatementBad, server, slog.String("error", answer.HeaderError.Error()))
+		exchange.log(event.HeaderInvalid, server, slog.String("error", answer.HeaderError.Error()))
 	}
 	if answer.Backoff > 0 {
 		exchange.applyBackoff(choice.Instance, answer.Backoff)
--- a/serve/stream.go
+++ b/serve/stream.go
@@ -209,7 +209,7 @@
 		stream.mayHaveRun = true
 	}
 	count(stream.handler.meter().failedAttempts)
-	stream.log(event.SendingFailed, slog.String("server", string(update.source.choice.Instance)), slog.Int64("after", stream.lastNumber), slog.String("reason", update.err.Error()))
+	stream.log(event.AttemptFailed, slog.String("server", string(update.source.choice.Instance)), slog.Int64("after", stream.lastNumber), slog.String("reason", update.err.Error()))
 	if len(stream.sources) > 0 {
 		return nil
 	}
