--- a/admit/admit.go
+++ b/admit/admit.go
@@ -114,13 +114,13 @@
 
 // Request is the input for Enter's decision.
 type Request struct {
-	Service  shedkeel.ServiceID
-	Account  shedkeel.AccountID
-	Weight   func(shedkeel.AccountID) int // weight of an account in fair shares; below 1 counts as 1
-	Deadline time.Duration                // maximum time from now until the request begins
-	Capacity int                          // requests that all usable targets of the service run concurrently
-	Load     int                          // estimated requests on the chosen target without this one
-	Room     int                          // requests that the chosen target runs concurrently
+	Service        shedkeel.ServiceID
+	Account        shedkeel.AccountID
+	Weight         func(shedkeel.AccountID) int // weight of an account in fair shares; below 1 counts as 1
+	Deadline       time.Duration                // maximum time from now until the request begins
+	Capacity       int                          // requests that all usable targets of the service run concurrently
+	Load           int                          // estimated requests on the chosen target without this one
+	TargetCapacity int                          // requests that the chosen target runs concurrently
 }
 
 // Enter admits a request, or returns a NotRunError with the time after which to
@@ -131,14 +131,14 @@
 	gate.mutex.Lock()
 	defer gate.mutex.Unlock()
 	usage := gate.usage(request.Service)
-	wait := usage.wait(request.Load, request.Room)
+	wait := usage.wait(request.Load, request.TargetCapacity)
 	if wait > request.Deadline {
 		return &shedkeel.NotRunError{
 			Reason:     fmt.Sprintf("service %s would begin it in %s, after its deadline", request.Service, wait.Round(time.Millisecond)),
 			RetryAfter: clampRetryAfter(wait - request.Deadline), Overloaded: true,
 		}
 	}
-	busy := request.Load >= request.Room || float64(usage.inFlight) >= busyFraction*float64(request.Capacity)
+	busy := request.Load >= request.TargetCapacity || float64(usage.inFlight) >= busyFraction*float64(request.Capacity)
 	if busy && float64(usage.inFlightByAccount[request.Account]) >= usage.fairShare(request) {
 		return &shedkeel.NotRunError{
 			Reason:     fmt.Sprintf("service %s is busy and account %s has its fair share of it", request.Service, request.Account),
@@ -214,10 +214,10 @@
 	return known
 }
 
-// Budget is a retry budget: it limits retries to a fraction of first attempts, so
+// RetryBudget is a retry budget: it limits retries to a fraction of first attempts, so
 // that retries do not multiply the load on a failing zone. The zero value allows
 // initialRetries retries before the first attempt is recorded.
-type Budget struct {
+type RetryBudget struct {
 	mutex   sync.Mutex
 	charged float64 // retries made, less what first attempts have restored; at least 0, at most initialRetries
 }
@@ -227,15 +227,15 @@
 	initialRetries = 10  // size of the budget: retries allowed in a row without first attempts
 )
 
-// First records the first attempt of a request.
-func (budget *Budget) First() {
+// FirstAttempt records the first attempt of a request.
+func (budget *RetryBudget) FirstAttempt() {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
 	budget.charged = max(budget.charged-retryRatio, 0)
 }
 
 // Retry reports whether a retry is allowed, and charges it to the budget if so.
-func (budget *Budget) Retry() bool {
+func (budget *RetryBudget) Retry() bool {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
 	if budget.charged+1 > initialRetries {
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -68,7 +68,7 @@
 	weights := map[shedkeel.AccountID]int{"heavy": 3}
 	return gate.Enter(Request{
 		Service: "s", Account: account, Weight: func(id shedkeel.AccountID) int { return weights[id] },
-		Deadline: time.Second, Capacity: 40, Load: load, Room: 10,
+		Deadline: time.Second, Capacity: 40, Load: load, TargetCapacity: 10,
 	})
 }
 
@@ -146,11 +146,11 @@
 // TestBudget checks that, if every attempt fails and each request asks for two
 // retries, the retries stay within the budget and use at least 90% of it.
 func TestBudget(t *testing.T) {
-	budget := &Budget{}
+	budget := &RetryBudget{}
 	retries := 0
 	const firstAttempts = 10_000
 	for range firstAttempts {
-		budget.First()
+		budget.FirstAttempt()
 		for range 2 {
 			if budget.Retry() {
 				retries++
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -40,7 +40,7 @@
 	router      route.Router
 	limiter     admit.Limiter
 	gate        admit.Gate
-	retryBudget admit.Budget
+	retryBudget admit.RetryBudget
 	attempts    attempts
 	inFlight    inFlightCalls
 	history     history
--- a/entry/send.go
+++ b/entry/send.go
@@ -77,11 +77,11 @@
 		return nil, call.finalError(&shedkeel.NotRunError{Reason: "the deadline has passed", RetryAfter: time.Second})
 	}
 	if len(call.triedServers) == 0 {
-		entry.retryBudget.First()
+		entry.retryBudget.FirstAttempt()
 	} else if len(call.triedServers) >= maxTries || !entry.retryBudget.Retry() {
 		return nil, call.finalError(&shedkeel.NotRunError{Reason: "no more tries may be made", RetryAfter: time.Second})
 	}
-	choice, err := entry.router.Choose(route.Request{Service: call.service.ID, Affinity: call.affinity, Now: now, Avoid: call.triedServers})
+	choice, err := entry.router.Choose(route.Request{Service: call.service.ID, Affinity: call.affinity, Now: now, Exclude: call.triedServers})
 	if err != nil {
 		return nil, call.finalError(err)
 	}
@@ -115,7 +115,7 @@
 	_, capacity, _ := entry.router.Load(call.service.ID)
 	err := entry.gate.Enter(admit.Request{
 		Service: call.service.ID, Account: call.caller.account.ID, Deadline: remaining,
-		Capacity: capacity, Load: choice.Load, Room: choice.Capacity,
+		Capacity: capacity, Load: choice.Load, TargetCapacity: choice.Capacity,
 		Weight: func(account shedkeel.AccountID) int { return call.caller.snapshot.weights[account] },
 	})
 	call.admitted = err == nil
@@ -154,7 +154,7 @@
 	}
 	// Check the permit last: the process may have been suspended since the
 	// server was chosen, and the permit may have expired.
-	if try.entry.Timers.Now() >= try.choice.Until {
+	if try.entry.Timers.Now() >= try.choice.UsableUntil {
 		return nil, &shedkeel.NotRunError{Reason: "the proof that " + try.choice.Name + " is whole has run out", RetryAfter: time.Second}
 	}
 	response, err := try.entry.Backend.Send(request)
--- a/entry/sync.go
+++ b/entry/sync.go
@@ -91,7 +91,7 @@
 		}
 		entry.router.Update(service.ID, serverTargets(service, judge, next.lastSync), now)
 	}
-	entry.router.Forget(services)
+	entry.router.RetainServices(services)
 }
 
 // groupTargets returns the groups of a model service with their permits.
@@ -103,7 +103,7 @@
 		}
 		targets = append(targets, route.Target{
 			Name: string(permit.Group.ID), Address: permit.Group.Members[0].Address, Assignment: permit.Group.Assignment(),
-			Until: permit.Until, Reported: permit.Load, AsOf: permit.Watched, Capacity: service.Capacity,
+			UsableUntil: permit.Until, ReportedLoad: permit.Load, ReportedAt: permit.Watched, Capacity: service.Capacity,
 		})
 	}
 	return targets
@@ -120,7 +120,7 @@
 			continue
 		}
 		targets = append(targets, route.Target{
-			Name: string(server.ID), Address: server.Address, Until: synced + judge.Window*serverWindows, Capacity: service.Capacity,
+			Name: string(server.ID), Address: server.Address, UsableUntil: synced + judge.Window*serverWindows, Capacity: service.Capacity,
 		})
 	}
 	return targets
--- a/group/trace_test.go
+++ b/group/trace_test.go
@@ -201,7 +201,7 @@
 	program, err := os.ReadFile(filepath.Join("..", "policies", name+".star"))
 	assert.NilError(t, err)
 	facts := policy.SampleFacts()
-	facts.Members, facts.DomainBoxes, facts.Domains = traceMembers, traceBoxes, traceDomains
+	facts.GroupSize, facts.DomainBoxes, facts.Domains = traceMembers, traceBoxes, traceDomains
 	table, err := policy.Run(shedkeel.Policy{Name: name, Program: string(program)}, facts)
 	assert.NilError(t, err)
 	return table
--- a/keeper/plan.go
+++ b/keeper/plan.go
@@ -277,7 +277,7 @@
 func PolicyFacts(config shedkeel.Config, zone shedkeel.ZoneID, boxes []shedkeel.Box) policy.Facts {
 	facts := policy.SampleFacts()
 	facts.Zone = zone
-	facts.Members = 0
+	facts.GroupSize = 0
 	domains := map[shedkeel.DomainID]int{}
 	for _, box := range boxes {
 		if box.Zone == zone {
@@ -290,7 +290,7 @@
 		facts.DomainBoxes = max(facts.DomainBoxes, count)
 	}
 	for _, service := range config.Services {
-		facts.Members = max(facts.Members, service.Members)
+		facts.GroupSize = max(facts.GroupSize, service.Members)
 	}
 	return facts
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -29,12 +29,12 @@
 
 // Facts is the input of plan: what is known of an availability zone.
 type Facts struct {
-	Zone        shedkeel.ZoneID
-	Members     int           // boxes in a group of the zone's largest service
-	DomainBoxes int           // boxes in the zone's largest fabric domain
-	Domains     int           // fabric domains in the zone
-	Restart     time.Duration // median time that a box does not respond while it restarts
-	Load        time.Duration // median time to load model weights
+	Zone           shedkeel.ZoneID
+	GroupSize      int           // boxes in a group of the zone's largest service
+	DomainBoxes    int           // boxes in the zone's largest fabric domain
+	Domains        int           // fabric domains in the zone
+	RestartTime    time.Duration // median time that a box does not respond while it restarts
+	WeightLoadTime time.Duration // median time to load model weights
 }
 
 // DefaultTable is the table that applies until operators apply a policy, and supplies the
@@ -45,7 +45,7 @@
 
 // SampleFacts is the input that Check runs a policy with.
 func SampleFacts() Facts {
-	return Facts{Zone: "zone", Members: 8, DomainBoxes: 32, Domains: 2, Restart: time.Minute, Load: 2 * time.Minute}
+	return Facts{Zone: "zone", GroupSize: 8, DomainBoxes: 32, Domains: 2, RestartTime: time.Minute, WeightLoadTime: 2 * time.Minute}
 }
 
 var fileOptions = &syntax.FileOptions{Set: true}
@@ -94,11 +94,11 @@
 func (facts Facts) value() starlark.Value {
 	return starlarkstruct.FromStringDict(starlarkstruct.Default, starlark.StringDict{
 		"zone":            starlark.String(facts.Zone),
-		"members":         starlark.MakeInt(facts.Members),
+		"members":         starlark.MakeInt(facts.GroupSize),
 		"domain_boxes":    starlark.MakeInt(facts.DomainBoxes),
 		"domains":         starlark.MakeInt(facts.Domains),
-		"restart_seconds": starlark.Float(facts.Restart.Seconds()),
-		"load_seconds":    starlark.Float(facts.Load.Seconds()),
+		"restart_seconds": starlark.Float(facts.RestartTime.Seconds()),
+		"load_seconds":    starlark.Float(facts.WeightLoadTime.Seconds()),
 	})
 }
 
--- a/program/operator.go
+++ b/program/operator.go
@@ -361,7 +361,7 @@
 		return err
 	}
 	facts := policy.SampleFacts()
-	facts.Members = command.Int("members")
+	facts.GroupSize = command.Int("members")
 	facts.DomainBoxes = command.Int("domain-boxes")
 	table, err := policy.Run(shedkeel.Policy{Name: filepath.Base(path), Program: string(program)}, facts)
 	if err != nil {
--- a/route/router.go
+++ b/route/router.go
@@ -29,13 +29,13 @@
 
 // Target is a backend server, or a replica group that is addressed by its first member.
 type Target struct {
-	Name       string // of the group or server; the same in all epochs
-	Address    string
-	Assignment shedkeel.Assignment
-	Until      time.Duration // when the target stops being usable
-	Reported   int           // load that the target reported, in requests; lags behind
-	AsOf       time.Duration // time of that report
-	Capacity   int           // requests that the target runs concurrently
+	Name         string // of the group or server; the same in all epochs
+	Address      string
+	Assignment   shedkeel.Assignment
+	UsableUntil  time.Duration // when the target stops being usable
+	ReportedLoad int           // load that the target reported, in requests; lags behind
+	ReportedAt   time.Duration // time of that report
+	Capacity     int           // requests that the target runs concurrently
 }
 
 // Router holds the targets of all services. The zero value has none; Random must be set
@@ -99,7 +99,7 @@
 }
 
 // Forget drops all services that are not in the list.
-func (router *Router) Forget(services []shedkeel.ServiceID) {
+func (router *Router) RetainServices(services []shedkeel.ServiceID) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
 	for service := range router.pools {
@@ -132,7 +132,7 @@
 	targetPool.load = 0
 	targetPool.capacity = 0
 	for _, target := range next {
-		if target.Until > now {
+		if target.UsableUntil > now {
 			targetPool.usable = append(targetPool.usable, target)
 			targetPool.load += target.load()
 			targetPool.capacity += target.Capacity
@@ -151,7 +151,7 @@
 		target.changes = nil
 	}
 	target.Target = reported
-	target.changes = slices.DeleteFunc(target.changes, func(change change) bool { return change.at <= reported.AsOf })
+	target.changes = slices.DeleteFunc(target.changes, func(change change) bool { return change.at <= reported.ReportedAt })
 	target.changeSum = 0
 	for _, change := range target.changes {
 		target.changeSum += change.delta
@@ -168,7 +168,7 @@
 // load estimates the target's load: what it reported, corrected by the requests that were
 // sent and have ended since, and at least the requests in flight from this process.
 func (target *target) load() int {
-	return max(target.Reported+target.changeSum, target.inFlight)
+	return max(target.ReportedLoad+target.changeSum, target.inFlight)
 }
 
 // fillSlots assigns targets to each slot by rendezvous hashing, so that a target that is
@@ -197,7 +197,7 @@
 	Service  shedkeel.ServiceID
 	Affinity uint64 // hash of the prompt's prefix; 0: no affinity
 	Now      time.Duration
-	Avoid    []string // names of targets that must not be chosen, such as those already tried
+	Exclude  []string // names of targets that must not be chosen, such as those already tried
 }
 
 // Choose returns a target for the request, or a NotRunError if none is usable.
@@ -227,7 +227,7 @@
 
 // allows reports whether the target is usable and the request does not exclude it.
 func (request *Request) allows(target *target) bool {
-	return target != nil && target.Until > request.Now && !slices.Contains(request.Avoid, target.Name)
+	return target != nil && target.UsableUntil > request.Now && !slices.Contains(request.Exclude, target.Name)
 }
 
 // chooseByPrefix returns the first target of the prefix's slot that is not overloaded, or
--- a/route/router_test.go
+++ b/route/router_test.go
@@ -13,7 +13,7 @@
 func targetsOf(count int, until time.Duration) []Target {
 	var targets []Target
 	for index := range count {
-		targets = append(targets, Target{Name: fmt.Sprintf("g%03d", index), Address: fmt.Sprintf("a%03d", index), Until: until, Capacity: 32})
+		targets = append(targets, Target{Name: fmt.Sprintf("g%03d", index), Address: fmt.Sprintf("a%03d", index), UsableUntil: until, Capacity: 32})
 	}
 	return targets
 }
@@ -45,7 +45,7 @@
 			t.Run(fmt.Sprint(name, " ", affinity), func(t *testing.T) {
 				router := &Router{Random: rand.NewPCG(1, 2)}
 				router.Update("s", targetsOf(test.count, test.until), 0)
-				choice, err := router.Choose(Request{Service: "s", Affinity: affinity, Now: test.now, Avoid: test.avoid})
+				choice, err := router.Choose(Request{Service: "s", Affinity: affinity, Now: test.now, Exclude: test.avoid})
 				assert.Equal(t, err == nil, test.want)
 				if err == nil {
 					assert.Assert(t, choice.Name != "g000" || len(test.avoid) == 0)
@@ -69,7 +69,7 @@
 	choose(2 * time.Second)
 	assert.Equal(t, choose(3*time.Second).Load, 2)
 	report := targetsOf(1, time.Hour)
-	report[0].Reported, report[0].AsOf = 10, 2*time.Second
+	report[0].ReportedLoad, report[0].ReportedAt = 10, 2*time.Second
 	router.Update("s", report, 3*time.Second)
 	first.End(4 * time.Second)
 	assert.Equal(t, choose(5*time.Second).Load, 10, "10 reported, one sent and one ended since then")
@@ -133,7 +133,7 @@
 						b.StopTimer()
 						targets := targetsOf(groups, time.Hour)
 						for position := range targets {
-							targets[position].AsOf = now
+							targets[position].ReportedAt = now
 						}
 						router.Update("s", targets, now)
 						b.StartTimer()
--- a/route/simulation_test.go
+++ b/route/simulation_test.go
@@ -81,7 +81,7 @@
 	gate := ours.gates[entry]
 	refused := gate.Enter(admit.Request{
 		Service: "s", Account: "a", Weight: func(shedkeel.AccountID) int { return 1 }, Deadline: ours.maxWait,
-		Capacity: simGroups * simSlots, Load: choice.Load, Room: choice.Capacity,
+		Capacity: simGroups * simSlots, Load: choice.Load, TargetCapacity: choice.Capacity,
 	})
 	if refused != nil {
 		choice.End(now)
@@ -115,10 +115,10 @@
 	for step := range baseline.targets {
 		place := (offset + step) % len(baseline.targets)
 		target := baseline.targets[place]
-		if target.Until <= now {
+		if target.UsableUntil <= now {
 			continue
 		}
-		if best < 0 || baseline.rule == "least reported" && target.Reported < baseline.targets[best].Reported {
+		if best < 0 || baseline.rule == "least reported" && target.ReportedLoad < baseline.targets[best].ReportedLoad {
 			best = place
 		}
 	}
@@ -208,9 +208,9 @@
 func report(servers []*server, now time.Duration) []Target {
 	targets := targetsOf(len(servers), 0)
 	for index, server := range servers {
-		targets[index].AsOf = now
+		targets[index].ReportedAt = now
 		targets[index].Capacity = simSlots
-		targets[index].Reported = len(server.running) + len(server.queue)
+		targets[index].ReportedLoad = len(server.running) + len(server.queue)
 	}
 	return targets
 }
@@ -220,7 +220,7 @@
 func laggedReports(reports [][]Target, lag int, now time.Duration) []Target {
 	targets := slices.Clone(reports[max(len(reports)-1-lag, 0)])
 	for index := range targets {
-		targets[index].Until = now + 3*time.Second
+		targets[index].UsableUntil = now + 3*time.Second
 	}
 	return targets
 }
