--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -25,10 +25,10 @@
 	committer := NewCommitter()
 	committer.Store = store
 	committer.Prefix = "claims/"
-	committer.Batch = time.Millisecond
+	committer.BatchInterval = time.Millisecond
 	committer.Retention = time.Hour
 	committer.Nonce = func() string { return fmt.Sprint(nonces.Add(1)) }
-	committer.Wall = func() time.Time { return time.Unix(1_000_000, 0) }
+	committer.WallClock = func() time.Time { return time.Unix(1_000_000, 0) }
 	return committer
 }
 
@@ -258,7 +258,7 @@
 func BenchmarkClaims(b *testing.B) {
 	store := standin.NewStore()
 	committer := newCommitter(store)
-	committer.Batch = 10 * time.Millisecond
+	committer.BatchInterval = 10 * time.Millisecond
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
 	go committer.Run(ctx)
--- a/claim/committer.go
+++ b/claim/committer.go
@@ -30,12 +30,12 @@
 // most once for each try of a batch. Its exported fields must be set before Run and
 // not changed afterwards.
 type Committer struct {
-	Store     shedkeel.Store
-	Prefix    string           // prefix of the keys of the shard's records
-	Batch     time.Duration    // minimum time from the end of a batch to the next one
-	Retention time.Duration    // minimum time for which claims are kept
-	Nonce     func() string    // returns a new unique string for each write
-	Wall      func() time.Time // wall clock, for the expiry of claims
+	Store         shedkeel.Store
+	Prefix        string           // prefix of the keys of the shard's records
+	BatchInterval time.Duration    // minimum time from the end of a batch to the next one
+	Retention     time.Duration    // minimum time for which claims are kept
+	Nonce         func() string    // returns a new unique string for each write
+	WallClock     func() time.Time // wall clock, for the expiry of claims
 
 	queue chan pendingRequest
 	shard *shard
@@ -115,7 +115,7 @@
 // ends. It runs after a batch, so that the first request after an idle time does not
 // wait.
 func (committer *Committer) waitInterval(ctx context.Context) {
-	timer := time.NewTimer(committer.Batch)
+	timer := time.NewTimer(committer.BatchInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -169,7 +169,7 @@
 }
 
 // currentMinute returns the wall clock in minutes since the Unix epoch.
-func (committer *Committer) currentMinute() int64 { return committer.Wall().Unix() / 60 }
+func (committer *Committer) currentMinute() int64 { return committer.WallClock().Unix() / 60 }
 
 // headKey returns the key of the head's record.
 func (committer *Committer) headKey() string { return committer.Prefix + "head" }
--- a/entry/sync.go
+++ b/entry/sync.go
@@ -20,7 +20,7 @@
 	defer cancel()
 	sent := entry.Timers.Now()
 	entry.mutex.Lock()
-	call := entry.table.AskKeeper(entry.Incarnation, entry.stopping.Load(), sent)
+	call := entry.table.SyncCall(entry.Incarnation, entry.stopping.Load(), sent)
 	entry.mutex.Unlock()
 	reply, err := entry.Keeper.Do(ctx, &wire.Call{Kind: &wire.Call_Sync{Sync: call}})
 	now := entry.Timers.Now()
@@ -28,7 +28,7 @@
 	defer entry.mutex.Unlock()
 	entry.recordKeeperState(err)
 	if err == nil && reply.GetSync().GetSettled() {
-		changed := entry.table.TakeFromKeeper(reply.GetSync(), sent, now)
+		changed := entry.table.MergeSyncReply(reply.GetSync(), sent, now)
 		for _, record := range changed {
 			if record.Key == member.KeyConfig {
 				entry.Log.Write(event.ConfigInForce, slog.Uint64("generation", record.Generation))
@@ -67,7 +67,7 @@
 		next.weights[account.ID] = account.Weight
 	}
 	next.nodes = entry.table.Live(now)
-	judge := member.Judge{Now: now, Window: time.Duration(entry.Settings.Timing.Permit), Drains: map[shedkeel.BoxID]bool{}, Digests: entry.table.Digests()}
+	judge := member.PermitInput{Now: now, Window: time.Duration(entry.Settings.Timing.Permit), Drains: map[shedkeel.BoxID]bool{}, Digests: entry.table.Digests()}
 	for _, box := range next.config.Drains {
 		judge.Drains[box] = true
 	}
@@ -81,7 +81,7 @@
 }
 
 // updateTargets sets the router's targets for all services.
-func (entry *Entry) updateTargets(next *snapshot, judge member.Judge, now time.Duration) {
+func (entry *Entry) updateTargets(next *snapshot, judge member.PermitInput, now time.Duration) {
 	services := make([]shedkeel.ServiceID, 0, len(next.config.Services))
 	for _, service := range next.config.Services {
 		services = append(services, service.ID)
@@ -103,7 +103,7 @@
 		}
 		targets = append(targets, route.Target{
 			Name: string(permit.Group.ID), Address: permit.Group.Members[0].Address, Assignment: permit.Group.Assignment(),
-			UsableUntil: permit.Until, ReportedLoad: permit.Load, ReportedAt: permit.Watched, Capacity: service.Capacity,
+			UsableUntil: permit.Until, ReportedLoad: permit.Load, ReportedAt: permit.WholeAt, Capacity: service.Capacity,
 		})
 	}
 	return targets
@@ -112,7 +112,7 @@
 // serverTargets returns the servers of a plain service that are not leaving. They
 // need no permit, but expire without a sync, so that a notice that a server is
 // leaving arrives in time.
-func serverTargets(service shedkeel.Service, judge member.Judge, synced time.Duration) []route.Target {
+func serverTargets(service shedkeel.Service, judge member.PermitInput, synced time.Duration) []route.Target {
 	leaving := judge.Leaving()
 	var targets []route.Target
 	for _, server := range service.Backends {
--- a/group/fleet_test.go
+++ b/group/fleet_test.go
@@ -219,7 +219,7 @@
 			answers[box.id] = box.state
 		}
 	}
-	return Inspect(group, answers, nil) == shedkeel.VerdictWhole
+	return ProbeVerdict(group, answers, nil) == shedkeel.VerdictWhole
 }
 
 // addMeasures adds one tick to groupDown, stranded and crossDomain.
--- a/group/planner_test.go
+++ b/group/planner_test.go
@@ -333,7 +333,7 @@
 			if !test.silent {
 				answers["b"] = test.second
 			}
-			assert.Equal(t, Inspect(group, answers, map[shedkeel.BoxID]bool{"b": test.refused}), test.want)
+			assert.Equal(t, ProbeVerdict(group, answers, map[shedkeel.BoxID]bool{"b": test.refused}), test.want)
 		})
 	}
 }
--- a/group/reconcile.go
+++ b/group/reconcile.go
@@ -68,13 +68,13 @@
 	return orders
 }
 
-// Inspect returns the verdict on a group from one round of probes. The answers
+// ProbeVerdict returns the verdict on a group from one round of probes. The answers
 // map holds the members that answered; refused holds those that refused the
 // connection. The group is broken if a member refused, or answered under another
 // boot or assignment, or is not ready; otherwise silent if a member did not
 // answer; otherwise draining if a member reports that it is leaving; and
 // otherwise whole: every member is ready under the group's assignment.
-func Inspect(group shedkeel.Group, answers map[shedkeel.BoxID]shedkeel.BoxState, refused map[shedkeel.BoxID]bool) shedkeel.Verdict {
+func ProbeVerdict(group shedkeel.Group, answers map[shedkeel.BoxID]shedkeel.BoxState, refused map[shedkeel.BoxID]bool) shedkeel.Verdict {
 	verdict := shedkeel.VerdictWhole
 	for _, member := range group.Members {
 		state, answered := answers[member.Box]
--- a/keeper/agree.go
+++ b/keeper/agree.go
@@ -18,7 +18,7 @@
 	now := keeper.Timers.Now()
 	keeper.mutex.Lock()
 	record := keeper.table.Record(zone.leaseKey())
-	rank, candidate := member.Place(keeper.Settings.Node, leaseRankPrefix+string(zone.id), zone.id, keeper.table.Live(now))
+	rank, candidate := member.RankOf(keeper.Settings.Node, leaseRankPrefix+string(zone.id), zone.id, keeper.table.Live(now))
 	keeper.mutex.Unlock()
 	if err := zone.lease.Observe(record.Revision, record.Value, now); err != nil {
 		keeper.Log.Write(event.RecordInvalid, slog.String("error", err.Error()))
--- a/keeper/calls.go
+++ b/keeper/calls.go
@@ -23,7 +23,7 @@
 	case *wire.Call_Exchange:
 		keeper.mutex.Lock()
 		defer keeper.mutex.Unlock()
-		return &wire.Reply{Kind: &wire.Reply_Exchange{Exchange: keeper.table.Answer(kind.Exchange, now)}}
+		return &wire.Reply{Kind: &wire.Reply_Exchange{Exchange: keeper.table.HandleExchange(kind.Exchange, now)}}
 	case *wire.Call_Sync:
 		return &wire.Reply{Kind: &wire.Reply_Sync{Sync: keeper.handleSync(ctx, kind.Sync, now)}}
 	case *wire.Call_Claim:
@@ -44,9 +44,9 @@
 	keeper.lastSync = now
 	if keeper.table.Self.Stopping != call.GetStopping() {
 		keeper.table.Self.Stopping = call.GetStopping()
-		keeper.table.Beat(now)
+		keeper.table.AdvanceHeartbeat(now)
 	}
-	reply := keeper.table.AnswerEntry(call, now)
+	reply := keeper.table.HandleSync(call, now)
 	reply.Settled = keeper.settled
 	return reply
 }
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -118,7 +118,7 @@
 		Wire: settings.Wire.Advertise, Entry: settings.Entry.Advertise,
 		Stopping: true, // until the first sync call of the entry on this box
 	}
-	keeper.table.Beat(keeper.Timers.Now())
+	keeper.table.AdvanceHeartbeat(keeper.Timers.Now())
 	keeper.answeredPeers = map[string]bool{}
 	keeper.peers = map[string]*wire.Peer{}
 	keeper.unreachable = map[string]bool{}
@@ -130,10 +130,10 @@
 		committer := claim.NewCommitter()
 		committer.Store = keeper.Store
 		committer.Prefix = member.KeyClaims + claim.ShardName(shard) + "/"
-		committer.Batch = time.Duration(settings.Timing.ClaimBatch)
+		committer.BatchInterval = time.Duration(settings.Timing.ClaimBatch)
 		committer.Retention = time.Duration(settings.Timing.Retention)
 		committer.Nonce = shedkeel.NewNonce
-		committer.Wall = keeper.Now
+		committer.WallClock = keeper.Now
 		keeper.committers = append(keeper.committers, committer)
 	}
 	return nil
@@ -207,7 +207,7 @@
 // permits computes the permits of all placed groups by the same rule as an
 // entry. The mutex must be held.
 func (keeper *Keeper) permits(now time.Duration) []member.Permit {
-	judge := member.Judge{Now: now, Window: keeper.permitWindow(), Drains: map[shedkeel.BoxID]bool{}, Digests: keeper.table.Digests()}
+	judge := member.PermitInput{Now: now, Window: keeper.permitWindow(), Drains: map[shedkeel.BoxID]bool{}, Digests: keeper.table.Digests()}
 	if config, known := keeper.table.Config(); known {
 		for _, box := range config.Drains {
 			judge.Drains[box] = true
--- a/keeper/plan.go
+++ b/keeper/plan.go
@@ -77,7 +77,7 @@
 	}
 	var planners []*zonePlanner
 	for _, zone := range slices.Sorted(maps.Keys(wanted)) {
-		_, candidate := member.Place(keeper.Settings.Node, leaseRankPrefix+string(zone), zone, live)
+		_, candidate := member.RankOf(keeper.Settings.Node, leaseRankPrefix+string(zone), zone, live)
 		if keeper.planners[zone] == nil && candidate {
 			keeper.planners[zone] = keeper.newZonePlanner(zone)
 		}
@@ -180,7 +180,7 @@
 			continue
 		}
 		for _, place := range placed.Members {
-			input.Boxes[place.Box] = shedkeel.BoxView{LastReply: permit.Watched, State: shedkeel.BoxState{
+			input.Boxes[place.Box] = shedkeel.BoxView{LastReply: permit.WholeAt, State: shedkeel.BoxState{
 				Boot: place.Boot, Phase: shedkeel.PhaseReady, Weights: placed.Service, Assigned: placed.Assignment(), Running: permit.Load,
 			}}
 		}
--- a/keeper/probe.go
+++ b/keeper/probe.go
@@ -118,7 +118,7 @@
 	var groups []shedkeel.Group
 	for _, placement := range keeper.table.Placements() {
 		for _, placed := range placement.Groups {
-			if member.Watches(keeper.Settings.Node, placed.ID, placement.Zone, live) {
+			if member.ShouldProbe(keeper.Settings.Node, placed.ID, placement.Zone, live) {
 				groups = append(groups, placed)
 			}
 		}
@@ -134,7 +134,7 @@
 	keeper.digestSequence++
 	digest := member.Digest{Watcher: keeper.table.Self.ID, Incarnation: keeper.table.Self.Incarnation, Sequence: keeper.digestSequence, AsOf: asOf}
 	for _, watched := range groups {
-		verdict := group.Inspect(watched, found.answers, found.refused)
+		verdict := group.ProbeVerdict(watched, found.answers, found.refused)
 		first := found.answers[watched.Members[0].Box]
 		digest.Verdicts = append(digest.Verdicts, member.GroupVerdict{
 			Group: watched.ID, Epoch: watched.Epoch, Verdict: verdict, Load: first.Running + first.Queued,
--- a/keeper/spread.go
+++ b/keeper/spread.go
@@ -32,8 +32,8 @@
 	if now-keeper.lastSync > keeper.permitWindow() {
 		keeper.table.Self.Stopping = true // the entry has stopped syncing: advertise it to no caller
 	}
-	keeper.table.Beat(now)
-	keeper.table.Forget(now)
+	keeper.table.AdvanceHeartbeat(now)
+	keeper.table.EvictDead(now)
 	addresses := keeper.peerAddresses(now)
 	keeper.mutex.Unlock()
 	if len(addresses) > maxFullExchange {
@@ -72,7 +72,7 @@
 func (keeper *Keeper) exchangeWith(ctx context.Context, address string) {
 	sent := keeper.Timers.Now()
 	keeper.mutex.Lock()
-	request := keeper.table.Ask(sent)
+	request := keeper.table.ExchangeCall(sent)
 	keeper.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, keeper.permitWindow()/2)
 	defer cancel()
@@ -82,7 +82,7 @@
 		return
 	}
 	keeper.mutex.Lock()
-	changed := keeper.table.Take(reply.GetExchange(), sent, keeper.Timers.Now())
+	changed := keeper.table.MergeReply(reply.GetExchange(), sent, keeper.Timers.Now())
 	for _, record := range changed {
 		keeper.advertiseConfig(record)
 	}
@@ -150,7 +150,7 @@
 // isWatcher reports whether this keeper is one of those that watch the key-value
 // service and the box list for its zone.
 func (keeper *Keeper) isWatcher() bool {
-	rank, isCandidate := member.Place(keeper.Settings.Node, "watch/"+string(keeper.Settings.Zone), keeper.Settings.Zone, keeper.liveNodes(keeper.Timers.Now()))
+	rank, isCandidate := member.RankOf(keeper.Settings.Node, "watch/"+string(keeper.Settings.Zone), keeper.Settings.Zone, keeper.liveNodes(keeper.Timers.Now()))
 	return isCandidate && rank < storeWatchersPerZone
 }
 
--- a/member/exchange.go
+++ b/member/exchange.go
@@ -7,10 +7,10 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// Ask returns the call with which a keeper asks another keeper for all nodes,
+// ExchangeCall returns the call with which a keeper asks another keeper for all nodes,
 // records and digests that are newer in the other's table. The call carries this
 // node and the versions in this table.
-func (table *Table) Ask(now time.Duration) *wire.ExchangeCall {
+func (table *Table) ExchangeCall(now time.Duration) *wire.ExchangeCall {
 	return &wire.ExchangeCall{
 		Self:     nodeToWire(table.Self),
 		Nodes:    table.nodeVersions(now),
@@ -19,9 +19,9 @@
 	}
 }
 
-// Answer merges the calling node and returns all nodes, records and digests that
+// HandleExchange merges the calling node and returns all nodes, records and digests that
 // are newer in this table than the versions in the call.
-func (table *Table) Answer(call *wire.ExchangeCall, now time.Duration) *wire.ExchangeReply {
+func (table *Table) HandleExchange(call *wire.ExchangeCall, now time.Duration) *wire.ExchangeReply {
 	table.MergeNode(nodeFromWire(call.GetSelf()), now)
 	return &wire.ExchangeReply{
 		Nodes:   table.nodesNewerThan(call.GetNodes(), now),
@@ -30,11 +30,11 @@
 	}
 }
 
-// Take merges the reply to a call that was sent at the local time sent, and returns
+// MergeReply merges the reply to a call that was sent at the local time sent, and returns
 // the records that it stored. The digests' ages are counted back from sent, not from
 // the arrival of the reply, so that a slow reply never makes a digest look younger
 // than it is.
-func (table *Table) Take(reply *wire.ExchangeReply, sent, now time.Duration) (changed []Record) {
+func (table *Table) MergeReply(reply *wire.ExchangeReply, sent, now time.Duration) (changed []Record) {
 	for _, node := range reply.GetNodes() {
 		table.MergeNode(nodeFromWire(node), now)
 	}
@@ -50,19 +50,19 @@
 	return changed
 }
 
-// AskKeeper returns the call with which an entry (a process that takes requests from
+// SyncCall returns the call with which an entry (a process that takes requests from
 // clients) asks its keeper for all nodes, records and digests that are newer there.
 // stopping says that the entry is shutting down.
-func (table *Table) AskKeeper(incarnation string, stopping bool, now time.Duration) *wire.SyncCall {
+func (table *Table) SyncCall(incarnation string, stopping bool, now time.Duration) *wire.SyncCall {
 	return &wire.SyncCall{
 		Incarnation: incarnation, Stopping: stopping,
 		Versions: table.recordVersions(), Digests: table.digestVersions(), Nodes: table.nodeVersions(now),
 	}
 }
 
-// AnswerEntry returns all nodes, records and digests that are newer in this table
+// HandleSync returns all nodes, records and digests that are newer in this table
 // than the versions in an entry's call.
-func (table *Table) AnswerEntry(call *wire.SyncCall, now time.Duration) *wire.SyncReply {
+func (table *Table) HandleSync(call *wire.SyncCall, now time.Duration) *wire.SyncReply {
 	return &wire.SyncReply{
 		Nodes:   table.nodesNewerThan(call.GetNodes(), now),
 		Records: table.recordsNewerThan(call.GetVersions()),
@@ -70,9 +70,9 @@
 	}
 }
 
-// TakeFromKeeper merges a keeper's reply to an entry. See Take.
-func (table *Table) TakeFromKeeper(reply *wire.SyncReply, sent, now time.Duration) (changed []Record) {
-	return table.Take(&wire.ExchangeReply{Nodes: reply.GetNodes(), Records: reply.GetRecords(), Digests: reply.GetDigests()}, sent, now)
+// MergeSyncReply merges a keeper's reply to an entry. See Take.
+func (table *Table) MergeSyncReply(reply *wire.SyncReply, sent, now time.Duration) (changed []Record) {
+	return table.MergeReply(&wire.ExchangeReply{Nodes: reply.GetNodes(), Records: reply.GetRecords(), Digests: reply.GetDigests()}, sent, now)
 }
 
 // nodeVersions returns the versions of the live nodes.
--- a/member/permit.go
+++ b/member/permit.go
@@ -14,18 +14,18 @@
 	Broken  bool          // the group was found broken, or silent for too long: requests running there are abandoned
 	Load    int           // requests running and queued at the newest whole finding; 0 without a permit
 	Reason  string        // why there is no permit
-	Watched time.Duration // time of the newest whole finding; 0 without a permit
+	WholeAt time.Duration // time of the newest whole finding; 0 without a permit
 }
 
-// Judge holds the input from which permits are computed.
-type Judge struct {
+// PermitInput holds the input from which permits are computed.
+type PermitInput struct {
 	Now     time.Duration
 	Window  time.Duration           // maximum age of a whole finding that grants a permit
 	Drains  map[shedkeel.BoxID]bool // boxes that operators drain
 	Digests []Digest
 }
 
-// leavingWindows is for how many times Judge.Window a digest's list of leaving boxes
+// leavingWindows is for how many times PermitInput.Window a digest's list of leaving boxes
 // counts. Permits from verdicts in the same digest expire after one Window.
 const leavingWindows = 10
 
@@ -36,7 +36,7 @@
 // renewal, but a group that is found silent more than the Window after it was last
 // found whole counts as broken. A group that is draining or has a box in Leaving has
 // no permit.
-func (judge *Judge) Permits(placements []shedkeel.Placement) []Permit {
+func (judge *PermitInput) Permits(placements []shedkeel.Placement) []Permit {
 	findings := judge.findings()
 	leaving := judge.Leaving()
 	var permits []Permit
@@ -59,7 +59,7 @@
 }
 
 // findings combines the verdicts of all digests by group and epoch.
-func (judge *Judge) findings() map[shedkeel.Assignment]*finding {
+func (judge *PermitInput) findings() map[shedkeel.Assignment]*finding {
 	findings := map[shedkeel.Assignment]*finding{}
 	for _, digest := range judge.Digests {
 		for _, verdict := range digest.Verdicts {
@@ -97,7 +97,7 @@
 
 // Leaving returns the boxes that operators drain and those that a watcher reported
 // as leaving within the last leavingWindows times Window.
-func (judge *Judge) Leaving() map[shedkeel.BoxID]bool {
+func (judge *PermitInput) Leaving() map[shedkeel.BoxID]bool {
 	leaving := map[shedkeel.BoxID]bool{}
 	for _, digest := range judge.Digests {
 		if judge.Now-digest.AsOf > leavingWindows*judge.Window {
@@ -115,7 +115,7 @@
 
 // permit computes the permit of one group; finding is nil if no watcher has
 // reported on it under its epoch.
-func (judge *Judge) permit(group shedkeel.Group, finding *finding, leaving map[shedkeel.BoxID]bool) Permit {
+func (judge *PermitInput) permit(group shedkeel.Group, finding *finding, leaving map[shedkeel.BoxID]bool) Permit {
 	permit := Permit{Group: group}
 	if group.Draining {
 		permit.Reason = "the group is draining"
@@ -145,7 +145,7 @@
 		permit.Reason = "a member does not answer"
 	default:
 		permit.Until = finding.wholeAt + judge.Window
-		permit.Watched = finding.wholeAt
+		permit.WholeAt = finding.wholeAt
 		permit.Load = finding.load
 	}
 	return permit
--- a/member/rank.go
+++ b/member/rank.go
@@ -55,10 +55,10 @@
 // watchersPerGroup is how many nodes probe each group, if there are as many.
 const watchersPerGroup = 2
 
-// Watches reports whether the node must probe the group. The watchers of a group
+// ShouldProbe reports whether the node must probe the group. The watchers of a group
 // are the first watchersPerGroup nodes that Rank gives for it among the Candidates
 // of its zone.
-func Watches(self shedkeel.NodeID, group shedkeel.GroupID, zone shedkeel.ZoneID, live []shedkeel.Node) bool {
+func ShouldProbe(self shedkeel.NodeID, group shedkeel.GroupID, zone shedkeel.ZoneID, live []shedkeel.Node) bool {
 	return slices.ContainsFunc(assignedNodes(string(group), zone, live), func(node shedkeel.Node) bool { return node.ID == self })
 }
 
@@ -85,9 +85,9 @@
 	return inZone
 }
 
-// Place returns the position, from 0, of the node self in the order that Rank gives
+// RankOf returns the position, from 0, of the node self in the order that Rank gives
 // for the key among the Candidates of a zone, or false if self is not a candidate.
-func Place(self shedkeel.NodeID, key string, zone shedkeel.ZoneID, live []shedkeel.Node) (int, bool) {
+func RankOf(self shedkeel.NodeID, key string, zone shedkeel.ZoneID, live []shedkeel.Node) (int, bool) {
 	for place, node := range Rank(key, Candidates(zone, live)) {
 		if node.ID == self {
 			return place, true
--- a/member/spread_test.go
+++ b/member/spread_test.go
@@ -54,7 +54,7 @@
 func (gossip *gossip) tick() {
 	gossip.now += gossipTick
 	for index, table := range gossip.tables {
-		table.Beat(gossip.now)
+		table.AdvanceHeartbeat(gossip.now)
 		table.MergeDigest(gossip.digest(index))
 	}
 	for index := range gossip.tables {
@@ -96,11 +96,11 @@
 	if gossip.partitioned(caller, callee) || gossip.random.Float64() < gossip.loss {
 		return
 	}
-	call := gossip.tables[caller].Ask(gossip.now)
-	reply := gossip.tables[callee].Answer(call, gossip.now)
+	call := gossip.tables[caller].ExchangeCall(gossip.now)
+	reply := gossip.tables[callee].HandleExchange(call, gossip.now)
 	gossip.bytes += proto.Size(call) + proto.Size(reply)
 	gossip.calls++
-	gossip.tables[caller].Take(reply, gossip.now, gossip.now)
+	gossip.tables[caller].MergeReply(reply, gossip.now, gossip.now)
 }
 
 // timeToAll stores a new configuration of 4 KB on node 0 and returns how long it takes
@@ -213,7 +213,7 @@
 					gossip.tables[1].MergeDigest(gossip.digest(index))
 				}
 				b.StartTimer()
-				call, err := proto.Marshal(gossip.tables[0].Ask(gossip.now))
+				call, err := proto.Marshal(gossip.tables[0].ExchangeCall(gossip.now))
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -221,7 +221,7 @@
 				if err := proto.Unmarshal(call, receivedCall); err != nil {
 					b.Fatal(err)
 				}
-				reply, err := proto.Marshal(gossip.tables[1].Answer(receivedCall, gossip.now))
+				reply, err := proto.Marshal(gossip.tables[1].HandleExchange(receivedCall, gossip.now))
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -229,7 +229,7 @@
 				if err := proto.Unmarshal(reply, receivedReply); err != nil {
 					b.Fatal(err)
 				}
-				gossip.tables[0].Take(receivedReply, gossip.now, gossip.now)
+				gossip.tables[0].MergeReply(receivedReply, gossip.now, gossip.now)
 			}
 		})
 	}
--- a/member/table.go
+++ b/member/table.go
@@ -56,8 +56,8 @@
 // NodeState is a node and the time of its last new heartbeat, which was received from
 // the node itself or through other nodes.
 type NodeState struct {
-	Node     shedkeel.Node
-	Advanced time.Duration // local time at which its heartbeat or incarnation last advanced
+	Node        shedkeel.Node
+	HeartbeatAt time.Duration // local time at which its heartbeat or incarnation last advanced
 }
 
 // Table is the state that one process knows. Its exported fields are set before
@@ -84,11 +84,11 @@
 // about it changes. Each advance is sent to every node.
 const heartbeatInterval = 1500 * time.Millisecond
 
-// Beat advances this node's own heartbeat if heartbeatInterval has passed since it
+// AdvanceHeartbeat advances this node's own heartbeat if heartbeatInterval has passed since it
 // last advanced or if Self has changed. It is called on every tick.
-func (table *Table) Beat(now time.Duration) {
+func (table *Table) AdvanceHeartbeat(now time.Duration) {
 	known := table.nodes[table.Self.ID]
-	if known != nil && known.Node == table.Self && now-known.Advanced < heartbeatInterval {
+	if known != nil && known.Node == table.Self && now-known.HeartbeatAt < heartbeatInterval {
 		return
 	}
 	table.Self.Heartbeat++
@@ -107,12 +107,12 @@
 	}
 	known := table.nodes[node.ID]
 	if known == nil {
-		table.nodes[node.ID] = &NodeState{Node: node, Advanced: now}
+		table.nodes[node.ID] = &NodeState{Node: node, HeartbeatAt: now}
 		return
 	}
 	if nodeIsNewer(node, known.Node) {
 		known.Node = node
-		known.Advanced = now
+		known.HeartbeatAt = now
 	}
 }
 
@@ -228,15 +228,15 @@
 	if liveTime == 0 {
 		liveTime = DefaultLiveTime
 	}
-	return state.Node.ID == table.Self.ID || now-state.Advanced < liveTime
+	return state.Node.ID == table.Self.ID || now-state.HeartbeatAt < liveTime
 }
 
 // evictAfter is for how many times DefaultLiveTime a dead node stays in the table.
 const evictAfter = 60
 
-// Forget evicts nodes that have been dead for evictAfter times DefaultLiveTime,
+// EvictDead evicts nodes that have been dead for evictAfter times DefaultLiveTime,
 // and their digests.
-func (table *Table) Forget(now time.Duration) {
+func (table *Table) EvictDead(now time.Duration) {
 	for id, state := range table.nodes {
 		if !table.isLive(*state, now-evictAfter*DefaultLiveTime) {
 			delete(table.nodes, id)
--- a/member/table_test.go
+++ b/member/table_test.go
@@ -14,8 +14,8 @@
 // exchange makes the caller ask the callee and merge its reply, as keepers do.
 // Each has its own clock.
 func exchange(caller, callee *Table, callerNow, calleeNow time.Duration) {
-	reply := callee.Answer(caller.Ask(callerNow), calleeNow)
-	caller.Take(reply, callerNow, callerNow)
+	reply := callee.HandleExchange(caller.ExchangeCall(callerNow), calleeNow)
+	caller.MergeReply(reply, callerNow, callerNow)
 }
 
 // newTables returns the tables of count nodes, which are spread over three zones.
@@ -96,11 +96,11 @@
 				continue
 			}
 			sent := now
-			ask := tables[a].Ask(sent + offsets[a])
+			ask := tables[a].ExchangeCall(sent + offsets[a])
 			now += time.Duration(random.IntN(2000)) * time.Millisecond
-			reply := tables[b].Answer(ask, now+offsets[b])
+			reply := tables[b].HandleExchange(ask, now+offsets[b])
 			now += time.Duration(random.IntN(5000)) * time.Millisecond // the caller is paused before it reads the reply
-			tables[a].Take(reply, sent+offsets[a], now+offsets[a])
+			tables[a].MergeReply(reply, sent+offsets[a], now+offsets[a])
 			for index, table := range tables {
 				for _, digest := range table.Digests() {
 					assumedAge := now + offsets[index] - digest.AsOf
@@ -117,7 +117,7 @@
 // earlier process of this node is ignored.
 func TestLiveNodes(t *testing.T) {
 	table := &Table{Self: shedkeel.Node{ID: "self", Incarnation: "1"}}
-	table.Beat(0)
+	table.AdvanceHeartbeat(0)
 	table.MergeNode(shedkeel.Node{ID: "other", Incarnation: "1", Heartbeat: 5}, 0)
 	table.MergeNode(shedkeel.Node{ID: "other", Incarnation: "1", Heartbeat: 5}, 5*time.Second)
 	assert.Equal(t, len(table.Live(5*time.Second)), 2)
