--- a/config/settings.go
+++ b/config/settings.go
@@ -13,26 +13,26 @@
 // Settings are the settings of one entry box. Its entry and its keeper read the same
 // file.
 type Settings struct {
-	Node     shedkeel.NodeID `toml:"node"` // name of this entry box, unique in the fleet
-	Zone     shedkeel.ZoneID `toml:"zone"` // its availability zone
-	Entry    EntrySettings   `toml:"entry"`
-	Keeper   KeeperSettings  `toml:"keeper"`
-	Wire     WireSettings    `toml:"wire"`
-	Platform PlatformSetting `toml:"platform"`
-	Timing   Timing          `toml:"timing"`
-	TLS      TLSSettings     `toml:"tls"` // for connections from callers and operators
-	Log      LogSettings     `toml:"log"`
+	Node     shedkeel.NodeID  `toml:"node"` // name of this entry box, unique in the fleet
+	Zone     shedkeel.ZoneID  `toml:"zone"` // its availability zone
+	Entry    EntrySettings    `toml:"entry"`
+	Keeper   KeeperSettings   `toml:"keeper"`
+	Wire     WireSettings     `toml:"wire"`
+	Platform PlatformSettings `toml:"platform"`
+	Timing   Timing           `toml:"timing"`
+	TLS      TLSSettings      `toml:"tls"` // for connections from callers and operators
+	Log      LogSettings      `toml:"log"`
 }
 
 // EntrySettings are the settings of the entry, which serves callers.
 type EntrySettings struct {
-	Listen    string            `toml:"listen"`     // for callers
-	Advertise string            `toml:"advertise"`  // address under which callers reach it; empty: Listen
-	Admin     string            `toml:"admin"`      // health, metrics and state, for operators
-	KeepFor   shedkeel.Duration `toml:"keep_for"`   // how long callers may cache the answer which entry box to use
-	MaxBody   int64             `toml:"max_body"`   // largest request body, in bytes
-	MaxCalls  int               `toml:"max_calls"`  // limit of concurrent requests
-	DrainTime shedkeel.Duration `toml:"drain_time"` // limit of the wait for requests in flight on a graceful stop
+	Listen       string            `toml:"listen"`     // for callers
+	Advertise    string            `toml:"advertise"`  // address under which callers reach it; empty: Listen
+	Admin        string            `toml:"admin"`      // health, metrics and state, for operators
+	DirectoryTTL shedkeel.Duration `toml:"keep_for"`   // how long callers may cache the answer which entry box to use
+	MaxBody      int64             `toml:"max_body"`   // largest request body, in bytes
+	MaxCalls     int               `toml:"max_calls"`  // limit of concurrent requests
+	DrainTime    shedkeel.Duration `toml:"drain_time"` // limit of the wait for requests in flight on a graceful stop
 }
 
 // KeeperSettings are the settings of the keeper, which controls replica groups.
@@ -50,8 +50,8 @@
 	TLS       TLSSettings `toml:"tls"`
 }
 
-// PlatformSetting holds the addresses of the platform's services.
-type PlatformSetting struct {
+// PlatformSettings holds the addresses of the platform's services.
+type PlatformSettings struct {
 	Store   string `toml:"store"`    // host:port of the key-value service
 	BoxList string `toml:"box_list"` // host:port of the box list
 }
@@ -85,10 +85,10 @@
 func DefaultSettings() Settings {
 	return Settings{
 		Entry: EntrySettings{
-			KeepFor:   shedkeel.Duration(5 * time.Second),
-			MaxBody:   8 << 20,
-			MaxCalls:  4096,
-			DrainTime: shedkeel.Duration(2 * time.Minute),
+			DirectoryTTL: shedkeel.Duration(5 * time.Second),
+			MaxBody:      8 << 20,
+			MaxCalls:     4096,
+			DrainTime:    shedkeel.Duration(2 * time.Minute),
 		},
 		Timing: Timing{
 			Tick:        shedkeel.Duration(500 * time.Millisecond),
@@ -174,7 +174,7 @@
 		{"timing.tick", timing.Tick}, {"timing.sync", timing.Sync}, {"timing.permit", timing.Permit},
 		{"timing.lease", timing.Lease}, {"timing.lease_margin", timing.LeaseMargin}, {"timing.order_life", timing.OrderLife},
 		{"timing.store_call", timing.StoreCall}, {"timing.claim_batch", timing.ClaimBatch}, {"timing.retention", timing.Retention},
-		{"entry.keep_for", settings.Entry.KeepFor}, {"entry.drain_time", settings.Entry.DrainTime},
+		{"entry.keep_for", settings.Entry.DirectoryTTL}, {"entry.drain_time", settings.Entry.DrainTime},
 	}
 	for _, setting := range times {
 		if setting.value <= 0 {
@@ -193,13 +193,13 @@
 	return nil
 }
 
-// Server returns the TLS configuration for a listener, or nil without TLS.
-func (settings TLSSettings) Server() (*tls.Config, error) {
+// ServerConfig returns the TLS configuration for a listener, or nil without TLS.
+func (settings TLSSettings) ServerConfig() (*tls.Config, error) {
 	return settings.load()
 }
 
-// Client returns the TLS configuration for outgoing connections, or nil without TLS.
-func (settings TLSSettings) Client() (*tls.Config, error) {
+// ClientConfig returns the TLS configuration for outgoing connections, or nil without TLS.
+func (settings TLSSettings) ClientConfig() (*tls.Config, error) {
 	return settings.load()
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -26,15 +26,15 @@
 // Entry is the request-serving process of an entry box. Set its exported fields
 // before calling Run.
 type Entry struct {
-	Settings    config.Settings
-	Incarnation string // different for each start of the process
-	Backend     shedkeel.Backend
-	Timers      shedkeel.Timers
-	Random      shedkeel.Random
-	Log         *event.Log
-	Metrics     *metrics.Metrics
-	NewAttempt  func() string // returns an ID for an attempt or a request, unique in the fleet
-	Keeper      *wire.Peer    // connection to the keeper on this box; set by Run if nil
+	Settings     config.Settings
+	Incarnation  string // different for each start of the process
+	Backend      shedkeel.Backend
+	Timers       shedkeel.Timers
+	Random       shedkeel.Random
+	Log          *event.Log
+	Metrics      *metrics.Metrics
+	NewAttemptID func() string // returns an ID for an attempt or a request, unique in the fleet
+	Keeper       *wire.Peer    // connection to the keeper on this box; set by Run if nil
 
 	snapshot    atomic.Pointer[snapshot]
 	router      route.Router
@@ -79,7 +79,7 @@
 	if err := entry.initialize(); err != nil {
 		return err
 	}
-	callersTLS, err := entry.Settings.TLS.Server()
+	callersTLS, err := entry.Settings.TLS.ServerConfig()
 	if err != nil {
 		return err
 	}
@@ -122,7 +122,7 @@
 	if entry.Keeper != nil {
 		return nil
 	}
-	clientTLS, err := entry.Settings.Wire.TLS.Client()
+	clientTLS, err := entry.Settings.Wire.TLS.ClientConfig()
 	if err != nil {
 		return err
 	}
@@ -178,5 +178,5 @@
 // for the KeepFor setting.
 func (entry *Entry) addressExpiry(started time.Duration) time.Duration {
 	propagation := time.Duration(entry.Settings.Timing.Permit) + member.DefaultLiveTime
-	return max(started+propagation, time.Duration(entry.lastAdvertised.Load())) + time.Duration(entry.Settings.Entry.KeepFor)
+	return max(started+propagation, time.Duration(entry.lastAdvertised.Load())) + time.Duration(entry.Settings.Entry.DirectoryTTL)
 }
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -119,7 +119,7 @@
 	settings.Node = "node-1"
 	entry := &Entry{
 		Settings: settings, Incarnation: "1", Backend: backend, Timers: clock, Random: rand.NewPCG(1, 2),
-		NewAttempt: func() string { return fmt.Sprintf("attempt-%d", attempts.Add(1)) },
+		NewAttemptID: func() string { return fmt.Sprintf("attempt-%d", attempts.Add(1)) },
 	}
 	entry.Keeper = nil
 	assert.NilError(t, entry.initialize())
--- a/entry/history.go
+++ b/entry/history.go
@@ -65,7 +65,7 @@
 
 // assignID gives a call its request ID and sends the ID in the response header.
 func (entry *Entry) assignID(writer http.ResponseWriter, call *call) {
-	call.id = entry.NewAttempt()
+	call.id = entry.NewAttemptID()
 	writer.Header().Set(HeaderRequest, call.id)
 }
 
--- a/entry/http.go
+++ b/entry/http.go
@@ -83,7 +83,7 @@
 		entry.writeError(writer, &shedkeel.NotRunError{Reason: "this entry box has no word from its keeper", RetryAfter: time.Second})
 		return
 	}
-	answer := Addresses{Entries: []Address{}, KeepSeconds: time.Duration(entry.Settings.Entry.KeepFor).Seconds()}
+	answer := Addresses{Entries: []Address{}, KeepSeconds: time.Duration(entry.Settings.Entry.DirectoryTTL).Seconds()}
 	for _, node := range snapshot.entryNodes(shedkeel.ZoneID(request.URL.Query().Get("zone")), entry.Settings.Zone) {
 		if node.ID == entry.Settings.Node {
 			if entry.stopping.Load() {
--- a/entry/plain.go
+++ b/entry/plain.go
@@ -119,7 +119,7 @@
 // that the answer is available for the caller's retry.
 func (entry *Entry) answerIdempotent(ctx context.Context, call *call, key string) (answer, error) {
 	ctx = context.WithoutCancel(ctx)
-	call.attemptID = entry.NewAttempt()
+	call.attemptID = entry.NewAttemptID()
 	entry.attempts.begin(call.attemptID)
 	earlier, err := entry.claim(ctx, call, key)
 	if err != nil || earlier != nil {
--- a/entry/send.go
+++ b/entry/send.go
@@ -94,7 +94,7 @@
 	ctx, cancel := context.WithTimeout(ctx, remaining)
 	attempt := call.attemptID
 	if attempt == "" {
-		attempt = entry.NewAttempt()
+		attempt = entry.NewAttemptID()
 	}
 	end := func() {
 		cancel()
--- a/keeper/agree.go
+++ b/keeper/agree.go
@@ -27,18 +27,18 @@
 	if _, held := zone.lease.Held(now, 0); !candidate && !held {
 		return
 	}
-	write, wanted := zone.lease.Wanted(now, rank)
+	write, wanted := zone.lease.NextWrite(now, rank)
 	if !wanted {
 		return
 	}
 	revision, err := keeper.Store.Swap(ctx, zone.leaseKey(), write.Revision, write.Value)
 	if err == nil {
 		keeper.recordStoreState(nil)
-		zone.lease.Written(revision, write.Value)
+		zone.lease.WriteSucceeded(revision, write.Value)
 		zone.publish(zone.leaseKey(), write.Value, revision)
 		return
 	}
-	zone.lease.Failed()
+	zone.lease.WriteFailed()
 	var conflict *shedkeel.ConflictError
 	if errors.As(err, &conflict) {
 		zone.rereadLease(ctx)
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -75,14 +75,14 @@
 	if err := keeper.initialize(); err != nil {
 		return err
 	}
-	serverTLS, err := keeper.Settings.Wire.TLS.Server()
+	serverTLS, err := keeper.Settings.Wire.TLS.ServerConfig()
 	if err != nil {
 		return err
 	}
 	wireServer := &wire.Server{Key: keeper.Settings.Wire.Key, TLS: serverTLS, Handler: keeper}
 	keeper.background.Go(func() { _ = wireServer.Run(listeners.Wire) })
 	operatorServer := &http.Server{Handler: keeper.operatorHandler(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second}
-	operatorTLS, err := keeper.Settings.TLS.Server()
+	operatorTLS, err := keeper.Settings.TLS.ServerConfig()
 	if err != nil {
 		return err
 	}
--- a/keeper/operator.go
+++ b/keeper/operator.go
@@ -25,8 +25,8 @@
 // value of the key-value service.
 const maxConfigBytes = 1 << 20
 
-// Accepted is the response to a configuration that was accepted.
-type Accepted struct {
+// ApplyResult is the response to a configuration that was accepted.
+type ApplyResult struct {
 	Generation uint64 `json:"generation"`
 	Nodes      int    `json:"nodes"`    // live keepers
 	InForce    int    `json:"in_force"` // live keepers that report this generation or a newer one
@@ -42,15 +42,15 @@
 
 // Status is the state of the fleet as known to one keeper.
 type Status struct {
-	Node       shedkeel.NodeID             `json:"node"`
-	Settled    bool                        `json:"settled"`
-	StoreAway  bool                        `json:"store_away"`
-	Generation uint64                      `json:"generation"`
-	Nodes      []shedkeel.Node             `json:"nodes"`
-	Groups     []GroupStatus               `json:"groups"`
-	Stranded   int                         `json:"stranded_accelerators"` // accelerators of boxes in no whole group
-	BoxesKnown bool                        `json:"boxes_known"`           // whether this keeper has read the box list
-	Down       map[shedkeel.GroupID]string `json:"down_since"`
+	Node                 shedkeel.NodeID             `json:"node"`
+	Settled              bool                        `json:"settled"`
+	StoreUnavailable     bool                        `json:"store_away"`
+	Generation           uint64                      `json:"generation"`
+	Nodes                []shedkeel.Node             `json:"nodes"`
+	Groups               []GroupStatus               `json:"groups"`
+	StrandedAccelerators int                         `json:"stranded_accelerators"` // accelerators of boxes in no whole group
+	BoxesKnown           bool                        `json:"boxes_known"`           // whether this keeper has read the box list
+	DownFor              map[shedkeel.GroupID]string `json:"down_since"`
 }
 
 // operatorHandler returns the handler of the operators' HTTP interface.
@@ -146,31 +146,31 @@
 // applyConfig stores a configuration by compare-and-swap. wanted.Generation is
 // the generation that the operator edited. If another operator has stored a
 // newer one, applyConfig returns a ConflictError and changes nothing.
-func (keeper *Keeper) applyConfig(ctx context.Context, wanted shedkeel.Config) (Accepted, error) {
+func (keeper *Keeper) applyConfig(ctx context.Context, wanted shedkeel.Config) (ApplyResult, error) {
 	stored, err := keeper.Store.Get(ctx, member.KeyConfig)
 	if err != nil {
-		return Accepted{}, err
+		return ApplyResult{}, err
 	}
 	var current shedkeel.Config
 	if stored.Revision.Exists() {
 		if err := json.Unmarshal(stored.Value, &current); err != nil {
-			return Accepted{}, &shedkeel.InvalidError{Where: "key " + stored.Key, What: err.Error(), Remedy: "restore the key"}
+			return ApplyResult{}, &shedkeel.InvalidError{Where: "key " + stored.Key, What: err.Error(), Remedy: "restore the key"}
 		}
 	}
 	keeper.mutex.Lock()
 	inForce := keeper.table.Record(member.KeyConfig).Generation
 	keeper.mutex.Unlock()
 	if current.Generation < inForce {
-		return Accepted{}, &shedkeel.ConflictError{What: fmt.Sprintf("the key-value service holds generation %d, older than %d in force; it is being written back", current.Generation, inForce)}
+		return ApplyResult{}, &shedkeel.ConflictError{What: fmt.Sprintf("the key-value service holds generation %d, older than %d in force; it is being written back", current.Generation, inForce)}
 	}
 	if wanted.Generation != current.Generation {
-		return Accepted{}, &shedkeel.ConflictError{What: fmt.Sprintf("your change builds on generation %d and another operator made it %d", wanted.Generation, current.Generation)}
+		return ApplyResult{}, &shedkeel.ConflictError{What: fmt.Sprintf("your change builds on generation %d and another operator made it %d", wanted.Generation, current.Generation)}
 	}
 	wanted.Generation++
 	wanted.Nonce = shedkeel.NewNonce()
 	value, err := json.Marshal(wanted)
 	if err != nil {
-		return Accepted{}, err
+		return ApplyResult{}, err
 	}
 	isOurs := func(stored []byte) bool {
 		var found shedkeel.Config
@@ -178,7 +178,7 @@
 	}
 	revision, err := platform.SettleSwap(ctx, keeper.Store, member.KeyConfig, stored.Revision, value, isOurs)
 	if err != nil {
-		return Accepted{}, err
+		return ApplyResult{}, err
 	}
 	keeper.mergeRecord(member.Record{Key: member.KeyConfig, Generation: wanted.Generation, Revision: revision, Value: value})
 	keeper.Log.Write(event.ConfigAccepted, slog.Uint64("generation", wanted.Generation))
@@ -187,8 +187,8 @@
 
 // configRollout counts the live keepers and those that report at least the
 // given generation of the configuration.
-func (keeper *Keeper) configRollout(generation uint64) Accepted {
-	accepted := Accepted{Generation: generation}
+func (keeper *Keeper) configRollout(generation uint64) ApplyResult {
+	accepted := ApplyResult{Generation: generation}
 	for _, node := range keeper.liveNodes(keeper.Timers.Now()) {
 		accepted.Nodes++
 		if node.Config >= generation || node.ID == keeper.Settings.Node {
@@ -209,9 +209,9 @@
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
 	status := Status{
-		Node: keeper.Settings.Node, Settled: keeper.settled, StoreAway: keeper.storeUnavailable,
+		Node: keeper.Settings.Node, Settled: keeper.settled, StoreUnavailable: keeper.storeUnavailable,
 		Generation: keeper.table.Record(member.KeyConfig).Generation, Nodes: keeper.table.Live(now),
-		BoxesKnown: len(keeper.boxes) > 0, Down: map[shedkeel.GroupID]string{},
+		BoxesKnown: len(keeper.boxes) > 0, DownFor: map[shedkeel.GroupID]string{},
 	}
 	zoneOf := map[shedkeel.GroupID]shedkeel.ZoneID{}
 	for _, placement := range keeper.table.Placements() {
@@ -228,12 +228,12 @@
 		}
 		keeper.updateDownSince(permit.Group.ID, state == "whole", now)
 		if since, down := keeper.downSince[permit.Group.ID]; down {
-			status.Down[permit.Group.ID] = (now - since).Round(time.Second).String()
+			status.DownFor[permit.Group.ID] = (now - since).Round(time.Second).String()
 		}
 	}
 	for _, box := range keeper.boxes {
 		if !serving[box.ID] {
-			status.Stranded += box.Accelerators
+			status.StrandedAccelerators += box.Accelerators
 		}
 	}
 	return status
--- a/keeper/plan.go
+++ b/keeper/plan.go
@@ -96,7 +96,7 @@
 		id:     zone,
 		lease: lease.Lease{
 			Node: keeper.table.Self.ID, Incarnation: keeper.table.Self.Incarnation,
-			TTL: time.Duration(timing.Lease), Margin: time.Duration(timing.LeaseMargin), Renew: time.Duration(timing.Lease) / renewalsPerLease,
+			TTL: time.Duration(timing.Lease), Margin: time.Duration(timing.LeaseMargin), RenewInterval: time.Duration(timing.Lease) / renewalsPerLease,
 		},
 		planner:         keeper.newPlanner(),
 		policyTable:     policy.DefaultTable(),
--- a/keeper/spread.go
+++ b/keeper/spread.go
@@ -116,7 +116,7 @@
 	defer keeper.mutex.Unlock()
 	peer := keeper.peers[address]
 	if peer == nil {
-		clientTLS, err := keeper.Settings.Wire.TLS.Client()
+		clientTLS, err := keeper.Settings.Wire.TLS.ClientConfig()
 		if err != nil {
 			clientTLS = nil // cannot happen: the settings were validated at start
 		}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -23,11 +23,11 @@
 
 // Lease is one node's view of one lease. It is not safe for concurrent use.
 type Lease struct {
-	Node        shedkeel.NodeID
-	Incarnation string
-	TTL         time.Duration // how long a write keeps the lease
-	Margin      time.Duration // largest drift between two nodes' clocks over a TTL
-	Renew       time.Duration // interval between renewals by the holder
+	Node          shedkeel.NodeID
+	Incarnation   string
+	TTL           time.Duration // how long a write keeps the lease
+	Margin        time.Duration // largest drift between two nodes' clocks over a TTL
+	RenewInterval time.Duration // interval between renewals by the holder
 
 	revision          shedkeel.Revision
 	record            Record
@@ -81,24 +81,24 @@
 	return nil
 }
 
-// Wanted returns the write that this node should make now, if any: a renewal by the
+// NextWrite returns the write that this node should make now, if any: a renewal by the
 // holder, or an attempt to take a lease that does not exist or whose record has not
 // changed for a TTL. A candidate waits rank renewal intervals longer, so that the
 // one with rank 0 tries first. The caller reports the outcome by Written or Failed.
-func (lease *Lease) Wanted(now time.Duration, rank int) (Write, bool) {
+func (lease *Lease) NextWrite(now time.Duration, rank int) (Write, bool) {
 	if !lease.known || lease.inFlight {
 		return Write{}, false
 	}
 	next := Record{Holder: lease.Node, Incarnation: lease.Incarnation, Epoch: lease.record.Epoch, Generation: lease.highestGeneration + 1}
 	switch {
 	case lease.heldByThisIncarnation():
-		if now-lease.lastWriteSentAt < lease.Renew {
+		if now-lease.lastWriteSentAt < lease.RenewInterval {
 			return Write{}, false
 		}
 	default:
-		quietPeriod := lease.TTL + time.Duration(rank)*lease.Renew
+		quietPeriod := lease.TTL + time.Duration(rank)*lease.RenewInterval
 		if !lease.revision.Exists() {
-			quietPeriod = time.Duration(rank) * lease.Renew
+			quietPeriod = time.Duration(rank) * lease.RenewInterval
 		}
 		if now-lease.observedAt < quietPeriod {
 			return Write{}, false
@@ -114,10 +114,10 @@
 	return Write{Revision: lease.revision, Value: value}, true
 }
 
-// Written reports that the write in flight succeeded with the value and gave the
+// WriteSucceeded reports that the write in flight succeeded with the value and gave the
 // revision. The lease is valid from when the write was sent for the TTL less the
 // margin.
-func (lease *Lease) Written(revision shedkeel.Revision, value []byte) {
+func (lease *Lease) WriteSucceeded(revision shedkeel.Revision, value []byte) {
 	lease.inFlight = false
 	var record Record
 	if err := json.Unmarshal(value, &record); err != nil {
@@ -136,9 +136,9 @@
 	lease.validUntil = lease.sentAt + lease.TTL - lease.Margin
 }
 
-// Failed reports that the write in flight failed or that its outcome is unknown. The
+// WriteFailed reports that the write in flight failed or that its outcome is unknown. The
 // next Observe or Reset brings the actual record.
-func (lease *Lease) Failed() {
+func (lease *Lease) WriteFailed() {
 	lease.inFlight = false
 	lease.lastWriteSentAt = lease.sentAt
 }
@@ -164,9 +164,9 @@
 	return lease.record.Epoch, true
 }
 
-// LapsedFor reports whether this node is the last holder that it knows of and its
+// ExpiredFor reports whether this node is the last holder that it knows of and its
 // lease expired at least the duration atLeast ago.
-func (lease *Lease) LapsedFor(now, atLeast time.Duration) bool {
+func (lease *Lease) ExpiredFor(now, atLeast time.Duration) bool {
 	return lease.heldByThisIncarnation() && now >= lease.validUntil+atLeast
 }
 
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -56,11 +56,11 @@
 		revision, swapped := service.swap(*contender.write)
 		switch {
 		case swapped && !contender.loseReply:
-			contender.lease.Written(revision, contender.write.Value)
+			contender.lease.WriteSucceeded(revision, contender.write.Value)
 		case swapped:
-			contender.lease.Failed()
+			contender.lease.WriteFailed()
 		default:
-			contender.lease.Failed()
+			contender.lease.WriteFailed()
 			_ = contender.lease.Reset(service.revision, service.value, contender.clock(now))
 		}
 		contender.write = nil
@@ -78,7 +78,7 @@
 	if contender.write != nil {
 		return
 	}
-	if write, wanted := contender.lease.Wanted(contender.clock(now), 0); wanted {
+	if write, wanted := contender.lease.NextWrite(contender.clock(now), 0); wanted {
 		contender.write = &write
 		contender.arrivesAt = now + time.Duration(random.IntN(3000))*time.Millisecond
 		contender.loseReply = random.IntN(4) == 0
@@ -99,7 +99,7 @@
 			contenders[index] = &contender{
 				offset: time.Duration(random.IntN(1000)) * time.Second,
 				drift:  (random.Float64() - 0.5) * 2 * 0.02,
-				lease:  Lease{Node: shedkeel.NodeID(name), Incarnation: name, TTL: ttl, Margin: margin, Renew: ttl / 3},
+				lease:  Lease{Node: shedkeel.NodeID(name), Incarnation: name, TTL: ttl, Margin: margin, RenewInterval: ttl / 3},
 			}
 		}
 		epochs := map[uint64]shedkeel.NodeID{}
@@ -130,19 +130,19 @@
 // service is restored from a backup, with a generation above the lost ones.
 func TestServiceRestoredFromOlderData(t *testing.T) {
 	service := &service{}
-	first := &Lease{Node: "a", Incarnation: "1", TTL: ttl, Margin: margin, Renew: time.Second}
+	first := &Lease{Node: "a", Incarnation: "1", TTL: ttl, Margin: margin, RenewInterval: time.Second}
 	now := time.Duration(0)
 	renew := func() {
 		now += time.Second
-		write, wanted := first.Wanted(now, 0)
+		write, wanted := first.NextWrite(now, 0)
 		assert.Assert(t, wanted)
 		revision, swapped := service.swap(write)
 		if !swapped {
-			first.Failed()
+			first.WriteFailed()
 			assert.NilError(t, first.Reset(service.revision, service.value, now))
 			return
 		}
-		first.Written(revision, write.Value)
+		first.WriteSucceeded(revision, write.Value)
 	}
 	assert.NilError(t, first.Observe(shedkeel.Revision{}, nil, now))
 	renew()
@@ -174,11 +174,11 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			lease := &Lease{Node: "a", Incarnation: "1", TTL: ttl, Margin: margin, Renew: ttl / 3}
+			lease := &Lease{Node: "a", Incarnation: "1", TTL: ttl, Margin: margin, RenewInterval: ttl / 3}
 			assert.NilError(t, lease.Observe(shedkeel.Revision{}, nil, 0))
-			write, wanted := lease.Wanted(0, 0)
+			write, wanted := lease.NextWrite(0, 0)
 			assert.Assert(t, wanted)
-			lease.Written(shedkeel.Revision{Number: 1}, write.Value)
+			lease.WriteSucceeded(shedkeel.Revision{Number: 1}, write.Value)
 			_, holds := lease.Held(test.after, test.atLeast)
 			assert.Equal(t, holds, test.want)
 		})
--- a/operator/client.go
+++ b/operator/client.go
@@ -38,8 +38,8 @@
 
 // Apply sends a new configuration. Its Generation must be that of the configuration it
 // replaces.
-func (client *Client) Apply(ctx context.Context, config shedkeel.Config) (keeper.Accepted, error) {
-	var accepted keeper.Accepted
+func (client *Client) Apply(ctx context.Context, config shedkeel.Config) (keeper.ApplyResult, error) {
+	var accepted keeper.ApplyResult
 	return accepted, client.call(ctx, http.MethodPut, "/v1/config", config, &accepted)
 }
 
--- a/operator/print.go
+++ b/operator/print.go
@@ -32,11 +32,11 @@
 	_, _ = fmt.Fprintf(writer, "configuration %d, seen by %s\n", status.Generation, status.Node)
 	_, _ = fmt.Fprintf(writer, "groups: %d whole, %d short, %d loading, %d draining\n", counts["whole"], counts["short"], counts["loading"], counts["draining"])
 	if status.BoxesKnown {
-		_, _ = fmt.Fprintf(writer, "stranded accelerators: %d\n", status.Stranded)
+		_, _ = fmt.Fprintf(writer, "stranded accelerators: %d\n", status.StrandedAccelerators)
 	} else {
 		_, _ = fmt.Fprintln(writer, "stranded accelerators: unknown here; ask a keeper that reads the box list")
 	}
-	if status.StoreAway {
+	if status.StoreUnavailable {
 		_, _ = fmt.Fprintln(writer, "the key-value service does not answer: nothing new can be agreed")
 	}
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)
@@ -47,7 +47,7 @@
 			boxes[index] = string(member.Box)
 		}
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\n", group.Group.ID, group.Group.Service, group.Zone,
-			cmp.Or(string(group.Group.Domain), "(several)"), group.Group.Epoch, group.State, status.Down[group.Group.ID], strings.Join(boxes, ","), group.Reason)
+			cmp.Or(string(group.Group.Domain), "(several)"), group.Group.Epoch, group.State, status.DownFor[group.Group.ID], strings.Join(boxes, ","), group.Reason)
 	}
 	_, _ = fmt.Fprintln(table, "\nNODE\tZONE\tENTRY\tCONFIGURATION\tSTATE")
 	for _, node := range status.Nodes {
--- a/overhead_test.go
+++ b/overhead_test.go
@@ -110,10 +110,10 @@
 	settings.Node = "n"
 	settings.Wire.Listen = wireListener.Addr().String()
 	settings.Wire.Key = "k"
-	settings.Entry.KeepFor = 1
+	settings.Entry.DirectoryTTL = 1
 	process := &entry.Entry{
 		Settings: settings, Incarnation: "1", Backend: &engine.Transport{}, Timers: &timer.System{},
-		Random: rand.NewPCG(1, 1), NewAttempt: shedkeel.NewNonce,
+		Random: rand.NewPCG(1, 1), NewAttemptID: shedkeel.NewNonce,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
--- a/program/entry.go
+++ b/program/entry.go
@@ -47,14 +47,14 @@
 	defer transport.Close()
 	seed := rand.Uint64()
 	process := &entry.Entry{
-		Settings:    daemon.settings,
-		Incarnation: shedkeel.NewIncarnation(time.Now()),
-		Backend:     transport,
-		Timers:      &timer.System{},
-		Random:      rand.NewPCG(seed, seed),
-		Log:         daemon.log,
-		Metrics:     values,
-		NewAttempt:  shedkeel.NewNonce,
+		Settings:     daemon.settings,
+		Incarnation:  shedkeel.NewIncarnation(time.Now()),
+		Backend:      transport,
+		Timers:       &timer.System{},
+		Random:       rand.NewPCG(seed, seed),
+		Log:          daemon.log,
+		Metrics:      values,
+		NewAttemptID: shedkeel.NewNonce,
 	}
 	daemon.log.Write(event.Started)
 	return daemon.finish(process.Run(ctx, entry.Listeners{Callers: callers, Admin: admin}))
--- a/program/operator.go
+++ b/program/operator.go
@@ -123,7 +123,7 @@
 func newOperatorClient(command *cli.Command) (*operator.Client, error) {
 	client := &operator.Client{Address: command.String("keeper"), Key: command.String("key")}
 	settings := config.TLSSettings{Certificate: command.String("certificate"), Key: command.String("certificate-key"), Authority: command.String("authority")}
-	clientTLS, err := settings.Client()
+	clientTLS, err := settings.ClientConfig()
 	if err != nil || clientTLS == nil {
 		return client, err
 	}
--- a/wire/tls_test.go
+++ b/wire/tls_test.go
@@ -71,7 +71,7 @@
 // authority.
 func TestTLS(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
-	serverTLS, err := ours.settings(t, "server").Server()
+	serverTLS, err := ours.settings(t, "server").ServerConfig()
 	assert.NilError(t, err)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -90,7 +90,7 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			clientTLS, err := test.settings.Client()
+			clientTLS, err := test.settings.ClientConfig()
 			assert.NilError(t, err)
 			peer := &Peer{Address: listener.Addr().String(), Key: "key", TLS: clientTLS}
 			defer peer.Close()
@@ -111,7 +111,7 @@
 	}
 	for name, settings := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := settings.Server()
+			_, err := settings.ServerConfig()
 			assert.ErrorContains(t, err, "; name a PEM")
 		})
 	}
