--- a/capacity_test.go
+++ b/capacity_test.go
@@ -65,7 +65,7 @@
 	for number := range groups*capacityMembers + 4 {
 		address := fmt.Sprintf("%s.%d:%d", fleet.host, 200+number/100, 9000+number%100)
 		model := &standin.Engine{JoinTime: time.Millisecond, LoadTime: time.Millisecond, Slots: 4, BootPrefix: "b"}
-		model.Begin()
+		model.Init()
 		fleet.serve(t, address, model.Handler())
 		boxes = append(boxes, shedkeel.Box{ID: shedkeel.BoxID(fmt.Sprintf("box-%04d", number)), Address: address, Zone: "z1", Domain: shedkeel.DomainID(fmt.Sprintf("rack-%d", number/36)), Accelerators: 1})
 	}
--- a/claim/committer.go
+++ b/claim/committer.go
@@ -242,7 +242,7 @@
 		var head Head
 		return json.Unmarshal(stored, &head) == nil && head.Nonce == nonce
 	}
-	revision, err := platform.SettleSwap(ctx, committer.Store, committer.headKey(), committer.revision, value, writtenByUs)
+	revision, err := platform.SwapWithReadback(ctx, committer.Store, committer.headKey(), committer.revision, value, writtenByUs)
 	if err != nil {
 		committer.headStale = true
 		return err
--- a/engine/header_test.go
+++ b/engine/header_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestPassedOn(t *testing.T) {
+func TestEndToEndHeaders(t *testing.T) {
 	cases := map[string]struct {
 		header, want http.Header
 	}{
@@ -19,7 +19,7 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			assert.DeepEqual(t, PassedOn(test.header), test.want)
+			assert.DeepEqual(t, EndToEndHeaders(test.header), test.want)
 		})
 	}
 }
--- a/engine/transport.go
+++ b/engine/transport.go
@@ -80,8 +80,8 @@
 	return context.WithValue(ctx, freshConnectionKey{}, true)
 }
 
-// IsFresh reports whether WithFreshConnection applies to the context.
-func IsFresh(ctx context.Context) bool {
+// NeedsFreshConnection reports whether WithFreshConnection applies to the context.
+func NeedsFreshConnection(ctx context.Context) bool {
 	fresh, _ := ctx.Value(freshConnectionKey{}).(bool)
 	return fresh
 }
@@ -98,7 +98,7 @@
 	request.Body = &nonReplayableBody{reader: request.Body}
 	request.GetBody = nil
 	httpTransport := transport.shared
-	if IsFresh(request.Context()) {
+	if NeedsFreshConnection(request.Context()) {
 		httpTransport = transport.fresh
 	}
 	response, err := httpTransport.RoundTrip(request)
--- a/entry/outcome.go
+++ b/entry/outcome.go
@@ -117,7 +117,7 @@
 // copyHeader copies the headers that are forwarded, except Content-Length: a
 // buffered answer gets its own length, and a stream has none.
 func copyHeader(to, from http.Header) {
-	maps.Copy(to, engine.PassedOn(from))
+	maps.Copy(to, engine.EndToEndHeaders(from))
 	to.Del("Content-Length")
 }
 
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -16,14 +16,14 @@
 // Engine is a fake of the model engine on one box. The exported fields must be set
 // before Begin and not change later.
 type Engine struct {
-	LoadTime   time.Duration // time to load weights
-	JoinTime   time.Duration // time to join a group after the weights are loaded
-	TokenTime  time.Duration // time per token
-	LoadLag    time.Duration // minimum interval between updates of the reported load
-	Slots      int           // maximum number of concurrent requests
-	Unfenced   bool          // accepts orders with an outdated planner epoch
-	Weights    chan struct{} // semaphore of the weight store: its capacity limits concurrent loads; nil: no limit
-	BootPrefix string        // prefix of the boot identifiers
+	LoadTime         time.Duration // time to load weights
+	JoinTime         time.Duration // time to join a group after the weights are loaded
+	TokenTime        time.Duration // time per token
+	ReportInterval   time.Duration // minimum interval between updates of the reported load
+	Slots            int           // maximum number of concurrent requests
+	Unfenced         bool          // accepts orders with an outdated planner epoch
+	WeightStoreSlots chan struct{} // semaphore of the weight store: its capacity limits concurrent loads; nil: no limit
+	BootPrefix       string        // prefix of the boot identifiers
 
 	faults              faultSwitch
 	mutex               sync.Mutex
@@ -40,8 +40,8 @@
 	slots               chan struct{}       // semaphore of running requests
 }
 
-// Begin initializes the engine. It must be called before Handler's handler serves.
-func (model *Engine) Begin() {
+// Init initializes the engine. It must be called before Handler's handler serves.
+func (model *Engine) Init() {
 	model.runs = map[string]int{}
 	model.streams = map[string][]string{}
 	model.slots = make(chan struct{}, max(model.Slots, 1))
@@ -81,14 +81,14 @@
 	return mux
 }
 
-// serveState returns the state, with a load that is up to LoadLag old.
+// serveState returns the state, with a load that is up to ReportInterval old.
 func (model *Engine) serveState(writer http.ResponseWriter, request *http.Request) {
 	if !model.faults.applyCommon(writer, request) {
 		return
 	}
 	model.mutex.Lock()
 	defer model.mutex.Unlock()
-	if time.Since(model.reportedAt) >= model.LoadLag {
+	if time.Since(model.reportedAt) >= model.ReportInterval {
 		model.reportedLoad = model.active
 		model.reportedAt = time.Now()
 	}
@@ -155,9 +155,9 @@
 // since. A load from the store holds a slot of the weight store while the state
 // changes.
 func (model *Engine) finishLoading(boot string, assigned shedkeel.Assignment, after shedkeel.Phase, fromStore bool) {
-	if fromStore && model.Weights != nil {
-		model.Weights <- struct{}{}
-		defer func() { <-model.Weights }()
+	if fromStore && model.WeightStoreSlots != nil {
+		model.WeightStoreSlots <- struct{}{}
+		defer func() { <-model.WeightStoreSlots }()
 	}
 	model.mutex.Lock()
 	defer model.mutex.Unlock()
@@ -197,7 +197,7 @@
 		wanted.MaxTokens = defaultTokens
 	}
 	name := request.Header.Get(engine.HeaderAttempt)
-	if model.faults.get().WrongName {
+	if model.faults.get().WrongAttempt {
 		name = "another"
 	}
 	writer.Header().Set(engine.HeaderAttempt, name)
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -15,19 +15,19 @@
 // sets them and replaces all earlier ones. Fields that do not apply to a fake have no
 // effect.
 type Faults struct {
-	Outage      bool   `json:"outage"`       // answer every call with status 503
-	Hang        bool   `json:"hang"`         // accept calls and never answer
-	DelayMS     int    `json:"delay_ms"`     // delay before each answer, in milliseconds
-	LoseReplies int    `json:"lose_replies"` // number of writes that take effect but whose reply is lost
-	CutAfter    int    `json:"cut_after"`    // number of events or bytes of each answer after which the connection is closed
-	CutOnce     bool   `json:"cut_once"`     // apply CutAfter only once
-	WrongName   bool   `json:"wrong_name"`   // answer with another attempt's identifier
-	ResetFirst  int    `json:"reset_first"`  // number of requests that run, but whose connection is closed without an answer
-	NoLength    bool   `json:"no_length"`    // answer as HTTP/1.0 without Content-Length, so that the body ends with the connection
-	Refuse      bool   `json:"refuse"`       // reject requests and report that they did not run
-	Leaving     bool   `json:"leaving"`      // report that the box is about to be removed
-	Box         string `json:"box"`          // box list: the box to which Leaving and Gone apply
-	Gone        bool   `json:"gone"`         // box list: the box is no longer listed
+	Outage       bool   `json:"outage"`       // answer every call with status 503
+	Hang         bool   `json:"hang"`         // accept calls and never answer
+	DelayMS      int    `json:"delay_ms"`     // delay before each answer, in milliseconds
+	LoseReplies  int    `json:"lose_replies"` // number of writes that take effect but whose reply is lost
+	CutAfter     int    `json:"cut_after"`    // number of events or bytes of each answer after which the connection is closed
+	CutOnce      bool   `json:"cut_once"`     // apply CutAfter only once
+	WrongAttempt bool   `json:"wrong_name"`   // answer with another attempt's identifier
+	ResetFirst   int    `json:"reset_first"`  // number of requests that run, but whose connection is closed without an answer
+	NoLength     bool   `json:"no_length"`    // answer as HTTP/1.0 without Content-Length, so that the body ends with the connection
+	Refuse       bool   `json:"refuse"`       // reject requests and report that they did not run
+	Leaving      bool   `json:"leaving"`      // report that the box is about to be removed
+	Box          string `json:"box"`          // box list: the box to which Leaving and Gone apply
+	Gone         bool   `json:"gone"`         // box list: the box is no longer listed
 }
 
 // faultSwitch holds the faults of one fake. The zero value has none.
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -246,8 +246,8 @@
 	}
 }
 
-// Forget deletes the history of changes.
-func (store *Store) Forget() {
+// DropHistory deletes the history of changes.
+func (store *Store) DropHistory() {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.log = nil
@@ -372,15 +372,15 @@
 	}
 }
 
-// Pass applies the faults DelayMS, Hang and Outage. It reports whether the handler
+// ApplyCommonFaults applies the faults DelayMS, Hang and Outage. It reports whether the handler
 // should go on with the call.
-func (store *Store) Pass(writer http.ResponseWriter, request *http.Request) bool {
+func (store *Store) ApplyCommonFaults(writer http.ResponseWriter, request *http.Request) bool {
 	return store.faults.applyCommon(writer, request)
 }
 
-// LosesReply reports whether the reply to the current write must be dropped, and counts
+// ConsumeLostReply reports whether the reply to the current write must be dropped, and counts
 // it.
-func (store *Store) LosesReply() bool {
+func (store *Store) ConsumeLostReply() bool {
 	return store.faults.consume(func(faults *Faults) *int { return &faults.LoseReplies })
 }
 
--- a/keeper/agree.go
+++ b/keeper/agree.go
@@ -128,7 +128,7 @@
 		var placement shedkeel.Placement
 		return json.Unmarshal(stored, &placement) == nil && placement.Nonce == next.Nonce
 	}
-	revision, err := platform.SettleSwap(ctx, keeper.Store, zone.placementKey(), zone.revision, value, isOurs)
+	revision, err := platform.SwapWithReadback(ctx, keeper.Store, zone.placementKey(), zone.revision, value, isOurs)
 	if err != nil {
 		zone.fenced = false // tick reads and fences the placement again before it plans
 		keeper.Log.Write(event.PlacementFailed, slog.String("zone", string(zone.id)), slog.String("error", err.Error()))
--- a/keeper/calls.go
+++ b/keeper/calls.go
@@ -39,7 +39,7 @@
 func (keeper *Keeper) handleSync(ctx context.Context, call *wire.SyncCall, now time.Duration) *wire.SyncReply {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
-	keeper.entrySession = wire.SessionOf(ctx)
+	keeper.entrySession = wire.SessionFromContext(ctx)
 	keeper.entryIncarnation = call.GetIncarnation()
 	keeper.lastSync = now
 	if keeper.table.Self.Stopping != call.GetStopping() {
--- a/keeper/operator.go
+++ b/keeper/operator.go
@@ -176,7 +176,7 @@
 		var found shedkeel.Config
 		return json.Unmarshal(stored, &found) == nil && found.Nonce == wanted.Nonce
 	}
-	revision, err := platform.SettleSwap(ctx, keeper.Store, member.KeyConfig, stored.Revision, value, isOurs)
+	revision, err := platform.SwapWithReadback(ctx, keeper.Store, member.KeyConfig, stored.Revision, value, isOurs)
 	if err != nil {
 		return ApplyResult{}, err
 	}
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -355,7 +355,7 @@
 
 	service.setErr(errors.New("service unavailable"))
 	put("b")
-	store.Forget()
+	store.DropHistory()
 	time.Sleep(2 * retryDelay)
 	service.setErr(nil)
 	eventually(t, "changes from the outage, whose history the service lost", func() bool { return own.Get("b").Revision.Number > 0 })
--- a/overhead_test.go
+++ b/overhead_test.go
@@ -84,7 +84,7 @@
 func startEngineAndEntry(t *testing.T) (direct, through string) {
 	t.Helper()
 	model := &standin.Engine{Slots: 4096, BootPrefix: "b"}
-	model.Begin()
+	model.Init()
 	engineListener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	engineServer := &http.Server{Handler: model.Handler(), ReadHeaderTimeout: time.Second}
--- a/program/standin.go
+++ b/program/standin.go
@@ -101,10 +101,10 @@
 	for _, address := range command.Args().Slice() {
 		model := &standin.Engine{
 			LoadTime: command.Duration("load"), JoinTime: command.Duration("join"), TokenTime: command.Duration("token"),
-			LoadLag: command.Duration("lag"), Slots: command.Int("slots"), Unfenced: command.Bool("unfenced"), Weights: weights,
+			ReportInterval: command.Duration("lag"), Slots: command.Int("slots"), Unfenced: command.Bool("unfenced"), WeightStoreSlots: weights,
 			BootPrefix: fmt.Sprintf("%d-%d", os.Getpid(), time.Now().UnixNano()),
 		}
-		model.Begin()
+		model.Init()
 		handlers[address] = model.Handler()
 	}
 	return serveUntil(ctx, handlers)
--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -142,8 +142,8 @@
 				harness.Guard, harness.ServerCheck = &fixedGuard{idle: true}, fixedCheck(serverEnded)
 				assert.Equal(t, harness.post(path, "body", "Model", modelOf(path)).Code, 200)
 				assert.Equal(t, len(harness.backend.requests), 2)
-				assert.Assert(t, !engine.IsFresh(harness.backend.requests[0].Context()))
-				assert.Equal(t, engine.IsFresh(harness.backend.requests[1].Context()), serverEnded)
+				assert.Assert(t, !engine.NeedsFreshConnection(harness.backend.requests[0].Context()))
+				assert.Equal(t, engine.NeedsFreshConnection(harness.backend.requests[1].Context()), serverEnded)
 			})
 		}
 	}
--- a/serve/send.go
+++ b/serve/send.go
@@ -163,7 +163,7 @@
 	request.URL = exchange.targetURL(choice.Address)
 	request.Host = exchange.request.Host
 	request.ContentLength = int64(len(exchange.body))
-	request.Header = engine.PassedOn(exchange.request.Header)
+	request.Header = engine.EndToEndHeaders(exchange.request.Header)
 	request.Header.Del("Content-Length")
 	if request.Header.Get("User-Agent") == "" {
 		request.Header.Set("User-Agent", "") // net/http would add its own
@@ -281,7 +281,7 @@
 // length below 0 leaves Content-Length as the server sent it.
 func (exchange *exchange) writeHead(response *http.Response, length int) {
 	header := exchange.writer.Header()
-	for name, values := range engine.PassedOn(response.Header) {
+	for name, values := range engine.EndToEndHeaders(response.Header) {
 		header[name] = values
 	}
 	if length >= 0 {
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -166,7 +166,7 @@
 	time.Sleep(length)
 	cluster.data.SetFaults(standin.Faults{})
 	if random.IntN(2) == 0 {
-		cluster.data.Forget()
+		cluster.data.DropHistory()
 	}
 	return fmt.Sprintf("store %+v for %s", faults, length)
 }
--- a/wire/session.go
+++ b/wire/session.go
@@ -195,12 +195,12 @@
 // Closed reports whether the session has ended.
 func (session *Session) Closed() bool { return session.link.IsClosed() }
 
-// sessionContextKey is the context key of the Session that SessionOf returns.
+// sessionContextKey is the context key of the Session that SessionFromContext returns.
 type sessionContextKey struct{}
 
-// SessionOf returns the session of the call to which a handler's context belongs, or
+// SessionFromContext returns the session of the call to which a handler's context belongs, or
 // nil for any other context.
-func SessionOf(ctx context.Context) *Session {
+func SessionFromContext(ctx context.Context) *Session {
 	session, _ := ctx.Value(sessionContextKey{}).(*Session)
 	return session
 }
