--- a/claim/head.go
+++ b/claim/head.go
@@ -15,7 +15,7 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Shards is the number of shards. A Committer waits for its Batch interval after each
+// Shards is the number of shards. A Committer waits for its BatchInterval after each
 // batch, so more shards allow more batches a second in total.
 const Shards = 4
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -175,7 +175,7 @@
 // started is when it began to stop. Other entries stop listing it within the
 // permit time plus the live time of a node: an entry without a reply from its
 // keeper within the permit time gives no such answers. Callers may keep an answer
-// for the KeepFor setting.
+// for the DirectoryTTL setting.
 func (entry *Entry) addressExpiry(started time.Duration) time.Duration {
 	propagation := time.Duration(entry.Settings.Timing.Permit) + member.DefaultLiveTime
 	return max(started+propagation, time.Duration(entry.lastAdvertised.Load())) + time.Duration(entry.Settings.Entry.DirectoryTTL)
--- a/entry/sync.go
+++ b/entry/sync.go
@@ -67,21 +67,21 @@
 		next.weights[account.ID] = account.Weight
 	}
 	next.nodes = entry.table.Live(now)
-	judge := member.PermitInput{Now: now, Window: time.Duration(entry.Settings.Timing.Permit), Drains: map[shedkeel.BoxID]bool{}, Digests: entry.table.Digests()}
+	input := member.PermitInput{Now: now, Window: time.Duration(entry.Settings.Timing.Permit), Drains: map[shedkeel.BoxID]bool{}, Digests: entry.table.Digests()}
 	for _, box := range next.config.Drains {
-		judge.Drains[box] = true
+		input.Drains[box] = true
 	}
-	next.permits = judge.Permits(entry.table.Placements())
+	next.permits = input.Permits(entry.table.Placements())
 	if next.config.Generation != before.config.Generation {
 		entry.limiter.Configure(next.config.Accounts, next.config.EntryBoxes, now)
 	}
-	entry.updateTargets(next, judge, now)
+	entry.updateTargets(next, input, now)
 	entry.snapshot.Store(next)
 	entry.cancelBroken(next)
 }
 
 // updateTargets sets the router's targets for all services.
-func (entry *Entry) updateTargets(next *snapshot, judge member.PermitInput, now time.Duration) {
+func (entry *Entry) updateTargets(next *snapshot, input member.PermitInput, now time.Duration) {
 	services := make([]shedkeel.ServiceID, 0, len(next.config.Services))
 	for _, service := range next.config.Services {
 		services = append(services, service.ID)
@@ -89,7 +89,7 @@
 			entry.router.Update(service.ID, groupTargets(service, next.permits), now)
 			continue
 		}
-		entry.router.Update(service.ID, serverTargets(service, judge, next.lastSync), now)
+		entry.router.Update(service.ID, serverTargets(service, input, next.lastSync), now)
 	}
 	entry.router.RetainServices(services)
 }
@@ -112,15 +112,15 @@
 // serverTargets returns the servers of a plain service that are not leaving. They
 // need no permit, but expire without a sync, so that a notice that a server is
 // leaving arrives in time.
-func serverTargets(service shedkeel.Service, judge member.PermitInput, synced time.Duration) []route.Target {
-	leaving := judge.Leaving()
+func serverTargets(service shedkeel.Service, input member.PermitInput, synced time.Duration) []route.Target {
+	leaving := input.Leaving()
 	var targets []route.Target
 	for _, server := range service.Backends {
 		if leaving[server.ID] {
 			continue
 		}
 		targets = append(targets, route.Target{
-			Name: string(server.ID), Address: server.Address, UsableUntil: synced + judge.Window*serverWindows, Capacity: service.Capacity,
+			Name: string(server.ID), Address: server.Address, UsableUntil: synced + input.Window*serverWindows, Capacity: service.Capacity,
 		})
 	}
 	return targets
--- a/group/fleet_test.go
+++ b/group/fleet_test.go
@@ -204,7 +204,7 @@
 }
 
 // isWhole reports whether a group may serve: it is not draining, no member is
-// leaving, and Inspect finds it whole from the answers of the boxes that are up.
+// leaving, and ProbeVerdict finds it whole from the answers of the boxes that are up.
 func (fleet *fleet) isWhole(group shedkeel.Group) bool {
 	if group.Draining {
 		return false
--- a/group/planner_test.go
+++ b/group/planner_test.go
@@ -255,7 +255,7 @@
 }
 
 // TestBothPlannersKeepTheRules runs Planner and Naive on random losses. Both must
-// keep each box in at most one group, and isWhole, which uses Inspect, must agree
+// keep each box in at most one group, and isWhole, which uses ProbeVerdict, must agree
 // with referenceWhole for every group. The planners are not compared with each
 // other.
 func TestBothPlannersKeepTheRules(t *testing.T) {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -14,7 +14,7 @@
 )
 
 // Engine is a fake of the model engine on one box. The exported fields must be set
-// before Begin and not change later.
+// before Init and not change later.
 type Engine struct {
 	LoadTime         time.Duration // time to load weights
 	JoinTime         time.Duration // time to join a group after the weights are loaded
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -149,7 +149,7 @@
 // Restore returns to the snapshot, like a service that is restored from a backup.
 // Later writes are lost, and their revision and lease numbers are assigned again, in a
 // new era. Leases begin a full TTL. Watches of lost changes end with a
-// HistoryGoneError.
+// CompactedError.
 func (store *Store) Restore() {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -211,7 +211,7 @@
 
 // Changes returns the changes below the prefix after the revision since, and the
 // current revision. If there are none, it waits for one, for at most wait. The error is
-// a HistoryGoneError if the history no longer reaches back to since.
+// a CompactedError if the history no longer reaches back to since.
 func (store *Store) Changes(ctx context.Context, prefix string, since shedkeel.Revision, wait time.Duration) ([]shedkeel.Record, shedkeel.Revision, error) {
 	end := time.NewTimer(wait)
 	defer end.Stop()
@@ -263,7 +263,7 @@
 
 // Commit applies all changes at one revision, or none. Like the service, it ignores the
 // eras of revisions and leases. The error is a ConflictError if a key does not have the
-// required revision, or a LeaseGoneError.
+// required revision, or a LeaseEndedError.
 func (store *Store) Commit(change shedkeel.Transaction) (shedkeel.Revision, error) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -316,7 +316,7 @@
 	return shedkeel.LeaseID{Era: store.era, Number: store.granted}
 }
 
-// Renew extends a lease by its TTL, which it returns. The error is a LeaseGoneError if
+// Renew extends a lease by its TTL, which it returns. The error is a LeaseEndedError if
 // the lease has expired.
 func (store *Store) Renew(lease shedkeel.LeaseID) (time.Duration, error) {
 	store.mutex.Lock()
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -207,13 +207,13 @@
 // permits computes the permits of all placed groups by the same rule as an
 // entry. The mutex must be held.
 func (keeper *Keeper) permits(now time.Duration) []member.Permit {
-	judge := member.PermitInput{Now: now, Window: keeper.permitWindow(), Drains: map[shedkeel.BoxID]bool{}, Digests: keeper.table.Digests()}
+	input := member.PermitInput{Now: now, Window: keeper.permitWindow(), Drains: map[shedkeel.BoxID]bool{}, Digests: keeper.table.Digests()}
 	if config, known := keeper.table.Config(); known {
 		for _, box := range config.Drains {
-			judge.Drains[box] = true
+			input.Drains[box] = true
 		}
 	}
-	return judge.Permits(keeper.table.Placements())
+	return input.Permits(keeper.table.Placements())
 }
 
 // newPlanner returns a planner of the type that this process runs.
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -36,7 +36,7 @@
 	validUntil        time.Duration // this node may act as the holder before then
 	sentAt            time.Duration // when the last write was sent
 	inFlight          bool
-	lastWriteSentAt   time.Duration // when the last completed write was sent; the next renewal follows Renew later
+	lastWriteSentAt   time.Duration // when the last completed write was sent; the next renewal follows RenewInterval later
 	gainedAt          time.Duration // when the write that acquired the lease was sent
 	gainedEpoch       uint64        // the epoch to which gainedAt belongs
 	highestEpoch      uint64        // highest epoch seen, including any that the service has lost since
@@ -84,7 +84,8 @@
 // NextWrite returns the write that this node should make now, if any: a renewal by the
 // holder, or an attempt to take a lease that does not exist or whose record has not
 // changed for a TTL. A candidate waits rank renewal intervals longer, so that the
-// one with rank 0 tries first. The caller reports the outcome by Written or Failed.
+// one with rank 0 tries first. The caller reports the outcome by WriteSucceeded
+// or WriteFailed.
 func (lease *Lease) NextWrite(now time.Duration, rank int) (Write, bool) {
 	if !lease.known || lease.inFlight {
 		return Write{}, false
--- a/member/exchange.go
+++ b/member/exchange.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// MergeSyncReply merges a keeper's reply to an entry. See Take.
+// MergeSyncReply merges a keeper's reply to an entry. See MergeReply.
 func (table *Table) MergeSyncReply(reply *wire.SyncReply, sent, now time.Duration) (changed []Record) {
 	return table.MergeReply(&wire.ExchangeReply{Nodes: reply.GetNodes(), Records: reply.GetRecords(), Digests: reply.GetDigests()}, sent, now)
 }
--- a/member/permit.go
+++ b/member/permit.go
@@ -36,13 +36,13 @@
 // renewal, but a group that is found silent more than the Window after it was last
 // found whole counts as broken. A group that is draining or has a box in Leaving has
 // no permit.
-func (judge *PermitInput) Permits(placements []shedkeel.Placement) []Permit {
-	findings := judge.findings()
-	leaving := judge.Leaving()
+func (input *PermitInput) Permits(placements []shedkeel.Placement) []Permit {
+	findings := input.findings()
+	leaving := input.Leaving()
 	var permits []Permit
 	for _, placement := range placements {
 		for _, group := range placement.Groups {
-			permits = append(permits, judge.permit(group, findings[group.Assignment()], leaving))
+			permits = append(permits, input.permit(group, findings[group.Assignment()], leaving))
 		}
 	}
 	return permits
@@ -59,9 +59,9 @@
 }
 
 // findings combines the verdicts of all digests by group and epoch.
-func (judge *PermitInput) findings() map[shedkeel.Assignment]*finding {
+func (input *PermitInput) findings() map[shedkeel.Assignment]*finding {
 	findings := map[shedkeel.Assignment]*finding{}
-	for _, digest := range judge.Digests {
+	for _, digest := range input.Digests {
 		for _, verdict := range digest.Verdicts {
 			key := shedkeel.Assignment{Group: verdict.Group, Epoch: verdict.Epoch}
 			known := findings[key]
@@ -97,17 +97,17 @@
 
 // Leaving returns the boxes that operators drain and those that a watcher reported
 // as leaving within the last leavingWindows times Window.
-func (judge *PermitInput) Leaving() map[shedkeel.BoxID]bool {
+func (input *PermitInput) Leaving() map[shedkeel.BoxID]bool {
 	leaving := map[shedkeel.BoxID]bool{}
-	for _, digest := range judge.Digests {
-		if judge.Now-digest.AsOf > leavingWindows*judge.Window {
+	for _, digest := range input.Digests {
+		if input.Now-digest.AsOf > leavingWindows*input.Window {
 			continue
 		}
 		for _, box := range digest.Leaving {
 			leaving[box] = true
 		}
 	}
-	for box := range judge.Drains {
+	for box := range input.Drains {
 		leaving[box] = true
 	}
 	return leaving
@@ -115,7 +115,7 @@
 
 // permit computes the permit of one group; finding is nil if no watcher has
 // reported on it under its epoch.
-func (judge *PermitInput) permit(group shedkeel.Group, finding *finding, leaving map[shedkeel.BoxID]bool) Permit {
+func (input *PermitInput) permit(group shedkeel.Group, finding *finding, leaving map[shedkeel.BoxID]bool) Permit {
 	permit := Permit{Group: group}
 	if group.Draining {
 		permit.Reason = "the group is draining"
@@ -135,7 +135,7 @@
 		permit.Reason = "a member is missing"
 	case finding.drainingAt > finding.wholeAt:
 		permit.Reason = "a member reports that it is leaving"
-	case finding.silentAt > finding.wholeAt+judge.Window:
+	case finding.silentAt > finding.wholeAt+input.Window:
 		// The newest silent verdict came more than the window after the newest
 		// whole one. For a group that was never found whole, the window counts
 		// from the start of the local clock.
@@ -144,7 +144,7 @@
 	case finding.wholeAt == never:
 		permit.Reason = "a member does not answer"
 	default:
-		permit.Until = finding.wholeAt + judge.Window
+		permit.Until = finding.wholeAt + input.Window
 		permit.WholeAt = finding.wholeAt
 		permit.Load = finding.load
 	}
