--- a/mutants_test.go
+++ b/mutants_test.go
@@ -146,7 +146,7 @@
 		"serve/guard.go", "if now > exchange.deadline {", "if false {", "TestExpireAfterBoxSuspension", "./serve",
 	},
 	"1 whole groups only: permits do not run out": {
-		"member/permit.go", "permit.Until = finding.wholeAt + input.Window", "permit.Until = finding.wholeAt + 1000*judge.Window", "TestScenarios/whole_groups", ".",
+		"member/permit.go", "permit.Until = finding.wholeAt + input.Window", "permit.Until = finding.wholeAt + 1000*input.Window", "TestScenarios/whole_groups", ".",
 	},
 	"1 whole groups only: the permit is not asked again before sending": {
 		"entry/send.go", "if try.entry.Timers.Now() >= try.choice.UsableUntil {", "if false {", "TestFrozenBetweenChoiceAndSend", "./entry",
