--- a/engine/transport.go
+++ b/engine/transport.go
@@ -80,8 +80,8 @@
 	return context.WithValue(ctx, freshConnectionKey{}, true)
 }
 
-// IsFresh reports whether WithFreshConnection applies to the context.
-func IsFresh(ctx context.Context) bool {
+// NeedsFreshConnection reports whether WithFreshConnection applies to the context.
+func NeedsFreshConnection(ctx context.Context) bool {
 	fresh, _ := ctx.Value(freshConnectionKey{}).(bool)
 	return fresh
 }
@@ -98,7 +98,7 @@
 	request.Body = &nonReplayableBody{reader: request.Body}
 	request.GetBody = nil
 	httpTransport := transport.shared
-	if IsFresh(request.Context()) {
+	if NeedsFreshConnection(request.Context()) {
 		httpTransport = transport.fresh
 	}
 	response, err := httpTransport.RoundTrip(request)
@@ -111,9 +111,9 @@
 	return nil, &shedkeel.UnknownRunError{Reason: "backend server " + request.URL.Host + " gave no answer", Cause: err}
 }
 
-// Ended reports whether the address refuses connections, which means that no
+// Stopped reports whether the address refuses connections, which means that no
 // process listens there. A timeout or any other failure is no proof of that.
-func (transport *Transport) Ended(ctx context.Context, address string) bool {
+func (transport *Transport) Stopped(ctx context.Context, address string) bool {
 	dialer := &net.Dialer{}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err == nil {
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -119,7 +119,7 @@
 	settings.Node = "node-1"
 	entry := &Entry{
 		Settings: settings, Incarnation: "1", Backend: backend, Timers: clock, Random: rand.NewPCG(1, 2),
-		NewAttempt: func() string { return fmt.Sprintf("attempt-%d", attempts.Add(1)) },
+		NewAttemptID: func() string { return fmt.Sprintf("attempt-%d", attempts.Add(1)) },
 	}
 	entry.Keeper = nil
 	assert.NilError(t, entry.initialize())
@@ -381,7 +381,7 @@
 // canceled once a member is known to be lost, and that the caller is told at
 // once.
 func TestBrokenGroupEndsItsRequests(t *testing.T) {
-	cases := map[string]shedkeel.Verdict{"refused": shedkeel.VerdictBroken, "silent": shedkeel.VerdictSilent}
+	cases := map[string]shedkeel.Verdict{"refused": shedkeel.VerdictBroken, "silent": shedkeel.VerdictNoReply}
 	for name, verdict := range cases {
 		t.Run(name, func(t *testing.T) {
 			harness := newHarness(t)
--- a/entry/sync.go
+++ b/entry/sync.go
@@ -20,7 +20,7 @@
 	defer cancel()
 	sent := entry.Timers.Now()
 	entry.mutex.Lock()
-	call := entry.table.AskKeeper(entry.Incarnation, entry.stopping.Load(), sent)
+	call := entry.table.SyncCall(entry.Incarnation, entry.stopping.Load(), sent)
 	entry.mutex.Unlock()
 	reply, err := entry.Keeper.Do(ctx, &wire.Call{Kind: &wire.Call_Sync{Sync: call}})
 	now := entry.Timers.Now()
@@ -28,7 +28,7 @@
 	defer entry.mutex.Unlock()
 	entry.recordKeeperState(err)
 	if err == nil && reply.GetSync().GetSettled() {
-		changed := entry.table.TakeFromKeeper(reply.GetSync(), sent, now)
+		changed := entry.table.MergeSyncReply(reply.GetSync(), sent, now)
 		for _, record := range changed {
 			if record.Key == member.KeyConfig {
 				entry.Log.Write(event.ConfigInForce, slog.Uint64("generation", record.Generation))
@@ -48,10 +48,10 @@
 	}
 	entry.keeperUnreachable = err != nil
 	if err != nil {
-		entry.Log.Write(event.KeeperAway, slog.String("error", err.Error()))
+		entry.Log.Write(event.KeeperUnavailable, slog.String("error", err.Error()))
 		return
 	}
-	entry.Log.Write(event.KeeperBack)
+	entry.Log.Write(event.KeeperAvailable)
 }
 
 // rebuildSnapshot replaces the snapshot by one built from the table, updates the
@@ -67,21 +67,21 @@
 		next.weights[account.ID] = account.Weight
 	}
 	next.nodes = entry.table.Live(now)
-	judge := member.Judge{Now: now, Window: time.Duration(entry.Settings.Timing.Permit), Drains: map[shedkeel.BoxID]bool{}, Digests: entry.table.Digests()}
+	input := member.PermitInput{Now: now, Window: time.Duration(entry.Settings.Timing.Permit), Drains: map[shedkeel.BoxID]bool{}, Digests: entry.table.Digests()}
 	for _, box := range next.config.Drains {
-		judge.Drains[box] = true
+		input.Drains[box] = true
 	}
-	next.permits = judge.Permits(entry.table.Placements())
+	next.permits = input.Permits(entry.table.Placements())
 	if next.config.Generation != before.config.Generation {
 		entry.limiter.Configure(next.config.Accounts, next.config.EntryBoxes, now)
 	}
-	entry.updateTargets(next, judge, now)
+	entry.updateTargets(next, input, now)
 	entry.snapshot.Store(next)
 	entry.cancelBroken(next)
 }
 
 // updateTargets sets the router's targets for all services.
-func (entry *Entry) updateTargets(next *snapshot, judge member.Judge, now time.Duration) {
+func (entry *Entry) updateTargets(next *snapshot, input member.PermitInput, now time.Duration) {
 	services := make([]shedkeel.ServiceID, 0, len(next.config.Services))
 	for _, service := range next.config.Services {
 		services = append(services, service.ID)
@@ -89,9 +89,9 @@
 			entry.router.Update(service.ID, groupTargets(service, next.permits), now)
 			continue
 		}
-		entry.router.Update(service.ID, serverTargets(service, judge, next.lastSync), now)
+		entry.router.Update(service.ID, serverTargets(service, input, next.lastSync), now)
 	}
-	entry.router.Forget(services)
+	entry.router.RetainServices(services)
 }
 
 // groupTargets returns the groups of a model service with their permits.
@@ -103,7 +103,7 @@
 		}
 		targets = append(targets, route.Target{
 			Name: string(permit.Group.ID), Address: permit.Group.Members[0].Address, Assignment: permit.Group.Assignment(),
-			Until: permit.Until, Reported: permit.Load, AsOf: permit.Watched, Capacity: service.Capacity,
+			UsableUntil: permit.Until, ReportedLoad: permit.Load, ReportedAt: permit.WholeAt, Capacity: service.Capacity,
 		})
 	}
 	return targets
@@ -112,15 +112,15 @@
 // serverTargets returns the servers of a plain service that are not leaving. They
 // need no permit, but expire without a sync, so that a notice that a server is
 // leaving arrives in time.
-func serverTargets(service shedkeel.Service, judge member.Judge, synced time.Duration) []route.Target {
-	leaving := judge.Leaving()
+func serverTargets(service shedkeel.Service, input member.PermitInput, synced time.Duration) []route.Target {
+	leaving := input.Leaving()
 	var targets []route.Target
 	for _, server := range service.Backends {
 		if leaving[server.ID] {
 			continue
 		}
 		targets = append(targets, route.Target{
-			Name: string(server.ID), Address: server.Address, Until: synced + judge.Window*serverWindows, Capacity: service.Capacity,
+			Name: string(server.ID), Address: server.Address, UsableUntil: synced + input.Window*serverWindows, Capacity: service.Capacity,
 		})
 	}
 	return targets
--- a/formation/demand_test.go
+++ b/formation/demand_test.go
@@ -20,8 +20,8 @@
 func demandOf(large, small float64) map[shedkeel.ModelID]shedkeel.ModelDemand {
 	const seconds = 5
 	return map[shedkeel.ModelID]shedkeel.ModelDemand{
-		"large": shedkeel.ModelDemand{Requests: 1, PromptTokens: 1650, AnswerTokens: 90}.Scaled(seconds * large),
-		"small": shedkeel.ModelDemand{Requests: 1, PromptTokens: 714, AnswerTokens: 135}.Scaled(seconds * small),
+		"large": shedkeel.ModelDemand{Requests: 1, PromptTokens: 1650, AnswerTokens: 90}.Scale(seconds * large),
+		"small": shedkeel.ModelDemand{Requests: 1, PromptTokens: 714, AnswerTokens: 135}.Scale(seconds * small),
 	}
 }
 
--- a/group/fleet_test.go
+++ b/group/fleet_test.go
@@ -12,7 +12,7 @@
 // restart and leave, and a planner that runs once a tick.
 type fleet struct {
 	planner     shedkeel.Planner
-	table       shedkeel.Table
+	table       shedkeel.PlannerParameters
 	config      shedkeel.Config
 	boxes       []*box
 	byID        map[shedkeel.BoxID]*box
@@ -53,7 +53,7 @@
 // newFleet returns a fleet of empty boxes, boxesEach in each domain, with one service.
 // The service wants the given number of groups, and each group has the given number
 // of members.
-func newFleet(planner shedkeel.Planner, table shedkeel.Table, domains, boxesEach, groups, members int) *fleet {
+func newFleet(planner shedkeel.Planner, table shedkeel.PlannerParameters, domains, boxesEach, groups, members int) *fleet {
 	fleet := &fleet{
 		planner: planner, table: table, isOutage: func(time.Duration) bool { return false },
 		config: shedkeel.Config{Services: []shedkeel.Service{{
@@ -84,9 +84,9 @@
 func (fleet *fleet) views() map[shedkeel.BoxID]shedkeel.BoxView {
 	views := make(map[shedkeel.BoxID]shedkeel.BoxView, len(fleet.boxes))
 	for _, box := range fleet.boxes {
-		view := shedkeel.BoxView{Box: shedkeel.Box{ID: box.id, Address: string(box.id), Zone: "z", Domain: box.domain, Accelerators: 1, Leaving: box.leaving}, State: box.state, Seen: fleet.now}
+		view := shedkeel.BoxView{Box: shedkeel.Box{ID: box.id, Address: string(box.id), Zone: "z", Domain: box.domain, Accelerators: 1, Leaving: box.leaving}, State: box.state, LastReply: fleet.now}
 		if !box.up(fleet.now) {
-			view.Seen = fleet.now - time.Hour
+			view.LastReply = fleet.now - time.Hour
 		}
 		views[box.id] = view
 	}
@@ -126,7 +126,7 @@
 		return
 	}
 	lost := planner.Fallback(input)
-	fleet.placement = fleet.placement.With(shedkeel.Fallback{Zone: "z", Base: fleet.placement.Generation, Lost: lost})
+	fleet.placement = fleet.placement.WithFallback(shedkeel.Fallback{Zone: "z", Base: fleet.placement.Generation, Lost: lost})
 	input.Placement = fleet.placement
 	for _, order := range Reconcile(input) {
 		fleet.applyOrder(order)
@@ -204,7 +204,7 @@
 }
 
 // isWhole reports whether a group may serve: it is not draining, no member is
-// leaving, and Inspect finds it whole from the answers of the boxes that are up.
+// leaving, and ProbeVerdict finds it whole from the answers of the boxes that are up.
 func (fleet *fleet) isWhole(group shedkeel.Group) bool {
 	if group.Draining {
 		return false
@@ -219,7 +219,7 @@
 			answers[box.id] = box.state
 		}
 	}
-	return Inspect(group, answers, nil) == shedkeel.VerdictWhole
+	return ProbeVerdict(group, answers, nil) == shedkeel.VerdictWhole
 }
 
 // addMeasures adds one tick to groupDown, stranded and crossDomain.
--- a/group/reconcile.go
+++ b/group/reconcile.go
@@ -22,7 +22,7 @@
 		for _, member := range group.Members {
 			members[member.Box] = true
 			view, listed := input.Boxes[member.Box]
-			if !listed || view.Seen < 0 || view.State.Boot != member.Boot || hasJoined(view.State, group.Assignment()) {
+			if !listed || view.LastReply < 0 || view.State.Boot != member.Boot || hasJoined(view.State, group.Assignment()) {
 				continue
 			}
 			orders = append(orders, shedkeel.Order{
@@ -56,7 +56,7 @@
 	var orders []shedkeel.Order
 	for _, id := range slices.Sorted(maps.Keys(input.Boxes)) {
 		view := input.Boxes[id]
-		if members[id] || view.Seen < 0 || view.State.Assigned.Group == "" {
+		if members[id] || view.LastReply < 0 || view.State.Assigned.Group == "" {
 			continue
 		}
 		service := input.Config.Service(view.State.Weights)
@@ -68,13 +68,13 @@
 	return orders
 }
 
-// Inspect returns the verdict on a group from one round of probes. The answers
+// ProbeVerdict returns the verdict on a group from one round of probes. The answers
 // map holds the members that answered; refused holds those that refused the
 // connection. The group is broken if a member refused, or answered under another
 // boot or assignment, or is not ready; otherwise silent if a member did not
 // answer; otherwise draining if a member reports that it is leaving; and
 // otherwise whole: every member is ready under the group's assignment.
-func Inspect(group shedkeel.Group, answers map[shedkeel.BoxID]shedkeel.BoxState, refused map[shedkeel.BoxID]bool) shedkeel.Verdict {
+func ProbeVerdict(group shedkeel.Group, answers map[shedkeel.BoxID]shedkeel.BoxState, refused map[shedkeel.BoxID]bool) shedkeel.Verdict {
 	verdict := shedkeel.VerdictWhole
 	for _, member := range group.Members {
 		state, answered := answers[member.Box]
@@ -82,7 +82,7 @@
 		case refused[member.Box]:
 			return shedkeel.VerdictBroken
 		case !answered:
-			verdict = shedkeel.VerdictSilent
+			verdict = shedkeel.VerdictNoReply
 			continue
 		case state.Boot != member.Boot || state.Assigned != group.Assignment() || state.Phase != shedkeel.PhaseReady:
 			return shedkeel.VerdictBroken
--- a/instance_test.go
+++ b/instance_test.go
@@ -33,10 +33,10 @@
 	}
 }
 
-// TestInstancesSame changes each field of a record in turn and checks that Same
+// TestEqualExceptSequence changes each field of a record in turn and checks that it
 // notices every change except that of Sequence. It finds the fields by reflection,
 // so that a field that is added later is covered too.
-func TestInstancesSame(t *testing.T) {
+func TestEqualExceptSequence(t *testing.T) {
 	record := func() shedkeel.Instance {
 		return shedkeel.Instance{
 			ID: "a", Service: "s", Address: "h:1", Zone: "z", Slots: 2, ColdFor: time.Second, Sequence: 7, Domain: "d",
@@ -45,7 +45,7 @@
 	}
 	known := record()
 	same := record()
-	assert.Assert(t, known.Same(&same))
+	assert.Assert(t, known.EqualExceptSequence(&same))
 	fields := reflect.TypeFor[shedkeel.Instance]()
 	for index := range fields.NumField() {
 		other := record()
@@ -54,10 +54,10 @@
 		if fields.Field(index).Name == "Draining" {
 			field.SetBool(true)
 		}
-		assert.Equal(t, known.Same(&other), fields.Field(index).Name == "Sequence", fields.Field(index).Name)
-		assert.Equal(t, other.Same(&known), fields.Field(index).Name == "Sequence", fields.Field(index).Name)
+		assert.Equal(t, known.EqualExceptSequence(&other), fields.Field(index).Name == "Sequence", fields.Field(index).Name)
+		assert.Equal(t, other.EqualExceptSequence(&known), fields.Field(index).Name == "Sequence", fields.Field(index).Name)
 	}
 	other := record()
 	other.Member.Epoch++
-	assert.Assert(t, !known.Same(&other))
+	assert.Assert(t, !known.EqualExceptSequence(&other))
 }
--- a/interfaces.go
+++ b/interfaces.go
@@ -8,11 +8,11 @@
 
 // Record is a key of the key-value service with its value.
 type Record struct {
-	Key      string
-	Value    []byte
-	Revision Revision // of the last change; zero: the key does not exist
-	Gone     bool     // in a change: the key was removed at the revision
-	Lost     bool     // in a change: the key is missing because the service was restored from an older backup
+	Key           string
+	Value         []byte
+	Revision      Revision // of the last change; zero: the key does not exist
+	Removed       bool     // in a change: the key was removed at the revision
+	LostInRestore bool     // in a change: the key is missing because the service was restored from an older backup
 }
 
 // Condition holds if the key has the revision. The zero revision means that the
@@ -30,13 +30,13 @@
 	Lease LeaseID
 }
 
-// MaxEntries is the maximum number of conditions, puts and removals together in
-// one transaction.
-const MaxEntries = 32
+// MaxTransactionEntries is the maximum number of conditions, puts and removals
+// together in one transaction.
+const MaxTransactionEntries = 32
 
-// Change is a transaction: it is applied as a whole if every condition holds, and
-// not at all otherwise. It has at most MaxEntries entries.
-type Change struct {
+// Transaction is a set of changes that is applied as a whole if every condition holds,
+// and not at all otherwise. It has at most MaxTransactionEntries entries.
+type Transaction struct {
 	If     []Condition
 	Put    []Put
 	Remove []string
@@ -44,10 +44,10 @@
 
 // Changes are the changes of the keys with a prefix since a revision.
 type Changes struct {
-	Records []Record
-	At      Revision // revision from which to read further changes
+	Records  []Record
+	Revision Revision // revision from which to read further changes
 	// More is set if the answer reached its maximum size. The service may already
-	// have later changes, so At may be older than its newest revision.
+	// have later changes, so Revision may be older than its newest revision.
 	More bool
 }
 
@@ -57,7 +57,7 @@
 	// follow changes.
 	List(ctx context.Context, prefix string) ([]Record, Revision, error)
 	// Changes waits up to the given time for changes after a revision. It returns
-	// a HistoryGoneError if the service no longer has these changes, for example
+	// a CompactedError if the service no longer has these changes, for example
 	// because it is in a later era.
 	Changes(ctx context.Context, prefix string, since Revision, wait time.Duration) (Changes, error)
 	// GetStale reads a key. The result may be some seconds old. It costs the
@@ -66,12 +66,12 @@
 }
 
 // LeasedStore writes records that are removed when their lease ends. Leases of
-// an earlier era have ended: Commit and Renew with one return a LeaseGoneError, and
+// an earlier era have ended: Commit and Renew with one return a LeaseEndedError, and
 // Release does nothing.
 type LeasedStore interface {
 	// Commit applies all changes or none. A condition with a revision of an
 	// earlier era does not hold.
-	Commit(ctx context.Context, change Change) (Revision, error)
+	Commit(ctx context.Context, change Transaction) (Revision, error)
 	// Grant returns a new lease and the time to live that the service gave it.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, time.Duration, error)
 	// Renew extends the lease by its time to live from the arrival of the call.
@@ -137,9 +137,9 @@
 type Engines interface {
 	// Probe requests the state of an engine.
 	Probe(ctx context.Context, address string) (BoxState, error)
-	// Give sends an order. It returns a ConflictError if the engine has accepted
+	// SendOrder sends an order. It returns a ConflictError if the engine has accepted
 	// an order with a higher planner epoch.
-	Give(ctx context.Context, order Order) error
+	SendOrder(ctx context.Context, order Order) error
 }
 
 // Backend sends a request to a backend server. It never retries.
@@ -152,9 +152,9 @@
 // ServerCheck finds out whether a backend server whose connection broke has
 // stopped.
 type ServerCheck interface {
-	// Ended reports whether it is proven that no process listens at the address,
+	// Stopped reports whether it is proven that no process listens at the address,
 	// as by a refused connection. A missing reply proves nothing.
-	Ended(ctx context.Context, address string) bool
+	Stopped(ctx context.Context, address string) bool
 }
 
 // Timers is a clock with periodic timers. Times are durations on a monotonic
@@ -181,9 +181,9 @@
 
 // BoxView is what the planner knows about a box.
 type BoxView struct {
-	Box   Box
-	State BoxState
-	Seen  time.Duration // time of its last reply to a probe; negative: never
+	Box       Box
+	State     BoxState
+	LastReply time.Duration // time of its last reply to a probe; negative: never
 }
 
 // PlanInput is the complete input of a planner.
@@ -191,7 +191,7 @@
 	Now       time.Duration
 	Zone      ZoneID
 	Config    Config
-	Table     Table
+	Table     PlannerParameters
 	Boxes     map[BoxID]BoxView
 	Placement Placement
 }
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -123,7 +123,7 @@
 
 // swap writes one key if it has the revision, and reports whether it did.
 func (store *Store) swap(key string, revision shedkeel.Revision, value []byte) (shedkeel.Revision, bool) {
-	written, err := store.Commit(shedkeel.Change{If: []shedkeel.Condition{{Key: key, Revision: revision}}, Put: []shedkeel.Put{{Key: key, Value: value}}})
+	written, err := store.Commit(shedkeel.Transaction{If: []shedkeel.Condition{{Key: key, Revision: revision}}, Put: []shedkeel.Put{{Key: key, Value: value}}})
 	return written, err == nil
 }
 
@@ -149,7 +149,7 @@
 // Restore returns to the snapshot, like a service that is restored from a backup.
 // Later writes are lost, and their revision and lease numbers are assigned again, in a
 // new era. Leases begin a full TTL. Watches of lost changes end with a
-// HistoryGoneError.
+// CompactedError.
 func (store *Store) Restore() {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -211,7 +211,7 @@
 
 // Changes returns the changes below the prefix after the revision since, and the
 // current revision. If there are none, it waits for one, for at most wait. The error is
-// a HistoryGoneError if the history no longer reaches back to since.
+// a CompactedError if the history no longer reaches back to since.
 func (store *Store) Changes(ctx context.Context, prefix string, since shedkeel.Revision, wait time.Duration) ([]shedkeel.Record, shedkeel.Revision, error) {
 	end := time.NewTimer(wait)
 	defer end.Stop()
@@ -231,7 +231,7 @@
 		}
 		store.mutex.Unlock()
 		if gone {
-			return nil, at, &shedkeel.HistoryGoneError{Since: since}
+			return nil, at, &shedkeel.CompactedError{Since: since}
 		}
 		if len(matching) > 0 {
 			return matching, at, nil
@@ -246,8 +246,8 @@
 	}
 }
 
-// Forget deletes the history of changes.
-func (store *Store) Forget() {
+// DropHistory deletes the history of changes.
+func (store *Store) DropHistory() {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.log = nil
@@ -263,8 +263,8 @@
 
 // Commit applies all changes at one revision, or none. Like the service, it ignores the
 // eras of revisions and leases. The error is a ConflictError if a key does not have the
-// required revision, or a LeaseGoneError.
-func (store *Store) Commit(change shedkeel.Change) (shedkeel.Revision, error) {
+// required revision, or a LeaseEndedError.
+func (store *Store) Commit(change shedkeel.Transaction) (shedkeel.Revision, error) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.expire()
@@ -276,7 +276,7 @@
 	}
 	for _, put := range change.Put {
 		if put.Lease.Number != 0 && store.leases[put.Lease.Number] == nil {
-			return store.currentRevision(), &shedkeel.LeaseGoneError{}
+			return store.currentRevision(), &shedkeel.LeaseEndedError{}
 		}
 	}
 	store.revision++
@@ -301,7 +301,7 @@
 		}
 		delete(store.data, key)
 		delete(store.leaseOfKey, key)
-		store.appendChange(shedkeel.Record{Key: key, Revision: store.currentRevision(), Gone: true})
+		store.appendChange(shedkeel.Record{Key: key, Revision: store.currentRevision(), Removed: true})
 	}
 }
 
@@ -316,7 +316,7 @@
 	return shedkeel.LeaseID{Era: store.era, Number: store.granted}
 }
 
-// Renew extends a lease by its TTL, which it returns. The error is a LeaseGoneError if
+// Renew extends a lease by its TTL, which it returns. The error is a LeaseEndedError if
 // the lease has expired.
 func (store *Store) Renew(lease shedkeel.LeaseID) (time.Duration, error) {
 	store.mutex.Lock()
@@ -325,7 +325,7 @@
 	store.counts.Reads++
 	active := store.leases[lease.Number]
 	if active == nil {
-		return 0, &shedkeel.LeaseGoneError{}
+		return 0, &shedkeel.LeaseEndedError{}
 	}
 	active.until = time.Now().Add(active.ttl)
 	time.AfterFunc(active.ttl+time.Millisecond, store.expireNow)
@@ -372,15 +372,15 @@
 	}
 }
 
-// Pass applies the faults DelayMS, Hang and Outage. It reports whether the handler
+// ApplyCommonFaults applies the faults DelayMS, Hang and Outage. It reports whether the handler
 // should go on with the call.
-func (store *Store) Pass(writer http.ResponseWriter, request *http.Request) bool {
+func (store *Store) ApplyCommonFaults(writer http.ResponseWriter, request *http.Request) bool {
 	return store.faults.applyCommon(writer, request)
 }
 
-// LosesReply reports whether the reply to the current write must be dropped, and counts
+// ConsumeLostReply reports whether the reply to the current write must be dropped, and counts
 // it.
-func (store *Store) LosesReply() bool {
+func (store *Store) ConsumeLostReply() bool {
 	return store.faults.consume(func(faults *Faults) *int { return &faults.LoseReplies })
 }
 
--- a/keeper/agree.go
+++ b/keeper/agree.go
@@ -18,27 +18,27 @@
 	now := keeper.Timers.Now()
 	keeper.mutex.Lock()
 	record := keeper.table.Record(zone.leaseKey())
-	rank, candidate := member.Place(keeper.Settings.Node, leaseRankPrefix+string(zone.id), zone.id, keeper.table.Live(now))
+	rank, candidate := member.RankOf(keeper.Settings.Node, leaseRankPrefix+string(zone.id), zone.id, keeper.table.Live(now))
 	keeper.mutex.Unlock()
 	if err := zone.lease.Observe(record.Revision, record.Value, now); err != nil {
-		keeper.Log.Write(event.RecordBad, slog.String("error", err.Error()))
+		keeper.Log.Write(event.RecordInvalid, slog.String("error", err.Error()))
 		return
 	}
 	if _, held := zone.lease.Held(now, 0); !candidate && !held {
 		return
 	}
-	write, wanted := zone.lease.Wanted(now, rank)
+	write, wanted := zone.lease.NextWrite(now, rank)
 	if !wanted {
 		return
 	}
 	revision, err := keeper.Store.Swap(ctx, zone.leaseKey(), write.Revision, write.Value)
 	if err == nil {
 		keeper.recordStoreState(nil)
-		zone.lease.Written(revision, write.Value)
+		zone.lease.WriteSucceeded(revision, write.Value)
 		zone.publish(zone.leaseKey(), write.Value, revision)
 		return
 	}
-	zone.lease.Failed()
+	zone.lease.WriteFailed()
 	var conflict *shedkeel.ConflictError
 	if errors.As(err, &conflict) {
 		zone.rereadLease(ctx)
@@ -82,7 +82,7 @@
 	placement := shedkeel.Placement{Zone: zone.id}
 	if record.Revision.Exists() {
 		if err := json.Unmarshal(record.Value, &placement); err != nil {
-			zone.keeper.Log.Write(event.RecordBad, slog.String("error", err.Error()))
+			zone.keeper.Log.Write(event.RecordInvalid, slog.String("error", err.Error()))
 			return false
 		}
 	}
@@ -91,7 +91,7 @@
 	}
 	zone.placement = placement
 	zone.revision = record.Revision
-	zone.fenced = zone.commitPlacement(ctx, placement.With(zone.currentFallback()))
+	zone.fenced = zone.commitPlacement(ctx, placement.WithFallback(zone.currentFallback()))
 	return zone.fenced
 }
 
@@ -128,7 +128,7 @@
 		var placement shedkeel.Placement
 		return json.Unmarshal(stored, &placement) == nil && placement.Nonce == next.Nonce
 	}
-	revision, err := platform.SettleSwap(ctx, keeper.Store, zone.placementKey(), zone.revision, value, isOurs)
+	revision, err := platform.SwapWithReadback(ctx, keeper.Store, zone.placementKey(), zone.revision, value, isOurs)
 	if err != nil {
 		zone.fenced = false // tick reads and fences the placement again before it plans
 		keeper.Log.Write(event.PlacementFailed, slog.String("zone", string(zone.id)), slog.String("error", err.Error()))
--- a/keeper/fallback.go
+++ b/keeper/fallback.go
@@ -38,7 +38,7 @@
 	if !keeper.storeUnavailable || 2*live <= known {
 		return false
 	}
-	return zone.lease.LapsedFor(now, zone.lease.TTL) && zone.placement.PlannerEpoch == zone.lease.Holder().Epoch
+	return zone.lease.ExpiredFor(now, zone.lease.TTL) && zone.placement.PlannerEpoch == zone.lease.Holder().Epoch
 }
 
 // applyFallback replaces lost members by reserve boxes, publishes the fallback
@@ -66,7 +66,7 @@
 	if len(fallback.Lost) == 0 {
 		return
 	}
-	input.Placement = zone.placement.With(fallback)
+	input.Placement = zone.placement.WithFallback(fallback)
 	zone.inFallback = true
 	zone.sendOrders(ctx, zone.placement.PlannerEpoch, group.Reconcile(input))
 	zone.inFallback = false
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -75,14 +75,14 @@
 	if err := keeper.initialize(); err != nil {
 		return err
 	}
-	serverTLS, err := keeper.Settings.Wire.TLS.Server()
+	serverTLS, err := keeper.Settings.Wire.TLS.ServerConfig()
 	if err != nil {
 		return err
 	}
 	wireServer := &wire.Server{Key: keeper.Settings.Wire.Key, TLS: serverTLS, Handler: keeper}
 	keeper.background.Go(func() { _ = wireServer.Run(listeners.Wire) })
 	operatorServer := &http.Server{Handler: keeper.operatorHandler(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second}
-	operatorTLS, err := keeper.Settings.TLS.Server()
+	operatorTLS, err := keeper.Settings.TLS.ServerConfig()
 	if err != nil {
 		return err
 	}
@@ -118,7 +118,7 @@
 		Wire: settings.Wire.Advertise, Entry: settings.Entry.Advertise,
 		Stopping: true, // until the first sync call of the entry on this box
 	}
-	keeper.table.Beat(keeper.Timers.Now())
+	keeper.table.AdvanceHeartbeat(keeper.Timers.Now())
 	keeper.answeredPeers = map[string]bool{}
 	keeper.peers = map[string]*wire.Peer{}
 	keeper.unreachable = map[string]bool{}
@@ -130,10 +130,10 @@
 		committer := claim.NewCommitter()
 		committer.Store = keeper.Store
 		committer.Prefix = member.KeyClaims + claim.ShardName(shard) + "/"
-		committer.Batch = time.Duration(settings.Timing.ClaimBatch)
+		committer.BatchInterval = time.Duration(settings.Timing.ClaimBatch)
 		committer.Retention = time.Duration(settings.Timing.Retention)
 		committer.Nonce = shedkeel.NewNonce
-		committer.Wall = keeper.Now
+		committer.WallClock = keeper.Now
 		keeper.committers = append(keeper.committers, committer)
 	}
 	return nil
@@ -195,7 +195,7 @@
 	defer keeper.mutex.Unlock()
 	if !keeper.settled {
 		keeper.settled = true
-		keeper.Log.Write(event.Settled, slog.String("by", source))
+		keeper.Log.Write(event.KeeperSynced, slog.String("by", source))
 	}
 }
 
@@ -207,13 +207,13 @@
 // permits computes the permits of all placed groups by the same rule as an
 // entry. The mutex must be held.
 func (keeper *Keeper) permits(now time.Duration) []member.Permit {
-	judge := member.Judge{Now: now, Window: keeper.permitWindow(), Drains: map[shedkeel.BoxID]bool{}, Digests: keeper.table.Digests()}
+	input := member.PermitInput{Now: now, Window: keeper.permitWindow(), Drains: map[shedkeel.BoxID]bool{}, Digests: keeper.table.Digests()}
 	if config, known := keeper.table.Config(); known {
 		for _, box := range config.Drains {
-			judge.Drains[box] = true
+			input.Drains[box] = true
 		}
 	}
-	return judge.Permits(keeper.table.Placements())
+	return input.Permits(keeper.table.Placements())
 }
 
 // newPlanner returns a planner of the type that this process runs.
--- a/keeper/plan.go
+++ b/keeper/plan.go
@@ -43,7 +43,7 @@
 	revision        shedkeel.Revision
 	fenced          bool // the stored placement carries the current epoch
 	inFallback      bool // sending fallback orders during an outage of the store
-	policyTable     shedkeel.Table
+	policyTable     shedkeel.PlannerParameters
 	tableGeneration uint64                           // configuration generation that the policies were computed from
 	unknownOutcomes map[shedkeel.BoxID]time.Duration // by box: end of the last order with unknown outcome
 	decisions       []shedkeel.Decision
@@ -77,7 +77,7 @@
 	}
 	var planners []*zonePlanner
 	for _, zone := range slices.Sorted(maps.Keys(wanted)) {
-		_, candidate := member.Place(keeper.Settings.Node, leaseRankPrefix+string(zone), zone, live)
+		_, candidate := member.RankOf(keeper.Settings.Node, leaseRankPrefix+string(zone), zone, live)
 		if keeper.planners[zone] == nil && candidate {
 			keeper.planners[zone] = keeper.newZonePlanner(zone)
 		}
@@ -96,7 +96,7 @@
 		id:     zone,
 		lease: lease.Lease{
 			Node: keeper.table.Self.ID, Incarnation: keeper.table.Self.Incarnation,
-			TTL: time.Duration(timing.Lease), Margin: time.Duration(timing.LeaseMargin), Renew: time.Duration(timing.Lease) / renewalsPerLease,
+			TTL: time.Duration(timing.Lease), Margin: time.Duration(timing.LeaseMargin), RenewInterval: time.Duration(timing.Lease) / renewalsPerLease,
 		},
 		planner:         keeper.newPlanner(),
 		policyTable:     policy.DefaultTable(),
@@ -180,7 +180,7 @@
 			continue
 		}
 		for _, place := range placed.Members {
-			input.Boxes[place.Box] = shedkeel.BoxView{Seen: permit.Watched, State: shedkeel.BoxState{
+			input.Boxes[place.Box] = shedkeel.BoxView{LastReply: permit.WholeAt, State: shedkeel.BoxState{
 				Boot: place.Boot, Phase: shedkeel.PhaseReady, Weights: placed.Service, Assigned: placed.Assignment(), Running: permit.Load,
 			}}
 		}
@@ -210,7 +210,7 @@
 			continue
 		}
 		view := zone.boxView(box)
-		if unlisted[id] && (view.Seen < 0 || now-view.Seen > group.DefaultMissAfter) {
+		if unlisted[id] && (view.LastReply < 0 || now-view.LastReply > group.DefaultMissAfter) {
 			continue // neither listed nor answering: it no longer exists
 		}
 		input.Boxes[id] = view
@@ -247,8 +247,8 @@
 	orderedAt, outcomeUnknown := zone.unknownOutcomes[box.ID]
 	switch {
 	case !outcomeUnknown:
-	case view.Seen <= orderedAt:
-		view.Seen = -1
+	case view.LastReply <= orderedAt:
+		view.LastReply = -1
 	default:
 		delete(zone.unknownOutcomes, box.ID)
 	}
@@ -257,7 +257,7 @@
 
 // refreshPolicyTable runs the policy program if the configuration has changed. If
 // the program fails, the previous table stays in use.
-func (zone *zonePlanner) refreshPolicyTable(config shedkeel.Config, boxes []shedkeel.Box) shedkeel.Table {
+func (zone *zonePlanner) refreshPolicyTable(config shedkeel.Config, boxes []shedkeel.Box) shedkeel.PlannerParameters {
 	if zone.tableGeneration == config.Generation {
 		return zone.policyTable
 	}
@@ -277,7 +277,7 @@
 func PolicyFacts(config shedkeel.Config, zone shedkeel.ZoneID, boxes []shedkeel.Box) policy.Facts {
 	facts := policy.SampleFacts()
 	facts.Zone = zone
-	facts.Members = 0
+	facts.GroupSize = 0
 	domains := map[shedkeel.DomainID]int{}
 	for _, box := range boxes {
 		if box.Zone == zone {
@@ -290,7 +290,7 @@
 		facts.DomainBoxes = max(facts.DomainBoxes, count)
 	}
 	for _, service := range config.Services {
-		facts.Members = max(facts.Members, service.Members)
+		facts.GroupSize = max(facts.GroupSize, service.Members)
 	}
 	return facts
 }
@@ -303,7 +303,7 @@
 		if slices.Contains(zone.recentDecisions(), decision) {
 			continue
 		}
-		zone.keeper.Log.Write(event.Decided, slog.String("zone", string(zone.id)), slog.String("group", string(decision.Group)),
+		zone.keeper.Log.Write(event.PlannerDecision, slog.String("zone", string(zone.id)), slog.String("group", string(decision.Group)),
 			slog.String("box", string(decision.Box)), slog.String("action", decision.Action), slog.String("reason", decision.Reason))
 		zone.keeper.mutex.Lock()
 		zone.decisions = append(zone.decisions, decision)
@@ -358,7 +358,7 @@
 	if _, held := zone.lease.Held(now, orderLife); !held && !zone.inFallback {
 		return now, false
 	}
-	err := keeper.Engines.Give(ctx, order)
+	err := keeper.Engines.SendOrder(ctx, order)
 	var conflict *shedkeel.ConflictError
 	var unknown *shedkeel.UnknownOutcomeError
 	switch {
--- a/keeper/probe.go
+++ b/keeper/probe.go
@@ -75,18 +75,18 @@
 	defer prober.mutex.Unlock()
 	view := prober.views[box]
 	view.State = state
-	view.Seen = sent
+	view.LastReply = sent
 	prober.views[box] = view
 }
 
-// lastView returns the last state that a box reported, with Seen negative if the
-// box has never answered.
+// lastView returns the last state that a box reported, with LastReply negative if
+// the box has never answered.
 func (prober *prober) lastView(box shedkeel.Box) shedkeel.BoxView {
 	prober.mutex.Lock()
 	defer prober.mutex.Unlock()
 	view, known := prober.views[box.ID]
 	if !known {
-		view.Seen = -1
+		view.LastReply = -1
 	}
 	view.Box = box
 	return view
@@ -118,7 +118,7 @@
 	var groups []shedkeel.Group
 	for _, placement := range keeper.table.Placements() {
 		for _, placed := range placement.Groups {
-			if member.Watches(keeper.Settings.Node, placed.ID, placement.Zone, live) {
+			if member.ShouldProbe(keeper.Settings.Node, placed.ID, placement.Zone, live) {
 				groups = append(groups, placed)
 			}
 		}
@@ -134,7 +134,7 @@
 	keeper.digestSequence++
 	digest := member.Digest{Watcher: keeper.table.Self.ID, Incarnation: keeper.table.Self.Incarnation, Sequence: keeper.digestSequence, AsOf: asOf}
 	for _, watched := range groups {
-		verdict := group.Inspect(watched, found.answers, found.refused)
+		verdict := group.ProbeVerdict(watched, found.answers, found.refused)
 		first := found.answers[watched.Members[0].Box]
 		digest.Verdicts = append(digest.Verdicts, member.GroupVerdict{
 			Group: watched.ID, Epoch: watched.Epoch, Verdict: verdict, Load: first.Running + first.Queued,
--- a/keeper/spread.go
+++ b/keeper/spread.go
@@ -32,8 +32,8 @@
 	if now-keeper.lastSync > keeper.permitWindow() {
 		keeper.table.Self.Stopping = true // the entry has stopped syncing: advertise it to no caller
 	}
-	keeper.table.Beat(now)
-	keeper.table.Forget(now)
+	keeper.table.AdvanceHeartbeat(now)
+	keeper.table.EvictDead(now)
 	addresses := keeper.peerAddresses(now)
 	keeper.mutex.Unlock()
 	if len(addresses) > maxFullExchange {
@@ -72,7 +72,7 @@
 func (keeper *Keeper) exchangeWith(ctx context.Context, address string) {
 	sent := keeper.Timers.Now()
 	keeper.mutex.Lock()
-	request := keeper.table.Ask(sent)
+	request := keeper.table.ExchangeCall(sent)
 	keeper.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, keeper.permitWindow()/2)
 	defer cancel()
@@ -82,7 +82,7 @@
 		return
 	}
 	keeper.mutex.Lock()
-	changed := keeper.table.Take(reply.GetExchange(), sent, keeper.Timers.Now())
+	changed := keeper.table.MergeReply(reply.GetExchange(), sent, keeper.Timers.Now())
 	for _, record := range changed {
 		keeper.advertiseConfig(record)
 	}
@@ -104,10 +104,10 @@
 	}
 	keeper.unreachable[address] = err != nil
 	if err != nil {
-		keeper.Log.Write(event.KeeperAway, slog.String("address", address), slog.String("error", err.Error()))
+		keeper.Log.Write(event.KeeperUnavailable, slog.String("address", address), slog.String("error", err.Error()))
 		return
 	}
-	keeper.Log.Write(event.KeeperBack, slog.String("address", address))
+	keeper.Log.Write(event.KeeperAvailable, slog.String("address", address))
 }
 
 // peer returns the connection to a keeper, creating it on first use.
@@ -116,7 +116,7 @@
 	defer keeper.mutex.Unlock()
 	peer := keeper.peers[address]
 	if peer == nil {
-		clientTLS, err := keeper.Settings.Wire.TLS.Client()
+		clientTLS, err := keeper.Settings.Wire.TLS.ClientConfig()
 		if err != nil {
 			clientTLS = nil // cannot happen: the settings were validated at start
 		}
@@ -150,7 +150,7 @@
 // isWatcher reports whether this keeper is one of those that watch the key-value
 // service and the box list for its zone.
 func (keeper *Keeper) isWatcher() bool {
-	rank, isCandidate := member.Place(keeper.Settings.Node, "watch/"+string(keeper.Settings.Zone), keeper.Settings.Zone, keeper.liveNodes(keeper.Timers.Now()))
+	rank, isCandidate := member.RankOf(keeper.Settings.Node, "watch/"+string(keeper.Settings.Zone), keeper.Settings.Zone, keeper.liveNodes(keeper.Timers.Now()))
 	return isCandidate && rank < storeWatchersPerZone
 }
 
@@ -195,10 +195,10 @@
 	}
 	keeper.storeUnavailable = err != nil
 	if err != nil {
-		keeper.Log.Write(event.StoreAway, slog.String("error", err.Error()))
+		keeper.Log.Write(event.StoreUnavailable, slog.String("error", err.Error()))
 		return
 	}
-	keeper.Log.Write(event.StoreBack)
+	keeper.Log.Write(event.StoreAvailable)
 }
 
 // handleStoreRecord merges a record reported by the watch. If the record is older
@@ -211,7 +211,7 @@
 		err = nil
 	}
 	if err != nil {
-		keeper.Log.Write(event.RecordBad, slog.String("error", err.Error()))
+		keeper.Log.Write(event.RecordInvalid, slog.String("error", err.Error()))
 		return
 	}
 	keeper.mutex.Lock()
@@ -279,7 +279,7 @@
 // mutex must be held.
 func (keeper *Keeper) recordBoxListError(err error) {
 	if !keeper.unreachable["box list"] {
-		keeper.Log.Write(event.BoxListAway, slog.String("error", err.Error()))
+		keeper.Log.Write(event.BoxListUnavailable, slog.String("error", err.Error()))
 	}
 	keeper.unreachable["box list"] = true
 }
--- a/member/permit_test.go
+++ b/member/permit_test.go
@@ -30,7 +30,7 @@
 // broken. The group's current epoch is 4. Times with -1 are 1 ns earlier than now.
 func TestPermits(t *testing.T) {
 	const now = 100 * time.Second
-	whole, silent, broken, draining := shedkeel.VerdictWhole, shedkeel.VerdictSilent, shedkeel.VerdictBroken, shedkeel.VerdictDraining
+	whole, silent, broken, draining := shedkeel.VerdictWhole, shedkeel.VerdictNoReply, shedkeel.VerdictBroken, shedkeel.VerdictDraining
 	cases := map[string]struct {
 		digests  []Digest
 		drains   map[shedkeel.BoxID]bool // boxes that operators drain
@@ -57,8 +57,8 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			judge := Judge{Now: now, Window: window, Drains: test.drains, Digests: test.digests}
-			permits := judge.Permits(oneGroup(test.draining))
+			input := PermitInput{Now: now, Window: window, Drains: test.drains, Digests: test.digests}
+			permits := input.Permits(oneGroup(test.draining))
 			assert.Equal(t, len(permits), 1)
 			assert.Equal(t, permits[0].Until, test.until, permits[0].Reason)
 			assert.Equal(t, permits[0].Broken, test.broken, permits[0].Reason)
@@ -80,8 +80,8 @@
 			age := time.Duration(random.IntN(5000)) * time.Millisecond
 			digests = append(digests, foundBy(shedkeel.NodeID(rune('a'+random.IntN(4))), 3+uint64(random.IntN(2)), shedkeel.Verdict(random.IntN(4)), now-age))
 		}
-		judge := Judge{Now: now, Window: window, Digests: digests}
-		allows := judge.Permits(oneGroup(false))[0].Until > now
+		input := PermitInput{Now: now, Window: window, Digests: digests}
+		allows := input.Permits(oneGroup(false))[0].Until > now
 		assert.Equal(t, allows, referenceAllowed(digests, now), "seed %d: %v", seed, digests)
 		if allows {
 			allowed++
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -114,7 +114,7 @@
 // servers may get requests. A deleted record is retained for a while if the service
 // was unavailable. A record that is older than the known one is skipped.
 func (fleet *fleet) applyInstance(record shedkeel.Record, now time.Duration) bool {
-	if record.Gone {
+	if record.Removed {
 		return fleet.removeOrRetain(record.Key, now, func() { fleet.removeInstance(record.Key, record.Revision.Era, now) })
 	}
 	instance, err := fleet.node.Decoder.Instance(record.Key, record.Value)
@@ -135,7 +135,7 @@
 	fleet.coldUntil[record.Key] = now + instance.ColdFor
 	// A heartbeat changes only the sequence. Thousands arrive per second, so they must
 	// not rebuild the table.
-	return !listed || wasUnreadable || !instance.Same(&known)
+	return !listed || wasUnreadable || !instance.EqualExceptSequence(&known)
 }
 
 // isOutdated reports whether a server's record is older than the known one: it is of
@@ -184,7 +184,7 @@
 	}
 	fleet.retained[key] = fleet.outageUntil
 	if id, isNode := strings.CutPrefix(key, nodePrefix); isNode {
-		fleet.node.Log.Write(event.NodeHeld, slog.String("of", id), slog.Duration("until", fleet.outageUntil-now), slog.Duration("age", fleet.mirrorAge()))
+		fleet.node.Log.Write(event.NodeKeptWithoutRecord, slog.String("of", id), slog.Duration("until", fleet.outageUntil-now), slog.Duration("age", fleet.mirrorAge()))
 	}
 	return false
 }
@@ -320,9 +320,9 @@
 		return server
 	}
 	server.MaxEventGap = engine.LongestPass(model)
-	server.DelayPerRequest = time.Duration(engine.Stride) * engine.StepEach
-	server.PrefillRate /= model.Slowdown()
-	server.DelayPerRequest = time.Duration(float64(server.DelayPerRequest) * model.Slowdown())
+	server.DelayPerRequest = time.Duration(engine.StepsPerPass) * engine.StepPerRequest
+	server.PrefillRate /= model.EffectiveSlowdown()
+	server.DelayPerRequest = time.Duration(float64(server.DelayPerRequest) * model.EffectiveSlowdown())
 	return server
 }
 
--- a/node/guard_test.go
+++ b/node/guard_test.go
@@ -18,11 +18,11 @@
 type blameStore struct {
 	Store
 	unavailable bool
-	changes     []shedkeel.Change
+	changes     []shedkeel.Transaction
 	era         int64
 }
 
-func (store *blameStore) Commit(_ context.Context, change shedkeel.Change) (shedkeel.Revision, error) {
+func (store *blameStore) Commit(_ context.Context, change shedkeel.Transaction) (shedkeel.Revision, error) {
 	if store.unavailable {
 		return shedkeel.Revision{}, &shedkeel.UnavailableError{What: "store"}
 	}
@@ -85,7 +85,7 @@
 	node.Store = store
 	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 	for _, server := range []shedkeel.InstanceID{"a", "b", "c"} {
-		node.guard.Ended("r", server)
+		node.guard.ServerEnded("r", server)
 	}
 	node.guard.writePending(t.Context(), timers.Now())
 	assert.Equal(t, len(store.changes), 0)
@@ -97,7 +97,7 @@
 	assert.Equal(t, len(store.changes), 1)
 	assert.Equal(t, node.guard.Judge("r"), shedkeel.Contained)
 
-	node.mirror.Apply(mirrorUpdate(shedkeel.Record{Key: blamePrefix + "r", Gone: true, Revision: shedkeel.Revision{Number: 2000}}))
+	node.mirror.Apply(mirrorUpdate(shedkeel.Record{Key: blamePrefix + "r", Removed: true, Revision: shedkeel.Revision{Number: 2000}}))
 	assert.Equal(t, node.guard.Judge("r"), shedkeel.Unblamed, "an operator has released it")
 	for range 5 {
 		timers.Advance(writeInterval)
@@ -113,11 +113,11 @@
 	store := &blameStore{}
 	node.Store = store
 	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
-	node.guard.Ended("r", "a")
-	node.guard.Ended("r", "b")
+	node.guard.ServerEnded("r", "a")
+	node.guard.ServerEnded("r", "b")
 	changedAt := node.guard.unwrittenBlames()["r"]
 	timers.Advance(time.Millisecond)
-	node.guard.Ended("r", "c")
+	node.guard.ServerEnded("r", "c")
 	node.guard.markWritten("r", changedAt)
 	node.guard.writePending(t.Context(), timers.Now())
 	assert.Equal(t, len(store.changes), 1)
@@ -164,7 +164,7 @@
 	assert.Equal(t, node.guard.Judge("r"), shedkeel.Quarantined, "the call carries the sender's blame")
 	assert.Assert(t, !ask(wire.BlameCall_TRY, "a", "b"))
 	ask(wire.BlameCall_DONE)
-	done, allowed := node.guard.Try(t.Context(), "r")
+	done, allowed := node.guard.AcquireAttempt(t.Context(), "r")
 	assert.Assert(t, allowed)
 	assert.Assert(t, !ask(wire.BlameCall_TRY, "a", "b"))
 	done()
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -30,23 +30,23 @@
 
 // Facts is the input of plan. It describes an availability zone.
 type Facts struct {
-	Zone        shedkeel.ZoneID
-	Members     int           // boxes in a group of the zone's largest service
-	DomainBoxes int           // boxes in the zone's largest fabric domain
-	Domains     int           // fabric domains in the zone
-	Restart     time.Duration // median time that a box does not respond while it restarts
-	Load        time.Duration // median time to load model weights
+	Zone           shedkeel.ZoneID
+	GroupSize      int           // boxes in a group of the zone's largest service
+	DomainBoxes    int           // boxes in the zone's largest fabric domain
+	Domains        int           // fabric domains in the zone
+	RestartTime    time.Duration // median time that a box does not respond while it restarts
+	WeightLoadTime time.Duration // median time to load model weights
 }
 
 // DefaultTable returns the table that applies until operators apply a policy. It also
 // supplies the defaults of the arguments of table(...).
-func DefaultTable() shedkeel.Table {
-	return shedkeel.Table{Patience: 20 * time.Second, StormFraction: 0.5, WarmSpares: true}
+func DefaultTable() shedkeel.PlannerParameters {
+	return shedkeel.PlannerParameters{ReplaceAfter: 20 * time.Second, DomainFailureFraction: 0.5, WarmSpares: true}
 }
 
 // SampleFacts returns the input with which Check runs a policy.
 func SampleFacts() Facts {
-	return Facts{Zone: "zone", Members: 8, DomainBoxes: 32, Domains: 2, Restart: time.Minute, Load: 2 * time.Minute}
+	return Facts{Zone: "zone", GroupSize: 8, DomainBoxes: 32, Domains: 2, RestartTime: time.Minute, WeightLoadTime: 2 * time.Minute}
 }
 
 // fileOptions are the language options of policies: the set type is available.
@@ -61,12 +61,12 @@
 
 // Run runs a policy and returns its table, which is DefaultTable for an empty program. Its
 // error is an InvalidError.
-func Run(policy shedkeel.Policy, facts Facts) (shedkeel.Table, error) {
+func Run(policy shedkeel.Policy, facts Facts) (shedkeel.PlannerParameters, error) {
 	if policy.Program == "" {
 		return DefaultTable(), nil
 	}
 	if len(policy.Program) > MaxSize {
-		return shedkeel.Table{}, invalid(policy, fmt.Sprintf("it is %d bytes long", len(policy.Program)), fmt.Sprintf("keep it within %d", MaxSize))
+		return shedkeel.PlannerParameters{}, invalid(policy, fmt.Sprintf("it is %d bytes long", len(policy.Program)), fmt.Sprintf("keep it within %d", MaxSize))
 	}
 	thread := &starlark.Thread{Name: policy.Name, Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(MaxSteps)
@@ -75,19 +75,19 @@
 		"table": starlark.NewBuiltin("table", builder.table),
 	})
 	if err != nil {
-		return shedkeel.Table{}, invalidProgram(policy, err)
+		return shedkeel.PlannerParameters{}, invalidProgram(policy, err)
 	}
 	plan, ok := globals["plan"].(starlark.Callable)
 	if !ok {
-		return shedkeel.Table{}, invalid(policy, "it has no function plan", "define plan(facts) and return table(...)")
+		return shedkeel.PlannerParameters{}, invalid(policy, "it has no function plan", "define plan(facts) and return table(...)")
 	}
 	result, err := starlark.Call(thread, plan, starlark.Tuple{facts.value()}, nil)
 	if err != nil {
-		return shedkeel.Table{}, invalidProgram(policy, err)
+		return shedkeel.PlannerParameters{}, invalidProgram(policy, err)
 	}
 	value, ok := result.(*tableValue)
 	if !ok {
-		return shedkeel.Table{}, invalid(policy, "plan returned a "+result.Type(), "return table(...)")
+		return shedkeel.PlannerParameters{}, invalid(policy, "plan returned a "+result.Type(), "return table(...)")
 	}
 	return value.table, nil
 }
@@ -96,18 +96,18 @@
 func (facts Facts) value() starlark.Value {
 	return starlarkstruct.FromStringDict(starlarkstruct.Default, starlark.StringDict{
 		"zone":            starlark.String(facts.Zone),
-		"members":         starlark.MakeInt(facts.Members),
+		"members":         starlark.MakeInt(facts.GroupSize),
 		"domain_boxes":    starlark.MakeInt(facts.DomainBoxes),
 		"domains":         starlark.MakeInt(facts.Domains),
-		"restart_seconds": starlark.Float(facts.Restart.Seconds()),
-		"load_seconds":    starlark.Float(facts.Load.Seconds()),
+		"restart_seconds": starlark.Float(facts.RestartTime.Seconds()),
+		"load_seconds":    starlark.Float(facts.WeightLoadTime.Seconds()),
 	})
 }
 
 // tableValue is the Starlark value that table(...) returns.
 type tableValue struct {
 	*starlarkstruct.Struct
-	table shedkeel.Table
+	table shedkeel.PlannerParameters
 }
 
 // builder implements the built-in function table.
@@ -116,9 +116,9 @@
 // table builds and validates a table from the keyword arguments of table(...).
 func (*builder) table(_ *starlark.Thread, function *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	table := DefaultTable()
-	patience := starlark.Value(starlark.Float(table.Patience.Seconds()))
-	warmPatience := starlark.Value(starlark.Float(table.WarmPatience.Seconds()))
-	storm := starlark.Value(starlark.Float(table.StormFraction))
+	patience := starlark.Value(starlark.Float(table.ReplaceAfter.Seconds()))
+	warmPatience := starlark.Value(starlark.Float(table.WarmReplaceAfter.Seconds()))
+	storm := starlark.Value(starlark.Float(table.DomainFailureFraction))
 	err := starlark.UnpackArgs(function.Name(), args, kwargs,
 		"spares?", &table.Spares,
 		"warm_spares?", &table.WarmSpares,
@@ -131,10 +131,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if table.Patience, err = durationArgument("patience_seconds", patience); err != nil {
+	if table.ReplaceAfter, err = durationArgument("patience_seconds", patience); err != nil {
 		return nil, err
 	}
-	if table.WarmPatience, err = durationArgument("warm_patience_seconds", warmPatience); err != nil {
+	if table.WarmReplaceAfter, err = durationArgument("warm_patience_seconds", warmPatience); err != nil {
 		return nil, err
 	}
 	fraction, ok := starlark.AsFloat(storm)
@@ -144,7 +144,7 @@
 	if table.Spares < 0 || table.Spares > maxSpares {
 		return nil, fmt.Errorf("spares must be from 0 to %d", maxSpares)
 	}
-	table.StormFraction = fraction
+	table.DomainFailureFraction = fraction
 	return &tableValue{Struct: starlarkstruct.FromStringDict(starlarkstruct.Default, nil), table: table}, nil
 }
 
--- a/program/operator.go
+++ b/program/operator.go
@@ -123,7 +123,7 @@
 func newOperatorClient(command *cli.Command) (*operator.Client, error) {
 	client := &operator.Client{Address: command.String("keeper"), Key: command.String("key")}
 	settings := config.TLSSettings{Certificate: command.String("certificate"), Key: command.String("certificate-key"), Authority: command.String("authority")}
-	clientTLS, err := settings.Client()
+	clientTLS, err := settings.ClientConfig()
 	if err != nil || clientTLS == nil {
 		return client, err
 	}
@@ -361,7 +361,7 @@
 		return err
 	}
 	facts := policy.SampleFacts()
-	facts.Members = command.Int("members")
+	facts.GroupSize = command.Int("members")
 	facts.DomainBoxes = command.Int("domain-boxes")
 	table, err := policy.Run(shedkeel.Policy{Name: filepath.Base(path), Program: string(program)}, facts)
 	if err != nil {
--- a/serve/ended.go
+++ b/serve/ended.go
@@ -89,7 +89,7 @@
 	}
 	exchange.log(event.ServerEnded, slog.String("server", string(choice.Instance)), slog.String("digest", string(exchange.digest())))
 	if exchange.handler.Guard != nil {
-		exchange.handler.Guard.Ended(exchange.digest(), choice.Instance)
+		exchange.handler.Guard.ServerEnded(exchange.digest(), choice.Instance)
 	}
 }
 
@@ -98,7 +98,7 @@
 func (handler *Handler) serverEnded(address string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), endCheckTimeout)
 	defer cancel()
-	return handler.ServerCheck.Ended(ctx, address)
+	return handler.ServerCheck.Stopped(ctx, address)
 }
 
 // isDisconnect reports whether an attempt failed without an answer or refusal from
--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -20,7 +20,7 @@
 // its calls.
 type fixedGuard struct {
 	judgment shedkeel.Judgment
-	refuses  bool // Try allows nothing
+	refuses  bool // AcquireAttempt allows nothing
 	idle     bool
 	worsens  bool // requests are quarantined once a server has ended
 
@@ -46,19 +46,19 @@
 	return guard.judgment
 }
 
-func (guard *fixedGuard) Ended(_ shedkeel.RequestDigest, server shedkeel.InstanceID) {
+func (guard *fixedGuard) ServerEnded(_ shedkeel.RequestDigest, server shedkeel.InstanceID) {
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
 	guard.ended = append(guard.ended, server)
 }
 
-func (guard *fixedGuard) Answered(shedkeel.RequestDigest) {
+func (guard *fixedGuard) RequestAnswered(shedkeel.RequestDigest) {
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
 	guard.answers++
 }
 
-func (guard *fixedGuard) Try(context.Context, shedkeel.RequestDigest) (func(), bool) {
+func (guard *fixedGuard) AcquireAttempt(context.Context, shedkeel.RequestDigest) (func(), bool) {
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
 	if guard.refuses {
@@ -75,7 +75,7 @@
 // fixedCheck is a fake shedkeel.ServerCheck that reports all servers as ended, or none.
 type fixedCheck bool
 
-func (check fixedCheck) Ended(context.Context, string) bool { return bool(check) }
+func (check fixedCheck) Stopped(context.Context, string) bool { return bool(check) }
 
 // TestGuardedRequests checks requests under which servers ended: the status must say
 // truly whether the request may have run, and a quarantined request runs on one server
@@ -142,8 +142,8 @@
 				harness.Guard, harness.ServerCheck = &fixedGuard{idle: true}, fixedCheck(serverEnded)
 				assert.Equal(t, harness.post(path, "body", "Model", modelOf(path)).Code, 200)
 				assert.Equal(t, len(harness.backend.requests), 2)
-				assert.Assert(t, !engine.IsFresh(harness.backend.requests[0].Context()))
-				assert.Equal(t, engine.IsFresh(harness.backend.requests[1].Context()), serverEnded)
+				assert.Assert(t, !engine.NeedsFreshConnection(harness.backend.requests[0].Context()))
+				assert.Equal(t, engine.NeedsFreshConnection(harness.backend.requests[1].Context()), serverEnded)
 			})
 		}
 	}
--- a/serve/send.go
+++ b/serve/send.go
@@ -121,7 +121,7 @@
 // budget is charged only once an attempt has reached a server.
 func (exchange *exchange) uncountUnsent(err error) {
 	var notRun *shedkeel.NotRunError
-	if errors.As(err, &notRun) && !notRun.Arrived {
+	if errors.As(err, &notRun) && !notRun.ReachedServer {
 		exchange.attempts--
 	}
 }
@@ -163,16 +163,16 @@
 	request.URL = exchange.targetURL(choice.Address)
 	request.Host = exchange.request.Host
 	request.ContentLength = int64(len(exchange.body))
-	request.Header = engine.PassedOn(exchange.request.Header)
+	request.Header = engine.EndToEndHeaders(exchange.request.Header)
 	request.Header.Del("Content-Length")
 	if request.Header.Get("User-Agent") == "" {
 		request.Header.Set("User-Agent", "") // net/http would add its own
 	}
-	sending := shedkeel.Sending{Call: &exchange.call, To: choice.Instance, Deadline: remaining, LastEvent: lastEvent, Priority: exchange.priority()}
+	attempt := shedkeel.Attempt{Call: &exchange.call, Server: choice.Instance, Deadline: remaining, LastEventID: lastEvent, Priority: exchange.priority()}
 	if exchange.account != nil {
-		sending.Account = exchange.account.ID
+		attempt.Account = exchange.account.ID
 	}
-	exchange.handler.Protocol.Write(request.Header, sending)
+	exchange.handler.Protocol.Write(request.Header, attempt)
 	return request, nil
 }
 
@@ -198,8 +198,8 @@
 	case answer.ID != "" && answer.ID != exchange.call.ID, answer.ID == "" && response.StatusCode < http.StatusMultipleChoices:
 		return &shedkeel.UnknownRunError{Reason: "server " + string(choice.Instance) + " answered for " + answer.ID, Cause: errForeignAnswer}
 	case answer.NotRun:
-		return &shedkeel.NotRunError{Reason: fmt.Sprintf("server %s refused it with status %d", choice.Instance, response.StatusCode), RetryAfter: answer.Backoff, Arrived: true}
-	case response.StatusCode < http.StatusMultipleChoices && !answer.Sealed, response.Header.Get("Content-Encoding") != "":
+		return &shedkeel.NotRunError{Reason: fmt.Sprintf("server %s refused it with status %d", choice.Instance, response.StatusCode), RetryAfter: answer.Backoff, ReachedServer: true}
+	case response.StatusCode < http.StatusMultipleChoices && !answer.Signed, response.Header.Get("Content-Encoding") != "":
 		return &shedkeel.UnknownRunError{Reason: "the answer of server " + string(choice.Instance) + " is not its own", Cause: errForeignAnswer}
 	}
 	return nil
@@ -211,7 +211,7 @@
 	if exchange.handler.Limits == nil || answer.ID != exchange.call.ID {
 		return
 	}
-	proven := answer.Sealed && status < http.StatusMultipleChoices
+	proven := answer.Signed && status < http.StatusMultipleChoices
 	if proven || answer.Limit.Stated || answer.Limit.Err != nil {
 		exchange.handler.Limits.Observe(choice.Instance, answer.Limit, choice.ChosenAt)
 	}
@@ -224,8 +224,8 @@
 		return
 	}
 	server := slog.String("server", string(choice.Instance))
-	if answer.Invalid != nil {
-		exchange.log(event.StatementBad, server, slog.String("error", answer.Invalid.Error()))
+	if answer.HeaderError != nil {
+		exchange.log(event.HeaderInvalid, server, slog.String("error", answer.HeaderError.Error()))
 	}
 	if answer.Backoff > 0 {
 		exchange.applyBackoff(choice.Instance, answer.Backoff)
@@ -281,7 +281,7 @@
 // length below 0 leaves Content-Length as the server sent it.
 func (exchange *exchange) writeHead(response *http.Response, length int) {
 	header := exchange.writer.Header()
-	for name, values := range engine.PassedOn(response.Header) {
+	for name, values := range engine.EndToEndHeaders(response.Header) {
 		header[name] = values
 	}
 	if length >= 0 {
--- a/swim/receive.go
+++ b/swim/receive.go
@@ -27,7 +27,7 @@
 	case shedkeel.GossipPing:
 		ack := shedkeel.GossipMessage{Kind: shedkeel.GossipAck, Sequence: message.Sequence, Target: detector.Self}
 		sent = append(sent, detector.reply(now, message.From, ack))
-	case shedkeel.GossipPingFor:
+	case shedkeel.GossipIndirectPing:
 		sent = append(sent, detector.relayPing(now, message)...)
 	case shedkeel.GossipAck:
 		sent = append(sent, detector.handleAck(now, message)...)
@@ -49,8 +49,8 @@
 	}
 }
 
-// confirmAlive records that a node is alive now. If the node was Unheard before, others are
-// informed.
+// confirmAlive records that a node is alive now. If the node was Unconfirmed before, others
+// are informed.
 func (detector *Detector) confirmAlive(now time.Duration, peer *peer) {
 	if peer.lastAlive == never && !peer.presumedAlive {
 		peer.transmitsLeft = detector.transmitLimit()
