--- a/node/backoff_test.go
+++ b/node/backoff_test.go
@@ -12,12 +12,13 @@
 const backoffLength = 2 * time.Second
 
 // TestBackoffIsHeeded has servers refuse requests and ask for a backoff while three nodes
-// receive requests. Servers once got five requests from a node during a backoff of 3 s.
+// receive requests. A server must not get further requests from the nodes that know of its
+// backoff: five from one node during a backoff of 3 s is such a failure.
 func TestBackoffIsHeeded(t *testing.T) {
 	const rate, length = 40, 3*backoffLength + time.Second
 	cases := map[string]struct {
 		path string
-		all  bool // all servers ask for it, not only one
+		all  bool // all servers ask for a backoff, not only one
 	}{
 		"replica group":      {path: "/copy/a"},
 		"plain server":       {path: "/look/a"},
@@ -41,7 +42,7 @@
 			t.Logf("statuses %v", statuses)
 			assert.DeepEqual(t, cluster.fleet.Violations(), []string(nil))
 			assert.Equal(t, statuses[0], 0, "every request gets a complete answer")
-			assert.Assert(t, statuses[http.StatusOK] > statuses[http.StatusServiceUnavailable]/3, "served again after the backoff")
+			assert.Assert(t, statuses[http.StatusOK] > statuses[http.StatusServiceUnavailable]/3, "too few requests were served after the backoff")
 			if !test.all {
 				assert.Equal(t, statuses[http.StatusServiceUnavailable], 0, "the other servers serve meanwhile")
 			}
@@ -50,7 +51,7 @@
 }
 
 // TestDrainInAnswersIsHeeded has a server state in its answers that it drains, while its
-// record still says that it is ready. Nodes once went on sending it requests.
+// record still says that it is ready. The nodes must not send it further requests.
 func TestDrainInAnswersIsHeeded(t *testing.T) {
 	const rate, length = 40, 4 * time.Second
 	for name, path := range map[string]string{"replica group": "/copy/a", "plain server": "/look/a"} {
@@ -69,7 +70,7 @@
 func newServingCluster(t *testing.T) *testCluster {
 	t.Helper()
 	cluster := newTestCluster(t, 3)
-	cluster.fleet.Answer = 80 * time.Millisecond // about what dispatch expects
+	cluster.fleet.Answer = 80 * time.Millisecond // about the answer time that dispatch expects
 	cluster.eventually("all nodes are in the directory", func() bool { return len(cluster.addresses(0)) == 3 })
 	for index := range cluster.nodes {
 		cluster.waitServing(index)
--- a/node/cold_test.go
+++ b/node/cold_test.go
@@ -12,7 +12,7 @@
 
 // coldRate is the rate that a cold server accepts in the tests' configuration, in
 // requests a second. maxColdRate is how many requests it may get in a second from all
-// nodes together: one and a half times that rate, and some more.
+// nodes together: one and a half times that rate, and a burst of 5.
 const (
 	maxColdRate = coldRate*3/2 + 5
 	coldRate    = 4
@@ -48,7 +48,7 @@
 			server := test.server(cluster)
 			test.cool(cluster, server)
 			since := time.Now()
-			time.Sleep(evacuationSpreadTime / 2) // all nodes know of it by then
+			time.Sleep(evacuationSpreadTime / 2) // all nodes know by then that the server is cold
 			statuses := cluster.sendLoad(cluster.nodes, test.path, rate, coldFor-time.Second)
 			arrivals := cluster.fleet.Arrivals(server)
 			most := platformstandin.MaxArrivals(arrivals, time.Second)
@@ -57,7 +57,7 @@
 			assert.Assert(t, most > 0, "a cold server still gets requests")
 			assert.Equal(t, statuses[0], 0, "every request gets a complete answer")
 			assert.Assert(t, statuses[http.StatusOK] > 0)
-			cluster.eventually("it gets more once it is warm", func() bool {
+			cluster.eventually("the server gets more requests once it is warm", func() bool {
 				cluster.sendLoad(cluster.nodes, test.path, rate, time.Second)
 				return platformstandin.MaxArrivals(cluster.fleet.Arrivals(server), time.Second) > maxColdRate
 			})
--- a/node/contain_test.go
+++ b/node/contain_test.go
@@ -21,10 +21,10 @@
 // newDeadlyCluster returns a test cluster in which requests with the body "deadly"
 // terminate the servers that run them.
 //
-// Such a request once arrived repeatedly, with a new ID and at another node each time.
-// Each node sent it to two servers and kept no count. After it had terminated three
-// servers, it was sent to servers 11 more times; 18 terminated in all. For ten seconds,
-// only 0 to 4 of some 50 requests a second for the same groups were on time.
+// Such a request may arrive repeatedly, with a new ID and at another node each time. If
+// each node sends it to two servers and keeps no count, it is sent to servers 11 more
+// times after it has terminated three; 18 terminate in all. For ten seconds, only 0 to 4
+// of some 50 requests a second for the same groups are on time.
 func newDeadlyCluster(t *testing.T, nodes int) *testCluster {
 	t.Helper()
 	cluster := newTestCluster(t, nodes)
@@ -36,8 +36,8 @@
 // terminated returns how many servers the deadly request has terminated.
 func (cluster *testCluster) terminated() int { return cluster.fleet.CrashCounts()["deadly"] }
 
-// waitServing waits until the node answers other requests for the model and two groups
-// serve it.
+// waitServing waits until the node answers a harmless request for the model and two
+// groups serve the model.
 func (cluster *testCluster) waitServing(index int) {
 	cluster.t.Helper()
 	cluster.eventually("the node serves", func() bool {
@@ -89,20 +89,20 @@
 
 	_, err = cluster.data.Commit(shedkeel.Change{Remove: []string{"shedkeel/blames/" + digest[1]}})
 	assert.NilError(t, err)
-	cluster.eventually("it is released", func() bool {
+	cluster.eventually("the request is released", func() bool {
 		answer, err := client.Status(t.Context())
 		return err == nil && len(answer.Node.BlamedRequests) == 0
 	})
 }
 
 // TestContainedAfterLossOfAllNodes replaces all nodes by new ones after the request has
-// terminated three servers. The new nodes know of it before they serve.
+// terminated three servers. The new nodes know the blame before they serve.
 func TestContainedAfterLossOfAllNodes(t *testing.T) {
 	cluster := newDeadlyCluster(t, 2)
 	for try := range 4 {
 		cluster.sendDeadly(try % 2)
 	}
-	time.Sleep(time.Second) // blames are written within it
+	time.Sleep(time.Second) // blames are written within this time
 	for _, node := range cluster.nodes {
 		node.stop()
 		node.ended.Wait()
@@ -114,7 +114,7 @@
 	for try := range 4 {
 		cluster.sendDeadly(2 + try%2)
 	}
-	assert.Equal(t, cluster.terminated(), before, "more servers terminated under a contained request")
+	assert.Equal(t, cluster.terminated(), before, "a contained request terminated more servers")
 	assert.Assert(t, cluster.terminated() <= maxTerminated, "%d servers terminated", cluster.terminated())
 }
 
@@ -122,7 +122,7 @@
 // many copies of it are in progress whenever a server terminates.
 func TestBurstIsContained(t *testing.T) {
 	const copies, pause = 80, 50 * time.Millisecond
-	const maxOfBurst = 5 // copies that servers run already can't be canceled
+	const maxOfBurst = 5 // more than maxTerminated: several servers may run a copy before the first one terminates
 	cluster := newDeadlyCluster(t, 3)
 	for index := range 3 {
 		cluster.waitServing(index)
--- a/node/controller.go
+++ b/node/controller.go
@@ -40,20 +40,20 @@
 	term          uint64 // the term in which this node leads or last led
 	epochs        uint64 // number of epochs given out in the term
 	planners      map[shedkeel.ServiceID]*formation.Planner
-	suspects      map[shedkeel.Assignment]time.Duration // when a group was reported; its members are not probed yet
-	noticedAt     map[shedkeel.Assignment]time.Duration // when a notice about a group was last accepted
+	suspects      map[shedkeel.Assignment]time.Duration // when a group was reported as not responding; its members are not probed yet
+	noticedAt     map[shedkeel.Assignment]time.Duration // when a report that a group does not respond was last accepted
 	probing       map[shedkeel.InstanceID]bool          // a probe of the server is in progress
 	dead          map[shedkeel.InstanceID]time.Duration // when to probe a dead server again
 	vacantSince   time.Duration                         // since when there has been no leader; 0: not noticed yet
 	orphanedSince time.Duration                         // since when the leader record names no listed node; 0: not so
 	usageLoggedAt time.Duration                         // when the use of servers was last logged
 	sizeCheckedAt time.Duration                         // when the size of the fleet was last checked
-	// era is the era of the key-value service that this node follows, and since is when
-	// the node began to follow it. Only the planning loop uses them.
+	// era is the era of the key-value service that this node follows, and eraSince is when
+	// the node began to follow it. Only run uses them.
 	era      int64
 	eraSince time.Duration
-	// storedLoads are the loads as last written to the key-value service. Only the
-	// planning loop uses them.
+	// storedLoads are the loads in progress as last written to the key-value service. Only
+	// run uses them.
 	storedLoads map[shedkeel.ServiceID]map[shedkeel.InstanceID]shedkeel.ModelID
 }
 
@@ -105,15 +105,16 @@
 	return controller.era == 0 || now-controller.eraSince >= deletedRecordHold
 }
 
-// nextEpoch returns an epoch that no other formation of a group has. The caller holds
-// the mutex.
+// nextEpoch returns an epoch that was given out for no other formation of a group. The
+// caller holds the mutex.
 func (controller *controller) nextEpoch() uint64 {
 	controller.epochs++
 	return controller.term*epochsPerTerm + controller.epochs
 }
 
 // plan runs one planning round: it probes suspected servers and sends the orders that
-// the planner of each service returns.
+// the planner of each service returns. It does nothing while the mirror is older than
+// maxMirrorAge or recordsRewritten returns false.
 func (controller *controller) plan(ctx context.Context, now time.Duration) {
 	node := controller.node
 	view := node.fleet.view.Load()
@@ -154,8 +155,8 @@
 	}
 }
 
-// logUsage logs for each domain how many servers serve, are spare, load a model, are
-// empty or are lost. The caller holds the mutex.
+// logUsage logs for each domain how many servers serve, are spare, load a model, have
+// none, or are unavailable. The caller holds the mutex.
 func (controller *controller) logUsage(planner *formation.Planner) {
 	for _, usage := range planner.Usage() {
 		controller.node.Log.Write(event.DomainUsage, slog.String("domain", string(usage.Domain)), slog.Any("serving", usage.Serving), slog.Any("spare", usage.Spare),
@@ -184,7 +185,8 @@
 	return planner
 }
 
-// runOrder sends one order and reports the outcome to the planner.
+// runOrder sends one order, if this node's lease is still valid, and reports the outcome
+// to the planner.
 func (controller *controller) runOrder(ctx context.Context, planner *formation.Planner, action formation.Action) {
 	node := controller.node
 	order := action.Order
--- a/node/corrupt_test.go
+++ b/node/corrupt_test.go
@@ -43,30 +43,30 @@
 func (node *Node) usable() int { return node.table.Load("s", "m", node.Timers.Now()).Usable }
 
 // TestRecordThatBecomesUnreadable corrupts the record of a server. The server gets no
-// requests, and keeps its place in its group until its next heartbeat or, if none
+// requests itself, and keeps its place in its group until its next heartbeat or, if none
 // arrives, for unreadableRecordHold.
 func TestRecordThatBecomesUnreadable(t *testing.T) {
 	corrupt := shedkeel.Record{Key: "servers/i-0", Value: []byte(`{"service":7}`), Revision: shedkeel.Revision{Number: 4}}
-	t.Run("its next heartbeat comes", func(t *testing.T) {
+	t.Run("the next heartbeat comes", func(t *testing.T) {
 		node, apply := newGroupNode(t)
 		assert.Equal(t, node.usable(), 1)
 		apply(0, corrupt)
 		assert.Equal(t, node.usable(), 0, "a server with an unreadable record got requests")
-		assert.Equal(t, len(node.fleet.instances), 2, "its group lost a member by one corrupt write")
+		assert.Equal(t, len(node.fleet.instances), 2, "a corrupt write removed a member of the group")
 		apply(1200*time.Millisecond, serverRecord(5, 7, 0, shedkeel.MemberOpen))
 		assert.Equal(t, node.usable(), 1)
 		apply(2 * unreadableRecordHold)
 		assert.Equal(t, len(node.fleet.instances), 2)
 	})
-	t.Run("none comes", func(t *testing.T) {
+	t.Run("no heartbeat comes", func(t *testing.T) {
 		node, apply := newGroupNode(t)
 		apply(0, corrupt)
 		apply(unreadableRecordHold/2, shedkeel.Record{Key: "servers/i-0", Value: []byte(`[]`), Revision: shedkeel.Revision{Number: 5}})
 		assert.Equal(t, len(node.fleet.instances), 2)
 		apply(unreadableRecordHold / 2)
-		assert.Equal(t, len(node.fleet.instances), 1, "corrupt writes kept it for longer")
+		assert.Equal(t, len(node.fleet.instances), 1, "a second corrupt write prolonged the hold")
 	})
-	t.Run("a member's", func(t *testing.T) {
+	t.Run("the record of a member that is not the head", func(t *testing.T) {
 		node, apply := newGroupNode(t)
 		apply(0, shedkeel.Record{Key: "servers/i-1", Value: []byte("\x00"), Revision: shedkeel.Revision{Number: 4}})
 		assert.Equal(t, node.usable(), 1, "the head's record is valid")
@@ -79,14 +79,14 @@
 	})
 }
 
-// TestServerThatStartsAgain restarts a head under its name. A late record of its former
-// start is ignored.
+// TestServerThatStartsAgain restarts a head under the same name. A late record that it
+// wrote before the restart is ignored.
 func TestServerThatStartsAgain(t *testing.T) {
 	node, apply := newGroupNode(t)
 	apply(0, serverRecord(4, 9, 0, shedkeel.MemberJoining))
 	assert.Equal(t, node.usable(), 0)
 	apply(0, serverRecord(5, 7, 0, shedkeel.MemberOpen))
-	assert.Equal(t, node.usable(), 0, "the record of the former start was applied")
+	assert.Equal(t, node.usable(), 0, "a record from before the restart was applied")
 	apply(0, serverRecord(6, 9, 0, shedkeel.MemberOpen))
 	assert.Equal(t, node.usable(), 1)
 }
@@ -126,7 +126,7 @@
 	member.Value = []byte(fmt.Sprintf(`{"service":"s","address":"10.0.0.1:1","zone":"z","version":"v1","slots":8,"state":"ready","cold_remaining_ms":0,"seq":1,"group":{"name":"m/d/1","epoch":%d,"rank":0,"state":"open"}}`, 3*epochsPerTerm+8))
 	for name, test := range map[string]struct {
 		lead, term string
-		next       uint64
+		next       uint64 // the term in which the node leads; servers report epochs of term 3
 	}{
 		"valid records":                            {"", `{"term":3}`, 4},
 		"lead can't be read":                       {`[]`, `{"term":3}`, 4},
@@ -134,8 +134,8 @@
 		"lead names this node, by another's lease": {`{"node":"node-1","incarnation":"x","lease":99}`, `{"term":3}`, 4},
 		"term can't be read":                       {"", `7`, 4},
 		"term is too low":                          {"", `{"term":0}`, 4},
-		"term is higher than epochs go":            {"", `{"term":4611686018427387904}`, 4},
-		"term is higher":                           {"", `{"term":9}`, 10},
+		"term is above maxTerm":                    {"", `{"term":4611686018427387904}`, 4},
+		"term is above those of the epochs":        {"", `{"term":9}`, 10},
 	} {
 		t.Run(name, func(t *testing.T) {
 			node, timers, store := newListedCandidate(t)
--- a/node/demand.go
+++ b/node/demand.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// demandInterval is how often the leader asks the spreaders (see peers.spreader) for
+	// demandInterval is how often the leader polls the spreaders (see peers.spreader) for
 	// the demand for each model.
 	demandInterval = time.Second
-	// demandTimeout bounds each of these calls, which take some milliseconds.
+	// demandTimeout bounds each call to a spreader, which normally takes some milliseconds.
 	demandTimeout = 300 * time.Millisecond
-	// demandLogRounds is the number of polls per log line.
+	// demandLogRounds is after how many polls the demand is logged again.
 	demandLogRounds = 5
 )
 
@@ -27,7 +27,7 @@
 type demands struct {
 	controller *controller
 	pollMutex  sync.Mutex // held during a poll
-	rounds     int        // number of polls
+	rounds     int        // number of polls so far; guarded by pollMutex
 
 	mutex  sync.Mutex
 	latest map[shedkeel.ServiceID]map[shedkeel.ModelID]shedkeel.ModelDemand
@@ -41,14 +41,15 @@
 	return maps.Clone(demands.latest[service])
 }
 
-// tick starts a poll if this node leads and no poll is running.
+// tick starts a poll of the demand if this node leads and no poll is running.
 func (demands *demands) tick(now time.Duration) {
 	if demands.controller.leading(now) && demands.pollMutex.TryLock() {
 		go demands.runPoll()
 	}
 }
 
-// runPoll asks all nodes that may have spread requests. The demand of a node that does
+// runPoll asks all nodes that may have spread requests for their demand, and releases
+// pollMutex, which the caller has locked. The demand of a node that does
 // not answer is left out: planners only compare the models with each other.
 func (demands *demands) runPoll() {
 	defer demands.pollMutex.Unlock()
@@ -77,8 +78,8 @@
 	}
 }
 
-// demand returns the demand for the models of a service, from the requests that all
-// nodes have spread.
+// demand returns the demand for the models of a service: the sum of what this node and
+// the other nodes that answer have spread (see peers.adviseSpread).
 func (peers *peers) demand(service shedkeel.ServiceID) map[shedkeel.ModelID]shedkeel.ModelDemand {
 	total := peers.node.table.Demand(service, peers.node.Timers.Now())
 	var totalMutex sync.Mutex
@@ -98,7 +99,8 @@
 }
 
 // spreaders returns the other nodes that may have spread requests for a service: the
-// spreader of each part, and the nodes that replace them.
+// spreader of each part of a model's groups, and the first nodes (see reservedNodes),
+// which replace spreaders that do not answer.
 func (peers *peers) spreaders(service shedkeel.ServiceID) []*peer {
 	parts := peers.node.table.MaxPartitions(service)
 	peers.mutex.Lock()
@@ -113,8 +115,8 @@
 	return found
 }
 
-// demand asks the peer for its demand for a service's models. It returns nil if the
-// peer does not answer.
+// demand asks the peer for the demand for a service's models in the requests that it has
+// spread. It returns nil if the peer does not answer within demandTimeout.
 func (peer *peer) demand(service shedkeel.ServiceID) map[shedkeel.ModelID]shedkeel.ModelDemand {
 	ctx, cancel := context.WithTimeout(context.Background(), demandTimeout)
 	defer cancel()
@@ -129,7 +131,8 @@
 	return demand
 }
 
-// handleDemand answers the leader's question for the demand on this node.
+// handleDemand answers the leader's call for the demand in the requests that this node
+// has spread.
 func (peers *peers) handleDemand(call *wire.DemandCall) *wire.Reply {
 	reply := &wire.DemandReply{}
 	for model, demand := range peers.node.table.Demand(shedkeel.ServiceID(call.GetService()), peers.node.Timers.Now()) {
--- a/node/demand_test.go
+++ b/node/demand_test.go
@@ -10,8 +10,8 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// TestDemandOfAllNodes sums the requests that two nodes have spread. A third node, which
-// would replace them, does not answer.
+// TestDemandOfAllNodes checks the sum of the requests that two nodes have spread. A third
+// node is asked too, since it may have replaced a spreader, and does not answer.
 func TestDemandOfAllNodes(t *testing.T) {
 	listener := listenHere(t)
 	spreaderNode, _ := newTestNode(t)
@@ -39,7 +39,8 @@
 	assert.Equal(t, len(leaderNode.peers.demand("other")), 0)
 }
 
-// TestDemandFades checks that a burst of requests does not count for long.
+// TestDemandFades checks that of a burst of 100 requests less than 2 % count after 20
+// polls.
 func TestDemandFades(t *testing.T) {
 	call := &wire.DemandCall{Service: "s"}
 	node, timers := newTestNode(t)
--- a/node/election.go
+++ b/node/election.go
@@ -16,14 +16,14 @@
 	// electionStagger is how much later each further node stands for election, so that
 	// nodes seldom write at the same time.
 	electionStagger = 60 * time.Millisecond
-	// initialSettleTime is how long no further node must have been listed before the
+	// initialSettleTime is for how long the list of nodes must not have grown before the
 	// first election of a fleet: while a fleet starts, each node knows few of the nodes
 	// that precede it.
 	initialSettleTime = 500 * time.Millisecond
-	// maxInitialSettle bounds that wait.
+	// maxInitialSettle bounds the wait for a list that does not grow.
 	maxInitialSettle = 3 * time.Second
-	// initialStagger replaces electionStagger in the first election: within it, all nodes
-	// learn the outcome.
+	// initialStagger replaces electionStagger in the first election of a fleet. It is long
+	// enough for all nodes to learn that a node has won before the next one stands.
 	initialStagger = 400 * time.Millisecond
 	// leaderTTL is the time to live of the leader's lease: long enough for two renewals
 	// to fail, short enough that a successor of a dead leader acts within two seconds.
@@ -38,9 +38,9 @@
 	// maxTerm is the highest term that is accepted. A higher one was written by a
 	// foreign client: its epochs would overflow.
 	maxTerm = 1 << 40
-	// orphanTimeout is how long the leader record may name a node that is not listed
-	// before another node leads: far longer than a live node is ever missing from the
-	// list.
+	// orphanTimeout is for how long the leader record may name a node that is not listed,
+	// or a node that finds that it does not hold the record's lease, before a node stands
+	// for election: far longer than a live node is ever missing from the list.
 	orphanTimeout = 5 * time.Second
 
 	leaderKey = "shedkeel/lead"
@@ -74,7 +74,8 @@
 
 // leading reports whether this node may give orders now: it is the leader and its
 // lease is valid. If the leader record is no longer its own, or it has resigned,
-// leading ends its leadership.
+// leading ends its leadership. If only the lease is not valid, the node gives no orders
+// until the lease is renewed.
 func (controller *controller) leading(now time.Duration) bool {
 	controller.mutex.Lock()
 	defer controller.mutex.Unlock()
@@ -93,7 +94,7 @@
 	return false
 }
 
-// resign ends the leadership of this node for good.
+// resign ends the leadership of this node, which does not stand for election again.
 func (controller *controller) resign() {
 	controller.mutex.Lock()
 	controller.resigned = true
@@ -145,7 +146,8 @@
 }
 
 // elect lets this node stand for election if there is no leader and its turn has come.
-// If the leader record names this node already, the node becomes the leader.
+// If the leader record names this node already, the node becomes the leader. A node that
+// has resigned, is not listed or has a mirror older than maxMirrorAge does neither.
 func (controller *controller) elect(ctx context.Context, now time.Duration) {
 	node := controller.node
 	state := node.mirror.State()
@@ -215,8 +217,8 @@
 	if term.Term > maxTerm {
 		term.Term = 0
 	}
-	// The service may have been restored from an older copy and have lost terms that no
-	// server here reports.
+	// The key-value service may have been restored from an older copy and have lost terms
+	// that no server known to this node reports.
 	era := min(uint64(controller.node.mirror.State().At.Era), maxTerm/termsPerEra-1)
 	return max(term.Term, controller.node.fleet.highestEpoch()/epochsPerTerm, era*termsPerEra) + 1
 }
@@ -251,8 +253,9 @@
 	}
 }
 
-// becomeLeader makes this node the leader if the record and its lease say so. Within a
-// term, the numbers of epochs go on, so that none is used twice.
+// becomeLeader makes this node the leader if the record names it and its lease is valid.
+// If the node has led in the same term before, it goes on counting epochs, so that none is
+// used twice.
 func (controller *controller) becomeLeader(lead leadRecord) {
 	if !controller.isOwnLead(lead) || !controller.lease.valid(controller.node.Timers.Now()) {
 		return
--- a/node/election_test.go
+++ b/node/election_test.go
@@ -13,7 +13,8 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// leaseStore is a key-value service that numbers its leases from one.
+// leaseStore is a key-value service that numbers its leases from one and leaves commits
+// to the function commit.
 type leaseStore struct {
 	Store
 	granted     shedkeel.LeaseID
@@ -58,7 +59,8 @@
 	return node, timers, store
 }
 
-// elect has the node stand for election as it does while there is no leader.
+// elect has the node stand for election: the first call of elect notices that there is no
+// leader, and the second follows when the node's delay is over.
 func elect(t *testing.T, node *Node, timers *timer.Manual) {
 	for _, wait := range []time.Duration{initialSettleTime, electionStagger} {
 		node.controller.elect(t.Context(), timers.Now())
@@ -107,8 +109,8 @@
 	}
 }
 
-// TestLateWriteOfFormerLease has a first write take effect when the node has another
-// lease. The record belongs to the first lease, which nobody renews.
+// TestLateWriteOfFormerLease has a node's first write of the leader record take effect
+// only when the node has another lease. The record belongs to the first lease, which nobody renews.
 func TestLateWriteOfFormerLease(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
 	var first shedkeel.Change
@@ -127,7 +129,7 @@
 }
 
 // TestTermsEpochsAreUsedOnce has the leader record disappear from the leader's mirror
-// for a moment. The epochs of the term must not be used a second time.
+// for a moment and the node lead again in the same term. No epoch may be used twice.
 func TestTermsEpochsAreUsedOnce(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
 	var lead shedkeel.Change
@@ -146,8 +148,8 @@
 	assert.Assert(t, node.controller.nextEpoch() > before)
 }
 
-// TestLeadersLease checks that a leader leads no longer than its leader's lease lasts,
-// even while it stays listed.
+// TestLeadersLease checks that a node leads no longer than its leader's lease lasts, even
+// while its membership lease keeps it listed.
 func TestLeadersLease(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
 	elect(t, node, timers)
@@ -166,10 +168,11 @@
 
 // TestFirstElectionIsOfFew has the nodes of a new fleet learn of each other within half a
 // second, and of each other's writes a quarter of a second later. Without the wait of the
-// first election, each node knows few that precede it, and 88 of 142 stand for election.
+// first election, each node knows few of the nodes that precede it, and in a fleet of 142
+// nodes, 88 stand for election.
 func TestFirstElectionIsOfFew(t *testing.T) {
 	const (
-		lag   = 250 * time.Millisecond
+		lag   = 250 * time.Millisecond // until other nodes see a write
 		tick  = 50 * time.Millisecond
 		batch = 10 // nodes that are listed per tick
 	)
--- a/node/evacuated_test.go
+++ b/node/evacuated_test.go
@@ -20,15 +20,15 @@
 		records []shedkeel.Record
 		want    []EvacuationDump
 	}{
-		"asked":                     {[]shedkeel.Record{record("a")}, []EvacuationDump{{Zone: "a", Servers: 1}}},
-		"asked twice":               {[]shedkeel.Record{record("a"), record("a")}, []EvacuationDump{{Zone: "a", Servers: 1}}},
+		"begun":                     {[]shedkeel.Record{record("a")}, []EvacuationDump{{Zone: "a", Servers: 1}}},
+		"begun twice":               {[]shedkeel.Record{record("a"), record("a")}, []EvacuationDump{{Zone: "a", Servers: 1}}},
 		"two zones":                 {[]shedkeel.Record{record("b"), record("a")}, []EvacuationDump{{Zone: "a", Servers: 1}, {Zone: "b"}}},
-		"withdrawn":                 {[]shedkeel.Record{record("a"), record("b"), gone("a", false)}, []EvacuationDump{{Zone: "b"}}},
-		"withdrawn, never asked":    {[]shedkeel.Record{gone("a", false)}, []EvacuationDump{}},
+		"ended":                     {[]shedkeel.Record{record("a"), record("b"), gone("a", false)}, []EvacuationDump{{Zone: "b"}}},
+		"ended, never begun":        {[]shedkeel.Record{gone("a", false)}, []EvacuationDump{}},
 		"lost":                      {[]shedkeel.Record{record("a"), gone("a", true)}, []EvacuationDump{{Zone: "a", Servers: 1}}},
-		"lost, never asked":         {[]shedkeel.Record{gone("a", true)}, []EvacuationDump{}},
-		"lost, written, withdrawn":  {[]shedkeel.Record{record("a"), gone("a", true), record("a"), gone("a", false)}, []EvacuationDump{}},
-		"asked again":               {[]shedkeel.Record{record("a"), gone("a", false), record("a")}, []EvacuationDump{{Zone: "a", Servers: 1}}},
+		"lost, never begun":         {[]shedkeel.Record{gone("a", true)}, []EvacuationDump{}},
+		"lost, begun again, ended":  {[]shedkeel.Record{record("a"), gone("a", true), record("a"), gone("a", false)}, []EvacuationDump{}},
+		"ended and begun again":     {[]shedkeel.Record{record("a"), gone("a", false), record("a")}, []EvacuationDump{{Zone: "a", Servers: 1}}},
 		"no zone is named":          {[]shedkeel.Record{record("")}, []EvacuationDump{}},
 		"a zone that is not listed": {[]shedkeel.Record{record("nowhere")}, []EvacuationDump{{Zone: "nowhere"}}},
 	}
--- a/node/evacuation.go
+++ b/node/evacuation.go
@@ -11,7 +11,7 @@
 
 // applyEvacuation processes the record of an availability zone: operators evacuate the
 // zone by writing the record, and end the evacuation by removing it. It reports whether
-// anything has changed. The caller holds the mutex.
+// the set of evacuated zones has changed. The caller holds the mutex.
 //
 // An evacuation stays in force if the key-value service has lost its record, because no
 // operator has ended it.
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -12,8 +12,8 @@
 	"shedkeel.org/shedkeel/platform"
 )
 
-// evacuationSpreadTime is within what time all nodes must know of the evacuation of an
-// availability zone.
+// evacuationSpreadTime is the time within which all nodes must know of the evacuation of
+// an availability zone.
 const evacuationSpreadTime = time.Second
 
 // evacuatedZone is the availability zone that is evacuated in these tests. One of two
@@ -53,7 +53,7 @@
 				cluster.fleet.SetZone(server, evacuatedZone)
 			}
 			cluster.sendLoad(cluster.nodes, test.path, rate, time.Second)
-			assert.Assert(t, cluster.countArrivals(test.servers) > 0, "they serve before the evacuation")
+			assert.Assert(t, cluster.countArrivals(test.servers) > 0, "the zone serves before the evacuation")
 
 			cluster.evacuate(evacuatedZone, true)
 			time.Sleep(evacuationSpreadTime)
@@ -67,7 +67,7 @@
 				status, _ := cluster.send(cluster.nodes[3].callers, shedkeel.NewNonce(), test.path, "key-1", 50)
 				return status == http.StatusOK
 			})
-			assert.Equal(t, cluster.countArrivals(test.servers), before, "it knows of the evacuation")
+			assert.Equal(t, cluster.countArrivals(test.servers), before, "a node that starts sends the evacuated zone no requests")
 
 			cluster.evacuate(evacuatedZone, false)
 			cluster.eventually("the zone serves again", func() bool {
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestAllZonesEvacuated checks that callers get status 503 while all servers are
-// evacuated.
+// TestAllZonesEvacuated checks that callers get status 503 and no server gets their
+// request while the zone of all servers is evacuated.
 func TestAllZonesEvacuated(t *testing.T) {
 	cluster := newServingCluster(t)
 	cluster.evacuate("z", true)
--- a/node/guard.go
+++ b/node/guard.go
@@ -28,7 +28,8 @@
 	trialTimeout = 50 * time.Millisecond
 	// trialExpiry is after how long a trial counts as ended if its end is not reported.
 	trialExpiry = 10 * time.Second
-	// deciderCount is how many nodes are asked in turn to decide about a request.
+	// deciderCount is how many nodes may decide about the trials of a request. They are
+	// asked in turn until one answers.
 	deciderCount = 3
 	// resendInterval is how often blames that the key-value service does not store yet
 	// are sent to all nodes again: nodes that have started or were cut off meanwhile do
@@ -37,14 +38,14 @@
 	// writeInterval is the time between two checks for blames that must be written.
 	writeInterval = 100 * time.Millisecond
 	// writeStagger is how much later each further decider writes a blame that the key-value
-	// service lacks. All nodes know of a write long before that.
+	// service lacks. By then, all nodes have long known of an earlier decider's write.
 	writeStagger = time.Second
 )
 
 // guard keeps requests that terminate backend servers from terminating more of them.
 // A blame names a request and the servers that have terminated while running it. With
-// one such server, the blame is sent to the node that decides about the request. With
-// two or more, it is sent to all nodes and written to the key-value service, so that it
+// one such server, the blame is sent to the node that decides about trials of the
+// request, that is, whether it may be sent to a server. With two or more, it is sent to all nodes and written to the key-value service, so that it
 // survives the loss of all nodes.
 type guard struct {
 	node   *Node
@@ -52,7 +53,7 @@
 
 	mutex     sync.Mutex
 	trials    map[shedkeel.RequestDigest]time.Duration // until when a trial that this node has allowed counts as running
-	unwritten map[shedkeel.RequestDigest]time.Duration // blames that changed then and are not known to be written yet
+	unwritten map[shedkeel.RequestDigest]time.Duration // when each blame that may still have to be written last changed
 
 	resentAt time.Duration // when unwritten blames were last sent again; only run uses it
 }
@@ -71,8 +72,9 @@
 	return contain.Judge(guard.ledger.Blame(request))
 }
 
-// Ended records that a server has terminated while running a request, and reports it to
-// other nodes.
+// Ended records that a server has terminated while running a request. It sends a changed
+// blame to all nodes if the request is quarantined or contained, otherwise to the
+// decider of the request.
 func (guard *guard) Ended(request shedkeel.RequestDigest, server shedkeel.InstanceID) {
 	blame, isNew := guard.ledger.RecordFailure(request, server)
 	if isNew {
@@ -105,7 +107,8 @@
 }
 
 // blameChanged handles a changed blame: it marks the blame as unwritten, logs the
-// judgment and cancels running attempts of a quarantined or contained request.
+// judgment and cancels running attempts of a quarantined or contained request. It
+// ignores a blame that names at most one server and has never been cleared.
 func (guard *guard) blameChanged(blame shedkeel.Blame) {
 	judgment := contain.Judge(blame)
 	if judgment == shedkeel.Unblamed && blame.Round == 0 {
@@ -121,7 +124,8 @@
 	}
 }
 
-// send sends a blame to all nodes, or only to the node that decides about the request.
+// send sends a blame to all live nodes, or only to the decider of the request. It does
+// not wait for answers.
 func (guard *guard) send(blame shedkeel.Blame, toAll bool) {
 	if !toAll {
 		go guard.runSendToDecider(blame)
@@ -132,8 +136,8 @@
 	}
 }
 
-// runSendToDecider sends a blame to the first node that answers of those that may
-// decide about the request. It sends nothing if this node comes before them.
+// runSendToDecider sends a blame to the deciders of the request in turn, until one
+// answers or it is this node's own turn.
 func (guard *guard) runSendToDecider(blame shedkeel.Blame) {
 	for _, id := range guard.node.peers.deciders(blame.Request) {
 		if id == guard.node.Settings.Node {
@@ -145,8 +149,8 @@
 	}
 }
 
-// runSendBlame sends a blame to the node and reports whether it was received. A node
-// that misses a blame sent to all reads it from the key-value service. A trial whose
+// runSendBlame sends a blame to the peer and reports whether the peer has answered within
+// blameTimeout. A node that misses a blame sent to all reads it from the key-value service. A trial whose
 // end is not reported expires.
 func (peer *peer) runSendBlame(kind wire.BlameCall_Kind, blame shedkeel.Blame) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), blameTimeout)
@@ -183,9 +187,10 @@
 	return &wire.Reply{Kind: &wire.Reply_Blame{Blame: &wire.BlameReply{Allowed: allowed}}}
 }
 
-// Try reports whether a quarantined request may be sent to a server now. One node
-// decides for all and allows one trial at a time. If the trial is allowed, the caller
-// calls done when it has ended.
+// Try reports whether a quarantined request may be sent to a server now. One node, the
+// first decider that answers, decides for all nodes and allows one trial of the request
+// at a time. If the trial is allowed, the caller calls done when it has ended. If no
+// decider answers, the trial is not allowed.
 func (guard *guard) Try(ctx context.Context, request shedkeel.RequestDigest) (done func(), allowed bool) {
 	blame := guard.ledger.Blame(request)
 	for _, id := range guard.node.peers.deciders(request) {
@@ -204,7 +209,8 @@
 	return nil, false
 }
 
-// requestTrial asks the peer whether it allows a trial of a request.
+// requestTrial asks the peer whether it allows a trial of the request that the blame
+// names. It returns an error if there is no answer within trialTimeout.
 func (peer *peer) requestTrial(ctx context.Context, blame shedkeel.Blame) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
@@ -212,8 +218,8 @@
 	return reply.GetBlame().GetAllowed(), err
 }
 
-// allowTrial reports whether a trial of a request may start now, and records the trial
-// if so.
+// allowTrial reports whether a trial of a request may start now: the request is not
+// contained and no other trial of it is in progress. If so, it records the trial.
 func (guard *guard) allowTrial(request shedkeel.RequestDigest) bool {
 	now := guard.node.Timers.Now()
 	guard.mutex.Lock()
@@ -232,8 +238,8 @@
 	delete(guard.trials, request)
 }
 
-// deciders returns the nodes that decide about a request, in the order in which they
-// are asked until one answers. All nodes that see the same nodes alive get the same
+// deciders returns the nodes that may decide about trials of a request, at most
+// deciderCount, in the order in which they are asked until one answers. All nodes that see the same nodes alive get the same
 // result.
 func (peers *peers) deciders(request shedkeel.RequestDigest) []shedkeel.NodeID {
 	peers.mutex.Lock()
@@ -247,7 +253,8 @@
 	return ids[:min(len(ids), deciderCount)]
 }
 
-// run writes blames to the key-value service until ctx ends.
+// run sends unwritten blames again and writes them to the key-value service until ctx
+// ends.
 func (guard *guard) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		guard.writePending(ctx, guard.node.Timers.Now())
@@ -255,8 +262,10 @@
 	}
 }
 
-// writePending writes the blames that the key-value service lacks and for which it is this
-// node's turn.
+// writePending resends unwritten blames if that is due. Unless the mirror is older than
+// outageAge, it then writes the blames that the key-value service lacks and for which it
+// is this node's turn: each further decider waits for writeStagger more, and other nodes
+// write nothing.
 func (guard *guard) writePending(ctx context.Context, now time.Duration) {
 	guard.resendUnwritten(now)
 	state := guard.node.mirror.State()
@@ -280,7 +289,7 @@
 }
 
 // resendUnwritten sends to all nodes again the blames that the key-value service should
-// store and does not store yet.
+// store and does not store yet, at most once per resendInterval.
 func (guard *guard) resendUnwritten(now time.Duration) {
 	if now-guard.resentAt < resendInterval {
 		return
@@ -293,8 +302,8 @@
 	}
 }
 
-// recheckAll schedules all blames for comparison with the key-value service, after that
-// has lost some of them.
+// recheckAll schedules all blames for comparison with the key-value service, after the
+// service has lost some of them.
 func (guard *guard) recheckAll() {
 	now := guard.node.Timers.Now()
 	guard.mutex.Lock()
@@ -305,15 +314,15 @@
 }
 
 // unwrittenBlames returns the requests whose blames may have to be written, with the
-// times at which these changed.
+// times at which the blames changed.
 func (guard *guard) unwrittenBlames() map[shedkeel.RequestDigest]time.Duration {
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
 	return maps.Clone(guard.unwritten)
 }
 
-// markWritten records that the key-value service stores the blame that changed at that
-// time, unless the blame has changed again since.
+// markWritten records that the key-value service stores the blame that changed at the
+// time since, unless the blame has changed again later.
 func (guard *guard) markWritten(request shedkeel.RequestDigest, since time.Duration) {
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
@@ -346,7 +355,8 @@
 	return change, true
 }
 
-// write commits a change and applies it to the mirror. keep retries what fails.
+// write commits a change and applies it to the mirror. If that fails, the blame stays
+// unwritten and writePending tries again.
 func (guard *guard) write(ctx context.Context, change shedkeel.Change) {
 	revision, err := guard.node.Store.Commit(ctx, change)
 	if err != nil {
@@ -373,8 +383,9 @@
 	return found
 }
 
-// applyRecord processes a record of a blame from the key-value service. Removal of the
-// record clears its request: it was answered, or an operator has released it.
+// applyRecord processes a record of a blame from the key-value service. If the record
+// was removed, it clears the blame: the request was answered, or an operator has released
+// it.
 func (guard *guard) applyRecord(record shedkeel.Record) {
 	request := shedkeel.RequestDigest(strings.TrimPrefix(record.Key, blamePrefix))
 	if record.Lost {
--- a/node/guard_test.go
+++ b/node/guard_test.go
@@ -30,10 +30,12 @@
 	return shedkeel.Revision{Era: store.era, Number: int64(1000 + len(store.changes))}, nil
 }
 
+// newBlame returns a blame of the request "r".
 func newBlame(round uint32, servers ...shedkeel.InstanceID) shedkeel.Blame {
 	return shedkeel.Blame{Request: "r", Round: round, Servers: servers}
 }
 
+// blameRecord returns the record of a blame in the key-value service.
 func blameRecord(t *testing.T, blame shedkeel.Blame) shedkeel.Record {
 	t.Helper()
 	value, err := json.Marshal(blame)
@@ -49,18 +51,18 @@
 	cases := map[string]struct {
 		blame   shedkeel.Blame
 		record  shedkeel.Record
-		puts    int
-		removes int
+		puts    int // number of records that the change writes
+		removes int // number of records that the change removes
 	}{
 		"one server":                       {newBlame(0, "a"), missing, 0, 0},
-		"two":                              {newBlame(0, "a", "b"), missing, 1, 0},
-		"two, written":                     {newBlame(0, "a", "b"), blameRecord(t, newBlame(0, "a", "b")), 0, 0},
-		"three, two written":               {newBlame(0, "a", "b", "c"), blameRecord(t, newBlame(0, "a", "b")), 1, 0},
-		"two, three written":               {newBlame(0, "a", "b"), blameRecord(t, newBlame(0, "a", "b", "c")), 0, 0},
-		"cleared, never written":           {newBlame(1), missing, 0, 0},
-		"cleared, written before":          {newBlame(1), blameRecord(t, newBlame(0, "a", "b", "c")), 0, 1},
-		"cleared, blamed again since":      {newBlame(1), blameRecord(t, newBlame(2, "a", "b", "c")), 0, 0},
-		"cleared, then two":                {newBlame(1, "d", "e"), blameRecord(t, newBlame(0, "a", "b", "c")), 1, 0},
+		"two servers":                      {newBlame(0, "a", "b"), missing, 1, 0},
+		"two, and the record names both":   {newBlame(0, "a", "b"), blameRecord(t, newBlame(0, "a", "b")), 0, 0},
+		"three, the record names two":      {newBlame(0, "a", "b", "c"), blameRecord(t, newBlame(0, "a", "b")), 1, 0},
+		"two, the record names three":      {newBlame(0, "a", "b"), blameRecord(t, newBlame(0, "a", "b", "c")), 0, 0},
+		"cleared, no record":               {newBlame(1), missing, 0, 0},
+		"cleared, older record":            {newBlame(1), blameRecord(t, newBlame(0, "a", "b", "c")), 0, 1},
+		"cleared, record of a later round": {newBlame(1), blameRecord(t, newBlame(2, "a", "b", "c")), 0, 0},
+		"cleared, then two, older record":  {newBlame(1, "d", "e"), blameRecord(t, newBlame(0, "a", "b", "c")), 1, 0},
 		"three, corrupt record":            {newBlame(0, "a", "b", "c"), shedkeel.Record{Key: blamePrefix + "r", Value: []byte("{"), Revision: shedkeel.Revision{Number: 5}}, 1, 0},
 		"three, record of another request": {newBlame(0, "a", "b", "c"), shedkeel.Record{Key: blamePrefix + "r", Value: []byte(`{"request":"q"}`), Revision: shedkeel.Revision{Number: 5}}, 1, 0},
 	}
@@ -106,8 +108,9 @@
 	assert.Equal(t, len(store.changes), 1, "it is not written again")
 }
 
-// TestBlameChangedDuringWriteIsWritten has a third server terminate after the write of
-// two servers was seen and before it is marked as written. The third is written as well.
+// TestBlameChangedDuringWriteIsWritten has a third server terminate after the record of
+// the first two was found in the key-value service and before the blame is marked as
+// written. The next write contains all three.
 func TestBlameChangedDuringWriteIsWritten(t *testing.T) {
 	node, timers := newTestNode(t)
 	store := &blameStore{}
@@ -133,7 +136,7 @@
 		key      string
 		value    string
 		judgment shedkeel.Judgment
-		skipped  int64
+		skipped  int64 // records that were skipped as invalid
 	}{
 		"good":                                {"r", three, shedkeel.Contained, 0},
 		"about another request":               {"q", three, shedkeel.Unblamed, 1},
@@ -154,7 +157,8 @@
 }
 
 // TestOneTrialAtATime checks that a node allows one trial of a quarantined request at a
-// time: the next one once that has ended or has expired, and none of a contained request.
+// time: the next one once the first has ended or has expired, and none of a contained
+// request.
 func TestOneTrialAtATime(t *testing.T) {
 	node, timers := newTestNode(t)
 	ask := func(kind wire.BlameCall_Kind, servers ...string) bool {
@@ -176,7 +180,7 @@
 }
 
 // TestDecidersAgree checks that nodes which see the same nodes alive agree on who
-// decides about a request, and that the requests are spread over all nodes.
+// decides about a request, and that each node is the first decider of some requests.
 func TestDecidersAgree(t *testing.T) {
 	firstDeciders := map[shedkeel.NodeID]int{}
 	for range 40 {
--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -24,7 +24,7 @@
 	limitBurst = 5
 )
 
-// limitSpreadTime is within what time all nodes must know of a limit.
+// limitSpreadTime is the time within which all nodes must know a limit.
 const limitSpreadTime = 3 * time.Second
 
 // sendLoad sends rate requests a second to the nodes in turn and returns the number of
@@ -51,15 +51,15 @@
 }
 
 // TestServerLimitHoldsOverAllNodes has servers state a limit while three nodes receive
-// requests, also while one of the nodes stops. Servers that had stated a limit of 2 a
-// second once got 5 a second from eight nodes. One got 19 requests in 4 s from nodes
-// that knew its limit, where 17 were allowed.
+// requests, also while one of the nodes stops. Excesses that
+// the bound must exclude are 5 requests a second from eight nodes at a stated limit of 2,
+// and 19 requests in 4 s from nodes that know the limit, where 17 are allowed.
 func TestServerLimitHoldsOverAllNodes(t *testing.T) {
 	const limit, rate, length = 2, 40, limitSpreadTime + limitWindow + time.Second
 	cases := map[string]struct {
 		path string
 		all  bool // all servers state a limit, and not only one
-		stop bool // the first node stops
+		stop bool // the first node stops, and requests go to the others only
 	}{
 		"replica group":                 {path: "/copy/a"},
 		"plain server":                  {path: "/look/a"},
--- a/node/limits.go
+++ b/node/limits.go
@@ -27,7 +27,7 @@
 	permitRetryDelay = 200 * time.Millisecond
 	// announceInterval is how often changed limits are sent to other nodes.
 	announceInterval = 50 * time.Millisecond
-	// announceTimeout bounds a call that sends them.
+	// announceTimeout bounds a call that sends changed limits to a node.
 	announceTimeout = 500 * time.Millisecond
 	// neverStatedAgeMs is the age reported for a limit that the server has never stated:
 	// higher than that of any statement.
@@ -48,7 +48,7 @@
 
 	mutex       sync.Mutex
 	badLoggedAt map[shedkeel.InstanceID]time.Duration        // when an unreadable limit of the server was last logged
-	pending     map[shedkeel.InstanceID]shedkeel.ServerLimit // to be sent to other nodes
+	pending     map[shedkeel.InstanceID]shedkeel.ServerLimit // changed limits that are to be sent to other nodes
 
 	peerViews uint64 // peers.aliveVersion at the last update of granter; only run uses it
 }
@@ -67,8 +67,9 @@
 	}
 }
 
-// merge merges what another node reports of a server. If this node is the server's
-// granter, it passes a changed limit on.
+// merge processes the limit and the cold state of a server that another node has sent,
+// and ignores invalid ones. If this node is the server's granter, it sends a changed
+// limit on to all nodes.
 func (limits *limits) merge(reported *wire.ServerLimit, from shedkeel.NodeID) {
 	now := limits.node.Timers.Now()
 	if cold, isCold := parseCold(reported, now); isCold {
@@ -146,7 +147,9 @@
 	return known && granter == limits.node.Settings.Node
 }
 
-// Acquire asks for a permit to send one request, which can wait for maxWait.
+// Acquire asks for a permit to send a server one request, which can wait for maxWait at
+// most. The permit is granted if the server's rate is not limited. It is refused, with a
+// wait of permitRetryDelay, if the server's granter is unknown or does not answer.
 func (limits *limits) Acquire(ctx context.Context, server shedkeel.InstanceID, maxWait time.Duration) shedkeel.Permit {
 	rate, limited := limits.rate(server, limits.node.Timers.Now())
 	if !limited {
@@ -163,16 +166,16 @@
 	return limits.requestPermit(ctx, peer, server, maxWait)
 }
 
-// grant decides about a permit of a server whose granter is this node. The node grants
-// only a share of the server's rate, equal to the share of the listed nodes that it
-// hears: during a network partition, the nodes on the other side may grant the rest.
+// grant decides about a permit for a server whose granter is this node. The node grants
+// only a fraction of the server's rate, equal to the fraction of the listed nodes that
+// it sees alive: during a network partition, the nodes on the other side may grant the rest.
 func (limits *limits) grant(server shedkeel.InstanceID, rate float64, maxWait time.Duration) shedkeel.Permit {
 	part, settledSince := limits.node.peers.aliveFraction()
 	request := ratelimit.PermitRequest{Server: server, Rate: rate * part, MaxWait: maxWait, SettledSince: settledSince}
 	return limits.granter.Grant(request, limits.node.Timers.Now())
 }
 
-// requestPermit asks the server's granter for a permit. If that does not answer, no
+// requestPermit asks peer, the server's granter, for a permit. If it does not answer, no
 // other node grants permits in its place: two nodes that each grant the server's rate
 // would send it twice as many requests.
 func (limits *limits) requestPermit(ctx context.Context, peer *peer, server shedkeel.InstanceID, maxWait time.Duration) shedkeel.Permit {
@@ -193,7 +196,8 @@
 	return shedkeel.Permit{Granted: answer.GetGranted(), Wait: time.Duration(answer.GetWaitMs()) * time.Millisecond}
 }
 
-// handlePermit answers another node's question for a permit.
+// handlePermit answers another node's request for a permit. If this node knows no limit of
+// the server, it grants the permit only if the server has withdrawn an earlier limit.
 func (limits *limits) handlePermit(call *wire.PermitCall) *wire.Reply {
 	limits.merge(call.GetLimit(), shedkeel.NodeID(call.GetNode()))
 	server := shedkeel.InstanceID(call.GetLimit().GetServer())
@@ -212,8 +216,8 @@
 	}}}
 }
 
-// wireState returns what this node knows of a server's limit, in wire form; nil if it
-// knows nothing.
+// wireState returns the limit and the cold state of a server in wire form, as far as this
+// node knows them; nil if it knows neither.
 func (limits *limits) wireState(server shedkeel.InstanceID) *wire.ServerLimit {
 	now := limits.node.Timers.Now()
 	stated, _ := limits.known.Limit(server)
@@ -245,8 +249,8 @@
 	}
 }
 
-// tick forgets the permits of servers that have another granter now, lifts the limits
-// of servers that are no longer cold, and sends changed limits.
+// tick forgets the permits of servers that have another granter now, ends the reduced
+// rates of servers that are no longer cold, and sends changed limits.
 func (limits *limits) tick() {
 	if views := limits.node.peers.aliveVersion.Load(); views != limits.peerViews {
 		limits.peerViews = views
@@ -264,7 +268,7 @@
 	}
 }
 
-// announceAll sends each limit to the server's granter, or to all nodes if this node is
+// announceAll sends each limit to its server's granter, or to all nodes if this node is
 // the granter.
 func (limits *limits) announceAll(changed []shedkeel.ServerLimit) {
 	changes := map[*peer][]shedkeel.ServerLimit{}
@@ -285,7 +289,7 @@
 	}
 }
 
-// runAnnounce sends limits to a node. If they are lost, the node learns the limits from
+// runAnnounce sends limits to the peer. If the call fails, the peer learns the limits from
 // the servers' own answers.
 func (peer *peer) runAnnounce(changed []shedkeel.ServerLimit) {
 	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
@@ -314,7 +318,7 @@
 	return found
 }
 
-// dumpServer returns the fields that limited and cold servers have in common.
+// dumpServer returns a dump with the fields that limited and cold servers have in common.
 func (limits *limits) dumpServer(server shedkeel.InstanceID, rate float64) LimitDump {
 	granter, _ := limits.node.peers.granter(server)
 	usage := limits.granter.Usage(server)
@@ -351,8 +355,8 @@
 	return cold, cold.Server != "" && reported.GetColdMs() > 0 && cold.Rate > 0 && !math.IsInf(cold.Rate, 0)
 }
 
-// logBadLimit logs an unreadable limit, unless one of the same server was logged within
-// badLimitLogInterval.
+// logBadLimit logs that a server states an unreadable limit, unless that was logged for
+// the same server within badLimitLogInterval.
 func (limits *limits) logBadLimit(server shedkeel.InstanceID, err error, now time.Duration) {
 	limits.mutex.Lock()
 	last, logged := limits.badLoggedAt[server]
@@ -369,7 +373,7 @@
 	}
 }
 
-// retain forgets the servers that are no longer listed.
+// retain forgets the limits and permits of servers for which listed returns false.
 func (limits *limits) retain(listed func(shedkeel.InstanceID) bool) {
 	limits.known.Retain(listed)
 	limits.granter.Retain(listed)
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestGrantersAgree checks that nodes which see the same nodes alive agree on the granter
-// of a server, and that the servers are spread over all nodes.
+// of a server, and that each node is the granter of some servers.
 func TestGrantersAgree(t *testing.T) {
 	counts := map[shedkeel.NodeID]int{}
 	for range 40 {
@@ -30,9 +30,9 @@
 	assert.Equal(t, len(counts), len(fourNodes), "%v", counts)
 }
 
-// TestShareOfLimitByNodesHeard checks which share of a limit a node may grant, and since
-// when: nodes that do not answer may be on the other side of a network partition, but
-// those that stop are not.
+// TestShareOfLimitByNodesHeard checks which fraction of the nodes a node sees alive, which
+// is the fraction of a limit that it may grant, and since when. Nodes that do not answer
+// may be on the other side of a network partition; stopping nodes are not counted.
 func TestShareOfLimitByNodesHeard(t *testing.T) {
 	node, timers := newListedNode(t, "a", fourNodes)
 	part, settled := node.peers.aliveFraction()
@@ -54,7 +54,8 @@
 	assert.Equal(t, part, 1.0)
 }
 
-// newServerID returns the ID of a server of which the node is the granter, or is not.
+// newServerID returns the ID of a server whose granter is the node if own, and another
+// node otherwise.
 func newServerID(node *Node, own bool) string {
 	for {
 		server := shedkeel.InstanceID(shedkeel.NewNonce())
@@ -70,7 +71,7 @@
 		own     bool // the node grants the server's permits
 		lifted  bool // the node knows that the server no longer states a limit
 		rate    float64
-		granted bool
+		granted bool // the permit is granted
 	}{
 		"granted here":      {true, false, 50, true},
 		"granted elsewhere": {false, false, 50, false},
@@ -108,12 +109,12 @@
 	node.limits.Observe("seen", shedkeel.StatedLimit{Stated: true, Rate: 3}, 0)
 	assert.Equal(t, len(node.limits.pending), 2)
 	node.limits.handleLimits(&wire.LimitCall{Node: "c", Limits: []*wire.ServerLimit{{Server: own, Rate: 2}}})
-	assert.Equal(t, len(node.limits.pending), 2, "it is known already")
+	assert.Equal(t, len(node.limits.pending), 2, "a limit that was known already is sent again")
 	assert.Equal(t, len(node.limits.known.All()), 3)
 }
 
 // TestNoPermitWithoutGranter checks that a node grants no permits in place of a granter
-// that does not answer, and how long it waits then.
+// that does not answer, and asks again after permitRetryDelay.
 func TestNoPermitWithoutGranter(t *testing.T) {
 	node, timers := newListedNode(t, "a", fourNodes)
 	server := shedkeel.InstanceID(newServerID(node, false))
@@ -128,7 +129,7 @@
 func TestHalfOfTheFleetGrantsHalf(t *testing.T) {
 	cases := map[string]struct {
 		alive []nodeRecord
-		want  int
+		want  int // permits granted in 10 s at a limit of 10 a second
 	}{
 		"all":  {fourNodes, 100},
 		"half": {fourNodes[:2], 50},
@@ -141,7 +142,7 @@
 			timers.Advance(time.Minute)
 			node.limits.Observe(shedkeel.InstanceID(server), shedkeel.StatedLimit{Stated: true, Rate: 10}, timers.Now())
 			granted := 0
-			for range 1000 {
+			for range 1000 { // 10 s
 				timers.Advance(10 * time.Millisecond)
 				if node.limits.Acquire(t.Context(), shedkeel.InstanceID(server), 0).Granted {
 					granted++
--- a/node/loads.go
+++ b/node/loads.go
@@ -9,11 +9,13 @@
 	"shedkeel.org/shedkeel/event"
 )
 
-// loadsPrefix is the key prefix of the records of loads in progress; the service
-// follows.
+// loadsPrefix is the key prefix of the records of model loads in progress; the ID of the
+// service follows.
 const loadsPrefix = "shedkeel/loads/"
 
-// storeLoads stores which loads are in progress, for the planner of the next leader.
+// storeLoads stores which servers of a service load which models, for the planner of the
+// next leader, unless the stored record contains them all. After an error, the next
+// planning round tries again.
 func (controller *controller) storeLoads(ctx context.Context, id shedkeel.ServiceID, loading map[shedkeel.InstanceID]shedkeel.ModelID) {
 	node := controller.node
 	hasNew := false
--- a/node/notice_test.go
+++ b/node/notice_test.go
@@ -17,9 +17,9 @@
 // group's members probed. Only a loss reported by the leader keeps requests from a group.
 func TestSuspicionDoesNotAvoidGroup(t *testing.T) {
 	cases := map[string]struct {
-		avoid     time.Duration
-		avoided   bool
-		suspected bool
+		avoid     time.Duration // for how long the notice asks to avoid the group
+		avoided   bool          // the group gets no requests
+		suspected bool          // the group's members will be probed
 	}{
 		"suspected by another node":     {0, false, true},
 		"lost, according to the leader": {time.Second, true, false},
@@ -40,8 +40,8 @@
 }
 
 // TestDrainIsReportedToLeader has a node learn from an answer that a head drains, while
-// the head's record does not say so. The node reports it to the leader, which must form
-// the group anew.
+// the head's record does not say so. The node reports it to the leader, which sends the
+// head no more requests.
 func TestDrainIsReportedToLeader(t *testing.T) {
 	leader, apply := newGroupNode(t)
 	apply(0)
--- a/node/notices.go
+++ b/node/notices.go
@@ -12,7 +12,8 @@
 
 const (
 	// lostGroupAvoidTime is how long nodes avoid a group that the leader reports as
-	// lost. The leader repeats the notice at each failed probe of the lost member.
+	// lost: longer than reprobeInterval, since the leader repeats the notice at each failed
+	// probe of the lost member.
 	lostGroupAvoidTime = reprobeInterval + reprobeInterval/2
 	// noticeTimeout bounds the sending of a notice.
 	noticeTimeout = 500 * time.Millisecond
@@ -20,8 +21,8 @@
 
 // reportSuspect reports to the leader that a group does not respond to this node. The
 // leader finds out whether a member is lost. A group that reads long prompts does not
-// respond either: if each node told all others, all would leave it for the remaining
-// groups.
+// respond either: if each node told all others, all nodes would avoid that group and send
+// its requests to the remaining groups.
 func (peers *peers) reportSuspect(group shedkeel.Assignment) {
 	leader := peers.node.controller.leader()
 	if leader == peers.node.Settings.Node {
@@ -35,7 +36,7 @@
 
 // reportDraining reports to the leader that a backend server has told this node that it
 // drains. The leader may not learn it otherwise: it may send that server no requests,
-// and the server's record may not say so.
+// and the server's record may not say so. If this node leads, there is nothing to report.
 func (peers *peers) reportDraining(server shedkeel.InstanceID) {
 	if peer := peers.peer(peers.node.controller.leader()); peer != nil {
 		go peer.runSendNotice(&wire.NoticeCall{Draining: string(server)})
@@ -49,14 +50,14 @@
 	}
 }
 
-// runGroupNotice sends one notice about a group, which is to be avoided for the given
-// time; 0 reports it as suspected only.
+// runGroupNotice sends the peer a notice that a group is to be avoided for the given
+// time, or, if that is 0, that the group is only suspected.
 func (peer *peer) runGroupNotice(group shedkeel.Assignment, avoid time.Duration) {
 	peer.runSendNotice(&wire.NoticeCall{Group: string(group.Group), Epoch: group.Epoch, ForMs: uint32(avoid.Milliseconds())})
 }
 
-// runSendNotice sends a notice. If it is lost, the other node detects the failure
-// itself, but later.
+// runSendNotice sends the peer a notice. If the call fails, the peer detects the failure
+// or the draining itself, but later.
 func (peer *peer) runSendNotice(notice *wire.NoticeCall) {
 	ctx, cancel := context.WithTimeout(context.Background(), noticeTimeout)
 	defer cancel()
--- a/node/paces.go
+++ b/node/paces.go
@@ -14,16 +14,16 @@
 	// paceInterval is how often the leader asks each member of a group for its pace. Each
 	// call costs as much as a probe.
 	paceInterval = 2 * time.Second
-	// paceBatches is the number of batches into which the members are split, so that the
-	// calls are spread evenly over time.
+	// paceBatches is the number of batches into which the members are split. Each tick
+	// asks one batch, so that the calls are spread evenly over paceInterval.
 	paceBatches = 10
-	// paceTimeout is how long an answer may take. Probes deal with a server that does
-	// not answer.
+	// paceTimeout is how long an answer may take. Servers that do not answer are left to
+	// the prober.
 	paceTimeout = 200 * time.Millisecond
 	// slowThreshold is the pace from which a member counts as slow. The paces of members
 	// of one service differ by some tenths; slow members take several times as long.
 	slowThreshold = 2.0
-	// recoveredThreshold is the pace below which a slow member counts as normal again.
+	// recoveredThreshold is the pace up to which a slow member counts as normal again.
 	recoveredThreshold = 1.3
 )
 
@@ -32,11 +32,11 @@
 // alone sees few of its requests. The planner replaces slow members.
 type paces struct {
 	controller *controller
-	batch      int
-	slow       map[shedkeel.InstanceID]float64 // slow servers and their paces
+	batch      int                             // number of ticks so far; its remainder selects the batch
+	slow       map[shedkeel.InstanceID]float64 // slow servers and the paces at which they became slow; guarded by the controller's mutex
 }
 
-// tick asks one batch of the members while this node leads.
+// tick asks the next batch of members for their pace if this node leads.
 func (paces *paces) tick(now time.Duration) {
 	controller := paces.controller
 	if !controller.leading(now) {
@@ -63,8 +63,9 @@
 	maps.DeleteFunc(paces.slow, func(id shedkeel.InstanceID, _ float64) bool { return !listed[id] })
 }
 
-// queryBatch asks the members of a service that are in the current batch, and slow
-// servers that have left their group.
+// queryBatch asks those servers of the current batch for their pace that are members of
+// a group or count as slow. A slow server that has left its group may become normal
+// again.
 func (paces *paces) queryBatch(instances []shedkeel.Instance) {
 	for index, instance := range instances {
 		if index%paceBatches == paces.batch%paceBatches && (instance.Member != nil || paces.isSlow(instance.ID)) {
@@ -92,7 +93,8 @@
 	paces.update(instance.ID, report.Pace)
 }
 
-// update processes the pace that a server reports.
+// update processes the pace that a server reports: the server counts as slow from
+// slowThreshold on, until a pace of at most recoveredThreshold.
 func (paces *paces) update(id shedkeel.InstanceID, pace float64) {
 	wasSlow := paces.isSlow(id)
 	slow := pace >= slowThreshold || wasSlow && pace > recoveredThreshold
--- a/node/paces_test.go
+++ b/node/paces_test.go
@@ -13,7 +13,7 @@
 // TestPaces checks from which reported pace a server counts as slow or normal again.
 func TestPaces(t *testing.T) {
 	cases := map[string]struct {
-		reported []float64 // one after the other
+		reported []float64 // paces in the order in which they are reported
 		slow     bool
 	}{
 		"normal":                   {[]float64{1}, false},
@@ -35,7 +35,7 @@
 			}
 			assert.Equal(t, paces.isSlow("a"), test.slow)
 			paces.removeUnlisted(map[shedkeel.ServiceID][]shedkeel.Instance{"llm": {{ID: "b"}}})
-			assert.Assert(t, !paces.isSlow("a"), "it is no longer listed")
+			assert.Assert(t, !paces.isSlow("a"), "a server that is no longer listed counts as slow")
 		})
 	}
 }
--- a/node/prober.go
+++ b/node/prober.go
@@ -21,7 +21,7 @@
 	// counts as too slow to judge others.
 	maxProbeOverrun = 60 * time.Millisecond
 	// maxConcurrentProbes bounds the probes in progress. On a box with a fifth of a
-	// core, 600 concurrent probes all ended late, and 67 live servers counted as dead.
+	// core, 600 concurrent probes all end late, and 67 live servers count as dead.
 	maxConcurrentProbes = 32
 	// witnessCount is how many other servers are asked before a server counts as dead:
 	// if none of them answers either, this node is cut off.
@@ -32,8 +32,8 @@
 // too slow.
 var errInconclusive = errors.New("probe inconclusive: this node may be cut off or overloaded")
 
-// errRestarted says that the server that answers was started after the one that was
-// asked for, which no longer exists.
+// errRestarted says that the server that answers has another start time than the one
+// that was asked for, which no longer exists.
 var errRestarted = errors.New("the server has restarted: its start time is not the recorded one")
 
 // prober finds out whether servers are alive. Its exported fields are set before its
@@ -47,8 +47,9 @@
 }
 
 // probe returns nil if the server answers, errInconclusive if the probe is no evidence,
-// or why the server counts as dead. Witnesses are the addresses of servers that show
-// whether this node reaches any server.
+// or otherwise why the server counts as dead. It first waits while maxConcurrentProbes
+// others are in progress. Witnesses are the addresses of other servers; some are asked to
+// find out whether this node reaches any server.
 func (prober *prober) probe(ctx context.Context, instance shedkeel.Instance, witnesses []string) error {
 	prober.once.Do(func() { prober.slots = make(chan struct{}, maxConcurrentProbes) })
 	prober.slots <- struct{}{}
@@ -73,8 +74,9 @@
 	err    error
 }
 
-// query asks a server for its report. If the answer takes longer than secondProbeDelay,
-// query asks a second time and takes the first answer.
+// query asks a server for its report. If there is neither an answer nor an error within
+// secondProbeDelay, query asks a second time and returns the first report. It returns an
+// error once all queries that it has started have failed.
 func (prober *prober) query(ctx context.Context, address string) (shedkeel.EngineReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -109,7 +111,7 @@
 	answers <- probeReply{report: report, err: err}
 }
 
-// reachesAny asks some of the witnesses, chosen at random, and reports whether any of
+// reachesAny asks up to witnessCount of the witnesses, chosen at random, and reports whether any of
 // them answers.
 func (prober *prober) reachesAny(ctx context.Context, witnesses []string) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
--- a/node/prober_test.go
+++ b/node/prober_test.go
@@ -13,13 +13,13 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// fakeEngines fakes servers: those with the addresses in up answer, others do not.
+// fakeEngines stands in for servers: those whose addresses are in up answer, others do not.
 type fakeEngines struct {
 	shedkeel.GroupEngines
 	up    map[string]bool
 	born  map[string]int64 // the start time that a server reports
-	slow  time.Duration    // added by this node to each query without an answer
-	asked atomic.Int64
+	slow  time.Duration    // by how much this node is late to notice that a query has timed out
+	asked atomic.Int64     // number of queries
 }
 
 func (engines *fakeEngines) Report(ctx context.Context, address string) (shedkeel.EngineReport, error) {
@@ -36,12 +36,12 @@
 // inconclusive.
 func TestProbe(t *testing.T) {
 	cases := map[string]struct {
-		up     []string
+		up     []string // addresses that answer; "a" is probed, "b" and "c" are witnesses
 		id     shedkeel.InstanceID
-		born   int64
-		slow   time.Duration
-		dead   bool
-		unsure bool
+		born   int64         // the start time that the probed server reports
+		slow   time.Duration // see fakeEngines
+		dead   bool          // the probe returns an error
+		unsure bool          // the error is errInconclusive
 	}{
 		"it answers":                           {up: []string{"a", "b"}},
 		"it does not answer and another does":  {up: []string{"b"}, dead: true},
--- a/node/probes.go
+++ b/node/probes.go
@@ -13,17 +13,19 @@
 )
 
 const (
-	// reprobeInterval is how often a dead member is probed again.
+	// reprobeInterval is how often a dead server is probed again.
 	reprobeInterval = time.Second
-	// noticeCooldown is how long after a notice of a group further notices of it are
-	// ignored: those of all nodes arrive within it.
+	// noticeCooldown is for how long after a report that a group does not respond further
+	// reports about the group are ignored: the reports of all nodes arrive within this time.
 	noticeCooldown = 400 * time.Millisecond
-	// stallWindow is how long a group counts as stalled after a notice.
+	// stallWindow is for how long a group counts as stalled after an accepted report that
+	// it does not respond.
 	stallWindow = 2 * time.Second
 )
 
-// suspect schedules a probe of a group's members, unless a notice of the group was
-// accepted within noticeCooldown.
+// suspect processes a report that a group does not respond: it schedules a probe of the
+// group's members, unless a report about the group was accepted within the last
+// noticeCooldown.
 func (controller *controller) suspect(group shedkeel.Assignment) {
 	controller.mutex.Lock()
 	defer controller.mutex.Unlock()
@@ -35,8 +37,8 @@
 	controller.suspects[group] = now
 }
 
-// stalledGroups returns the groups that were reported within stallWindow. The caller
-// holds the mutex.
+// stalledGroups returns the groups about which a report was accepted within the last
+// stallWindow, and forgets reports older than a minute. The caller holds the mutex.
 func (controller *controller) stalledGroups(now time.Duration) map[shedkeel.Assignment]bool {
 	found := map[shedkeel.Assignment]bool{}
 	for group, at := range controller.noticedAt {
@@ -51,12 +53,13 @@
 }
 
 // probeSuspects probes the members of suspected groups, the free servers of their
-// domains, and dead servers that are due again.
+// domains, and dead servers whose next probe is due. It forgets dead servers that are not
+// among the instances.
 func (controller *controller) probeSuspects(ctx context.Context, instances []shedkeel.Instance, now time.Duration) {
 	controller.mutex.Lock()
 	defer controller.mutex.Unlock()
 	suspects := controller.suspects
-	controller.suspects = map[shedkeel.Assignment]time.Duration{} // each notice causes one round of probes
+	controller.suspects = map[shedkeel.Assignment]time.Duration{} // each accepted report causes one round of probes
 	domains := suspectedDomains(suspects, instances)
 	for _, instance := range instances {
 		nextProbe, dead := controller.dead[instance.ID]
@@ -81,9 +84,9 @@
 
 // suspectedDomains returns the domains of the suspected groups. Their free servers are
 // probed with the members: they are the substitutes, and servers that share a fault
-// fail together. When 38 servers were cut off and six groups lost members, three of the
-// groups were formed with a substitute that was cut off too, and were ready 0.9 s later
-// than the others.
+// fail together. Otherwise, with 38 servers cut off and six groups short of members,
+// three of the groups are formed with a substitute that is cut off too, and are ready
+// 0.9 s later than the others.
 func suspectedDomains(suspects map[shedkeel.Assignment]time.Duration, instances []shedkeel.Instance) map[shedkeel.DomainID]bool {
 	found := map[shedkeel.DomainID]bool{}
 	for _, instance := range instances {
@@ -97,8 +100,8 @@
 	return found
 }
 
-// witnessesFor returns the addresses of servers that show whether this node reaches any
-// server other than the probed one. They are in other domains if there are any: all
+// witnessesFor returns the addresses of the servers that are asked to find out whether
+// this node reaches any server other than the probed one. They are in other domains if there are any: all
 // servers of a domain may fail at once.
 func witnessesFor(probed shedkeel.Instance, instances []shedkeel.Instance) []string {
 	var sameDomain, otherDomains []string
@@ -133,7 +136,8 @@
 }
 
 // recordProbe processes the result of a probe: it marks a server as dead or as alive
-// again. An inconclusive probe is only logged.
+// again, and at each failed probe makes all nodes avoid the group of the dead server. An
+// inconclusive probe is only logged.
 func (controller *controller) recordProbe(instance shedkeel.Instance, err error) {
 	controller.mutex.Lock()
 	defer controller.mutex.Unlock()
--- a/node/removal.go
+++ b/node/removal.go
@@ -19,7 +19,7 @@
 type removal struct {
 	era      int64         // the era of the key-value service in which it was removed
 	until    time.Duration // when the removal is forgotten
-	withheld bool          // the record came back with an older copy; the server gets no requests until then
+	withheld bool          // the record came back with an older copy; the server gets no requests until the removal is forgotten
 }
 
 // removals are the backend servers whose records were removed recently. An older copy
@@ -35,7 +35,10 @@
 	(*removals)[server] = removal{era: era, until: now + removalRetention}
 }
 
-// recordReturn records that the server has a record in an era.
+// recordReturn processes that a server has a record in the given era. If the record was
+// removed in an earlier era, an older copy may have brought it back: the server is
+// withheld for restoredServerHold. If it was removed in this era, the server has written
+// it again, and the removal is forgotten.
 func (removals removals) recordReturn(server shedkeel.InstanceID, era int64, now time.Duration) {
 	known, removed := removals[server]
 	switch {
@@ -50,8 +53,8 @@
 // withheld reports whether the server gets no requests although it has a record.
 func (removals removals) withheld(server shedkeel.InstanceID) bool { return removals[server].withheld }
 
-// expire forgets the removals whose time is over, and reports whether a server may get
-// requests again.
+// expire forgets the removals whose time is over, and reports whether any of their
+// servers was withheld and may get requests again.
 func (removals removals) expire(now time.Duration) (free bool) {
 	for server, removal := range removals {
 		if now >= removal.until {
--- a/node/remover.go
+++ b/node/remover.go
@@ -25,17 +25,17 @@
 
 // remover removes the records of dead nodes from the key-value service. They are
 // written without a lease, so that an idle fleet makes no calls to stay listed. Any
-// live node may remove them: for each dead node, the live ones have an order of their
-// own, and the next takes its turn if the record still exists. Callers are not sent to
-// dead nodes meanwhile.
+// live node may remove them: for each dead node, a hash orders the live ones, and each
+// removes the record at its turn if it still exists. Until then, callers are not sent to
+// the dead nodes.
 //
-// When a single node was responsible, and stalled for 4 s, ten of 66 nodes that had lost
-// power stayed in the directory for 8 s.
+// A single responsible node may itself stall: with a stall of 4 s, ten of 66 nodes that
+// lose power stay in the directory for 8 s.
 type remover struct {
 	node *Node
 
 	mutex sync.Mutex
-	dueAt map[shedkeel.NodeID]time.Duration // when this node removes the record of a dead one
+	dueAt map[shedkeel.NodeID]time.Duration // when this node removes the record of a dead node
 }
 
 // tick removes the records that are due, unless this node is stopping, is cut off or
@@ -52,7 +52,8 @@
 }
 
 // dueRecords returns the records of dead nodes that this node removes now, and schedules
-// when it removes the others.
+// the removal of the others. It leaves out records with a lease, which the key-value
+// service removes.
 func (remover *remover) dueRecords(nodes []nodeRecord, now time.Duration) []nodeRecord {
 	remover.mutex.Lock()
 	defer remover.mutex.Unlock()
@@ -90,7 +91,8 @@
 	return rank
 }
 
-// runRemoval removes the record of a dead node, unless it has changed. A node that is
+// runRemoval removes the record of a dead node, unless it has changed since this node's
+// mirror saw it, and logs the outcome. A node that is
 // alive after all finds its record missing and writes it again.
 func (remover *remover) runRemoval(record nodeRecord) {
 	node := remover.node
--- a/node/remover_test.go
+++ b/node/remover_test.go
@@ -56,20 +56,20 @@
 func TestRemoverTakes(t *testing.T) {
 	cases := map[string]struct {
 		liveness shedkeel.Liveness
-		count    int // how many of the five others have this liveness
-		watched  bool
-		isolated bool
+		count    int           // how many of the five other nodes have this liveness
+		watched  bool          // the records have no lease
+		isolated bool          // this node is cut off
 		age      time.Duration // of the mirror
-		removed  int           // after the turns of all nodes
+		removed  int           // records that are removed by the end of as many turns as there are nodes
 	}{
-		"all live":                      {shedkeel.Alive, 5, true, false, 0, 0},
-		"one is suspected":              {shedkeel.Suspected, 1, true, false, 0, 0},
-		"one has left":                  {shedkeel.Left, 1, true, false, 0, 0},
-		"one is dead":                   {shedkeel.Dead, 1, true, false, 0, 1},
-		"all are dead":                  {shedkeel.Dead, 5, true, false, 0, 5},
-		"one has a record with a lease": {shedkeel.Dead, 1, false, false, 0, 0},
-		"this one is itself cut off":    {shedkeel.Dead, 5, true, true, 0, 0},
-		"its mirror is outdated":        {shedkeel.Dead, 5, true, false, outageAge + time.Second, 0},
+		"all live":                       {shedkeel.Alive, 5, true, false, 0, 0},
+		"one is suspected":               {shedkeel.Suspected, 1, true, false, 0, 0},
+		"one has left":                   {shedkeel.Left, 1, true, false, 0, 0},
+		"one is dead":                    {shedkeel.Dead, 1, true, false, 0, 1},
+		"all are dead":                   {shedkeel.Dead, 5, true, false, 0, 5},
+		"one has a record with a lease":  {shedkeel.Dead, 1, false, false, 0, 0},
+		"this node is cut off":           {shedkeel.Dead, 5, true, true, 0, 0},
+		"this node's mirror is outdated": {shedkeel.Dead, 5, true, false, outageAge + time.Second, 0},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -112,7 +112,7 @@
 }
 
 // newWatchedNode returns a node that was told the number of nodes by its seed, and its
-// key-value service.
+// key-value service, whose renewCalls counts the commits here.
 func newWatchedNode(t *testing.T, nodes int64) (*Node, *leaseStore) {
 	t.Helper()
 	node, timers := newTestNode(t)
@@ -129,7 +129,8 @@
 	return node, store
 }
 
-// TestWatchedMembership checks the record of a node in a large fleet: the node writes it
+// TestWatchedMembership checks the record of a node in a fleet so large that records have
+// no lease: the node writes it
 // once without a lease, writes it again after another node has removed it, and does not
 // write it after a restart that finds it unchanged.
 func TestWatchedMembership(t *testing.T) {
--- a/node/spread.go
+++ b/node/spread.go
@@ -19,8 +19,8 @@
 	spreaderBackoff = time.Second
 )
 
-// reservedNodes is how many of the first nodes have other work: to plan, and to follow the
-// key-value service. They spread requests only if no other node does.
+// reservedNodes is how many of the first listed nodes have other work: to plan, and to
+// follow the key-value service. They spread requests only if no other node does.
 const reservedNodes = 2
 
 // failure is the time at which something last failed. The zero value means never.
@@ -36,9 +36,9 @@
 }
 
 // adviseSpread asks the spreader to which group a request is best sent, or answers itself
-// if this node is the spreader. It returns false if there is no answer. The load is what
-// this node has running on the model's groups. The groups of a model are split into
-// parts; spread picks one at random.
+// if this node is the spreader; that node then has spread the request. It returns false
+// if there is no answer. The load is that of this node's running requests on the model's
+// groups. The groups of a model are split into parts; adviseSpread picks one at random.
 func (peers *peers) adviseSpread(ctx context.Context, query dispatch.Query, load dispatch.Load) (dispatch.Recommendation, bool) {
 	query.Partitions = peers.node.table.Partitions(query.Service, query.Model)
 	if query.Partitions > 1 {
@@ -78,18 +78,18 @@
 	return dispatch.RunningRequests{OnTime: int(running.GetOnTime()), Late: int(running.GetLate())}
 }
 
-// randomPart returns the index of a random part of so many.
+// randomPart returns the index of a random one of the given number of parts.
 func (peers *peers) randomPart(parts int) int {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	return int(peers.random.Uint64() % uint64(parts))
 }
 
-// spreader returns the spreader of a part of a model's groups, or whether it is this
-// node. A spreader assigns the requests of all nodes to the groups of a part. Each part
-// has its own as far as there are enough nodes. If it has not answered recently, the
-// first nodes (see reservedNodes) replace it; if neither has, spreader returns nil and
-// false.
+// spreader returns the spreader of a part of a model's groups, or nil and true if it is
+// this node. A spreader assigns the requests of all nodes to the groups of a part. Each
+// part has a spreader of its own as far as there are enough nodes. If that one has given
+// no answer to a call within the last spreaderBackoff, the first nodes (see
+// reservedNodes) replace it. If none of them can either, spreader returns nil and false.
 func (peers *peers) spreader(part int, now time.Duration) (asked *peer, own bool) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
@@ -112,7 +112,7 @@
 	return nil, false
 }
 
-// handleSpread answers another node's question to which group a request is best sent.
+// handleSpread answers a call of another node that asks to which group a request is best sent.
 func (peers *peers) handleSpread(call *wire.SpreadCall) *wire.Reply {
 	query := dispatch.Query{
 		Service: shedkeel.ServiceID(call.GetService()), Model: shedkeel.ModelID(call.GetModel()), PromptTokens: int(call.GetPrompt()), MaxAnswerTokens: int(call.GetAnswer()), Now: peers.node.Timers.Now(),
--- a/node/spread_test.go
+++ b/node/spread_test.go
@@ -15,14 +15,14 @@
 	cases := map[string]struct {
 		own    shedkeel.NodeID
 		nodes  []nodeRecord
-		failed []shedkeel.NodeID
+		failed []shedkeel.NodeID // nodes that have just not answered
 		part   int
 		asked  shedkeel.NodeID // own ID: the node is the spreader itself; "": none
 	}{
-		"alone":                          {"a", fourNodes[:1], nil, 0, "a"},
-		"of two":                         {"a", fourNodes[:2], nil, 0, "b"},
+		"only node":                      {"a", fourNodes[:1], nil, 0, "a"},
+		"two nodes":                      {"a", fourNodes[:2], nil, 0, "b"},
 		"the third spreads":              {"d", fourNodes, nil, 0, "c"},
-		"it is the third":                {"c", fourNodes, nil, 0, "c"},
+		"this node is the third":         {"c", fourNodes, nil, 0, "c"},
 		"the third does not answer":      {"d", fourNodes, []shedkeel.NodeID{"c"}, 0, "b"},
 		"the second takes over":          {"b", fourNodes, []shedkeel.NodeID{"c"}, 0, "b"},
 		"another part":                   {"a", fourNodes, nil, 1, "d"},
@@ -49,7 +49,8 @@
 }
 
 // TestSpreadWithoutAnswer has a spreader that accepts calls and never answers. One
-// request waits for it, and later ones do not.
+// request waits for it, and later ones do not. The bound is far above spreadTimeout, for
+// busy machines.
 func TestSpreadWithoutAnswer(t *testing.T) {
 	unresponsive := listenHere(t)
 	defer func() { _ = unresponsive.Close() }()
@@ -69,10 +70,11 @@
 	assert.Assert(t, known)
 	assert.DeepEqual(t, recommendation, dispatch.Recommendation{Head: "i", Running: dispatch.RunningRequests{OnTime: 2}})
 	_, own := node.peers.spreader(0, timers.Now()+spreaderBackoff)
-	assert.Assert(t, !own, "it is asked again after a while")
+	assert.Assert(t, !own, "the first spreader is not asked again")
 }
 
-// TestSpreadIsAnswered asks a spreader over a network connection.
+// TestSpreadIsAnswered asks a spreader over a network connection. It recommends the group
+// on which the asking node has no requests running.
 func TestSpreadIsAnswered(t *testing.T) {
 	listener := listenHere(t)
 	spreaderNode, _ := newTestNode(t)
--- a/node/waits.go
+++ b/node/waits.go
@@ -15,7 +15,7 @@
 	Server shedkeel.InstanceID  `json:"server,omitempty"`
 	Domain shedkeel.DomainID    `json:"domain"`
 	Reason formation.WaitReason `json:"reason"`
-	For    string               `json:"for"`
+	For    string               `json:"for"`   // how long the wait has lasted
 	Bound  string               `json:"bound"` // the longest that the wait should last
 }
 
@@ -33,8 +33,8 @@
 	return found
 }
 
-// waitsForGroup returns the waits that concern a group: those of the group, of its domain
-// and of its members.
+// waitsForGroup returns, for operators, the waits that concern a group: those of the
+// group, of its domain and of its members.
 func (controller *controller) waitsForGroup(group shedkeel.GroupID, members []MemberDump, now time.Duration) []WaitDump {
 	servers := map[shedkeel.InstanceID]bool{}
 	for _, member := range members {
--- a/node/waits_test.go
+++ b/node/waits_test.go
@@ -15,7 +15,8 @@
 )
 
 // TestWaitsAreExplainedAndLogged has a planner wait for a head that can't be reached. The
-// explanation of its group contains the wait; a log line follows only once it is overdue.
+// waits of its group contain this one. It is logged only once it lasts longer than its
+// bound of 20 s.
 func TestWaitsAreExplainedAndLogged(t *testing.T) {
 	node, timers := newTestNode(t)
 	var lines bytes.Buffer
@@ -41,7 +42,7 @@
 	assert.Equal(t, len(controller.waitsForGroup("m/elsewhere/1", nil, timers.Now())), 0)
 	assert.Equal(t, lines.Len(), 0, lines.String())
 
-	timers.Advance(18 * time.Second) // no plan is made, so the wait stays as it was
+	timers.Advance(18 * time.Second) // 21 s in all; without a planning round, the wait does not change
 	controller.logOverdueWaits(timers.Now())
 	assert.Assert(t, strings.Contains(lines.String(), string(formation.WaitHeadUnreachable)), lines.String())
 	controller.leads = false
