--- a/mutants_test.go
+++ b/mutants_test.go
@@ -35,7 +35,7 @@
 		"ratelimit/granter.go", "if delay > request.MaxWait {", "if false {", "TestServerLimitHoldsOverAllNodes", "./node",
 	},
 	"rate limits of servers: each half of a cut fleet grants all": {
-		"node/limits.go", "Rate: rate * part,", "Rate: rate + 0*part,", "TestHalfOfTheFleetGrantsHalf", "./node",
+		"node/limits.go", "Rate: rate * fraction,", "Rate: rate + 0*fraction,", "TestHalfOfTheFleetGrantsHalf", "./node",
 	},
 	"rate limits of servers: repeats need no permit": {
 		"serve/permit.go", "if !choice.Limited ||", "if !mayWait || !choice.Limited ||", "TestEveryAttemptNeedsPermit", "./serve",
@@ -50,7 +50,7 @@
 		"node/fleet.go", "|| fleet.evacuated[instance.Zone]:", ":", "TestEvacuatedZoneGetsNothing", "./node",
 	},
 	"evacuated zones: a lost record ends an evacuation": {
-		"node/evacuation.go", "case record.Lost && before:", "case false && before:", "TestEvacuationsFollowRecords", "./node",
+		"node/evacuation.go", "case record.Lost && wasEvacuated:", "case false && wasEvacuated:", "TestEvacuationsFollowRecords", "./node",
 	},
 	"cold servers: their records are not heeded": {
 		"node/fleet.go", "until := fleet.coldUntil[key]", "until := 0 * fleet.coldUntil[key]", "TestColdServersGetLittle", "./node",
--- a/node/demand.go
+++ b/node/demand.go
@@ -18,8 +18,8 @@
 	demandInterval = time.Second
 	// demandTimeout bounds each call to a spreader, which normally takes some milliseconds.
 	demandTimeout = 300 * time.Millisecond
-	// demandLogRounds is after how many polls the demand is logged again.
-	demandLogRounds = 5
+	// demandLogPolls is after how many polls the demand is logged again.
+	demandLogPolls = 5
 )
 
 // demands holds the demand of callers for the models of each service, summed over all
@@ -27,7 +27,7 @@
 type demands struct {
 	controller *controller
 	pollMutex  sync.Mutex // held during a poll
-	rounds     int        // number of polls so far; guarded by pollMutex
+	polls      int        // number of polls so far; guarded by pollMutex
 
 	mutex  sync.Mutex
 	latest map[shedkeel.ServiceID]map[shedkeel.ModelID]shedkeel.ModelDemand
@@ -58,8 +58,8 @@
 	for service := range node.fleet.groupServices() {
 		polled[service] = node.peers.demand(service)
 	}
-	demands.rounds++
-	if demands.rounds%demandLogRounds == 0 {
+	demands.polls++
+	if demands.polls%demandLogPolls == 0 {
 		demands.logRequests(polled)
 	}
 	demands.mutex.Lock()
--- a/node/demand_test.go
+++ b/node/demand_test.go
@@ -39,9 +39,9 @@
 	assert.Equal(t, len(leaderNode.peers.demand("other")), 0)
 }
 
-// TestDemandFades checks that of a burst of 100 requests less than 2 % count after 20
-// polls.
-func TestDemandFades(t *testing.T) {
+// TestDemandDecays checks that of a burst of 100 requests, fewer than 2 count after 20 s,
+// which is four time constants of the decay.
+func TestDemandDecays(t *testing.T) {
 	call := &wire.DemandCall{Service: "s"}
 	node, timers := newTestNode(t)
 	for range 100 {
--- a/node/evacuation.go
+++ b/node/evacuation.go
@@ -17,15 +17,15 @@
 // operator has ended it.
 func (fleet *fleet) applyEvacuation(record shedkeel.Record, zone shedkeel.ZoneID) bool {
 	fields := []slog.Attr{slog.String("zone", string(zone)), slog.Int("servers", fleet.serversIn(zone))}
-	before := fleet.evacuated[zone]
+	wasEvacuated := fleet.evacuated[zone]
 	switch {
 	case zone == "":
 		fleet.skipRecord(record, &shedkeel.InvalidError{Where: record.Key, What: "it names no availability zone", Remedy: "write it below the zone's name"})
 		return false
-	case record.Lost && before:
+	case record.Lost && wasEvacuated:
 		fleet.node.Log.Write(event.EvacuationLost, fields...)
 		return false
-	case before != record.Gone:
+	case wasEvacuated != record.Gone:
 		return false
 	case record.Gone:
 		delete(fleet.evacuated, zone)
--- a/node/guard.go
+++ b/node/guard.go
@@ -76,8 +76,8 @@
 // blame to all nodes if the request is quarantined or contained, otherwise to the
 // decider of the request.
 func (guard *guard) Ended(request shedkeel.RequestDigest, server shedkeel.InstanceID) {
-	blame, isNew := guard.ledger.RecordFailure(request, server)
-	if isNew {
+	blame, changed := guard.ledger.RecordFailure(request, server)
+	if changed {
 		guard.blameChanged(blame)
 		guard.send(blame, contain.Judge(blame) != shedkeel.Unblamed)
 	}
@@ -97,8 +97,8 @@
 // merge merges a blame that another node has sent into the ledger. If this node knows
 // more than the sender, merge sends the result on.
 func (guard *guard) merge(received shedkeel.Blame) {
-	blame, isNew := guard.ledger.Merge(received)
-	if isNew {
+	blame, changed := guard.ledger.Merge(received)
+	if changed {
 		guard.blameChanged(blame)
 	}
 	if len(blame.Servers) > len(received.Servers) || blame.Round > received.Round {
@@ -405,7 +405,7 @@
 		guard.node.fleet.skipRecord(record, &shedkeel.InvalidError{Where: record.Key, What: "it is not about the request that its key names", Remedy: "remove it"})
 		return
 	}
-	if merged, isNew := guard.ledger.Merge(blame); isNew {
+	if merged, changed := guard.ledger.Merge(blame); changed {
 		guard.blameChanged(merged)
 	}
 }
--- a/node/limits.go
+++ b/node/limits.go
@@ -50,7 +50,7 @@
 	badLoggedAt map[shedkeel.InstanceID]time.Duration        // when an unreadable limit of the server was last logged
 	pending     map[shedkeel.InstanceID]shedkeel.ServerLimit // changed limits that are to be sent to other nodes
 
-	peerViews uint64 // peers.aliveVersion at the last update of granter; only run uses it
+	aliveVersion uint64 // peers.aliveVersion when granter last forgot servers; only run uses it
 }
 
 // Observe processes the limit that a server states in an answer. The request was sent
@@ -170,8 +170,8 @@
 // only a fraction of the server's rate, equal to the fraction of the listed nodes that
 // it sees alive: during a network partition, the nodes on the other side may grant the rest.
 func (limits *limits) grant(server shedkeel.InstanceID, rate float64, maxWait time.Duration) shedkeel.Permit {
-	part, settledSince := limits.node.peers.aliveFraction()
-	request := ratelimit.PermitRequest{Server: server, Rate: rate * part, MaxWait: maxWait, SettledSince: settledSince}
+	fraction, settledSince := limits.node.peers.aliveFraction()
+	request := ratelimit.PermitRequest{Server: server, Rate: rate * fraction, MaxWait: maxWait, SettledSince: settledSince}
 	return limits.granter.Grant(request, limits.node.Timers.Now())
 }
 
@@ -252,8 +252,8 @@
 // tick forgets the permits of servers that have another granter now, ends the reduced
 // rates of servers that are no longer cold, and sends changed limits.
 func (limits *limits) tick() {
-	if views := limits.node.peers.aliveVersion.Load(); views != limits.peerViews {
-		limits.peerViews = views
+	if version := limits.node.peers.aliveVersion.Load(); version != limits.aliveVersion {
+		limits.aliveVersion = version
 		limits.granter.Retain(limits.isGranter)
 	}
 	for _, server := range limits.cold.Expire(limits.node.Timers.Now()) {
@@ -284,8 +284,8 @@
 			changes[peer] = append(changes[peer], limit)
 		}
 	}
-	for peer, limits := range changes {
-		go peer.runAnnounce(limits)
+	for peer, peerLimits := range changes {
+		go peer.runAnnounce(peerLimits)
 	}
 }
 
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -30,13 +30,13 @@
 	assert.Equal(t, len(counts), len(fourNodes), "%v", counts)
 }
 
-// TestShareOfLimitByNodesHeard checks which fraction of the nodes a node sees alive, which
+// TestFractionOfLimitFollowsAliveNodes checks which fraction of the nodes a node sees alive, which
 // is the fraction of a limit that it may grant, and since when. Nodes that do not answer
 // may be on the other side of a network partition; stopping nodes are not counted.
-func TestShareOfLimitByNodesHeard(t *testing.T) {
+func TestFractionOfLimitFollowsAliveNodes(t *testing.T) {
 	node, timers := newListedNode(t, "a", fourNodes)
-	part, settled := node.peers.aliveFraction()
-	assert.Equal(t, part, 1.0)
+	fraction, settled := node.peers.aliveFraction()
+	assert.Equal(t, fraction, 1.0)
 	assert.Equal(t, settled, timers.Now())
 
 	timers.Advance(time.Second)
@@ -44,14 +44,14 @@
 	_, settled = node.peers.aliveFraction()
 	assert.Equal(t, settled, timers.Now()-time.Second, "nothing has changed")
 	node.peers.setAlive(fourNodes[:2])
-	part, settled = node.peers.aliveFraction()
-	assert.Equal(t, part, 0.5)
+	fraction, settled = node.peers.aliveFraction()
+	assert.Equal(t, fraction, 0.5)
 	assert.Equal(t, settled, timers.Now())
 
 	node.peers.nodes = append([]nodeRecord{}, fourNodes...)
 	node.peers.nodes[2].Stopping, node.peers.nodes[3].Stopping = true, true
-	part, _ = node.peers.aliveFraction()
-	assert.Equal(t, part, 1.0)
+	fraction, _ = node.peers.aliveFraction()
+	assert.Equal(t, fraction, 1.0)
 }
 
 // newServerID returns the ID of a server whose granter is the node if own, and another
--- a/node/loads.go
+++ b/node/loads.go
@@ -18,11 +18,11 @@
 // planning round tries again.
 func (controller *controller) storeLoads(ctx context.Context, id shedkeel.ServiceID, loading map[shedkeel.InstanceID]shedkeel.ModelID) {
 	node := controller.node
-	hasNew := false
+	isIncomplete := false
 	for instance, model := range loading {
-		hasNew = hasNew || controller.storedLoads[id][instance] != model
+		isIncomplete = isIncomplete || controller.storedLoads[id][instance] != model
 	}
-	if !hasNew {
+	if !isIncomplete {
 		return // a load that has ended does not mislead the next planner
 	}
 	value, err := json.Marshal(loading)
--- a/node/paces.go
+++ b/node/paces.go
@@ -32,7 +32,7 @@
 // alone sees few of its requests. The planner replaces slow members.
 type paces struct {
 	controller *controller
-	batch      int                             // number of ticks so far; its remainder selects the batch
+	ticks      int                             // number of ticks so far; its remainder selects the batch
 	slow       map[shedkeel.InstanceID]float64 // slow servers and the paces at which they became slow; guarded by the controller's mutex
 }
 
@@ -42,7 +42,7 @@
 	if !controller.leading(now) {
 		return
 	}
-	paces.batch++
+	paces.ticks++
 	services := controller.node.fleet.groupServices()
 	for _, instances := range services {
 		paces.queryBatch(instances)
@@ -68,7 +68,7 @@
 // again.
 func (paces *paces) queryBatch(instances []shedkeel.Instance) {
 	for index, instance := range instances {
-		if index%paceBatches == paces.batch%paceBatches && (instance.Member != nil || paces.isSlow(instance.ID)) {
+		if index%paceBatches == paces.ticks%paceBatches && (instance.Member != nil || paces.isSlow(instance.ID)) {
 			go paces.runQuery(instance)
 		}
 	}
--- a/node/paces_test.go
+++ b/node/paces_test.go
@@ -10,8 +10,8 @@
 	"shedkeel.org/shedkeel/event"
 )
 
-// TestPaces checks from which reported pace a server counts as slow or normal again.
-func TestPaces(t *testing.T) {
+// TestSlowAndRecoveredPaces checks from which reported pace a server counts as slow or normal again.
+func TestSlowAndRecoveredPaces(t *testing.T) {
 	cases := map[string]struct {
 		reported []float64 // paces in the order in which they are reported
 		slow     bool
--- a/node/prober_test.go
+++ b/node/prober_test.go
@@ -18,7 +18,7 @@
 	shedkeel.GroupEngines
 	up    map[string]bool
 	born  map[string]int64 // the start time that a server reports
-	slow  time.Duration    // by how much this node is late to notice that a query has timed out
+	delay time.Duration    // by how much this node is late to notice that a query has timed out
 	asked atomic.Int64     // number of queries
 }
 
@@ -26,7 +26,7 @@
 	engines.asked.Add(1)
 	if !engines.up[address] {
 		<-ctx.Done()
-		time.Sleep(engines.slow)
+		time.Sleep(engines.delay)
 		return shedkeel.EngineReport{}, ctx.Err()
 	}
 	return shedkeel.EngineReport{Born: engines.born[address]}, nil
@@ -36,33 +36,33 @@
 // inconclusive.
 func TestProbe(t *testing.T) {
 	cases := map[string]struct {
-		up     []string // addresses that answer; "a" is probed, "b" and "c" are witnesses
-		id     shedkeel.InstanceID
-		born   int64         // the start time that the probed server reports
-		slow   time.Duration // see fakeEngines
-		dead   bool          // the probe returns an error
-		unsure bool          // the error is errInconclusive
+		up           []string // addresses that answer; "a" is probed, "b" and "c" are witnesses
+		id           shedkeel.InstanceID
+		born         int64         // the start time that the probed server reports
+		delay        time.Duration // see fakeEngines
+		fails        bool          // the probe returns an error
+		inconclusive bool          // the error is errInconclusive
 	}{
 		"it answers":                           {up: []string{"a", "b"}},
-		"it does not answer and another does":  {up: []string{"b"}, dead: true},
-		"nobody answers: this node is cut off": {dead: true, unsure: true},
+		"it does not answer and another does":  {up: []string{"b"}, fails: true},
+		"nobody answers: this node is cut off": {fails: true, inconclusive: true},
 		"it answers, from the same start":      {up: []string{"a", "b"}, id: shedkeel.NewInstanceID("s", 7), born: 7},
-		"it has started again":                 {up: []string{"a"}, id: shedkeel.NewInstanceID("s", 7), born: 8, dead: true},
+		"it has started again":                 {up: []string{"a"}, id: shedkeel.NewInstanceID("s", 7), born: 8, fails: true},
 		"only its record has a start time":     {up: []string{"a"}, id: shedkeel.NewInstanceID("s", 7)},
 		"only its answer has a start time":     {up: []string{"a"}, id: "s", born: 8},
-		"this node is slow itself":             {up: []string{"b"}, slow: 2 * maxProbeOverrun, dead: true, unsure: true},
+		"this node is slow itself":             {up: []string{"b"}, delay: 2 * maxProbeOverrun, fails: true, inconclusive: true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			engines := &fakeEngines{up: map[string]bool{}, born: map[string]int64{"a": test.born}, slow: test.slow}
+			engines := &fakeEngines{up: map[string]bool{}, born: map[string]int64{"a": test.born}, delay: test.delay}
 			for _, address := range test.up {
 				engines.up[address] = true
 			}
 			prober := &prober{Engines: engines, Timers: &timer.System{}}
 			err := prober.probe(t.Context(), shedkeel.Instance{ID: test.id, Address: "a"}, []string{"b", "c"})
-			assert.Equal(t, err != nil, test.dead)
-			assert.Equal(t, errors.Is(err, errInconclusive), test.unsure)
-			if !test.dead {
+			assert.Equal(t, err != nil, test.fails)
+			assert.Equal(t, errors.Is(err, errInconclusive), test.inconclusive)
+			if !test.fails {
 				assert.Equal(t, engines.asked.Load(), int64(1), "a server that answers was asked more than once")
 			}
 		})
--- a/node/removal.go
+++ b/node/removal.go
@@ -55,12 +55,12 @@
 
 // expire forgets the removals whose time is over, and reports whether any of their
 // servers was withheld and may get requests again.
-func (removals removals) expire(now time.Duration) (free bool) {
+func (removals removals) expire(now time.Duration) (released bool) {
 	for server, removal := range removals {
 		if now >= removal.until {
 			delete(removals, server)
-			free = free || removal.withheld
+			released = released || removal.withheld
 		}
 	}
-	return free
+	return released
 }
--- a/node/remover.go
+++ b/node/remover.go
@@ -58,14 +58,14 @@
 	remover.mutex.Lock()
 	defer remover.mutex.Unlock()
 	alive := slices.DeleteFunc(slices.Clone(nodes), func(record nodeRecord) bool { return !remover.node.gossip.mayServeCallers(record.ID) })
-	before := remover.dueAt
+	previous := remover.dueAt
 	remover.dueAt = map[shedkeel.NodeID]time.Duration{}
 	var found []nodeRecord
 	for _, record := range nodes {
 		if !record.Watched || remover.node.gossip.liveness(record.ID) != shedkeel.Dead {
 			continue
 		}
-		due, known := before[record.ID]
+		due, known := previous[record.ID]
 		if !known {
 			due = now + removalStagger*time.Duration(remover.removalRank(alive, record.ID))
 		}
