--- a/node/backoff_test.go
+++ b/node/backoff_test.go
@@ -12,8 +12,9 @@
 const backoffLength = 2 * time.Second
 
 // TestBackoffIsHeeded has servers refuse requests and ask for a backoff while three nodes
-// receive requests. A server must not get further requests from the nodes that know of its
-// backoff: five from one node during a backoff of 3 s is such a failure.
+// receive requests. No node may send a server further requests until the backoff that the
+// server has asked that node for is over; an example of the fault is five requests from
+// one node during a backoff of 3 s.
 func TestBackoffIsHeeded(t *testing.T) {
 	const rate, length = 40, 3*backoffLength + time.Second
 	cases := map[string]struct {
@@ -42,6 +43,8 @@
 			t.Logf("statuses %v", statuses)
 			assert.DeepEqual(t, cluster.fleet.Violations(), []string(nil))
 			assert.Equal(t, statuses[0], 0, "every request gets a complete answer")
+			// If all servers ask for backoffs, they do so for half of the time, and the nodes
+			// remember the last backoffs for up to backoffLength more.
 			assert.Assert(t, statuses[http.StatusOK] > statuses[http.StatusServiceUnavailable]/3, "too few requests were served after the backoff")
 			if !test.all {
 				assert.Equal(t, statuses[http.StatusServiceUnavailable], 0, "the other servers serve meanwhile")
--- a/node/cold_test.go
+++ b/node/cold_test.go
@@ -26,7 +26,7 @@
 	cases := map[string]struct {
 		path   string
 		server func(*testCluster) string
-		cool   func(*testCluster, string)
+		cool   func(*testCluster, string) // makes the server cold for coldFor, which is also the configured cold_start_s
 	}{
 		"replica group, by its record": {"/copy/a", func(cluster *testCluster) string { return cluster.fleet.OpenHeads()["m0"][0].ID }, func(cluster *testCluster, server string) {
 			cluster.fleet.SetCold(server, coldFor)
--- a/node/controller.go
+++ b/node/controller.go
@@ -99,8 +99,8 @@
 }
 
 // recordsRewritten reports whether the backend servers have had the time to write their
-// records again since the key-value service was restored from an older copy. Until then, an
-// outdated record may show a server as free that is a member of a group.
+// records again since the key-value service was restored from an older copy. Until
+// then, an outdated record may show a server as free that is a member of a group.
 func (controller *controller) recordsRewritten(now time.Duration) bool {
 	return controller.era == 0 || now-controller.eraSince >= deletedRecordHold
 }
@@ -164,8 +164,9 @@
 	}
 }
 
-// planner returns the planner of a service. A new planner adopts the loads that the
-// planner of the previous leader ordered. The caller holds the mutex.
+// planner returns the planner of a service, and creates it if there is none. A new
+// planner adopts the loads that the planner of the previous leader ordered. The caller
+// holds the mutex.
 func (controller *controller) planner(id shedkeel.ServiceID, engine *shedkeel.Engine, now time.Duration) *formation.Planner {
 	if planner := controller.planners[id]; planner != nil {
 		return planner
--- a/node/election_test.go
+++ b/node/election_test.go
@@ -110,7 +110,8 @@
 }
 
 // TestLateWriteOfFormerLease has a node's first write of the leader record take effect
-// only when the node has another lease. The record belongs to the first lease, which nobody renews.
+// only when the node has another lease. The record belongs to the first lease, which
+// nobody renews.
 func TestLateWriteOfFormerLease(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
 	var first shedkeel.Change
--- a/node/guard.go
+++ b/node/guard.go
@@ -42,11 +42,12 @@
 	writeStagger = time.Second
 )
 
-// guard keeps requests that terminate backend servers from terminating more of them.
-// A blame names a request and the servers that have terminated while running it. With
-// one such server, the blame is sent to the node that decides about trials of the
-// request, that is, whether it may be sent to a server. With two or more, it is sent to all nodes and written to the key-value service, so that it
-// survives the loss of all nodes.
+// guard keeps requests that terminate backend servers from terminating more of them. A
+// blame names a request and the servers that have terminated while running it. With one
+// such server, the blame is sent to the node that decides about trials of the request,
+// that is, whether it may be sent to a server. With two or more, it is sent to all
+// nodes and written to the key-value service, so that it survives the loss of all
+// nodes.
 type guard struct {
 	node   *Node
 	ledger contain.Ledger
@@ -149,9 +150,9 @@
 	}
 }
 
-// runSendBlame sends a blame to the peer and reports whether the peer has answered within
-// blameTimeout. A node that misses a blame sent to all reads it from the key-value service. A trial whose
-// end is not reported expires.
+// runSendBlame sends a blame to the peer and reports whether the peer has answered
+// within blameTimeout. A node that misses a blame sent to all reads it from the
+// key-value service. A trial whose end is not reported expires.
 func (peer *peer) runSendBlame(kind wire.BlameCall_Kind, blame shedkeel.Blame) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), blameTimeout)
 	defer cancel()
@@ -239,8 +240,8 @@
 }
 
 // deciders returns the nodes that may decide about trials of a request, at most
-// deciderCount, in the order in which they are asked until one answers. All nodes that see the same nodes alive get the same
-// result.
+// deciderCount, in the order in which they are asked until one answers. All nodes that
+// see the same nodes alive get the same result.
 func (peers *peers) deciders(request shedkeel.RequestDigest) []shedkeel.NodeID {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
--- a/node/limits.go
+++ b/node/limits.go
@@ -168,7 +168,8 @@
 
 // grant decides about a permit for a server whose granter is this node. The node grants
 // only a fraction of the server's rate, equal to the fraction of the listed nodes that
-// it sees alive: during a network partition, the nodes on the other side may grant the rest.
+// it sees alive: during a network partition, the nodes on the other side may grant the
+// rest.
 func (limits *limits) grant(server shedkeel.InstanceID, rate float64, maxWait time.Duration) shedkeel.Permit {
 	fraction, settledSince := limits.node.peers.aliveFraction()
 	request := ratelimit.PermitRequest{Server: server, Rate: rate * fraction, MaxWait: maxWait, SettledSince: settledSince}
@@ -196,8 +197,9 @@
 	return shedkeel.Permit{Granted: answer.GetGranted(), Wait: time.Duration(answer.GetWaitMs()) * time.Millisecond}
 }
 
-// handlePermit answers another node's request for a permit. If this node knows no limit of
-// the server, it grants the permit only if the server has withdrawn an earlier limit.
+// handlePermit answers another node's request for a permit. If this node knows no limit
+// of the server, it grants the permit only if the server has withdrawn an earlier
+// limit.
 func (limits *limits) handlePermit(call *wire.PermitCall) *wire.Reply {
 	limits.merge(call.GetLimit(), shedkeel.NodeID(call.GetNode()))
 	server := shedkeel.InstanceID(call.GetLimit().GetServer())
@@ -289,8 +291,8 @@
 	}
 }
 
-// runAnnounce sends limits to the peer. If the call fails, the peer learns the limits from
-// the servers' own answers.
+// runAnnounce sends limits to the peer. If the call fails, the peer learns the limits
+// from the servers' own answers.
 func (peer *peer) runAnnounce(changed []shedkeel.ServerLimit) {
 	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
 	defer cancel()
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -30,9 +30,10 @@
 	assert.Equal(t, len(counts), len(fourNodes), "%v", counts)
 }
 
-// TestFractionOfLimitFollowsAliveNodes checks which fraction of the nodes a node sees alive, which
-// is the fraction of a limit that it may grant, and since when. Nodes that do not answer
-// may be on the other side of a network partition; stopping nodes are not counted.
+// TestFractionOfLimitFollowsAliveNodes checks which fraction of the nodes a node sees
+// alive, which is the fraction of a limit that it may grant, and since when. Nodes that
+// do not answer may be on the other side of a network partition; stopping nodes are not
+// counted.
 func TestFractionOfLimitFollowsAliveNodes(t *testing.T) {
 	node, timers := newListedNode(t, "a", fourNodes)
 	fraction, settled := node.peers.aliveFraction()
@@ -124,8 +125,8 @@
 	assert.Equal(t, permit, shedkeel.Permit{Wait: permitRetryDelay})
 }
 
-// TestHalfOfTheFleetGrantsHalf has a node hear only half of the nodes. It grants half of
-// a server's rate.
+// TestHalfOfTheFleetGrantsHalf has a node see all nodes or only half of them alive. It
+// grants all or half of a server's rate, give or take 2 permits in 10 s.
 func TestHalfOfTheFleetGrantsHalf(t *testing.T) {
 	cases := map[string]struct {
 		alive []nodeRecord
--- a/node/paces_test.go
+++ b/node/paces_test.go
@@ -10,7 +10,8 @@
 	"shedkeel.org/shedkeel/event"
 )
 
-// TestSlowAndRecoveredPaces checks from which reported pace a server counts as slow or normal again.
+// TestSlowAndRecoveredPaces checks from which reported pace a server counts as slow or
+// normal again.
 func TestSlowAndRecoveredPaces(t *testing.T) {
 	cases := map[string]struct {
 		reported []float64 // paces in the order in which they are reported
--- a/node/prober.go
+++ b/node/prober.go
@@ -111,8 +111,8 @@
 	answers <- probeReply{report: report, err: err}
 }
 
-// reachesAny asks up to witnessCount of the witnesses, chosen at random, and reports whether any of
-// them answers.
+// reachesAny asks up to witnessCount of the witnesses, chosen at random, and reports
+// whether any of them answers.
 func (prober *prober) reachesAny(ctx context.Context, witnesses []string) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/node/probes.go
+++ b/node/probes.go
@@ -101,8 +101,8 @@
 }
 
 // witnessesFor returns the addresses of the servers that are asked to find out whether
-// this node reaches any server other than the probed one. They are in other domains if there are any: all
-// servers of a domain may fail at once.
+// this node reaches any server other than the probed one. They are in other domains if
+// there are any: all servers of a domain may fail at once.
 func witnessesFor(probed shedkeel.Instance, instances []shedkeel.Instance) []string {
 	var sameDomain, otherDomains []string
 	for _, instance := range instances {
--- a/node/remover_test.go
+++ b/node/remover_test.go
@@ -129,10 +129,9 @@
 	return node, store
 }
 
-// TestWatchedMembership checks the record of a node in a fleet so large that records have
-// no lease: the node writes it
-// once without a lease, writes it again after another node has removed it, and does not
-// write it after a restart that finds it unchanged.
+// TestWatchedMembership checks the record of a node in a fleet so large that records
+// have no lease: the node writes it once without a lease, writes it again after another
+// node has removed it, and does not write it after a restart that finds it unchanged.
 func TestWatchedMembership(t *testing.T) {
 	node, store := newWatchedNode(t, 295)
 	timers := node.Timers.(interface{ Advance(time.Duration) })
--- a/node/spread.go
+++ b/node/spread.go
@@ -19,7 +19,7 @@
 	spreaderBackoff = time.Second
 )
 
-// reservedNodes is how many of the first listed nodes have other work: to plan, and to
+// reservedNodes is how many of the first live nodes have other work: to plan, and to
 // follow the key-value service. They spread requests only if no other node does.
 const reservedNodes = 2
 
@@ -88,7 +88,7 @@
 // spreader returns the spreader of a part of a model's groups, or nil and true if it is
 // this node. A spreader assigns the requests of all nodes to the groups of a part. Each
 // part has a spreader of its own as far as there are enough nodes. If that one has given
-// no answer to a call within the last spreaderBackoff, the first nodes (see
+// no answer to a call within the last spreaderBackoff, the first live nodes (see
 // reservedNodes) replace it. If none of them can either, spreader returns nil and false.
 func (peers *peers) spreader(part int, now time.Duration) (asked *peer, own bool) {
 	peers.mutex.Lock()
@@ -112,7 +112,8 @@
 	return nil, false
 }
 
-// handleSpread answers a call of another node that asks to which group a request is best sent.
+// handleSpread answers a call of another node that asks to which group a request is
+// best sent.
 func (peers *peers) handleSpread(call *wire.SpreadCall) *wire.Reply {
 	query := dispatch.Query{
 		Service: shedkeel.ServiceID(call.GetService()), Model: shedkeel.ModelID(call.GetModel()), PromptTokens: int(call.GetPrompt()), MaxAnswerTokens: int(call.GetAnswer()), Now: peers.node.Timers.Now(),
