--- a/node/evacuation.go
+++ b/node/evacuation.go
@@ -11,21 +11,21 @@
 
 // applyEvacuation processes the record of an availability zone: operators evacuate the
 // zone by writing the record, and end the evacuation by removing it. It reports whether
-// anything has changed. The caller holds the mutex.
+// the set of evacuated zones has changed. The caller holds the mutex.
 //
 // An evacuation stays in force if the key-value service has lost its record, because no
 // operator has ended it.
 func (fleet *fleet) applyEvacuation(record shedkeel.Record, zone shedkeel.ZoneID) bool {
 	fields := []slog.Attr{slog.String("zone", string(zone)), slog.Int("servers", fleet.serversIn(zone))}
-	before := fleet.evacuated[zone]
+	wasEvacuated := fleet.evacuated[zone]
 	switch {
 	case zone == "":
 		fleet.skipRecord(record, &shedkeel.InvalidError{Where: record.Key, What: "it names no availability zone", Remedy: "write it below the zone's name"})
 		return false
-	case record.LostInRestore && before:
+	case record.LostInRestore && wasEvacuated:
 		fleet.node.Log.Write(event.EvacuationLost, fields...)
 		return false
-	case before != record.Removed:
+	case wasEvacuated != record.Removed:
 		return false
 	case record.Removed:
 		delete(fleet.evacuated, zone)
