--- a/node/config.go
+++ b/node/config.go
@@ -17,8 +17,8 @@
 
 // configCopy is the active configuration as operators wrote it. The key-value
 // service may have an older one if it was restored from a snapshot and operators have
-// not written theirs again. Nodes that start in that time get the newer one from
-// other nodes. The zero value has no configuration.
+// not written the newer one again yet. Nodes that start in that time get the newer
+// configuration from other nodes. The zero value has no configuration.
 type configCopy struct {
 	mutex      sync.Mutex
 	value      []byte
@@ -118,8 +118,9 @@
 	}
 }
 
-// fetchConfig starts fetching the configuration of a node that has a newer version,
-// unless a fetch is running.
+// fetchConfig starts fetching the configuration of the node with this ID if its version is
+// newer than this node's. It does nothing if this node has none, a fetch is running, or the
+// other node is not listed.
 func (peers *peers) fetchConfig(id shedkeel.NodeID, version int64) {
 	fleet := &peers.node.fleet
 	own := fleet.configVersion()
@@ -134,7 +135,8 @@
 	go peer.runFetchConfig()
 }
 
-// runFetchConfig asks the peer for an update, whose reply has its newer configuration.
+// runFetchConfig asks the peer for an update. The peer's newer configuration comes with the
+// reply, and requestUpdate applies it.
 func (peer *peer) runFetchConfig() {
 	defer peer.node.fleet.activeConfig.fetching.Store(false)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
--- a/node/config_test.go
+++ b/node/config_test.go
@@ -20,14 +20,14 @@
 }
 
 // TestNodeThatStartsAfterARestore starts a node after the service was restored from a
-// snapshot with an older configuration than other nodes have. A node that kept the older
-// one would accept keys that had been removed.
+// snapshot with an older configuration than other nodes have. The new node must get the
+// newer one, because with the older one it would accept keys that were removed since.
 func TestNodeThatStartsAfterARestore(t *testing.T) {
 	cases := map[string]struct {
 		newNodeAsks bool // the new node asks the old one, and not the other way round
 	}{
-		"it follows another": {true},
-		"another follows it": {false},
+		"the new node asks the old one": {true},
+		"the old node asks the new one": {false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/node/copies_test.go
+++ b/node/copies_test.go
@@ -13,8 +13,8 @@
 	"shedkeel.org/shedkeel/mirror"
 )
 
-// fleetRecords returns the records of a fleet: servers in groups, nodes, and a
-// configuration with so many routes.
+// fleetRecords returns the records of a fleet with the given numbers of servers, all in
+// groups, of nodes, and of routes in the configuration.
 func fleetRecords(servers, nodes, routes int) []shedkeel.Record {
 	random := rand.New(rand.NewPCG(1, 2))
 	var records []shedkeel.Record
@@ -41,7 +41,8 @@
 
 // TestWholeCopyIsSmall transfers a complete copy to a node without one over a real
 // connection. The copy must be small enough for three boxes to send it to a hundred other
-// nodes each within 0.5 s over links of 200 Mbit/s.
+// nodes each within 0.5 s over links of 200 Mbit/s. It is limited to 160 kB and to a fifth
+// of the records' size.
 func TestWholeCopyIsSmall(t *testing.T) {
 	listener := listenHere(t)
 	source, timers := newTestNode(t)
--- a/node/directory_test.go
+++ b/node/directory_test.go
@@ -22,13 +22,10 @@
 // exclusionDelay is how long after a node's loss the directory may still name it.
 const exclusionDelay = 5 * time.Second
 
-// TestDirectoryLeavesOutDeadNodes has nodes lose power while the record or the store that
-// would show it is faulty, and checks that the directory leaves them out. Without a look at
-// the failure detector and the age of the copy, it named every listed node. With 66 nodes
-// only one watched the others. It was paused from 5 to 9 s and restarted its checks, so it
-// removed the record of a node lost at 4.0 s only at 11.71 s, and 117 answers named that node
-// from 10.0 s on. With 21 nodes an outage of the store extended the leases of dead nodes, and
-// some nodes retained the records deleted at its end until 15.9 s.
+// TestDirectoryLeavesOutDeadNodes checks that the directory leaves out nodes that lost power
+// within exclusionDelay, also if their records do not show the loss: because the store is
+// unavailable, because nodes retain records that were deleted during an outage, or because a
+// live node may consider itself isolated and then removes no records.
 func TestDirectoryLeavesOutDeadNodes(t *testing.T) {
 	cases := map[string]struct {
 		deadNodes int
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -20,19 +20,20 @@
 const (
 	// fleetTick is how often retained and unreadable records are checked for expiry.
 	fleetTick = 100 * time.Millisecond
-	// outageAge is the age of the mirror from which the key-value service counts as
-	// unavailable. In a healthy fleet copies are up to 1.5 s old, and some tenths of a
-	// second older until a stale one is renewed. When such an age counted as an outage,
-	// servers that had left stayed in use for 2 s more.
+	// outageAge is the age of the mirror's copy above which the key-value service counts
+	// as unavailable. In a healthy fleet a copy is up to 1.5 s old; renewing a stale one
+	// takes some tenths of a second more. With a limit below that sum, a healthy service
+	// would count as unavailable, and servers that have left would stay in use 2 s longer.
 	outageAge = 2300 * time.Millisecond
 	// deletedRecordHold is how long after the service's return a record that was deleted
-	// during the outage is still used. By the platform's documentation, live servers write
-	// their records again about 2 s after the return.
+	// during the outage is still used. According to the platform's documentation, live
+	// servers write their records again about 2 s after the return.
 	deletedRecordHold = 2300 * time.Millisecond
 	// unreadableRecordHold is how long a backend server whose record became unreadable
-	// keeps its place in its group. It gets no requests of its own in that time. A server's
-	// next heartbeat, by the platform's documentation at most 1.2 s later, replaces an
-	// invalid write by another writer; 3 s covers two heartbeats and their delivery.
+	// keeps its place in its group. No requests are sent to it directly in that time. Its
+	// next heartbeat, at most 1.2 s later according to the platform's documentation,
+	// replaces an invalid record that another writer wrote; 3 s covers two heartbeats and
+	// their delivery.
 	unreadableRecordHold = 3 * time.Second
 )
 
@@ -46,17 +47,17 @@
 	mutex             sync.Mutex
 	instances         map[string]shedkeel.Instance      // by key
 	nodes             map[string]nodeRecord             // by key
-	retained          map[string]time.Duration          // deleted while the service was unavailable, used until then, by key
+	retained          map[string]time.Duration          // until when a record that was deleted in an outage of the service is used, by key
 	evacuated         map[shedkeel.ZoneID]bool          // zones whose backend servers get no requests
-	coldUntil         map[string]time.Duration          // for servers that reported to be cold, by key
+	coldUntil         map[string]time.Duration          // until when a server that reported being cold counts as cold, by key
 	evacuationEndedAt map[shedkeel.ZoneID]time.Duration // when the last evacuation of a zone was withdrawn
 	removals          removals
-	unreadable        map[string]time.Duration // servers with an unreadable record, and until when they keep their places
-	skippedRecords    atomic.Int64             // count of records that were skipped
+	unreadable        map[string]time.Duration // until when a server whose record is unreadable keeps its place in its group, by key
+	skippedRecords    atomic.Int64             // number of records that were not used: unreadable, invalid or outdated ones
 	afterRestore      bool                     // the next records come from a restored, older snapshot of the service
 	outageUntil       time.Duration            // end of the latest outage of the service, with deletedRecordHold added
 	verifiedAt        atomic.Int64             // when the copy was last proven current, as a time.Duration
-	loggedCounts      map[string]int           // servers and groups that may get requests, as last logged
+	loggedCounts      map[string]int           // number of servers or groups that may get requests, as last logged, by service and model
 }
 
 // applyChanges applies changed records. The mirror never calls it concurrently.
@@ -138,9 +139,10 @@
 	return !listed || wasUnreadable || !instance.Same(&known)
 }
 
-// isOutdated reports whether a server's record is older than the known one: it is of
-// an earlier start of the server, or a restored snapshot has it with a lower sequence
-// or from before the server began to drain.
+// isOutdated reports whether a server's record is older than the known one. It is if
+// it was written by an earlier start of the server. In a restored snapshot it also is if
+// its sequence is lower, or if the server drains according to the known record only.
+// If only one of the two start times is known (not 0), the record does not count as older.
 func (fleet *fleet) isOutdated(instance, known *shedkeel.Instance) bool {
 	born, knownBorn := instance.ID.Born(), known.ID.Born()
 	if born != knownBorn {
@@ -150,9 +152,9 @@
 	return fleet.afterRestore && (wasReady || instance.Sequence < known.Sequence)
 }
 
-// markUnreadable stops requests to a listed server whose record became unreadable and
-// keeps its place in its group for unreadableRecordHold. It reports whether the server was
-// readable before.
+// markUnreadable stops direct requests to a listed server whose record became unreadable and
+// keeps its place in its group for unreadableRecordHold. It reports whether this changes which
+// servers may get requests: not if the server is not listed or was unreadable before.
 func (fleet *fleet) markUnreadable(key string, now time.Duration) bool {
 	_, listed := fleet.instances[key]
 	_, unreadable := fleet.unreadable[key]
@@ -163,8 +165,8 @@
 	return true
 }
 
-// removeInstance removes a server whose record was deleted in an era of the key-value
-// service.
+// removeInstance removes a server and notes the era of the key-value service in which it
+// was removed. The caller holds the mutex.
 func (fleet *fleet) removeInstance(key string, era int64, now time.Duration) {
 	if instance, listed := fleet.instances[key]; listed {
 		fleet.removals.recordRemoval(instance.ID, era, now)
@@ -174,9 +176,9 @@
 	delete(fleet.coldUntil, key)
 }
 
-// removeOrRetain handles a deleted record and reports whether it was removed. During an
-// outage of the service leases of live owners may have expired, so the record is
-// retained for a while if its owner may write it again.
+// removeOrRetain handles a deleted record and reports whether it called remove. During an
+// outage of the service, leases of live owners may have expired, so the record is
+// retained at least until outageUntil if its owner may write it again.
 func (fleet *fleet) removeOrRetain(key string, now time.Duration, remove func()) bool {
 	if now >= fleet.outageUntil || !fleet.writerMayReturn(key) {
 		remove()
@@ -282,8 +284,8 @@
 }
 
 // reportCold reports a cold server to the limits. After an evacuation every server of
-// the zone counts as cold, because its record says so only some time after requests may
-// come again.
+// the zone counts as cold for the service's ColdTime: its record states that it is cold
+// only some time after it may get requests again.
 func (fleet *fleet) reportCold(key string, instance *shedkeel.Instance, service *shedkeel.RoutedService) {
 	if service == nil || service.ColdRate <= 0 {
 		return
@@ -343,9 +345,9 @@
 	fleet.node.Log.Write(event.ServersChanged, fields...)
 }
 
-// groupServices returns the services of replica groups with their instances. Those that
-// reported in an answer that they drain are marked as draining, whatever their records
-// say.
+// groupServices returns the instances of each service that has replica groups, ordered by
+// ID. Instances that reported in an answer that they drain, and those withheld from
+// requests, are marked as draining, whatever their records state.
 func (fleet *fleet) groupServices() map[shedkeel.ServiceID][]shedkeel.Instance {
 	view := fleet.view.Load()
 	if view == nil {
@@ -367,8 +369,8 @@
 	return found
 }
 
-// highestEpoch returns the highest epoch in the backend servers' records, without those
-// of terms above maxTerm.
+// highestEpoch returns the highest epoch in the backend servers' records, or 0. It ignores
+// epochs of terms above maxTerm.
 func (fleet *fleet) highestEpoch() uint64 {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
--- a/node/fleetsize.go
+++ b/node/fleetsize.go
@@ -15,10 +15,10 @@
 const (
 	// sizeKey is the key under which the leader writes the size of the fleet.
 	sizeKey = "shedkeel/fleet"
-	// sizeCheckInterval is how often the leader checks whether that record is still
-	// right.
+	// sizeCheckInterval is how often the leader checks whether the record of
+	// the fleet's size is still close enough.
 	sizeCheckInterval = 2 * time.Second
-	// sizeTolerance is the relative change of the number of nodes from which the
+	// sizeTolerance is the relative change of the number of nodes above which the
 	// record is written again. Only the order of magnitude matters.
 	sizeTolerance = 0.25
 	// maxStartupRelays is how many relays a starting node asks, those of its own
@@ -51,7 +51,8 @@
 	return size
 }
 
-// isCloseTo reports whether a stored record is close enough to the current one to stay.
+// isCloseTo reports whether a stored record need not be replaced by the current one: the
+// relays are the same, and the number of nodes differs by at most sizeTolerance.
 func (size sizeRecord) isCloseTo(current sizeRecord) bool {
 	change := float64(current.Nodes - size.Nodes)
 	return slices.Equal(size.Relays, current.Relays) && max(change, -change) <= sizeTolerance*float64(size.Nodes)
--- a/node/fleetsize_test.go
+++ b/node/fleetsize_test.go
@@ -37,12 +37,12 @@
 	small, err := json.Marshal(newSizeRecord(withControlAddresses(fleetOf(9, 3))))
 	assert.NilError(t, err)
 	cases := map[string]struct {
-		own   string
-		seeds []string
-		value []byte
-		list  bool
-		peers int
-		hint  int64
+		own   string   // control address of the node
+		seeds []string // control addresses
+		value []byte   // of the size record; nil: there is no record
+		list  bool     // the node lists the service's records itself
+		peers int      // number of relays to ask for a copy
+		hint  int64    // number of nodes that the node learns from the record; 0: none
 	}{
 		"a fleet's first start":       {"z3-050:1", []string{"z0-000:1"}, nil, false, 0, 0},
 		"a first start, of a seed":    {"z0-000:1", []string{"z0-000:1"}, nil, true, 0, 0},
@@ -68,7 +68,7 @@
 			assert.Equal(t, len(advice.Peers), test.peers)
 			assert.Equal(t, node.member.nodeCountHint.Load(), test.hint)
 			for index, peer := range advice.Peers {
-				assert.Assert(t, index > 2 || peer.Name()[:2] == "z3", "%s is asked first", peer.Name())
+				assert.Assert(t, index > 2 || peer.Name()[:2] == "z3", "%s of another zone is among the first three relays to ask", peer.Name())
 			}
 		})
 	}
--- a/node/follow.go
+++ b/node/follow.go
@@ -14,28 +14,30 @@
 	// followBackoff is how long a node is not followed after it did not answer or its
 	// copy was too old.
 	followBackoff = 2 * time.Second
-	// maxSourceAge is the maximum age of the copy of a node that others follow. A
-	// source's copy is up to two watches old, and changes are collected for 0.1 s.
+	// maxSourceAge is the maximum age of the copy of a source that others follow. The
+	// copy is up to as old as two watches of the service last, and changes are collected
+	// for 0.1 s.
 	maxSourceAge = 1200 * time.Millisecond
-	// maxRelayAge is the same for a relay, which follows the source by long polling.
+	// maxRelayAge is the maximum age of the copy of a relay, which follows the source by long polling.
 	maxRelayAge = maxSourceAge + mirror.RelayWait
 	// maxDirectFollowers is the largest fleet in which all nodes follow the source
-	// itself. In larger fleets relays are between them: a change of all servers of 295
-	// boxes, 0.1 MB, then leaves the source 13 times instead of 294, which takes its
-	// link of 200 Mbit/s 0.05 s instead of 1.2 s.
+	// itself. In larger fleets relays follow the source and the other nodes follow the
+	// relays. In a fleet of 295 boxes the source then sends a change of all servers, 0.1
+	// MB, 13 times instead of 294 times, which takes 0.05 s instead of 1.2 s over its
+	// link of 200 Mbit/s.
 	maxDirectFollowers = 96
 	// followersPerRelay is how many nodes of an availability zone share one relay.
 	followersPerRelay = 24
 	// minRelayCapacity is the minimum capacity of a relay, relative to the node with
-	// the most capacity. Small boxes have a tenth of a large one's bandwidth, too.
+	// the most capacity. Small boxes also have only a tenth of a large box's bandwidth.
 	minRelayCapacity = 0.5
 )
 
 // sourceIndexes are the indexes, in the order of the nodes, of the sources: the nodes
 // that all others follow, or only the relays in a large fleet. The first available
 // source follows the key-value service itself, so that the calls to the service don't
-// grow with the number of nodes. The node at index 0 comes last because it already
-// leads.
+// grow with the number of nodes. The node at index 0 comes last because it usually
+// is the leader as well.
 var sourceIndexes = [...]int{1, 0}
 
 // hasRelays reports whether a fleet of so many nodes has relays between the source and
@@ -75,7 +77,7 @@
 	return followOrderWithRelays(nodes, relayIndexes(nodes), own)
 }
 
-// followOrderWithRelays is followOrder for known relays.
+// followOrderWithRelays is followOrder with the result of relayIndexes given.
 func followOrderWithRelays(nodes []nodeRecord, relays []int, own int) []int {
 	if relay := slices.Index(relays, own); own < reservedNodes || relay >= 0 {
 		// If neither source reaches the service, the first relay follows the service
@@ -91,7 +93,7 @@
 }
 
 // compareRelays orders two relays for a node: those of its own availability zone come
-// first, then by a hash that differs from node to node.
+// first; relays that are equal in this are ordered by a hash that differs from node to node.
 func compareRelays(own shedkeel.NodeID, farA, farB bool, a, b shedkeel.NodeID) int {
 	switch {
 	case farA && !farB:
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -10,8 +10,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// fleetOf returns a fleet in five availability zones, in the order of compareNodes, with
-// so many large boxes in each zone.
+// fleetOf returns the records of a fleet of count nodes in five availability zones, in the
+// order of compareNodes. In each zone the given number of nodes are on large boxes.
 func fleetOf(count, large int) []nodeRecord {
 	var nodes []nodeRecord
 	for index := range count {
@@ -26,8 +26,8 @@
 	return nodes
 }
 
-// followersOf returns the number of followers by index, with -1 for the service itself. The
-// nodes at the indexes in down are lost.
+// followersOf returns how many nodes follow the node at each index, and at index -1 how many
+// follow the service itself. The nodes at the indexes in down are lost.
 func followersOf(nodes []nodeRecord, down ...int) map[int]int {
 	followers := map[int]int{}
 	for own := range nodes {
@@ -54,13 +54,13 @@
 func TestFollowers(t *testing.T) {
 	cases := map[string]struct {
 		nodes     []nodeRecord
-		down      []int
-		maxSource int // most followers of the source
-		maxOther  int // most followers of any other node
+		down      []int // indexes of lost nodes
+		maxSource int   // most followers of the source
+		maxOther  int   // most followers of any other node
 	}{
 		"a small fleet":                    {fleetOf(9, 3), nil, 8, 0},
 		"the largest without relays":       {fleetOf(maxDirectFollowers, 3), nil, maxDirectFollowers - 1, 0},
-		"300 boxes, 15 large":              {fleetOf(300, 3), nil, 20, 60}, // in one zone two of three large boxes have other duties
+		"300 boxes, 15 large":              {fleetOf(300, 3), nil, 20, 60}, // in one zone two of the three large boxes have duties for the whole fleet, so they are no relays
 		"300 boxes, 15 large, one is lost": {fleetOf(300, 3), []int{4}, 20, 60},
 		"300 boxes, the source is lost":    {fleetOf(300, 3), []int{1}, 20, 60},
 		"300 boxes of one size":            {fleetOf(300, 0), nil, 20, 2 * followersPerRelay},
@@ -101,7 +101,7 @@
 }
 
 // TestUnlistedFollowsSeed covers nodes that are not listed or know few others. They must
-// follow a seed: 295 nodes that started together all followed the service itself.
+// follow a seed; otherwise all nodes that start together would follow the service itself.
 func TestUnlistedFollowsSeed(t *testing.T) {
 	cases := map[string]struct {
 		seeds        []string
@@ -185,7 +185,7 @@
 	for range len(relays) {
 		node.peers.refreshAlive()
 		name := node.peers.choose().Name()
-		assert.Assert(t, !followed[name], "%s is suspected", name)
+		assert.Assert(t, !followed[name], "suspected node %s is followed", name)
 		followed[name] = true
 		detector.liveness[shedkeel.NodeID(name)] = shedkeel.Suspected
 	}
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -23,8 +23,8 @@
 	readRetryDelay = 100 * time.Millisecond
 )
 
-// gossip connects the failure detector to its socket, its clock and the addresses of
-// its peers, which come from the nodes' records.
+// gossip connects the failure detector to a socket, the clock and the addresses of the
+// other nodes, which come from their records.
 type gossip struct {
 	node *Node
 	conn net.PacketConn // nil: no gossip, and no node is judged
@@ -33,7 +33,7 @@
 	detector       shedkeel.FailureDetector
 	addresses      map[shedkeel.NodeID]netip.AddrPort
 	seenChanges    uint64                                // the detector's change count at the last call of livenessChanged
-	loggedExcluded map[shedkeel.NodeID]shedkeel.Liveness // nodes that may not serve, as last logged
+	loggedExcluded map[shedkeel.NodeID]shedkeel.Liveness // nodes that the directory leaves out, as last logged
 }
 
 // prepare creates the failure detector.
@@ -182,7 +182,7 @@
 // suspected one, which may only be paused for a moment.
 func (gossip *gossip) mayServeCallers(id shedkeel.NodeID) bool { return mayServe(gossip.liveness(id)) }
 
-// mayServe is mayServeCallers for a known liveness.
+// mayServe reports whether callers may be sent to a node of this liveness.
 func mayServe(liveness shedkeel.Liveness) bool {
 	return liveness == shedkeel.Alive || liveness == shedkeel.Suspected
 }
--- a/node/heartbeat_test.go
+++ b/node/heartbeat_test.go
@@ -22,7 +22,7 @@
 	return instance, err
 }
 
-// heartbeats returns the records of so many servers with this sequence.
+// heartbeats returns the records of the given number of servers, each with this sequence.
 func heartbeats(t testing.TB, servers int, sequence int64) []shedkeel.Record {
 	t.Helper()
 	var records []shedkeel.Record
@@ -35,7 +35,7 @@
 	return records
 }
 
-// newHeartbeatNode returns a node that knows so many servers.
+// newHeartbeatNode returns a node that knows the given number of servers.
 func newHeartbeatNode(t testing.TB, servers int) *Node {
 	t.Helper()
 	node, _ := newTestNode(t)
@@ -45,8 +45,8 @@
 	return node
 }
 
-// TestHeartbeatsChangeNoTable checks that a heartbeat does not rebuild the table of servers.
-// Each heartbeat used to rebuild it at every node of the fleet.
+// TestHeartbeatsChangeNoTable checks that a heartbeat does not rebuild the table of servers,
+// and that changes of which servers may get requests do.
 func TestHeartbeatsChangeNoTable(t *testing.T) {
 	const servers = 100
 	node := newHeartbeatNode(t, servers)
@@ -61,7 +61,7 @@
 	draining.Value = []byte(strings.Replace(string(draining.Value), `"Draining":false`, `"Draining":true`, 1))
 	assert.Assert(t, fleet.applyInstance(draining, now))
 	fleet.markUnreadable("servers/1", now)
-	assert.Assert(t, fleet.applyInstance(heartbeats(t, 2, 4)[1], now), "its record can be read again")
+	assert.Assert(t, fleet.applyInstance(heartbeats(t, 2, 4)[1], now), "a server whose record can be read again may get requests")
 	fleet.removeInstance("servers/2", 0, now)
 	assert.Assert(t, fleet.applyInstance(heartbeats(t, 3, 5)[2], now), "the server is listed again")
 }
--- a/node/lapse_test.go
+++ b/node/lapse_test.go
@@ -12,12 +12,12 @@
 )
 
 // TestGoneServers deletes a server's record after the copy has reached some age. The server
-// may stay in use only if the service was unavailable. In a healthy fleet two nodes whose
-// copies were 1.7 s old kept a server that had left for 2 s.
+// may stay in use only if the service was unavailable: a copy older than outageAge. In a
+// healthy fleet copies may be 1.7 s old, which must not count as an outage.
 func TestGoneServers(t *testing.T) {
 	cases := map[string]struct {
-		age      time.Duration // that the copy reaches
-		retained bool
+		age      time.Duration // of the copy when the record is deleted
+		retained bool          // for deletedRecordHold
 	}{
 		"a fresh copy":                   {300 * time.Millisecond, false},
 		"an old copy in a healthy fleet": {2 * time.Second, false},
@@ -35,25 +35,26 @@
 			timers.Advance(deletedRecordHold)
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now()})
 			node.fleet.tick(timers.Now())
-			assert.Equal(t, len(node.fleet.instances), 0, "its record was not written again")
+			assert.Equal(t, len(node.fleet.instances), 0, "a record that is not written again is removed after the hold")
 		})
 	}
 }
 
 // TestGoneNodes deletes the records of nodes while the service seems unavailable. Leases may
 // have expired, so live nodes are retained until they have written their records again. A
-// node that does not answer must not be: it was named for 2.3 s more.
+// node that the failure detector finds dead or stopped must not be retained, because the
+// directory would name it for deletedRecordHold more.
 func TestGoneNodes(t *testing.T) {
 	cases := map[string]struct {
 		before   shedkeel.Liveness // when its record is deleted
 		after    shedkeel.Liveness // a tick later
 		retained bool              // after that tick
 	}{
-		"it is alive":                       {shedkeel.Alive, shedkeel.Alive, true},
-		"it is suspected":                   {shedkeel.Suspected, shedkeel.Suspected, true},
-		"it is dead":                        {shedkeel.Dead, shedkeel.Dead, false},
-		"it has left":                       {shedkeel.Left, shedkeel.Left, false},
-		"it is found dead while it is kept": {shedkeel.Suspected, shedkeel.Dead, false},
+		"it is alive":                           {shedkeel.Alive, shedkeel.Alive, true},
+		"it is suspected":                       {shedkeel.Suspected, shedkeel.Suspected, true},
+		"it is dead":                            {shedkeel.Dead, shedkeel.Dead, false},
+		"it has left":                           {shedkeel.Left, shedkeel.Left, false},
+		"it is found dead while it is retained": {shedkeel.Suspected, shedkeel.Dead, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -74,7 +75,7 @@
 			timers.Advance(deletedRecordHold)
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now()})
 			node.fleet.tick(timers.Now())
-			assert.Equal(t, len(node.peers.listed()), 0, "its record was not written again")
+			assert.Equal(t, len(node.peers.listed()), 0, "a record that is not written again is removed after the hold")
 		})
 	}
 }
--- a/node/lease.go
+++ b/node/lease.go
@@ -11,15 +11,15 @@
 	"shedkeel.org/shedkeel/event"
 )
 
-// leaseSafetyMargin covers the drift of two clocks over a lease, and the time in which
-// an order is sent.
+// leaseSafetyMargin covers the drift between this node's and the service's clock over a
+// lease, and the time from the check of the lease until an order has been sent.
 const leaseSafetyMargin = 300 * time.Millisecond
 
 // lease is a lease of the key-value service that a node renews. The service deletes the
 // records written with it when it expires.
 type lease struct {
 	node *Node
-	ttl  time.Duration
+	ttl  time.Duration // lease time to ask for; the service may grant less
 
 	id         atomic.Pointer[shedkeel.LeaseID] // nil: none
 	validUntil atomic.Int64                     // lower bound of its expiry, on this node's clock
@@ -62,7 +62,8 @@
 	return false
 }
 
-// grant acquires a new lease and reports whether that succeeded.
+// grant has the service grant a new lease and reports whether that succeeded. An error is
+// logged.
 func (lease *lease) grant(ctx context.Context) bool {
 	sent := lease.node.Timers.Now()
 	granted, ttl, err := lease.node.Store.Grant(ctx, lease.ttl)
@@ -75,7 +76,8 @@
 	return true
 }
 
-// release releases the lease.
+// release releases the lease, if there is one. It waits for the service for at most
+// leaseSafetyMargin.
 func (lease *lease) release() {
 	if !lease.held() {
 		return
--- a/node/member.go
+++ b/node/member.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// largeFleetTTL is the lease time of a node's record in a large fleet. Each renewal
-	// is a call to the service, and few callers are sent to any one dead node that is
-	// still listed.
+	// largeFleetTTL is the lease time of a node's record in a large fleet. A long
+	// lease saves renewals, each of which is a call to the service. A dead node that is
+	// still listed gets only few of the callers, as there are many nodes.
 	largeFleetTTL = 4 * time.Second
-	// smallFleetTTL is the same in a small fleet, where a dead node gets a large share of
+	// smallFleetTTL is the lease time in a small fleet, where a dead node gets a large share of
 	// the callers. It is long enough for two failed renewals.
 	smallFleetTTL = 1500 * time.Millisecond
 	// maxSmallFleet is the largest number of nodes of a small fleet.
 	maxSmallFleet = 12
-	// unleasedFrom is the number of nodes from which their records have no lease. The
-	// failure detector finds dead nodes, and renewals would be most of the calls to the
-	// service.
+	// unleasedFrom is the smallest number of nodes at which the nodes' records have no
+	// lease. The failure detector then finds dead nodes; renewals would be most of the
+	// calls to the service.
 	unleasedFrom = 48
 	// returnToLeasesAt is the number of nodes at which a shrinking fleet uses leases
 	// again.
@@ -32,13 +32,12 @@
 	// renewalsPerTTL is how often a lease is renewed within its time.
 	renewalsPerTTL = 3
 	// registrationRetry is the delay after a failed call to the service if the service has
-	// answered any node since; maxRegistrationRetry is the delay if it has not. A call that
-	// fails costs ten times as much as a renewal, and retries during an outage have no
-	// use.
+	// answered any node since; maxRegistrationRetry is the delay if it has not. A failed
+	// call costs ten times as much as a renewal, and retries during an outage are useless.
 	registrationRetry    = 500 * time.Millisecond
 	maxRegistrationRetry = 4 * time.Second
 	// nodeCountHintTTL is how long after its start a node uses the number of nodes that a
-	// seed or the size record reported.
+	// seed node or the record of the fleet's size reported.
 	nodeCountHintTTL = 10 * time.Second
 	// memberTick is how often a node checks whether its record must be written or renewed.
 	memberTick = 20 * time.Millisecond
@@ -51,8 +50,8 @@
 	lease         lease
 	dirty         atomic.Bool  // the record must be written again
 	nodeCountHint atomic.Int64 // number of nodes, as reported by a seed or the size record at the start
-	listed        atomic.Bool  // the last call to the service succeeded, and the record is as it should be
-	unleased      atomic.Bool  // the record needs no lease: other nodes watch this one
+	listed        atomic.Bool  // the last call to the service succeeded, and the service has the record
+	unleased      atomic.Bool  // the record needs no lease: other nodes find out whether this one is dead
 
 	startedAt atomic.Int64 // when the node started, as a time.Duration; 0: not set yet
 
@@ -118,8 +117,9 @@
 	return nodes >= unleasedFrom
 }
 
-// expectedNodes returns a lower bound of the number of nodes, as reported at the start,
-// when not all of them may be listed yet. It is 0 once nodeCountHintTTL has passed.
+// expectedNodes returns the number of nodes that was reported at this node's start, as not
+// all of them may be listed yet. It returns 0 if none was reported, or once
+// nodeCountHintTTL has passed.
 func (membership *membership) expectedNodes() int {
 	if membership.node.Timers.Now()-time.Duration(membership.startedAt.Load()) >= nodeCountHintTTL {
 		return 0
@@ -142,8 +142,10 @@
 	return listed
 }
 
-// keepUnleased writes the record unless the service already has it, as after a restart.
-// The node forgets its former lease, which expires while the record stays.
+// keepUnleased writes the record without a lease and reports whether the service has it. It
+// writes nothing if the service already has it, for example from before this node
+// restarted. The node forgets its former lease; as the record is written without that
+// lease, it stays when the lease expires.
 func (membership *membership) keepUnleased(ctx context.Context) bool {
 	membership.lease.id.Store(nil)
 	membership.dirty.Store(false)
@@ -166,7 +168,8 @@
 	return nodePrefix + string(membership.node.Settings.Node)
 }
 
-// keepLeased renews the lease, or acquires a new one, and writes the record if needed.
+// keepLeased renews the lease, or acquires a new one, and writes the record if needed. It
+// reports whether the service has the record with a lease in force.
 func (membership *membership) keepLeased(ctx context.Context) bool {
 	lease := &membership.lease
 	if lease.held() && !lease.renew(ctx) && lease.held() {
@@ -183,7 +186,7 @@
 }
 
 // targetTTL returns the lease time to use. A node without a lease may not know the fleet's
-// size yet and uses that of a large fleet.
+// size yet, so it uses largeFleetTTL.
 func (membership *membership) targetTTL() time.Duration {
 	if membership.lease.held() && membership.node.fleet.nodeCount() <= maxSmallFleet {
 		return smallFleetTTL
@@ -199,9 +202,10 @@
 	}
 }
 
-// commitRecord writes the record. In a large fleet the node that this one follows does
-// it, which combines the records of many nodes in one write. If there is none, or it
-// fails, this node writes itself. So does a stopping node, which can't wait.
+// commitRecord writes the record and returns the revision of the write. In a large fleet
+// the node whose copy this node follows writes it, together with the records of other
+// nodes. If there is no such node, or it fails, this node writes the record to the service.
+// So does a stopping node, which can't wait for others.
 func (membership *membership) commitRecord(ctx context.Context, put shedkeel.Put) (shedkeel.Revision, error) {
 	node := membership.node
 	if membership.unleased.Load() && !node.stopping.Load() {
--- a/node/member_test.go
+++ b/node/member_test.go
@@ -35,7 +35,7 @@
 			}}
 			node.Store = store
 			assert.Assert(t, node.member.step(t.Context()))
-			assert.Equal(t, node.member.lease.ttl, largeFleetTTL, "it knows no other node yet")
+			assert.Equal(t, node.member.lease.ttl, largeFleetTTL, "the node knows no other node yet")
 			node.fleet.nodes = map[string]nodeRecord{}
 			for number := range test.nodes {
 				node.fleet.nodes[fmt.Sprint(number)] = nodeRecord{}
--- a/node/node.go
+++ b/node/node.go
@@ -26,7 +26,7 @@
 
 const (
 	// DirectoryKeep is how long callers may cache an answer of the directory. Some
-	// cache it three times as long. A stopping node accepts requests until those
+	// callers cache it for maxDirectoryKeepFactor times as long. A stopping node accepts requests until those
 	// caches expire; a request accepted later could not finish within the grace time.
 	DirectoryKeep = time.Second
 	// maxDirectoryKeepFactor is how many times DirectoryKeep some callers cache an answer.
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -65,7 +65,8 @@
  "limits":{"max_header_bytes":16384,"max_body_bytes":65536,"header_timeout_ms":3000,"idle_timeout_ms":15000},
  "tenants":[{"name":"shop","api_keys":[%s]}]}`
 
-// newTestCluster starts a store, 8 engine servers, 2 plain servers and so many nodes.
+// newTestCluster starts a store, 8 engine servers, 2 plain servers and the given number of
+// nodes.
 func newTestCluster(t *testing.T, nodes int) *testCluster {
 	t.Helper()
 	cluster := &testCluster{t: t, data: standin.NewStore(), client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
@@ -140,7 +141,7 @@
 	return conn
 }
 
-// start starts a node with these seeds.
+// start starts the node of this index in the cluster, with these seeds.
 func (cluster *testCluster) start(index int, seeds ...string) {
 	t := cluster.t
 	listeners := node.Listeners{Callers: listen(t), Directory: listen(t), Readiness: listen(t), Control: listen(t), Gossip: listenDatagrams(t), Metrics: listen(t)}
@@ -225,7 +226,7 @@
 	cluster.t.Fatal("condition did not hold within 15 s: " + what)
 }
 
-// completeStream returns the complete body of a stream with so many events.
+// completeStream returns the complete body of a stream with the given number of events.
 func completeStream(events int) string {
 	var text strings.Builder
 	for number := 1; number <= events; number++ {
@@ -343,8 +344,8 @@
 }
 
 // restartMembers restarts a member of each group but one under its former ID while
-// streams run. The restarted member is in no group, and no stream that breaks off there
-// may count as complete.
+// streams run. The restarted member is in no group. A stream that broke off at it must not
+// count as complete, and must be completed elsewhere.
 func (cluster *testCluster) restartMembers() {
 	heads := cluster.fleet.OpenHeads()["m0"]
 	cluster.interruptStreams("again-", func() {
--- a/node/nodes.go
+++ b/node/nodes.go
@@ -21,8 +21,8 @@
 	Gossip      string          `json:"gossip,omitempty"` // UDP address; empty: the node's version has no gossip
 	Capacity    float64         `json:"capacity"`         // in processor cores
 	Stopping    bool            `json:"stopping"`
-	// Watched says that the record has no lease: it stays until another node finds this
-	// one dead.
+	// Watched states that the record has no lease: it stays until another node finds the
+	// record's node dead.
 	Watched bool `json:"watched"`
 }
 
@@ -33,7 +33,8 @@
 	return record == other
 }
 
-// applyNode applies a node's record and reports whether the nodes have changed.
+// applyNode applies a node's record and reports whether the nodes have changed. The caller
+// holds the mutex.
 func (fleet *fleet) applyNode(record shedkeel.Record, now time.Duration) bool {
 	if record.Gone {
 		return fleet.removeOrRetain(record.Key, now, func() { delete(fleet.nodes, record.Key) })
@@ -129,9 +130,10 @@
 // Addresses returns the callers' addresses of the nodes that serve, those of the given
 // availability zone first. It is empty while this node knows too little to serve.
 //
-// A record only proves that the node wrote it at some time. During an outage of the
-// store, or when no node removed the record, a node that had lost power was named for
-// seconds and callers failed to connect. So the failure detector is asked as well.
+// A record only proves that the node wrote it at some time: during an outage of the store,
+// or until another node removes the record, a node that lost power stays listed, and
+// callers would fail to connect to it. So nodes that the failure detector does not consider
+// alive or suspected are left out.
 func (node *Node) Addresses(zone string) []string {
 	fleet := &node.fleet
 	fleet.mutex.Lock()
--- a/node/operator_test.go
+++ b/node/operator_test.go
@@ -29,7 +29,7 @@
 		return strings.Contains(status.String(), "groups: ") && !strings.Contains(status.String(), "groups: 0 open")
 	})
 	assert.Assert(t, strings.Contains(status.String(), "2 nodes, planned by node-"), status.String())
-	assert.Assert(t, strings.Contains(status.String(), "plain-0"), "a server outside of groups")
+	assert.Assert(t, strings.Contains(status.String(), "plain-0"), "the status lists the plain server plain-0")
 
 	leader := client
 	view, err := client.Status(t.Context())
@@ -74,5 +74,5 @@
 	defer func() { _ = response.Body.Close() }()
 	page, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
-	assert.Assert(t, strings.Contains(string(page), `groups{state="open"}`), "groups by state")
+	assert.Assert(t, strings.Contains(string(page), `groups{state="open"}`), "the metrics count groups by state")
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -26,10 +26,10 @@
 	mutex         sync.Mutex
 	nodes         []nodeRecord                            // listed nodes in the order of compareNodes, including this one
 	alive         []nodeRecord                            // those of them that are alive
-	aliveVersion  atomic.Uint64                           // how often alive has changed
+	aliveVersion  atomic.Uint64                           // number of times that alive has changed
 	aliveSince    time.Duration                           // when alive last changed
 	lastJoin      time.Duration                           // when a node was last listed that was not listed before
-	granters      map[shedkeel.InstanceID]shedkeel.NodeID // cache of granter; nil: alive has changed since
+	granters      map[shedkeel.InstanceID]shedkeel.NodeID // cache for the method granter; nil: empty, as after a change of alive
 	known         map[shedkeel.NodeID]*peer
 	seeds         []*peer // from the settings; used while no other nodes are known
 	startupRelays []*peer // relays that were asked at the start
@@ -47,8 +47,8 @@
 	node          *Node
 	wire          *wire.Peer
 	priorityWire  *wire.Peer // connection for calls that must not wait while wire connects
-	followFailure failure    // as a node to follow
-	spreadFailure failure    // as the node that places requests for the fleet
+	followFailure failure    // latest failure as the node that this one follows
+	spreadFailure failure    // latest failure as the node that places requests for the fleet
 }
 
 // prepare creates the peers for the seeds. The address of a seed serves as its ID until
@@ -68,7 +68,7 @@
 	return &peer{id: id, node: peers.node, wire: &wire.Peer{Address: address, Key: key}, priorityWire: &wire.Peer{Address: address, Key: key}}
 }
 
-// update replaces the known nodes. It closes the connections to nodes that are no longer
+// update replaces the known nodes, which are in the order of compareNodes. It closes the connections to nodes that are no longer
 // listed or have another address.
 func (peers *peers) update(nodes []nodeRecord) {
 	peers.mutex.Lock()
@@ -135,8 +135,8 @@
 	peers.aliveVersion.Add(1)
 }
 
-// aliveFraction returns which fraction of the listed nodes is alive, not counting stopping
-// nodes, and since when the set of alive nodes is unchanged.
+// aliveFraction returns the fraction of the listed nodes that are alive, not counting
+// stopping nodes, and the time of the last change of the alive nodes.
 func (peers *peers) aliveFraction() (fraction float64, since time.Duration) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
--- a/node/peers_test.go
+++ b/node/peers_test.go
@@ -12,20 +12,20 @@
 func TestChoose(t *testing.T) {
 	cases := map[string]struct {
 		own          shedkeel.NodeID
-		nodes        []nodeRecord // listed nodes, including itself
-		failed       []shedkeel.NodeID
-		wantFollowed string // "": the key-value service
+		nodes        []nodeRecord      // listed nodes, including itself
+		failed       []shedkeel.NodeID // nodes that failed to answer just now
+		wantFollowed string            // "": the key-value service
 	}{
-		"alone":                             {"a", fourNodes[:1], nil, ""},
-		"not listed yet, and none is":       {"a", nil, nil, ""},
-		"not listed yet, others are":        {"d", fourNodes[:3], nil, "b"},
-		"the second follows the service":    {"b", fourNodes, nil, ""},
-		"the first follows the second":      {"a", fourNodes, nil, "b"},
-		"others follow the second":          {"c", fourNodes, nil, "b"},
-		"the second has failed":             {"c", fourNodes, []shedkeel.NodeID{"b"}, "a"},
-		"the second has failed, seen first": {"a", fourNodes, []shedkeel.NodeID{"b"}, ""},
-		"both have failed":                  {"d", fourNodes, []shedkeel.NodeID{"a", "b"}, "b"},
-		"another one has failed":            {"d", fourNodes, []shedkeel.NodeID{"c"}, "b"},
+		"alone":                                     {"a", fourNodes[:1], nil, ""},
+		"not listed yet, and none is":               {"a", nil, nil, ""},
+		"not listed yet, others are":                {"d", fourNodes[:3], nil, "b"},
+		"the second follows the service":            {"b", fourNodes, nil, ""},
+		"the first follows the second":              {"a", fourNodes, nil, "b"},
+		"others follow the second":                  {"c", fourNodes, nil, "b"},
+		"the second has failed":                     {"c", fourNodes, []shedkeel.NodeID{"b"}, "a"},
+		"the second has failed, as the first finds": {"a", fourNodes, []shedkeel.NodeID{"b"}, ""},
+		"both have failed":                          {"d", fourNodes, []shedkeel.NodeID{"a", "b"}, "b"},
+		"another one has failed":                    {"d", fourNodes, []shedkeel.NodeID{"c"}, "b"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/node/registrar.go
+++ b/node/registrar.go
@@ -15,10 +15,10 @@
 	// registerBatchDelay is how long the records of nodes that start together are
 	// collected. Each write costs one call, however many records it has.
 	registerBatchDelay = 100 * time.Millisecond
-	// registerWriteTimeout limits the write.
+	// registerWriteTimeout limits the time of the write of a batch.
 	registerWriteTimeout = time.Second
-	// registerTimeout limits a node's request to have its record written. After it the
-	// node writes the record itself.
+	// registerTimeout limits the time that a node waits for another node to write its
+	// record. After that the node writes the record itself.
 	registerTimeout = registerBatchDelay + registerWriteTimeout + 200*time.Millisecond
 )
 
--- a/node/registrar_test.go
+++ b/node/registrar_test.go
@@ -22,18 +22,19 @@
 	return value
 }
 
-// TestRegistrationsAreWrittenTogether has many nodes ask one at once to write their records.
-// Separate writes were most of the calls to the service when a fleet started.
+// TestRegistrationsAreWrittenTogether has many nodes ask one node at the same time to write
+// their records. Separate writes would be most of the calls to the service when a fleet
+// starts, so the records must be written in as few calls as possible.
 func TestRegistrationsAreWrittenTogether(t *testing.T) {
 	cases := map[string]struct {
 		nodes      int
-		mismatched int // nodes whose record is that of another node
+		mismatched int // nodes that send the record of another node, which is refused
 		fails      bool
-		writes     int
+		writes     int // calls to the service, each with at most shedkeel.MaxEntries (32) records
 	}{
-		"one":                         {1, 0, false, 1},
+		"one node":                    {1, 0, false, 1},
 		"as many as fit in one write": {32, 0, false, 1},
-		"more":                        {70, 0, false, 3},
+		"more than fit in two writes": {70, 0, false, 3},
 		"some send another's record":  {33, 3, false, 1},
 		"the service fails":           {40, 0, true, 2},
 		"all send another's record":   {5, 5, false, 0},
@@ -75,7 +76,7 @@
 			for index, confirmed := range written {
 				key := nodePrefix + fmt.Sprint("n-", index)
 				assert.Equal(t, confirmed, !test.fails && index >= test.mismatched, key)
-				assert.Equal(t, listed[key] == 1, confirmed, "a write is confirmed exactly if the record was written: %s", key)
+				assert.Equal(t, listed[key] == 1, confirmed, "a write is confirmed if and only if the record was written: %s", key)
 			}
 		})
 	}
@@ -89,10 +90,10 @@
 		stopping      bool
 		wantOwnWrites int // writes by the node itself
 	}{
-		"it writes":       {func(other *Node) wire.Handler { return &other.peers }, false, 0},
-		"this node stops": {func(other *Node) wire.Handler { return &other.peers }, true, 1},
-		"it is down":      {nil, false, 1},
-		"it does not write": {func(other *Node) wire.Handler {
+		"the followed node writes":  {func(other *Node) wire.Handler { return &other.peers }, false, 0},
+		"this node stops":           {func(other *Node) wire.Handler { return &other.peers }, true, 1},
+		"the followed node is down": {nil, false, 1},
+		"the followed node fails to write": {func(other *Node) wire.Handler {
 			other.Store = &leaseStore{commit: func(shedkeel.Change) (int64, error) { return 0, &shedkeel.UnavailableError{What: "service"} }}
 			return &other.peers
 		}, false, 1},
@@ -128,7 +129,7 @@
 			started := time.Now()
 			assert.Assert(t, node.member.step(t.Context()))
 			assert.Equal(t, own, test.wantOwnWrites)
-			assert.Assert(t, node.member.isRecordCurrent(), "it knows that it is listed")
+			assert.Assert(t, node.member.isRecordCurrent(), "the node knows that it is listed")
 			assert.Assert(t, time.Since(started) < registerTimeout)
 		})
 	}
--- a/node/relay.go
+++ b/node/relay.go
@@ -12,15 +12,17 @@
 )
 
 const (
-	// relayTimeoutMargin is the time for a long poll of another mirror beyond its wait.
+	// relayTimeoutMargin is how much longer than its wait a long poll of another node's
+	// mirror may take.
 	relayTimeoutMargin = 400 * time.Millisecond
-	// copyTimeoutMargin is the same for a complete copy, which many nodes that start
+	// copyTimeoutMargin is how much longer a poll for a complete copy may take, which many nodes that start
 	// together request from a few.
 	copyTimeoutMargin = 3 * time.Second
 )
 
-// Relay requests the changes since a revision from the node's mirror. A node that fails
-// or has an old copy is not followed for a while.
+// Relay requests the changes since a revision from the node's mirror. A node that fails,
+// whose own source is unreachable or whose copy is too old is not followed for
+// followBackoff.
 func (peer *peer) Relay(ctx context.Context, since shedkeel.Revision, wait time.Duration) (mirror.Update, error) {
 	update, err := peer.fetchUpdate(ctx, since, wait)
 	if err != nil && ctx.Err() == nil || err == nil && (update.SourceUnreachable || -update.AsOf > peer.maxCopyAge()) {
@@ -29,7 +31,7 @@
 	return update, err
 }
 
-// maxCopyAge returns the maximum age of the node's copy for the node to be followed.
+// maxCopyAge returns the maximum age of a node's copy for the node to be followed.
 func (peer *peer) maxCopyAge() time.Duration {
 	if peer.node.peers.hops() > 1 {
 		return maxRelayAge
@@ -37,9 +39,9 @@
 	return maxSourceAge
 }
 
-// fetchUpdate requests records as differences from their former values. If this node has
-// another former value, because the service itself sent it one meanwhile, it requests
-// complete records.
+// fetchUpdate requests records as differences from their former values. If this node's
+// value is not the one that a difference starts from, because it got another value from the
+// service itself meanwhile, it requests complete records.
 func (peer *peer) fetchUpdate(ctx context.Context, since shedkeel.Revision, wait time.Duration) (mirror.Update, error) {
 	margin := relayTimeoutMargin
 	if !since.Exists() {
@@ -54,7 +56,8 @@
 	return update, err
 }
 
-// HasCopy asks whether the node's mirror has a copy.
+// HasCopy asks whether the node's mirror has a copy. The node answers once it has one, or
+// after the wait. Its answer also states how many nodes it knows.
 func (peer *peer) HasCopy(ctx context.Context, wait time.Duration) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+relayTimeoutMargin)
 	defer cancel()
--- a/node/report.go
+++ b/node/report.go
@@ -9,7 +9,7 @@
 	"shedkeel.org/shedkeel/formation"
 )
 
-// report logs and exports once per second the values that no event reports.
+// report logs and exports the values that no event reports. It is called once per second.
 func (node *Node) report(now time.Duration) {
 	node.Log.Report()
 	node.gossip.logExclusions(node.peers.listed())
--- a/node/restore.go
+++ b/node/restore.go
@@ -17,9 +17,9 @@
 	node.guard.recheckAll()
 }
 
-// retainLostRecords retains the records that the restored snapshot lacks until their
-// owners have written them again. The records that it has are compared with the known
-// ones, which may be newer.
+// retainLostRecords has the records that the restored snapshot lacks retained for
+// deletedRecordHold, in which their owners write them again. The records that the snapshot
+// has are compared with the known ones, which may be newer.
 func (fleet *fleet) retainLostRecords() {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -70,7 +70,7 @@
 }
 
 // TestOrdersAreKnownAfterARestore checks that the planner does not use an older group
-// membership from the snapshot: the server's later orders are known.
+// membership from the snapshot if the node knows that the server carried out later orders.
 func TestOrdersAreKnownAfterARestore(t *testing.T) {
 	node, timers := newTestNode(t)
 	node.Decoder = platform.Decoder{}
@@ -91,8 +91,8 @@
 }
 
 // TestLeadEndsWithTheEra restores a snapshot with the leader's record, whose lease may belong
-// to another node now. No node may lead by that record, and new terms must be above those
-// that the snapshot lacks.
+// to another node now. No node may lead by that record, and new terms must be above all
+// terms of the earlier era, also those that the snapshot lacks.
 func TestLeadEndsWithTheEra(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
 	var last shedkeel.Change
@@ -122,7 +122,7 @@
 	node.member.lastAttempt = timers.Now()
 	node.member.dirty.Store(false)
 	node.member.tick(t.Context())
-	assert.Equal(t, writes, 0, "it is listed")
+	assert.Equal(t, writes, 0, "no write is due while the node is listed")
 	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: 1, Number: 1}, AsOf: timers.Now()})
 	node.member.tick(t.Context())
 	assert.Equal(t, writes, 1)
@@ -176,13 +176,13 @@
 // TestRemovals checks how long a removed server is remembered and withheld from requests.
 func TestRemovals(t *testing.T) {
 	cases := map[string]struct {
-		era      int64 // of the record that is back
-		at       time.Duration
-		withheld bool
+		era      int64         // of the record with which the server returns; it was removed in era 0
+		at       time.Duration // from the removal until the return
+		withheld bool          // after the return, for restoredServerHold
 	}{
-		"in the same era":       {0, time.Second, false},
-		"in a later one":        {1, time.Second, true},
-		"in a later one, later": {1, removalRetention, false},
+		"in the same era":                     {0, time.Second, false},
+		"in a later era":                      {1, time.Second, true},
+		"in a later era, after the retention": {1, removalRetention, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -194,23 +194,23 @@
 			assert.Equal(t, removals.expire(test.at+restoredServerHold), test.withheld)
 			assert.Assert(t, !removals.withheld("a"))
 			removals.recordReturn("a", test.era, test.at+restoredServerHold)
-			assert.Assert(t, !removals.withheld("a"), "it still writes its record")
+			assert.Assert(t, !removals.withheld("a"), "a server that has returned may write its record again")
 		})
 	}
 }
 
 // TestPlannerWaitsForRecordsAfterARestore restores the service while a node plans, or before
 // it starts. The planner gives no orders until servers have had time to write their records
-// again. With an older record, a member of a serving group was ordered to become a standby.
+// again. By an older record it could order a member of a serving group to become a standby.
 func TestPlannerWaitsForRecordsAfterARestore(t *testing.T) {
 	cases := map[string]struct {
 		before, after int64 // eras
 		waits         bool
 	}{
-		"no restore":          {0, 0, false},
-		"a restore":           {0, 1, true},
-		"another one":         {2, 3, true},
-		"one before it began": {1, 1, true},
+		"no restore":                        {0, 0, false},
+		"a restore":                         {0, 1, true},
+		"a later restore":                   {2, 3, true},
+		"a restore before the node started": {1, 1, true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/node/restored_service_test.go
+++ b/node/restored_service_test.go
@@ -19,14 +19,13 @@
 )
 
 // TestRestoredServiceIsFollowed restores the service and checks that later changes become
-// active at all nodes within maxApplyDelay. After a restore from a snapshot some seconds old,
-// routes added since were refused with 404, and requests were sent to servers 2 s after they
-// had reported that they drain.
+// active at all nodes within maxApplyDelay: a new configuration, whose keys are then accepted
+// or refused, and the drain of a server, which then gets no requests.
 func TestRestoredServiceIsFollowed(t *testing.T) {
 	cases := map[string]struct {
 		restores int
-		// overtaken says that the service changes so often before nodes reach it that its
-		// revisions exceed those that they know.
+		// overtaken states that the restored service changes so often before nodes reach it
+		// that its revisions exceed those that the nodes know.
 		overtaken bool
 	}{
 		"revisions below those known": {1, false},
@@ -75,7 +74,7 @@
 	}
 }
 
-// changeUnusedRecords makes so many changes of records that no node uses.
+// changeUnusedRecords makes count changes of records that no node uses.
 func (cluster *testCluster) changeUnusedRecords(count int) {
 	for index := range count {
 		_, err := cluster.data.Commit(shedkeel.Change{Put: []shedkeel.Put{{Key: fmt.Sprint("other/", index%7), Value: fmt.Append(nil, index)}}})
--- a/node/subscribers.go
+++ b/node/subscribers.go
@@ -7,7 +7,7 @@
 	"shedkeel.org/shedkeel"
 )
 
-// subscriberTTL is how long a node counts after its last question.
+// subscriberTTL is how long a node counts as a subscriber after it last asked for records.
 const subscriberTTL = 5 * time.Second
 
 // subscribers are the nodes that asked this one for records recently. The zero value is
@@ -17,7 +17,7 @@
 	lastAsked map[shedkeel.NodeID]time.Duration // when each node last asked
 }
 
-// note notes that a node asks now.
+// note records that a node asks now. A node without an ID is ignored.
 func (subscribers *subscribers) note(id shedkeel.NodeID, now time.Duration) {
 	if id == "" {
 		return
@@ -30,7 +30,8 @@
 	subscribers.lastAsked[id] = now
 }
 
-// count returns the number of nodes that asked recently, plus this one.
+// count returns the number of nodes that asked within subscriberTTL, plus 1 for this node.
+// It forgets the others.
 func (subscribers *subscribers) count(now time.Duration) int {
 	subscribers.mutex.Lock()
 	defer subscribers.mutex.Unlock()
