--- a/mutants_test.go
+++ b/mutants_test.go
@@ -56,7 +56,7 @@
 		"node/fleet.go", "until := fleet.coldUntil[key]", "until := 0 * fleet.coldUntil[key]", "TestColdServersGetLittle", "./node",
 	},
 	"cold servers: they count as warm after an evacuation": {
-		"node/fleet.go", "until = max(until, since+service.ColdTime)", "until = max(until, 0*since)", "TestColdServersGetLittle", "./node",
+		"node/fleet.go", "until = max(until, endedAt+service.ColdTime)", "until = max(until, 0*endedAt)", "TestColdServersGetLittle", "./node",
 	},
 	"start of a fleet: nobody waits for the seeds": {
 		"mirror/bootstrap.go", "|| bootstrap.firstStart.Load()", "", "TestSimultaneousStart", "./mirror",
@@ -92,7 +92,7 @@
 		"node/election.go", ", era*termsPerEra) + 1", ", 0*era) + 1", "TestLeadEndsWithTheEra", "./node",
 	},
 	"restored store: a drain goes back": {
-		"node/fleet.go", "wasReady := known.Draining && !instance.Draining", "wasReady := false", "TestServersAfterARestore", "./node",
+		"node/fleet.go", "predatesDrain := known.Draining && !instance.Draining", "predatesDrain := false", "TestServersAfterARestore", "./node",
 	},
 	"restored store: a removed server is used again": {
 		"node/removal.go", "case era > known.era:", "case false:", "TestServersAfterARestore", "./node",
@@ -101,7 +101,7 @@
 		"node/restore.go", "fleet.outageUntil = fleet.node.Timers.Now() + deletedRecordHold", "", "TestServersAfterARestore", "./node",
 	},
 	"restored store: orders go back": {
-		"node/fleet.go", "(wasReady || instance.Sequence < known.Sequence)", "wasReady", "TestOrdersAreKnownAfterARestore", "./node",
+		"node/fleet.go", "(predatesDrain || instance.Sequence < known.Sequence)", "predatesDrain", "TestOrdersAreKnownAfterARestore", "./node",
 	},
 	"restored store: nodes that start go by the older configuration": {
 		"node/config.go", "if version >= fleet.configVersion() || !fleet.activeConfig.newerThanStore.Load() {", "if true {", "TestNodeThatStartsAfterARestore", "./node",
@@ -239,7 +239,7 @@
 		"program/node.go", "case <-ctx.Done():\n\t\t\treturn\n", "case <-ctx.Done():\n\t\t\tsignal.Reset(syscall.SIGHUP)\n\t\t\treturn\n", "TestSignalsWhileStopping", "./soak",
 	},
 	"size: a node that lives stays removed": {
-		"node/member.go", "return !membership.isRecordCurrent() && since >= registrationRetry", "return false", "TestWatchedMembership", "./node",
+		"node/member.go", "return !membership.isRecordCurrent() && sinceAttempt >= registrationRetry", "return false", "TestWatchedMembership", "./node",
 	},
 	"lost together: a group is formed anew by the first word": {
 		"formation/repair.go", "	case round.hasProbePending(group):\n", "	case false:\n", "TestServersLostTogether", "./formation",
--- a/node/copies_test.go
+++ b/node/copies_test.go
@@ -70,12 +70,12 @@
 	for _, record := range records {
 		assert.DeepEqual(t, own.mirror.Get(record.Key), record)
 	}
-	plain := 0
+	plainSize := 0
 	for _, record := range records {
-		plain += len(record.Key) + len(record.Value)
+		plainSize += len(record.Key) + len(record.Value)
 	}
-	sent := proto.Size(source.peers.snapshots.Encode(source.mirror.UpdateSince(shedkeel.Revision{}), timers.Now()))
-	t.Logf("%d bytes as records, %d as sent", plain, sent)
-	assert.Assert(t, sent*5 < plain)
-	assert.Assert(t, sent < 160_000)
+	sentSize := proto.Size(source.peers.snapshots.Encode(source.mirror.UpdateSince(shedkeel.Revision{}), timers.Now()))
+	t.Logf("%d bytes as records, %d as sent", plainSize, sentSize)
+	assert.Assert(t, sentSize*5 < plainSize)
+	assert.Assert(t, sentSize < 160_000)
 }
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -144,12 +144,12 @@
 // its sequence is lower, or if the server drains according to the known record only.
 // If only one of the two start times is known (not 0), the record does not count as older.
 func (fleet *fleet) isOutdated(instance, known *shedkeel.Instance) bool {
-	born, knownBorn := instance.ID.Born(), known.ID.Born()
-	if born != knownBorn {
-		return born != 0 && born < knownBorn
+	startedAt, knownStartedAt := instance.ID.Born(), known.ID.Born()
+	if startedAt != knownStartedAt {
+		return startedAt != 0 && startedAt < knownStartedAt
 	}
-	wasReady := known.Draining && !instance.Draining
-	return fleet.afterRestore && (wasReady || instance.Sequence < known.Sequence)
+	predatesDrain := known.Draining && !instance.Draining
+	return fleet.afterRestore && (predatesDrain || instance.Sequence < known.Sequence)
 }
 
 // markUnreadable stops direct requests to a listed server whose record became unreadable and
@@ -291,8 +291,8 @@
 		return
 	}
 	until := fleet.coldUntil[key]
-	if since, evacuated := fleet.evacuationEndedAt[instance.Zone]; evacuated {
-		until = max(until, since+service.ColdTime)
+	if endedAt, wasEvacuated := fleet.evacuationEndedAt[instance.Zone]; wasEvacuated {
+		until = max(until, endedAt+service.ColdTime)
 	}
 	if until > fleet.node.Timers.Now() {
 		fleet.node.limits.markCold(shedkeel.ColdServer{Server: instance.ID, Rate: service.ColdRate, Until: until})
--- a/node/fleetsize_test.go
+++ b/node/fleetsize_test.go
@@ -37,12 +37,12 @@
 	small, err := json.Marshal(newSizeRecord(withControlAddresses(fleetOf(9, 3))))
 	assert.NilError(t, err)
 	cases := map[string]struct {
-		own   string   // control address of the node
-		seeds []string // control addresses
-		value []byte   // of the size record; nil: there is no record
-		list  bool     // the node lists the service's records itself
-		peers int      // number of relays to ask for a copy
-		hint  int64    // number of nodes that the node learns from the record; 0: none
+		own       string   // control address of the node
+		seeds     []string // control addresses
+		value     []byte   // of the size record; nil: there is no record
+		wantList  bool     // the node lists the service's records itself
+		wantPeers int      // number of relays to ask for a copy
+		wantHint  int64    // number of nodes that the node learns from the record; 0: none
 	}{
 		"a fleet's first start":       {"z3-050:1", []string{"z0-000:1"}, nil, false, 0, 0},
 		"a first start, of a seed":    {"z0-000:1", []string{"z0-000:1"}, nil, true, 0, 0},
@@ -64,9 +64,9 @@
 			node.Store = store
 			advice, err := node.peers.advise(t.Context())
 			assert.NilError(t, err)
-			assert.Equal(t, advice.ListSource, test.list)
-			assert.Equal(t, len(advice.Peers), test.peers)
-			assert.Equal(t, node.member.nodeCountHint.Load(), test.hint)
+			assert.Equal(t, advice.ListSource, test.wantList)
+			assert.Equal(t, len(advice.Peers), test.wantPeers)
+			assert.Equal(t, node.member.nodeCountHint.Load(), test.wantHint)
 			for index, peer := range advice.Peers {
 				assert.Assert(t, index > 2 || peer.Name()[:2] == "z3", "%s of another zone is among the first three relays to ask", peer.Name())
 			}
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -53,10 +53,10 @@
 // the loss of a source or relay.
 func TestFollowers(t *testing.T) {
 	cases := map[string]struct {
-		nodes     []nodeRecord
-		down      []int // indexes of lost nodes
-		maxSource int   // most followers of the source
-		maxOther  int   // most followers of any other node
+		nodes              []nodeRecord
+		down               []int // indexes of lost nodes
+		maxSourceFollowers int   // most followers of the source
+		maxOtherFollowers  int   // most followers of any other node
 	}{
 		"a small fleet":                    {fleetOf(9, 3), nil, 8, 0},
 		"the largest without relays":       {fleetOf(maxDirectFollowers, 3), nil, maxDirectFollowers - 1, 0},
@@ -74,16 +74,16 @@
 			if slices.Contains(test.down, 1) {
 				source = 0
 			}
-			most := 0
+			maxFollowers := 0
 			for index, count := range followers {
 				if index != source && index >= 0 {
-					most = max(most, count)
+					maxFollowers = max(maxFollowers, count)
 				}
 			}
-			t.Logf("%d follow the source, at most %d another, %d the service", followers[source], most, followers[-1])
+			t.Logf("%d follow the source, at most %d another, %d the service", followers[source], maxFollowers, followers[-1])
 			assert.Equal(t, followers[-1], 1)
-			assert.Assert(t, followers[source] <= test.maxSource)
-			assert.Assert(t, most <= test.maxOther)
+			assert.Assert(t, followers[source] <= test.maxSourceFollowers)
+			assert.Assert(t, maxFollowers <= test.maxOtherFollowers)
 		})
 	}
 }
@@ -171,9 +171,9 @@
 	}
 }
 
-// TestRelayPassesOn suspects one relay after the other. A node follows another relay each
-// time, and the source when no relay is left.
-func TestRelayPassesOn(t *testing.T) {
+// TestSuspectedRelayIsReplaced suspects one relay after the other. A node must follow another
+// relay each time, and the source when no relay is left.
+func TestSuspectedRelayIsReplaced(t *testing.T) {
 	nodes := fleetOf(300, 9)
 	relays := relayIndexes(nodes)
 	assert.Assert(t, len(relays) > 3)
--- a/node/lapse_test.go
+++ b/node/lapse_test.go
@@ -16,8 +16,8 @@
 // healthy fleet copies may be 1.7 s old, which must not count as an outage.
 func TestGoneServers(t *testing.T) {
 	cases := map[string]struct {
-		age      time.Duration // of the copy when the record is deleted
-		retained bool          // for deletedRecordHold
+		age          time.Duration // of the copy when the record is deleted
+		wantRetained bool          // for deletedRecordHold
 	}{
 		"a fresh copy":                   {300 * time.Millisecond, false},
 		"an old copy in a healthy fleet": {2 * time.Second, false},
@@ -30,7 +30,7 @@
 			timers.Advance(test.age)
 			node.fleet.tick(timers.Now())
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: "servers/a", Revision: shedkeel.Revision{Number: 2}, Gone: true}}})
-			assert.Equal(t, len(node.fleet.instances) == 1, test.retained)
+			assert.Equal(t, len(node.fleet.instances) == 1, test.wantRetained)
 
 			timers.Advance(deletedRecordHold)
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now()})
@@ -46,9 +46,9 @@
 // directory would name it for deletedRecordHold more.
 func TestGoneNodes(t *testing.T) {
 	cases := map[string]struct {
-		before   shedkeel.Liveness // when its record is deleted
-		after    shedkeel.Liveness // a tick later
-		retained bool              // after that tick
+		before       shedkeel.Liveness // when its record is deleted
+		after        shedkeel.Liveness // a tick later
+		wantRetained bool              // after that tick
 	}{
 		"it is alive":                           {shedkeel.Alive, shedkeel.Alive, true},
 		"it is suspected":                       {shedkeel.Suspected, shedkeel.Suspected, true},
@@ -71,7 +71,7 @@
 			detector.liveness["b"] = test.after
 			timers.Advance(fleetTick)
 			node.fleet.tick(timers.Now())
-			assert.Equal(t, len(node.peers.listed()) == 1, test.retained)
+			assert.Equal(t, len(node.peers.listed()) == 1, test.wantRetained)
 			timers.Advance(deletedRecordHold)
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now()})
 			node.fleet.tick(timers.Now())
--- a/node/member.go
+++ b/node/member.go
@@ -83,19 +83,19 @@
 
 // due reports whether it is time to call the service.
 func (membership *membership) due(now time.Duration) bool {
-	since := now - membership.lastAttempt
+	sinceAttempt := now - membership.lastAttempt
 	state := membership.node.mirror.State()
 	switch {
 	case membership.lastAttempt == 0:
 		return state.Known // a node without a copy can't serve callers, so it is not listed
 	case !membership.listed.Load():
-		return since >= membership.retryDelay(state.AsOf)
+		return sinceAttempt >= membership.retryDelay(state.AsOf)
 	case membership.dirty.Load() || membership.needsNoLease() != membership.unleased.Load():
 		return true
 	case membership.unleased.Load():
-		return !membership.isRecordCurrent() && since >= registrationRetry
+		return !membership.isRecordCurrent() && sinceAttempt >= registrationRetry
 	}
-	return since >= membership.lease.ttl/renewalsPerTTL
+	return sinceAttempt >= membership.lease.ttl/renewalsPerTTL
 }
 
 // retryDelay returns the delay after a failed call, given when the service last answered
@@ -130,10 +130,10 @@
 // step makes one attempt to list the node, with or without a lease as the fleet's size
 // requires, and reports whether the node is listed.
 func (membership *membership) step(ctx context.Context) bool {
-	watched := membership.needsNoLease()
-	membership.unleased.Store(watched)
+	unleased := membership.needsNoLease()
+	membership.unleased.Store(unleased)
 	var listed bool
-	if watched {
+	if unleased {
 		listed = membership.keepUnleased(ctx)
 	} else {
 		listed = membership.keepLeased(ctx)
--- a/node/registrar_test.go
+++ b/node/registrar_test.go
@@ -30,7 +30,7 @@
 		nodes      int
 		mismatched int // nodes that send the record of another node, which is refused
 		fails      bool
-		writes     int // calls to the service, each with at most shedkeel.MaxEntries (32) records
+		wantWrites int // calls to the service, each with at most shedkeel.MaxEntries (32) records
 	}{
 		"one node":                    {1, 0, false, 1},
 		"as many as fit in one write": {32, 0, false, 1},
@@ -72,7 +72,7 @@
 				})
 			}
 			asking.Wait()
-			assert.Equal(t, writes, test.writes)
+			assert.Equal(t, writes, test.wantWrites)
 			for index, confirmed := range written {
 				key := nodePrefix + fmt.Sprint("n-", index)
 				assert.Equal(t, confirmed, !test.fails && index >= test.mismatched, key)
--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -205,7 +205,7 @@
 func TestPlannerWaitsForRecordsAfterARestore(t *testing.T) {
 	cases := map[string]struct {
 		before, after int64 // eras
-		waits         bool
+		wantWaits     bool
 	}{
 		"no restore":                        {0, 0, false},
 		"a restore":                         {0, 1, true},
@@ -225,9 +225,9 @@
 				timers.Advance(time.Minute)
 				apply(test.after)
 			}
-			assert.Equal(t, node.controller.recordsRewritten(timers.Now()), !test.waits)
+			assert.Equal(t, node.controller.recordsRewritten(timers.Now()), !test.wantWaits)
 			timers.Advance(deletedRecordHold - 1)
-			assert.Equal(t, node.controller.recordsRewritten(timers.Now()), !test.waits)
+			assert.Equal(t, node.controller.recordsRewritten(timers.Now()), !test.wantWaits)
 			timers.Advance(1)
 			assert.Assert(t, node.controller.recordsRewritten(timers.Now()))
 		})
