--- a/node/config_test.go
+++ b/node/config_test.go
@@ -82,7 +82,7 @@
 	}
 	cases := map[string]struct {
 		packed []byte
-		want   int64
+		want   int64 // version of the active configuration; it was 6 before
 	}{
 		"newer":          {pack(string(configRecord(8, 0, 0).Value)), 8},
 		"the same":       {pack(string(configRecord(6, 0, 0).Value)), 6},
--- a/node/copies_test.go
+++ b/node/copies_test.go
@@ -41,8 +41,8 @@
 
 // TestWholeCopyIsSmall transfers a complete copy to a node without one over a real
 // connection. The copy must be small enough for three boxes to send it to a hundred other
-// nodes each within 0.5 s over links of 200 Mbit/s. It is limited to 160 kB and to a fifth
-// of the records' size.
+// nodes each within 0.5 s over links of 200 Mbit/s. The test's limits are 160 kB and a
+// fifth of the records' size.
 func TestWholeCopyIsSmall(t *testing.T) {
 	listener := listenHere(t)
 	source, timers := newTestNode(t)
--- a/node/directory_test.go
+++ b/node/directory_test.go
@@ -38,7 +38,7 @@
 		"their records are deleted while the store seems unavailable": {2, func(cluster *testCluster, keys []string) {
 			cluster.data.SetFaults(standin.Faults{Outage: true})
 			go func() {
-				time.Sleep(4 * time.Second)
+				time.Sleep(4 * time.Second) // until copies are older than outageAge, so that deleted records are retained
 				_, err := cluster.data.Commit(shedkeel.Change{Remove: keys})
 				assert.Check(cluster.t, err)
 				cluster.data.SetFaults(standin.Faults{})
--- a/node/member.go
+++ b/node/member.go
@@ -100,8 +100,8 @@
 
 // retryDelay returns the delay after a failed call, given when the service last answered
 // any node.
-func (membership *membership) retryDelay(answered time.Duration) time.Duration {
-	if answered > membership.lastAttempt {
+func (membership *membership) retryDelay(lastAnswer time.Duration) time.Duration {
+	if lastAnswer > membership.lastAttempt {
 		return registrationRetry
 	}
 	return maxRegistrationRetry
--- a/node/member_test.go
+++ b/node/member_test.go
@@ -16,9 +16,9 @@
 func TestListedByFleetSize(t *testing.T) {
 	cases := map[string]struct {
 		nodes      int
-		ttl        time.Duration
-		wantLease  int64 // lease of the record in the end; 0: none
-		wantGrants int64 // leases acquired
+		wantTTL    time.Duration // lease time that the node asks for in the end
+		wantLease  int64         // lease of the record in the end; 0: none
+		wantGrants int64         // leases acquired
 	}{
 		"none is known yet": {0, largeFleetTTL, 1, 1},
 		"a small fleet":     {9, smallFleetTTL, 2, 2},
@@ -43,7 +43,7 @@
 			for range 3 {
 				assert.Assert(t, node.member.step(t.Context()))
 			}
-			assert.Equal(t, node.member.lease.ttl, test.ttl)
+			assert.Equal(t, node.member.lease.ttl, test.wantTTL)
 			assert.Equal(t, lease.Number, test.wantLease)
 			assert.Equal(t, store.granted.Number, test.wantGrants, "more or fewer leases were acquired than needed")
 		})
--- a/node/node.go
+++ b/node/node.go
@@ -39,7 +39,7 @@
 	retryBudgetFraction = 0.7
 	// proofAgeFraction is the fraction of the revocation bound for which a proof that
 	// the configuration is current stays valid. A watch may miss changes for up to
-	// 1 s; with that, the sum stays within a revocation bound of 5 s. In normal
+	// 1 s. The age of a proof and that time together stay below a revocation bound of 5 s. In normal
 	// operation a proof is up to 1.1 s old, so a smaller fraction would refuse requests
 	// at nodes that the platform still counts as connected.
 	proofAgeFraction = 0.76
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -226,7 +226,8 @@
 	cluster.t.Fatal("condition did not hold within 15 s: " + what)
 }
 
-// completeStream returns the complete body of a stream with the given number of events.
+// completeStream returns the complete body of a stream with the given number of events. A
+// server sends one event for each 5 answer tokens that a request asks for.
 func completeStream(events int) string {
 	var text strings.Builder
 	for number := 1; number <= events; number++ {
--- a/node/peers.go
+++ b/node/peers.go
@@ -33,7 +33,7 @@
 	known         map[shedkeel.NodeID]*peer
 	seeds         []*peer // from the settings; used while no other nodes are known
 	startupRelays []*peer // relays that were asked at the start
-	// random is used only with the mutex held, and nowhere else.
+	// random is used only with the mutex held, and is not shared with other parts.
 	random shedkeel.Random
 
 	encoder   transfer.Encoder
--- a/node/registrar.go
+++ b/node/registrar.go
@@ -37,8 +37,8 @@
 	puts      map[string]shedkeel.Put // by key; guarded by the registrar's mutex
 	full      chan struct{}           // closed once the batch accepts no more records
 	done      chan struct{}           // closed once the outcome is known
-	revision  shedkeel.Revision
-	err       error
+	revision  shedkeel.Revision       // of the write; set before done is closed
+	err       error                   // of the write; set before done is closed
 }
 
 // handle answers a node that asks to have its record written.
