--- a/capacity_test.go
+++ b/capacity_test.go
@@ -95,8 +95,7 @@
 }
 
 // notWholeFraction queries the status of one keeper every 0.5 s for capacityTime. It
-// returns the
-// fraction of the group states seen that were not whole.
+// returns the fraction of the group states seen that were not whole.
 func (fleet *keeperFleet) notWholeFraction(t *testing.T, client *operator.Client, groups int) float64 {
 	t.Helper()
 	seen, whole := 0, 0
--- a/group/repair.go
+++ b/group/repair.go
@@ -78,7 +78,7 @@
 
 // membersToReplace returns the indexes of the members that have failed and of
 // those that are leaving. A silent member counts as failed unless it is
-// withinPatience, which makes a substitute load the weights meanwhile.
+// withinReplaceAfter, which makes a substitute load the weights meanwhile.
 func (round *round) membersToReplace(group *shedkeel.Group) (failed, leaving []int) {
 	for position, member := range group.Members {
 		switch round.condition(member) {
@@ -87,7 +87,7 @@
 		case conditionLeaving:
 			leaving = append(leaving, position)
 		case conditionSilent:
-			if round.withinPatience(group, member) {
+			if round.withinReplaceAfter(group, member) {
 				round.recordDecision(group.ID, member.Box, "wait", "it has been silent for less than the patience of the policy")
 				continue
 			}
@@ -98,12 +98,12 @@
 	return failed, leaving
 }
 
-// withinPatience reports whether a silent member must not be replaced yet, because
+// withinReplaceAfter reports whether a silent member must not be replaced yet, because
 // it has been silent for less than ReplaceAfter. If the best substitute
 // lacks the weights, it is made to load them. If it has them, the limit is
 // WarmReplaceAfter in place of ReplaceAfter, because a replacement is then cheap and
 // waiting is rarely worth it.
-func (round *round) withinPatience(group *shedkeel.Group, member shedkeel.Member) bool {
+func (round *round) withinReplaceAfter(group *shedkeel.Group, member shedkeel.Member) bool {
 	patience := round.input.Table.ReplaceAfter
 	for _, substitute := range round.substitutes(group, 1) {
 		if hasWeights(substitute, group.Service) {
--- a/route/router.go
+++ b/route/router.go
@@ -98,7 +98,7 @@
 	pool.update(targets, now)
 }
 
-// Forget drops all services that are not in the list.
+// RetainServices drops all services that are not in the list.
 func (router *Router) RetainServices(services []shedkeel.ServiceID) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
