--- a/admit/admit.go
+++ b/admit/admit.go
@@ -123,10 +123,11 @@
 	TargetCapacity int                          // requests that the chosen target runs concurrently
 }
 
-// Enter admits a request, or returns a NotRunError with the time after which to
-// retry (from minRetryAfter to maxRetryAfter). It refuses a request whose estimated wait exceeds its deadline. While the
-// service is busy, it also refuses requests of accounts that have their fair share
-// in flight. The caller must call Leave for each admitted request.
+// Enter admits a request, or returns a NotRunError with the time after which to retry
+// (from minRetryAfter to maxRetryAfter). It refuses a request whose estimated wait
+// exceeds its deadline. While the service is busy, it also refuses requests of accounts
+// that have their fair share in flight. The caller must call Leave for each admitted
+// request.
 func (gate *Gate) Enter(request Request) error {
 	gate.mutex.Lock()
 	defer gate.mutex.Unlock()
--- a/contain/ledger.go
+++ b/contain/ledger.go
@@ -103,8 +103,9 @@
 	return before, entry.copy()
 }
 
-// Merge adds the record of another ledger. The record of the later round replaces the other;
-// records of the same round are combined, up to containThreshold servers. It returns the record of the request and whether it changed.
+// Merge adds the record of another ledger. The record of the later round replaces the
+// other; records of the same round are combined, up to containThreshold servers. It
+// returns the record of the request and whether it changed.
 func (ledger *Ledger) Merge(other shedkeel.Blame) (shedkeel.Blame, bool) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
--- a/dispatch/condition.go
+++ b/dispatch/condition.go
@@ -103,8 +103,8 @@
 	return draining
 }
 
-// Conditions returns how many servers have asked for a backoff that has not ended, and how many have said that they drain. A
-// server to which both apply counts as draining.
+// Conditions returns how many servers have asked for a backoff that has not ended, and
+// how many have said that they drain. A server to which both apply counts as draining.
 func (table *Table) Conditions(now time.Duration) (backingOff, draining int) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
--- a/dispatch/spread.go
+++ b/dispatch/spread.go
@@ -171,8 +171,9 @@
 	return total
 }
 
-// fastestGroup returns the group with the shortest expected wait, weighted for failures and
-// slowness, among those of the query's partition that are usable and not saturated, or nil. The caller must hold table.mutex.
+// fastestGroup returns the group with the shortest expected wait, weighted for failures
+// and slowness, among those of the query's partition that are usable and not saturated,
+// or nil. The caller must hold table.mutex.
 func (table *Table) fastestGroup(query Query, zone shedkeel.ZoneID) *serverState {
 	members := table.pools[poolKey{query.Service, query.Model}]
 	medianRatio := medianLatencyRatio(members, query.Now)
@@ -206,9 +207,9 @@
 	return max(ratios[(len(ratios)-1)/2], 1)
 }
 
-// expectedWait estimates the time to the first event in seconds, times the attempts that a
-// failing group takes, and longer for a slow group. medianRatio is the current median latency ratio of the
-// model's groups.
+// expectedWait estimates the time to the first event in seconds, times the attempts that
+// a failing group takes, and longer for a slow group. medianRatio is the current median
+// latency ratio of the model's groups.
 func (serverState *serverState) expectedWait(zone shedkeel.ZoneID, medianRatio float64, now time.Duration) float64 {
 	serverState.assigned.decay(now)
 	delayPerRequest := serverState.DelayPerRequest
--- a/dispatch/stall.go
+++ b/dispatch/stall.go
@@ -98,8 +98,8 @@
 }
 
 // FindStalled finds servers with running requests that have sent nothing for longer than
-// expected. It avoids them for avoidDuration and notifies the requests that run there. It returns the stalls that were not reported
-// within stallReportInterval.
+// expected. It avoids them for avoidDuration and notifies the requests that run there. It
+// returns the stalls that were not reported within stallReportInterval.
 func (table *Table) FindStalled(now time.Duration) []Stall {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -149,9 +149,9 @@
 	}
 }
 
-// AvoidGroup applies a stall that another node has reported: it keeps new requests from the
-// group of that epoch for the duration and notifies those that run there. A group that sent an event to this
-// process within maxDecodeGap is not avoided.
+// AvoidGroup applies a stall that another node has reported: it keeps new requests from
+// the group of that epoch for the duration and notifies those that run there. A group
+// that sent an event to this process within maxDecodeGap is not avoided.
 func (table *Table) AvoidGroup(group shedkeel.Assignment, now, duration time.Duration) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
--- a/dispatch/table.go
+++ b/dispatch/table.go
@@ -248,8 +248,8 @@
 	serverState.latencyRatio = 1 + (serverState.latencyRatio-1)/2
 }
 
-// startChoice records a request as running on the server and returns its choice. The caller must hold the
-// table's mutex.
+// startChoice records a request as running on the server and returns its choice. The
+// caller must hold the table's mutex.
 func (serverState *serverState) startChoice(table *Table, query Query) *Choice {
 	if len(serverState.running) == 0 {
 		serverState.lastActivity = query.Now
--- a/formation/demand_test.go
+++ b/formation/demand_test.go
@@ -16,7 +16,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// demandOf returns the demand of five seconds at the given rates, in requests a second, with the request sizes that the configured shares are based on.
+// demandOf returns the demand of five seconds at the given rates, in requests a second,
+// with the request sizes that the configured shares are based on.
 func demandOf(large, small float64) map[shedkeel.ModelID]shedkeel.ModelDemand {
 	const seconds = 5
 	return map[shedkeel.ModelID]shedkeel.ModelDemand{
--- a/formation/reallocate.go
+++ b/formation/reallocate.go
@@ -146,9 +146,9 @@
 }
 
 // groupToRelease returns an open group of one model to release first for a group of
-// another, and how many groups its domain has to release in total. The group is nil if
-// no domain can. The domain's free servers beyond its spares are used too. It chooses the domain and the group
-// that need the fewest released groups and loads.
+// another, and how many groups its domain has to release in total. The group is nil if no
+// domain can. The domain's free servers beyond its spares are used too. It chooses the
+// domain and the group that need the fewest released groups and loads.
 func (round *round) groupToRelease(from, to *shedkeel.Model) (group *observedGroup, groups int) {
 	var best *observedGroup
 	var lowestCost, groupCount int
--- a/formation/repair.go
+++ b/formation/repair.go
@@ -82,9 +82,9 @@
 }
 
 // reserveRestarted reserves servers that have restarted while a join order to an earlier
-// start may still be carried out and the head of its formation may serve. Engines identify themselves by server name and lose
-// the highest epoch on a restart, so the new start may already be a member of a serving
-// group before the list shows it.
+// start may still be carried out and the head of its formation may serve. Engines
+// identify themselves by server name and lose the highest epoch on a restart, so the new
+// start may already be a member of a serving group before the list shows it.
 func (round *round) reserveRestarted() {
 	for index := range round.input.Instances {
 		instance := &round.input.Instances[index]
@@ -97,7 +97,8 @@
 }
 
 // replaceSlow forms an open group again without its slow members if there are substitutes
-// for all of them. If the head is slow, it first orders the head to leave. The slowest member sets the speed of its group.
+// for all of them. If the head is slow, it first orders the head to leave. The slowest
+// member sets the speed of its group.
 func (round *round) replaceSlow(group *observedGroup) {
 	fast := slices.DeleteFunc(slices.Clone(group.members), func(member *shedkeel.Instance) bool {
 		_, slow := round.input.Slow[member.ID]
@@ -294,8 +295,9 @@
 }
 
 // headMayServe reports whether the head of a group may be serving. An open head that is
-// stalled counts as serving, and an unusable one counts until headTimeout has passed. A head that is listed as ready may be about to open: an order to
-// open, even one of a previous planner, may be in transit.
+// stalled counts as serving, and an unusable one counts until headTimeout has passed. A
+// head that is listed as ready may be about to open: an order to open, even one of a
+// previous planner, may be in transit.
 func (round *round) headMayServe(group *observedGroup) bool {
 	if round.headHasEnded(group.assignment()) {
 		return false
--- a/mutants_test.go
+++ b/mutants_test.go
@@ -22,319 +22,319 @@
 }
 
 var mutants = map[string]mutant{
-	"a request that ends servers: it is never contained": {
+	"request containment: a request that crashes servers is not blocked in time": {
 		"contain/ledger.go", "case count >= containThreshold:", "case count > containThreshold:", "TestRequestThatEndsServersIsContained", "./node",
 	},
-	"a request that ends servers: nothing is kept": {
+	"request containment: blames are not stored": {
 		"node/guard.go", "if turn < 0 || now-since", "if true || now-since", "TestBlameIsKeptOnceTheStoreIsBack", "./node",
 	},
-	"a request that ends servers: the next is reached over a kept connection": {
+	"request containment: the next attempt uses a pooled connection": {
 		"serve/send.go", "|| exchange.freshConnection.Load()", "", "TestFreshConnectionAfterServerEnd", "./serve",
 	},
-	"rate limits of servers: every permit is granted": {
+	"server rate limits: every permit is granted": {
 		"ratelimit/granter.go", "if delay > request.MaxWait {", "if false {", "TestServerLimitHoldsOverAllNodes", "./node",
 	},
-	"rate limits of servers: each half of a cut fleet grants all": {
+	"server rate limits: each half of a partitioned fleet grants the full rate": {
 		"node/limits.go", "Rate: rate * fraction,", "Rate: rate + 0*fraction,", "TestHalfOfTheFleetGrantsHalf", "./node",
 	},
-	"rate limits of servers: repeats need no permit": {
+	"server rate limits: retries need no permit": {
 		"serve/permit.go", "if !choice.Limited ||", "if !mayWait || !choice.Limited ||", "TestEveryAttemptNeedsPermit", "./serve",
 	},
-	"rate limits of servers: a new granter does not wait": {
+	"server rate limits: a new granter does not wait": {
 		"ratelimit/granter.go", "grantsFrom: max(now, request.SettledSince+handoverDelay)", "grantsFrom: now", "TestGranterHandover", "./ratelimit",
 	},
-	"rate limits of servers: an answer that comes late lifts a limit": {
+	"server rate limits: an answer that arrives late lifts a limit": {
 		"ratelimit/limits.go", "Lifted: true, AsOf: sent}", "Lifted: true, AsOf: now}", "TestLimits", "./ratelimit",
 	},
-	"evacuated zones: they get requests": {
+	"zone evacuation: servers of an evacuated zone receive requests": {
 		"node/fleet.go", "|| fleet.evacuated[instance.Zone]:", ":", "TestEvacuatedZoneGetsNothing", "./node",
 	},
-	"evacuated zones: a lost record ends an evacuation": {
+	"zone evacuation: the loss of its record in a restore ends the evacuation": {
 		"node/evacuation.go", "case record.LostInRestore && wasEvacuated:", "case false && wasEvacuated:", "TestEvacuationsFollowRecords", "./node",
 	},
-	"cold servers: their records are not heeded": {
+	"cold servers: their records are ignored": {
 		"node/fleet.go", "until := fleet.coldUntil[key]", "until := 0 * fleet.coldUntil[key]", "TestColdServersGetLittle", "./node",
 	},
 	"cold servers: they count as warm after an evacuation": {
 		"node/fleet.go", "until = max(until, endedAt+service.ColdTime)", "until = max(until, 0*endedAt)", "TestColdServersGetLittle", "./node",
 	},
-	"start of a fleet: nobody waits for the seeds": {
+	"fleet start: nodes do not wait longer before they list the records themselves": {
 		"mirror/bootstrap.go", "|| bootstrap.firstStart.Load()", "", "TestSimultaneousStart", "./mirror",
 	},
-	"start of a fleet: the first election does not wait": {
+	"fleet start: the first election does not wait until the list of nodes has settled": {
 		"node/election.go", "if term.Revision.Exists() {\n\t\treturn place", "if true {\n\t\treturn place", "TestFirstElectionIsOfFew", "./node",
 	},
-	"start of a fleet: each record is written alone": {
+	"fleet start: registrations are not collected into batches": {
 		"node/registrar.go", "timer := time.NewTimer(registerBatchDelay)", "timer := time.NewTimer(0)", "TestRegistrationsAreWrittenTogether", "./node",
 	},
 	"restored store: eras are not compared": {
 		"revision.go", "if revision.Era != other.Era {", "if false {", "TestEras|TestRelayAcrossEras", "./mirror",
 	},
-	"restored store: a watch of a later era is believed": {
+	"restored store: a watch accepts changes of another era": {
 		"platform/store.go", "|| err == nil && era != since.Era {", "{", "TestRestoredService", "./platform",
 	},
-	"restored store: late answers count": {
+	"restored store: late answers of an earlier era are applied": {
 		"mirror/mirror.go", "update.At.Exists() && update.At.Era < mirror.at.Era ||", "", "TestEras", "./mirror",
 	},
-	"restored store: late writes count": {
+	"restored store: late writes of an earlier era are applied": {
 		"mirror/mirror.go", "earlierEra := record.Revision.Era < mirror.at.Era", "earlierEra := false", "TestEras", "./mirror",
 	},
-	"restored store: conditions hold by chance": {
+	"restored store: revisions of an earlier era satisfy conditions": {
 		"platform/era.go", "if condition.Revision.Exists() && condition.Revision.Era < store.Era() {", "if false {", "TestRestoredService", "./platform",
 	},
-	"restored store: former leases are renewed": {
+	"restored store: leases of an earlier era are renewed": {
 		"platform/store.go", "if era != lease.Era {", "if era < 0 {", "TestRestoredService", "./platform",
 	},
-	"restored store: a leader leads on": {
+	"restored store: a leader of an earlier era remains leader": {
 		"node/election.go", "return lead, lead.Era >= mirror.State().At.Era", "return lead, true", "TestLeadEndsWithTheEra", "./node",
 	},
-	"restored store: terms begin anew": {
+	"restored store: election terms do not increase with the era": {
 		"node/election.go", ", era*termsPerEra) + 1", ", 0*era) + 1", "TestLeadEndsWithTheEra", "./node",
 	},
-	"restored store: a drain goes back": {
+	"restored store: a draining server becomes ready again": {
 		"node/fleet.go", "predatesDrain := known.Draining && !instance.Draining", "predatesDrain := false", "TestServersAfterARestore", "./node",
 	},
 	"restored store: a removed server is used again": {
 		"node/removal.go", "case era > known.era:", "case false:", "TestServersAfterARestore", "./node",
 	},
-	"restored store: lost records are not believed": {
+	"restored store: records lost by the restore are dropped at once": {
 		"node/restore.go", "fleet.outageUntil = fleet.node.Timers.Now() + deletedRecordHold", "", "TestServersAfterARestore", "./node",
 	},
-	"restored store: orders go back": {
+	"restored store: records with older sequences replace newer ones": {
 		"node/fleet.go", "(predatesDrain || instance.Sequence < known.Sequence)", "predatesDrain", "TestOrdersAreKnownAfterARestore", "./node",
 	},
-	"restored store: nodes that start go by the older configuration": {
+	"restored store: nodes that start apply the older configuration": {
 		"node/config.go", "if version >= fleet.configVersion() || !fleet.activeConfig.newerThanStore.Load() {", "if true {", "TestNodeThatStartsAfterARestore", "./node",
 	},
-	"restored store: the planner goes by older records": {
+	"restored store: the planner does not wait for records to be written again": {
 		"node/controller.go", "return controller.era == 0 || now-controller.eraSince >= deletedRecordHold", "return true", "TestPlannerWaitsForRecordsAfterARestore", "./node",
 	},
 	"restored store: blames are not written again": {
 		"node/restore.go", "node.guard.recheckAll()", "", "TestBlamesOutliveARestore", "./node",
 	},
-	"backoff of servers: it ends with the request": {
+	"server backoff: it is not remembered after the request": {
 		"dispatch/condition.go", "condition.backoffUntil = max(condition.backoffUntil, until)", "", "TestBackoffIsHeeded/all", "./node",
 	},
-	"backoff of servers: the shorter one holds": {
+	"server backoff: a later one shortens it": {
 		"dispatch/condition.go", "max(condition.backoffUntil, until)", "until", "TestConditions", "./dispatch",
 	},
-	"backoff of servers: permits do not ask for it": {
+	"server backoff: the permit path ignores it": {
 		"dispatch/limit.go", "candidate.limit == nil || !candidate.usable(query)", "candidate.limit == nil", "TestConditionsHoldForEveryChoice", "./dispatch",
 	},
-	"backoff of servers: callers are not told its end": {
+	"server backoff: Retry-After ignores it": {
 		"serve/handler.go", "cause = causeBackoff", "cause = causeNoCapacity", "TestRetryAfterABackoff", "./serve",
 	},
-	"draining servers: their own answers are not heeded": {
+	"draining servers: their own answers are ignored": {
 		"dispatch/condition.go", "condition.draining = true", "", "TestDrainInAnswersIsHeeded", "./node",
 	},
-	"draining servers: what they said goes with their record": {
+	"draining servers: their state is dropped as soon as their record is removed": {
 		"dispatch/condition.go", "case now-condition.unlistedSince >= conditionRetention:", "default:", "TestConditions", "./dispatch",
 	},
-	"budget of repeats: a process that starts has all of it": {
+	"retry budget: a process that starts has the full budget": {
 		"serve/budget.go", "warmup := min(float64(now-budget.StartedAt)/float64(budget.Window), 1)", "warmup := 1.0", "TestRetryBudgetAcrossRestarts", "./serve",
 	},
-	"budget of repeats: more processes than repeats have none": {
+	"retry budget: with more processes than permitted retries, no process may retry": {
 		"serve/budget.go", "bound+budget.RandomOffset {", "bound+0*budget.RandomOffset {", "TestRetryBudgetAcrossRestarts", "./serve",
 	},
-	"copies: who is turned away follows the service alone": {
+	"mirrors: a refused follower asks only its upstream": {
 		"mirror/follower.go", "!follower.fresh(state) || follower.SourceUnreachable()", "!follower.fresh(state)", "TestRefusedUpstreamAsksPeers", "./mirror",
 	},
-	"copies: questions to any process do not wait": {
+	"mirrors: requests to a random peer are repeated without delay": {
 		"mirror/follower.go", "peer, wait = follower.randomPeer(), retryDelay", "peer, wait = follower.randomPeer(), 0", "TestFollowersLeaveRefusedUpstream", "./mirror",
 	},
-	"suspended box: limits go by the runtime's timers": {
+	"suspended box: deadlines rely only on the runtime's timers": {
 		"serve/guard.go", "if now > exchange.deadline {", "if false {", "TestExpireAfterBoxSuspension", "./serve",
 	},
-	"1 whole groups only: permits do not run out": {
+	"whole groups only: permits expire far too late": {
 		"member/permit.go", "permit.Until = finding.wholeAt + input.Window", "permit.Until = finding.wholeAt + 1000*input.Window", "TestScenarios/whole_groups", ".",
 	},
-	"1 whole groups only: the permit is not asked again before sending": {
+	"whole groups only: the permit is not checked again before sending": {
 		"entry/send.go", "if try.entry.Timers.Now() >= try.choice.UsableUntil {", "if false {", "TestFrozenBetweenChoiceAndSend", "./entry",
 	},
-	"1 whole groups only: the boot is not compared": {
+	"whole groups only: the boot ID is not compared": {
 		"group/reconcile.go", "case state.Boot != member.Boot || state.Assigned", "case state.Assigned", "TestInspect", "./group",
 	},
-	"1 whole groups only: ages count from when a digest is read": {
+	"whole groups only: the age of a digest counts from its receipt": {
 		"member/exchange.go", "digestFromWire(digest, sent)", "digestFromWire(digest, now)", "TestDigestNeverLooksYounger", "./member",
 	},
-	"2 one group a box: a taken box counts as free": {
+	"one group per box: an assigned box counts as free": {
 		"group/planner.go", "if !round.assigned[id] && round.usable(view) {", "if round.usable(view) {", "TestBoxIsInAtMostOneGroup", "./group",
 	},
-	"2 one group a box: the lease counts from the reply": {
+	"one group per box: a lease is used beyond its TTL": {
 		"lease/lease.go", "lease.validUntil = lease.sentAt + lease.TTL - lease.Margin", "lease.validUntil = lease.sentAt + 2*lease.TTL", "TestNeverTwoHolders", "./lease",
 	},
-	"2 one group a box: a lost reply is settled by the value": {
+	"one group per box: a stored value of the same length counts as this process's own write": {
 		"platform/cas.go", "if ownWrite(record.Value) {", "if len(record.Value) == len(value) || ownWrite(record.Value) {", "TestLostReply", "./platform",
 	},
-	"3 whole answer: the attempt's name is not compared": {
+	"complete answers: the attempt ID is not compared": {
 		"entry/send.go", "if echoed != try.attemptID && (echoed", "if false && (echoed", "TestOutcomes|TestStreams", "./entry",
 	},
-	"3 whole answer: the end mark is not needed": {
+	"complete answers: a stream may end without the end marker": {
 		"entry/stream.go", "message, err := engine.ReadEvent(reader)\n", "message, err := engine.ReadEvent(reader)\n\t\tif errors.Is(err, io.EOF) {\n\t\t\treturn relay.flush()\n\t\t}\n", "TestStreams", "./entry",
 	},
-	"3 whole answer: an answer may end with its connection": {
+	"complete answers: a response without framing may end with its connection": {
 		"entry/send.go", "if unframed {", "if unframed && false {", "TestOutcomes", "./entry",
 	},
-	"4 not run is true: requests are left replayable": {
+	"truthful NotRunError: net/http may replay requests": {
 		"engine/transport.go", "request.Body = &nonReplayableBody{reader: request.Body}\n\trequest.GetBody = nil", "request.GetBody = func() (io.ReadCloser, error) { return http.NoBody, nil }", "TestNotRunIsTrue", "./engine",
 	},
-	"4 not run is true: written bytes are not counted": {
+	"truthful NotRunError: requests that were written to the connection count as not run": {
 		"engine/transport.go", "if writes.seal() == 0 {", "if true {", "TestNotRunIsTrue|TestIdle", "./engine",
 	},
-	"4 not run is true: an earlier try is forgotten": {
+	"truthful NotRunError: an earlier attempt that may have run is ignored": {
 		"entry/send.go", "call.mayHaveRun != nil {", "call.mayHaveRun != nil && false {", "TestOutcomes", "./entry",
 	},
-	"5 at most once: no claim": {
+	"at most once: no attempt claims its key": {
 		"entry/plain.go", "earlier, err := entry.claim(ctx, call, key)", "var earlier *answer\n\tvar err error\n\t_ = key\n\t_ = entry.claim", "TestScenarios/at_most_once", ".",
 	},
-	"5 at most once: claims are not compared and swapped": {
+	"at most once: claims overwrite whatever revision the store holds": {
 		"claim/committer.go", "committer.headKey(), committer.revision, value, writtenByUs)", "committer.headKey(), func() shedkeel.Revision { r, _ := committer.Store.Get(ctx, committer.headKey()); return r.Revision }(), value, writtenByUs)", "TestKeyIsGrantedToOneAttempt", "./claim",
 	},
-	"6 leaving: the word that a box leaves is not heeded": {
+	"leaving: a box's report that it leaves is ignored": {
 		"member/permit.go", "if leaving[member.Box] {", "if false && leaving[member.Box] {", "TestScenarios/leaving", ".",
 	},
-	"6 leaving: a group is changed while it runs requests": {
+	"leaving: a member is replaced while its group runs requests": {
 		"group/repair.go", "if len(failed) == 0 && !round.isDrained(*group) {", "if false {", "TestLeavingMemberIsReplacedWhenIdle", "./group",
 	},
-	"outage: reserves are not used": {
+	"outage: reserves do not replace lost members": {
 		"keeper/plan.go", "if zone.canFallBack(", "if false && zone.canFallBack(", "TestScenarios/outage", ".",
 	},
-	"size: a read that keeps coming is given up": {
+	"fleet size: a transfer that still makes progress times out": {
 		"platform/store.go", "func() { stallTimer.Reset(store.Timeout) })", "func() {})", "TestTransfers", "./platform",
 	},
-	"size: all nodes of a large fleet list the service's records": {
+	"fleet size: all nodes of a large fleet list the service's records": {
 		"node/fleetsize.go", "return mirror.Advice{Peers: peers.dialStartupRelays(size.Relays)}, nil", "return mirror.Advice{ListSource: true}, nil", "TestAdvice", "./node",
 	},
-	"size: who has no advice to list does so at once": {
+	"fleet size: a node that was not advised to list does so at once": {
 		"mirror/bootstrap.go", "if bootstrap.listsSource.Load() || len(follower.Peers()) == 0 {", "if true {", "TestSimultaneousStart", "./mirror",
 	},
-	"size: all follow one node": {
+	"fleet size: all nodes follow the source without relays": {
 		"node/follow.go", "return nodes > maxDirectFollowers }", "return nodes < 0 }", "TestFollowers", "./node",
 	},
-	"lives: the directory asks nobody who lives": {
+	"failure detection: the directory includes dead nodes": {
 		"node/nodes.go", "!own && !node.gossip.mayServeCallers(other.ID)", "false", "TestDirectoryLeavesOutDeadNodes", "./node",
 	},
-	"lives: nodes that do not answer keep their work for all": {
+	"failure detection: unresponsive nodes keep their duties": {
 		"node/gossip.go", "return gossip.detector.Liveness(record.ID) != shedkeel.Alive", "return false", "TestDutiesPassOn", "./node",
 	},
-	"lives: a dead node whose record went is kept": {
+	"failure detection: a dead node is kept after its record was deleted": {
 		"node/fleet.go", "return !isNode || fleet.node.gossip.mayServeCallers(shedkeel.NodeID(id))", "return !isNode || id != \"\"", "TestGoneNodes", "./node",
 	},
-	"lives: a node that is cut off removes records": {
+	"failure detection: an isolated node removes records": {
 		"node/remover.go", "node.stopping.Load() || node.gossip.isolated()", "node.stopping.Load()", "TestRemoverTakes", "./node",
 	},
-	"lives: a node that hears nobody takes all for dead": {
+	"failure detection: an isolated node suspects all others": {
 		"swim/detector.go", "if peer.liveness == shedkeel.Alive && !detector.Isolated(now) {", "if peer.liveness == shedkeel.Alive {", "TestPartitions|TestIsolated", "./swim",
 	},
-	"lives: a suspicion is not refuted": {
+	"failure detection: a suspicion is not refuted": {
 		"swim/receive.go", "if detector.leaving || update.Liveness", "if true || detector.leaving || update.Liveness", "TestStalledNodes|TestLeaving", "./swim",
 	},
-	"lives: one ping in a period, however many have no answer": {
+	"failure detection: only one ping per period, however many are unanswered": {
 		"swim/probe.go", "if next == nil || detector.extraPings >= maxExtraPings {", "if true {", "TestDeadNodesAreDetected", "./swim",
 	},
-	"lives: who is listed late is alive at once": {
+	"failure detection: a node listed late counts as alive without proof": {
 		"swim/detector.go", "case peer.lastAlive == never && !peer.presumedAlive && !deadOrLeft(peer):", "case false:", "TestLateListedNodes", "./swim",
 	},
-	"lives: a hangup ends a node that stops": {
+	"signals: SIGHUP kills a node that is stopping": {
 		"program/node.go", "case <-ctx.Done():\n\t\t\treturn\n", "case <-ctx.Done():\n\t\t\tsignal.Reset(syscall.SIGHUP)\n\t\t\treturn\n", "TestSignalsWhileStopping", "./soak",
 	},
-	"size: a node that lives stays removed": {
+	"fleet size: a live node whose record was removed does not register again": {
 		"node/member.go", "return !membership.isRecordCurrent() && sinceAttempt >= registrationRetry", "return false", "TestWatchedMembership", "./node",
 	},
-	"lost together: a group is formed anew by the first word": {
+	"lost together: a group is formed again before all probes are back": {
 		"formation/repair.go", "	case round.hasProbePending(group):\n", "	case false:\n", "TestServersLostTogether", "./formation",
 	},
-	"loads: more at once than the store serves": {
+	"weight loading: concurrent loads are not bounded by what the store serves": {
 		"formation/stage.go", "float64(round.activeLoads()) >= part*float64(engine.LoadsAtOnce) {", "false {", "TestLoadsAreBoundedUnderTraffic", "./formation",
 	},
-	"box list: a member that answers is lost with its entry": {
+	"box list: a responding member counts as lost once the list omits it": {
 		"keeper/plan.go", "if unlisted[id] && (view.LastReply < 0", "if unlisted[id] && (true || view.LastReply < 0", "TestScenarios/box_list", ".",
 	},
-	"7 planned stop: it does not wait to be forgotten": {
+	"planned stop: it does not wait until callers have dropped the address": {
 		"entry/entry.go", "\tentry.waitAddressExpiry()\n\tctx", "\tctx", "TestScenarios/planned_stop", ".",
 	},
-	"7 planned stop: it does not finish what is in flight": {
+	"planned stop: requests in flight are aborted": {
 		"entry/entry.go", "return callers.Shutdown(ctx)", "_ = ctx\n\treturn callers.Close()", "TestScenarios/planned_stop", ".",
 	},
-	"8 configuration: an older record is taken": {
+	"configuration: an older record replaces a newer one": {
 		"member/table.go", "if found && record.Generation <= known.Generation {", "if found && record.Generation == known.Generation {", "TestRecordGenerationNeverFalls", "./member",
 	},
-	"8 configuration: a restored service is not healed": {
+	"configuration: the newer configuration is not written back to a restored service": {
 		"keeper/spread.go", "keeper.writeBack(stored, known)\n\t\treturn", "return", "TestScenarios/configuration", ".",
 	},
-	"8 configuration: a lost reply is taken for a failure": {
+	"configuration: a write whose reply was lost counts as failed": {
 		"platform/cas.go", "if ownWrite(record.Value) {", "if false {", "TestLostReply", "./platform",
 	},
-	"nodes: a write to lead that is done late is passed over": {
+	"nodes: a leadership write that takes effect late is ignored": {
 		"node/election.go", "\t\tcontroller.vacantSince = 0\n\t\tcontroller.becomeLeader(lead)\n", "\t\tcontroller.vacantSince = 0\n", "TestLeadOfUnknownOutcome", "./node",
 	},
-	"nodes: the leader's record may name a former lease": {
+	"nodes: a leader record written under a former lease is accepted": {
 		"node/election.go", "lease := shedkeel.LeaseID{Era: lead.Era, Number: lead.Lease}", "lease := controller.lease.ID()", "TestLateWriteOfFormerLease", "./node",
 	},
-	"nodes: a source that failed is followed on": {
+	"nodes: a failed source is still followed": {
 		"node/follow.go", "if !followed.followFailure.isRecent(followBackoff, peers.node.Timers.Now()) {", "if true {", "TestChoose", "./node",
 	},
-	"nodes: renewals go on in an outage": {
+	"nodes: registration is retried as often as ever in an outage": {
 		"node/member.go", "\treturn maxRegistrationRetry\n", "\treturn registrationRetry\n", "TestRenewalsInAnOutage", "./node",
 	},
-	"nodes: the word of the node that spreads is not taken": {
+	"nodes: the spreading node's preference is ignored": {
 		"dispatch/table.go", "if preferred != nil && preferredCost <= maxPreferredCostRatio*lowest {", "if preferred != nil && preferredCost < 0 {", "TestSpreadKeepsPromptsApart", "./dispatch",
 	},
-	"nodes: the word is taken whatever this node sees": {
+	"nodes: the spreading node's preference is used at any cost": {
 		"dispatch/table.go", "preferredCost <= maxPreferredCostRatio*lowest", "preferredCost >= 0", "TestPreferredServer", "./dispatch",
 	},
-	"nodes: prompts that wait are not counted": {
+	"nodes: queued prompts are not counted": {
 		"dispatch/spread.go", "best.assigned.prefill += best.prefillTime(query.PromptTokens)", "best.assigned.prefill += 0", "TestSpread$|TestSpreadKeepsPromptsApart", "./dispatch",
 	},
-	"nodes: a head out of reach is soon taken for gone": {
+	"nodes: an unreachable head counts as lost too early": {
 		"formation/planner.go", "headTimeout = 20 * time.Second", "headTimeout = 5500 * time.Millisecond", "TestRulesHoldWhileServersArePartitioned", "./formation",
 	},
-	"nodes: what runs on groups is not told": {
+	"nodes: reported changes of running requests are not counted": {
 		"dispatch/spread.go", "max(state.assigned.running+change, 0)", "max(state.assigned.running+0*change, 0)", "TestSpreadByReportedLoad", "./dispatch",
 	},
-	"nodes: keys are taken whatever the configuration's age": {
+	"nodes: API keys are accepted however old the configuration is": {
 		"serve/handler.go", "if exchange.handler.RefuseStaleKeys && exchange.outOfDate() {", "if false {", "TestStaleConfiguration", "./serve",
 	},
-	"nodes: what an old configuration does not know is wrong": {
+	"nodes: a route or key that an outdated configuration lacks counts as the caller's error": {
 		"serve/handler.go", "if exchange.outOfDate() {\n\t\treturn exchange.refuse(causeStaleConfig, reason+", "if false {\n\t\treturn exchange.refuse(causeStaleConfig, reason+", "TestStaleConfiguration", "./serve",
 	},
-	"nodes: callers come back at once in an outage": {
+	"nodes: Retry-After stays short in an outage": {
 		"serve/retryafter.go", "return max(retryOutage, now-since)", "return min(retrySoon, now-since)", "TestRetryAfter", "./serve",
 	},
-	"nodes: a node that is cut off takes it for an outage of all": {
+	"nodes: an isolated node reports an outage of the service": {
 		"mirror/health.go", "if !noPeers && (", "if !noPeers && false && (", "TestOutage", "./mirror",
 	},
-	"nodes: seeds are not asked": {
+	"nodes: seeds are not queried": {
 		"mirror/bootstrap.go", "follower.runBootstrap(ctx, peer)\n", "_ = peer\n", "TestBootstrapDuringOutage", "./mirror",
 	},
-	"nodes: a failure outweighs any wait": {
+	"nodes: failures are penalized too heavily": {
 		"dispatch/spread.go", "return 1 / max(1-failureRate, 1.0/maxAttempts)", "return 1 + maxAttempts*failureRate", "TestSpread$|TestPreferredServer", "./dispatch",
 	},
-	"nodes: a lasting silence is told once": {
+	"nodes: a continuing stall is reported only once": {
 		"dispatch/stall.go", "choice.stallNotified = choice.stallNotified && !report", "_ = report", "TestContinuingStallIsNotifiedAgain", "./dispatch",
 	},
-	"nodes: a silent stream asks for another server once": {
+	"nodes: a stalled stream requests another server only once": {
 		"serve/stream.go", "if err := stream.startSource(ctx); err != nil {\n\t\toutcome", "stalled.hedged = true\n\tif err := stream.startSource(ctx); err != nil {\n\t\toutcome", "TestStalledStreamRetriesHedge", "./serve",
 	},
 	"nodes: a group opens before all members are ready": {
 		"formation/repair.go", "state == shedkeel.MemberReady && allReady(group):", "state == shedkeel.MemberReady:", "TestRulesHoldUnderFaults", "./formation",
 	},
-	"nodes: a spare's host holds what its server has loaded": {
+	"nodes: spares do not prefetch other models into host memory": {
 		"formation/stage.go", "if !round.hostCopyIsRedundant(instance) ||", "if true ||", "TestSparesReplaceMembersOfEitherModel", "./formation",
 	},
-	"nodes: demand is not heeded": {
+	"nodes: demand is ignored": {
 		"formation/planner.go", "workShares(input.Engine, input.Demand)", "workShares(input.Engine, nil)", "TestGroupsFollowDemand", "./formation",
 	},
-	"nodes: losses move groups": {
+	"nodes: losses of servers reallocate groups without raised demand": {
 		"formation/reallocate.go", "!excess && !round.demandIsRaised(recipient)", "!excess && false && !round.demandIsRaised(recipient)", "TestLossesMoveNoGroups", "./formation",
 	},
-	"nodes: a group that was given up is formed anew": {
+	"nodes: a released group is formed again": {
 		"formation/repair.go", "case round.planner.released[assignment]:", "case false:", "TestGroupsFollowDemand", "./formation",
 	},
-	"nodes: a difference is taken of any value": {
+	"nodes: a difference is applied to any base revision of its era": {
 		"transfer/difference.go", "if base.Revision != baseRevision ||", "if base.Revision.Era != baseRevision.Era ||", "TestEncodeDifference", "./transfer",
 	},
-	"nodes: former formations are remembered": {
+	"nodes: former formations are kept far too long": {
 		"formation/planner.go", "if now-at <= retentionTime {", "if now-at <= 1000*retentionTime {", "TestFormerFormationsAreForgotten", "./formation",
 	},
 }
--- a/node/follow.go
+++ b/node/follow.go
@@ -18,7 +18,8 @@
 	// copy is up to as old as two watches of the service last, and changes are collected
 	// for 0.1 s.
 	maxSourceAge = 1200 * time.Millisecond
-	// maxRelayAge is the maximum age of the copy of a relay, which follows the source by long polling.
+	// maxRelayAge is the maximum age of the copy of a relay, which follows the source by long
+	// polling.
 	maxRelayAge = maxSourceAge + mirror.RelayWait
 	// maxDirectFollowers is the largest fleet in which all nodes follow the source
 	// itself. In larger fleets relays follow the source and the other nodes follow the
--- a/node/guard.go
+++ b/node/guard.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// Answered clears a request's blame: a request that a server has answered completely
+// RequestAnswered clears a request's blame: a request that a server has answered completely
 // does not terminate servers.
 func (guard *guard) RequestAnswered(request shedkeel.RequestDigest) {
 	before, now := guard.ledger.Clear(request)
--- a/node/node.go
+++ b/node/node.go
@@ -25,9 +25,10 @@
 )
 
 const (
-	// DirectoryKeep is how long callers may cache an answer of the directory. Some
-	// callers cache it for maxDirectoryKeepFactor times as long. A stopping node accepts requests until those
-	// caches expire; a request accepted later could not finish within the grace time.
+	// DirectoryKeep is how long callers may cache an answer of the directory. Some callers
+	// cache it for maxDirectoryKeepFactor times as long. A stopping node accepts requests
+	// until those caches expire; a request accepted later could not finish within the grace
+	// time.
 	DirectoryKeep = time.Second
 	// maxDirectoryKeepFactor is how many times DirectoryKeep some callers cache an answer.
 	maxDirectoryKeepFactor = 3
--- a/node/peers.go
+++ b/node/peers.go
@@ -68,8 +68,8 @@
 	return &peer{id: id, node: peers.node, wire: &wire.Peer{Address: address, Key: key}, priorityWire: &wire.Peer{Address: address, Key: key}}
 }
 
-// update replaces the known nodes, which are in the order of compareNodes. It closes the connections to nodes that are no longer
-// listed or have another address.
+// update replaces the known nodes, which are in the order of compareNodes. It closes the
+// connections to nodes that are no longer listed or have another address.
 func (peers *peers) update(nodes []nodeRecord) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
--- a/node/registrar_test.go
+++ b/node/registrar_test.go
@@ -30,7 +30,7 @@
 		nodes      int
 		mismatched int // nodes that send the record of another node, which is refused
 		fails      bool
-		wantWrites int // calls to the service, each with at most shedkeel.MaxEntries (32) records
+		wantWrites int // calls to the service, each with at most shedkeel.MaxTransactionEntries (32) records
 	}{
 		"one node":                    {1, 0, false, 1},
 		"as many as fit in one write": {32, 0, false, 1},
--- a/node/relay.go
+++ b/node/relay.go
@@ -15,8 +15,8 @@
 	// relayTimeoutMargin is how much longer than its wait a long poll of another node's
 	// mirror may take.
 	relayTimeoutMargin = 400 * time.Millisecond
-	// copyTimeoutMargin is how much longer a poll for a complete copy may take, which many nodes that start
-	// together request from a few.
+	// copyTimeoutMargin is how much longer a poll for a complete copy may take, which many
+	// nodes that start together request from a few.
 	copyTimeoutMargin = 3 * time.Second
 )
 
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -103,8 +103,9 @@
 	return max(minBurst, int(float64(perSecond)*burstDuration.Seconds()))
 }
 
-// refuse counts and returns a refusal, with the time after which to ask again. Successive refusals are spaced at the
-// server's rate, so that refused processes do not all ask at the same time.
+// refuse counts and returns a refusal, with the time after which to ask again. Successive
+// refusals are spaced at the server's rate, so that refused processes do not all ask at
+// the same time.
 func (bucket *bucket) refuse(delay, now time.Duration) shedkeel.Permit {
 	bucket.usage.Refused++
 	bucket.nextRetry = max(bucket.nextRetry, now+delay)
--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -21,8 +21,8 @@
 }
 
 // TestGranterKeepsTheRate checks that at least 90% of a rate, less one permit, is granted
-// when permits are asked for each millisecond, and that no window of four seconds has more permits than the rate
-// and a full bucket allow, from the first permit on.
+// when permits are asked for each millisecond, and that no window of four seconds has
+// more permits than the rate and a full bucket allow, from the first permit on.
 func TestGranterKeepsTheRate(t *testing.T) {
 	const start, length, window = time.Minute, 20 * time.Second, 4 * time.Second
 	cases := map[string]float64{"a half": 0.5, "two": 2, "twenty": 20, "two hundred": 200}
--- a/ratelimit/limits.go
+++ b/ratelimit/limits.go
@@ -24,9 +24,10 @@
 // Idle reports whether no server is known to limit its rate.
 func (limits *Limits) Idle() bool { return limits.inUse.Load() == 0 }
 
-// Observe records the limit that an answer, received now, states or does not state. Sent is
-// when the request of the answer was sent: an answer without a limit proves only that there was none at that time. It
-// returns the limit that is known now, and whether it has changed.
+// Observe records the limit that an answer, received now, states or does not state. Sent
+// is when the request of the answer was sent: an answer without a limit proves only that
+// there was none at that time. It returns the limit that is known now, and whether it has
+// changed.
 func (limits *Limits) Observe(server shedkeel.InstanceID, limit shedkeel.StatedLimit, sent, now time.Duration) (shedkeel.ServerLimit, bool) {
 	if !limit.Stated {
 		if limits.Idle() {
--- a/route/simulation_test.go
+++ b/route/simulation_test.go
@@ -177,9 +177,10 @@
 	return outcome.firstTokenTimes[int(part*float64(len(outcome.firstTokenTimes)-1))]
 }
 
-// simulate offers a load, as a multiple of the capacity without cached prefixes, and counts
-// the requests answered in time: within simDeadline, with the first token within
-// firstTokenTarget. With outage set, a third of the groups fails for the middle third of the simulation.
+// simulate offers a load, as a multiple of the capacity without cached prefixes, and
+// counts the requests answered in time: within simDeadline, with the first token within
+// firstTokenTarget. With outage set, a third of the groups fails for the middle third of
+// the simulation.
 func simulate(rule routingRule, load float64, outage bool) outcome {
 	random := rand.New(rand.NewPCG(11, 11))
 	servers := make([]*server, simGroups)
