--- a/mutants_test.go
+++ b/mutants_test.go
@@ -22,7 +22,7 @@
 }
 
 var mutants = map[string]mutant{
-	"request containment: a request that crashes servers is not blocked in time": {
+	"request containment: a request that crashes servers is contained one failure too late": {
 		"contain/ledger.go", "case count >= containThreshold:", "case count > containThreshold:", "TestRequestThatEndsServersIsContained", "./node",
 	},
 	"request containment: blames are not stored": {
@@ -136,7 +136,7 @@
 	"retry budget: with more processes than permitted retries, no process may retry": {
 		"serve/budget.go", "bound+budget.RandomOffset {", "bound+0*budget.RandomOffset {", "TestRetryBudgetAcrossRestarts", "./serve",
 	},
-	"mirrors: a refused follower asks only its upstream": {
+	"mirrors: a process that the service refuses does not ask its peers": {
 		"mirror/follower.go", "!follower.fresh(state) || follower.SourceUnreachable()", "!follower.fresh(state)", "TestRefusedUpstreamAsksPeers", "./mirror",
 	},
 	"mirrors: requests to a random peer are repeated without delay": {
@@ -193,10 +193,10 @@
 	"leaving: a box's report that it leaves is ignored": {
 		"member/permit.go", "if leaving[member.Box] {", "if false && leaving[member.Box] {", "TestScenarios/leaving", ".",
 	},
-	"leaving: a member is replaced while its group runs requests": {
+	"leaving: a leaving member is replaced while its group runs requests": {
 		"group/repair.go", "if len(failed) == 0 && !round.isDrained(*group) {", "if false {", "TestLeavingMemberIsReplacedWhenIdle", "./group",
 	},
-	"outage: reserves do not replace lost members": {
+	"outage: a keeper without the lease does not apply the fallback": {
 		"keeper/plan.go", "if zone.canFallBack(", "if false && zone.canFallBack(", "TestScenarios/outage", ".",
 	},
 	"fleet size: a transfer that still makes progress times out": {
@@ -274,7 +274,7 @@
 	"nodes: a failed source is still followed": {
 		"node/follow.go", "if !followed.followFailure.isRecent(followBackoff, peers.node.Timers.Now()) {", "if true {", "TestChoose", "./node",
 	},
-	"nodes: registration is retried as often as ever in an outage": {
+	"nodes: failed registrations are retried without backing off in an outage": {
 		"node/member.go", "\treturn maxRegistrationRetry\n", "\treturn registrationRetry\n", "TestRenewalsInAnOutage", "./node",
 	},
 	"nodes: the spreading node's preference is ignored": {
