--- a/claim/committer.go
+++ b/claim/committer.go
@@ -124,7 +124,7 @@
 }
 
 // commit decides a batch and answers its requests. After a conflict it reads the
-// head again and decides anew, up to maxTries times. A batch without new claims needs
+// head and decides again, up to maxTries times. A batch without new claims needs
 // no write, so it is answered also while the key-value service is not available,
 // unless the head must be read. Its answers are safe even if another process has
 // since written the head: a claim is replaced only by a request whose InsteadOf names
--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -72,7 +72,7 @@
 	}, true
 }
 
-// fixedCheck is a fake shedkeel.ServerCheck that reports all servers as ended, or none.
+// fixedCheck is a fake shedkeel.ServerCheck that reports all servers as stopped, or none.
 type fixedCheck bool
 
 func (check fixedCheck) Stopped(context.Context, string) bool { return bool(check) }
--- a/serve/handler.go
+++ b/serve/handler.go
@@ -142,7 +142,7 @@
 	digest          func() shedkeel.RequestDigest
 	quarantined     bool                    // it may run on one server only
 	answerStarted   atomic.Bool             // writing the answer to the caller has started
-	freshConnection atomic.Bool             // a server ended under it: later attempts dial anew, and a server that has ended too refuses them
+	freshConnection atomic.Bool             // a server ended while running it: later attempts use new connections, which a server that has ended refuses
 	abort           context.CancelCauseFunc // cancels all its attempts
 	// retryIn is how long until a server that limits its rate or asked for a backoff
 	// accepts a request again, as of the latest choice.
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -451,7 +451,8 @@
 	assert.Equal(t, harness.backend.requests[1].Header.Get("After"), "2")
 }
 
-// TestBudget checks the retries that are allowed by FixedRetries, Ratio, a window's end and Set.
+// TestBudget checks the retries that are allowed by FixedRetries and Ratio, and after the
+// end of a window and Set.
 func TestBudget(t *testing.T) {
 	budget := &Budget{Ratio: 0.5, Window: 10 * time.Second, FixedRetries: 4, SafetyFactor: 1}
 	now := time.Minute
