--- a/dispatch/condition.go
+++ b/dispatch/condition.go
@@ -15,15 +15,15 @@
 	conditionRetention = 10 * time.Minute
 )
 
-// condition is what one start of a backend server has said in its answers about whether
-// it accepts requests. It outlives the groups that the server heads, and the server's
-// record.
+// condition is what one start of a backend server has said in its answers about whether it
+// accepts requests. It is kept when the server's group is formed again, and for
+// conditionRetention when the server is unlisted.
 type condition struct {
 	backoffUntil  time.Duration // the server accepts no requests of this process before this time
 	needsProbe    bool          // the server has answered no request sent since its backoff ended
 	probe         *Choice       // the first request after the backoff, while it is unanswered; nil: none
 	draining      bool
-	unlistedSince time.Duration // since when the server is not listed; 0: it is listed
+	unlistedSince time.Duration // when RetainConditions first found the server unlisted; 0: it is listed
 }
 
 // isDraining reports whether the server has said that it drains.
@@ -79,8 +79,8 @@
 	return began
 }
 
-// Drain keeps requests from a server that has said in an answer that it drains. It reports
-// whether that was not known before.
+// Drain keeps requests from a server that has said in an answer that it drains. It returns
+// false if an earlier call has recorded that already.
 func (table *Table) Drain(server shedkeel.InstanceID) bool {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -140,7 +140,8 @@
 }
 
 // RetainConditions drops the conditions of servers that have been unlisted for
-// conditionRetention.
+// conditionRetention, counted from the first call for which listed returned false. The caller
+// must call it repeatedly.
 func (table *Table) RetainConditions(listed func(shedkeel.InstanceID) bool, now time.Duration) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -156,9 +157,9 @@
 	}
 }
 
-// BackoffEnd returns when the first server of the query's service and model accepts requests
-// again after a backoff. backsOff is false if some server accepts requests now, or if none
-// backs off. Servers that are avoided or drain do not count.
+// BackoffEnd returns the time at which the first server of the query's service and model
+// accepts requests again after a backoff. backsOff is false if some server accepts requests
+// now, or if none backs off. Servers that are avoided or drain do not count.
 func (table *Table) BackoffEnd(query Query) (end time.Duration, backsOff bool) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -7,14 +7,14 @@
 	"shedkeel.org/shedkeel"
 )
 
-// demandTimeConstant is the time constant of the exponential decay of demand: requests of
-// that age count for a third. A burst of 1 s changes the demand by a fifth of what it
-// would change by if the burst lasted.
+// demandTimeConstant is the time constant of the exponential decay of demand: a request of
+// that age counts for about a third. A burst of 1 s changes the demand by a fifth of the
+// change that a lasting increase of the same rate causes.
 const demandTimeConstant = 5 * time.Second
 
-// demand is the decayed sum of the requests for a model, as of a point in time.
+// demand is the decayed sum of the requests for a model.
 type demand struct {
-	at     time.Duration
+	at     time.Duration // time to which the sum has decayed
 	amount shedkeel.ModelDemand
 }
 
@@ -41,9 +41,9 @@
 	entry.amount = entry.amount.Add(shedkeel.ModelDemand{Requests: 1, PromptTokens: float64(query.PromptTokens), AnswerTokens: float64(query.MaxAnswerTokens)})
 }
 
-// Demand returns the recent demand for each model of a service, as a sum over the requests
-// for which this process recommended groups. Each request's part of the sum decays with
-// demandTimeConstant.
+// Demand returns the recent demand for each model of a service: a sum over the requests for
+// which this process called Recommend, whether or not it found a group. Each request's part
+// of the sum decays exponentially with demandTimeConstant.
 func (table *Table) Demand(service shedkeel.ServiceID, now time.Duration) map[shedkeel.ModelID]shedkeel.ModelDemand {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
--- a/dispatch/limit.go
+++ b/dispatch/limit.go
@@ -7,12 +7,12 @@
 	"shedkeel.org/shedkeel"
 )
 
-// permitIntervalShare is the share of the time between two permits after which Recommend
-// recommends the server again. It is below 1, because a permit that no process requests is
-// lost.
+// permitIntervalShare is the share of the time between two permits of a server after which
+// Recommend recommends the server again. It is below 1, because a permit that no process
+// requests is lost.
 const permitIntervalShare = 0.8
 
-// limit is a server's rate limit, as far as choices depend on it. Another component grants
+// limit is the part of a server's rate limit that choices depend on. Package ratelimit grants
 // the permits.
 type limit struct {
 	rate           float64       // requests per second of all processes
--- a/dispatch/spread.go
+++ b/dispatch/spread.go
@@ -10,35 +10,38 @@
 )
 
 const (
-	// prefillShare is the share of time that a busy group prefills prompts. It generates
-	// tokens in the rest, so pending prefill work shrinks more slowly than time passes.
+	// prefillShare is the share of its time in which a busy group prefills prompts. In the
+	// rest the group generates tokens, so its pending prefill work shrinks more slowly than
+	// time passes.
 	prefillShare = 0.5
-	// meanStreamDuration is how long a request that was assigned to a group counts as
-	// running there, on average: about as long as a stream lasts.
+	// meanStreamDuration is the assumed mean duration of a stream. The expected number of
+	// running requests decays with it as the time constant.
 	meanStreamDuration = time.Second
-	// defaultDelayPerRequest is the increase of a group's step time per running request,
-	// where the group does not state its engine's times.
+	// defaultDelayPerRequest is the assumed increase of a group's step time per running
+	// request, for groups that state no Server.DelayPerRequest.
 	defaultDelayPerRequest = time.Millisecond
-	// groupsPerPartition is how many groups of a model one process spreads requests over:
-	// enough that one of them is rarely busy, and few enough that answering the queries
-	// takes a few hundredths of one CPU core.
+	// groupsPerPartition is the maximum number of groups of a model that one process
+	// spreads requests over: large enough that a partition nearly always has a group that
+	// is not busy, and small enough that the calls of Recommend take a few hundredths of
+	// one CPU core.
 	groupsPerPartition = 24
-	// slowThreshold is how many times the median latency ratio of the model's groups a
-	// group's ratio must reach for the group to count as slow. Each process sees few
-	// responses of a group, and smaller differences are due to chance.
+	// slowThreshold is the lowest ratio of a group's latency ratio to the median of the
+	// model's groups at which the group counts as slow. Each process sees few responses of
+	// a group, and smaller differences are due to chance.
 	slowThreshold = 2.0
-	// reportExpiry is how long the last report of a process counts. A process that sends no
-	// report for that long has few requests running.
+	// reportExpiry is how long the last report of a process counts towards the running
+	// requests of all processes. A process that sends no report for that long has few
+	// requests running.
 	reportExpiry = 3 * time.Second
 	// remoteZoneDelay is added to the expected wait of a group in another availability
 	// zone. The round trip of the link takes 1 to 2 ms.
 	remoteZoneDelay = 3 * time.Millisecond
 )
 
-// workload estimates the work that a group has from all processes, as of a point in time:
-// what Recommend assigned to the group, corrected by the reports of the processes.
+// workload is an estimate of the work that all processes have given to a group: what
+// Recommend assigned to the group, corrected by the reports of the processes.
 type workload struct {
-	at      time.Duration
+	at      time.Duration // time of the estimate
 	prefill time.Duration // pending prefill work
 	running float64       // requests that are expected to be running
 }
@@ -60,15 +63,15 @@
 // RunningRequests counts the requests that run on a model.
 type RunningRequests struct {
 	OnTime int // requests that may be on time
-	Late   int // requests that can't be on time, queued behind those
+	Late   int // requests that can't be on time; they queue behind those that may be
 }
 
 // Reporter is a process that asks for the best group for a request, with its report of
-// running requests.
+// its running requests.
 type Reporter struct {
 	Process string
 	Zone    shedkeel.ZoneID
-	Running RunningRequests // requests of the process that run on the model, without the one asked for
+	Running RunningRequests // requests of the process that run on the model, without the new request
 	// Groups counts the process's running requests by the head of their group.
 	Groups map[shedkeel.InstanceID]int
 }
@@ -86,13 +89,14 @@
 	at      time.Duration
 }
 
-// Recommend returns the group of a model that is expected to be the first to send an event,
-// given the requests that it assigned before, and assigns this request to that group. First
-// it records the request as demand and replaces the reporter's last report.
+// Recommend returns the group of a model that is expected to send the first event for the
+// request soonest, given the requests assigned to the groups before, and assigns this request
+// to that group. First it records the request as demand and replaces the reporter's last
+// report.
 //
-// One process spreads the requests of all processes, or of a partition of the groups:
-// each process alone knows few of the requests that run on a group, and prompts that a
-// group prefills at the same time delay each other.
+// For each partition of a model's groups, one process calls Recommend for the requests of all
+// processes. Each process alone knows few of the requests that run on a group, and prompts
+// that a group prefills at the same time delay each other.
 func (table *Table) Recommend(query Query, reporter Reporter) Recommendation {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -127,12 +131,13 @@
 	return hash.Sum32()
 }
 
-// recordReport replaces the last report of a process and corrects the workloads of the
-// groups: by the running requests that it reports, minus those that are expected to be still
-// running of its last report and of the assignments since. The caller must hold table.mutex.
+// recordReport replaces the last report of a process. It adds to each group's workload the
+// difference between the running requests that the process reports and those expected to be
+// still running of its previous report and of the assignments since. The caller must hold
+// table.mutex.
 //
 // Assignments alone are a poor estimate of the running requests, because streams last longer
-// on groups with more of them.
+// on groups that run more of them.
 func (table *Table) recordReport(key poolKey, reporter Reporter, now time.Duration) report {
 	if table.reports == nil {
 		table.reports = map[poolKey]map[string]report{}
@@ -171,9 +176,9 @@
 	return total
 }
 
-// fastestGroup returns the group with the shortest expected wait, weighted for failures
-// and slowness, among those of the query's partition that are usable and not saturated,
-// or nil. The caller must hold table.mutex.
+// fastestGroup returns the group with the lowest expectedWait among those of the query's
+// partition that are usable and not saturated, or nil if there is none. The caller must hold
+// table.mutex.
 func (table *Table) fastestGroup(query Query, zone shedkeel.ZoneID) *serverState {
 	members := table.pools[poolKey{query.Service, query.Model}]
 	medianRatio := medianLatencyRatio(members, query.Now)
@@ -191,9 +196,9 @@
 	return best
 }
 
-// medianLatencyRatio is the median latency ratio of a model's groups, and at least 1. A
-// traffic burst slows down all groups, and its effect on the ratios must not make some of
-// them count as slow.
+// medianLatencyRatio returns the median latency ratio of a model's groups, but at least 1,
+// after it has applied decayPenalties to them. Groups count as slow in relation to the median,
+// because a traffic burst slows down all of them.
 func medianLatencyRatio(members []*serverState, now time.Duration) float64 {
 	var ratios []float64
 	for _, member := range members {
@@ -207,9 +212,9 @@
 	return max(ratios[(len(ratios)-1)/2], 1)
 }
 
-// expectedWait estimates the time to the first event in seconds, times the attempts that
-// a failing group takes, and longer for a slow group. medianRatio is the current median
-// latency ratio of the model's groups.
+// expectedWait returns the estimated time to the first event in seconds, multiplied by
+// expectedAttempts and, for a slow group, by the ratio of its latency ratio to medianRatio,
+// the median of the model's groups.
 func (serverState *serverState) expectedWait(zone shedkeel.ZoneID, medianRatio float64, now time.Duration) float64 {
 	serverState.assigned.decay(now)
 	delayPerRequest := serverState.DelayPerRequest
@@ -230,9 +235,9 @@
 	return cost
 }
 
-// expectedAttempts is the mean number of attempts until a group with that failure rate
-// answers a request, and at most maxAttempts. As a factor of the cost, it gives a group that
-// fails some requests fewer of them, but still some when the other groups are full.
+// expectedAttempts returns the mean number of attempts until a group with that failure rate
+// answers a request, but at most maxAttempts. As a factor of the cost, it makes a group that
+// fails some of its requests get fewer, but still some when the other groups are full.
 func expectedAttempts(failureRate float64) float64 {
 	return 1 / max(1-failureRate, 1.0/maxAttempts)
 }
--- a/dispatch/stall.go
+++ b/dispatch/stall.go
@@ -23,9 +23,10 @@
 	// prefilled twice. Callers wait 2 s for the first event.
 	maxFirstEventTime = 800 * time.Millisecond
 	// stallMargin is added to the longest expected time without events or answers before a
-	// server counts as stalled. It covers delays of the links and of this process's timers. Earlier
-	// detection saves no stream, since a first event from another group takes 180 to
-	// 240 ms, and each false alarm causes a prompt to be prefilled twice (docs/PLATFORM.md).
+	// server counts as stalled. It covers delays of the links and of this process's timers.
+	// A smaller margin would rescue no further stream, since a first event from another
+	// group takes 180 to 240 ms, and each false alarm causes a prompt to be prefilled twice
+	// (docs/PLATFORM.md).
 	stallMargin = 60 * time.Millisecond
 	// plainStallTimeout is how long a plain server with running requests may send no
 	// answer before it counts as stalled; stallMargin is added.
@@ -89,7 +90,8 @@
 	gap := maxFirstEventTime
 	for choice := range serverState.running {
 		if choice.responded {
-			// The engine may prefill prompts of other processes in every step.
+			// Every step may take as long as one with prefill, because the engine may
+			// prefill prompts of other processes.
 			return serverState.maxEventGap()
 		}
 		gap += choice.prefillTime()
@@ -99,7 +101,7 @@
 
 // FindStalled finds servers with running requests that have sent nothing for longer than
 // expected. It avoids them for avoidDuration and notifies the requests that run there. It
-// returns the stalls that were not reported within stallReportInterval.
+// returns each new stall, and a continuing one again every stallReportInterval.
 func (table *Table) FindStalled(now time.Duration) []Stall {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -126,8 +128,8 @@
 	return stalls
 }
 
-// notifyStall sends a notice on Stalled, once for each report of the stall. The caller must hold
-// the table's mutex.
+// notifyStall sends a notice on Stalled, unless stallNotified shows that the request has
+// received one. The caller must hold the table's mutex.
 func (choice *Choice) notifyStall() {
 	if choice.stallNotified {
 		return
@@ -150,14 +152,14 @@
 }
 
 // AvoidGroup applies a stall that another node has reported: it keeps new requests from
-// the group of that epoch for the duration and notifies those that run there. A group
-// that sent an event to this process within maxDecodeGap is not avoided.
+// the group of that epoch for the duration and notifies those that run there. It does
+// nothing for a group that sent an event to this process within the last maxDecodeGap.
 func (table *Table) AvoidGroup(group shedkeel.Assignment, now, duration time.Duration) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	for _, state := range table.servers {
 		if state.Group != group || now-state.lastActivity < maxDecodeGap {
-			continue // it responds to this process
+			continue // another group, or one that responds to this process
 		}
 		state.avoidUntil = max(state.avoidUntil, now+duration)
 		for choice := range state.running {
--- a/dispatch/table.go
+++ b/dispatch/table.go
@@ -1,7 +1,10 @@
 // Package dispatch chooses the backend server or replica group that a request is sent
 // to. It weighs the requests that this process has running on each server, the
 // response times and failures that it has seen, and whether the server has stopped
-// responding.
+// responding. Table.Choose chooses for the requests of this process; Table.Recommend
+// spreads the requests of all processes over the groups of a model.
+//
+// All times are those of a shedkeel.Timers clock.
 package dispatch
 
 import (
@@ -32,13 +35,15 @@
 	// unresponsiveCost multiplies the cost of a server that has sent nothing for longer
 	// than expected, but not yet long enough to be avoided.
 	unresponsiveCost = 4
-	// maxPreferredCostRatio is how many times the cost of the cheapest server the
-	// preferred server of a request (Query.Preferred) may have. With two requests of this
-	// process it costs twice as much as with one; an unresponsive, slow or failing
-	// server costs more.
+	// maxPreferredCostRatio is the highest ratio of the cost of a request's preferred
+	// server (Query.Preferred) to the cost of the cheapest one at which the preferred
+	// server is chosen. A server with two running requests of this process costs three times
+	// as much as an idle one and is still chosen. One that is unresponsive, much slower or
+	// fails most requests costs more and is not.
 	maxPreferredCostRatio = 3.5
 	// remoteZoneCost multiplies the cost of a server in another availability zone. It
-	// relates the delay of the link to the time of a typical answer.
+	// accounts for the delay of the link, which is small compared with the time of a
+	// typical answer.
 	remoteZoneCost = 1.05
 )
 
@@ -46,8 +51,8 @@
 // by its head.
 type Server struct {
 	Service         shedkeel.ServiceID
-	Model           shedkeel.ModelID // empty for a plain service
-	Group           shedkeel.Assignment
+	Model           shedkeel.ModelID    // empty for a plain service
+	Group           shedkeel.Assignment // group and epoch; empty for a plain service
 	Instance        shedkeel.InstanceID
 	Address         string
 	Zone            shedkeel.ZoneID
@@ -93,7 +98,7 @@
 	latencyRatio  float64       // moving average of actual to expected response times
 	failureRate   float64       // moving average: share of requests that failed
 	scoresUpdated time.Duration // when latencyRatio or failureRate last changed
-	avoidUntil    time.Duration // the server is avoided until then, after a stall or a notice of another node
+	avoidUntil    time.Duration // the server is avoided before this time, after a stall or a notice of another node
 	stallReported time.Duration // when FindStalled last returned the current stall; 0: not yet
 	listed        bool
 	assigned      workload   // work of all processes, as estimated by Recommend
@@ -102,8 +107,9 @@
 	condition     *condition // nil: the server has stated no condition
 }
 
-// Replace sets the servers to choose from. It keeps the state of servers that remain,
-// and of removed ones for as long as requests run there.
+// Replace sets the servers to choose from. It keeps the state of servers that were listed
+// before. It drops the state of a removed server if no requests run there; otherwise a later
+// call does.
 func (table *Table) Replace(servers []Server) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -141,7 +147,7 @@
 	Exclude         []shedkeel.InstanceID // servers that must not be chosen, such as those already tried
 	PromptTokens    int
 	MaxAnswerTokens int                 // maximum length of the answer
-	Preferred       shedkeel.InstanceID // recommended by the process that spreads the requests of all processes; empty: none
+	Preferred       shedkeel.InstanceID // the server that Recommend returned, possibly in another process; empty: none
 	Late            bool                // the request is queued behind others and cannot be on time
 	UnlimitedOnly   bool                // only servers without a rate limit
 	Partition       int                 // for Recommend: index of the partition of groups to choose from
