--- a/dispatch/backoff_simulation_test.go
+++ b/dispatch/backoff_simulation_test.go
@@ -16,11 +16,12 @@
 // sizes makes TestBackoffStrategies simulate all sizes and seeds.
 var sizes = flag.Bool("sizes", false, "compare backoff strategies at all sizes")
 
-// strategy is how nodes act on a backoff that a server asks for.
+// strategy is how nodes act on a backoff that a server asks for. In all strategies, the
+// request that was rejected is not sent to that server again.
 type strategy struct {
 	honors     bool // later requests of the node avoid the server
 	broadcasts bool // the node informs all other nodes
-	probes     bool // the first request after the backoff is a probe: until it is answered, others prefer other servers
+	probes     bool // the first request after the backoff is a probe: until it is answered, the node prefers other servers
 }
 
 // strategies lists the strategies that are compared. The last one is in use.
@@ -147,7 +148,7 @@
 }
 
 // arrive delivers a request to its server, which runs or rejects it. A node violates a
-// backoff if three of its requests arrive after the first 500 ms of it and before its end.
+// backoff if three of its requests arrive during the backoff, after its first 500 ms.
 func (simulation *simulation) arrive(node int, choice *Choice, excluded []shedkeel.InstanceID, link time.Duration) {
 	server := simulation.servers[0]
 	for _, other := range simulation.servers {
--- a/dispatch/condition_test.go
+++ b/dispatch/condition_test.go
@@ -51,16 +51,16 @@
 		at    time.Duration // time of the choices
 		want  []shedkeel.InstanceID
 	}{
-		"nothing":                       {func(*Table) {}, 0, servers},
-		"a backs off":                   {func(table *Table) { table.BackOff("a@1", backoff, 0) }, backoff - 1, servers[1:]},
-		"a's backoff is over":           {func(table *Table) { table.BackOff("a@1", backoff, 0) }, backoff, servers},
-		"a later end is kept":           {func(table *Table) { table.BackOff("a@1", backoff, 0); table.BackOff("a@1", time.Second, 0) }, backoff - 1, servers[1:]},
-		"both back off":                 {func(table *Table) { table.BackOff("a@1", backoff, 0); table.BackOff("b@1", backoff, 0) }, 1, nil},
-		"a drains":                      {func(table *Table) { table.Drain("a@1") }, time.Hour, servers[1:]},
-		"an earlier start of a drained": {func(table *Table) { table.Drain("a@0") }, 0, servers},
-		"a drains, relisted":            {func(table *Table) { table.Drain("a@1"); table.relist(servers, 0) }, time.Hour, servers[1:]},
-		"a drains, long unlisted":       {func(table *Table) { table.Drain("a@1"); table.relist(servers, conditionRetention) }, time.Hour, servers},
-		"a drains, briefly unlisted":    {func(table *Table) { table.Drain("a@1"); table.relist(servers, conditionRetention-1) }, time.Hour, servers[1:]},
+		"nothing":                      {func(*Table) {}, 0, servers},
+		"a backs off":                  {func(table *Table) { table.BackOff("a@1", backoff, 0) }, backoff - 1, servers[1:]},
+		"a's backoff is over":          {func(table *Table) { table.BackOff("a@1", backoff, 0) }, backoff, servers},
+		"a later end is kept":          {func(table *Table) { table.BackOff("a@1", backoff, 0); table.BackOff("a@1", time.Second, 0) }, backoff - 1, servers[1:]},
+		"both back off":                {func(table *Table) { table.BackOff("a@1", backoff, 0); table.BackOff("b@1", backoff, 0) }, 1, nil},
+		"a drains":                     {func(table *Table) { table.Drain("a@1") }, time.Hour, servers[1:]},
+		"an earlier start of a drains": {func(table *Table) { table.Drain("a@0") }, 0, servers},
+		"a drains, relisted":           {func(table *Table) { table.Drain("a@1"); table.relist(servers, 0) }, time.Hour, servers[1:]},
+		"a drains, long unlisted":      {func(table *Table) { table.Drain("a@1"); table.relist(servers, conditionRetention) }, time.Hour, servers},
+		"a drains, briefly unlisted":   {func(table *Table) { table.Drain("a@1"); table.relist(servers, conditionRetention-1) }, time.Hour, servers[1:]},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -74,7 +74,8 @@
 	}
 }
 
-// relist removes all servers, and lists the given ones again after the missing time.
+// relist removes all servers, and lists the given ones after they have been missing for the
+// given time.
 func (table *Table) relist(servers []shedkeel.InstanceID, missing time.Duration) {
 	unlisted := func(shedkeel.InstanceID) bool { return false }
 	table.Replace(nil)
@@ -131,16 +132,18 @@
 			table.BackOff("b", 2*end, 0)
 			first := table.Choose(Query{Service: "s", Now: end})
 			assert.Equal(t, first.Instance, shedkeel.InstanceID("a"))
+			// Ends the backoff of b and its need for a probe.
 			table.BackOff("b", 0, 0)
 			table.conditions["b"].backoffUntil, table.conditions["b"].needsProbe = 0, false
 			test.outcome(first)
-			table.servers[first.key()].failureRate = 0
+			table.servers[first.key()].failureRate = 0 // so that only the condition decides
 			assert.Equal(t, slices.Contains(table.chooseAll(4, end), "a"), test.more)
 		})
 	}
 }
 
-// TestBackoffEnd checks the time after which callers should retry.
+// TestBackoffEnd checks when the first server accepts requests again, and that there is no
+// such time while one accepts requests or all drain.
 func TestBackoffEnd(t *testing.T) {
 	cases := map[string]struct {
 		apply func(*Table)
--- a/dispatch/spread_test.go
+++ b/dispatch/spread_test.go
@@ -11,7 +11,7 @@
 	"shedkeel.org/shedkeel"
 )
 
-// spreadSimulation has many processes, each with a table of its own, send requests for
+// spreadSimulation simulates processes, each with a table of its own, that send requests for
 // one model.
 type spreadSimulation struct {
 	processes int
@@ -20,9 +20,9 @@
 	spread    bool    // one process recommends groups for the requests of all processes
 }
 
-// countConcurrentPrefills returns how many requests were sent to a group that had received
-// two or more others within prefillWindow before. The group prefills these prompts at the
-// same time.
+// countConcurrentPrefills simulates a minute. It returns how many requests were sent to a
+// group that had received two or more others within prefillWindow before. The group prefills
+// these prompts at the same time.
 func (spreadSimulation *spreadSimulation) countConcurrentPrefills(seed uint64) int {
 	// A group prefills one prompt and runs a step in this time.
 	const prefillWindow = 80 * time.Millisecond
@@ -79,7 +79,8 @@
 }
 
 // TestSpreadKeepsPromptsApart compares 57 processes that each choose groups on their own
-// with 57 that follow the recommendations of a single process.
+// with 57 that follow the recommendations of a single process, by the number of requests
+// whose prompts a group prefills together with two or more others.
 func TestSpreadKeepsPromptsApart(t *testing.T) {
 	alone := &spreadSimulation{processes: 57, groups: 9, rate: 85}
 	spread := &spreadSimulation{processes: 57, groups: 9, rate: 85, spread: true}
@@ -91,8 +92,9 @@
 }
 
 // TestSpreadByReportedLoad checks that Recommend follows the reports of three processes,
-// although it has assigned none of their running requests: a group without a free slot gets
-// no request while others have room, and requests that have ended stop counting.
+// although it has assigned none of the requests that they report first: a group without a
+// free slot gets no request while others have room, and requests that have ended stop
+// counting.
 func TestSpreadByReportedLoad(t *testing.T) {
 	table := &Table{Zone: "z", Random: rand.NewPCG(1, 1)}
 	var servers []Server
@@ -124,7 +126,7 @@
 		running[process] = map[shedkeel.InstanceID]int{"half": 4, "empty": 4}
 		ask(process)
 	}
-	assert.Equal(t, ask(0), shedkeel.InstanceID("full"), "its requests have ended")
+	assert.Equal(t, ask(0), shedkeel.InstanceID("full"), "the requests of the full group have ended")
 }
 
 // TestSpread checks how ten requests are divided between two groups of which the second
@@ -146,8 +148,8 @@
 			}
 			table.servers[server.key()].latencyRatio = 2.2
 		}, "z", 5, 4},
-		"it failed recently": {func(table *Table, server *Server) { table.servers[server.key()].failureRate = 0.9 }, "z", 1, 0},
-		"it fails two of five, and the other has no free slots": {func(table *Table, server *Server) {
+		"failed recently": {func(table *Table, server *Server) { table.servers[server.key()].failureRate = 0.9 }, "z", 1, 0},
+		"fails two of five, and the first has no free slot": {func(table *Table, server *Server) {
 			for _, state := range table.servers {
 				state.assigned = workload{at: now, running: float64(state.Slots)}
 			}
--- a/dispatch/table_test.go
+++ b/dispatch/table_test.go
@@ -29,10 +29,10 @@
 	return servers
 }
 
-// query is the query that most tests use.
+// query is a query for the groups of testTable, at time 0.
 var query = Query{Service: "llm", Model: "m"}
 
-// at returns the query that most tests use, at that time.
+// at returns query with another time.
 func at(now time.Duration) Query {
 	at := query
 	at.Now = now
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestFailingServerIsAvoidedAndRetried checks that a server that fails requests gets no more
-// of them until its penalty has decayed.
+// TestFailingServerIsAvoidedAndRetried checks that a server that has failed requests gets
+// none until its penalty has decayed.
 func TestFailingServerIsAvoidedAndRetried(t *testing.T) {
 	table := testTable("a", "b")
 	for range 10 {
@@ -96,8 +96,9 @@
 	assert.Equal(t, table.Choose(at(now)).Instance, shedkeel.InstanceID("a"), "the failing server must be tried again")
 }
 
-// TestStalledServer checks that a server which stops responding is reported once, that its
-// requests are notified, and that it is avoided until it responds.
+// TestStalledServer checks that a server which stops responding is reported only once within
+// stallReportInterval, that its requests are notified, and that it is avoided until it
+// responds.
 func TestStalledServer(t *testing.T) {
 	table := testTable("a", "b")
 	choice := table.Choose(Query{Service: "llm", Model: "m", Exclude: []shedkeel.InstanceID{"b"}})
@@ -121,8 +122,8 @@
 	assert.Equal(t, table.Choose(at(now)).Instance, shedkeel.InstanceID("b"), "a stalled group got a request")
 
 	choice.RecordResponse(now + 1)
-	busy := table.Choose(Query{Service: "llm", Model: "m", Exclude: []shedkeel.InstanceID{"b"}, Now: now + 2})
-	assert.Assert(t, busy != nil, "an event must end the avoidance")
+	responding := table.Choose(Query{Service: "llm", Model: "m", Exclude: []shedkeel.InstanceID{"b"}, Now: now + 2})
+	assert.Assert(t, responding != nil, "an event must end the avoidance")
 	table.FindStalled(now + 1 + timeout)
 	select {
 	case <-choice.Stalled:
@@ -157,9 +158,9 @@
 }
 
 // TestLongEventGapIsNoStall checks that a group counts as stalled only after its stated
-// maximum time between events. An engine may prefill prompts of other processes for a
-// whole step; when that counted as a stall, two of three streams of a large model were
-// started twice.
+// maximum time between events. An engine may spend a step on prefill for other processes and
+// send no event meanwhile; when that counted as a stall, two of three streams of a large
+// model were started a second time at another group.
 func TestLongEventGapIsNoStall(t *testing.T) {
 	table := &Table{Zone: "z", Random: rand.NewPCG(1, 2)}
 	servers := groups("a")
