--- a/formation/demand.go
+++ b/formation/demand.go
@@ -10,11 +10,11 @@
 	// configuredWeight is the number of measured requests at which measured and
 	// configured shares have equal weight.
 	configuredWeight = 200.0
-	// sameDemandRatio is the ratio, in either direction, up to which a measured share
-	// counts as equal to the configured one. At a steady 130 requests a second,
-	// measured shares vary by a tenth. A burst of 14 s, with 1.6 times the requests of
-	// one model and 0.7 times those of the other, ends before the move of a group
-	// between models pays off.
+	// sameDemandRatio is the ratio of a measured share to the configured one, or of the
+	// configured to the measured, up to which the two count as equal. At a steady 130
+	// requests per second, measured shares vary by a tenth. A burst of 14 s, with 1.6 times
+	// the requests of one model and 0.7 times those of the other, ends before the move of a
+	// group between models pays off.
 	sameDemandRatio = 1.5
 )
 
@@ -53,8 +53,8 @@
 }
 
 // boxWork returns the box time, in seconds, that the demand on a model takes: the time
-// for reading the prompts, and what each request adds to the decoding steps. It leaves
-// out the base time of a step, which all running requests share.
+// for prefilling the prompts, and the time that each request adds to the decoding steps. It
+// leaves out the base time of a step, which all running requests share.
 func boxWork(engine *shedkeel.Engine, model *shedkeel.Model, demand shedkeel.ModelDemand) float64 {
 	if engine.ReadPerSecond <= 0 {
 		return 0
--- a/formation/form.go
+++ b/formation/form.go
@@ -85,8 +85,8 @@
 }
 
 // formNewGroups forms groups from free backend servers as long as nextGroup finds room,
-// each for the model that needs a group most at that point. Then it orders the loads for
-// further groups.
+// each for the model that needs a group most after the previous one. Then it orders the
+// loads for further groups.
 func (round *round) formNewGroups() {
 	counts := round.groupCounts()
 	for range len(round.input.Instances) {
@@ -124,8 +124,9 @@
 	}
 }
 
-// convertNeedRatio is the minimum ratio of one model's need to another's at which spares
-// that hold the other's weights load the first. A spare is not available while it loads.
+// convertNeedRatio is the minimum ratio of another model's need to that of the model on a
+// spare's host at which the spare loads the other model. A spare is not available while it
+// loads.
 const convertNeedRatio = 1.5
 
 // picker returns up to count free servers of a domain for a model.
@@ -149,8 +150,9 @@
 	return found[:min(count, len(found))]
 }
 
-// loadCost ranks servers by how much is lost if they load the model: lower is
-// cheaper.
+// loadCost ranks servers as candidates for a group of the model. From the lowest cost: the
+// server needs no load (joinCost), is loading the model, has no weights on its host, holds
+// another model's weights, or is loading another model.
 func (round *round) loadCost(instance *shedkeel.Instance, model shedkeel.ModelID) int {
 	cost := joinCost(instance, model)
 	loading, busy := round.planner.loading[instance.ID]
@@ -212,14 +214,14 @@
 	return best, bestDomain
 }
 
-// groupNeed returns how much a model needs another group: its work per existing
-// group. The 0.5 keeps it finite for a model without groups.
+// groupNeed returns how much a model needs another group: its work per active or forming
+// group. The 0.5 keeps the result finite for a model without groups.
 func (round *round) groupNeed(model *shedkeel.Model, counts map[shedkeel.ModelID]int) float64 {
 	return round.groupWork(model) / (float64(counts[model.ID]) + 0.5)
 }
 
-// minGroups is the number of groups of each model that are formed first if there is
-// room, so that the loss of one group leaves the model available.
+// minGroups is the number of groups that each model gets regardless of minNeedRatio and that
+// no reallocation takes from it, so that the loss of one group leaves the model available.
 const minGroups = 2
 
 // groupWork returns a model's work in units of groups. Shares are in units of
@@ -228,15 +230,16 @@
 	return round.shares[model.ID] / float64(max(model.Size, 1))
 }
 
-// domainFor returns the settled domain with the fewest free backend servers that
-// keeps its spares after a new group of the model is formed there. Small groups
-// thus leave the larger gaps to larger groups.
+// domainFor returns the domain for a new group of the model, and whether there is one. Of the
+// settled domains for which pick returns enough servers and that keep their spares after the
+// group is formed, it chooses the one with the fewest free backend servers. Small groups thus
+// leave the larger gaps to larger groups.
 //
 // With useSpares, the domain need not keep its spares. With onlyEmpty, only domains
-// without groups count. nextGroup sets it for a model that needs a group much less than
-// another does. Such a model may still use a domain without groups: otherwise three free
-// servers of a domain could stay unused for as long as no server joins, kept for a model
-// that has lost its groups everywhere and whose groups are too large for the domain.
+// without groups count. nextGroup sets onlyEmpty for a model that needs a group much less
+// than another does. If such a model could not even use a domain without groups, three free
+// servers of a domain could stay unused until another server joins: they would be kept for a
+// model that has lost its groups everywhere and whose groups are too large for the domain.
 func (round *round) domainFor(model *shedkeel.Model, pick picker, useSpares, onlyEmpty bool) (shedkeel.DomainID, bool) {
 	fewestFree := math.MaxInt
 	var bestDomain shedkeel.DomainID
@@ -277,9 +280,9 @@
 	return minSpares(len(round.byDomain[domain]))
 }
 
-// shortageRatio is the minimum ratio of needs at which a model's group is formed
-// from a domain's last spares. A model that lost two of nine groups has a ratio of
-// 1.2, one that lost three has 1.4.
+// shortageRatio is the minimum ratio of a model's need to another's at which a group of the
+// model may be formed from a domain's last spares. A model that lost two of nine groups has a
+// ratio of 1.2, one that lost three has 1.4.
 const shortageRatio = 1.3
 
 // lacksGroups reports whether a model has lost so many groups, compared with
@@ -304,7 +307,8 @@
 	return false
 }
 
-// hasGroups reports whether the domain has active or forming groups.
+// hasGroups reports whether the domain has active or forming groups. It takes any reserved
+// server of the domain as one of their members.
 func (round *round) hasGroups(domain shedkeel.DomainID) bool {
 	return slices.ContainsFunc(round.byDomain[domain], func(instance *shedkeel.Instance) bool { return round.reserved[instance.ID] })
 }
--- a/formation/groups.go
+++ b/formation/groups.go
@@ -18,8 +18,8 @@
 	Members []shedkeel.InstanceID
 }
 
-// LatestEpochs returns the highest epoch that the backend servers report of each
-// group. Formations with lower epochs have been replaced.
+// LatestEpochs returns the highest epoch that the backend servers report for each
+// group. Formations of the group with lower epochs have been replaced.
 func LatestEpochs(instances iter.Seq[shedkeel.Instance]) map[shedkeel.GroupID]uint64 {
 	epochs := map[shedkeel.GroupID]uint64{}
 	for instance := range instances {
--- a/formation/planner.go
+++ b/formation/planner.go
@@ -8,7 +8,9 @@
 // kept as a substitute for lost members; it is on standby while it waits, warmed up,
 // in a formation of its own. To release a group is to close it and have its head
 // leave, so that its members are free. The list is the platform's list of backend
-// servers with their memberships (Input.Instances); it lags.
+// servers with their memberships (Input.Instances); it lags behind the engines.
+//
+// All times are those of a shedkeel.Timers clock.
 //
 // Three rules keep groups consistent even if orders are lost or carried out late:
 //
@@ -31,8 +33,8 @@
 
 const (
 	// orderRetryInterval is the time after which an order without effect is sent
-	// again. An answer takes some milliseconds, and the list shows the effect
-	// immediately after it.
+	// again. An answer takes some milliseconds, and the list usually shows the effect
+	// right after the answer.
 	orderRetryInterval = 500 * time.Millisecond
 	// settleTime is the minimum time since the last backend server joined a domain
 	// before new groups are planned there, so that the domain is planned as a whole.
@@ -41,9 +43,9 @@
 	// group may be used in other groups. Only time distinguishes a lost head from
 	// one that is partitioned from the planner and the list and still serves.
 	// Partitions of 10 s were seen, and the head is listed again up to 2 s later.
-	// The head's own group can be formed again immediately.
+	// The group itself may be formed again immediately, under a new epoch.
 	headTimeout = 20 * time.Second
-	// listDelay is the time within which the list shows the effect of an answered
+	// listDelay is the longest time until the list shows the effect of an answered
 	// order.
 	listDelay = time.Second
 	// lateOrderTime is how long a server may still carry out an order that it has
@@ -66,16 +68,16 @@
 	// unreachableBackoff is how long a server is skipped after maxUnanswered orders.
 	unreachableBackoff = 3 * time.Second
 	// unlistedGrace is how long a working group is left unchanged although a member
-	// is no longer listed. A member that only the list can't reach is listed again; one
-	// that leaves without notice serves for some more seconds.
+	// is no longer listed. If the member is merely partitioned from the list, it is
+	// listed again. If it leaves without notice, it serves for some more seconds.
 	unlistedGrace = 6 * time.Second
 	// retentionTime is how long the planner keeps the state of a formation that no
-	// listed server reports. It is much longer than a partitioned server of the
-	// formation could go on serving.
+	// listed server reports. It is much longer than a partitioned head can go on
+	// serving.
 	retentionTime = time.Minute
-	// minNeedRatio is the minimum ratio of a model's need to the highest need at which
-	// a model that has minGroups gets more groups in domains that have groups. The
-	// servers left over remain spares.
+	// minNeedRatio limits which models get more groups than minGroups: in a domain that
+	// has groups, only a model whose need (groupNeed) is at least this share of the
+	// highest need of any model. The servers left over remain spares.
 	minNeedRatio = 0.5
 )
 
@@ -87,7 +89,7 @@
 	Dead         map[shedkeel.InstanceID]bool              // instances that answer no liveness probe
 	ProbePending map[shedkeel.InstanceID]bool              // instances with a pending liveness probe
 	Slow         map[shedkeel.InstanceID]float64           // instances that work, but slower by this factor
-	Stalled      map[shedkeel.Assignment]bool              // groups whose requests receive no output
+	Stalled      map[shedkeel.Assignment]bool              // groups whose requests receive no events
 	Demand       map[shedkeel.ModelID]shedkeel.ModelDemand // as measured; if empty, the configured shares apply
 	Traffic      bool                                      // callers are being served, so loads are limited
 }
@@ -95,18 +97,18 @@
 // Planner plans the groups of one service. Set its exported fields before the first
 // call of Plan. Its methods are not safe for concurrent use.
 type Planner struct {
-	NextEpoch func() uint64 // returns a unique epoch for a new formation
+	NextEpoch func() uint64 // returns the epoch for a new formation, higher than all earlier ones
 
 	firstListed        map[shedkeel.InstanceID]time.Duration // when the instance was first listed
 	lastArrival        map[shedkeel.DomainID]time.Duration   // when the last instance joined the domain
 	sentAt             map[orderKey]time.Duration            // when the order was last sent
 	forming            map[shedkeel.GroupID]*formingGroup
 	lastReported       map[shedkeel.Assignment]time.Duration               // when a listed server last reported the formation
-	headMissingSince   map[shedkeel.Assignment]time.Duration               // when the head became unusable
+	headMissingSince   map[shedkeel.Assignment]time.Duration               // when the head was first found unusable
 	lastMembers        map[shedkeel.Assignment]map[int]shedkeel.InstanceID // the members when last listed, by rank
 	leftAt             map[shedkeel.Assignment]time.Duration               // when the head confirmed that it left
 	reservedUntil      map[shedkeel.InstanceID]time.Duration               // members of abandoned formations; not used elsewhere before this time
-	memberMissingSince map[shedkeel.Assignment]time.Duration               // when a member was first no longer listed
+	memberMissingSince map[shedkeel.Assignment]time.Duration               // when a member was first found unlisted
 	loadStarts         []time.Duration                                     // when load orders were sent
 	loading            map[shedkeel.InstanceID]loading                     // loads onto hosts that were ordered and have not finished
 	pendingJoins       map[shedkeel.ServerID][]pendingJoin                 // unanswered join orders
@@ -135,7 +137,7 @@
 type pendingJoin struct {
 	to         shedkeel.InstanceID
 	assignment shedkeel.Assignment
-	until      time.Duration
+	until      time.Duration // the order is assumed not to be carried out after this time
 }
 
 // orderKey identifies an order, to limit how often it is sent.
@@ -154,7 +156,7 @@
 	confirmed     map[shedkeel.InstanceID]bool // members that confirmed their order to join
 }
 
-// Action is an order with its reason, for the log.
+// Action is an order and the reason for it, which is logged.
 type Action struct {
 	Order  shedkeel.GroupOrder
 	Reason string
@@ -269,7 +271,7 @@
 // abandonForming abandons a formation that was ordered. It reserves the members for
 // listDelay, because the list may not show yet which of them have joined. Otherwise a
 // member could be ordered to join another group immediately, and carry out that order
-// after this formation has completed and serves.
+// when this formation is complete after all and serves.
 func (planner *Planner) abandonForming(group shedkeel.GroupID) {
 	for _, member := range planner.forming[group].members {
 		planner.reservedUntil[member] = planner.lastPlanTime() + listDelay
@@ -315,8 +317,8 @@
 	planner.expire(input.Now)
 }
 
-// expire removes the state of orders and standbys that is out of date, and that of
-// formations that no server has reported for retentionTime.
+// expire removes the state of old orders, and of formations that no server has reported
+// for retentionTime.
 func (planner *Planner) expire(now time.Duration) {
 	maps.DeleteFunc(planner.sentAt, func(_ orderKey, at time.Duration) bool { return now-at > retentionTime })
 	for server, joins := range planner.pendingJoins {
--- a/formation/reallocate.go
+++ b/formation/reallocate.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	// reallocationNeedRatio is the minimum ratio of the recipient's need to the donor's
-	// need, as it will be without the released group. The servers of a released group
+	// reallocationNeedRatio is the minimum ratio of the recipient's need to the need that
+	// the donor will have without the released group. The servers of a released group
 	// are not available for some seconds, and a smaller imbalance is corrected when the
 	// next group is lost.
 	reallocationNeedRatio = 1.3
-	// excessGroups is the number of groups above its fair share from which a model
-	// releases one for a model whose demand is not raised. A loss of groups by that
-	// other model is not sufficient, because its servers come back.
+	// excessGroups is how many groups more than its fair share a model must have to
+	// release one for a model whose demand is not raised. It is not sufficient that the
+	// other model has lost groups, because lost servers restart or are replaced.
 	excessGroups = 1.5
-	// imbalanceTime is how long the imbalance must have lasted.
+	// imbalanceTime is how long an imbalance must have lasted before a group is released.
 	imbalanceTime = 3 * time.Second
 	// reallocationPause is the minimum time between reallocations, so that the
 	// effect of the previous one is visible.
 	reallocationPause = 6 * time.Second
-	// releaseTimeout is the longest time that the release of one group may take. The
-	// hosts of the group load the other model meanwhile, while the group serves.
+	// releaseTimeout is the longest time that the release of one group may take before
+	// the reallocation is given up. It includes the time in which the hosts of the group
+	// load the other model while the group still serves.
 	releaseTimeout = 40 * time.Second
 )
 
@@ -37,7 +38,7 @@
 	group      shedkeel.Assignment // the one being released
 	groupsLeft int                 // groups to release, the current one included
 	committed  bool                // the first group was ordered to close; the rest follow even if the imbalance ends
-	since      time.Duration       // start of the current group's release
+	since      time.Duration       // when the release of the current group began
 }
 
 // reallocateGroups releases groups of a model with more groups than its work needs, for
@@ -145,10 +146,11 @@
 	return float64(boxes) * round.shares[model.ID] / max(total, math.SmallestNonzeroFloat64) / float64(max(model.Size, 1))
 }
 
-// groupToRelease returns an open group of one model to release first for a group of
+// groupToRelease returns the open group of one model to release first for a group of
 // another, and how many groups its domain has to release in total. The group is nil if no
-// domain can. The domain's free servers beyond its spares are used too. It chooses the
-// domain and the group that need the fewest released groups and loads.
+// domain can release enough. Free servers of the domain beyond its spares become members of
+// the new group too. The choice needs the fewest released groups, weighted by the size of
+// the domain, and the fewest loads.
 func (round *round) groupToRelease(from, to *shedkeel.Model) (group *observedGroup, groups int) {
 	var best *observedGroup
 	var lowestCost, groupCount int
@@ -189,8 +191,8 @@
 }
 
 // continueReallocation orders the next step of a reallocation: the members load the
-// other model, the head closes, then it leaves. It returns false when the reallocation
-// is complete, is no longer possible or has timed out.
+// other model, then the head closes, then the head leaves. It returns false when the
+// reallocation is complete, is no longer possible or has timed out.
 func (round *round) continueReallocation(reallocation *reallocation) bool {
 	if round.hasLeft(reallocation.group) && !round.nextRelease(reallocation) {
 		return false
--- a/formation/repair.go
+++ b/formation/repair.go
@@ -7,9 +7,9 @@
 	"shedkeel.org/shedkeel"
 )
 
-// continueForming sends the join orders of formations in progress, to the other members
-// only after the head has joined. It ends formations that are complete, and abandons those
-// that can't complete any more.
+// continueForming orders the members of formations in progress to join: first the head, and
+// the others once the head has joined or confirmed its order. It drops formations that are
+// complete or can't complete any more.
 func (round *round) continueForming() {
 	for id, forming := range round.planner.forming {
 		if !round.stillForming(id, forming) {
@@ -36,8 +36,9 @@
 	}
 }
 
-// stillForming reports whether a formation is still in progress: some member has not
-// joined or is joining, and all can still join. It notes that the head has joined.
+// stillForming reports whether a formation is still in progress: some member has not joined
+// or is still joining, and all of them can still join. It sets headConfirmed if the head is
+// listed as joined.
 func (round *round) stillForming(id shedkeel.GroupID, forming *formingGroup) bool {
 	allReady := true
 	for _, member := range forming.members {
@@ -81,10 +82,10 @@
 	round.dismissFormerHeads()
 }
 
-// reserveRestarted reserves servers that have restarted while a join order to an earlier
-// start may still be carried out and the head of its formation may serve. Engines
-// identify themselves by server name and lose the highest epoch on a restart, so the new
-// start may already be a member of a serving group before the list shows it.
+// reserveRestarted reserves a server that has restarted as long as a join order to an earlier
+// start may still be carried out and the head of the ordered formation may serve. Engines
+// identify themselves by server name and lose the highest epoch on a restart. The new start
+// may thus carry out the order and be a member of a serving group before the list shows it.
 func (round *round) reserveRestarted() {
 	for index := range round.input.Instances {
 		instance := &round.input.Instances[index]
@@ -179,9 +180,10 @@
 	})
 }
 
-// toleratesUnlisted reports whether an open group that works is not repaired for now
-// although a member is not listed. After unlistedGrace it orders the head to close, if
-// there are substitutes, so that the group finishes its requests before the repair.
+// toleratesUnlisted reports whether a group is not repaired for now although a member is not
+// listed, because the group works: it is open, its listed members are usable and its requests
+// are not stalled. After unlistedGrace it orders the head to close if there are substitutes,
+// so that the group finishes its requests before the repair.
 func (round *round) toleratesUnlisted(group *observedGroup, intact bool) bool {
 	assignment := group.assignment()
 	if intact || round.input.Stalled[assignment] || !round.usable(group.head()) || group.headState() != shedkeel.MemberOpen {
@@ -238,11 +240,11 @@
 // survivors returns the usable members in order of rank, except those that are in a
 // formation in progress.
 //
-// The list lags, so it still shows members in this group after they were ordered into
-// another formation. If they were treated as free, they would be ordered into a third
-// formation, and carrying out that order late would take a server out of the second one
-// while that serves. Formations that began in this round count too: a member whose head
-// has restarted is free and may have become a substitute in another group in this round.
+// The list lags, so it still shows a member in this group after the member was ordered into
+// another formation. If it were treated as a survivor, it would be ordered into a third
+// formation. If it carried out that order late, it would leave the second formation while
+// that one serves. Formations that began in this round count too: a member whose head has
+// restarted is free and may have become a substitute in another group in this round.
 func (round *round) survivors(group *observedGroup) []*shedkeel.Instance {
 	var found []*shedkeel.Instance
 	for _, member := range group.members {
@@ -267,7 +269,8 @@
 }
 
 // repair forms the group again from its survivors and substitutes, under the same name
-// and a new epoch. Without enough substitutes it releases the group.
+// and a new epoch. Without enough substitutes it releases the group, but waits while a
+// substitute is being probed or an unreachable head may serve.
 func (round *round) repair(group *observedGroup) {
 	members := round.survivors(group)
 	round.reserve(members) // so that they are not chosen as substitutes
@@ -295,9 +298,9 @@
 }
 
 // headMayServe reports whether the head of a group may be serving. An open head that is
-// stalled counts as serving, and an unusable one counts until headTimeout has passed. A
-// head that is listed as ready may be about to open: an order to open, even one of a
-// previous planner, may be in transit.
+// stalled counts as serving, and an unusable head counts until headTimeout has passed. So
+// does a head that is listed as ready, because an order to open, even one of a previous
+// planner, may be in transit.
 func (round *round) headMayServe(group *observedGroup) bool {
 	if round.headHasEnded(group.assignment()) {
 		return false
@@ -322,8 +325,8 @@
 }
 
 // formerHeadMayServe is headMayServe for a formation that a later one of the same group
-// has replaced. The head of the former one was considered lost; it may not be a member of
-// the later one and may still serve.
+// has replaced. If the former head was considered lost, it is not a member of the later
+// formation and may still serve.
 func (round *round) formerHeadMayServe(former shedkeel.Assignment) bool {
 	if round.headHasEnded(former) {
 		return false
@@ -364,7 +367,8 @@
 }
 
 // beginForming starts a formation with a new epoch and orders its head, the first of the
-// members, to join. It reserves the members. A join that loads weights counts as a load.
+// members, to join. It reserves the members. A join for which the server has to load weights
+// from the weight store counts towards the load limit of loadWindow.
 func (round *round) beginForming(id shedkeel.GroupID, model *shedkeel.Model, members []*shedkeel.Instance) {
 	forming := &formingGroup{epoch: round.planner.NextEpoch(), model: model.ID, confirmed: map[shedkeel.InstanceID]bool{}}
 	for _, member := range members {
--- a/formation/round.go
+++ b/formation/round.go
@@ -12,8 +12,8 @@
 type round struct {
 	planner         *Planner
 	input           Input
-	shares          map[shedkeel.ModelID]float64 // each model's share of the work, in box time
-	donor           shedkeel.ModelID             // the model that releases groups and gets no new ones; "": none
+	shares          map[shedkeel.ModelID]float64 // each model's share of the work, as returned by workShares
+	donor           shedkeel.ModelID             // the model that releases groups and gets no more than minGroups; "": none
 	byID            map[shedkeel.InstanceID]*shedkeel.Instance
 	listedInstances map[shedkeel.ServerID]shedkeel.InstanceID // the listed instance of each server
 	byDomain        map[shedkeel.DomainID][]*shedkeel.Instance
@@ -124,8 +124,8 @@
 	round.planner.lastMembers[assignment][instance.Member.Rank] = instance.ID
 }
 
-// restarted reports whether a later start of the instance's server is listed. The
-// instance itself has then ended, whatever it last reported.
+// restarted reports whether a later start of the instance's server is listed. In that case
+// the instance has ended, whatever it last reported.
 func (round *round) restarted(id shedkeel.InstanceID) bool {
 	current, listed := round.listedInstances[id.Server()]
 	return listed && current.Born() > id.Born()
--- a/formation/stage.go
+++ b/formation/stage.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// stageDomain orders the free servers of a domain to load weights ahead of need: those
-// without weights, then those whose host copy is redundant.
+// stageDomain orders the free servers of a domain to load weights ahead of need: first those
+// without weights on their hosts, then those for which hostCopyIsRedundant.
 func (round *round) stageDomain(domain shedkeel.DomainID) {
 	staged := map[shedkeel.ModelID]int{}
 	var empty []*shedkeel.Instance
@@ -48,12 +48,12 @@
 	round.stageSecondModel(domain, free, staged)
 }
 
-// stageSecondModel orders hosts whose copy is redundant to load another model. These are
-// hosts of the candidates, which are spares, and, before traffic starts, of
+// stageSecondModel orders servers for which hostCopyIsRedundant to load another model onto
+// their hosts. It considers the candidates, which are spares, and before traffic starts also
 // expendableMembers.
 //
-// Such a spare then replaces a member of either of two models. Otherwise the second loss of
-// a model in a domain waits 12 to 16 s for a load.
+// Such a spare can then replace a member of either of two models. Otherwise the second loss
+// of a member of the same model in a domain waits 12 to 16 s for a load.
 func (round *round) stageSecondModel(domain shedkeel.DomainID, candidates []*shedkeel.Instance, staged map[shedkeel.ModelID]int) {
 	if !round.input.Traffic {
 		candidates = append(candidates, round.expendableMembers(domain)...)
@@ -70,12 +70,13 @@
 }
 
 // expendableMembers returns the members of a domain's open groups of the smallest model,
-// except one group. Releasing such a group costs least. The hosts of the excepted group
-// keep their own model's weights, so that a domain that restarts as a whole can form it.
+// except one group. Releasing a group of that model costs least. The hosts of the excepted
+// group keep their own model's weights, so that the group can be formed without a load if all
+// servers of the domain restart.
 //
 // Before traffic starts, a load takes a tenth of the time that it takes under traffic.
-// Weights that these hosts load before save 12 to 16 s when the demand for another model
-// exceeds its configured share.
+// The weights of another model on these hosts save a load of 12 to 16 s when the demand for
+// that model exceeds its configured share.
 func (round *round) expendableMembers(domain shedkeel.DomainID) []*shedkeel.Instance {
 	var found []*shedkeel.Instance
 	excepted := false
@@ -98,8 +99,8 @@
 
 // hostCopyIsRedundant reports whether a server's host holds only models that the server
 // itself has loaded. The server joins such a model in a fraction of a second with or
-// without the copy, so the host can hold another model: the spare then replaces a member
-// of either model within a warm-up.
+// without the copy on the host, so the host can hold another model instead: the server then
+// replaces a member of either model within the duration of a warm-up.
 func (round *round) hostCopyIsRedundant(instance *shedkeel.Instance) bool {
 	if len(instance.Models) == 0 {
 		return false
@@ -133,9 +134,9 @@
 	return float64(len(round.planner.loadStarts)) < part*engine.LoadsPerSecond*loadWindow.Seconds()
 }
 
-// maxLoadWait returns how long a domain may wait until one of its servers may load: the
-// time that the loads of all servers take, LoadsAtOnce at a time and each slower by
-// slowLoadFactor.
+// maxLoadWait returns the longest time that a domain may wait until one of its servers may
+// load: the time that loads on all servers take, LoadsAtOnce at a time, if each takes
+// slowLoadFactor times the longest load of any model.
 func (round *round) maxLoadWait() time.Duration {
 	longest := time.Duration(0)
 	for index := range round.input.Engine.Models {
@@ -205,9 +206,9 @@
 	return round.leastCovered(round.modelIDs(), domain, staged)
 }
 
-// leastCovered returns, of the models, the one with the fewest spares per member in the
-// domain; of equal ones, the one with the fewest spares. staged is the number of free servers
-// that have or load each model's weights.
+// leastCovered returns the model, of those given, that has the fewest spares per member in
+// the domain. Of equal ones it returns the one with the fewest spares. staged holds, for each
+// model, the number of free servers that have its weights on their hosts or load them.
 func (round *round) leastCovered(models []shedkeel.ModelID, domain shedkeel.DomainID, staged map[shedkeel.ModelID]int) shedkeel.ModelID {
 	members := round.memberCounts(domain)
 	best := models[0]
--- a/formation/standby.go
+++ b/formation/standby.go
@@ -27,11 +27,11 @@
 
 // orderStandby orders a spare to go on standby for the first model on its host. It does
 // nothing if the host is loading weights or has none, if the server has already loaded a
-// model, if the engine has no such model, or if the spare was given this order within
-// standbyRetryInterval.
+// model and so needs no warm-up, if the engine has no such model, or if the spare was given
+// this order within standbyRetryInterval.
 func (round *round) orderStandby(spare *shedkeel.Instance) {
 	if _, loads := round.planner.loading[spare.ID]; loads || len(spare.Staged) == 0 || len(spare.Models) > 0 {
-		return // a spare with a loaded model needs no standby
+		return
 	}
 	model := spare.Staged[0]
 	if round.input.Engine.Model(model) == nil {
--- a/formation/usage.go
+++ b/formation/usage.go
@@ -6,7 +6,7 @@
 // is logged to show why some servers take no requests.
 type DomainUsage struct {
 	Domain      shedkeel.DomainID
-	Serving     map[shedkeel.ModelID]int // members of active or forming groups
+	Serving     map[shedkeel.ModelID]int // members of active or forming groups, by the group's model
 	Spare       map[shedkeel.ModelID]int // free, by the first model on their hosts
 	Loading     int                      // free, loading weights
 	Empty       int                      // free, without weights
@@ -34,19 +34,19 @@
 	return found
 }
 
-// countInstance adds an instance to the counts of its domain.
-func (round *round) countInstance(domain *DomainUsage, instance *shedkeel.Instance) {
+// countInstance adds an instance to the usage of its domain.
+func (round *round) countInstance(usage *DomainUsage, instance *shedkeel.Instance) {
 	_, loads := round.planner.loading[instance.ID]
 	switch {
 	case !round.usable(instance):
-		domain.Unavailable++
+		usage.Unavailable++
 	case !IsFree(instance) && (round.reserved[instance.ID] || round.inActiveGroup(instance)):
-		domain.Serving[ModelOf(instance.Member.Group)]++
+		usage.Serving[ModelOf(instance.Member.Group)]++
 	case loads:
-		domain.Loading++
+		usage.Loading++
 	case len(instance.Staged) == 0:
-		domain.Empty++
+		usage.Empty++
 	default:
-		domain.Spare[instance.Staged[0]]++
+		usage.Spare[instance.Staged[0]]++
 	}
 }
--- a/formation/wait.go
+++ b/formation/wait.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	// probeTimeout is the longest wait for the results of liveness probes: two probes
-	// of a server, and those of other servers that show whether this node reaches any,
-	// including their queues.
+	// probeTimeout is the longest wait for the results of liveness probes. It covers two
+	// probes of the server, those of other servers that show whether this node reaches any
+	// server at all, and the time that the probes are queued.
 	probeTimeout = 2 * time.Second
 	// drainTimeout is the longest time that a group takes to finish running requests.
 	// Callers wait no longer for an answer.
@@ -42,7 +42,7 @@
 	Server shedkeel.InstanceID // "": the group or the domain as a whole
 	Domain shedkeel.DomainID
 	Reason WaitReason
-	Since  time.Duration
+	Since  time.Duration // first of the consecutive plans that recorded the wait
 	Bound  time.Duration // the longest expected duration; 0: not bounded
 }
 
@@ -70,8 +70,8 @@
 	})
 }
 
-// recordWait records a wait. Its Since stays that of the previous plan if the
-// planner already waited for the same condition then.
+// recordWait records a wait. If the previous plan recorded the same wait, its Since is kept.
+// Otherwise Since is set to the current time.
 func (round *round) recordWait(wait Wait) {
 	key := waitKey{wait.Group, wait.Server, wait.Domain, wait.Reason}
 	wait.Since = round.input.Now
@@ -103,8 +103,8 @@
 	}
 }
 
-// joinTimeout returns the longest time that a formation of a model may take: its
-// slowest join, and orders that are sent again.
+// joinTimeout returns the longest time that a formation of a model may take: that of a join
+// that loads weights slowly, plus unreachableBackoff for orders that are sent again.
 func joinTimeout(model *shedkeel.Model) time.Duration {
 	return slowLoadFactor*model.Load + unreachableBackoff
 }
