--- a/formation/correlated_loss_test.go
+++ b/formation/correlated_loss_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestServersLostTogether kills two members of a group at the same moment, as a fault of
-// their domain does. The planner learns of the second loss some milliseconds after the first.
+// their domain does. The probe of the second one fails some milliseconds after the first.
 // It must not form the group again with the second lost member, whose order to join would
 // never be answered.
 func TestServersLostTogether(t *testing.T) {
--- a/formation/demand_test.go
+++ b/formation/demand_test.go
@@ -16,8 +16,9 @@
 	"shedkeel.org/shedkeel"
 )
 
-// demandOf returns the demand of five seconds at the given rates, in requests a second,
-// with the request sizes that the configured shares are based on.
+// demandOf returns the demand for the large and the small model of five seconds at the given
+// rates, in requests per second, with the request sizes that the configured shares are based
+// on.
 func demandOf(large, small float64) map[shedkeel.ModelID]shedkeel.ModelDemand {
 	const seconds = 5
 	return map[shedkeel.ModelID]shedkeel.ModelDemand{
@@ -33,7 +34,7 @@
 )
 
 // TestShares checks which demands change the shares from the configured 0.67 and 0.33. The
-// bounds leave room for the weight of the configured shares.
+// bounds allow for the weight that workShares gives to the configured shares.
 func TestShares(t *testing.T) {
 	cases := map[string]struct {
 		demand             map[shedkeel.ModelID]shedkeel.ModelDemand
@@ -58,8 +59,9 @@
 	}
 }
 
-// TestLossesMoveNoGroups has half of the large model's groups lose a member without a
-// substitute. Servers come back, so no group of the other model may be released.
+// TestLossesMoveNoGroups has half of the large model's groups lose three members, more than
+// their domains have spares for. No group of the other model may be released for that, since
+// the lost servers are replaced 20 s later.
 func TestLossesMoveNoGroups(t *testing.T) {
 	fleet := newFakeFleet(3, 6, 8)
 	planner := newPlanner(1)
@@ -171,11 +173,12 @@
 	assert.Equal(t, len(fleet.violations), 0, "%v", fleet.violations)
 }
 
-// histories is the number of random histories, sequences of faults, that each test simulates.
+// histories is the number of random histories that a test simulates. A history is a sequence
+// of faults.
 var histories = flag.Int("histories", 12, "random histories to simulate")
 
-// TestRulesHoldWhileGroupsAreReleased shifts the demand between models while members are lost,
-// unreachable or slow to answer, orders are lost or carried out late, and planners change.
+// TestRulesHoldWhileGroupsAreReleased shifts the demand between models while members are lost
+// or unreachable, orders are lost or carried out late, and planners change.
 func TestRulesHoldWhileGroupsAreReleased(t *testing.T) {
 	t.Parallel()
 	var closed atomic.Int64
@@ -191,7 +194,7 @@
 	assert.Assert(t, closed.Load() > 0)
 }
 
-// TestHistoriesThatFailed repeats each history that has violated a rule.
+// TestHistoriesThatFailed repeats the histories in which a rule was once violated.
 func TestHistoriesThatFailed(t *testing.T) {
 	t.Parallel()
 	seeds := map[string]int{
--- a/formation/fake_test.go
+++ b/formation/fake_test.go
@@ -9,7 +9,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// testEngine has a model of four boxes and one of two.
+// testEngine returns an engine with a model whose groups have four members and one whose
+// groups have two.
 func testEngine() *shedkeel.Engine {
 	return &shedkeel.Engine{
 		Slots: 26, LoadsPerSecond: 4, LoadsAtOnce: 6, ReadPerSecond: 46_000, StepPerRequest: 241 * time.Microsecond,
@@ -24,16 +25,16 @@
 // exported fields are what it reports.
 type fakeServer struct {
 	shedkeel.Instance
-	highestEpoch     uint64
-	lastModel        shedkeel.ModelID
-	readyAt          time.Duration
-	stagingModel     shedkeel.ModelID
-	stagedAt         time.Duration
-	cold             bool          // the current join loads from the weight store, which leaves the model on the host
-	diedAt           time.Duration // 0: alive
-	stalledSince     time.Duration // as a head: when a member became missing; 0: none is
-	unreachableUntil time.Duration // the planner can't reach it before this time, though it serves
-	members          []shedkeel.InstanceID
+	highestEpoch     uint64                       // of the orders to join that it accepted
+	lastModel        shedkeel.ModelID             // the model that it has loaded or is loading; "": none
+	readyAt          time.Duration                // when the current join is complete
+	stagingModel     shedkeel.ModelID             // the model that its host is loading
+	stagedAt         time.Duration                // when that load is complete; 0: the host loads nothing
+	cold             bool                         // the current join loads from the weight store, which leaves the model on the host
+	diedAt           time.Duration                // 0: alive
+	stalledSince     time.Duration                // as a head: when a member became missing; 0: none is
+	unreachableUntil time.Duration                // the planner can't reach it before this time, though it serves
+	members          []shedkeel.InstanceID        // members of its current formation, by rank
 	readyIn          map[shedkeel.Assignment]bool // the formations in which it has been ready
 	partitionedAt    time.Duration                // start of a partition from the planner and the list, in which it serves
 	partitionedUntil time.Duration
@@ -44,13 +45,14 @@
 func (server *fakeServer) isPartitioned(now time.Duration) bool { return now < server.partitionedUntil }
 
 // unlisted reports whether a partitioned server is missing from the list. Its record there
-// expires after three heartbeats, and returns 1.4 s after the partition.
+// expires after three heartbeats, and is written again 1.4 s after the partition ends.
 func (server *fakeServer) unlisted(now time.Duration) bool {
 	const expiry, relistDelay = 3600 * time.Millisecond, 1400 * time.Millisecond
 	return server.partitionedUntil-server.partitionedAt > expiry && now > server.partitionedAt+expiry && now < server.partitionedUntil+relistDelay
 }
 
-// fakeFleet simulates engines in virtual time and records violations of the protocol.
+// fakeFleet simulates engines in virtual time and records violations of the rules of the
+// package comment.
 type fakeFleet struct {
 	engine      *shedkeel.Engine
 	random      *rand.Rand
@@ -91,8 +93,8 @@
 	fleet.servers[id] = server
 }
 
-// restart has a server start again under its name. The server loses its state, and its
-// host keeps the weights that it has loaded.
+// restart has a server start again under its name. The server loses its state, but its host
+// keeps the weights on it.
 func (fleet *fakeFleet) restart(id shedkeel.InstanceID) {
 	former := fleet.servers[id]
 	former.diedAt, former.restarted, former.Member = fleet.now, true, nil
@@ -157,8 +159,8 @@
 	return 0
 }
 
-// dead returns the servers that fail probes: those that died over half a second ago and
-// those that the planner can't reach.
+// dead returns the servers that fail liveness probes: those that died over half a second ago
+// and those that the planner can't reach.
 func (fleet *fakeFleet) dead() map[shedkeel.InstanceID]bool {
 	found := map[shedkeel.InstanceID]bool{}
 	for id, server := range fleet.servers {
@@ -169,7 +171,8 @@
 	return found
 }
 
-// head returns the head of the formation that a membership is of, or nil if it has none.
+// head returns the head of the formation that a membership belongs to, or nil if no server is
+// its head.
 func (fleet *fakeFleet) head(member *shedkeel.Membership) *fakeServer {
 	for _, server := range fleet.servers {
 		if server.Member != nil && server.Member.Group == member.Group && server.Member.Epoch == member.Epoch && server.Member.Rank == 0 {
@@ -252,9 +255,9 @@
 	return slices.IndexFunc(members, func(member shedkeel.InstanceID) bool { return member.Server() == id.Server() })
 }
 
-// checkOpen records a violation if a head opens while a member was never ready in its
-// formation. A member that was ready and then left is no violation, since an order to
-// open may be carried out after the group was formed again. Such a head stalls.
+// checkOpen records a violation if a head opens although a member was never ready in its
+// formation. It is no violation if a member was ready and then left, since an order to open
+// may be carried out after the group was formed again. Such a head stalls.
 func (fleet *fakeFleet) checkOpen(head *fakeServer) {
 	model := fleet.engine.Model(ModelOf(head.Member.Group))
 	if len(head.members) != model.Size {
@@ -315,8 +318,8 @@
 	}
 }
 
-// checkStalled marks the head of an open group as broken when a member has been missing
-// for five seconds.
+// checkStalled marks an open head as broken when a member of its formation has been missing
+// for more than five seconds.
 func (fleet *fakeFleet) checkStalled(head *fakeServer) {
 	if head.Member.State != shedkeel.MemberOpen {
 		head.stalledSince = 0
@@ -336,9 +339,9 @@
 	}
 }
 
-// deliver sends a plan's orders to the servers. Some answers are lost; their orders are
-// carried out late, unless the server has died by then. Orders to unreachable servers are
-// lost.
+// deliver sends a plan's orders to the servers. With probability answerLoss an order is not
+// answered and carried out late, unless the server has died by then. Orders to dead,
+// unreachable and partitioned servers are lost.
 func (fleet *fakeFleet) deliver(planner *Planner, actions []Action) {
 	for _, action := range actions {
 		fleet.orderCounts[action.Order.Kind]++
--- a/formation/fleet_test.go
+++ b/formation/fleet_test.go
@@ -11,8 +11,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestFormsEveryGroupThatHasRoom has room for six groups of four and six of two, beside the
-// spares of six domains of eight servers.
+// TestFormsEveryGroupThatHasRoom checks that each of six domains of eight servers gets a
+// group of four and one of two, for which there is room beside its spares.
 func TestFormsEveryGroupThatHasRoom(t *testing.T) {
 	fleet := newFakeFleet(1, 6, 8)
 	fleet.run(newPlanner(1), 30*time.Second, false)
@@ -56,7 +56,7 @@
 
 // TestRulesHoldWhileServersAreUnreachable has serving servers fail probes and leave orders
 // unanswered for a while: their groups are formed again without them, and they become
-// reachable again when other servers have taken their ranks.
+// reachable again after other servers have taken their ranks.
 func TestRulesHoldWhileServersAreUnreachable(t *testing.T) {
 	t.Parallel()
 	for seed := range 40 {
@@ -104,9 +104,9 @@
 	}
 }
 
-// TestRulesHoldWhileServersRestart restarts servers under their names while orders are
-// lost or carried out late, some of them by the next start of the server, and planners
-// change.
+// TestRulesHoldWhileServersRestart restarts servers under their names while planners change
+// and orders are lost or carried out late. The next start of a server carries out late orders
+// to the previous one.
 func TestRulesHoldWhileServersRestart(t *testing.T) {
 	t.Parallel()
 	for seed := range 60 {
@@ -136,10 +136,11 @@
 	return slices.DeleteFunc(slices.Sorted(maps.Keys(fleet.servers)), func(id shedkeel.InstanceID) bool { return fleet.servers[id].diedAt != 0 })
 }
 
-// TestMemberThatRestarts covers a member of an open group that restarts under its name.
-// The planner mistook it for the same instance: it left the group unchanged for
-// unlistedGrace, as if a member were only unlisted, and reserved the members for
-// headTimeout, because an unreachable head may serve. A head that has restarted can't.
+// TestMemberThatRestarts checks that a group recovers within 3 s when a member of the open
+// group restarts under its name. A planner that did not recognize the restart left the group
+// unchanged for unlistedGrace, as if the member were only unlisted. For a head, it reserved
+// the members for headTimeout, because an unreachable head may serve; a head that has
+// restarted can't.
 func TestMemberThatRestarts(t *testing.T) {
 	t.Parallel()
 	for name, rank := range map[string]int{"head": 0, "member": 1} {
@@ -215,8 +216,9 @@
 	}
 }
 
-// TestHostsKeepWhatTheyLoaded covers three models where each host keeps the weights of only
-// one: a spare must not go on loading one model after the other.
+// TestHostsKeepWhatTheyLoaded checks that spares load no more weights once the fleet has
+// settled. There are three models, and each host keeps the weights of only one, so a spare
+// could go on loading one model after the other.
 func TestHostsKeepWhatTheyLoaded(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(3, 6, 8)
@@ -230,10 +232,10 @@
 	}
 }
 
-// TestRepairWithoutAnotherFormation covers a group that lost a member and whose head was
-// chosen as its own substitute: the group was ordered to form again every 250 ms and never
-// opened.
-func TestRepairWithoutAnotherFormation(t *testing.T) {
+// TestHeadDoesNotReplaceLostMember checks that a group that lost a member is formed again
+// once, with another server. When the head was chosen as the substitute, the group was
+// ordered to form again every 250 ms and never opened.
+func TestHeadDoesNotReplaceLostMember(t *testing.T) {
 	fleet := newFakeFleet(3, 1, 4)
 	fleet.engine.Models = fleet.engine.Models[1:] // groups of two
 	planner := newPlanner(1)
@@ -260,8 +262,8 @@
 	assert.Equal(t, fleet.serving()["small"], 1)
 }
 
-// TestUnresponsiveServerIsSkipped covers a server that leaves maxUnanswered orders
-// unanswered: it is not usable for unreachableBackoff.
+// TestUnresponsiveServerIsSkipped checks that a server that leaves maxUnanswered orders
+// unanswered is not usable for unreachableBackoff.
 func TestUnresponsiveServerIsSkipped(t *testing.T) {
 	planner := newPlanner(1)
 	fleet := newFakeFleet(4, 1, 8)
@@ -276,9 +278,8 @@
 	assert.Assert(t, round.usable(&fleet.servers["s001"].Instance))
 }
 
-// TestMemberThatIsNoLongerListed covers members that only the list can't reach: their groups
-// keep working and must not be formed again immediately, unless their requests receive no
-// output.
+// TestMemberThatIsNoLongerListed removes members from the list that still work: their groups
+// must not be formed again immediately, unless their requests receive no events.
 func TestMemberThatIsNoLongerListed(t *testing.T) {
 	fleet := newFakeFleet(6, 1, 8)
 	planner := newPlanner(1)
@@ -327,9 +328,10 @@
 	}
 }
 
-// TestLostLoadIsOrderedAgain covers an order to load that was lost: the planner counted the
-// server as loading for half a minute although it was not. The servers must have their
-// weights after unreachableBackoff and the longest load, 16 s, plus a second.
+// TestLostLoadIsOrderedAgain checks that an order to load weights that was lost is sent
+// again. When it was not, the planner counted the server as loading for half a minute. The
+// servers must have their weights after unreachableBackoff and the longest load, 16 s, plus a
+// second.
 func TestLostLoadIsOrderedAgain(t *testing.T) {
 	fleet := newFakeFleet(8, 1, 8)
 	planner := newPlanner(1)
@@ -344,9 +346,9 @@
 	}
 }
 
-// TestReadyHeadMayBeOpening covers a head that was ordered to open and is still listed as
-// ready: it was used as a substitute while it served. The members of its group are free only
-// once the head has confirmed that it left.
+// TestReadyHeadMayBeOpening checks that the members of a group whose head was ordered to open
+// and is still listed as ready are free only once the head has confirmed that it left. Before
+// that rule, such a head was used as a substitute while it served.
 func TestReadyHeadMayBeOpening(t *testing.T) {
 	member := func(id string, group shedkeel.GroupID, rank int, state shedkeel.MemberState) shedkeel.Instance {
 		return shedkeel.Instance{
@@ -377,8 +379,9 @@
 	assert.Equal(t, actions[0].Order.Kind, shedkeel.OrderJoin)
 }
 
-// TestLoadsAreBoundedUnderTraffic forms all groups of 80 servers while loads are limited to
-// LoadsPerSecond over loadWindow, 4 times 5 s, and to LoadsAtOnce.
+// TestLoadsAreBoundedUnderTraffic forms all groups of 80 servers under traffic. It checks that
+// no more than LoadsPerSecond times loadWindow loads, 4 per second times 5 s, are ordered
+// within loadWindow, and that no more than LoadsAtOnce run concurrently.
 func TestLoadsAreBoundedUnderTraffic(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(5, 10, 8)
@@ -405,10 +408,11 @@
 	assert.Assert(t, len(loads) > 20, "loads continue")
 }
 
-// TestLateJoinOfRestartedServer restarts a member while an order to join its group,
-// which its previous start did not answer, may still be carried out. The planner ordered the
-// new start to go on standby just after that start had carried out the late order, and so
-// took it out of a group whose head served.
+// TestLateJoinOfRestartedServer restarts a member while an order to join its group, which the
+// previous start did not answer, may still be carried out. It checks that the new start is
+// not used elsewhere before lateOrderTime has passed. A planner once ordered a new start to go
+// on standby just after it had carried out the late order, and so took it out of a group whose
+// head served.
 func TestLateJoinOfRestartedServer(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
--- a/formation/form_test.go
+++ b/formation/form_test.go
@@ -10,8 +10,9 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestLastSparesServeTheModelThatLacksGroups covers a domain with one group of the small
-// model, which kept its spares although the large model had lost most of its groups.
+// TestLastSparesServeTheModelThatLacksGroups checks that a domain with one group of the small
+// model uses its last spares for a group of the large model if that model has lost most of its
+// groups, and otherwise keeps them.
 func TestLastSparesServeTheModelThatLacksGroups(t *testing.T) {
 	cases := map[string]struct {
 		large  int  // groups of the large model that serve in other domains
--- a/formation/loads_test.go
+++ b/formation/loads_test.go
@@ -20,9 +20,9 @@
 	return found
 }
 
-// TestLoadsOfLostServersBlockNoOthers covers a planner that adopted as many loads as may run
-// at once, all on servers that have been lost since: it waited for these loads forever, and formed
-// no group from eight empty servers of a domain.
+// TestLoadsOfLostServersBlockNoOthers checks that a planner forms a group from eight empty
+// servers although it has adopted as many loads as may run at once, all on servers that have
+// been lost since. When those counted, it waited for them forever and formed no group.
 func TestLoadsOfLostServersBlockNoOthers(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(7, 1, 8)
--- a/formation/slow_test.go
+++ b/formation/slow_test.go
@@ -10,8 +10,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestSlowMembersAreReplaced checks the first order for an open group of two with and without
-// a spare, when a server is five times slower.
+// TestSlowMembersAreReplaced checks the order for an open group of two, with and without a
+// spare, when one of the servers is five times slower than normal.
 func TestSlowMembersAreReplaced(t *testing.T) {
 	member := func(id string, rank int, state shedkeel.MemberState) shedkeel.Instance {
 		instance := shedkeel.Instance{ID: shedkeel.InstanceID(id), Domain: "d", Staged: []shedkeel.ModelID{"small"}, Models: []shedkeel.ModelID{"small"}}
@@ -25,7 +25,7 @@
 	cases := map[string]struct {
 		instances []shedkeel.Instance
 		slow      shedkeel.InstanceID
-		kind      shedkeel.GroupOrderKind // of the first order; "": none
+		kind      shedkeel.GroupOrderKind // of the only order; "": no order
 		members   []shedkeel.InstanceID
 	}{
 		"no slow server":  {append(slices.Clone(group), spare), "", "", nil},
--- a/formation/spares_test.go
+++ b/formation/spares_test.go
@@ -9,8 +9,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestMinSpares checks an eighth of the servers, rounded up to at most two and above that
-// rounded down.
+// TestMinSpares checks that an eighth of the servers is kept free, rounded up if the result is
+// at most pairLossSpares and otherwise rounded down.
 func TestMinSpares(t *testing.T) {
 	for name, test := range map[string]struct{ servers, spares int }{
 		"none":             {0, 0},
@@ -28,9 +28,9 @@
 	}
 }
 
-// TestSparesLeaveRoomForWholeGroups covers domains of 27 servers with groups of 12 and 6:
-// when an eighth was rounded up, nine servers of each domain stayed free. Now 24 of 27
-// are in groups.
+// TestSparesLeaveRoomForWholeGroups checks that in domains of 27 servers with groups of 12 and
+// 6, 24 servers are in groups. When an eighth was rounded up, nine servers of each domain
+// stayed free.
 func TestSparesLeaveRoomForWholeGroups(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(1, 3, 27)
@@ -42,8 +42,9 @@
 	assert.DeepEqual(t, serving, map[shedkeel.ModelID]int{"large": 3, "small": 6})
 }
 
-// TestPairsOfLossesAreReplaced kills two members at once in one domain of ten servers: with
-// one spare, the second loss was repaired only after a load of 12 s or more.
+// TestPairsOfLossesAreReplaced kills two members at once in a domain of ten servers and checks
+// that both are replaced within 3 s. With one spare, the second loss was repaired only after a
+// load of 12 s or more.
 func TestPairsOfLossesAreReplaced(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(3, 3, 10)
--- a/formation/wait_test.go
+++ b/formation/wait_test.go
@@ -13,7 +13,7 @@
 
 // recoveryTime is the time within which a group must serve in each domain with enough
 // reachable servers for one. The planner may have to wait headTimeout for an unreachable
-// head; then weights are loaded, on six servers at once.
+// head; then weights are loaded, on at most six servers at a time.
 const recoveryTime = headTimeout + 80*time.Second
 
 // injectFault injects a random fault: a server dies, restarts, is unreachable or is
@@ -47,9 +47,10 @@
 
 // TestGroupServesWhereverServersSuffice simulates histories with all faults that a planner
 // waits for: orders lost or late, servers that die, restart, are unreachable or are not
-// listed, and planners that take over. In each domain with enough servers, a group must
-// serve within recoveryTime of the last fault, or have served within the 20 s after that,
-// since a group may close to make room for one of another model. No wait may exceed its bound.
+// listed, and planners that take over. In each domain with enough servers, a group must serve
+// at some time in the 20 s that follow recoveryTime without faults. It need not serve all of
+// that time, since it may close to make room for a group of another model. No wait may exceed
+// its bound.
 func TestGroupServesWhereverServersSuffice(t *testing.T) {
 	t.Parallel()
 	for seed := range *histories {
@@ -60,7 +61,8 @@
 	}
 }
 
-// TestWaitsThatFailed repeats each history of this kind that has failed.
+// TestWaitsThatFailed repeats the histories of TestGroupServesWhereverServersSuffice that once
+// failed.
 func TestWaitsThatFailed(t *testing.T) {
 	t.Parallel()
 	for name, seed := range map[string]int{
@@ -77,7 +79,8 @@
 	}
 }
 
-// runWaitHistory simulates one history of faults, then recoveryTime without faults.
+// runWaitHistory simulates one history of faults, then recoveryTime without faults, and makes
+// the checks of TestGroupServesWhereverServersSuffice.
 func runWaitHistory(t *testing.T, seed int) {
 	t.Helper()
 	fleet := newFakeFleet(uint64(seed), 6, 8)
