--- a/dispatch/spread.go
+++ b/dispatch/spread.go
@@ -20,10 +20,10 @@
 	// defaultDelayPerRequest is the assumed increase of a group's step time per running
 	// request, for groups that state no Server.DelayPerRequest.
 	defaultDelayPerRequest = time.Millisecond
-	// groupsPerPartition is the maximum number of groups of a model that one process
-	// spreads requests over: large enough that a partition nearly always has a group that
-	// is not busy, and small enough that the calls of Recommend take a few hundredths of
-	// one CPU core.
+	// groupsPerPartition is the highest average number of groups in a partition of a
+	// model's groups, over which one process spreads requests. It is large enough that a
+	// partition nearly always has a group that is not busy, and small enough that the calls
+	// of Recommend take a few hundredths of one CPU core.
 	groupsPerPartition = 24
 	// slowThreshold is the lowest ratio of a group's latency ratio to the median of the
 	// model's groups at which the group counts as slow. Each process sees few responses of
--- a/formation/planner.go
+++ b/formation/planner.go
@@ -51,9 +51,10 @@
 	// lateOrderTime is how long a server may still carry out an order that it has
 	// not answered.
 	lateOrderTime = 15 * time.Second
-	// loadWindow is the sliding window over which load orders are counted.
+	// loadWindow is the sliding window over which ordered loads are counted.
 	loadWindow = 5 * time.Second
-	// spareShare is the share of a domain's servers that are kept free as spares.
+	// spareShare is the share of a domain's servers that are kept free as spares;
+	// minSpares rounds the result.
 	spareShare = 0.125
 	// pairLossSpares is the number of spares that suffices to replace two servers lost
 	// at the same time.
@@ -109,7 +110,7 @@
 	leftAt             map[shedkeel.Assignment]time.Duration               // when the head confirmed that it left
 	reservedUntil      map[shedkeel.InstanceID]time.Duration               // members of abandoned formations; not used elsewhere before this time
 	memberMissingSince map[shedkeel.Assignment]time.Duration               // when a member was first found unlisted
-	loadStarts         []time.Duration                                     // when load orders were sent
+	loadStarts         []time.Duration                                     // when loads from the weight store were ordered, by stage or join orders
 	loading            map[shedkeel.InstanceID]loading                     // loads onto hosts that were ordered and have not finished
 	pendingJoins       map[shedkeel.ServerID][]pendingJoin                 // unanswered join orders
 	unanswered         map[shedkeel.InstanceID]int                         // consecutive unanswered orders
--- a/formation/reallocate.go
+++ b/formation/reallocate.go
@@ -64,7 +64,7 @@
 }
 
 // beginReallocations starts reallocations once the models have been imbalanced for
-// imbalanceTime, as many as restore the balance.
+// imbalanceTime: as many as restore the balance, within the limit for loads ahead of need.
 func (round *round) beginReallocations(counts map[shedkeel.ModelID]int) {
 	planner := round.planner
 	for _, reallocation := range planner.reallocations {
