--- a/node/demand.go
+++ b/node/demand.go
@@ -18,7 +18,7 @@
 	demandInterval = time.Second
 	// demandTimeout bounds each call to a spreader, which normally takes some milliseconds.
 	demandTimeout = 300 * time.Millisecond
-	// demandLogPolls is after how many polls the demand is logged again.
+	// demandLogPolls is the number of polls from one log of the demand to the next.
 	demandLogPolls = 5
 )
 
@@ -48,9 +48,9 @@
 	}
 }
 
-// runPoll asks all nodes that may have spread requests for their demand, and releases
-// pollMutex, which the caller has locked. The demand of a node that does
-// not answer is left out: planners only compare the models with each other.
+// runPoll asks all nodes that may have spread requests for the demand in these requests, and
+// releases pollMutex, which the caller has locked. The demand of a node that does not answer
+// is left out: planners only compare the models with each other.
 func (demands *demands) runPoll() {
 	defer demands.pollMutex.Unlock()
 	node := demands.controller.node
@@ -78,18 +78,18 @@
 	}
 }
 
-// demand returns the demand for the models of a service: the sum of what this node and
-// the other nodes that answer have spread (see peers.adviseSpread).
+// demand returns the demand for the models of a service: the sum over the requests that
+// this node and the other nodes that answer have spread (see peers.spreader).
 func (peers *peers) demand(service shedkeel.ServiceID) map[shedkeel.ModelID]shedkeel.ModelDemand {
 	total := peers.node.table.Demand(service, peers.node.Timers.Now())
 	var totalMutex sync.Mutex
 	var queries sync.WaitGroup
 	for _, peer := range peers.spreaders(service) {
 		queries.Go(func() {
-			part := peer.demand(service)
+			spreadByPeer := peer.demand(service)
 			totalMutex.Lock()
 			defer totalMutex.Unlock()
-			for model, demand := range part {
+			for model, demand := range spreadByPeer {
 				total[model] = total[model].Add(demand)
 			}
 		})
@@ -99,15 +99,15 @@
 }
 
 // spreaders returns the other nodes that may have spread requests for a service: the
-// spreader of each part of a model's groups, and the first nodes (see reservedNodes),
+// spreader of each partition of a model's groups, and the first nodes (see reservedNodes),
 // which replace spreaders that do not answer.
 func (peers *peers) spreaders(service shedkeel.ServiceID) []*peer {
-	parts := peers.node.table.MaxPartitions(service)
+	partitions := peers.node.table.MaxPartitions(service)
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	nodes, _, _ := peers.aliveWithSelf()
 	var found []*peer
-	for _, record := range nodes[:min(reservedNodes+parts, len(nodes))] {
+	for _, record := range nodes[:min(reservedNodes+partitions, len(nodes))] {
 		if peer := peers.known[record.ID]; peer != nil {
 			found = append(found, peer)
 		}
--- a/node/demand_test.go
+++ b/node/demand_test.go
@@ -10,8 +10,9 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// TestDemandOfAllNodes checks the sum of the requests that two nodes have spread. A third
-// node is asked too, since it may have replaced a spreader, and does not answer.
+// TestDemandOfAllNodes checks that the demand is the sum over the requests that two nodes
+// have spread. A third node is asked too, since it may have replaced a spreader, and does not
+// answer.
 func TestDemandOfAllNodes(t *testing.T) {
 	listener := listenHere(t)
 	spreaderNode, _ := newTestNode(t)
--- a/node/node.go
+++ b/node/node.go
@@ -138,7 +138,7 @@
 	node.handler = serve.Handler{
 		Protocol: node.Protocol, Backend: node.Backend, Table: &node.table, Timers: node.Timers, Log: node.Log,
 		Budget:        &serve.Budget{Ratio: bounds.RetryRatio, Window: time.Duration(bounds.RetryWindow), FixedRetries: bounds.RetrySlack, SafetyFactor: retryBudgetFraction, StartedAt: node.Timers.Now(), RandomOffset: rand.New(node.Random).Float64()},
-		CurrentConfig: node.currentConfig, Recommend: node.peers.adviseSpread, RetryBudgetNodes: node.fleet.nodeCount, ServingNodes: node.fleet.servingCount,
+		CurrentConfig: node.currentConfig, Recommend: node.peers.recommendGroup, RetryBudgetNodes: node.fleet.nodeCount, ServingNodes: node.fleet.servingCount,
 		Guard: &node.guard, Limits: &node.limits, OnDraining: node.peers.reportDraining, ServerCheck: node.Check, DigestKey: []byte(node.Settings.Wire.Key),
 		MaxConfigAge: time.Duration(float64(bounds.Revoke) * proofAgeFraction), RefuseStaleKeys: bounds.RefuseStaleKeys, MaxBackoff: time.Duration(bounds.MaxBackoff), StoreOutage: node.follower.Outage,
 	}
--- a/node/paces.go
+++ b/node/paces.go
@@ -17,8 +17,8 @@
 	// paceBatches is the number of batches into which the members are split. Each tick
 	// asks one batch, so that the calls are spread evenly over paceInterval.
 	paceBatches = 10
-	// paceTimeout is how long an answer may take. Servers that do not answer are left to
-	// the prober.
+	// paceTimeout is how long an answer may take. The prober finds out whether servers that
+	// do not answer are dead.
 	paceTimeout = 200 * time.Millisecond
 	// slowThreshold is the pace from which a member counts as slow. The paces of members
 	// of one service differ by some tenths; slow members take several times as long.
@@ -28,8 +28,9 @@
 )
 
 // paces asks the members of groups for their pace: 1 is normal, and a member with pace 2
-// takes twice as long. A group works at the pace of its slowest member, and each node
-// alone sees few of its requests. The planner replaces slow members.
+// takes twice as long. A group works at the pace of its slowest member. The leader asks
+// the members because each node alone sees few requests of a group. The planner replaces
+// slow members.
 type paces struct {
 	controller *controller
 	ticks      int                             // number of ticks so far; its remainder selects the batch
@@ -88,7 +89,7 @@
 	defer cancel()
 	report, err := paces.controller.node.Engines.Report(ctx, instance.Address)
 	if err != nil || !report.From(instance.ID) {
-		return // if its group stops responding, probes find out whether it is alive
+		return // its pace stays as known; probes find out whether it is alive if its group stops responding
 	}
 	paces.update(instance.ID, report.Slowdown)
 }
--- a/node/spread.go
+++ b/node/spread.go
@@ -19,8 +19,9 @@
 	spreaderBackoff = time.Second
 )
 
-// reservedNodes is how many of the first live nodes have other work: to plan, and to
-// follow the key-value service. They spread requests only if no other node does.
+// reservedNodes is how many of the first live nodes, in the order of compareNodes, have
+// other work: to plan, and to follow the key-value service. They spread requests only if no
+// other node does.
 const reservedNodes = 2
 
 // failure is the time at which something last failed. The zero value means never.
@@ -35,14 +36,14 @@
 	return at != 0 && now-at < span
 }
 
-// adviseSpread asks the spreader to which group a request is best sent, or answers itself
-// if this node is the spreader; that node then has spread the request. It returns false
-// if there is no answer. The load is that of this node's running requests on the model's
-// groups. The groups of a model are split into parts; adviseSpread picks one at random.
-func (peers *peers) adviseSpread(ctx context.Context, query dispatch.Query, load dispatch.Load) (dispatch.Recommendation, bool) {
+// recommendGroup returns a recommendation to which group a request is best sent, or false if
+// no spreader answers within spreadTimeout. The groups of a model are split into partitions;
+// recommendGroup picks one at random and asks its spreader, or decides itself if this node
+// is the spreader. The load is that of this node's running requests on the model's groups.
+func (peers *peers) recommendGroup(ctx context.Context, query dispatch.Query, load dispatch.Load) (dispatch.Recommendation, bool) {
 	query.Partitions = peers.node.table.Partitions(query.Service, query.Model)
 	if query.Partitions > 1 {
-		query.Partition = peers.randomPart(query.Partitions)
+		query.Partition = peers.randomPartition(query.Partitions)
 	}
 	peer, own := peers.spreader(query.Partition, query.Now)
 	settings := &peers.node.Settings
@@ -78,25 +79,26 @@
 	return dispatch.RunningRequests{OnTime: int(running.GetOnTime()), Late: int(running.GetLate())}
 }
 
-// randomPart returns the index of a random one of the given number of parts.
-func (peers *peers) randomPart(parts int) int {
+// randomPartition returns the index of a random one of the given number of partitions.
+func (peers *peers) randomPartition(partitions int) int {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
-	return int(peers.random.Uint64() % uint64(parts))
+	return int(peers.random.Uint64() % uint64(partitions))
 }
 
-// spreader returns the spreader of a part of a model's groups, or nil and true if it is
-// this node. A spreader assigns the requests of all nodes to the groups of a part. Each
-// part has a spreader of its own as far as there are enough nodes. If that one has given
-// no answer to a call within the last spreaderBackoff, the first live nodes (see
-// reservedNodes) replace it. If none of them can either, spreader returns nil and false.
-func (peers *peers) spreader(part int, now time.Duration) (asked *peer, own bool) {
+// spreader returns the spreader of a partition of a model's groups, or nil and true if it is
+// this node. A spreader spreads requests: it assigns the requests of all nodes to the groups
+// of the partition. Each partition has a spreader of its own if there are enough nodes. If a
+// call to that node has failed within the last spreaderBackoff, the first live nodes (see
+// reservedNodes) replace it. If calls to them have failed too, spreader returns nil and
+// false.
+func (peers *peers) spreader(partition int, now time.Duration) (asked *peer, own bool) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	nodes, _, _ := peers.aliveWithSelf()
 	candidates := []int{reservedNodes - 1, reservedNodes - 2}
 	if rest := len(nodes) - reservedNodes; rest > 0 {
-		candidates = append([]int{reservedNodes + part%rest}, candidates...)
+		candidates = append([]int{reservedNodes + partition%rest}, candidates...)
 	}
 	for _, place := range candidates {
 		if place >= len(nodes) {
--- a/node/spread_test.go
+++ b/node/spread_test.go
@@ -10,14 +10,14 @@
 	"shedkeel.org/shedkeel/dispatch"
 )
 
-// TestSpreader checks which node is asked where to send a request.
+// TestSpreader checks which node is the spreader that a node asks where to send a request.
 func TestSpreader(t *testing.T) {
 	cases := map[string]struct {
-		own    shedkeel.NodeID
-		nodes  []nodeRecord
-		failed []shedkeel.NodeID // nodes that have just not answered
-		part   int
-		asked  shedkeel.NodeID // own ID: the node is the spreader itself; "": none
+		own       shedkeel.NodeID
+		nodes     []nodeRecord
+		failed    []shedkeel.NodeID // nodes that did not answer a call within the last spreaderBackoff
+		partition int
+		asked     shedkeel.NodeID // own ID: the node is the spreader itself; "": none
 	}{
 		"only node":                      {"a", fourNodes[:1], nil, 0, "a"},
 		"two nodes":                      {"a", fourNodes[:2], nil, 0, "b"},
@@ -35,7 +35,7 @@
 			for _, id := range test.failed {
 				node.peers.known[id].spreadFailure.record(timers.Now())
 			}
-			peer, own := node.peers.spreader(test.part, timers.Now())
+			peer, own := node.peers.spreader(test.partition, timers.Now())
 			asked := shedkeel.NodeID("")
 			switch {
 			case own:
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestSpreadWithoutAnswer has a spreader that accepts calls and never answers. One
-// request waits for it, and later ones do not. The bound is far above spreadTimeout, for
-// busy machines.
+// TestSpreadWithoutAnswer has a spreader that accepts calls and never answers. One request
+// waits for it, for spreadTimeout, and later ones do not. The test allows 50 times that wait,
+// since the machine may be busy.
 func TestSpreadWithoutAnswer(t *testing.T) {
 	unresponsive := listenHere(t)
 	defer func() { _ = unresponsive.Close() }()
@@ -60,21 +60,21 @@
 	defer node.peers.close()
 	query := dispatch.Query{Service: "s", Model: "m", Now: timers.Now()}
 	began := time.Now()
-	_, known := node.peers.adviseSpread(t.Context(), query, dispatch.Load{})
+	_, known := node.peers.recommendGroup(t.Context(), query, dispatch.Load{})
 	assert.Assert(t, !known)
 	assert.Assert(t, time.Since(began) < 50*spreadTimeout, "the request waited too long")
 
 	// The node spreads requests itself now, until spreaderBackoff is over.
 	node.table.Replace([]dispatch.Server{{Service: "s", Model: "m", Instance: "i"}})
-	recommendation, known := node.peers.adviseSpread(t.Context(), query, dispatch.Load{RunningRequests: dispatch.RunningRequests{OnTime: 2}})
+	recommendation, known := node.peers.recommendGroup(t.Context(), query, dispatch.Load{RunningRequests: dispatch.RunningRequests{OnTime: 2}})
 	assert.Assert(t, known)
 	assert.DeepEqual(t, recommendation, dispatch.Recommendation{Head: "i", Running: dispatch.RunningRequests{OnTime: 2}})
 	_, own := node.peers.spreader(0, timers.Now()+spreaderBackoff)
 	assert.Assert(t, !own, "the first spreader is not asked again")
 }
 
-// TestSpreadIsAnswered asks a spreader over a network connection. It recommends the group
-// on which the asking node has no requests running.
+// TestSpreadIsAnswered asks a spreader over a network connection. The spreader recommends
+// the group on which the asking node has no requests running.
 func TestSpreadIsAnswered(t *testing.T) {
 	listener := listenHere(t)
 	spreaderNode, _ := newTestNode(t)
@@ -85,7 +85,7 @@
 	node.Settings.Node = "a"
 	node.peers.update([]nodeRecord{{ID: "a"}, {ID: "b"}, {ID: "c", Control: listener.Addr().String()}})
 	load := dispatch.Load{RunningRequests: dispatch.RunningRequests{OnTime: 3, Late: 1}, Groups: map[shedkeel.InstanceID]int{"busy": 4}}
-	recommendation, known := node.peers.adviseSpread(t.Context(), dispatch.Query{Service: "s", Model: "m", Now: timers.Now()}, load)
+	recommendation, known := node.peers.recommendGroup(t.Context(), dispatch.Query{Service: "s", Model: "m", Now: timers.Now()}, load)
 	assert.Assert(t, known)
 	assert.DeepEqual(t, recommendation, dispatch.Recommendation{Head: "idle", Running: dispatch.RunningRequests{OnTime: 3, Late: 1}})
 	node.peers.close()
