--- a/node/config.go
+++ b/node/config.go
@@ -16,8 +16,8 @@
 )
 
 // configCopy is the active configuration as operators wrote it. The key-value
-// service may have an older one if it was restored from a snapshot and operators have
-// not written the newer one again yet. Nodes that start in that time get the newer
+// service may have an older one: it was restored from a snapshot, and operators have not
+// written the newer one again yet. Nodes that start in the meantime get the newer
 // configuration from other nodes. The zero value has no configuration.
 type configCopy struct {
 	mutex      sync.Mutex
@@ -25,7 +25,7 @@
 	compressed []byte // value, compressed; nil: not computed yet
 
 	newerThanStore atomic.Bool // the service has an older configuration
-	fetching       atomic.Bool // a request to another node for a newer one is running
+	fetching       atomic.Bool // a request to another node for a newer configuration is running
 }
 
 func (configCopy *configCopy) set(value []byte) {
@@ -34,8 +34,8 @@
 	configCopy.value, configCopy.compressed = value, nil
 }
 
-// compress returns the compressed configuration, as it is sent to other nodes, or nil
-// if there is none.
+// compress returns the configuration in the compressed form in which it is sent to other
+// nodes, or nil if there is none.
 func (configCopy *configCopy) compress() []byte {
 	configCopy.mutex.Lock()
 	defer configCopy.mutex.Unlock()
@@ -118,8 +118,8 @@
 	}
 }
 
-// fetchConfig starts fetching the configuration of the node with this ID if its version is
-// newer than this node's. It does nothing if this node has none, a fetch is running, or the
+// fetchConfig starts fetching another node's configuration if its version is newer than this
+// node's. It does nothing if this node has no configuration yet, a fetch is running, or the
 // other node is not listed.
 func (peers *peers) fetchConfig(id shedkeel.NodeID, version int64) {
 	fleet := &peers.node.fleet
@@ -142,5 +142,5 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	at := peer.node.mirror.State().At
-	_, _ = peer.requestUpdate(ctx, &wire.RelayCall{SinceEra: at.Era, Since: at.Number}) // its records are ignored: the follower gets them
+	_, _ = peer.requestUpdate(ctx, &wire.RelayCall{SinceEra: at.Era, Since: at.Number}) // the records in the reply are ignored: the follower gets them
 }
--- a/node/controller.go
+++ b/node/controller.go
@@ -36,16 +36,16 @@
 
 	mutex         sync.Mutex
 	resigned      bool
-	leads         bool   // this node has been elected; see leading
+	leads         bool   // this node has been elected; whether it may give orders also depends on its lease, see leading
 	term          uint64 // the term in which this node leads or last led
 	epochs        uint64 // number of epochs given out in the term
 	planners      map[shedkeel.ServiceID]*formation.Planner
-	suspects      map[shedkeel.Assignment]time.Duration // when a group was reported as not responding; its members are not probed yet
+	suspects      map[shedkeel.Assignment]time.Duration // groups reported as not responding whose members are not probed yet, with the time of the report
 	noticedAt     map[shedkeel.Assignment]time.Duration // when a report that a group does not respond was last accepted
 	probing       map[shedkeel.InstanceID]bool          // a probe of the server is in progress
 	dead          map[shedkeel.InstanceID]time.Duration // when to probe a dead server again
 	vacantSince   time.Duration                         // since when there has been no leader; 0: not noticed yet
-	orphanedSince time.Duration                         // since when the leader record names no listed node; 0: not so
+	orphanedSince time.Duration                         // since when the leader record has been invalid, as isOrphaned defines it; 0: it is valid
 	usageLoggedAt time.Duration                         // when the use of servers was last logged
 	sizeCheckedAt time.Duration                         // when the size of the fleet was last checked
 	// era is the era of the key-value service that this node follows, and eraSince is when
@@ -88,7 +88,7 @@
 }
 
 // trackEra records when this node began to follow the current era of the key-value
-// service. A new era begins when the service is restored from an older copy. That copy
+// service. A new era begins when the service is restored from a snapshot. The snapshot
 // may lack recent writes, so trackEra also forgets which loads are stored.
 func (controller *controller) trackEra(now time.Duration) {
 	state := controller.node.mirror.State()
@@ -99,22 +99,22 @@
 }
 
 // recordsRewritten reports whether the backend servers have had the time to write their
-// records again since the key-value service was restored from an older copy. Until
-// then, an outdated record may show a server as free that is a member of a group.
+// records again since the key-value service was restored from a snapshot. Until then, an
+// outdated record may show a member of a group as a free server.
 func (controller *controller) recordsRewritten(now time.Duration) bool {
 	return controller.era == 0 || now-controller.eraSince >= deletedRecordHold
 }
 
-// nextEpoch returns an epoch that was given out for no other formation of a group. The
-// caller holds the mutex.
+// nextEpoch returns an epoch that no other formation of a group has. The caller holds the
+// mutex.
 func (controller *controller) nextEpoch() uint64 {
 	controller.epochs++
 	return controller.term*epochsPerTerm + controller.epochs
 }
 
 // plan runs one planning round: it probes suspected servers and sends the orders that
-// the planner of each service returns. It does nothing while the mirror is older than
-// maxMirrorAge or recordsRewritten returns false.
+// the planner of each service returns. It does nothing while no configuration is known, the
+// mirror is older than maxMirrorAge, or recordsRewritten returns false.
 func (controller *controller) plan(ctx context.Context, now time.Duration) {
 	node := controller.node
 	view := node.fleet.view.Load()
@@ -155,8 +155,8 @@
 	}
 }
 
-// logUsage logs for each domain how many servers serve, are spare, load a model, have
-// none, or are unavailable. The caller holds the mutex.
+// logUsage logs for each domain how many servers serve, are spare, load a model, have no
+// model, or are unavailable. The caller holds the mutex.
 func (controller *controller) logUsage(planner *formation.Planner) {
 	for _, usage := range planner.Usage() {
 		controller.node.Log.Write(event.DomainUsage, slog.String("domain", string(usage.Domain)), slog.Any("serving", usage.Serving), slog.Any("spare", usage.Spare),
--- a/node/corrupt_test.go
+++ b/node/corrupt_test.go
@@ -91,8 +91,8 @@
 	assert.Equal(t, node.usable(), 1)
 }
 
-// TestCorruptNodeRecords checks that invalid records of nodes are ignored. Otherwise
-// callers are sent to an invalid address.
+// TestCorruptNodeRecords checks that invalid records of nodes are ignored. Otherwise the
+// directory would send callers to invalid addresses.
 func TestCorruptNodeRecords(t *testing.T) {
 	valid := nodeRecord{ID: "b", Zone: "z", Callers: "10.0.0.2:1", Control: "10.0.0.2:2", Capacity: 0.5}
 	for name, corrupt := range map[string]func(*nodeRecord){
@@ -126,7 +126,7 @@
 	member.Value = []byte(fmt.Sprintf(`{"service":"s","address":"10.0.0.1:1","zone":"z","version":"v1","slots":8,"state":"ready","cold_remaining_ms":0,"seq":1,"group":{"name":"m/d/1","epoch":%d,"rank":0,"state":"open"}}`, 3*epochsPerTerm+8))
 	for name, test := range map[string]struct {
 		lead, term string
-		next       uint64 // the term in which the node leads; servers report epochs of term 3
+		next       uint64 // the term in which the node must lead; servers report epochs of term 3
 	}{
 		"valid records":                            {"", `{"term":3}`, 4},
 		"lead can't be read":                       {`[]`, `{"term":3}`, 4},
--- a/node/election.go
+++ b/node/election.go
@@ -35,12 +35,12 @@
 	// termsPerEra is the number of terms of an era of the key-value service. An era has far
 	// fewer elections, so each term of a later era is above all terms of an earlier one.
 	termsPerEra = 1 << 20
-	// maxTerm is the highest term that is accepted. A higher one was written by a
-	// foreign client: its epochs would overflow.
+	// maxTerm is the highest term that is accepted. Only a foreign client, one that is not a
+	// node, writes a higher one. The epochs of such a term would overflow.
 	maxTerm = 1 << 40
-	// orphanTimeout is for how long the leader record may name a node that is not listed,
-	// or a node that finds that it does not hold the record's lease, before a node stands
-	// for election: far longer than a live node is ever missing from the list.
+	// orphanTimeout is for how long the leader record must be invalid (see isOrphaned)
+	// before a node stands for election in spite of it: far longer than a live node is ever
+	// missing from the list.
 	orphanTimeout = 5 * time.Second
 
 	leaderKey = "shedkeel/lead"
@@ -53,8 +53,9 @@
 	Node        shedkeel.NodeID `json:"node"`
 	Incarnation string          `json:"incarnation"`
 	Term        uint64          `json:"term"`
-	// Lease and Era identify the lease that the record was written with. A write of
-	// unknown outcome may take effect when the node has another lease already.
+	// Lease and Era identify the lease that the record was written with. That may not be
+	// the lease that the node holds now: a write of unknown outcome may take effect after the node has got
+	// another lease.
 	Lease int64 `json:"lease"`
 	Era   int64 `json:"era,omitempty"`
 }
@@ -175,8 +176,8 @@
 	}
 }
 
-// electionDelay returns how long there must be no leader before this node stands for
-// election. Nodes with more capacity come first. The first election of a fleet also
+// electionDelay returns how long there must have been no leader before this node stands
+// for election. Nodes with more capacity come first. The first election of a fleet also
 // waits until the list of nodes has settled.
 func (controller *controller) electionDelay(term shedkeel.Record) time.Duration {
 	peers := &controller.node.peers
@@ -188,10 +189,11 @@
 	return settled + place*initialStagger
 }
 
-// isOrphaned reports whether, for orphanTimeout, the leader record has named a node
-// that is not listed, or this node although it does not lead. Another node may lead
-// then. A foreign client may have overwritten the record: it has no lease then and
-// would never be removed, so that no node would ever lead again.
+// isOrphaned reports whether the leader record has been invalid for orphanTimeout: it names
+// a node that is not listed, or it names this node with a lease that this node does not
+// hold. Nodes then elect a leader in spite of the record. Otherwise a record that a foreign
+// client has overwritten would leave the fleet without a leader for good: such a record has
+// no lease, so the key-value service never removes it.
 func (controller *controller) isOrphaned(lead leadRecord, now time.Duration) bool {
 	valid := controller.node.peers.peer(lead.Node) != nil
 	if lead.Node == controller.node.Settings.Node {
@@ -217,8 +219,8 @@
 	if term.Term > maxTerm {
 		term.Term = 0
 	}
-	// The key-value service may have been restored from an older copy and have lost terms
-	// that no server known to this node reports.
+	// The key-value service may have been restored from a snapshot that lacks the latest
+	// terms, and the servers known to this node may report no epoch of those terms.
 	era := min(uint64(controller.node.mirror.State().At.Era), maxTerm/termsPerEra-1)
 	return max(term.Term, controller.node.fleet.highestEpoch()/epochsPerTerm, era*termsPerEra) + 1
 }
@@ -254,8 +256,8 @@
 }
 
 // becomeLeader makes this node the leader if the record names it and its lease is valid.
-// If the node has led in the same term before, it goes on counting epochs, so that none is
-// used twice.
+// If the node has led in the same term before, it continues the count of epochs, so that it
+// uses none twice.
 func (controller *controller) becomeLeader(lead leadRecord) {
 	if !controller.isOwnLead(lead) || !controller.lease.valid(controller.node.Timers.Now()) {
 		return
--- a/node/election_test.go
+++ b/node/election_test.go
@@ -19,7 +19,7 @@
 	Store
 	granted     shedkeel.LeaseID
 	renewed     map[shedkeel.LeaseID]int
-	ended       []shedkeel.LeaseID
+	released    []shedkeel.LeaseID
 	unavailable bool // renewals fail
 	renewCalls  int  // calls of Renew
 	commit      func(shedkeel.Transaction) (int64, error)
@@ -40,7 +40,7 @@
 }
 
 func (store *leaseStore) Release(_ context.Context, lease shedkeel.LeaseID) error {
-	store.ended = append(store.ended, lease)
+	store.released = append(store.released, lease)
 	return nil
 }
 
@@ -78,9 +78,10 @@
 	return update
 }
 
-// TestLeadOfUnknownOutcome has the write that makes a node the leader end with an unknown
-// outcome and take effect later. If the node ignores it, no node leads: this one keeps
-// the record's lease alive, so no other one can.
+// TestLeadOfUnknownOutcome has a node write the record that makes it the leader. The outcome
+// of the write is unknown, and the write takes effect later. If the node ignored the record,
+// no node would lead: this node keeps renewing the record's lease, so that no other node can
+// be elected.
 func TestLeadOfUnknownOutcome(t *testing.T) {
 	cases := map[string]struct {
 		delay time.Duration // after which the write takes effect
@@ -109,9 +110,9 @@
 	}
 }
 
-// TestLateWriteOfFormerLease has a node's first write of the leader record take effect
-// only when the node has another lease. The record belongs to the first lease, which
-// nobody renews.
+// TestLateWriteOfFormerLease has a node's first write of the leader record take effect only
+// after the node has got another lease. The node must not lead by this record: it belongs to
+// the first lease, which no node renews.
 func TestLateWriteOfFormerLease(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
 	var first shedkeel.Transaction
@@ -163,7 +164,7 @@
 	assert.Assert(t, node.controller.leading(timers.Now()), "it has the lease again")
 
 	node.controller.resign()
-	assert.DeepEqual(t, store.ended, []shedkeel.LeaseID{{Number: 2}})
+	assert.DeepEqual(t, store.released, []shedkeel.LeaseID{{Number: 2}})
 	assert.Assert(t, !node.controller.leading(timers.Now()))
 }
 
--- a/node/loads.go
+++ b/node/loads.go
@@ -23,7 +23,7 @@
 		isIncomplete = isIncomplete || controller.storedLoads[id][instance] != model
 	}
 	if !isIncomplete {
-		return // a load that has ended does not mislead the next planner
+		return // the stored record may contain loads that have ended; a planner drops these
 	}
 	value, err := json.Marshal(loading)
 	if err != nil {
--- a/node/notice_test.go
+++ b/node/notice_test.go
@@ -13,8 +13,9 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// TestSuspicionDoesNotAvoidGroup checks that a suspicion of another node only has the
-// group's members probed. Only a loss reported by the leader keeps requests from a group.
+// TestSuspicionDoesNotAvoidGroup checks that a group which another node suspects still gets
+// requests while its members are probed. Only a loss that the leader reports keeps requests
+// from a group.
 func TestSuspicionDoesNotAvoidGroup(t *testing.T) {
 	cases := map[string]struct {
 		avoid     time.Duration // for how long the notice asks to avoid the group
@@ -39,8 +40,8 @@
 	}
 }
 
-// TestDrainIsReportedToLeader has a node learn from an answer that a head drains, while
-// the head's record does not say so. The node reports it to the leader, which sends the
+// TestDrainIsReportedToLeader has a head tell a node in an answer that it drains, while the
+// head's record does not say so. The node reports it to the leader, which sends the
 // head no more requests.
 func TestDrainIsReportedToLeader(t *testing.T) {
 	leader, apply := newGroupNode(t)
