--- a/node/copies_test.go
+++ b/node/copies_test.go
@@ -39,10 +39,10 @@
 	return records
 }
 
-// TestWholeCopyIsSmall transfers a complete copy to a node without one over a real
-// connection. The copy must be small enough for three boxes to send it to a hundred other
-// nodes each within 0.5 s over links of 200 Mbit/s. The test's limits are 160 kB and a
-// fifth of the records' size.
+// TestWholeCopyIsSmall transfers a complete copy of the records over a TCP connection to a
+// node that has none. The copy must be so small that three boxes can each send it to a
+// hundred other nodes within 0.5 s over links of 200 Mbit/s. The test's limits are 160 kB
+// and a fifth of the records' size.
 func TestWholeCopyIsSmall(t *testing.T) {
 	listener := listenHere(t)
 	source, timers := newTestNode(t)
--- a/node/directory_test.go
+++ b/node/directory_test.go
@@ -22,10 +22,10 @@
 // exclusionDelay is how long after a node's loss the directory may still name it.
 const exclusionDelay = 5 * time.Second
 
-// TestDirectoryLeavesOutDeadNodes checks that the directory leaves out nodes that lost power
-// within exclusionDelay, also if their records do not show the loss: because the store is
-// unavailable, because nodes retain records that were deleted during an outage, or because a
-// live node may consider itself isolated and then removes no records.
+// TestDirectoryLeavesOutDeadNodes has nodes lose power and checks that exclusionDelay later
+// the directory names none of them. Their records may stay listed: while the store is
+// unavailable, while nodes retain records that were deleted during an outage, and while a
+// live node considers itself isolated and therefore removes no records.
 func TestDirectoryLeavesOutDeadNodes(t *testing.T) {
 	cases := map[string]struct {
 		deadNodes int
@@ -94,17 +94,17 @@
 // listed, and for no other node.
 func (cluster *testCluster) checkExcluded() {
 	status := cluster.status(0)
-	var listed, unnamed []shedkeel.NodeID
+	var listed, excluded []shedkeel.NodeID
 	for _, id := range status.Nodes {
 		if strings.HasPrefix(string(id), deadPrefix) {
 			listed = append(listed, id)
 		}
 	}
 	for _, dump := range status.ExcludedNodes {
-		unnamed = append(unnamed, dump.Node)
+		excluded = append(excluded, dump.Node)
 		assert.Assert(cluster.t, dump.Reason != "")
 	}
-	assert.DeepEqual(cluster.t, unnamed, listed)
+	assert.DeepEqual(cluster.t, excluded, listed)
 }
 
 // status returns the status that a node reports to operators.
--- a/node/evacuated_test.go
+++ b/node/evacuated_test.go
@@ -8,9 +8,9 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestEvacuationsFollowRecords checks the evacuated zones after records of evacuations are
-// written, removed, lost when the key-value service is restored from an older copy, or
-// name no zone.
+// TestEvacuationsFollowRecords checks which zones are evacuated after records of evacuations
+// were written, removed, or lost when the key-value service was restored from a snapshot. A
+// record that names no zone has no effect.
 func TestEvacuationsFollowRecords(t *testing.T) {
 	record := func(zone string) shedkeel.Record { return shedkeel.Record{Key: "evacuated/" + zone} }
 	gone := func(zone string, lost bool) shedkeel.Record {
--- a/node/evacuation.go
+++ b/node/evacuation.go
@@ -13,8 +13,8 @@
 // zone by writing the record, and end the evacuation by removing it. It reports whether
 // the set of evacuated zones has changed. The caller holds the mutex.
 //
-// An evacuation stays in force if the key-value service has lost its record, because no
-// operator has ended it.
+// An evacuation stays in force if the key-value service has lost its record in a restore,
+// because no operator has ended it.
 func (fleet *fleet) applyEvacuation(record shedkeel.Record, zone shedkeel.ZoneID) bool {
 	fields := []slog.Attr{slog.String("zone", string(zone)), slog.Int("servers", fleet.serversIn(zone))}
 	wasEvacuated := fleet.evacuated[zone]
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -17,7 +17,7 @@
 const evacuationSpreadTime = time.Second
 
 // evacuatedZone is the availability zone that is evacuated in these tests. One of two
-// domains of engines and one of two plain servers are there.
+// domains of engines or one of two plain servers is there.
 const evacuatedZone = "y"
 
 // evacuate has an operator evacuate a zone, or end its evacuation.
@@ -35,8 +35,9 @@
 	return count
 }
 
-// TestEvacuatedZoneGetsNothing sends requests for engines and plain servers to three
-// nodes while an operator evacuates an availability zone and ends the evacuation.
+// TestEvacuatedZoneGetsNothing sends requests for engines or plain servers to three nodes
+// while an operator evacuates an availability zone and ends the evacuation. Neither these
+// nodes nor one that starts meanwhile may send the zone's servers any requests.
 func TestEvacuatedZoneGetsNothing(t *testing.T) {
 	const rate = 50 // requests a second, which half of the servers can handle
 	cases := map[string]struct {
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -18,16 +18,17 @@
 )
 
 const (
-	// fleetTick is how often retained and unreadable records are checked for expiry.
+	// fleetTick is the interval of fleet.tick, which removes retained and unreadable records
+	// that have expired.
 	fleetTick = 100 * time.Millisecond
 	// outageAge is the age of the mirror's copy above which the key-value service counts
 	// as unavailable. In a healthy fleet a copy is up to 1.5 s old; renewing a stale one
 	// takes some tenths of a second more. With a limit below that sum, a healthy service
 	// would count as unavailable, and servers that have left would stay in use 2 s longer.
 	outageAge = 2300 * time.Millisecond
-	// deletedRecordHold is how long after the service's return a record that was deleted
-	// during the outage is still used. According to the platform's documentation, live
-	// servers write their records again about 2 s after the return.
+	// deletedRecordHold is for how long after an outage of the service a record that was
+	// deleted during the outage is still used. According to the platform's documentation,
+	// live servers write their records again about 2 s after the outage.
 	deletedRecordHold = 2300 * time.Millisecond
 	// unreadableRecordHold is how long a backend server whose record became unreadable
 	// keeps its place in its group. No requests are sent to it directly in that time. Its
@@ -50,14 +51,14 @@
 	retained          map[string]time.Duration          // until when a record that was deleted in an outage of the service is used, by key
 	evacuated         map[shedkeel.ZoneID]bool          // zones whose backend servers get no requests
 	coldUntil         map[string]time.Duration          // until when a server that reported being cold counts as cold, by key
-	evacuationEndedAt map[shedkeel.ZoneID]time.Duration // when the last evacuation of a zone was withdrawn
-	removals          removals
-	unreadable        map[string]time.Duration // until when a server whose record is unreadable keeps its place in its group, by key
-	skippedRecords    atomic.Int64             // number of records that were not used: unreadable, invalid or outdated ones
-	afterRestore      bool                     // the next records come from a restored, older snapshot of the service
-	outageUntil       time.Duration            // end of the latest outage of the service, with deletedRecordHold added
-	verifiedAt        atomic.Int64             // when the copy was last proven current, as a time.Duration
-	loggedCounts      map[string]int           // number of servers or groups that may get requests, as last logged, by service and model
+	evacuationEndedAt map[shedkeel.ZoneID]time.Duration // when the last evacuation of a zone ended
+	removals          removals                          // servers whose records were removed recently
+	unreadable        map[string]time.Duration          // until when a server whose record is unreadable keeps its place in its group, by key
+	skippedRecords    atomic.Int64                      // number of records that were not used: unreadable, invalid or outdated ones
+	afterRestore      bool                              // the next records come from a snapshot to which the service was restored
+	outageUntil       time.Duration                     // end of the latest outage of the service, with deletedRecordHold added
+	verifiedAt        atomic.Int64                      // when the copy was last proven current, as a time.Duration
+	loggedCounts      map[string]int                    // number of servers or groups that may get requests, as last logged, by service and model
 }
 
 // applyChanges applies changed records. The mirror never calls it concurrently.
@@ -139,10 +140,11 @@
 	return !listed || wasUnreadable || !instance.EqualExceptSequence(&known)
 }
 
-// isOutdated reports whether a server's record is older than the known one. It is if
-// it was written by an earlier start of the server. In a restored snapshot it also is if
-// its sequence is lower, or if the server drains according to the known record only.
-// If only one of the two start times is known (not 0), the record does not count as older.
+// isOutdated reports whether a server's record is older than the known one. A record that an
+// earlier start of the server wrote is older. If only one of the two records states the time
+// of the server's start, the record does not count as older. If both are from the same start,
+// a record from a restored snapshot is older if its sequence is lower, or if the server
+// drains according to the known record only.
 func (fleet *fleet) isOutdated(instance, known *shedkeel.Instance) bool {
 	startedAt, knownStartedAt := instance.ID.Born(), known.ID.Born()
 	if startedAt != knownStartedAt {
@@ -153,8 +155,8 @@
 }
 
 // markUnreadable stops direct requests to a listed server whose record became unreadable and
-// keeps its place in its group for unreadableRecordHold. It reports whether this changes which
-// servers may get requests: not if the server is not listed or was unreadable before.
+// keeps its place in its group for unreadableRecordHold. It returns false, since nothing
+// changes, if the server is not listed or its record was unreadable before.
 func (fleet *fleet) markUnreadable(key string, now time.Duration) bool {
 	_, listed := fleet.instances[key]
 	_, unreadable := fleet.unreadable[key]
@@ -198,7 +200,7 @@
 	return !isNode || fleet.node.gossip.mayServeCallers(shedkeel.NodeID(id))
 }
 
-// tick notes whether the service is unavailable, and removes retained and unreadable
+// tick checks whether the service is unavailable, and removes retained and unreadable
 // records that have expired.
 func (fleet *fleet) tick(now time.Duration) {
 	state := fleet.node.mirror.State()
@@ -239,8 +241,8 @@
 	return fleet.node.Timers.Now() - time.Duration(fleet.verifiedAt.Load())
 }
 
-// propagate updates what depends on the servers or nodes that changed. The caller holds
-// the mutex.
+// propagate passes changed servers on to the dispatch table and the limits, and changed
+// nodes to the peers. The caller holds the mutex.
 func (fleet *fleet) propagate(serversChanged, nodesChanged bool) {
 	if serversChanged {
 		fleet.rebuildTable()
--- a/node/fleetsize.go
+++ b/node/fleetsize.go
@@ -15,8 +15,8 @@
 const (
 	// sizeKey is the key under which the leader writes the size of the fleet.
 	sizeKey = "shedkeel/fleet"
-	// sizeCheckInterval is how often the leader checks whether the record of
-	// the fleet's size is still close enough.
+	// sizeCheckInterval is how often the leader checks whether the record of the fleet's
+	// size must be written again.
 	sizeCheckInterval = 2 * time.Second
 	// sizeTolerance is the relative change of the number of nodes above which the
 	// record is written again. Only the order of magnitude matters.
@@ -26,17 +26,17 @@
 	maxStartupRelays = 4
 )
 
-// sizeRecord tells a starting node, which knows nothing else, how large its fleet is
+// sizeRecord tells a starting node, which has no other records yet, how large its fleet is
 // and which nodes relay the service's records to others.
 type sizeRecord struct {
 	Nodes  int            `json:"nodes"`
 	Relays []startupRelay `json:"relays"` // empty in a small fleet
 }
 
-// startupRelay is a node that others ask when they start.
+// startupRelay is a node that starting nodes ask for a first copy of the records.
 type startupRelay struct {
 	Zone    shedkeel.ZoneID `json:"zone"`
-	Control string          `json:"control"`
+	Control string          `json:"control"` // its control address
 }
 
 // newSizeRecord returns the size record of a fleet of these nodes.
@@ -65,9 +65,9 @@
 	if now-controller.sizeCheckedAt < sizeCheckInterval {
 		return
 	}
-	first := controller.sizeCheckedAt == 0
+	firstCheck := controller.sizeCheckedAt == 0
 	controller.sizeCheckedAt = now
-	if first {
+	if firstCheck {
 		return // nodes that started together with this one may not be listed yet
 	}
 	var stored sizeRecord
@@ -89,8 +89,8 @@
 	}
 }
 
-// advise tells the follower how this node gets its first copy: by listing the service's
-// records itself, or from other nodes that do.
+// advise tells the follower how this node gets its first copy of the records: by listing
+// them from the service itself, or from nodes that have a copy.
 func (peers *peers) advise(ctx context.Context) (mirror.Advice, error) {
 	node := peers.node
 	record, err := node.Store.GetStale(ctx, sizeKey)
--- a/node/fleetsize_test.go
+++ b/node/fleetsize_test.go
@@ -30,7 +30,7 @@
 	return nodes
 }
 
-// TestAdvice covers how a node without a copy gets its first one.
+// TestAdvice checks how a starting node gets its first copy of the records.
 func TestAdvice(t *testing.T) {
 	large, err := json.Marshal(newSizeRecord(withControlAddresses(fleetOf(300, 3))))
 	assert.NilError(t, err)
@@ -74,7 +74,8 @@
 	}
 }
 
-// TestSizeIsKept covers when the leader writes the fleet's size.
+// TestSizeIsKept checks that the leader writes the fleet's size when the number of nodes or
+// the relays have changed enough, and not at its first check.
 func TestSizeIsKept(t *testing.T) {
 	node, timers := newTestNode(t)
 	var written []sizeRecord
--- a/node/lapse_test.go
+++ b/node/lapse_test.go
@@ -11,9 +11,10 @@
 	"shedkeel.org/shedkeel/mirror"
 )
 
-// TestGoneServers deletes a server's record after the copy has reached some age. The server
-// may stay in use only if the service was unavailable: a copy older than outageAge. In a
-// healthy fleet copies may be 1.7 s old, which must not count as an outage.
+// TestGoneServers deletes a server's record after the node's copy of the records has reached
+// some age. The server may stay in use only if the copy was older than outageAge, which
+// counts as an outage of the service. In a healthy fleet copies may be 1.7 s old, which must
+// not count as one.
 func TestGoneServers(t *testing.T) {
 	cases := map[string]struct {
 		age          time.Duration // of the copy when the record is deleted
@@ -46,8 +47,8 @@
 // directory would name it for deletedRecordHold more.
 func TestGoneNodes(t *testing.T) {
 	cases := map[string]struct {
-		before       shedkeel.Liveness // when its record is deleted
-		after        shedkeel.Liveness // a tick later
+		before       shedkeel.Liveness // of the node when its record is deleted
+		after        shedkeel.Liveness // of the node a tick later
 		wantRetained bool              // after that tick
 	}{
 		"it is alive":                           {shedkeel.Alive, shedkeel.Alive, true},
