--- a/node/backoff_test.go
+++ b/node/backoff_test.go
@@ -12,9 +12,9 @@
 const backoffLength = 2 * time.Second
 
 // TestBackoffIsHeeded has servers refuse requests and ask for a backoff while three nodes
-// receive requests. No node may send a server further requests until the backoff that the
-// server has asked that node for is over; an example of the fault is five requests from
-// one node during a backoff of 3 s.
+// receive requests. A node that a server has asked for a backoff may send it no further
+// requests until the backoff is over. The fault that the test guards against is, for example,
+// five requests from one node during a backoff of 3 s.
 func TestBackoffIsHeeded(t *testing.T) {
 	const rate, length = 40, 3*backoffLength + time.Second
 	cases := map[string]struct {
@@ -29,7 +29,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			cluster := newServingCluster(t)
-			servers := cluster.limitedServers(test.path, test.all)
+			servers := cluster.serversFor(test.path, test.all)
 			for _, server := range servers {
 				cluster.fleet.SetBackoff(server, backoffLength)
 			}
@@ -60,7 +60,7 @@
 	for name, path := range map[string]string{"replica group": "/copy/a", "plain server": "/look/a"} {
 		t.Run(name, func(t *testing.T) {
 			cluster := newServingCluster(t)
-			cluster.fleet.AnnounceDraining(cluster.limitedServers(path, false)[0])
+			cluster.fleet.AnnounceDraining(cluster.serversFor(path, false)[0])
 			statuses := cluster.sendLoad(cluster.nodes, path, rate, length)
 			t.Logf("statuses %v", statuses)
 			assert.DeepEqual(t, cluster.fleet.Violations(), []string(nil))
--- a/node/cold_test.go
+++ b/node/cold_test.go
@@ -18,15 +18,15 @@
 	coldRate    = 4
 )
 
-// TestColdServersGetLittle sends far more requests to three nodes than cold servers
-// accept. The servers are cold by their records, or since the evacuation of their zone
-// has ended.
+// TestColdServersGetLittle sends far more requests to three nodes than a cold server
+// accepts. The server is cold because its record says so or because the evacuation of its
+// zone has just ended.
 func TestColdServersGetLittle(t *testing.T) {
 	const rate, coldFor = 100, 3 * time.Second
 	cases := map[string]struct {
-		path   string
-		server func(*testCluster) string
-		cool   func(*testCluster, string) // makes the server cold for coldFor, which is also the configured cold_start_s
+		path     string
+		server   func(*testCluster) string
+		makeCold func(*testCluster, string) // makes the server cold for coldFor, which is also the configured cold_start_s
 	}{
 		"replica group, by its record": {"/copy/a", func(cluster *testCluster) string { return cluster.fleet.OpenHeads()["m0"][0].ID }, func(cluster *testCluster, server string) {
 			cluster.fleet.SetCold(server, coldFor)
@@ -38,7 +38,7 @@
 			cluster.fleet.SetZone(server, evacuatedZone)
 			cluster.evacuate(evacuatedZone, true)
 			time.Sleep(evacuationSpreadTime)
-			cluster.fleet.SetLimit(server, "") // count its arrivals from now on
+			cluster.fleet.SetLimit(server, "") // clears the server's arrivals, so that only those after the evacuation count
 			cluster.evacuate(evacuatedZone, false)
 		}},
 	}
@@ -46,7 +46,7 @@
 		t.Run(name, func(t *testing.T) {
 			cluster := newServingCluster(t)
 			server := test.server(cluster)
-			test.cool(cluster, server)
+			test.makeCold(cluster, server)
 			since := time.Now()
 			time.Sleep(evacuationSpreadTime / 2) // all nodes know by then that the server is cold
 			statuses := cluster.sendLoad(cluster.nodes, test.path, rate, coldFor-time.Second)
--- a/node/contain_test.go
+++ b/node/contain_test.go
@@ -22,9 +22,10 @@
 // terminate the servers that run them.
 //
 // Such a request may arrive repeatedly, with a new ID and at another node each time. If
-// each node sends it to two servers and keeps no count, it is sent to servers 11 more
-// times after it has terminated three; 18 terminate in all. For ten seconds, only 0 to 4
-// of some 50 requests a second for the same groups are on time.
+// each node sends it to two servers and does not count the servers that terminate, it is
+// sent to servers 11 more times after it has terminated three, and terminates 18 in all. For
+// ten seconds, only 0 to 4 of some 50 other requests a second for the same groups are on
+// time.
 func newDeadlyCluster(t *testing.T, nodes int) *testCluster {
 	t.Helper()
 	cluster := newTestCluster(t, nodes)
@@ -66,18 +67,18 @@
 	cluster.checkOperatorView()
 }
 
-// checkOperatorView checks that operators can find the request's blame by the request ID
-// that its caller received, and can release the request by removing the record.
+// checkOperatorView checks that operators can find the blame of the deadly request by the ID
+// that a caller sent with it, and can release the request by removing the blame's record.
 func (cluster *testCluster) checkOperatorView() {
 	t := cluster.t
 	id := shedkeel.NewNonce()
 	status, body := cluster.sendBody(cluster.nodes[0].callers, id, "/copy/a", "key-1", "deadly", 50)
 	assert.Equal(t, status, http.StatusServiceUnavailable, body)
 	client := &operator.Client{Address: cluster.nodes[0].admin}
-	story, err := client.Request(t.Context(), id)
+	report, err := client.Request(t.Context(), id)
 	assert.NilError(t, err)
 	var printed bytes.Buffer
-	operator.PrintRequest(&printed, story)
+	operator.PrintRequest(&printed, report)
 	digest := regexp.MustCompile(`digest=([0-9a-f]+)`).FindStringSubmatch(printed.String())
 	assert.Equal(t, len(digest), 2, printed.String())
 
@@ -95,8 +96,9 @@
 	})
 }
 
-// TestContainedAfterLossOfAllNodes replaces all nodes by new ones after the request has
-// terminated three servers. The new nodes know the blame before they serve.
+// TestContainedAfterLossOfAllNodes replaces all nodes by new ones after the deadly request
+// has terminated up to three servers. The new nodes must read the blame from the key-value service before
+// they serve, so that the request terminates no more servers.
 func TestContainedAfterLossOfAllNodes(t *testing.T) {
 	cluster := newDeadlyCluster(t, 2)
 	for try := range 4 {
--- a/node/guard.go
+++ b/node/guard.go
@@ -26,7 +26,7 @@
 	blameTimeout = 500 * time.Millisecond
 	// trialTimeout bounds the call that asks for a trial, for which the caller waits.
 	trialTimeout = 50 * time.Millisecond
-	// trialExpiry is after how long a trial counts as ended if its end is not reported.
+	// trialExpiry is the age from which a trial whose end was not reported counts as ended.
 	trialExpiry = 10 * time.Second
 	// deciderCount is how many nodes may decide about the trials of a request. They are
 	// asked in turn until one answers.
@@ -43,11 +43,11 @@
 )
 
 // guard keeps requests that terminate backend servers from terminating more of them. A
-// blame names a request and the servers that have terminated while running it. With one
-// such server, the blame is sent to the node that decides about trials of the request,
-// that is, whether it may be sent to a server. With two or more, it is sent to all
-// nodes and written to the key-value service, so that it survives the loss of all
-// nodes.
+// blame names a request and the servers that have terminated while running it. Each request
+// has a decider (see deciders), the node that allows or refuses trials: attempts to send the
+// request to a server while it is quarantined. A blame with one server is sent only to the
+// decider. A blame with two or more is sent to all nodes and written to the key-value
+// service, so that it survives the loss of all nodes.
 type guard struct {
 	node   *Node
 	ledger contain.Ledger
@@ -68,7 +68,7 @@
 // Idle reports whether there is no blame for any request.
 func (guard *guard) Idle() bool { return guard.ledger.Idle() }
 
-// Judge returns how a request is to be treated.
+// Judge returns the judgment of a request, which says whether it may be sent to servers.
 func (guard *guard) Judge(request shedkeel.RequestDigest) shedkeel.Judgment {
 	return contain.Judge(guard.ledger.Blame(request))
 }
@@ -95,8 +95,8 @@
 	guard.send(now, contain.Judge(before) != shedkeel.Unblamed)
 }
 
-// merge merges a blame that another node has sent into the ledger. If this node knows
-// more than the sender, merge sends the result on.
+// merge merges a blame that another node has sent into the ledger. If the result has more
+// servers or a later round than the sender's blame, merge sends the result on.
 func (guard *guard) merge(received shedkeel.Blame) {
 	blame, changed := guard.ledger.Merge(received)
 	if changed {
@@ -113,7 +113,7 @@
 func (guard *guard) blameChanged(blame shedkeel.Blame) {
 	judgment := contain.Judge(blame)
 	if judgment == shedkeel.Unblamed && blame.Round == 0 {
-		return // one server proves nothing: tens of requests run on it
+		return // one server does not single out a request: tens of requests run on it
 	}
 	guard.mutex.Lock()
 	guard.unwritten[blame.Request] = guard.node.Timers.Now()
@@ -151,8 +151,8 @@
 }
 
 // runSendBlame sends a blame to the peer and reports whether the peer has answered
-// within blameTimeout. A node that misses a blame sent to all reads it from the
-// key-value service. A trial whose end is not reported expires.
+// within blameTimeout. Most callers ignore a failure: a node that misses a blame sent to all
+// reads it from the key-value service, and a trial whose end is not reported expires.
 func (peer *peer) runSendBlame(kind wire.BlameCall_Kind, blame shedkeel.Blame) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), blameTimeout)
 	defer cancel()
@@ -303,8 +303,8 @@
 	}
 }
 
-// recheckAll schedules all blames for comparison with the key-value service, after the
-// service has lost some of them.
+// recheckAll schedules all blames for comparison with the key-value service. It is called
+// after a restore, in which the service may have lost some of them.
 func (guard *guard) recheckAll() {
 	now := guard.node.Timers.Now()
 	guard.mutex.Lock()
@@ -390,7 +390,7 @@
 func (guard *guard) applyRecord(record shedkeel.Record) {
 	request := shedkeel.RequestDigest(strings.TrimPrefix(record.Key, blamePrefix))
 	if record.LostInRestore {
-		return // recheckAll has it written again
+		return // recheckAll has scheduled the blame to be written again
 	}
 	if record.Removed {
 		if before, now := guard.ledger.Clear(request); len(before.Servers) > 0 {
--- a/node/guard_test.go
+++ b/node/guard_test.go
@@ -44,8 +44,8 @@
 }
 
 // TestRecordChange checks when a blame is written to the key-value service: when the
-// request is quarantined or contained and the record does not say so, but not for each
-// of the tens of requests that run on a server that terminates.
+// request is quarantined or contained and the record does not say so. A blame with one
+// server is not written, since tens of requests run on a server that terminates.
 func TestRecordChange(t *testing.T) {
 	missing := shedkeel.Record{}
 	cases := map[string]struct {
@@ -110,7 +110,7 @@
 
 // TestBlameChangedDuringWriteIsWritten has a third server terminate after the record of
 // the first two was found in the key-value service and before the blame is marked as
-// written. The next write contains all three.
+// written. The next write must contain all three.
 func TestBlameChangedDuringWriteIsWritten(t *testing.T) {
 	node, timers := newTestNode(t)
 	store := &blameStore{}
@@ -179,8 +179,8 @@
 	assert.Assert(t, !ask(wire.BlameCall_TRY, "a", "b", "c"))
 }
 
-// TestDecidersAgree checks that nodes which see the same nodes alive agree on who
-// decides about a request, and that each node is the first decider of some requests.
+// TestDecidersAgree checks that nodes which see the same nodes alive agree on the deciders of
+// a request and their order, and that each node is the first decider of some requests.
 func TestDecidersAgree(t *testing.T) {
 	firstDeciders := map[shedkeel.NodeID]int{}
 	for range 40 {
--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -19,8 +19,8 @@
 const (
 	// limitWindow is the time in which the requests to a limited server are counted.
 	limitWindow = 4 * time.Second
-	// limitBurst is how many requests more than one and a half times its limit such a
-	// server may get in the window.
+	// limitBurst is how many requests a limited server may get in the window beyond one and
+	// a half times its limit.
 	limitBurst = 5
 )
 
@@ -51,9 +51,9 @@
 }
 
 // TestServerLimitHoldsOverAllNodes has servers state a limit while three nodes receive
-// requests, also while one of the nodes stops. Excesses that
-// the bound must exclude are 5 requests a second from eight nodes at a stated limit of 2,
-// and 19 requests in 4 s from nodes that know the limit, where 17 are allowed.
+// requests. In some cases one of the nodes stops meanwhile. The faults that the test guards
+// against are, for example, 5 requests a second from eight nodes at a stated limit of 2, and
+// 19 requests in 4 s from nodes that know the limit, where 17 are allowed.
 func TestServerLimitHoldsOverAllNodes(t *testing.T) {
 	const limit, rate, length = 2, 40, limitSpreadTime + limitWindow + time.Second
 	cases := map[string]struct {
@@ -69,7 +69,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			cluster := newServingCluster(t)
-			servers := cluster.limitedServers(test.path, test.all)
+			servers := cluster.serversFor(test.path, test.all)
 			statedAt := time.Now()
 			for _, server := range servers {
 				cluster.fleet.SetLimit(server, fmt.Sprint(limit))
@@ -84,7 +84,7 @@
 			for _, server := range servers {
 				arrivals := slices.DeleteFunc(cluster.fleet.Arrivals(server), func(at time.Time) bool { return at.Sub(statedAt) < limitSpreadTime })
 				most := platformstandin.MaxArrivals(arrivals, limitWindow)
-				t.Logf("statuses %v; %s had %d once all knew, %d of them in %s, allowed %d", statuses, server, len(arrivals), most, limitWindow, allowed)
+				t.Logf("statuses %v; %s got %d after all nodes knew its limit, %d of them in %s, allowed %d", statuses, server, len(arrivals), most, limitWindow, allowed)
 				assert.Assert(t, most <= allowed, "%d requests in %s, allowed %d", most, limitWindow, allowed)
 				assert.Assert(t, most > 0, "a limited server still gets requests")
 			}
@@ -95,9 +95,9 @@
 	}
 }
 
-// limitedServers returns the servers that are to limit their rate: all that serve
-// requests to the path, or one of them.
-func (cluster *testCluster) limitedServers(path string, all bool) []string {
+// serversFor returns the servers that serve requests to the path: all of them, or only
+// the first.
+func (cluster *testCluster) serversFor(path string, all bool) []string {
 	servers := []string{"plain-0", "plain-1"}
 	if path == "/copy/a" {
 		servers = nil
--- a/node/limits.go
+++ b/node/limits.go
@@ -29,8 +29,9 @@
 	announceInterval = 50 * time.Millisecond
 	// announceTimeout bounds a call that sends changed limits to a node.
 	announceTimeout = 500 * time.Millisecond
-	// neverStatedAgeMs is the age reported for a limit that the server has never stated:
-	// higher than that of any statement.
+	// neverStatedAgeMs is the age that a node sends with a lifted limit for a cold server
+	// that has never stated one. It is higher than the age of any stated limit, so the
+	// receiver keeps the limit that it knows.
 	neverStatedAgeMs = 1 << 40
 )
 
@@ -50,7 +51,7 @@
 	badLoggedAt map[shedkeel.InstanceID]time.Duration        // when an unreadable limit of the server was last logged
 	pending     map[shedkeel.InstanceID]shedkeel.ServerLimit // changed limits that are to be sent to other nodes
 
-	aliveVersion uint64 // peers.aliveVersion when granter last forgot servers; only run uses it
+	aliveVersion uint64 // peers.aliveVersion when granter last dropped the servers of other granters; only run uses it
 }
 
 // Observe processes the limit that a server states in an answer. The request was sent
@@ -67,8 +68,8 @@
 	}
 }
 
-// merge processes the limit and the cold state of a server that another node has sent,
-// and ignores invalid ones. If this node is the server's granter, it sends a changed
+// merge processes the limit and the cold state of a server that another node has sent. It
+// ignores each of them that is invalid. If this node is the server's granter, it sends a changed
 // limit on to all nodes.
 func (limits *limits) merge(reported *wire.ServerLimit, from shedkeel.NodeID) {
 	now := limits.node.Timers.Now()
@@ -251,7 +252,7 @@
 	}
 }
 
-// tick forgets the permits of servers that have another granter now, ends the reduced
+// tick drops the permits of servers that have another granter now, ends the reduced
 // rates of servers that are no longer cold, and sends changed limits.
 func (limits *limits) tick() {
 	if version := limits.node.peers.aliveVersion.Load(); version != limits.aliveVersion {
@@ -375,7 +376,7 @@
 	}
 }
 
-// retain forgets the limits and permits of servers for which listed returns false.
+// retain drops the limits and permits of servers for which listed returns false.
 func (limits *limits) retain(listed func(shedkeel.InstanceID) bool) {
 	limits.known.Retain(listed)
 	limits.granter.Retain(listed)
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -30,10 +30,9 @@
 	assert.Equal(t, len(counts), len(fourNodes), "%v", counts)
 }
 
-// TestFractionOfLimitFollowsAliveNodes checks which fraction of the nodes a node sees
-// alive, which is the fraction of a limit that it may grant, and since when. Nodes that
-// do not answer may be on the other side of a network partition; stopping nodes are not
-// counted.
+// TestFractionOfLimitFollowsAliveNodes checks which fraction of the listed nodes a node sees
+// alive, and since when. It may grant the same fraction of a limit: the other nodes may be
+// alive on the other side of a network partition. Stopping nodes do not count.
 func TestFractionOfLimitFollowsAliveNodes(t *testing.T) {
 	node, timers := newListedNode(t, "a", fourNodes)
 	fraction, settled := node.peers.aliveFraction()
@@ -99,8 +98,9 @@
 	}
 }
 
-// TestLimitsAreAnnounced checks which limits a node sends to other nodes: those that it
-// has seen itself, and reported ones of servers whose granter it is.
+// TestLimitsAreAnnounced checks which changed limits a node sends to other nodes: those that
+// it saw in an answer itself, and those that another node reported, if it is the server's
+// granter.
 func TestLimitsAreAnnounced(t *testing.T) {
 	node, _ := newListedNode(t, "a", fourNodes)
 	own, other := newServerID(node, true), newServerID(node, false)
@@ -125,8 +125,9 @@
 	assert.Equal(t, permit, shedkeel.Permit{Wait: permitRetryDelay})
 }
 
-// TestHalfOfTheFleetGrantsHalf has a node see all nodes or only half of them alive. It
-// grants all or half of a server's rate, give or take 2 permits in 10 s.
+// TestHalfOfTheFleetGrantsHalf checks that a node grants a server's full rate if it sees all
+// nodes alive, and half of the rate if it sees half of them alive, give or take 2 permits in
+// 10 s.
 func TestHalfOfTheFleetGrantsHalf(t *testing.T) {
 	cases := map[string]struct {
 		alive []nodeRecord
