--- a/node/admin.go
+++ b/node/admin.go
@@ -7,7 +7,8 @@
 	"shedkeel.org/shedkeel/formation"
 )
 
-// Process identifies a node to operators' clients.
+// Process is the value of the field "process" in a node's answers to operators' clients.
+// It tells the clients that the process is a node.
 const Process = "node"
 
 // Dump is a node's state for operators. It contains no secrets.
@@ -21,33 +22,35 @@
 	Config         int64              `json:"config"`   // version of the active configuration
 	Revision       string             `json:"revision"` // latest revision of the store that this node knows
 	Age            string             `json:"age"`      // time since the latest proof that the node's copy is current
-	Served         int64              `json:"served"`
+	Served         int64              `json:"served"`   // requests received since the start, including refused ones
 	Nodes          []shedkeel.NodeID  `json:"nodes"`
-	ExcludedNodes  []ExcludedNodeDump `json:"unnamed"`   // listed nodes that the directory leaves out
-	Isolated       bool               `json:"isolated"`  // this node receives nothing from others, so it judges none of them dead
-	BlamedRequests []BlameDump        `json:"judged"`    // requests withheld from servers because servers ended while running them
-	Limited        []LimitDump        `json:"limited"`   // servers that limit the rate of their requests
+	ExcludedNodes  []ExcludedNodeDump `json:"unnamed"`   // listed nodes that the directory does not name to callers
+	Isolated       bool               `json:"isolated"`  // this node receives nothing from other nodes, so it judges none of them dead
+	BlamedRequests []BlameDump        `json:"judged"`    // quarantined and contained requests
+	Limited        []LimitDump        `json:"limited"`   // servers that limit their request rate or are cold
 	Evacuated      []EvacuationDump   `json:"evacuated"` // availability zones whose servers get no requests
 	Groups         []GroupDump        `json:"groups"`
 	Servers        []ServerDump       `json:"servers"`
 }
 
-// BlameDump is a request that is withheld from servers.
+// BlameDump is a request that may be sent to no server (contained) or to one at a time
+// (quarantined), because servers have terminated while running it.
 type BlameDump struct {
 	Request  shedkeel.RequestDigest `json:"request"`
-	Judgment string                 `json:"judgment"`
-	Servers  []shedkeel.InstanceID  `json:"servers"` // incarnations of the servers that ended while running it
+	Judgment string                 `json:"judgment"` // "quarantined" or "contained"
+	Servers  []shedkeel.InstanceID  `json:"servers"`  // the servers that terminated while running it
 }
 
-// LimitDump is a server whose request rate is limited.
+// LimitDump is a server whose request rate is limited: it states a limit, or it is cold. A
+// server to which both apply has two dumps.
 type LimitDump struct {
 	Server  shedkeel.InstanceID `json:"server"`
 	Rate    float64             `json:"rate"`    // requests per second of all nodes together
-	For     string              `json:"for"`     // how long this node has known the limit; empty: the server is cold
-	Cold    string              `json:"cold"`    // how much longer the server stays cold; empty: it reported a limit
+	For     string              `json:"for"`     // how long the server has stated a limit without a break; empty: the dump is of the cold state
+	Cold    string              `json:"cold"`    // how much longer the server stays cold; empty: the dump is of a stated limit
 	Granter shedkeel.NodeID     `json:"granter"` // the node that grants the permits; empty: no node is known
-	Granted int64               `json:"granted"` // permits granted by this node since it became the granter
-	Refused int64               `json:"refused"`
+	Granted int64               `json:"granted"` // permits granted by this node since it became the granter; 0 if it is not
+	Refused int64               `json:"refused"` // requests for permits refused by this node in the same time
 }
 
 // EvacuationDump is an availability zone that operators evacuated.
@@ -79,12 +82,12 @@
 	Members []shedkeel.InstanceID `json:"members"`
 }
 
-// ServerDump is a backend server outside of replica groups.
+// ServerDump is a backend server that is in no replica group.
 type ServerDump struct {
 	Server   shedkeel.InstanceID `json:"server"`
 	Service  shedkeel.ServiceID  `json:"service"`
 	Draining bool                `json:"draining"`
-	Staged   []shedkeel.ModelID  `json:"staged"`
+	Staged   []shedkeel.ModelID  `json:"staged"` // models whose weights are in the host memory of its box
 }
 
 // dump returns the node's state.
--- a/node/explain.go
+++ b/node/explain.go
@@ -20,7 +20,7 @@
 	Group   shedkeel.GroupID  `json:"group"`
 	Members []MemberDump      `json:"members"` // listed members, also those of former formations of the group
 	Waits   []WaitDump        `json:"waits"`   // why the planner waits; empty at nodes that don't lead
-	Events  []json.RawMessage `json:"events"`  // lines of this node's log
+	Events  []json.RawMessage `json:"events"`  // the latest lines of this node's log about the group
 }
 
 // MemberDump is a backend server whose record names a replica group.
@@ -31,10 +31,10 @@
 	State    shedkeel.MemberState `json:"state"`
 	Draining bool                 `json:"draining"`
 	Dead     bool                 `json:"dead"` // it does not answer probes; known only at the leader
-	Slow     float64              `json:"slow"` // how many times slower than expected; 0: not slow, or not known here
+	Slow     float64              `json:"slow"` // how many times slower than expected; 0: not slow, or not known, as at nodes that don't lead
 }
 
-// adminHandler returns the handler of metrics and operators' queries.
+// adminHandler returns the HTTP handler of the metrics page and of operators' queries.
 func (node *Node) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	if node.Metrics != nil {
