--- a/node/config.go
+++ b/node/config.go
@@ -24,7 +24,7 @@
 	value      []byte
 	compressed []byte // value, compressed; nil: not computed yet
 
-	newerThanStore atomic.Bool // the service has an older configuration
+	newerThanStore atomic.Bool // the key-value service has an older configuration
 	fetching       atomic.Bool // a request to another node for a newer configuration is running
 }
 
--- a/node/config_test.go
+++ b/node/config_test.go
@@ -19,9 +19,9 @@
 	return shedkeel.Record{Key: platform.ConfigKey, Value: value, Revision: shedkeel.Revision{Era: era, Number: number}}
 }
 
-// TestNodeThatStartsAfterARestore starts a node after the service was restored from a
-// snapshot with an older configuration than other nodes have. The new node must get the
-// newer one, because with the older one it would accept keys that were removed since.
+// TestNodeThatStartsAfterARestore starts a node after the key-value service was restored from
+// a snapshot with an older configuration than other nodes have. The new node must get the
+// newer one, because with the older one it would accept API keys that were removed since.
 func TestNodeThatStartsAfterARestore(t *testing.T) {
 	cases := map[string]struct {
 		newNodeAsks bool // the new node asks the old one, and not the other way round
--- a/node/contain_test.go
+++ b/node/contain_test.go
@@ -97,8 +97,8 @@
 }
 
 // TestContainedAfterLossOfAllNodes replaces all nodes by new ones after the deadly request
-// has terminated up to three servers. The new nodes must read the blame from the key-value service before
-// they serve, so that the request terminates no more servers.
+// has terminated up to three servers. The new nodes must read the blame from the key-value
+// service before they serve, so that the request terminates no more servers.
 func TestContainedAfterLossOfAllNodes(t *testing.T) {
 	cluster := newDeadlyCluster(t, 2)
 	for try := range 4 {
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -26,9 +26,9 @@
 	// takes some tenths of a second more. With a limit below that sum, a healthy service
 	// would count as unavailable, and servers that have left would stay in use 2 s longer.
 	outageAge = 2300 * time.Millisecond
-	// deletedRecordHold is for how long after an outage of the service a record that was
-	// deleted during the outage is still used. According to the platform's documentation,
-	// live servers write their records again about 2 s after the outage.
+	// deletedRecordHold is for how long after an outage of the key-value service a record
+	// that was deleted during the outage is still used. According to the platform's
+	// documentation, live servers write their records again about 2 s after the outage.
 	deletedRecordHold = 2300 * time.Millisecond
 	// unreadableRecordHold is how long a backend server whose record became unreadable
 	// keeps its place in its group. No requests are sent to it directly in that time. Its
@@ -48,15 +48,15 @@
 	mutex             sync.Mutex
 	instances         map[string]shedkeel.Instance      // by key
 	nodes             map[string]nodeRecord             // by key
-	retained          map[string]time.Duration          // until when a record that was deleted in an outage of the service is used, by key
+	retained          map[string]time.Duration          // until when a record that was deleted in an outage of the key-value service is used, by key
 	evacuated         map[shedkeel.ZoneID]bool          // zones whose backend servers get no requests
 	coldUntil         map[string]time.Duration          // until when a server that reported being cold counts as cold, by key
 	evacuationEndedAt map[shedkeel.ZoneID]time.Duration // when the last evacuation of a zone ended
 	removals          removals                          // servers whose records were removed recently
 	unreadable        map[string]time.Duration          // until when a server whose record is unreadable keeps its place in its group, by key
 	skippedRecords    atomic.Int64                      // number of records that were not used: unreadable, invalid or outdated ones
-	afterRestore      bool                              // the next records come from a snapshot to which the service was restored
-	outageUntil       time.Duration                     // end of the latest outage of the service, with deletedRecordHold added
+	afterRestore      bool                              // the next records come from a snapshot to which the key-value service was restored
+	outageUntil       time.Duration                     // end of the latest outage of the key-value service, with deletedRecordHold added
 	verifiedAt        atomic.Int64                      // when the copy was last proven current, as a time.Duration
 	loggedCounts      map[string]int                    // number of servers or groups that may get requests, as last logged, by service and model
 }
@@ -113,8 +113,8 @@
 }
 
 // applyInstance applies a backend server's record and reports whether it changes which
-// servers may get requests. A deleted record is retained for a while if the service
-// was unavailable. A record that is older than the known one is skipped.
+// servers may get requests. A deleted record is retained for a while if the
+// key-value service was unavailable. A record that is older than the known one is skipped.
 func (fleet *fleet) applyInstance(record shedkeel.Record, now time.Duration) bool {
 	if record.Removed {
 		return fleet.removeOrRetain(record.Key, now, func() { fleet.removeInstance(record.Key, record.Revision.Era, now) })
@@ -155,8 +155,9 @@
 }
 
 // markUnreadable stops direct requests to a listed server whose record became unreadable and
-// keeps its place in its group for unreadableRecordHold. It returns false, since nothing
-// changes, if the server is not listed or its record was unreadable before.
+// keeps its place in its group for unreadableRecordHold. It reports whether the
+// servers that may get requests have changed: they have not if the server is not listed or
+// its record was unreadable before.
 func (fleet *fleet) markUnreadable(key string, now time.Duration) bool {
 	_, listed := fleet.instances[key]
 	_, unreadable := fleet.unreadable[key]
@@ -179,10 +180,10 @@
 }
 
 // removeOrRetain handles a deleted record and reports whether it called remove. During an
-// outage of the service, leases of live owners may have expired, so the record is
+// outage of the key-value service, leases of live owners may have expired, so the record is
 // retained at least until outageUntil if its owner may write it again.
 func (fleet *fleet) removeOrRetain(key string, now time.Duration, remove func()) bool {
-	if now >= fleet.outageUntil || !fleet.writerMayReturn(key) {
+	if now >= fleet.outageUntil || !fleet.ownerMayRewrite(key) {
 		remove()
 		return true
 	}
@@ -193,15 +194,15 @@
 	return false
 }
 
-// writerMayReturn reports whether the owner of a record may write it again. A node that
+// ownerMayRewrite reports whether the owner of a record may write it again. A node that
 // the failure detector finds dead or stopped may not.
-func (fleet *fleet) writerMayReturn(key string) bool {
+func (fleet *fleet) ownerMayRewrite(key string) bool {
 	id, isNode := strings.CutPrefix(key, nodePrefix)
 	return !isNode || fleet.node.gossip.mayServeCallers(shedkeel.NodeID(id))
 }
 
-// tick checks whether the service is unavailable, and removes retained and unreadable
-// records that have expired.
+// tick checks whether the key-value service is unavailable, and removes retained and
+// unreadable records that have expired.
 func (fleet *fleet) tick(now time.Duration) {
 	state := fleet.node.mirror.State()
 	fleet.verifiedAt.Store(int64(state.AsOf))
@@ -213,7 +214,7 @@
 	serversChanged, nodesChanged := false, false
 	for key, until := range fleet.retained {
 		unavailable := now < fleet.outageUntil && now-state.AsOf > outageAge
-		if fleet.writerMayReturn(key) && (now < until || unavailable) {
+		if fleet.ownerMayRewrite(key) && (now < until || unavailable) {
 			continue
 		}
 		delete(fleet.retained, key)
@@ -285,9 +286,9 @@
 	fleet.logServerCounts(servers)
 }
 
-// reportCold reports a cold server to the limits. After an evacuation every server of
-// the zone counts as cold for the service's ColdTime: its record states that it is cold
-// only some time after it may get requests again.
+// reportCold reports a cold server to the limits. After an evacuation every server of the
+// zone counts as cold for the ColdTime of its routed service: a server's record states that
+// it is cold only some time after the server may get requests again.
 func (fleet *fleet) reportCold(key string, instance *shedkeel.Instance, service *shedkeel.RoutedService) {
 	if service == nil || service.ColdRate <= 0 {
 		return
--- a/node/fleetsize.go
+++ b/node/fleetsize.go
@@ -27,7 +27,7 @@
 )
 
 // sizeRecord tells a starting node, which has no other records yet, how large its fleet is
-// and which nodes relay the service's records to others.
+// and which nodes relay the records of the key-value service to others.
 type sizeRecord struct {
 	Nodes  int            `json:"nodes"`
 	Relays []startupRelay `json:"relays"` // empty in a small fleet
@@ -90,7 +90,7 @@
 }
 
 // advise tells the follower how this node gets its first copy of the records: by listing
-// them from the service itself, or from nodes that have a copy.
+// them from the key-value service itself, or from nodes that have a copy.
 func (peers *peers) advise(ctx context.Context) (mirror.Advice, error) {
 	node := peers.node
 	record, err := node.Store.GetStale(ctx, sizeKey)
--- a/node/lapse_test.go
+++ b/node/lapse_test.go
@@ -13,8 +13,8 @@
 
 // TestGoneServers deletes a server's record after the node's copy of the records has reached
 // some age. The server may stay in use only if the copy was older than outageAge, which
-// counts as an outage of the service. In a healthy fleet copies may be 1.7 s old, which must
-// not count as one.
+// counts as an outage of the key-value service. In a healthy fleet copies may be 1.7 s old,
+// which must not count as an outage.
 func TestGoneServers(t *testing.T) {
 	cases := map[string]struct {
 		age          time.Duration // of the copy when the record is deleted
@@ -41,10 +41,10 @@
 	}
 }
 
-// TestGoneNodes deletes the records of nodes while the service seems unavailable. Leases may
-// have expired, so live nodes are retained until they have written their records again. A
-// node that the failure detector finds dead or stopped must not be retained, because the
-// directory would name it for deletedRecordHold more.
+// TestGoneNodes deletes the records of nodes while the key-value service seems unavailable.
+// Leases may have expired, so live nodes are retained until they have written their records
+// again. A node that the failure detector finds dead or stopped must not be retained, because
+// the directory would name it for deletedRecordHold more.
 func TestGoneNodes(t *testing.T) {
 	cases := map[string]struct {
 		before       shedkeel.Liveness // of the node when its record is deleted
