--- a/node/follow.go
+++ b/node/follow.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// followBackoff is how long a node is not followed after it did not answer or its
-	// copy was too old.
+	// followBackoff is how long a node is not followed after it failed to answer, could
+	// not reach its own source, or had too old a copy.
 	followBackoff = 2 * time.Second
-	// maxSourceAge is the maximum age of the copy of a source that others follow. The
-	// copy is up to as old as two watches of the service last, and changes are collected
-	// for 0.1 s.
+	// maxSourceAge is the maximum age of a source's copy for the source to be followed.
+	// Normally the copy is at most as old as two watches of the service last (0.7 s) plus
+	// about 0.1 s for which the source collects changes before its next watch.
 	maxSourceAge = 1200 * time.Millisecond
-	// maxRelayAge is the maximum age of the copy of a relay, which follows the source by long
-	// polling.
+	// maxRelayAge is the maximum age of a relay's copy for the relay to be followed. A
+	// relay follows the source by long polls that last up to mirror.RelayWait.
 	maxRelayAge = maxSourceAge + mirror.RelayWait
 	// maxDirectFollowers is the largest fleet in which all nodes follow the source
 	// itself. In larger fleets relays follow the source and the other nodes follow the
@@ -46,8 +46,8 @@
 func hasRelays(nodes int) bool { return nodes > maxDirectFollowers }
 
 // relayIndexes returns the indexes of the relays. In each availability zone these are
-// the first nodes in order that have enough capacity, don't stop and have no duties for
-// the whole fleet.
+// the first nodes in order that have enough capacity, are not stopping and are not among
+// the reservedNodes, which have duties for the whole fleet.
 func relayIndexes(nodes []nodeRecord) []int {
 	if !hasRelays(len(nodes)) {
 		return nil
@@ -71,9 +71,10 @@
 }
 
 // followOrder returns the indexes of the nodes whose copies a node may follow, the
-// preferred ones first. Its own index stands for the service itself. A node that is not
-// a relay prefers relays of its own availability zone to those of others. Each node has
-// a different order, so that the followers of a lost relay spread over the others.
+// preferred ones first. The node's own index in the result means that it follows the
+// service itself. A node that is not a relay prefers relays of its own availability zone
+// to those of others. Each node has a different order, so that the followers of a lost
+// relay spread over the remaining relays.
 func followOrder(nodes []nodeRecord, own int) []int {
 	return followOrderWithRelays(nodes, relayIndexes(nodes), own)
 }
@@ -123,7 +124,7 @@
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	nodes, own, listed := peers.aliveWithSelf()
-	var first *peer
+	var preferred *peer
 	for _, index := range followOrder(nodes, own) {
 		if index >= len(nodes) {
 			continue
@@ -135,16 +136,17 @@
 		if !followed.followFailure.isRecent(followBackoff, peers.node.Timers.Now()) {
 			return followed
 		}
-		if first == nil {
-			first = followed
+		if preferred == nil {
+			preferred = followed
 		}
 	}
-	return first // none answers: the copy becomes stale, and the follower then asks other nodes or the service
+	return preferred // all failed recently: once the copy is stale, the follower asks other nodes or the service
 }
 
 // startupSeed returns the seed to follow in place of the service while this node is not
-// listed or knows few other nodes, so that its index is not reliable. It returns nil if
-// the node is settled or is a seed itself, or no seed answers.
+// settled, that is, while it is not listed or knows less than half of the expected nodes.
+// Its index among the nodes is then not reliable. startupSeed returns nil if this node is
+// settled or is a seed itself, or if all seeds have failed recently.
 func (peers *peers) startupSeed(settled bool) mirror.Peer {
 	if settled || peers.isSeed() {
 		return nil
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -48,9 +48,9 @@
 	return followers
 }
 
-// TestFollowers has each node of a fleet choose whom to follow. Exactly one node follows the
-// service, and no node has more followers than its link and processor can serve, also after
-// the loss of a source or relay.
+// TestFollowers makes each node of a fleet choose whom to follow. Exactly one node must
+// follow the service, and no node may have more followers than its link and processor can
+// serve, also after the loss of a source or relay.
 func TestFollowers(t *testing.T) {
 	cases := map[string]struct {
 		nodes              []nodeRecord
@@ -100,13 +100,14 @@
 	}
 }
 
-// TestUnlistedFollowsSeed covers nodes that are not listed or know few others. They must
-// follow a seed; otherwise all nodes that start together would follow the service itself.
+// TestUnlistedFollowsSeed covers nodes that are not listed or know few other nodes. If their
+// index would make them follow the service itself, they must follow a seed instead.
+// Otherwise all nodes that start together would follow the service.
 func TestUnlistedFollowsSeed(t *testing.T) {
 	cases := map[string]struct {
 		seeds        []string
 		listed       []nodeRecord
-		hint         int64 // number of nodes, as a seed reported
+		hint         int64 // number of nodes that a seed reported
 		wantFollowed string
 	}{
 		"it knows no other node":              {[]string{"seed:1"}, nil, 0, "seed:1"},
@@ -136,14 +137,14 @@
 	}
 }
 
-// TestDutiesPassOn checks that the duties of one node for the whole fleet pass to the next
-// alive node as soon as it is suspected: the source that others follow, and the placement of
-// requests.
+// TestDutiesPassOn checks that a duty that one node has for the whole fleet passes to the
+// next alive node as soon as the first one is suspected. The duties are to be the source that
+// other nodes follow, and to place requests.
 func TestDutiesPassOn(t *testing.T) {
 	cases := map[string]struct {
-		suspected    []int // indexes
-		wantFollowed int
-		wantSpreader int
+		suspected    []int // indexes of suspected nodes
+		wantFollowed int   // index of the source that other nodes follow
+		wantSpreader int   // index of the node that places requests
 	}{
 		"all are alive":                {nil, 1, 2},
 		"the source is suspected":      {[]int{1}, 2, 3},
@@ -171,8 +172,8 @@
 	}
 }
 
-// TestSuspectedRelayIsReplaced suspects one relay after the other. A node must follow another
-// relay each time, and the source when no relay is left.
+// TestSuspectedRelayIsReplaced marks one relay after the other as suspected. A node must
+// follow another relay each time, and the source when no relay is left.
 func TestSuspectedRelayIsReplaced(t *testing.T) {
 	nodes := fleetOf(300, 9)
 	relays := relayIndexes(nodes)
--- a/node/peers_test.go
+++ b/node/peers_test.go
@@ -8,22 +8,23 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestChoose covers whose copy a node follows, by its position in the order of nodes.
+// TestChoose checks whose copy a node follows, given its position in the order of nodes and
+// which nodes have failed.
 func TestChoose(t *testing.T) {
 	cases := map[string]struct {
 		own          shedkeel.NodeID
-		nodes        []nodeRecord      // listed nodes, including itself
+		nodes        []nodeRecord      // listed nodes
 		failed       []shedkeel.NodeID // nodes that failed to answer just now
-		wantFollowed string            // "": the key-value service
+		wantFollowed string            // ID of the followed node; "": the key-value service
 	}{
 		"alone":                                     {"a", fourNodes[:1], nil, ""},
-		"not listed yet, and none is":               {"a", nil, nil, ""},
+		"not listed yet, and no other node is":      {"a", nil, nil, ""},
 		"not listed yet, others are":                {"d", fourNodes[:3], nil, "b"},
 		"the second follows the service":            {"b", fourNodes, nil, ""},
 		"the first follows the second":              {"a", fourNodes, nil, "b"},
 		"others follow the second":                  {"c", fourNodes, nil, "b"},
 		"the second has failed":                     {"c", fourNodes, []shedkeel.NodeID{"b"}, "a"},
-		"the second has failed, as the first finds": {"a", fourNodes, []shedkeel.NodeID{"b"}, ""},
+		"the first chooses after the second failed": {"a", fourNodes, []shedkeel.NodeID{"b"}, ""},
 		"both have failed":                          {"d", fourNodes, []shedkeel.NodeID{"a", "b"}, "b"},
 		"another one has failed":                    {"d", fourNodes, []shedkeel.NodeID{"c"}, "b"},
 	}
