--- a/node/gossip.go
+++ b/node/gossip.go
@@ -86,36 +86,37 @@
 		return
 	}
 	gossip.mutex.Lock()
-	sent := gossip.detector.Receive(gossip.node.Timers.Now(), message)
+	outgoing := gossip.detector.Receive(gossip.node.Timers.Now(), message)
 	changed := gossip.livenessChanged()
 	gossip.mutex.Unlock()
 	if changed {
 		gossip.node.peers.refreshAlive()
 	}
-	for _, datagram := range sent {
-		if datagram.To == message.From {
-			gossip.send(datagram.Message, from) // the sender may not be listed here yet
+	for _, response := range outgoing {
+		if response.To == message.From {
+			gossip.send(response.Message, from) // the sender may not be listed here yet
 			continue
 		}
-		gossip.sendTo(datagram)
+		gossip.sendTo(response)
 	}
 }
 
-// tick calls the failure detector and sends its datagrams.
+// tick calls the failure detector and sends its datagrams. An answer of the key-value
+// service shows the detector that this node is not cut off, even if no node answers.
 func (gossip *gossip) tick(now time.Duration) {
 	if gossip.conn == nil {
 		return
 	}
-	answered := gossip.node.follower.LastConfirmed()
+	lastConfirmed := gossip.node.follower.LastConfirmed()
 	gossip.mutex.Lock()
-	gossip.detector.NoteContact(answered)
-	sent := gossip.detector.Tick(now)
+	gossip.detector.NoteContact(lastConfirmed)
+	outgoing := gossip.detector.Tick(now)
 	changed := gossip.livenessChanged()
 	gossip.mutex.Unlock()
 	if changed {
 		gossip.node.peers.refreshAlive()
 	}
-	gossip.sendAll(sent)
+	gossip.sendAll(outgoing)
 }
 
 // livenessChanged reports whether the liveness of any node has changed since the last
@@ -133,9 +134,9 @@
 		return
 	}
 	gossip.mutex.Lock()
-	sent := gossip.detector.Leave(gossip.node.Timers.Now())
+	outgoing := gossip.detector.Leave(gossip.node.Timers.Now())
 	gossip.mutex.Unlock()
-	gossip.sendAll(sent)
+	gossip.sendAll(outgoing)
 }
 
 func (gossip *gossip) sendAll(datagrams []shedkeel.GossipDatagram) {
@@ -178,8 +179,8 @@
 	return slices.DeleteFunc(slices.Clone(nodes), func(record nodeRecord) bool { return gossip.detector.Liveness(record.ID) != shedkeel.Alive })
 }
 
-// mayServeCallers reports whether callers may be sent to a node: to an alive one, and to a
-// suspected one, which may only be paused for a moment.
+// mayServeCallers reports whether callers may be sent to a node: they may if it is alive or
+// suspected. A suspected node is not necessarily lost: it may have paused for a moment.
 func (gossip *gossip) mayServeCallers(id shedkeel.NodeID) bool { return mayServe(gossip.liveness(id)) }
 
 // mayServe reports whether callers may be sent to a node of this liveness.
@@ -187,28 +188,29 @@
 	return liveness == shedkeel.Alive || liveness == shedkeel.Suspected
 }
 
-// isolated reports whether this node receives nothing from others, so that it judges
-// none of them dead.
+// isolated reports whether this node is likely cut off, because it receives nothing from
+// the other nodes or the key-value service. It can't judge other nodes then.
 func (gossip *gossip) isolated() bool {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
 	return gossip.detector.Isolated(gossip.node.Timers.Now())
 }
 
-// logExclusions logs which nodes the directory now leaves out, and which it names again.
+// logExclusions logs which nodes the directory leaves out since the last call, and which
+// it lists again.
 func (gossip *gossip) logExclusions(nodes []nodeRecord) {
 	gossip.mutex.Lock()
-	now := map[shedkeel.NodeID]shedkeel.Liveness{}
+	excluded := map[shedkeel.NodeID]shedkeel.Liveness{}
 	for _, record := range nodes {
 		if liveness := gossip.detector.Liveness(record.ID); !mayServe(liveness) {
-			now[record.ID] = liveness
+			excluded[record.ID] = liveness
 		}
 	}
-	before := gossip.loggedExcluded
-	gossip.loggedExcluded = now
+	logged := gossip.loggedExcluded
+	gossip.loggedExcluded = excluded
 	gossip.mutex.Unlock()
-	lost, back := changedKeys(before, now)
+	lost, back := changedKeys(logged, excluded)
 	if len(lost)+len(back) > 0 {
-		gossip.node.Log.Write(event.NodeStatesChanged, slog.Int("unnamed", len(now)), slog.Any("lost", lost), slog.Any("back", back))
+		gossip.node.Log.Write(event.NodeStatesChanged, slog.Int("unnamed", len(excluded)), slog.Any("lost", lost), slog.Any("back", back))
 	}
 }
