--- a/node/lease.go
+++ b/node/lease.go
@@ -26,7 +26,8 @@
 }
 
 // valid reports whether the lease is certainly still in force. A lease of an earlier era
-// of the service is not, even before its expiry.
+// of the service does not count as valid, even before its expiry: the service was then
+// restored from a snapshot, which may lack the lease.
 func (lease *lease) valid(now time.Duration) bool {
 	if !lease.held() || lease.ID().Era < lease.node.mirror.State().At.Era {
 		return false
@@ -34,7 +35,7 @@
 	return now < time.Duration(lease.validUntil.Load())-leaseSafetyMargin
 }
 
-// ID returns the lease's ID in the service; the zero value if there is none.
+// ID returns the ID that the service gave the lease, or the zero value if there is no lease.
 func (lease *lease) ID() shedkeel.LeaseID {
 	if id := lease.id.Load(); id != nil {
 		return *id
@@ -45,8 +46,8 @@
 // held reports whether there is a lease that is not known to have expired.
 func (lease *lease) held() bool { return lease.id.Load() != nil }
 
-// renew renews the lease and reports whether that succeeded. A lease that the service
-// reports as expired is dropped.
+// renew renews the lease and reports whether that succeeded. It logs an error. If the
+// service reports that the lease has expired, the lease is no longer held.
 func (lease *lease) renew(ctx context.Context) bool {
 	sent := lease.node.Timers.Now()
 	err := lease.node.Store.Renew(ctx, lease.ID())
@@ -54,16 +55,16 @@
 		lease.validUntil.Store(int64(sent + lease.ttl))
 		return true
 	}
-	var gone *shedkeel.LeaseEndedError
-	if errors.As(err, &gone) {
+	var ended *shedkeel.LeaseEndedError
+	if errors.As(err, &ended) {
 		lease.id.Store(nil)
 	}
 	lease.node.Log.Write(event.LeaseRenewalFailed, slog.String("error", err.Error()))
 	return false
 }
 
-// grant has the service grant a new lease and reports whether that succeeded. An error is
-// logged.
+// grant requests a new lease from the service and reports whether that succeeded. It logs
+// an error.
 func (lease *lease) grant(ctx context.Context) bool {
 	sent := lease.node.Timers.Now()
 	granted, ttl, err := lease.node.Store.Grant(ctx, lease.ttl)
--- a/node/member.go
+++ b/node/member.go
@@ -29,7 +29,7 @@
 	// returnToLeasesAt is the number of nodes at which a shrinking fleet uses leases
 	// again.
 	returnToLeasesAt = unleasedFrom * 3 / 4
-	// renewalsPerTTL is how often a lease is renewed within its time.
+	// renewalsPerTTL is how many times a lease is renewed within its lease time.
 	renewalsPerTTL = 3
 	// registrationRetry is the delay after a failed call to the service if the service has
 	// answered any node since; maxRegistrationRetry is the delay if it has not. A failed
@@ -51,14 +51,14 @@
 	dirty         atomic.Bool  // the record must be written again
 	nodeCountHint atomic.Int64 // number of nodes, as reported by a seed or the size record at the start
 	listed        atomic.Bool  // the last call to the service succeeded, and the service has the record
-	unleased      atomic.Bool  // the record needs no lease: other nodes find out whether this one is dead
+	unleased      atomic.Bool  // the record needs no lease: other nodes remove it if this one is dead
 
 	startedAt atomic.Int64 // when the node started, as a time.Duration; 0: not set yet
 
-	lastAttempt time.Duration // when the service was last called; 0: never. Only run uses it
+	lastAttempt time.Duration // when the service was last called; 0: never. Only the goroutine of run uses it
 }
 
-// requestWrite has the record written again at the next tick.
+// requestWrite makes the next tick write the record again.
 func (membership *membership) requestWrite() { membership.dirty.Store(true) }
 
 // run maintains the record until the context is canceled, and then releases the lease.
@@ -107,8 +107,9 @@
 	return maxRegistrationRetry
 }
 
-// needsNoLease reports whether the fleet is so large that its nodes watch each other
-// with the failure detector.
+// needsNoLease reports whether the fleet is so large that records have no lease and the
+// failure detector alone finds dead nodes. A fleet that shrinks uses leases again only at
+// returnToLeasesAt, so that a fleet near unleasedFrom does not switch back and forth.
 func (membership *membership) needsNoLease() bool {
 	nodes := max(membership.node.fleet.nodeCount(), membership.expectedNodes())
 	if membership.unleased.Load() {
@@ -117,8 +118,8 @@
 	return nodes >= unleasedFrom
 }
 
-// expectedNodes returns the number of nodes that was reported at this node's start, as not
-// all of them may be listed yet. It returns 0 if none was reported, or once
+// expectedNodes returns the number of nodes that was reported at this node's start, when
+// some of them may not be listed yet. It returns 0 if no number was reported, or once
 // nodeCountHintTTL has passed.
 func (membership *membership) expectedNodes() int {
 	if membership.node.Timers.Now()-time.Duration(membership.startedAt.Load()) >= nodeCountHintTTL {
@@ -142,10 +143,10 @@
 	return listed
 }
 
-// keepUnleased writes the record without a lease and reports whether the service has it. It
-// writes nothing if the service already has it, for example from before this node
-// restarted. The node forgets its former lease; as the record is written without that
-// lease, it stays when the lease expires.
+// keepUnleased writes the record without a lease and reports whether the service has the
+// record. It writes nothing if the service already has the record, for example from before
+// this node restarted. The node forgets its former lease. The record is written without
+// that lease, so it stays when the lease expires.
 func (membership *membership) keepUnleased(ctx context.Context) bool {
 	membership.lease.id.Store(nil)
 	membership.dirty.Store(false)
@@ -185,8 +186,8 @@
 	return !membership.dirty.Swap(false) || membership.writeRecord(ctx)
 }
 
-// targetTTL returns the lease time to use. A node without a lease may not know the fleet's
-// size yet, so it uses largeFleetTTL.
+// targetTTL returns the lease time to request. A node without a lease may not know the
+// fleet's size yet, so it uses largeFleetTTL.
 func (membership *membership) targetTTL() time.Duration {
 	if membership.lease.held() && membership.node.fleet.nodeCount() <= maxSmallFleet {
 		return smallFleetTTL
@@ -203,9 +204,10 @@
 }
 
 // commitRecord writes the record and returns the revision of the write. In a large fleet
-// the node whose copy this node follows writes it, together with the records of other
-// nodes. If there is no such node, or it fails, this node writes the record to the service.
-// So does a stopping node, which can't wait for others.
+// it asks the node whose copy this node follows to write the record, together with the
+// records of other nodes. If there is no such node, or the write by that node fails, this
+// node writes the record to the service itself. A stopping node always does, because it
+// can't wait for others.
 func (membership *membership) commitRecord(ctx context.Context, put shedkeel.Put) (shedkeel.Revision, error) {
 	node := membership.node
 	if membership.unleased.Load() && !node.stopping.Load() {
@@ -218,8 +220,8 @@
 	return node.Store.Commit(ctx, shedkeel.Transaction{Put: []shedkeel.Put{put}})
 }
 
-// writeRecord writes the record and reports whether that succeeded. After a failure the
-// record is written again.
+// writeRecord writes the record and reports whether that succeeded. After a failure it
+// logs the error and requests another write.
 func (membership *membership) writeRecord(ctx context.Context) bool {
 	node := membership.node
 	value, err := json.Marshal(node.ownRecord())
--- a/node/member_test.go
+++ b/node/member_test.go
@@ -11,14 +11,14 @@
 	"shedkeel.org/shedkeel/mirror"
 )
 
-// TestListedByFleetSize checks that the lease of a node's record follows the size of the
-// fleet, once the node knows it: short in a small fleet, none in a large one.
+// TestListedByFleetSize checks that the lease of a node's record depends on the size of the
+// fleet once the node knows the size: a small fleet has short leases, a large one has none.
 func TestListedByFleetSize(t *testing.T) {
 	cases := map[string]struct {
 		nodes      int
 		wantTTL    time.Duration // lease time that the node asks for in the end
-		wantLease  int64         // lease of the record in the end; 0: none
-		wantGrants int64         // leases acquired
+		wantLease  int64         // number of the record's lease in the end; 0: no lease
+		wantGrants int64         // number of leases that the node acquires
 	}{
 		"none is known yet": {0, largeFleetTTL, 1, 1},
 		"a small fleet":     {9, smallFleetTTL, 2, 2},
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestRenewalsInAnOutage has renewals fail. A node retries rarely while the service answers
-// no node, and soon after it has answered any.
+// TestRenewalsInAnOutage makes renewals fail. A node must retry rarely while the service
+// answers no node, and soon after the service has answered any node.
 func TestRenewalsInAnOutage(t *testing.T) {
 	cases := map[string]struct {
 		answeredAfter  time.Duration // time from the failure until another node got an answer; 0: never
