--- a/node/node.go
+++ b/node/node.go
@@ -1,6 +1,7 @@
-// Package node is the entry process of a fleet whose platform stores all durable
-// state. A node serves callers, follows the key-value service, exchanges its
-// observations with other nodes, and plans the replica groups while it is the leader.
+// Package node implements the process that accepts callers' requests and forwards them to
+// backend servers. A fleet runs many nodes. A node keeps no durable state of its own: it
+// follows the records of the platform's key-value service, exchanges its observations
+// with other nodes, and plans the replica groups while it is the leader.
 package node
 
 import (
@@ -27,28 +28,30 @@
 const (
 	// DirectoryKeep is how long callers may cache an answer of the directory. Some callers
 	// cache it for maxDirectoryKeepFactor times as long. A stopping node accepts requests
-	// until those caches expire; a request accepted later could not finish within the grace
-	// time.
+	// until these longest-lived caches expire. A request accepted later could not finish
+	// within the grace time.
 	DirectoryKeep = time.Second
 	// maxDirectoryKeepFactor is how many times DirectoryKeep some callers cache an answer.
 	maxDirectoryKeepFactor = 3
 	// stopMargin is how long before the end of the grace time a stopping node aborts
 	// the requests that still run.
 	stopMargin = 400 * time.Millisecond
-	// retryBudgetFraction is the fraction of the retry budget that this node uses.
-	// The budget's window slides, so requests of a second ago no longer count in full.
+	// retryBudgetFraction is the fraction of the retry budget that this node uses. The
+	// bound must hold in every sliding window, also after requests that allowed a retry
+	// have left the window.
 	retryBudgetFraction = 0.7
 	// proofAgeFraction is the fraction of the revocation bound for which a proof that
-	// the configuration is current stays valid. A watch may miss changes for up to
-	// 1 s. The age of a proof and that time together stay below a revocation bound of 5 s. In normal
-	// operation a proof is up to 1.1 s old, so a smaller fraction would refuse requests
-	// at nodes that the platform still counts as connected.
+	// the configuration is current stays valid. With a bound of 5 s a proof is valid for
+	// 3.8 s. The remainder covers the time of up to 1 s for which a watch may miss changes.
+	// A proof may already be 1.1 s old when the connection to the service is lost, so with
+	// a smaller fraction a node would refuse requests while the platform still counts it
+	// as connected.
 	proofAgeFraction = 0.76
 	// silenceTick is how often backend servers with running requests are checked for
 	// silence.
 	silenceTick = 20 * time.Millisecond
-	// expiryTick is how often requests are checked for an expired time limit, by the
-	// clock that also advances while the box is suspended.
+	// expiryTick is how often requests are checked for an expired time limit. The check
+	// uses a clock that also advances while the box is suspended.
 	expiryTick = 100 * time.Millisecond
 	// callerIdleTimeout is how long a caller's connection may be idle. It is longer
 	// than the idle timeouts in the platform's configurations.
@@ -57,8 +60,8 @@
 	headerTimeout = 10 * time.Second
 	// maxHeaderBytes limits the size of a request's header.
 	maxHeaderBytes = 64 << 10
-	// assumedNodes is the number of nodes assumed to share the limits while no node is
-	// known.
+	// assumedNodes is the number of nodes that are assumed to share the fleet's limits, such
+	// as the retry budget, while no node is known.
 	assumedNodes = 16
 )
 
@@ -68,16 +71,18 @@
 	shedkeel.LeasedStore
 }
 
-// Decoder decodes the platform's own records.
+// Decoder decodes the records that the platform and its backend servers write.
 type Decoder interface {
-	// Config decodes the record under ConfigKey.
+	// Config decodes the configuration, which is the record under ConfigKey.
 	Config(value []byte) (*shedkeel.ServingConfig, error)
-	// Instance decodes a record under InstancePrefix.
+	// Instance decodes the record of a backend server, whose key begins with InstancePrefix.
 	Instance(key string, value []byte) (shedkeel.Instance, error)
+	// ConfigKey returns the key of the configuration.
 	ConfigKey() string
+	// InstancePrefix returns the common prefix of the keys of backend servers' records.
 	InstancePrefix() string
-	// EvacuatedZone returns the availability zone whose evacuation the record of this
-	// key requests, or false if it is the key of another kind of record.
+	// EvacuatedZone returns the availability zone whose evacuation a record with this key
+	// requests, or false if the key belongs to another kind of record.
 	EvacuatedZone(key string) (shedkeel.ZoneID, bool)
 }
 
@@ -89,7 +94,7 @@
 	Decoder     Decoder
 	Protocol    shedkeel.CallerProtocol
 	Backend     shedkeel.Backend
-	Check       shedkeel.ServerCheck // nil: a server that broke off a request is not checked for having ended
+	Check       shedkeel.ServerCheck // finds out whether a server that broke off a request has stopped; nil: no check
 	Engines     shedkeel.GroupEngines
 	Timers      shedkeel.Timers
 	Random      shedkeel.Random
@@ -121,7 +126,7 @@
 	Readiness net.Listener
 	Control   net.Listener
 	Gossip    net.PacketConn
-	Metrics   net.Listener // nil: none
+	Metrics   net.Listener // for metrics and the other administration endpoints; nil: none
 }
 
 // Handlers are the HTTP handlers of the endpoints that the platform calls.
@@ -166,7 +171,8 @@
 		RequestAdvice: node.peers.advise, Hops: node.peers.hops, Processes: node.fleet.nodeCount, Random: rand.NewPCG(node.Random.Uint64(), node.Random.Uint64())}
 }
 
-// Run serves until the context is canceled, then shuts down gracefully.
+// Run serves until the context is canceled, then shuts down gracefully. It returns an error
+// only if the server for callers failed to close.
 func (node *Node) Run(ctx context.Context, listeners Listeners, handlers Handlers) error {
 	node.Log.Write(event.Started, slog.String("incarnation", node.Incarnation))
 	callers := &http.Server{Handler: &node.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
@@ -239,7 +245,7 @@
 	node.member.requestWrite()
 	node.gossip.leave()
 	grace := time.Duration(node.Settings.Bounds.Grace)
-	cacheExpiry := min(maxDirectoryKeepFactor*DirectoryKeep, grace*3/8)
+	cacheExpiry := min(maxDirectoryKeepFactor*DirectoryKeep, grace*3/8) // most of a short grace time remains for the running requests
 	time.Sleep(cacheExpiry)
 	node.handler.RefuseNew()
 	remaining := grace - stopMargin - (node.Timers.Now() - stopStarted)
@@ -252,12 +258,14 @@
 	return err
 }
 
-// currentConfig returns the active configuration and the time of its latest proof.
+// currentConfig returns the active configuration and when it was last proven current.
 func (node *Node) currentConfig() serve.ConfigState {
 	return serve.ConfigState{View: node.fleet.view.Load(), ProvenAt: node.mirror.State().AsOf}
 }
 
-// Ready reports whether callers should be sent to this node.
+// Ready reports whether callers should be sent to this node. They should not while it is
+// stopping or has no configuration. If the settings refuse stale keys, they also should not
+// while the configuration was not proven current within MaxConfigAge.
 func (node *Node) Ready() bool {
 	if node.stopping.Load() || node.fleet.view.Load() == nil {
 		return false
@@ -279,9 +287,9 @@
 	}
 }
 
-// Reload applies the settings that may change while the node runs, which are the
-// retry bounds. It logs whether other changes, such as those of addresses and names,
-// need a restart.
+// Reload applies the retry bounds of the new settings, the only settings that may change
+// while the node runs. It logs whether the new settings also differ in a setting that needs
+// a restart, such as an address.
 func (node *Node) Reload(settings config.NodeSettings) {
 	bounds := settings.Bounds
 	node.handler.Budget.Set(bounds.RetryRatio, time.Duration(bounds.RetryWindow), bounds.RetrySlack)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -53,8 +53,8 @@
 	ended     sync.WaitGroup
 }
 
-// testConfig is the configuration of the tests: its version and the API keys are filled
-// in.
+// testConfig is the format of the tests' configuration. Its arguments are the version and
+// the API keys, as JSON strings separated by commas.
 const testConfig = `{"version":%d,
  "routes":[
   {"name":"r1","host":"h.example","path_prefix":"/copy/","kind":"streaming","timeout_ms":8000,"target_latency_ms":500,"gap_aim_ms":300,"max_attempts":2,"resume_streams":true,"service":"llm"},
@@ -95,11 +95,11 @@
 	assert.NilError(cluster.t, err)
 }
 
-// restartDelay is how long a server that a request crashed stays down.
+// restartDelay is how long a server stays down after a request has crashed it.
 const restartDelay = 300 * time.Millisecond
 
-// serve serves a server at an address of its own. A server that a request crashes
-// starts again at the same address after restartDelay.
+// serve starts a backend server at an address of its own. If a request crashes the server,
+// it starts again at the same address after restartDelay.
 func (cluster *testCluster) serve(server *platformstandin.Server) {
 	listener := listen(cluster.t)
 	server.Address = listener.Addr().String()
@@ -119,7 +119,8 @@
 	}
 }
 
-// runServer serves a server at the listener until the test ends.
+// runServer runs a backend server at the listener until the test ends or the returned HTTP
+// server is closed.
 func (cluster *testCluster) runServer(server *platformstandin.Server, listener net.Listener) *http.Server {
 	running := &http.Server{Handler: server, ReadHeaderTimeout: time.Second}
 	go func() { _ = running.Serve(listener) }()
@@ -141,7 +142,7 @@
 	return conn
 }
 
-// start starts the node of this index in the cluster, with these seeds.
+// start starts a node with the given seeds. The index gives the node its ID.
 func (cluster *testCluster) start(index int, seeds ...string) {
 	t := cluster.t
 	listeners := node.Listeners{Callers: listen(t), Directory: listen(t), Readiness: listen(t), Control: listen(t), Gossip: listenDatagrams(t), Metrics: listen(t)}
@@ -236,7 +237,8 @@
 	return text.String()
 }
 
-// addresses returns the directory's answer of a node.
+// addresses returns the addresses that the directory of a node lists, or nil if the node does
+// not answer.
 func (cluster *testCluster) addresses(index int) []string {
 	response, err := cluster.client.Get("http://" + cluster.nodes[index].directory + "/shedkeel/resolve?name=h.example&zone=z")
 	if err != nil {
@@ -252,9 +254,10 @@
 	return answer.Addresses
 }
 
-// TestWholePath covers, over the platform's protocol, the forming of groups, answers to
-// requests, the loss of members during streams, the removal of a key, an outage of the
-// store, and a node's graceful shutdown.
+// TestWholePath runs a cluster end to end over the platform's protocol. It covers the
+// formation of groups, answers to requests, the loss and restart of members during streams,
+// invalid records, the removal of an API key, an outage of the store, and a node's graceful
+// shutdown.
 func TestWholePath(t *testing.T) {
 	cluster := newTestCluster(t, 3)
 	cluster.eventually("two groups serve", func() bool { return len(cluster.fleet.OpenHeads()["m0"]) >= 2 })
@@ -282,7 +285,8 @@
 }
 
 // TestStartsWhileTheStoreIsAway starts a node during an outage of the store, with two
-// seeds of which one is down. The node must serve from the other seed's copy.
+// seeds of which one is down. The node must get a copy from the other seed and serve within
+// a second.
 func TestStartsWhileTheStoreIsAway(t *testing.T) {
 	cluster := newTestCluster(t, 2)
 	serves := func(node *runningNode) bool {
@@ -301,7 +305,7 @@
 }
 
 // killMembers kills a member of each group but one while streams run. Each stream must be
-// complete and run at most twice, and the groups must be complete again afterwards.
+// complete and run at most twice, and as many groups must serve again afterwards.
 func (cluster *testCluster) killMembers() {
 	heads := cluster.fleet.OpenHeads()["m0"]
 	victims := map[string]bool{}
@@ -345,8 +349,8 @@
 }
 
 // restartMembers restarts a member of each group but one under its former ID while
-// streams run. The restarted member is in no group. A stream that broke off at it must not
-// count as complete, and must be completed elsewhere.
+// streams run. The restarted member is in no group. A stream that the restart broke off must
+// not count as complete, and another group must complete it.
 func (cluster *testCluster) restartMembers() {
 	heads := cluster.fleet.OpenHeads()["m0"]
 	cluster.interruptStreams("again-", func() {
@@ -382,9 +386,9 @@
 	}
 }
 
-// interruptStore makes the store unavailable. Nodes serve while their proof of the
-// configuration is valid, and then refuse keys with 503. After the store's return they
-// accept keys again.
+// interruptStore makes the store unavailable. Nodes must serve while their proof that the
+// configuration is current is valid, and then refuse keys with status 503. Once the store is
+// available again, they must accept keys again.
 func (cluster *testCluster) interruptStore() {
 	cluster.data.SetFaults(standin.Faults{Outage: true})
 	status, _ := cluster.send(cluster.nodes[0].callers, "store-1", "/look/x", "key-2", 0)
--- a/node/nodes.go
+++ b/node/nodes.go
@@ -21,8 +21,8 @@
 	Gossip      string          `json:"gossip,omitempty"` // UDP address; empty: the node's version has no gossip
 	Capacity    float64         `json:"capacity"`         // in processor cores
 	Stopping    bool            `json:"stopping"`
-	// Watched states that the record has no lease: it stays until another node finds the
-	// record's node dead.
+	// Watched states that the record has no lease: it stays until another node detects the
+	// death of this node and removes the record.
 	Watched bool `json:"watched"`
 }
 
@@ -42,7 +42,7 @@
 	node, err := fleet.decodeNode(record)
 	if err != nil {
 		if record.Key == fleet.node.member.key() {
-			fleet.node.member.dirty.Store(true) // another writer made it invalid
+			fleet.node.member.dirty.Store(true) // another writer has replaced this node's record by an invalid one
 		}
 		return false // the last valid record stays in use
 	}
@@ -110,8 +110,8 @@
 	return len(fleet.nodes)
 }
 
-// servingCount returns the number of listed nodes that don't stop, or assumedNodes if
-// none is known.
+// servingCount returns the number of listed nodes that are not stopping, or assumedNodes
+// if there is none.
 func (fleet *fleet) servingCount() int {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
@@ -127,13 +127,14 @@
 	return count
 }
 
-// Addresses returns the callers' addresses of the nodes that serve, those of the given
-// availability zone first. It is empty while this node knows too little to serve.
+// Addresses returns the addresses for callers of the nodes that serve, those of the given
+// availability zone first. It leaves out stopping nodes, and this node while it is not
+// ready. A ready node includes itself even if it is not listed.
 //
-// A record only proves that the node wrote it at some time: during an outage of the store,
-// or until another node removes the record, a node that lost power stays listed, and
-// callers would fail to connect to it. So nodes that the failure detector does not consider
-// alive or suspected are left out.
+// A record does not prove that its node is alive: a node that lost power stays listed
+// during an outage of the store or until another node removes the record, and callers
+// would fail to connect to it. Addresses therefore also leaves out nodes that the failure
+// detector considers neither alive nor suspected.
 func (node *Node) Addresses(zone string) []string {
 	fleet := &node.fleet
 	fleet.mutex.Lock()
