--- a/node/peers.go
+++ b/node/peers.go
@@ -25,14 +25,14 @@
 
 	mutex         sync.Mutex
 	nodes         []nodeRecord                            // listed nodes in the order of compareNodes, including this one
-	alive         []nodeRecord                            // those of them that are alive
+	alive         []nodeRecord                            // listed nodes that are alive, in the same order
 	aliveVersion  atomic.Uint64                           // number of times that alive has changed
 	aliveSince    time.Duration                           // when alive last changed
 	lastJoin      time.Duration                           // when a node was last listed that was not listed before
 	granters      map[shedkeel.InstanceID]shedkeel.NodeID // cache for the method granter; nil: empty, as after a change of alive
 	known         map[shedkeel.NodeID]*peer
 	seeds         []*peer // from the settings; used while no other nodes are known
-	startupRelays []*peer // relays that were asked at the start
+	startupRelays []*peer // relays that this node asked for its first copy
 	// random is used only with the mutex held, and is not shared with other parts.
 	random shedkeel.Random
 
@@ -51,8 +51,8 @@
 	spreadFailure failure    // latest failure as the node that places requests for the fleet
 }
 
-// prepare creates the peers for the seeds. The address of a seed serves as its ID until
-// its record is known.
+// prepare creates the clients of the seeds. A seed's address serves as its ID, because its
+// record is not known yet.
 func (peers *peers) prepare() {
 	settings := &peers.node.Settings
 	for _, address := range settings.Seeds {
@@ -62,7 +62,7 @@
 	}
 }
 
-// dial returns a new peer for the address. It connects at its first call.
+// dial returns a new client of the node at the address. It connects at its first call.
 func (peers *peers) dial(id shedkeel.NodeID, address string) *peer {
 	key := peers.node.Settings.Wire.Key
 	return &peer{id: id, node: peers.node, wire: &wire.Peer{Address: address, Key: key}, priorityWire: &wire.Peer{Address: address, Key: key}}
@@ -100,17 +100,17 @@
 	peers.node.Log.Write(event.NodesChanged, slog.Int("nodes", len(nodes)), slog.Any("came", joined), slog.Any("went", lost), slog.Duration("age", peers.node.fleet.mirrorAge()))
 }
 
-// changedKeys returns the nodes that joined and those that were lost, at most
-// maxLoggedNodes of each.
+// changedKeys returns the nodes that are only in the second map (joined) and those that
+// are only in the first (lost), at most maxLoggedNodes of each.
 func changedKeys[Value any](before, after map[shedkeel.NodeID]Value) (joined, lost []shedkeel.NodeID) {
 	return missingKeys(after, before), missingKeys(before, after)
 }
 
-// missingKeys returns the nodes of one map that another lacks, at most maxLoggedNodes.
-func missingKeys[Value any](from, in map[shedkeel.NodeID]Value) []shedkeel.NodeID {
+// missingKeys returns the nodes that the other map lacks, at most maxLoggedNodes.
+func missingKeys[Value any](nodes, other map[shedkeel.NodeID]Value) []shedkeel.NodeID {
 	var found []shedkeel.NodeID
-	for id := range from {
-		if _, common := in[id]; !common && len(found) < maxLoggedNodes {
+	for id := range nodes {
+		if _, common := other[id]; !common && len(found) < maxLoggedNodes {
 			found = append(found, id)
 		}
 	}
@@ -177,8 +177,8 @@
 // node is inserted if it is not listed yet, because it follows others as well. The caller
 // holds the mutex.
 //
-// Suspected nodes are left out, so the duties of one node for the whole fleet pass to
-// the next as soon as it is suspected.
+// Suspected nodes are left out, so a duty that one node has for the whole fleet passes to
+// the next node as soon as the first one is suspected.
 func (peers *peers) aliveWithSelf() (nodes []nodeRecord, own int, listed bool) {
 	record := peers.node.ownRecord()
 	index, listed := slices.BinarySearchFunc(peers.alive, record, compareNodes)
