--- a/node/prober.go
+++ b/node/prober.go
@@ -14,26 +14,26 @@
 	// probeTimeout is how long a server may take to answer a probe; a live one answers
 	// in milliseconds.
 	probeTimeout = 200 * time.Millisecond
-	// secondProbeDelay is after how long without an answer a second probe is sent beside
-	// the first, which may have been lost.
-	secondProbeDelay = 60 * time.Millisecond
+	// secondQueryDelay is how long a probe waits for the answer to its query before it
+	// sends a second query. The first may have been lost.
+	secondQueryDelay = 60 * time.Millisecond
 	// maxProbeOverrun is how far a probe may exceed its time-out before this process
 	// counts as too slow to judge others.
 	maxProbeOverrun = 60 * time.Millisecond
 	// maxConcurrentProbes bounds the probes in progress. On a box with a fifth of a
 	// core, 600 concurrent probes all end late, and 67 live servers count as dead.
 	maxConcurrentProbes = 32
-	// witnessCount is how many other servers are asked before a server counts as dead:
-	// if none of them answers either, this node is cut off.
+	// witnessCount is how many other servers, the witnesses, are asked before a server
+	// counts as dead. If none of them answers either, this node may be cut off.
 	witnessCount = 3
 )
 
-// errInconclusive says that a probe is no evidence, since this node may be cut off or
-// too slow.
+// errInconclusive says that a failed probe does not prove a server dead, since this node
+// may be cut off or too slow.
 var errInconclusive = errors.New("probe inconclusive: this node may be cut off or overloaded")
 
-// errRestarted says that the server that answers has another start time than the one
-// that was asked for, which no longer exists.
+// errRestarted says that the server at the address reports another start time than the
+// probed server's. The probed server has therefore terminated.
 var errRestarted = errors.New("the server has restarted: its start time is not the recorded one")
 
 // prober finds out whether servers are alive. Its exported fields are set before its
@@ -43,13 +43,14 @@
 	Timers  shedkeel.Timers
 
 	once  sync.Once
-	slots chan struct{}
+	slots chan struct{} // semaphore: holds one element for each probe in progress
 }
 
-// probe returns nil if the server answers, errInconclusive if the probe is no evidence,
-// or otherwise why the server counts as dead. It first waits while maxConcurrentProbes
-// others are in progress. Witnesses are the addresses of other servers; some are asked to
-// find out whether this node reaches any server.
+// probe returns nil if the server answers, an error that wraps errInconclusive if the probe
+// does not prove the server dead, or otherwise the reason why the server counts as dead. It
+// first waits while maxConcurrentProbes other probes are in progress. Witnesses are the
+// addresses of other servers; probe asks some of them to find out whether this node reaches
+// any server.
 func (prober *prober) probe(ctx context.Context, instance shedkeel.Instance, witnesses []string) error {
 	prober.once.Do(func() { prober.slots = make(chan struct{}, maxConcurrentProbes) })
 	prober.slots <- struct{}{}
@@ -68,15 +69,15 @@
 	return err
 }
 
-// probeReply is the result of one query of a probe.
+// probeReply is the result of one query that a probe sends.
 type probeReply struct {
 	report shedkeel.EngineReport
 	err    error
 }
 
 // query asks a server for its report. If there is neither an answer nor an error within
-// secondProbeDelay, query asks a second time and returns the first report. It returns an
-// error once all queries that it has started have failed.
+// secondQueryDelay, query asks a second time and returns the report that arrives first. It
+// returns an error once all queries that it has started have failed.
 func (prober *prober) query(ctx context.Context, address string) (shedkeel.EngineReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -84,7 +85,7 @@
 	answers := make(chan probeReply, maxQueries)
 	go prober.runQuery(ctx, address, answers)
 	var secondDue <-chan time.Time
-	timer := time.NewTimer(secondProbeDelay)
+	timer := time.NewTimer(secondQueryDelay)
 	defer timer.Stop()
 	secondDue = timer.C
 	var err error
--- a/node/prober_test.go
+++ b/node/prober_test.go
@@ -18,7 +18,7 @@
 	shedkeel.GroupEngines
 	up    map[string]bool
 	born  map[string]int64 // the start time that a server reports
-	delay time.Duration    // by how much this node is late to notice that a query has timed out
+	delay time.Duration    // delay with which this node notices that a query has timed out
 	asked atomic.Int64     // number of queries
 }
 
--- a/node/probes.go
+++ b/node/probes.go
@@ -15,11 +15,12 @@
 const (
 	// reprobeInterval is how often a dead server is probed again.
 	reprobeInterval = time.Second
-	// noticeCooldown is for how long after a report that a group does not respond further
-	// reports about the group are ignored: the reports of all nodes arrive within this time.
+	// noticeCooldown is the time after an accepted report that a group does not respond in
+	// which further reports about the group are ignored. The reports of all nodes about the
+	// same failure arrive within this time.
 	noticeCooldown = 400 * time.Millisecond
-	// stallWindow is for how long a group counts as stalled after an accepted report that
-	// it does not respond.
+	// stallWindow is how long a group counts as stalled after an accepted report that it
+	// does not respond.
 	stallWindow = 2 * time.Second
 )
 
@@ -52,9 +53,9 @@
 	return found
 }
 
-// probeSuspects probes the members of suspected groups, the free servers of their
-// domains, and dead servers whose next probe is due. It forgets dead servers that are not
-// among the instances.
+// probeSuspects starts probes of the members of suspected groups, of the free servers in
+// the domains of these groups, and of dead servers whose next probe is due. It forgets dead
+// servers that are not among the instances.
 func (controller *controller) probeSuspects(ctx context.Context, instances []shedkeel.Instance, now time.Duration) {
 	controller.mutex.Lock()
 	defer controller.mutex.Unlock()
@@ -82,11 +83,11 @@
 	}
 }
 
-// suspectedDomains returns the domains of the suspected groups. Their free servers are
-// probed with the members: they are the substitutes, and servers that share a fault
-// fail together. Otherwise, with 38 servers cut off and six groups short of members,
-// three of the groups are formed with a substitute that is cut off too, and are ready
-// 0.9 s later than the others.
+// suspectedDomains returns the domains of the suspected groups. The free servers of these
+// domains are probed together with the members, because a free server replaces a lost
+// member, and servers that share a fault fail together. Without these probes, with 38
+// servers cut off and six groups short of members, three of the groups are formed with a
+// substitute that is cut off too, and are ready 0.9 s later than the others.
 func suspectedDomains(suspects map[shedkeel.Assignment]time.Duration, instances []shedkeel.Instance) map[shedkeel.DomainID]bool {
 	found := map[shedkeel.DomainID]bool{}
 	for _, instance := range instances {
@@ -100,9 +101,9 @@
 	return found
 }
 
-// witnessesFor returns the addresses of the servers that are asked to find out whether
-// this node reaches any server other than the probed one. They are in other domains if
-// there are any: all servers of a domain may fail at once.
+// witnessesFor returns the addresses of the servers that a probe may ask to find out
+// whether this node reaches any server other than the probed one. They are in other domains
+// if there are servers in other domains, because all servers of a domain may fail at once.
 func witnessesFor(probed shedkeel.Instance, instances []shedkeel.Instance) []string {
 	var sameDomain, otherDomains []string
 	for _, instance := range instances {
