--- a/node/registrar.go
+++ b/node/registrar.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// registerBatchDelay is how long the records of nodes that start together are
-	// collected. Each write costs one call, however many records it has.
+	// registerBatchDelay is how long a batch collects records of nodes that start together.
+	// Each write costs one call to the service, however many records it has.
 	registerBatchDelay = 100 * time.Millisecond
 	// registerWriteTimeout limits the time of the write of a batch.
 	registerWriteTimeout = time.Second
 	// registerTimeout limits the time that a node waits for another node to write its
-	// record. After that the node writes the record itself.
+	// record. After this time the waiting node writes the record itself.
 	registerTimeout = registerBatchDelay + registerWriteTimeout + 200*time.Millisecond
 )
 
-// registrar writes the records of nodes that follow this one to the key-value service,
-// in batches of as many records as one call may have.
+// registrar writes the records of nodes that follow this one to the key-value service, in
+// batches of at most shedkeel.MaxTransactionEntries records.
 type registrar struct {
 	node *Node
 
@@ -105,7 +105,7 @@
 	close(batch.done)
 }
 
-// seal makes the batch accept no more records and returns its records.
+// seal closes the batch to further records and returns its records by key.
 func (batch *registrationBatch) seal() map[string]shedkeel.Put {
 	registrar := batch.registrar
 	registrar.mutex.Lock()
--- a/node/registrar_test.go
+++ b/node/registrar_test.go
@@ -14,7 +14,7 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// newRegisteredRecord returns a valid node record.
+// newRegisteredRecord returns the valid record of a node with this ID, encoded as JSON.
 func newRegisteredRecord(t *testing.T, id shedkeel.NodeID) []byte {
 	t.Helper()
 	value, err := json.Marshal(nodeRecord{ID: id, Zone: "z", Callers: "10.0.0.1:1", Control: "10.0.0.1:2", Watched: true})
@@ -22,9 +22,9 @@
 	return value
 }
 
-// TestRegistrationsAreWrittenTogether has many nodes ask one node at the same time to write
-// their records. Separate writes would be most of the calls to the service when a fleet
-// starts, so the records must be written in as few calls as possible.
+// TestRegistrationsAreWrittenTogether makes many nodes ask one node at the same time to write
+// their records. The node must write them in as few calls as possible. Separate writes would
+// be most of the calls to the service when a fleet starts.
 func TestRegistrationsAreWrittenTogether(t *testing.T) {
 	cases := map[string]struct {
 		nodes      int
@@ -82,8 +82,9 @@
 	}
 }
 
-// TestNodeIsListedWithoutRegistrar has the write by the followed node fail in each way. The
-// node must then write its record itself.
+// TestNodeIsListedWithoutRegistrar makes the followed node write a node's record, or fail to
+// do so in different ways. If it fails, and while the node stops, the node must write its
+// record itself.
 func TestNodeIsListedWithoutRegistrar(t *testing.T) {
 	cases := map[string]struct {
 		handler       func(*Node) wire.Handler // of the followed node; nil: it is down
@@ -118,9 +119,9 @@
 			node.Settings.Seeds = []string{address}
 			node.peers.prepare()
 			node.stopping.Store(test.stopping)
-			own := 0
+			ownWrites := 0
 			node.Store = &leaseStore{commit: func(shedkeel.Transaction) (int64, error) {
-				own++
+				ownWrites++
 				return 9, nil
 			}}
 			node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
@@ -128,7 +129,7 @@
 			node.member.nodeCountHint.Store(unleasedFrom)
 			started := time.Now()
 			assert.Assert(t, node.member.step(t.Context()))
-			assert.Equal(t, own, test.wantOwnWrites)
+			assert.Equal(t, ownWrites, test.wantOwnWrites)
 			assert.Assert(t, node.member.isRecordCurrent(), "the node knows that it is listed")
 			assert.Assert(t, time.Since(started) < registerTimeout)
 		})
--- a/node/relay.go
+++ b/node/relay.go
@@ -15,14 +15,14 @@
 	// relayTimeoutMargin is how much longer than its wait a long poll of another node's
 	// mirror may take.
 	relayTimeoutMargin = 400 * time.Millisecond
-	// copyTimeoutMargin is how much longer a poll for a complete copy may take, which many
-	// nodes that start together request from a few.
+	// copyTimeoutMargin is how much longer than its wait a request for a complete copy may
+	// take. Many nodes that start together request complete copies from a few nodes.
 	copyTimeoutMargin = 3 * time.Second
 )
 
-// Relay requests the changes since a revision from the node's mirror. A node that fails,
-// whose own source is unreachable or whose copy is too old is not followed for
-// followBackoff.
+// Relay requests the changes since a revision from the peer's mirror. The peer answers once
+// there are changes, or after the wait. A peer that fails, whose own source is unreachable
+// or whose copy is too old is not followed for followBackoff.
 func (peer *peer) Relay(ctx context.Context, since shedkeel.Revision, wait time.Duration) (mirror.Update, error) {
 	update, err := peer.fetchUpdate(ctx, since, wait)
 	if err != nil && ctx.Err() == nil || err == nil && (update.SourceUnreachable || -update.AsOf > peer.maxCopyAge()) {
@@ -31,7 +31,7 @@
 	return update, err
 }
 
-// maxCopyAge returns the maximum age of a node's copy for the node to be followed.
+// maxCopyAge returns the maximum age of the peer's copy for the peer to be followed.
 func (peer *peer) maxCopyAge() time.Duration {
 	if peer.node.peers.hops() > 1 {
 		return maxRelayAge
@@ -39,9 +39,9 @@
 	return maxSourceAge
 }
 
-// fetchUpdate requests records as differences from their former values. If this node's
-// value is not the one that a difference starts from, because it got another value from the
-// service itself meanwhile, it requests complete records.
+// fetchUpdate requests changed records as differences from their former values. A
+// difference can't be applied if this node has another former value, for example one that
+// it got from the service itself meanwhile. fetchUpdate then requests complete records.
 func (peer *peer) fetchUpdate(ctx context.Context, since shedkeel.Revision, wait time.Duration) (mirror.Update, error) {
 	margin := relayTimeoutMargin
 	if !since.Exists() {
@@ -56,8 +56,9 @@
 	return update, err
 }
 
-// HasCopy asks whether the node's mirror has a copy. The node answers once it has one, or
-// after the wait. Its answer also states how many nodes it knows.
+// HasCopy asks whether the peer's mirror has a copy. The peer answers once its mirror has
+// one, or after the wait. Its answer also states how many nodes it knows, which this node
+// stores as a hint of the fleet's size.
 func (peer *peer) HasCopy(ctx context.Context, wait time.Duration) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+relayTimeoutMargin)
 	defer cancel()
@@ -116,12 +117,12 @@
 	return transfer.Decode(sent, era)
 }
 
-// handleRelay answers a relay call. It waits until the mirror has something new, for at
-// most the time that the call states.
+// handleRelay answers a relay call. It waits until the mirror has changes that the caller
+// lacks, but at most for the time that the call states.
 func (peers *peers) handleRelay(ctx context.Context, call *wire.RelayCall) *wire.Reply {
 	own := &peers.node.mirror
 	peers.node.subscribers.note(shedkeel.NodeID(call.GetNode()), peers.node.Timers.Now())
-	changed := own.Changed()
+	changed := own.Changed() // requested before the state is read, so that no change in between is missed
 	state := own.State()
 	since := shedkeel.Revision{Era: call.GetSinceEra(), Number: call.GetSince()}
 	peers.fetchConfig(shedkeel.NodeID(call.GetNode()), call.GetConfig())
@@ -157,7 +158,7 @@
 	return &wire.Reply{Kind: &wire.Reply_Relay{Relay: reply}}
 }
 
-// encodeRecords encodes records for a node that asks.
+// encodeRecords encodes records for a node that asks, each as encodeRecord does.
 func (peers *peers) encodeRecords(records []shedkeel.Record, since shedkeel.Revision, differences bool) []*wire.StoreRecord {
 	var encoded []*wire.StoreRecord
 	for _, record := range records {
@@ -177,7 +178,8 @@
 }
 
 // encodeRecord encodes a record for a node that asks: as the difference from the former
-// value if the node has that, else complete. A server's heartbeat changes only one number.
+// value if that node has the former value, else complete. A difference saves most of the
+// bytes of a server's heartbeat, which changes only one number.
 func (peers *peers) encodeRecord(record shedkeel.Record, since shedkeel.Revision, differences bool) *wire.StoreRecord {
 	former := peers.node.mirror.Previous(record.Key)
 	usable := former.Revision.Exists() && !former.Revision.After(since) && record.Revision.After(former.Revision)
@@ -189,8 +191,8 @@
 	return peers.encoder.Encode(record)
 }
 
-// mirrorUpdate returns a mirror update of records that this node wrote itself. It does not
-// prove that the other records are current.
+// mirrorUpdate returns a mirror update of records that this node wrote itself. The update
+// does not prove that the mirror's other records are current.
 func mirrorUpdate(records ...shedkeel.Record) mirror.Update {
 	return mirror.Update{Records: records}
 }
--- a/node/relay_test.go
+++ b/node/relay_test.go
@@ -11,9 +11,9 @@
 	"shedkeel.org/shedkeel/mirror"
 )
 
-// TestRelayByDifferences has a node follow another over a real connection. It must get the
-// same records, also if it has another former value of a record, and the update for a
-// server's heartbeat must be small.
+// TestRelayByDifferences makes a node follow another node over a real connection. The node
+// must get the same records as its source, also if it has another former value of a record
+// than the source, and the update for a server's heartbeat must be small.
 func TestRelayByDifferences(t *testing.T) {
 	listener := listenHere(t)
 	source, timers := newTestNode(t)
@@ -23,10 +23,10 @@
 	own.Settings.Wire.Key = "k"
 	peer := own.peers.dial("source", listener.Addr().String())
 	defer peer.close()
-	write := func(to *Node, number int64, whole bool) {
+	write := func(to *Node, number int64, full bool) {
 		value := fmt.Appendf(nil, "%s\"seq\":%d}", bytes.Repeat([]byte("server "), 60), number)
 		revision := shedkeel.Revision{Number: number}
-		to.mirror.Apply(mirror.Update{Full: whole, At: revision, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: "servers/a", Value: value, Revision: revision}}})
+		to.mirror.Apply(mirror.Update{Full: full, At: revision, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: "servers/a", Value: value, Revision: revision}}})
 	}
 	follow := func() {
 		update, err := peer.Relay(t.Context(), own.mirror.State().At, 0)
@@ -42,7 +42,7 @@
 	write(source, 9, false)
 	sent := source.peers.encodeRecord(source.mirror.Get("servers/a"), since, true)
 	assert.Assert(t, sent.GetBase() == 2 && len(sent.GetValue()) < 4, "%v", sent)
-	write(own, 5, false) // the service sent it a value that the source never had
+	write(own, 5, false) // the service sent this node a value that the source never had
 	follow()
 	assert.Equal(t, source.peers.encodeRecord(source.mirror.Get("servers/a"), since, false).GetBase(), int64(0), "without differences the complete record is sent")
 }
