--- a/node/remover.go
+++ b/node/remover.go
@@ -14,23 +14,23 @@
 const (
 	// removerInterval is how often a node checks which records it should remove.
 	removerInterval = 500 * time.Millisecond
-	// removalStagger is how much later each further node removes a record. It is several
-	// times what all nodes need to learn of a removal.
+	// removalStagger is the time between the turns of two nodes to remove the same record.
+	// It is several times as long as a removal takes to reach all nodes.
 	removalStagger = time.Second
-	// removalRetryInterval is how long after a removal a node removes the record again,
-	// if the removal failed, or if the dead node's record was written again while the
-	// node still counts as dead here.
+	// removalRetryInterval is how long after a removal this node removes the same record
+	// again, if the removal failed, or if the record was written again while this node
+	// still considers its owner dead.
 	removalRetryInterval = 10 * time.Second
 )
 
-// remover removes the records of dead nodes from the key-value service. They are
-// written without a lease, so that an idle fleet makes no calls to stay listed. Any
-// live node may remove them: for each dead node, a hash orders the live ones, and each
-// removes the record at its turn if it still exists. Until then, callers are not sent to
-// the dead nodes.
+// remover removes the records of dead nodes from the key-value service. In a large fleet
+// records have no lease, so that an idle fleet makes no calls to stay listed. Any live node
+// may remove a dead node's record: a hash orders the live nodes, and each of them removes
+// the record at its turn if the record still exists. Callers are not sent to the dead node
+// in the meantime.
 //
-// A single responsible node may itself stall: with a stall of 4 s, ten of 66 nodes that
-// lose power stay in the directory for 8 s.
+// No single node is responsible for all removals, because it may itself stall: with a stall
+// of 4 s, ten of 66 nodes that lose power stay in the directory for 8 s.
 type remover struct {
 	node *Node
 
@@ -38,8 +38,8 @@
 	dueAt map[shedkeel.NodeID]time.Duration // when this node removes the record of a dead node
 }
 
-// tick removes the records that are due, unless this node is stopping, is cut off or
-// has an outdated mirror.
+// tick starts the removals that are due, unless this node is stopping, is cut off or has an
+// outdated mirror.
 func (remover *remover) tick(now time.Duration) {
 	node := remover.node
 	state := node.mirror.State()
@@ -91,9 +91,9 @@
 	return rank
 }
 
-// runRemoval removes the record of a dead node, unless it has changed since this node's
-// mirror saw it, and logs the outcome. A node that is
-// alive after all finds its record missing and writes it again.
+// runRemoval removes the record of a dead node, unless the record has changed since this
+// node's mirror received it, and logs the outcome. If the node is alive after all, it
+// notices that its record is missing and writes it again.
 func (remover *remover) runRemoval(record nodeRecord) {
 	node := remover.node
 	key := nodePrefix + string(record.ID)
--- a/node/remover_test.go
+++ b/node/remover_test.go
@@ -26,25 +26,24 @@
 }
 func (detector *fakeDetector) Tick(time.Duration) []shedkeel.GossipDatagram { return nil }
 
-// TestRemovalTurns checks that the live nodes all have different ranks in the removal of
-// each dead node's record, so that one node removes it first and the others follow in
-// turn.
+// TestRemovalTurns checks that the live nodes all have different ranks for the removal of a
+// dead node's record, so that they attempt the removal one after the other.
 func TestRemovalTurns(t *testing.T) {
 	for name, nodes := range map[string][]nodeRecord{"9 boxes": fleetOf(9, 3), "300 boxes": fleetOf(300, 3), "300 boxes of one size": fleetOf(300, 0)} {
 		t.Run(name, func(t *testing.T) {
 			for _, dead := range []int{0, 1, len(nodes) / 2, len(nodes) - 1} {
 				deadID := nodes[dead].ID
-				turns := map[int]int{}
-				for place, record := range nodes {
-					if place == dead {
+				nodesByRank := map[int]int{}
+				for index, record := range nodes {
+					if index == dead {
 						continue
 					}
 					node, _ := newListedNode(t, record.ID, nodes)
 					alive := slices.DeleteFunc(slices.Clone(nodes), func(record nodeRecord) bool { return record.ID == deadID })
-					turns[node.remover.removalRank(alive, deadID)]++
+					nodesByRank[node.remover.removalRank(alive, deadID)]++
 				}
-				for turn := range len(nodes) - 1 {
-					assert.Equal(t, turns[turn], 1, "turn %d for %s", turn, deadID)
+				for rank := range len(nodes) - 1 {
+					assert.Equal(t, nodesByRank[rank], 1, "nodes with rank %d for the removal of %s", rank, deadID)
 				}
 			}
 		})
@@ -52,15 +51,16 @@
 }
 
 // TestRemoverTakes checks which records a node removes: those of dead nodes only, also
-// if most nodes are dead, and none while the node itself is cut off.
+// if most nodes are dead, and none while the node itself is cut off or its mirror is
+// outdated.
 func TestRemoverTakes(t *testing.T) {
 	cases := map[string]struct {
-		liveness shedkeel.Liveness
-		count    int           // how many of the five other nodes have this liveness
-		watched  bool          // the records have no lease
-		isolated bool          // this node is cut off
-		age      time.Duration // of the mirror
-		removed  int           // records that are removed by the end of as many turns as there are nodes
+		liveness    shedkeel.Liveness
+		count       int           // how many of the five other nodes have this liveness
+		watched     bool          // the records have no lease
+		isolated    bool          // this node is cut off
+		age         time.Duration // of the mirror
+		wantRemoved int           // number of records removed once this node has had every possible turn
 	}{
 		"all live":                       {shedkeel.Alive, 5, true, false, 0, 0},
 		"one is suspected":               {shedkeel.Suspected, 1, true, false, 0, 0},
@@ -103,7 +103,7 @@
 			time.Sleep(50 * time.Millisecond) // removals run in goroutines of their own
 			mutex.Lock()
 			defer mutex.Unlock()
-			assert.Equal(t, len(removed), test.removed, "%v", removed)
+			assert.Equal(t, len(removed), test.wantRemoved, "%v", removed)
 			for key, times := range removed {
 				assert.Equal(t, times, 1, "%s", key)
 			}
@@ -111,8 +111,8 @@
 	}
 }
 
-// newWatchedNode returns a node that was told the number of nodes by its seed, and its
-// key-value service, whose renewCalls counts the commits here.
+// newWatchedNode returns a node whose seed reported the given number of nodes, and the
+// node's key-value service. Unlike elsewhere, the service's renewCalls counts commits.
 func newWatchedNode(t *testing.T, nodes int64) (*Node, *leaseStore) {
 	t.Helper()
 	node, timers := newTestNode(t)
@@ -130,8 +130,8 @@
 }
 
 // TestWatchedMembership checks the record of a node in a fleet so large that records
-// have no lease: the node writes it once without a lease, writes it again after another
-// node has removed it, and does not write it after a restart that finds it unchanged.
+// have no lease. The node must write its record once without a lease, write it again after
+// another node has removed it, and not write it after a restart if the record is unchanged.
 func TestWatchedMembership(t *testing.T) {
 	node, store := newWatchedNode(t, 295)
 	timers := node.Timers.(interface{ Advance(time.Duration) })
--- a/node/restore.go
+++ b/node/restore.go
@@ -7,9 +7,9 @@
 	"shedkeel.org/shedkeel/mirror"
 )
 
-// handleRestore reacts to the key-value service having been restored from an older
-// snapshot. What this node wrote after the snapshot may be lost, with its leases. The
-// mirror calls it before it reports the changed records.
+// handleRestore handles a restore of the key-value service from an older snapshot. Records
+// that this node wrote after the snapshot and leases that it acquired after it may be lost.
+// The mirror calls handleRestore before it reports the changed records.
 func (node *Node) handleRestore(restore mirror.Restore) {
 	node.Log.Write(event.StoreRestored, slog.String("from", restore.From.String()), slog.String("to", restore.To.String()), slog.Int("lost", restore.Lost))
 	node.fleet.retainLostRecords()
@@ -17,9 +17,9 @@
 	node.guard.recheckAll()
 }
 
-// retainLostRecords has the records that the restored snapshot lacks retained for
-// deletedRecordHold, in which their owners write them again. The records that the snapshot
-// has are compared with the known ones, which may be newer.
+// retainLostRecords makes the fleet retain the records that the restored snapshot lacks for
+// deletedRecordHold, in which time their owners write them again. The fleet also compares
+// the records of the snapshot with the known ones, which may be newer.
 func (fleet *fleet) retainLostRecords() {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -20,13 +20,13 @@
 	return shedkeel.Record{Key: "servers/i-9", Value: []byte(value), Revision: revision}
 }
 
-// newServiceView returns the view of a configuration with one service.
+// newServiceView returns the view of a configuration that has only the given service.
 func newServiceView(service shedkeel.RoutedService) *serve.View {
 	return serve.NewView(&shedkeel.ServingConfig{Services: []shedkeel.RoutedService{service}})
 }
 
-// TestServersAfterARestore checks which servers get requests after the service was restored
-// from a snapshot that is older than what a server has written.
+// TestServersAfterARestore checks whether a server gets requests after the key-value service
+// was restored from a snapshot that lacks the server's latest record.
 func TestServersAfterARestore(t *testing.T) {
 	old, lost := shedkeel.Revision{Number: 1}, shedkeel.Revision{Number: 5}
 	restored, rewritten := shedkeel.Revision{Era: 1, Number: 1}, shedkeel.Revision{Era: 1, Number: 3}
@@ -35,7 +35,7 @@
 		before     []shedkeel.Record // written one after the other before the restore
 		restored   []shedkeel.Record // content of the snapshot
 		after      []shedkeel.Record // written after the restore
-		wantUsable [3]int            // after the restore, after the later write, and after the holds have expired
+		wantUsable [3]int            // number of usable servers after the restore, after the later write, and after the holds have expired
 	}{
 		"nothing was lost":                 {[]shedkeel.Record{plainServerRecord(old, "ready", 1)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{1, 1, 1}},
 		"its drain was lost":               {[]shedkeel.Record{plainServerRecord(old, "ready", 1), plainServerRecord(lost, "draining", 1)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{0, 0, 0}},
@@ -69,8 +69,9 @@
 	}
 }
 
-// TestOrdersAreKnownAfterARestore checks that the planner does not use an older group
-// membership from the snapshot if the node knows that the server carried out later orders.
+// TestOrdersAreKnownAfterARestore checks that the planner does not use a server's older group
+// membership from the restored snapshot if the node knows that the server has carried out
+// later orders.
 func TestOrdersAreKnownAfterARestore(t *testing.T) {
 	node, timers := newTestNode(t)
 	node.Decoder = platform.Decoder{}
@@ -90,9 +91,10 @@
 	assert.Equal(t, node.fleet.groupServices()["s"][0].Member.Epoch, uint64(8), "within an era the later record wins")
 }
 
-// TestLeadEndsWithTheEra restores a snapshot with the leader's record, whose lease may belong
-// to another node now. No node may lead by that record, and new terms must be above all
-// terms of the earlier era, also those that the snapshot lacks.
+// TestLeadEndsWithTheEra restores a snapshot that contains the leader's record. The lease
+// that the record names may belong to another node now, so the record must not make any node
+// the leader. New terms must be above all terms of the earlier era, also those that the
+// snapshot lacks.
 func TestLeadEndsWithTheEra(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
 	var last shedkeel.Transaction
@@ -128,8 +130,9 @@
 	assert.Equal(t, writes, 1)
 }
 
-// TestBlamesOutliveARestore checks that the judgment of a request is written again after the
-// service has lost it, and that the older snapshot does not clear it.
+// TestBlamesOutliveARestore checks that the blame of a request is written again after the
+// service has lost it, and that the request stays contained although the restored snapshot
+// lacks the blame.
 func TestBlamesOutliveARestore(t *testing.T) {
 	node, timers := newTestNode(t)
 	store := &blameStore{}
@@ -139,44 +142,44 @@
 		node.guard.ServerEnded("r", server)
 	}
 	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
-	keep := func() {
+	writeBlames := func() {
 		timers.Advance(writeStagger)
 		node.mirror.Apply(mirror.Update{At: node.mirror.State().At, AsOf: timers.Now()})
 		node.guard.writePending(context.Background(), timers.Now())
 		node.guard.writePending(context.Background(), timers.Now())
 	}
-	keep()
+	writeBlames()
 	assert.Equal(t, len(store.changes), 1)
 	store.era = 1
 	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: 1, Number: 1}, AsOf: timers.Now()})
 	assert.Equal(t, node.guard.Judge("r"), shedkeel.Contained)
-	keep()
+	writeBlames()
 	assert.Equal(t, len(store.changes), 2, "the blame is written again")
 }
 
-// TestLoadsAreKeptAgain checks that the running model loads are written again after a restore
-// of the service.
+// TestLoadsAreKeptAgain checks that a planner writes its running model loads again after a
+// restore of the service, and otherwise only if they change.
 func TestLoadsAreKeptAgain(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
 	writes := 0
 	store.commit = func(shedkeel.Transaction) (int64, error) { writes++; return 3, nil }
 	loading := map[shedkeel.InstanceID]shedkeel.ModelID{"a": "m"}
-	keep := func() {
+	storeLoads := func() {
 		node.controller.trackEra(timers.Now())
 		node.controller.storeLoads(t.Context(), "s", loading)
 	}
-	keep()
-	keep()
+	storeLoads()
+	storeLoads()
 	assert.Equal(t, writes, 1)
 	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: 1, Number: 1}, AsOf: timers.Now()})
-	keep()
+	storeLoads()
 	assert.Equal(t, writes, 2)
 }
 
 // TestRemovals checks how long a removed server is remembered and withheld from requests.
 func TestRemovals(t *testing.T) {
 	cases := map[string]struct {
-		era      int64         // of the record with which the server returns; it was removed in era 0
+		era      int64         // era of the record with which the server returns; the record was removed in era 0
 		at       time.Duration // from the removal until the return
 		withheld bool          // after the return, for restoredServerHold
 	}{
@@ -200,12 +203,13 @@
 }
 
 // TestPlannerWaitsForRecordsAfterARestore restores the service while a node plans, or before
-// it starts. The planner gives no orders until servers have had time to write their records
-// again. By an older record it could order a member of a serving group to become a standby.
+// the node starts. The planner must give no orders until servers have had time to write their
+// records again. On the basis of an older record it could order a member of a serving group to
+// become a standby.
 func TestPlannerWaitsForRecordsAfterARestore(t *testing.T) {
 	cases := map[string]struct {
-		before, after int64 // eras
-		wantWaits     bool
+		before, after int64 // era of the service before and after the restore
+		wantWaits     bool  // the planner waits for deletedRecordHold
 	}{
 		"no restore":                        {0, 0, false},
 		"a restore":                         {0, 1, true},
