--- a/node/heartbeat_test.go
+++ b/node/heartbeat_test.go
@@ -22,7 +22,8 @@
 	return instance, err
 }
 
-// heartbeats returns the records of the given number of servers, each with this sequence.
+// heartbeats returns the records of the given number of servers, all with the given sequence
+// number.
 func heartbeats(t testing.TB, servers int, sequence int64) []shedkeel.Record {
 	t.Helper()
 	var records []shedkeel.Record
@@ -46,7 +47,8 @@
 }
 
 // TestHeartbeatsChangeNoTable checks that a heartbeat does not rebuild the table of servers,
-// and that changes of which servers may get requests do.
+// and that a record that changes which servers may get requests does. Thousands of
+// heartbeats arrive per second in a large fleet.
 func TestHeartbeatsChangeNoTable(t *testing.T) {
 	const servers = 100
 	node := newHeartbeatNode(t, servers)
@@ -68,11 +70,11 @@
 
 // BenchmarkHeartbeats applies the heartbeats that a large fleet's servers write in 0.25 s.
 func BenchmarkHeartbeats(b *testing.B) {
-	const servers, each = 2793, 580
+	const servers, heartbeatsPerRound = 2793, 580
 	node := newHeartbeatNode(b, servers)
 	for sequence := int64(2); b.Loop(); sequence++ {
 		b.StopTimer()
-		records := heartbeats(b, each, sequence)
+		records := heartbeats(b, heartbeatsPerRound, sequence)
 		b.StartTimer()
 		node.fleet.applyChanges(records)
 	}
--- a/node/restored_service_test.go
+++ b/node/restored_service_test.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// maxApplyDelay is the time within which a change must be active at all nodes.
+	// maxApplyDelay is the time within which a change must take effect at all nodes.
 	maxApplyDelay = 2 * time.Second
 	// lostChanges is how many changes the restore of the service loses.
 	lostChanges = 300
 )
 
-// TestRestoredServiceIsFollowed restores the service and checks that later changes become
-// active at all nodes within maxApplyDelay: a new configuration, whose keys are then accepted
-// or refused, and the drain of a server, which then gets no requests.
+// TestRestoredServiceIsFollowed restores the key-value service from a snapshot that lacks the
+// latest changes. Changes that are made after the restore must take effect at all nodes within
+// maxApplyDelay: a new configuration, which adds and removes API keys, and the drain of a
+// server, which must get no further requests.
 func TestRestoredServiceIsFollowed(t *testing.T) {
 	cases := map[string]struct {
 		restores int
-		// overtaken states that the restored service changes so often before nodes reach it
-		// that its revisions exceed those that the nodes know.
+		// overtaken states that the restored service makes so many changes before any node
+		// reaches it that its revisions exceed those that the nodes know.
 		overtaken bool
 	}{
 		"revisions below those known": {1, false},
--- a/node/subscribers.go
+++ b/node/subscribers.go
@@ -31,7 +31,7 @@
 }
 
 // count returns the number of nodes that asked within subscriberTTL, plus 1 for this node.
-// It forgets the others.
+// It removes nodes that have not asked within that time.
 func (subscribers *subscribers) count(now time.Duration) int {
 	subscribers.mutex.Lock()
 	defer subscribers.mutex.Unlock()
--- a/node/testnode_test.go
+++ b/node/testnode_test.go
@@ -44,8 +44,8 @@
 	return node, timers
 }
 
-// newListedNode returns a node with this ID and the capacity that its record among the
-// listed ones states.
+// newListedNode returns a test node with the given ID that knows the listed nodes. If they
+// include a record with this ID, the node has the capacity that the record states.
 func newListedNode(t *testing.T, own shedkeel.NodeID, listed []nodeRecord) (*Node, *timer.Manual) {
 	t.Helper()
 	node, timers := newTestNode(t)
--- a/node/waits.go
+++ b/node/waits.go
@@ -16,10 +16,11 @@
 	Domain shedkeel.DomainID    `json:"domain"`
 	Reason formation.WaitReason `json:"reason"`
 	For    string               `json:"for"`   // how long the wait has lasted
-	Bound  string               `json:"bound"` // the longest that the wait should last
+	Bound  string               `json:"bound"` // how long the wait should last at most
 }
 
-// waits returns what the planners of this node wait for; nil while it does not lead.
+// waits returns what the planners of this node wait for, or nil while this node does not
+// lead.
 func (controller *controller) waits() []formation.Wait {
 	controller.mutex.Lock()
 	defer controller.mutex.Unlock()
@@ -58,7 +59,7 @@
 	}
 }
 
-// logOverdueWaits logs the waits that last for longer than they should.
+// logOverdueWaits logs the waits that have exceeded their bounds.
 func (controller *controller) logOverdueWaits(now time.Duration) {
 	for _, wait := range controller.waits() {
 		if !wait.Overdue(now) {
--- a/node/waits_test.go
+++ b/node/waits_test.go
@@ -14,9 +14,9 @@
 	"shedkeel.org/shedkeel/formation"
 )
 
-// TestWaitsAreExplainedAndLogged has a planner wait for a head that can't be reached. The
-// waits of its group contain this one. It is logged only once it lasts longer than its
-// bound of 20 s.
+// TestWaitsAreExplainedAndLogged makes a planner wait for the head of a group that can't be
+// reached. The wait must be among the waits of the group, and must be logged only once it
+// lasts longer than its bound of 20 s.
 func TestWaitsAreExplainedAndLogged(t *testing.T) {
 	node, timers := newTestNode(t)
 	var lines bytes.Buffer
