--- a/node/gossip.go
+++ b/node/gossip.go
@@ -179,7 +179,7 @@
 	return slices.DeleteFunc(slices.Clone(nodes), func(record nodeRecord) bool { return gossip.detector.Liveness(record.ID) != shedkeel.Alive })
 }
 
-// mayServeCallers reports whether callers may be sent to a node: they may if it is alive or
+// mayServeCallers reports whether callers may be sent to a node, because it is alive or only
 // suspected. A suspected node is not necessarily lost: it may have paused for a moment.
 func (gossip *gossip) mayServeCallers(id shedkeel.NodeID) bool { return mayServe(gossip.liveness(id)) }
 
@@ -188,8 +188,8 @@
 	return liveness == shedkeel.Alive || liveness == shedkeel.Suspected
 }
 
-// isolated reports whether this node is likely cut off, because it receives nothing from
-// the other nodes or the key-value service. It can't judge other nodes then.
+// isolated reports whether this node is likely cut off, because it receives nothing, neither
+// from other nodes nor from the key-value service. An isolated node can't judge other nodes.
 func (gossip *gossip) isolated() bool {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
--- a/node/lease.go
+++ b/node/lease.go
@@ -15,8 +15,8 @@
 // lease, and the time from the check of the lease until an order has been sent.
 const leaseSafetyMargin = 300 * time.Millisecond
 
-// lease is a lease of the key-value service that a node renews. The service deletes the
-// records written with it when it expires.
+// lease is a lease of the key-value service that a node renews. When the lease expires, the
+// service deletes the records that were written with it.
 type lease struct {
 	node *Node
 	ttl  time.Duration // lease time to ask for; the service may grant less
--- a/node/node.go
+++ b/node/node.go
@@ -86,7 +86,7 @@
 	EvacuatedZone(key string) (shedkeel.ZoneID, bool)
 }
 
-// Node is one entry process. Set its exported fields before Prepare and Run.
+// Node is one node of the fleet. Set its exported fields before calling Prepare and Run.
 type Node struct {
 	Settings    config.NodeSettings
 	Incarnation string // unique to each start of the process
@@ -235,7 +235,7 @@
 
 // stop removes the node from the directory and keeps serving while callers may
 // still have its address cached. It then refuses new requests and waits for the
-// running ones until shortly before the grace time ends.
+// running ones until stopMargin before the end of the grace time, when it aborts them.
 func (node *Node) stop(callers *http.Server) error {
 	stopStarted := node.Timers.Now()
 	node.Log.Write(event.Stopping)
--- a/node/nodes.go
+++ b/node/nodes.go
@@ -51,7 +51,7 @@
 	return true
 }
 
-// decodeNode decodes and validates a node's record, and logs one that is invalid.
+// decodeNode decodes and validates a node's record, and logs it if it is invalid.
 func (fleet *fleet) decodeNode(record shedkeel.Record) (nodeRecord, error) {
 	var node nodeRecord
 	if err := fleet.decodeRecord(record, &node); err != nil {
@@ -64,7 +64,7 @@
 	return node, nil
 }
 
-// validate returns an error if the record can't be used, or nil.
+// validate returns an error that states what is wrong with the record under the key, or nil.
 func (record nodeRecord) validate(key string) error {
 	invalid := &shedkeel.InvalidError{Where: key, Remedy: "none is needed: the node writes it again if it lives"}
 	switch {
--- a/node/peers.go
+++ b/node/peers.go
@@ -28,7 +28,7 @@
 	alive         []nodeRecord                            // listed nodes that are alive, in the same order
 	aliveVersion  atomic.Uint64                           // number of times that alive has changed
 	aliveSince    time.Duration                           // when alive last changed
-	lastJoin      time.Duration                           // when a node was last listed that was not listed before
+	lastJoin      time.Duration                           // when the last node joined the listed nodes
 	granters      map[shedkeel.InstanceID]shedkeel.NodeID // cache for the method granter; nil: empty, as after a change of alive
 	known         map[shedkeel.NodeID]*peer
 	seeds         []*peer // from the settings; used while no other nodes are known
@@ -47,8 +47,8 @@
 	node          *Node
 	wire          *wire.Peer
 	priorityWire  *wire.Peer // connection for calls that must not wait while wire connects
-	followFailure failure    // latest failure as the node that this one follows
-	spreadFailure failure    // latest failure as the node that places requests for the fleet
+	followFailure failure    // latest failure while this node followed the peer
+	spreadFailure failure    // latest failure while the peer placed requests for the fleet
 }
 
 // prepare creates the clients of the seeds. A seed's address serves as its ID, because its
@@ -205,7 +205,7 @@
 	return found
 }
 
-// lastJoinTime returns when a node was last listed that was not listed before.
+// lastJoinTime returns when the last node joined the listed nodes.
 func (peers *peers) lastJoinTime() time.Duration {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
--- a/node/relay.go
+++ b/node/relay.go
@@ -126,7 +126,7 @@
 	state := own.State()
 	since := shedkeel.Revision{Era: call.GetSinceEra(), Number: call.GetSince()}
 	peers.fetchConfig(shedkeel.NodeID(call.GetNode()), call.GetConfig())
-	unavailable := own.State().Known && peers.node.follower.SourceUnreachable() // answered without a wait, so that the caller asks the next node at once
+	unavailable := own.State().Known && peers.node.follower.SourceUnreachable() // the reply then comes without a wait, so that the caller asks the next node at once
 	if !unavailable && (!state.Known || !call.GetOnlyKnown() && !state.At.After(since)) {
 		timer := time.NewTimer(time.Duration(call.GetWaitMs()) * time.Millisecond)
 		select {
