--- a/node/peers.go
+++ b/node/peers.go
@@ -47,8 +47,8 @@
 	node          *Node
 	wire          *wire.Peer
 	priorityWire  *wire.Peer // connection for calls that must not wait while wire connects
-	followFailure failure    // latest failure while this node followed the peer
-	spreadFailure failure    // latest failure while the peer placed requests for the fleet
+	followFailure failure    // latest failure of Relay; the peer is not followed for followBackoff after it
+	spreadFailure failure    // latest failure to place a request; the peer is not asked for spreaderBackoff after it
 }
 
 // prepare creates the clients of the seeds. A seed's address serves as its ID, because its
