--- a/blame.go
+++ b/blame.go
@@ -3,11 +3,11 @@
 import "context"
 
 // Blame lists the server instances that ended (crashed or stopped) while they ran a
-// request. It serves to find requests that crash servers.
+// request. It helps to find requests that crash servers.
 type Blame struct {
 	Request RequestDigest `json:"request"`
-	// Round increases each time that the request is cleared. Servers recorded in
-	// an earlier round no longer count.
+	// Round increases each time that a complete answer clears the request (see
+	// RequestGuard). Servers recorded in an earlier round no longer count.
 	Round   uint32       `json:"round"`
 	Servers []InstanceID `json:"servers"` // each start of a server counts separately
 }
@@ -38,8 +38,8 @@
 	}
 }
 
-// RequestGuard limits the sending of requests that crash servers. What it records
-// applies to all attempts of a request at all processes.
+// RequestGuard limits the sending of requests that crash servers. Its records apply
+// to all attempts of a request, in all processes.
 type RequestGuard interface {
 	// Idle reports whether no request has any blame, so that callers need not
 	// compute the digests of requests.
@@ -48,8 +48,8 @@
 	Judge(request RequestDigest) Judgment
 	// ServerEnded records that a server ended while it ran a request.
 	ServerEnded(request RequestDigest, server InstanceID)
-	// RequestAnswered records that a server answered a request completely, which clears
-	// the request.
+	// RequestAnswered records that a server answered a request completely. This clears
+	// the request: the servers that ended before no longer count.
 	RequestAnswered(request RequestDigest)
 	// AcquireAttempt reports whether this process may send a quarantined request now. If so,
 	// the caller must call done after the attempt.
--- a/call.go
+++ b/call.go
@@ -20,7 +20,7 @@
 	LastEventID  string        // the caller resumes a stream after the event with this ID
 }
 
-// Attempt is one attempt: a call as it is sent to one backend server.
+// Attempt is a call as it is sent to one backend server.
 type Attempt struct {
 	Call        *Call
 	Server      InstanceID
@@ -40,11 +40,11 @@
 	// stated.
 	Backoff     time.Duration
 	Draining    bool  // the server is about to stop
-	HeaderError error // header fields that cannot be parsed; they are ignored
+	HeaderError error // names the header fields that cannot be parsed, which are ignored; nil: none
 }
 
 // RequestDigest is a digest of the content of a request. All attempts of the same
-// request have the same digest, whatever their IDs and processes.
+// request have the same digest, whatever their IDs and in whichever process they run.
 type RequestDigest string
 
 // CallerProtocol translates between the HTTP headers of callers and backend
--- a/errors.go
+++ b/errors.go
@@ -8,7 +8,7 @@
 // ConflictError reports that another write came first, or that a request
 // contradicts another one or the current state.
 type ConflictError struct {
-	What string
+	What string // the conflict
 }
 
 // Error returns the message, which ends with what the caller can do.
@@ -16,10 +16,10 @@
 	return "conflict: " + err.What + "; read the current state and try again"
 }
 
-// UnknownOutcomeError reports that a write was sent and its reply was lost, so that
-// it may or may not have been done.
+// UnknownOutcomeError reports that a write, an order or a call was sent and its reply
+// was lost, so that it may or may not have taken effect.
 type UnknownOutcomeError struct {
-	What  string
+	What  string // the write, order or call
 	Cause error
 }
 
@@ -33,8 +33,8 @@
 // UnavailableError reports that something that the call needs is not available and
 // that nothing was done.
 type UnavailableError struct {
-	What       string
-	RetryAfter time.Duration
+	What       string        // what is not available, such as the key-value service
+	RetryAfter time.Duration // how long to wait before the next try
 	Cause      error
 }
 
@@ -48,8 +48,8 @@
 // InvalidError reports that input was rejected and that nothing was changed.
 type InvalidError struct {
 	Where  string // file, line and column, or field
-	What   string
-	Remedy string
+	What   string // what is wrong with the input
+	Remedy string // how to correct the input
 }
 
 // Error returns the message, which ends with what the caller can do.
@@ -60,9 +60,9 @@
 // NotRunError reports that a request was not run and may be sent again.
 type NotRunError struct {
 	Reason        string
-	RetryAfter    time.Duration
-	Overloaded    bool // the cause is the account's rate limit, load shedding or overload, not a fault
-	ReachedServer bool // the server received the request and reported that it did not run it; otherwise nothing was sent
+	RetryAfter    time.Duration // how long to wait before the request is sent again
+	Overloaded    bool          // the cause is the account's rate limit, load shedding or overload, not a fault
+	ReachedServer bool          // the server received the request and reported that it did not run it; otherwise nothing was sent
 }
 
 // Error returns the message, which ends with what the caller can do.
--- a/instance.go
+++ b/instance.go
@@ -9,8 +9,8 @@
 type ServerID string
 
 // InstanceID identifies one start of a backend server. A server that restarts under
-// the same name is another instance: it has lost the groups, epochs and orders
-// of before, so nothing that was known about the former instance applies to it.
+// the same name is another instance: it has lost the groups, epochs and orders of
+// the former instance, so nothing that is known about the former one applies to it.
 type InstanceID string
 
 // startSeparator separates the name of a server from the time of its start.
@@ -40,8 +40,8 @@
 }
 
 // split splits the ID into the server and the time of its start. The name of a
-// server may itself contain the separator, also if the server does not report
-// its start.
+// server may itself contain the separator, so the text after the last separator
+// counts as the start only if it is a positive number.
 func (id InstanceID) split() (server ServerID, born int64) {
 	at := strings.LastIndex(string(id), startSeparator)
 	if at < 0 {
--- a/interfaces.go
+++ b/interfaces.go
@@ -10,7 +10,7 @@
 type Record struct {
 	Key           string
 	Value         []byte
-	Revision      Revision // of the last change; zero: the key does not exist
+	Revision      Revision // of the key's last change; zero: the key does not exist
 	Removed       bool     // in a change: the key was removed at the revision
 	LostInRestore bool     // in a change: the key is missing because the service was restored from an older backup
 }
@@ -22,8 +22,8 @@
 	Revision Revision
 }
 
-// Put is a value to write. The service removes the key when the lease ends; the
-// zero lease is none.
+// Put is a value to write. The service removes the key when the lease ends. With
+// the zero lease, the key stays until it is removed.
 type Put struct {
 	Key   string
 	Value []byte
@@ -46,8 +46,8 @@
 type Changes struct {
 	Records  []Record
 	Revision Revision // revision from which to read further changes
-	// More is set if the answer reached its maximum size. The service may already
-	// have later changes, so Revision may be older than its newest revision.
+	// More is set if the answer reached its maximum size. The service may then
+	// already have changes later than Revision.
 	More bool
 }
 
@@ -60,21 +60,24 @@
 	// a CompactedError if the service no longer has these changes, for example
 	// because it is in a later era.
 	Changes(ctx context.Context, prefix string, since Revision, wait time.Duration) (Changes, error)
-	// GetStale reads a key. The result may be some seconds old. It costs the
-	// service a tenth of a current read.
+	// GetStale reads a key. The result may be some seconds old. The call costs the
+	// service a tenth of what a current read costs.
 	GetStale(ctx context.Context, key string) (Record, error)
 }
 
 // LeasedStore writes records that are removed when their lease ends. Leases of
-// an earlier era have ended: Commit and Renew with one return a LeaseEndedError, and
-// Release does nothing.
+// an earlier era have ended: for such a lease, Commit and Renew return a
+// LeaseEndedError and Release does nothing.
 type LeasedStore interface {
-	// Commit applies all changes or none. A condition with a revision of an
-	// earlier era does not hold.
+	// Commit applies all changes or none, and returns the new revision. It returns a
+	// ConflictError if a condition does not hold, an UnavailableError if nothing was
+	// changed, and an UnknownOutcomeError if the reply was lost. A condition with a
+	// revision of an earlier era does not hold.
 	Commit(ctx context.Context, change Transaction) (Revision, error)
 	// Grant returns a new lease and the time to live that the service gave it.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, time.Duration, error)
-	// Renew extends the lease by its time to live from the arrival of the call.
+	// Renew restarts the lease's time to live when the service receives the call. It
+	// returns a LeaseEndedError if the lease has ended.
 	Renew(ctx context.Context, lease LeaseID) error
 	// Release ends the lease and removes its records.
 	Release(ctx context.Context, lease LeaseID) error
@@ -87,7 +90,7 @@
 const (
 	CallGet      StoreCall = "get"
 	CallGetStale StoreCall = "get_stale"
-	CallList     StoreCall = "list" // one per page
+	CallList     StoreCall = "list" // one call per page of the list
 	CallWatch    StoreCall = "watch"
 	CallCommit   StoreCall = "commit"
 	CallGrant    StoreCall = "grant"
--- a/liveness.go
+++ b/liveness.go
@@ -15,13 +15,14 @@
 	Dead
 	// Left nodes announced that they stop.
 	Left
-	// Unconfirmed nodes are listed as peers, but neither this node nor another one has
-	// reported an answer from them yet.
+	// Unconfirmed nodes were listed as peers after this node had started, and nothing
+	// has shown yet that they are alive: neither a message from them nor a report of
+	// another node.
 	Unconfirmed
 )
 
-// String returns the name of the state for logs and operators. A state that
-// another version of the program sent may not be known here.
+// String returns the name of the state for logs and operators. It returns "unknown"
+// for a state that only another version of the program defines.
 func (liveness Liveness) String() string {
 	switch liveness {
 	case Alive:
@@ -45,7 +46,7 @@
 const (
 	GossipPing         GossipKind = iota + 1 // requests an ack
 	GossipAck                                // answers a ping
-	GossipIndirectPing                       // asks the receiver to ping Target for the sender (indirect ping)
+	GossipIndirectPing                       // asks the receiver to ping Target on behalf of the sender
 )
 
 // GossipMessage is the content of a datagram between failure detectors.
@@ -65,7 +66,7 @@
 	Node        uint64 // HashNode of the name of the node
 	Liveness    Liveness
 	Incarnation uint32        // of the node that the update is about
-	Age         time.Duration // time since the suspicion began
+	Age         time.Duration // of a suspected node: time since the suspicion began
 }
 
 // GossipDatagram is a message to send to a node.
@@ -86,7 +87,7 @@
 	// Tick returns the datagrams that are due. The caller calls it several times
 	// per protocol period.
 	Tick(now time.Duration) []GossipDatagram
-	// Receive processes a message and returns the datagrams that it gives rise to.
+	// Receive processes a message and returns the datagrams to send in response.
 	Receive(now time.Duration, message GossipMessage) []GossipDatagram
 	// Leave returns the datagrams that announce that this node stops.
 	Leave(now time.Duration) []GossipDatagram
@@ -94,7 +95,7 @@
 	Liveness(peer NodeID) Liveness
 	// Changes returns the number of state changes of all nodes so far.
 	Changes() uint64
-	// Isolated reports whether this node has received no answers for so long that
-	// it is likely cut off itself and cannot judge other nodes.
+	// Isolated reports whether this node has received nothing from other hosts for so
+	// long that it is likely cut off itself and cannot judge other nodes.
 	Isolated(now time.Duration) bool
 }
--- a/names.go
+++ b/names.go
@@ -26,8 +26,8 @@
 	return strconv.FormatInt(now.UnixMilli(), 36) + "-" + NewNonce()[:4]
 }
 
-// ClaimHolder returns the name under which claims record an entry at one of its
-// starts: the node and its incarnation.
+// ClaimHolder returns the name that identifies one start of an entry as the holder
+// of claims: its node and its incarnation.
 func ClaimHolder(node NodeID, incarnation string) string {
 	return string(node) + "/" + incarnation
 }
--- a/ratelimit.go
+++ b/ratelimit.go
@@ -14,17 +14,18 @@
 	Err    error   // the stated limit cannot be parsed; it is ignored
 }
 
-// ServerLimit is the known rate limit of a backend server.
+// ServerLimit is the known rate limit of a backend server. Times are durations on the
+// clock of Timers.
 type ServerLimit struct {
 	Server InstanceID
 	Rate   float64       // requests per second from all processes together
 	Lifted bool          // the server no longer states a limit
-	AsOf   time.Duration // time at which Rate and Lifted were true; the later one replaces the earlier
-	Since  time.Duration // time since which the server has stated a limit without a break
+	AsOf   time.Duration // time at which Rate and Lifted applied; of two ServerLimits, the later one counts
+	Since  time.Duration // time of the first limit that the server stated since it last stated none
 }
 
 // ColdServer is a backend server that has started recently and accepts fewer
-// requests until it is warm.
+// requests until it is warm. Until is a time on the clock of Timers.
 type ColdServer struct {
 	Server InstanceID
 	Rate   float64       // requests per second from all processes together
--- a/serving.go
+++ b/serving.go
@@ -66,7 +66,7 @@
 type Model struct {
 	ID       ModelID
 	Size     int           // boxes per group
-	Share    float64       // expected share of the work; the planner weighs it against measured demand
+	Share    float64       // expected share of the work; the planner averages it with the measured share
 	Slowdown float64       // multiplier of the engine's times; 0 counts as 1
 	Load     time.Duration // time to load the weights from the weight store
 	Warmup   time.Duration // time to load the weights from the box's host memory
@@ -81,8 +81,8 @@
 	return model.Slowdown
 }
 
-// ModelDemand is the demand for a model: a sum over the requests of the last seconds
-// in which older requests count less.
+// ModelDemand is the demand for a model: sums over the requests of the last seconds.
+// The older a request is, the less it counts.
 type ModelDemand struct {
 	Requests     float64
 	PromptTokens float64
@@ -106,7 +106,7 @@
 type Engine struct {
 	Models         []Model
 	Slots          int           // requests that a group runs concurrently
-	StepsPerPass   int           // steps in one pass over all running requests of a group
+	StepsPerPass   int           // decoding steps of one pass; a stream sends an event at least once per pass
 	Chunk          int           // maximum prompt tokens that one step reads
 	Step           time.Duration // duration of a step that generates one token for one request
 	StepPerRequest time.Duration // time that each running request adds to a step
@@ -117,9 +117,8 @@
 }
 
 // LongestPass returns the longest time between two events of a stream at a group
-// of the model. This is the duration of a pass in which each step reads Chunk
-// prompt tokens and all slots are in use. It is 0 if the engine's times are not
-// known.
+// of the model: the duration of a pass in which each step reads Chunk prompt tokens
+// and all slots are in use. It returns 0 if the engine's times are not known.
 func (engine *Engine) LongestPass(model *Model) time.Duration {
 	if engine.ReadPerSecond <= 0 {
 		return 0
@@ -199,7 +198,7 @@
 	Zone     ZoneID
 	Slots    int           // requests that it runs concurrently
 	Draining bool          // finishes its running requests and accepts no new ones
-	ColdFor  time.Duration // how much longer it was going to be cold when it wrote the record; 0: it is warm
+	ColdFor  time.Duration // time until the server is warm, counted from when it wrote the record; 0: already warm
 	Sequence int64         // increases with each record that the server writes; restarts with each start of the server
 	Domain   DomainID
 	Staged   []ModelID   // models whose weights are in the host memory of its box
@@ -250,8 +249,8 @@
 	Members []InstanceID // for OrderJoin: all members, the head first
 }
 
-// EngineReport is an engine's report of its load. It is some hundred milliseconds
-// old.
+// EngineReport is an engine's report of its load. It lags behind the load by some
+// hundred milliseconds.
 type EngineReport struct {
 	Queued   int     // queued requests
 	Active   int     // running requests
--- a/shedkeel.go
+++ b/shedkeel.go
@@ -43,8 +43,8 @@
 	Leaving      bool     `json:"leaving"` // the platform is going to remove the box
 }
 
-// Assignment identifies the replica group, at one epoch, that a box was ordered
-// to join.
+// Assignment identifies the replica group that a box was ordered to join, and the
+// group's epoch.
 type Assignment struct {
 	Group GroupID `json:"group"`
 	Epoch uint64  `json:"epoch"`
@@ -123,7 +123,7 @@
 // key-value service is not available. Keepers send it to each other and never
 // write it to the service; the next committed placement includes its effect.
 type Fallback struct {
-	Generation uint64            `json:"generation"`
+	Generation uint64            `json:"generation"` // increases with each change of the fallback and with Base
 	Zone       ZoneID            `json:"zone"`
 	Base       uint64            `json:"base"` // generation of the placement that it applies to
 	Lost       map[GroupID]BoxID `json:"lost"` // the member that each group's reserve replaces
@@ -200,7 +200,7 @@
 // The kinds of service.
 const (
 	KindModel ServiceKind = "model" // replica groups serve a model
-	KindPlain ServiceKind = "plain" // backend servers that operators list serve HTTP requests
+	KindPlain ServiceKind = "plain" // operators list the backend servers, which serve HTTP requests
 )
 
 // BackendServer is a server of a plain service.
@@ -243,9 +243,9 @@
 // Config is the committed configuration record: the last change by operators that
 // was accepted.
 type Config struct {
-	Generation uint64    `json:"generation"` // increases by one with each accepted change
-	Nonce      string    `json:"nonce"`      // random ID of the write; shows whether a write took effect whose reply was lost
-	EntryBoxes int       `json:"entry_boxes"`
+	Generation uint64    `json:"generation"`  // increases by one with each accepted change
+	Nonce      string    `json:"nonce"`       // random ID of the write; shows whether a write took effect whose reply was lost
+	EntryBoxes int       `json:"entry_boxes"` // maximum number of entry boxes that run at once; each admits its part of an account's rate
 	Services   []Service `json:"services"`
 	Accounts   []Account `json:"accounts"`
 	Policy     Policy    `json:"policy"`
@@ -333,7 +333,8 @@
 	Consolidate      bool          `json:"consolidate"`  // dissolve one incomplete group to repair others
 	CrossDomain      bool          `json:"cross_domain"` // form a slower group across fabric domains if no domain has enough boxes
 	// DomainFailureFraction is the fraction of a domain's boxes that must fail to
-	// reply, two boxes at least, for the domain itself to count as failed. Meanwhile
-	// the planner replaces no members and forms no groups there. 0: never.
+	// reply, two boxes at least, for the domain itself to count as failed. The planner
+	// replaces no members and forms no groups in a domain that counts as failed. 0: no
+	// domain ever counts as failed.
 	DomainFailureFraction float64 `json:"storm_fraction"`
 }
