--- a/capacity_test.go
+++ b/capacity_test.go
@@ -30,8 +30,8 @@
 type keeperFleet struct {
 	host    string // first three bytes of its loopback addresses
 	store   *standin.Store
-	keepers []*exec.Cmd // keepers, by number
-	dir     string      // of the settings files
+	keepers []*exec.Cmd // in the order of their numbers
+	dir     string      // folder of the settings files
 }
 
 const (
@@ -55,7 +55,8 @@
 }
 
 // measureKeepers starts a fleet, waits until all groups are whole, and adds a line
-// with the mean and worst usage of its keepers to the table.
+// with the mean and worst usage of its keepers to the table. The index gives each
+// fleet its own loopback addresses.
 func measureKeepers(t *testing.T, table *tabwriter.Writer, index, keepers, groups int) {
 	t.Helper()
 	fleet := &keeperFleet{host: fmt.Sprintf("127.%d.%d", 10+os.Getpid()%200, 200+index), store: standin.NewStore(), dir: t.TempDir()}
@@ -198,7 +199,8 @@
 }
 
 // usage is the CPU time and bytes that a process has used since its start, and the
-// memory that it uses now.
+// memory that it uses now. The bytes are those of all its write and read calls, not
+// only those on the network.
 type usage struct {
 	cpu, memory, sent, read float64 // seconds, megabytes, bytes, bytes
 }
--- a/instance_test.go
+++ b/instance_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestInstanceID checks that an ID splits into the server and start that it was made
-// of, also if the server's name contains the separator.
+// from, also if the server's name contains the separator.
 func TestInstanceID(t *testing.T) {
 	for name, test := range map[string]struct {
 		server shedkeel.ServerID
@@ -33,9 +33,9 @@
 	}
 }
 
-// TestEqualExceptSequence changes each field of a record in turn and checks that it
-// notices every change except that of Sequence. It finds the fields by reflection,
-// so that a field that is added later is covered too.
+// TestEqualExceptSequence changes each field of a record in turn and checks that
+// EqualExceptSequence notices every change except that of Sequence. The test finds the
+// fields by reflection, so that it also covers fields that are added later.
 func TestEqualExceptSequence(t *testing.T) {
 	record := func() shedkeel.Instance {
 		return shedkeel.Instance{
--- a/scenario_load_test.go
+++ b/scenario_load_test.go
@@ -26,13 +26,13 @@
 	answered int
 	notRun   int
 	unknown  int
-	cut      int      // answers whose connection failed or broke
-	cutTexts []string // for each of them, the error or the last 200 bytes of the answer
+	cut      int      // calls whose connection failed or broke, or whose outcome is none of these
+	cutTexts []string // for each cut call, the last 200 bytes of the error or of the answer
 	wrong    []string // answers that are incomplete or belong to another request
 }
 
 // cmdLoad starts a load: load CALLERS URL... The callers get the list of entry boxes
-// from the first URL that answers, and use the list for as long as it permits.
+// from the first URL that answers, and get it again when it has expired.
 func cmdLoad(script *testscript.TestScript, _ bool, args []string) {
 	fleet := fleetOf(script)
 	callers, err := strconv.Atoi(args[0])
@@ -130,8 +130,10 @@
 	}
 }
 
-// record counts an outcome. An answer must be complete: it repeats the prompt, has the
-// 20 words of the call, and a stream has its 21 events with the end marker last.
+// record counts an outcome. A complete answer contains the prompt and the last of its
+// 20 words, and a stream has 21 events, of which the last is the end marker. An answer
+// repeats its prompt twice, as text and as message content, so a third prompt in it
+// belongs to another request.
 func (load *load) record(outcome, prompt, text string) {
 	load.mutex.Lock()
 	defer load.mutex.Unlock()
@@ -179,11 +181,11 @@
 	}
 }
 
-// cmdCharges sends charges, which must run at most once, each concurrently through
-// all the given entry boxes under the same idempotency key: charges COUNT PREFIX
-// URL... Then it checks with the counts of the plain services that no charge ran
-// twice, that none ran for which all outcomes were not-run, and that each ran for
-// which an outcome was answered.
+// cmdCharges sends charges, which must run at most once: charges COUNT PREFIX URL...
+// It sends each charge concurrently through all the given entry boxes, under the same
+// idempotency key. Then it checks with the counts of the plain services that no charge
+// ran twice, that a charge did not run if all its outcomes are not-run, and that it ran
+// if one of them is answered.
 func cmdCharges(script *testscript.TestScript, _ bool, args []string) {
 	fleet := fleetOf(script)
 	count, err := strconv.Atoi(args[0])
@@ -236,15 +238,16 @@
 	}
 }
 
-// cmdLongCall starts a streamed call with a number of tokens: longcall URL TOKENS.
+// cmdLongCall starts a streamed call for a number of tokens, and does not wait for it:
+// longcall URL TOKENS.
 func cmdLongCall(script *testscript.TestScript, _ bool, args []string) {
 	fleet := fleetOf(script)
 	fleet.longCall = make(chan string, 1)
 	go fleet.runLongCall(args[0], args[1])
 }
 
-// runLongCall makes the call of cmdLongCall. Its result is the status, the read error and
-// whether the stream had its end marker.
+// runLongCall makes the call of cmdLongCall. It sends the result to fleet.longCall: the
+// status, the read error and whether the stream ended with its end marker.
 func (fleet *fleet) runLongCall(url, tokens string) {
 	body := fmt.Sprintf(`{"model":"model","prompt":"long","stream":true,"max_tokens":%s}`, tokens)
 	request, err := http.NewRequest(http.MethodPost, url+"/v1/completions", strings.NewReader(body))
--- a/scenario_test.go
+++ b/scenario_test.go
@@ -91,8 +91,9 @@
 	listener net.Listener
 }
 
-// nextHost is the number of fleets so far; it gives each its loopback addresses.
-var nextHost atomic.Int64
+// fleetCount is the number of fleets so far. The third byte of a fleet's loopback
+// addresses is its number.
+var fleetCount atomic.Int64
 
 // fleetOf returns the fleet of a script.
 func fleetOf(script *testscript.TestScript) *fleet { return script.Value(fleetKey{}).(*fleet) }
@@ -144,7 +145,7 @@
 	fleetSlots <- struct{}{}
 	script.Defer(func() { <-fleetSlots })
 	script.Defer(fleet.stop)
-	number := nextHost.Add(1)
+	number := fleetCount.Add(1)
 	fleet.host = fmt.Sprintf("127.%d.%d", 10+os.Getpid()%200, number)
 	fleet.begin(script, "store", "shedkeel-standin", "store", "--listen", fleet.address(10, 2379))
 	fleet.addresses["store"] = fleet.address(10, 2379)
@@ -265,11 +266,13 @@
 }
 
 const (
-	testerKey  = "tester-key"
+	testerKey = "tester-key"
+	// testerHash is the SHA-256 of testerKey in hex.
 	testerHash = "15a90d3572ea9b973fbc4d4b0f54935cf23b94c3552b4413b8dbd0b8e83e608f"
 )
 
-// relay starts a relay between two addresses, which cmdCut can cut.
+// relay starts a relay from the address listen to the address to. cmdCut can make its
+// connections hang.
 func (fleet *fleet) relay(script *testscript.TestScript, name, listen, to string) {
 	listener, err := net.Listen("tcp", listen)
 	script.Check(err)
@@ -299,8 +302,9 @@
 	go started.run()
 }
 
-// cmdStart starts keepers and entries of nodes. It restarts processes that were
-// started before, once they have exited: start NAME...
+// cmdStart starts keepers and entries of nodes: start NAME... If a process was started
+// before, it waits until that one has exited and starts it again with the same
+// arguments.
 func cmdStart(script *testscript.TestScript, _ bool, args []string) {
 	fleet := fleetOf(script)
 	for _, name := range args {
@@ -381,9 +385,9 @@
 // cmdPause sleeps: pause DURATION. Scripts use it for faults that must last for some
 // time, not to wait until something has happened.
 func cmdPause(script *testscript.TestScript, _ bool, args []string) {
-	longest, err := time.ParseDuration(args[0])
+	duration, err := time.ParseDuration(args[0])
 	script.Check(err)
-	time.Sleep(longest)
+	time.Sleep(duration)
 }
 
 // cmdAwait waits until a condition holds: await DURATION CONDITION... See holds for
@@ -409,9 +413,9 @@
 // cmdNever checks that a condition does not hold at any time during the duration:
 // never DURATION CONDITION...
 func cmdNever(script *testscript.TestScript, _ bool, args []string) {
-	longest, err := time.ParseDuration(args[0])
+	duration, err := time.ParseDuration(args[0])
 	script.Check(err)
-	for began := time.Now(); time.Since(began) < longest; time.Sleep(50 * time.Millisecond) {
+	for began := time.Now(); time.Since(began) < duration; time.Sleep(50 * time.Millisecond) {
 		if found, held := fleetOf(script).holds(args[1:]); held {
 			script.Fatalf("condition holds, but must not: %s: %s", strings.Join(args[1:], " "), found)
 		}
@@ -448,7 +452,7 @@
 // cmdQuiet checks that stand-ins run no new requests during the duration: quiet
 // DURATION NAME...
 func cmdQuiet(script *testscript.TestScript, _ bool, args []string) {
-	longest, err := time.ParseDuration(args[0])
+	duration, err := time.ParseDuration(args[0])
 	script.Check(err)
 	count := func() int {
 		total := 0
@@ -460,9 +464,9 @@
 		return total
 	}
 	before := count()
-	time.Sleep(longest)
+	time.Sleep(duration)
 	if after := count(); after != before {
-		script.Fatalf("%d requests ran on %v within %s, want none", after-before, args[1:], longest)
+		script.Fatalf("%d requests ran on %v within %s, want none", after-before, args[1:], duration)
 	}
 }
 
@@ -495,7 +499,7 @@
 }
 
 // cmdWithin records the current time (within mark), or checks that at most the
-// duration has passed since (within DURATION).
+// duration has passed since the recorded time (within DURATION).
 func cmdWithin(script *testscript.TestScript, _ bool, args []string) {
 	fleet := fleetOf(script)
 	if args[0] == "mark" {
@@ -520,9 +524,9 @@
 //	status URL CODE        a model call to the URL returns that status code
 //	listens NAME           the process accepts connections
 //	reserved NODE COUNT    the keeper reports that many groups with a reserve
-//	obeyed NODE            the engine of each member reports its group's assignment
+//	obeyed NODE            the engine of each member reports the assignment of its group
 //	planner NODE           the node holds the planner lease of zone z1
-//	notplanner NODE        another node holds it
+//	notplanner NODE        another node holds the planner lease of zone z1
 func (fleet *fleet) holds(condition []string) (string, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
@@ -680,7 +684,8 @@
 	}
 }
 
-// runs returns how often each request ran on a stand-in.
+// runs returns how often each request ran on a stand-in, by prompt for an engine and by
+// body (by path if there is none) for a plain service.
 func (fleet *fleet) runs(script *testscript.TestScript, name string) map[string]int {
 	response, err := http.Get("http://" + fleet.addresses[name] + "/runs")
 	script.Check(err)
