--- a/mutants_test.go
+++ b/mutants_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// mutant replaces a piece of code so that one mechanism is missing, and names the test
-// that must then fail.
+// mutant replaces a piece of code to disable one mechanism, and names the test that
+// must then fail.
 type mutant struct {
 	file     string
 	old, new string // a text that must occur once in the file, and its replacement
@@ -241,7 +241,7 @@
 	"fleet size: a live node whose record was removed does not register again": {
 		"node/member.go", "return !membership.isRecordCurrent() && sinceAttempt >= registrationRetry", "return false", "TestWatchedMembership", "./node",
 	},
-	"lost together: a group is formed again before all probes are back": {
+	"servers lost together: a group is formed again before all probes have ended": {
 		"formation/repair.go", "	case round.hasProbePending(group):\n", "	case false:\n", "TestServersLostTogether", "./formation",
 	},
 	"weight loading: concurrent loads are not bounded by what the store serves": {
@@ -369,8 +369,9 @@
 	}
 }
 
-// reason returns the first line of the output that says why a test failed, or the
-// whole output if there is none.
+// reason returns the first line of the output that says why a test failed: an
+// assertion, a line of a script or a seed. If there is none, it returns the whole
+// output.
 func reason(output string) string {
 	for line := range strings.Lines(output) {
 		if strings.Contains(line, "assertion failed") || strings.Contains(line, "FAIL: testdata") || strings.Contains(line, "seed") {
