--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,7 +1,8 @@
 // Package policy runs the policy programs of operators. A policy is a short Starlark program
-// with a function plan(facts) that returns table(...). It runs when it is applied and at
-// each planning tick, but not for each request. It has no input or output, and the
-// number of its steps is bounded.
+// with a function plan(facts) that returns table(...), the parameters of the planner. The
+// policy runs when operators apply it and when a keeper plans a zone for the first time
+// under a new configuration, but not for each request. It cannot do I/O, and the number of
+// its steps is bounded.
 package policy
 
 import (
@@ -28,18 +29,19 @@
 	maxPatience = time.Hour
 )
 
-// Facts is the input of plan. It describes an availability zone.
+// Facts is the input of plan. It describes an availability zone. Keepers do not measure
+// the two times: they pass those of SampleFacts.
 type Facts struct {
 	Zone           shedkeel.ZoneID
 	GroupSize      int           // boxes in a group of the zone's largest service
 	DomainBoxes    int           // boxes in the zone's largest fabric domain
 	Domains        int           // fabric domains in the zone
-	RestartTime    time.Duration // median time that a box does not respond while it restarts
-	WeightLoadTime time.Duration // median time to load model weights
+	RestartTime    time.Duration // typical time that a box does not respond while it restarts
+	WeightLoadTime time.Duration // typical time to load model weights
 }
 
-// DefaultTable returns the table that applies until operators apply a policy. It also
-// supplies the defaults of the arguments of table(...).
+// DefaultTable returns the planner's parameters until operators apply a policy. They are
+// also the defaults of the arguments of table(...).
 func DefaultTable() shedkeel.PlannerParameters {
 	return shedkeel.PlannerParameters{ReplaceAfter: 20 * time.Second, DomainFailureFraction: 0.5, WarmSpares: true}
 }
@@ -49,7 +51,8 @@
 	return Facts{Zone: "zone", GroupSize: 8, DomainBoxes: 32, Domains: 2, RestartTime: time.Minute, WeightLoadTime: 2 * time.Minute}
 }
 
-// fileOptions are the language options of policies: the set type is available.
+// fileOptions are the language options of policies: they enable the set type, which
+// go.starlark.net disables by default.
 var fileOptions = &syntax.FileOptions{Set: true}
 
 // Check returns an InvalidError, with line and column, if the policy does not compile or
@@ -59,8 +62,8 @@
 	return err
 }
 
-// Run runs a policy and returns its table, which is DefaultTable for an empty program. Its
-// error is an InvalidError.
+// Run runs a policy and returns the table that its plan function returns, or DefaultTable
+// if the program is empty. Its error is an InvalidError.
 func Run(policy shedkeel.Policy, facts Facts) (shedkeel.PlannerParameters, error) {
 	if policy.Program == "" {
 		return DefaultTable(), nil
@@ -118,7 +121,7 @@
 	table := DefaultTable()
 	patience := starlark.Value(starlark.Float(table.ReplaceAfter.Seconds()))
 	warmPatience := starlark.Value(starlark.Float(table.WarmReplaceAfter.Seconds()))
-	storm := starlark.Value(starlark.Float(table.DomainFailureFraction))
+	stormFraction := starlark.Value(starlark.Float(table.DomainFailureFraction))
 	err := starlark.UnpackArgs(function.Name(), args, kwargs,
 		"spares?", &table.Spares,
 		"warm_spares?", &table.WarmSpares,
@@ -126,7 +129,7 @@
 		"warm_patience_seconds?", &warmPatience,
 		"consolidate?", &table.Consolidate,
 		"cross_domain?", &table.CrossDomain,
-		"storm_fraction?", &storm,
+		"storm_fraction?", &stormFraction,
 	)
 	if err != nil {
 		return nil, err
@@ -137,7 +140,7 @@
 	if table.WarmReplaceAfter, err = durationArgument("warm_patience_seconds", warmPatience); err != nil {
 		return nil, err
 	}
-	fraction, ok := starlark.AsFloat(storm)
+	fraction, ok := starlark.AsFloat(stormFraction)
 	if !ok || !(fraction >= 0 && fraction <= 1) {
 		return nil, errors.New("storm_fraction must be a number from 0 to 1")
 	}
