--- a/admit/admit.go
+++ b/admit/admit.go
@@ -17,8 +17,8 @@
 	// accumulates; it bounds how many requests are admitted in one burst.
 	burstTime = time.Second
 	// busyFraction is the fraction of a service's capacity that must be in use by
-	// this box for the service to count as busy. It also counts as busy if the
-	// chosen target is full.
+	// this box for the service to count as busy. The service also counts as busy if
+	// the chosen target is full.
 	busyFraction = 0.9
 	// runTimeWeight is the weight of the newest run time in the exponential
 	// moving average of run times.
@@ -152,13 +152,13 @@
 }
 
 // wait estimates how long a request is queued at a target before it begins. load
-// is the number of requests at the target without this one, room the number that
-// it runs concurrently.
-func (usage *usage) wait(load, room int) time.Duration {
-	if room <= 0 || load < room {
+// is the number of requests at the target without this one, capacity the number of
+// requests that the target runs concurrently.
+func (usage *usage) wait(load, capacity int) time.Duration {
+	if capacity <= 0 || load < capacity {
 		return 0
 	}
-	return time.Duration(float64(load-room+1) / float64(room) * float64(usage.meanRunTime))
+	return time.Duration(float64(load-capacity+1) / float64(capacity) * float64(usage.meanRunTime))
 }
 
 // fairShare returns the number of requests that the account may have in flight:
@@ -215,9 +215,9 @@
 	return known
 }
 
-// RetryBudget is a retry budget: it limits retries to a fraction of first attempts, so
-// that retries do not multiply the load on a failing zone. The zero value allows
-// initialRetries retries before the first attempt is recorded.
+// RetryBudget limits retries to a fraction of first attempts, so that retries do not
+// multiply the load on a failing zone. The zero value allows initialRetries retries
+// before the first attempt is recorded.
 type RetryBudget struct {
 	mutex   sync.Mutex
 	charged float64 // retries made, less what first attempts have restored; at least 0, at most initialRetries
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -13,8 +13,8 @@
 
 // TestRateHoldsOverAllBoxes sends more requests than the rate to nine boxes that
 // do not communicate. Together they must admit no more than the rate, whether the
-// requests are spread over all boxes or all go to one. Spread at random over all
-// boxes, at least 90% of the rate must be admitted.
+// requests are spread over all boxes or all go to one. If the requests are spread at
+// random over all boxes, the boxes must admit at least 90% of the rate.
 func TestRateHoldsOverAllBoxes(t *testing.T) {
 	const boxes, rate, seconds = 9, 90.0, 30
 	for name, usedBoxes := range map[string]int{"all boxes": boxes, "one box": 1} {
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestTakeRetryAfter checks that a request is admitted after the
-// RetryAfter of its refusal, that accounts without a rate are not limited, and that
-// a new configuration does not refill a bucket.
+// TestTakeRetryAfter checks that a request is admitted after the RetryAfter of its
+// refusal, that accounts without a rate are not limited, and that a new configuration
+// does not refill a bucket.
 func TestTakeRetryAfter(t *testing.T) {
 	limiter := &Limiter{}
 	limiter.Configure([]shedkeel.Account{{ID: "slow", Rate: 0.2}, {ID: "unlimited"}}, 1, 0)
@@ -112,8 +112,8 @@
 
 // TestRefuseRequestsThatWouldMissDeadline checks that requests are refused if their estimated
 // wait exceeds their deadline of 1 s, with the difference as RetryAfter. The mean
-// run time is 2 s and the target runs 10 requests, so the estimated wait is 0.2 s
-// for each request by which the load, with this request, exceeds 10.
+// run time is 2 s and the target runs 10 requests concurrently, so the estimated wait
+// is 0.2 s times the number of requests beyond 10, this one included.
 func TestRefuseRequestsThatWouldMissDeadline(t *testing.T) {
 	gate := &Gate{}
 	assert.NilError(t, enter(gate, "a", 0))
