--- a/route/router.go
+++ b/route/router.go
@@ -34,7 +34,7 @@
 	Assignment   shedkeel.Assignment
 	UsableUntil  time.Duration // when the target stops being usable
 	ReportedLoad int           // load that the target reported, in requests; lags behind
-	ReportedAt   time.Duration // time of that report
+	ReportedAt   time.Duration // time of the report of ReportedLoad
 	Capacity     int           // requests that the target runs concurrently
 }
 
@@ -62,7 +62,7 @@
 type target struct {
 	Target
 	inFlight  int      // requests of this process in flight
-	changes   []change // since the report
+	changes   []change // changes that the last report may not include
 	changeSum int      // sum of the changes' deltas
 }
 
@@ -82,8 +82,8 @@
 	target *target
 }
 
-// Update replaces the targets of a service. Targets that remain, by name, keep their
-// requests in flight.
+// Update replaces the targets of a service. A target with the name of a former one keeps
+// its count of requests in flight.
 func (router *Router) Update(service shedkeel.ServiceID, targets []Target, now time.Duration) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
@@ -143,9 +143,9 @@
 	}
 }
 
-// applyReport replaces the target's description and drops the changes up to its report,
-// which includes them. A target with another assignment or address starts without
-// changes.
+// applyReport replaces the target's description and drops the changes up to the time of
+// the report, because the reported load includes them. If the assignment or the address
+// is another one, it drops all changes.
 func (target *target) applyReport(reported Target) {
 	if reported.Assignment != target.Assignment || reported.Address != target.Address {
 		target.changes = nil
@@ -158,15 +158,16 @@
 	}
 }
 
-// recordChange adds delta requests to the load since the report.
+// recordChange records that delta requests were added to the target's load.
 func (target *target) recordChange(now time.Duration, delta int) {
 	target.inFlight += delta
 	target.changes = append(target.changes, change{at: now, delta: delta})
 	target.changeSum += delta
 }
 
-// load estimates the target's load: what it reported, corrected by the requests that were
-// sent and have ended since, and at least the requests in flight from this process.
+// load estimates the target's load: the reported load, corrected by the requests that were
+// sent and have ended since the report. It is at least the number of requests in flight
+// from this process.
 func (target *target) load() int {
 	return max(target.ReportedLoad+target.changeSum, target.inFlight)
 }
@@ -252,8 +253,8 @@
 }
 
 // chooseRandom returns the less loaded of two usable targets drawn at random. If maxDraws
-// draws find only one, it returns that. If they find none, it returns the first in order of
-// names that the request allows, or nil.
+// draws find only one, it returns that one. If they find none, it returns the first target,
+// by name, that the request allows, or nil.
 func (router *Router) chooseRandom(pool *targetPool, request Request) *target {
 	var first *target
 	for range maxDraws {
--- a/route/router_test.go
+++ b/route/router_test.go
@@ -28,11 +28,11 @@
 // TestChoose checks that a choice returns a usable target that is not excluded, or an error.
 func TestChoose(t *testing.T) {
 	cases := map[string]struct {
-		count int
-		until time.Duration
-		now   time.Duration
-		avoid []string
-		want  bool // a target is chosen
+		count   int
+		until   time.Duration
+		now     time.Duration
+		exclude []string
+		want    bool // a target is chosen
 	}{
 		"one":              {1, time.Second, 0, nil, true},
 		"none":             {0, time.Second, 0, nil, false},
@@ -45,10 +45,10 @@
 			t.Run(fmt.Sprint(name, " ", affinity), func(t *testing.T) {
 				router := &Router{Random: rand.NewPCG(1, 2)}
 				router.Update("s", targetsOf(test.count, test.until), 0)
-				choice, err := router.Choose(Request{Service: "s", Affinity: affinity, Now: test.now, Exclude: test.avoid})
+				choice, err := router.Choose(Request{Service: "s", Affinity: affinity, Now: test.now, Exclude: test.exclude})
 				assert.Equal(t, err == nil, test.want)
 				if err == nil {
-					assert.Assert(t, choice.Name != "g000" || len(test.avoid) == 0)
+					assert.Assert(t, choice.Name != "g000" || len(test.exclude) == 0)
 					choice.End(test.now)
 				}
 			})
@@ -75,8 +75,8 @@
 	assert.Equal(t, choose(5*time.Second).Load, 10, "10 reported, one sent and one ended since then")
 }
 
-// TestAffinity checks that a prefix keeps its group while that is not overloaded, and that
-// the loss of a group moves only its own prefixes.
+// TestAffinity checks that a prefix keeps its group while the group is not overloaded, and
+// that the loss of a group moves only the prefixes of that group.
 func TestAffinity(t *testing.T) {
 	const prefixes = 500
 	chooseAll := func(router *Router) map[int]string {
@@ -95,7 +95,7 @@
 	moved := 0
 	for prefix, name := range chooseAll(router) {
 		if before[prefix] != name {
-			assert.Equal(t, before[prefix], "g000", "a prefix moved whose group remains")
+			assert.Equal(t, before[prefix], "g000", "a prefix moved although its group remains")
 			moved++
 		}
 	}
@@ -103,7 +103,7 @@
 	assert.Assert(t, moved > 0 && moved < prefixes/5, "%d prefixes moved", moved)
 }
 
-// TestHotPrefixSpills checks that a prefix that all requests have does not overload the group
+// TestHotPrefixSpills checks that a prefix shared by all requests does not overload the group
 // that has it cached: with a mean of 100 requests, no group gets more than 180.
 func TestHotPrefixSpills(t *testing.T) {
 	router := newRouter(10)
--- a/route/simulation_test.go
+++ b/route/simulation_test.go
@@ -99,11 +99,12 @@
 	ours.routers[entry].Update("s", targets, now)
 }
 
-// baseline implements the baseline rules: random, in turn, and least reported load.
+// baseline implements the baseline rules: random, round robin ("in turn"), and least
+// reported load.
 type baseline struct {
-	rule    string
-	random  *rand.Rand
-	turn    int
+	rule    string     // "random", "in turn" or "least reported"
+	random  *rand.Rand // for the rule "random"
+	turn    int        // number of choices so far
 	targets []Target
 }
 
@@ -136,17 +137,17 @@
 	up      bool
 	running []*job
 	queue   []*job
-	cache   []uint64
+	cache   []uint64 // cached prefixes, the most recently used one last
 }
 
 // job is one request at a group.
 type job struct {
 	arrived time.Duration
 	prefix  uint64
-	first   time.Duration // when the first token is sent
-	ends    time.Duration
-	run     time.Duration
-	end     func(time.Duration)
+	first   time.Duration       // when the first token is sent
+	ends    time.Duration       // when the answer ends
+	run     time.Duration       // time from the first token to the end of the answer
+	end     func(time.Duration) // informs the routing rule that the request has ended
 }
 
 // hit reports whether the prefix is cached, and makes it the most recently used one.
@@ -168,13 +169,13 @@
 	firstTokenTimes                []time.Duration
 }
 
-// percentile returns a quantile of the times to the first token, as a part from 0 to 1.
-func (outcome *outcome) percentile(part float64) time.Duration {
+// quantile returns a quantile of the times to the first token. rank is from 0 to 1.
+func (outcome *outcome) quantile(rank float64) time.Duration {
 	if len(outcome.firstTokenTimes) == 0 {
 		return 0
 	}
 	slices.Sort(outcome.firstTokenTimes)
-	return outcome.firstTokenTimes[int(part*float64(len(outcome.firstTokenTimes)-1))]
+	return outcome.firstTokenTimes[int(rank*float64(len(outcome.firstTokenTimes)-1))]
 }
 
 // simulate offers a load, as a multiple of the capacity without cached prefixes, and
@@ -197,7 +198,7 @@
 			server.step(now, random, &result)
 		}
 		reports = append(reports, report(servers, now))
-		if int(now/simTick)%25 == 0 {
+		if int(now/simTick)%25 == 0 { // entries receive reports every 250 ms
 			for entry := range simEntries {
 				rule.update(entry, laggedReports(reports, lag, now), now)
 			}
@@ -221,8 +222,8 @@
 	return targets
 }
 
-// laggedReports is what entries know at that time: reports that lag, and targets that are
-// usable for another 3 s.
+// laggedReports returns what entries know now: the reports from lag ticks ago, or the
+// first ones, with targets that are usable for another 3 s.
 func laggedReports(reports [][]Target, lag int, now time.Duration) []Target {
 	targets := slices.Clone(reports[max(len(reports)-1-lag, 0)])
 	for index := range targets {
@@ -241,7 +242,8 @@
 	return count
 }
 
-// arrive routes one request and queues it at its group, where it is lost if that has failed.
+// arrive routes one request and queues it at its group. The request is lost if the group
+// has failed.
 func arrive(rule routingRule, servers []*server, random *rand.Rand, now time.Duration, result *outcome) {
 	result.offered++
 	// A tenth of the prefixes gets an additional half of the requests.
@@ -304,8 +306,8 @@
 }
 
 // TestRoutingRules compares routing rules when load reports lag. The rule "ours", with
-// admission control, must answer at least as many requests in time as each baseline. It
-// prints a table with -v; -loads adds loads.
+// admission control, must answer at least as many requests in time as each baseline. The
+// test prints a table with -v, and measures further loads with -loads.
 func TestRoutingRules(t *testing.T) {
 	rules := map[string]func() routingRule{
 		"random":             func() routingRule { return &baseline{rule: "random", random: rand.New(rand.NewPCG(5, 5))} },
@@ -337,7 +339,7 @@
 			result := simulate(rules[name](), point.load, point.outage)
 			inTime[fmt.Sprint(point.load, point.outage, name)] = result.inTime
 			_, _ = fmt.Fprintf(table, "%.1f%s\t%s\t%.0f%%\t%s\t%s\t%.0f%%\n", point.load, map[bool]string{true: ", with an outage of a third"}[point.outage], name,
-				100*float64(result.inTime)/float64(result.offered), result.percentile(0.5), result.percentile(0.95), 100*float64(result.hits)/float64(max(result.started, 1)))
+				100*float64(result.inTime)/float64(result.offered), result.quantile(0.5), result.quantile(0.95), 100*float64(result.hits)/float64(max(result.started, 1)))
 		}
 	}
 	if testing.Verbose() {
