--- a/event/event.go
+++ b/event/event.go
@@ -13,7 +13,7 @@
 
 // Event is a kind of log line.
 type Event struct {
-	Number int
+	Number int // identifies the event, whatever its text
 	Level  slog.Level
 	Text   string
 }
@@ -134,7 +134,7 @@
 }
 
 // With returns a log that adds the fields to each line. It shares the rate limits
-// and the queue.
+// and the queue of this log.
 func (log *Log) With(fields ...any) *Log {
 	extended := *log
 	extended.Logger = log.Logger.With(fields...)
@@ -164,7 +164,7 @@
 	}
 }
 
-// Close waits until the queued lines are written. Nothing may be logged afterwards.
+// Close waits until the queued lines are written. The caller must not log afterwards.
 func (log *Log) Close() {
 	if log != nil && log.queue != nil {
 		log.queue.Close()
@@ -181,7 +181,7 @@
 	return &Log{Logger: slog.New(slog.NewJSONHandler(writer, &slog.HandlerOptions{Level: minLevel}))}, nil
 }
 
-// Write logs an event with more fields, unless the event's rate limit is exceeded.
+// Write logs an event with the given fields, unless the event's rate limit is exceeded.
 func (log *Log) Write(event Event, fields ...slog.Attr) {
 	if log == nil || log.Logger == nil || log.limits != nil && !log.limits.allow(event) {
 		return
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -42,8 +42,9 @@
 	assert.Equal(t, len(defined), len(Catalog()))
 }
 
-// TestWrite checks the level of the log and its event numbers, the error for an
-// unknown level, and that a nil log discards events.
+// TestWrite checks that events below the level of the log are discarded, that a line
+// contains its event number, that an unknown level is an error, and that a nil log
+// discards events.
 func TestWrite(t *testing.T) {
 	var buffer bytes.Buffer
 	log, err := NewLog(&buffer, "warn")
@@ -84,6 +85,7 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("a write to the queue blocked")
 	}
+	// The queue holds queueLines lines, and the blocked writer one more.
 	assert.Assert(t, queue.Dropped() >= queueLines-1)
 	close(writer.release)
 	queue.Close()
@@ -109,8 +111,8 @@
 	assert.Equal(t, count(LinesDropped.Number), 1)
 }
 
-// TestRecent queries the recent lines of a log after more lines were written than
-// it keeps.
+// TestRecent queries the recent lines of a log after more lines were written than the
+// log keeps.
 func TestRecent(t *testing.T) {
 	log, err := NewBoundedLog(io.Discard, "info")
 	assert.NilError(t, err)
--- a/event/queue.go
+++ b/event/queue.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// queueLines is how many lines of about 300 bytes may be queued while the
-	// writer is slow.
+	// queueLines is how many lines may be queued while the writer is slow. At about 300
+	// bytes each they take 0.6 MB.
 	queueLines = 2048
 	// recentLines is how many lines are kept in memory for operators who query a
 	// running process. At about 300 bytes each they take 0.6 MB.
@@ -22,7 +22,7 @@
 	// routineRate is the maximum number of lines per second for each event below
 	// the level warn. A node serves about 20 requests per second.
 	routineRate = 100
-	// warningRate is the same for each event of the level warn or above. It is
+	// warningRate is the maximum for each event of the level warn or above. It is
 	// higher, so that failures are not dropped before successes.
 	warningRate = 400
 )
@@ -111,7 +111,7 @@
 func (queue *Queue) Dropped() int64 { return queue.dropped.Swap(0) }
 
 // Close waits until the queued lines are written and stops the goroutine of the
-// queue. Nothing may be written afterwards.
+// queue. The caller must not write afterwards.
 func (queue *Queue) Close() {
 	queue.closeOnce.Do(func() { close(queue.lines) })
 	<-queue.closed
