--- a/route/simulation_test.go
+++ b/route/simulation_test.go
@@ -43,8 +43,9 @@
 	update(entry int, targets []Target, now time.Duration)
 }
 
-// ours is the rule of this package, with a router at each entry.
-type ours struct {
+// packageRule is the rule of this package, with a router at each entry. The table calls it
+// "ours".
+type packageRule struct {
 	routers []*Router
 	gates   []*admit.Gate // nil: no admission control
 	maxWait time.Duration
@@ -52,37 +53,37 @@
 
 // gated returns the rule with admission control: it refuses requests that would wait longer
 // than maxWait.
-func gated(maxWait time.Duration) *ours {
-	ours := newOurs(0)
-	ours.maxWait = maxWait
+func gated(maxWait time.Duration) *packageRule {
+	packageRule := newPackageRule(0)
+	packageRule.maxWait = maxWait
 	for range simEntries {
-		ours.gates = append(ours.gates, &admit.Gate{})
+		packageRule.gates = append(packageRule.gates, &admit.Gate{})
 	}
-	return ours
+	return packageRule
 }
 
-// newOurs returns the rule with that Router.Bound, without admission control.
-func newOurs(bound float64) *ours {
-	ours := &ours{}
+// newPackageRule returns the rule with that Router.Bound, without admission control.
+func newPackageRule(bound float64) *packageRule {
+	packageRule := &packageRule{}
 	for entry := range simEntries {
-		ours.routers = append(ours.routers, &Router{Random: rand.NewPCG(uint64(entry), 3), Bound: bound})
+		packageRule.routers = append(packageRule.routers, &Router{Random: rand.NewPCG(uint64(entry), 3), Bound: bound})
 	}
-	return ours
+	return packageRule
 }
 
-func (ours *ours) choose(entry int, affinity uint64, now time.Duration) (int, func(time.Duration), bool) {
-	choice, err := ours.routers[entry].Choose(Request{Service: "s", Affinity: affinity, Now: now})
+func (packageRule *packageRule) choose(entry int, affinity uint64, now time.Duration) (int, func(time.Duration), bool) {
+	choice, err := packageRule.routers[entry].Choose(Request{Service: "s", Affinity: affinity, Now: now})
 	if err != nil {
 		return 0, nil, false
 	}
 	var group int
 	_, _ = fmt.Sscanf(choice.Name, "g%d", &group)
-	if ours.gates == nil {
+	if packageRule.gates == nil {
 		return group, choice.End, true
 	}
-	gate := ours.gates[entry]
+	gate := packageRule.gates[entry]
 	refused := gate.Enter(admit.Request{
-		Service: "s", Account: "a", Weight: func(shedkeel.AccountID) int { return 1 }, Deadline: ours.maxWait,
+		Service: "s", Account: "a", Weight: func(shedkeel.AccountID) int { return 1 }, Deadline: packageRule.maxWait,
 		Capacity: simGroups * simSlots, Load: choice.Load, TargetCapacity: choice.Capacity,
 	})
 	if refused != nil {
@@ -95,8 +96,8 @@
 	}, true
 }
 
-func (ours *ours) update(entry int, targets []Target, now time.Duration) {
-	ours.routers[entry].Update("s", targets, now)
+func (packageRule *packageRule) update(entry int, targets []Target, now time.Duration) {
+	packageRule.routers[entry].Update("s", targets, now)
 }
 
 // baseline implements the baseline rules: random, round robin ("in turn"), and least
@@ -132,7 +133,7 @@
 	baseline.targets = targets
 }
 
-// server is a group: a queue, slots and a cache of prefixes.
+// server simulates a replica group: a queue, slots and a cache of prefixes.
 type server struct {
 	up      bool
 	running []*job
@@ -140,7 +141,7 @@
 	cache   []uint64 // cached prefixes, the most recently used one last
 }
 
-// job is one request at a group.
+// job is a request at a server.
 type job struct {
 	arrived time.Duration
 	prefix  uint64
@@ -314,12 +315,12 @@
 		"in turn":            func() routingRule { return &baseline{rule: "in turn"} },
 		"least reported":     func() routingRule { return &baseline{rule: "least reported"} },
 		"ours":               func() routingRule { return gated(300 * time.Millisecond) },
-		"ours, no gate":      func() routingRule { return newOurs(0) },
+		"ours, no gate":      func() routingRule { return newPackageRule(0) },
 		"ours, wait of 0":    func() routingRule { return gated(0) },
 		"ours, wait of 1s":   func() routingRule { return gated(time.Second) },
-		"ours, no affinity":  func() routingRule { return newOurs(-1) }, // without admission control
-		"ours, bound of 3":   func() routingRule { return newOurs(3) },
-		"ours, bound of 1.5": func() routingRule { return newOurs(1.5) },
+		"ours, no affinity":  func() routingRule { return newPackageRule(-1) }, // without admission control
+		"ours, bound of 3":   func() routingRule { return newPackageRule(3) },
+		"ours, bound of 1.5": func() routingRule { return newPackageRule(1.5) },
 	}
 	points := []struct {
 		load   float64
