--- a/overhead_test.go
+++ b/overhead_test.go
@@ -110,7 +110,7 @@
 	settings.Node = "n"
 	settings.Wire.Listen = wireListener.Addr().String()
 	settings.Wire.Key = "k"
-	settings.Entry.DirectoryTTL = 1
+	settings.Entry.DirectoryTTL = 1 // in nanoseconds: a stop does not wait until cached addresses have expired
 	process := &entry.Entry{
 		Settings: settings, Incarnation: "1", Backend: &engine.Transport{}, Timers: &timer.System{},
 		Random: rand.NewPCG(1, 1), NewAttemptID: shedkeel.NewNonce,
--- a/scenario_load_test.go
+++ b/scenario_load_test.go
@@ -68,7 +68,7 @@
 			entries, validFor := fetchEntries(client, urls)
 			if len(entries) == 0 {
 				time.Sleep(50 * time.Millisecond)
-				continue // the list of entry boxes has expired
+				continue // the list of entry boxes has expired, and no box answers with a new one
 			}
 			addresses, until = entries, asked.Add(validFor)
 		}
--- a/scenario_test.go
+++ b/scenario_test.go
@@ -281,7 +281,8 @@
 	go opened.link.Run(listener)
 }
 
-// begin starts a process whose output goes to the file NAME.log of the script.
+// begin starts a process whose output goes to the file NAME.log of the script. It looks
+// up the program in the PATH of the script.
 func (fleet *fleet) begin(script *testscript.TestScript, name string, args ...string) {
 	path := ""
 	for _, dir := range filepath.SplitList(script.Getenv("PATH")) {
--- a/serving.go
+++ b/serving.go
@@ -148,7 +148,8 @@
 	Engine         *Engine       // nil for a plain service
 }
 
-// ServingConfig is the operators' serving configuration.
+// ServingConfig is the configuration that operators write for the requests that nodes
+// serve. Keepers and entries use Config instead.
 type ServingConfig struct {
 	Version  int64 // increases with each change
 	Routes   []Route
