--- a/route/simulation_test.go
+++ b/route/simulation_test.go
@@ -43,8 +43,9 @@
 	update(entry int, targets []Target, now time.Duration)
 }
 
-// ours is the rule of this package, with a router at each entry.
-type ours struct {
+// packageRule is the rule of this package, with a router at each entry. The table calls it
+// "ours".
+type packageRule struct {
 	routers []*Router
 	gates   []*admit.Gate // nil: no admission control
 	maxWait time.Duration
@@ -52,37 +53,37 @@
 
 // gated returns the rule with admission control: it refuses requests that would wait longer
 // than maxWait.
-func gated(maxWait time.Duration) *ours {
-	ours := newOurs(0)
-	ours.maxWait = maxWait
+func gated(maxWait time.Duration) *packageRule {
+	packageRule := newPackageRule(0)
+	packageRule.maxWait = maxWait
 	for range simEntries {
-		ours.gates = append(ours.gates, &admit.Gate{})
+		packageRule.gates = append(packageRule.gates, &admit.Gate{})
 	}
-	return ours
+	return packageRule
 }
 
-// newOurs returns the rule with that Router.Bound, without admission control.
-func newOurs(bound float64) *ours {
-	ours := &ours{}
+// newPackageRule returns the rule with that Router.Bound, without admission control.
+func newPackageRule(bound float64) *packageRule {
+	packageRule := &packageRule{}
 	for entry := range simEntries {
-		ours.routers = append(ours.routers, &Router{Random: rand.NewPCG(uint64(entry), 3), Bound: bound})
+		packageRule.routers = append(packageRule.routers, &Router{Random: rand.NewPCG(uint64(entry), 3), Bound: bound})
 	}
-	return ours
+	return packageRule
 }
 
-func (ours *ours) choose(entry int, affinity uint64, now time.Duration) (int, func(time.Duration), bool) {
-	choice, err := ours.routers[entry].Choose(Request{Service: "s", Affinity: affinity, Now: now})
+func (packageRule *packageRule) choose(entry int, affinity uint64, now time.Duration) (int, func(time.Duration), bool) {
+	choice, err := packageRule.routers[entry].Choose(Request{Service: "s", Affinity: affinity, Now: now})
 	if err != nil {
 		return 0, nil, false
 	}
 	var group int
 	_, _ = fmt.Sscanf(choice.Name, "g%d", &group)
-	if ours.gates == nil {
+	if packageRule.gates == nil {
 		return group, choice.End, true
 	}
-	gate := ours.gates[entry]
+	gate := packageRule.gates[entry]
 	refused := gate.Enter(admit.Request{
-		Service: "s", Account: "a", Weight: func(shedkeel.AccountID) int { return 1 }, Deadline: ours.maxWait,
+		Service: "s", Account: "a", Weight: func(shedkeel.AccountID) int { return 1 }, Deadline: packageRule.maxWait,
 		Capacity: simGroups * simSlots, Load: choice.Load, TargetCapacity: choice.Capacity,
 	})
 	if refused != nil {
@@ -95,15 +96,16 @@
 	}, true
 }
 
-func (ours *ours) update(entry int, targets []Target, now time.Duration) {
-	ours.routers[entry].Update("s", targets, now)
+func (packageRule *packageRule) update(entry int, targets []Target, now time.Duration) {
+	packageRule.routers[entry].Update("s", targets, now)
 }
 
-// baseline implements the baseline rules: random, in turn, and least reported load.
+// baseline implements the baseline rules: random, round robin ("in turn"), and least
+// reported load.
 type baseline struct {
-	rule    string
-	random  *rand.Rand
-	turn    int
+	rule    string     // "random", "in turn" or "least reported"
+	random  *rand.Rand // for the rule "random"
+	turn    int        // number of choices so far
 	targets []Target
 }
 
@@ -131,22 +133,22 @@
 	baseline.targets = targets
 }
 
-// server is a group: a queue, slots and a cache of prefixes.
+// server simulates a replica group: a queue, slots and a cache of prefixes.
 type server struct {
 	up      bool
 	running []*job
 	queue   []*job
-	cache   []uint64
+	cache   []uint64 // cached prefixes, the most recently used one last
 }
 
-// job is one request at a group.
+// job is a request at a server.
 type job struct {
 	arrived time.Duration
 	prefix  uint64
-	first   time.Duration // when the first token is sent
-	ends    time.Duration
-	run     time.Duration
-	end     func(time.Duration)
+	first   time.Duration       // when the first token is sent
+	ends    time.Duration       // when the answer ends
+	run     time.Duration       // time from the first token to the end of the answer
+	end     func(time.Duration) // informs the routing rule that the request has ended
 }
 
 // hit reports whether the prefix is cached, and makes it the most recently used one.
@@ -168,13 +170,13 @@
 	firstTokenTimes                []time.Duration
 }
 
-// percentile returns a quantile of the times to the first token, as a part from 0 to 1.
-func (outcome *outcome) percentile(part float64) time.Duration {
+// quantile returns a quantile of the times to the first token. rank is from 0 to 1.
+func (outcome *outcome) quantile(rank float64) time.Duration {
 	if len(outcome.firstTokenTimes) == 0 {
 		return 0
 	}
 	slices.Sort(outcome.firstTokenTimes)
-	return outcome.firstTokenTimes[int(part*float64(len(outcome.firstTokenTimes)-1))]
+	return outcome.firstTokenTimes[int(rank*float64(len(outcome.firstTokenTimes)-1))]
 }
 
 // simulate offers a load, as a multiple of the capacity without cached prefixes, and
@@ -197,7 +199,7 @@
 			server.step(now, random, &result)
 		}
 		reports = append(reports, report(servers, now))
-		if int(now/simTick)%25 == 0 {
+		if int(now/simTick)%25 == 0 { // entries receive reports every 250 ms
 			for entry := range simEntries {
 				rule.update(entry, laggedReports(reports, lag, now), now)
 			}
@@ -221,8 +223,8 @@
 	return targets
 }
 
-// laggedReports is what entries know at that time: reports that lag, and targets that are
-// usable for another 3 s.
+// laggedReports returns what entries know now: the reports from lag ticks ago, or the
+// first ones, with targets that are usable for another 3 s.
 func laggedReports(reports [][]Target, lag int, now time.Duration) []Target {
 	targets := slices.Clone(reports[max(len(reports)-1-lag, 0)])
 	for index := range targets {
@@ -241,7 +243,8 @@
 	return count
 }
 
-// arrive routes one request and queues it at its group, where it is lost if that has failed.
+// arrive routes one request and queues it at its group. The request is lost if the group
+// has failed.
 func arrive(rule routingRule, servers []*server, random *rand.Rand, now time.Duration, result *outcome) {
 	result.offered++
 	// A tenth of the prefixes gets an additional half of the requests.
@@ -304,20 +307,20 @@
 }
 
 // TestRoutingRules compares routing rules when load reports lag. The rule "ours", with
-// admission control, must answer at least as many requests in time as each baseline. It
-// prints a table with -v; -loads adds loads.
+// admission control, must answer at least as many requests in time as each baseline. The
+// test prints a table with -v, and measures further loads with -loads.
 func TestRoutingRules(t *testing.T) {
 	rules := map[string]func() routingRule{
 		"random":             func() routingRule { return &baseline{rule: "random", random: rand.New(rand.NewPCG(5, 5))} },
 		"in turn":            func() routingRule { return &baseline{rule: "in turn"} },
 		"least reported":     func() routingRule { return &baseline{rule: "least reported"} },
 		"ours":               func() routingRule { return gated(300 * time.Millisecond) },
-		"ours, no gate":      func() routingRule { return newOurs(0) },
+		"ours, no gate":      func() routingRule { return newPackageRule(0) },
 		"ours, wait of 0":    func() routingRule { return gated(0) },
 		"ours, wait of 1s":   func() routingRule { return gated(time.Second) },
-		"ours, no affinity":  func() routingRule { return newOurs(-1) }, // without admission control
-		"ours, bound of 3":   func() routingRule { return newOurs(3) },
-		"ours, bound of 1.5": func() routingRule { return newOurs(1.5) },
+		"ours, no affinity":  func() routingRule { return newPackageRule(-1) }, // without admission control
+		"ours, bound of 3":   func() routingRule { return newPackageRule(3) },
+		"ours, bound of 1.5": func() routingRule { return newPackageRule(1.5) },
 	}
 	points := []struct {
 		load   float64
@@ -337,7 +340,7 @@
 			result := simulate(rules[name](), point.load, point.outage)
 			inTime[fmt.Sprint(point.load, point.outage, name)] = result.inTime
 			_, _ = fmt.Fprintf(table, "%.1f%s\t%s\t%.0f%%\t%s\t%s\t%.0f%%\n", point.load, map[bool]string{true: ", with an outage of a third"}[point.outage], name,
-				100*float64(result.inTime)/float64(result.offered), result.percentile(0.5), result.percentile(0.95), 100*float64(result.hits)/float64(max(result.started, 1)))
+				100*float64(result.inTime)/float64(result.offered), result.quantile(0.5), result.quantile(0.95), 100*float64(result.hits)/float64(max(result.started, 1)))
 		}
 	}
 	if testing.Verbose() {
