--- a/contain/ledger.go
+++ b/contain/ledger.go
@@ -1,7 +1,7 @@
-// Package contain decides which requests are no longer sent to any server because servers
-// fail while they run them. It has no clock and sends nothing: processes exchange the
-// contents of their ledgers, and ledgers that received the same messages reach the same
-// judgments, in whatever order the messages came.
+// Package contain finds requests that make servers fail: it records which servers failed
+// while they ran a request, and judges from their number whether the request may still be
+// sent. It has no clock and sends nothing: its users exchange the records of their ledgers.
+// Ledgers that have merged the same records reach the same judgments, whatever the order.
 package contain
 
 import (
@@ -14,12 +14,12 @@
 
 const (
 	// quarantineThreshold is the number of failed servers from which a request is quarantined.
-	// One failed server does not single out a request: a server runs tens of requests when
-	// it fails.
+	// It is above 1 because a server runs tens of requests when it fails, most of which are
+	// harmless.
 	quarantineThreshold = 2
 	// containThreshold is the number of failed servers from which a request is contained. A
-	// harmless request that runs beside one that makes servers fail may be on a second failed
-	// server too, but rarely on a third.
+	// harmless request that runs beside a harmful one may by chance run on a second server
+	// that fails, but rarely on a third.
 	containThreshold = 3
 	// maxRequests bounds the requests in a ledger.
 	maxRequests = 4096
@@ -42,7 +42,7 @@
 type Ledger struct {
 	mutex    sync.Mutex
 	entries  map[shedkeel.RequestDigest]*entry
-	useCount uint64       // incremented with each use of an entry
+	useCount uint64       // incremented with each use of an entry; orders entries for eviction
 	blamed   atomic.Int64 // number of entries with at least one failed server
 }
 
@@ -55,7 +55,8 @@
 // Idle reports whether no request has a failed server recorded.
 func (ledger *Ledger) Idle() bool { return ledger.blamed.Load() == 0 }
 
-// Blame returns the record of a request. It counts as a use of the entry.
+// Blame returns the record of a request, without servers if there is none. It counts as a
+// use of the record, which delays its eviction.
 func (ledger *Ledger) Blame(request shedkeel.RequestDigest) shedkeel.Blame {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
@@ -79,8 +80,7 @@
 }
 
 // RecordFailure records that a server failed while it ran a request, unless containThreshold
-// servers are recorded already. It returns the record
-// of the request and whether it changed.
+// servers are recorded already. It returns the record of the request and whether it changed.
 func (ledger *Ledger) RecordFailure(request shedkeel.RequestDigest, server shedkeel.InstanceID) (shedkeel.Blame, bool) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
@@ -89,9 +89,10 @@
 	return entry.copy(), changed
 }
 
-// Clear drops the servers recorded for a request and starts a new round, so that late
-// messages of earlier rounds have no effect. It returns the record before and after.
-func (ledger *Ledger) Clear(request shedkeel.RequestDigest) (before, now shedkeel.Blame) {
+// Clear drops the servers recorded for a request and starts a new round, so that records
+// of earlier rounds that arrive late have no effect. It returns the record before and after
+// the change. If no servers are recorded, it changes nothing and returns empty records.
+func (ledger *Ledger) Clear(request shedkeel.RequestDigest) (before, after shedkeel.Blame) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	entry := ledger.entries[request]
@@ -103,9 +104,10 @@
 	return before, entry.copy()
 }
 
-// Merge adds the record of another ledger. The record of the later round replaces the
-// other; records of the same round are combined, up to containThreshold servers. It
-// returns the record of the request and whether it changed.
+// Merge adds a record of another ledger. A record of a later round replaces the existing
+// one, and a record of an earlier round is ignored. The servers of two records of the same
+// round are combined, up to containThreshold. It returns the resulting record and whether
+// it differs from the one before.
 func (ledger *Ledger) Merge(other shedkeel.Blame) (shedkeel.Blame, bool) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
@@ -169,7 +171,8 @@
 }
 
 // evictIfFull makes room for one entry: if the ledger is full, it evicts the least recently
-// used of the entries with the fewest servers. The caller must hold ledger.mutex.
+// used of the entries with the fewest servers. It creates the map of entries at first use.
+// The caller must hold ledger.mutex.
 func (ledger *Ledger) evictIfFull() {
 	if ledger.entries == nil {
 		ledger.entries = map[shedkeel.RequestDigest]*entry{}
@@ -183,11 +186,11 @@
 			victim = entry
 		}
 	}
-	ledger.startRound(victim, victim.blame.Round)
+	ledger.startRound(victim, victim.blame.Round) // subtracts the entry from ledger.blamed
 	delete(ledger.entries, victim.blame.Request)
 }
 
-// evictBefore reports whether the entry is evicted before another one.
+// evictBefore reports whether the entry is to be evicted rather than the other one.
 func (entry *entry) evictBefore(other *entry) bool {
 	if own, others := len(entry.blame.Servers), len(other.blame.Servers); own != others {
 		return own < others
--- a/contain/ledger_test.go
+++ b/contain/ledger_test.go
@@ -11,8 +11,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestJudge checks the judgment for each number of failed servers. A server that restarts
-// under its name counts as another one.
+// TestJudge checks the judgment for each number of failed servers. Each start of a server
+// counts separately, because it has an instance ID of its own.
 func TestJudge(t *testing.T) {
 	cases := map[string]struct {
 		failed   []shedkeel.InstanceID
@@ -40,29 +40,29 @@
 	}
 }
 
-// TestClear checks that clearing drops the recorded servers and makes late messages of the
-// earlier round ineffective, while later failures count.
+// TestClear checks that clearing drops the recorded servers, that a record of the earlier
+// round that arrives late has no effect, and that later failures count.
 func TestClear(t *testing.T) {
 	ledger := &Ledger{}
 	ledger.RecordFailure("r", "a")
 	ledger.RecordFailure("r", "b")
-	before, now := ledger.Clear("r")
+	before, after := ledger.Clear("r")
 	assert.Equal(t, len(before.Servers), 2)
-	assert.Equal(t, now.Round, uint32(1))
+	assert.Equal(t, after.Round, uint32(1))
 	assert.Assert(t, ledger.Idle())
 	_, changed := ledger.Merge(shedkeel.Blame{Request: "r", Servers: []shedkeel.InstanceID{"a", "b", "c"}})
-	assert.Assert(t, !changed, "a message of an earlier round was applied")
+	assert.Assert(t, !changed, "a record of an earlier round was merged")
 	assert.Equal(t, Judge(ledger.Blame("r")), shedkeel.Unblamed)
 	for _, server := range []shedkeel.InstanceID{"d", "e", "f"} {
 		ledger.RecordFailure("r", server)
 	}
 	assert.Equal(t, Judge(ledger.Blame("r")), shedkeel.Contained)
-	_, now = ledger.Clear("unknown")
-	assert.Equal(t, now.Round, uint32(0), "an unknown request was given a round")
+	_, after = ledger.Clear("unknown")
+	assert.Equal(t, after.Round, uint32(0), "an unknown request was given a round")
 }
 
-// TestLedgersAgree checks that ledgers which merge the same messages, in any order and some
-// of them twice, hold the same record.
+// TestLedgersAgree checks that ledgers hold the same record after they have merged the same
+// records, in any order and some of them twice.
 func TestLedgersAgree(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestMemoryIsBounded checks that a full ledger evicts entries, but neither the entry
-// of a contained request nor one that is read often.
+// TestMemoryIsBounded checks that a full ledger evicts entries, but neither the entry of a
+// contained request nor an entry that is read often.
 func TestMemoryIsBounded(t *testing.T) {
 	ledger := &Ledger{}
 	for _, server := range []shedkeel.InstanceID{"a", "b", "c"} {
--- a/contain/simulation_test.go
+++ b/contain/simulation_test.go
@@ -15,34 +15,37 @@
 
 var allSizes = flag.Bool("sizes", false, "compare strategies at all sizes and rates")
 
-// strategy is how nodes share records of servers that failed, and act on them.
+// strategy says how nodes share records of failed servers, and what they do about a request
+// for which servers are recorded.
 type strategy struct {
-	keepsLedger      bool // a node keeps the record of a failure after the copy of the request has ended
-	coordinator      bool // one node per request is informed of records with a single failure
-	broadcast        bool // all nodes are informed from the second failure on
-	persisted        bool // the store keeps the record from the second failure on, and all nodes read it
-	withdrawsQueued  bool // copies queued at servers are withdrawn from the second failure on
-	oneAtATime       bool // one copy at a time is tried from the second failure on
-	fromFirstFailure bool // all of this applies from the first failure on
+	keepsLedger      bool // nodes record failed servers in their ledgers
+	coordinator      bool // after the first failure, a node sends the record to the coordinator of the request, here node 0
+	broadcast        bool // from the second failure on, a node sends the record to all nodes
+	persisted        bool // from the second failure on, a node writes the record to the store, from which all nodes read it
+	withdrawsQueued  bool // from the second failure on, a node withdraws the copies that it has sent
+	oneAtATime       bool // from the second failure on, only one copy at a time is sent
+	fromFirstFailure bool // what applies from the second failure on applies from the first
 }
 
 // current is the strategy that the product uses.
 var current = strategy{keepsLedger: true, coordinator: true, broadcast: true, persisted: true, withdrawsQueued: true, oneAtATime: true}
 
-// fault is what happens to the fleet while the request arrives that makes servers fail.
+// fault is what happens to the fleet of nodes during the simulation, beside the failures of
+// servers.
 type fault int
 
 const (
 	noFault          fault = iota
 	nodesKilled            // one after another
 	allNodesKilled         // at the same time
-	partitioned            // in halves that do not reach each other, for faultDuration; one half does not reach the store
+	partitioned            // two halves that do not reach each other, for faultDuration; partition 1 does not reach the store either
 	storeUnavailable       // for faultDuration
 	nodesFrozen            // a third of them, for faultDuration
-	faultCount             // number of faults
+	faultCount             // number of the values above
 )
 
-// simulation is one run in virtual time.
+// simulation simulates, in virtual time, a fleet that gets copies of one request. Each server
+// that runs a copy fails.
 type simulation struct {
 	strategy   strategy
 	fault      fault
@@ -52,54 +55,57 @@
 	nodes      []*simNode
 	heads      []*head
 	stored     shedkeel.Blame
-	trialUntil time.Duration // latest end of the current exclusive attempt
+	trialUntil time.Duration // no other exclusive copy is sent before this time
 
 	failedServers int           // servers that failed
 	thirdFailure  time.Duration // when the third server failed; 0: not yet
-	lateCopies    int           // copies sent to servers more than convergenceTime after thirdFailure, by connected nodes
+	lateCopies    int           // copies that connected nodes sent to servers more than convergenceTime after thirdFailure
 }
 
 const (
 	request = shedkeel.RequestDigest("deadly")
-	// requestDuration is how long the request arrives, simDuration the length of the simulation.
+	// Copies of the request arrive until requestDuration. The simulation ends at simDuration.
 	requestDuration = 10 * time.Second
 	simDuration     = 20 * time.Second
-	// convergenceTime is the time within which all nodes must know of the third failure.
+	// convergenceTime is the time within which all connected nodes must know of the third
+	// failure.
 	convergenceTime = 3 * time.Second
-	// recoveryTime is how long a group that has lost a server is not available.
+	// recoveryTime is how long a group is not available after its server has failed.
 	recoveryTime = 3 * time.Second
-	// messageDelay is the time of a message between nodes, storeDelay the time of a write until
-	// all nodes have read it.
+	// messageDelay is the delay of a message between nodes. storeDelay is the time from a
+	// write to the store until all nodes have read it.
 	messageDelay  = 4 * time.Millisecond
 	storeDelay    = 250 * time.Millisecond
 	faultStart    = 300 * time.Millisecond
 	faultDuration = 4 * time.Second
 )
 
-// simNode is a node. Even ones are in partition 0 and odd ones in partition 1.
+// simNode is a node. Nodes with an even index are in partition 0, the others in partition 1.
 type simNode struct {
 	ledger    *Ledger
 	partition int
 	frozen    bool
 }
 
-// head is the head of a replica group.
+// head is the server that heads a replica group, and to which requests for the group are
+// sent.
 type head struct {
 	incarnation int // incremented with each failure
 	unavailable bool
-	copies      []*requestCopy
+	copies      []*requestCopy // sent to the current incarnation
 }
 
-// requestCopy is one copy of the request, with its attempts.
+// requestCopy is one copy of the request, as a caller sent it to a node.
 type requestCopy struct {
-	node      int
-	attempts  int
-	mayRetry  bool // its caller may send it once more
-	exclusive bool // sent while the request is quarantined, so that nodes which know that send no other copy meanwhile
-	done      bool
+	node      int  // index of the node
+	attempts  int  // how often the node has sent it to a server
+	mayRetry  bool // its caller sends it once more if it fails
+	exclusive bool // sent while the request is quarantined: until it ends or trialUntil passes, nodes that know of the quarantine send no other copy
+	done      bool // failed or withdrawn
 }
 
-// simEvent is an action at a point in virtual time. Events of the same time run by order.
+// simEvent is an action at a point in virtual time. Events of the same time run in the
+// sequence of order, which is random.
 type simEvent struct {
 	at    time.Duration
 	order int
@@ -121,17 +127,18 @@
 	return last
 }
 
-// after schedules run after a pause in virtual time.
+// after schedules run for a time that is pause after now, in virtual time.
 func (simulation *simulation) after(pause time.Duration, run func()) {
 	heap.Push(&simulation.events, simEvent{at: simulation.now + pause, order: simulation.events.Len() + int(simulation.random.Uint32()>>1), run: run})
 }
 
-// between returns a random duration from low up to high.
+// between returns a random duration of at least low and less than high.
 func (simulation *simulation) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(simulation.random.Int64N(int64(high-low)))
 }
 
-// simulate runs a simulation in which the request arrives at that rate, as a Poisson process.
+// simulate runs a simulation in which copies of the request arrive as a Poisson process with
+// a rate of perSecond.
 func simulate(strategy strategy, nodes, heads int, perSecond float64, fault fault, seed uint64) *simulation {
 	simulation := &simulation{strategy: strategy, fault: fault, random: rand.New(rand.NewPCG(seed, uint64(nodes)))}
 	simulation.stored.Request = request
@@ -158,7 +165,8 @@
 	return simulation
 }
 
-// startFault starts the fault.
+// startFault starts the fault. The faults partitioned and storeUnavailable need no action
+// here, because the method during derives them from the time.
 func (simulation *simulation) startFault() {
 	switch simulation.fault {
 	case nodesKilled:
@@ -190,7 +198,7 @@
 	simulation.readStore(index)
 }
 
-// during reports whether the simulation has the fault and the fault lasts now.
+// during reports whether the fault is the simulated one and is in effect now.
 func (simulation *simulation) during(fault fault) bool {
 	return simulation.fault == fault && simulation.now >= faultStart && simulation.now < faultStart+faultDuration
 }
@@ -208,12 +216,12 @@
 	}
 }
 
-// arrive delivers a copy of the request to a random node. The node sends the copy on unless
-// the request is contained, or is quarantined while another copy is being tried.
+// arrive delivers a copy of the request to a random node. The node sends it to a server
+// unless the request is contained, or is quarantined while an exclusive copy is running.
 func (simulation *simulation) arrive(mayRetry bool) {
 	index := simulation.random.IntN(len(simulation.nodes))
 	if simulation.nodes[index].frozen {
-		return // its caller sends to another node or gives up
+		return // the caller's retry at another node is not simulated
 	}
 	sent := &requestCopy{node: index, mayRetry: mayRetry}
 	switch simulation.judge(index) {
@@ -247,8 +255,8 @@
 	return Judge(blame)
 }
 
-// send sends a copy to an available head. The server fails 40 to 100 ms after it starts to
-// run the copy.
+// send sends a copy to a random available head. The head queues the copy for 150 to 350 ms,
+// then runs it and fails 40 to 100 ms later.
 func (simulation *simulation) send(sent *requestCopy) {
 	var available []*head
 	for _, head := range simulation.heads {
@@ -266,8 +274,8 @@
 		simulation.lateCopies++
 	}
 	head.copies = append(head.copies, sent)
-	begins := simulation.between(150*time.Millisecond, 350*time.Millisecond)
-	simulation.after(begins, func() {
+	queueTime := simulation.between(150*time.Millisecond, 350*time.Millisecond)
+	simulation.after(queueTime, func() {
 		if sent.done || head.incarnation != incarnation || head.unavailable {
 			return
 		}
@@ -279,15 +287,15 @@
 	})
 }
 
-// connected reports whether the node has been able to receive the records of the others. A
-// node that is cut off from the store and the other half has not, until convergenceTime
-// after the partition.
+// connected reports whether the node is required to know the records of the others. If the
+// fault is partitioned, nodes of partition 1 are not, until convergenceTime after the end of
+// the fault.
 func (simulation *simulation) connected(index int) bool {
 	cutOff := simulation.fault == partitioned && simulation.nodes[index].partition == 1
 	return !cutOff || simulation.now > faultStart+faultDuration+convergenceTime
 }
 
-// failServer has a server fail: all copies that were sent to it are lost.
+// failServer lets a server fail: all copies that were sent to it are lost.
 func (simulation *simulation) failServer(failed *head) {
 	simulation.failedServers++
 	if simulation.failedServers == containThreshold {
@@ -305,7 +313,9 @@
 	}
 }
 
-// copyLost has a node notice that a server failed while it had a copy.
+// copyLost handles the loss of a copy at the node that sent it: the node records the failed
+// server and sends the copy again if the request is unblamed and this was the first attempt.
+// Otherwise the copy fails, and its caller may send it once more.
 func (simulation *simulation) copyLost(sent *requestCopy, server shedkeel.InstanceID) {
 	if sent.done {
 		return
@@ -327,8 +337,9 @@
 	}
 }
 
-// recordUpdated acts on a changed record of a node. A local change, which other nodes do not
-// know of, is passed on.
+// recordUpdated handles the result of an update of a node's record; without a change it does
+// nothing. If local is set, other nodes may not have the record, and the node shares it as
+// the strategy says.
 func (simulation *simulation) recordUpdated(index int, blame shedkeel.Blame, changed, local bool) {
 	if !changed {
 		return
@@ -353,7 +364,8 @@
 	}
 }
 
-// withdrawQueued withdraws the copies of a node that no server has started to run.
+// withdrawQueued withdraws all copies that a node has sent, except exclusive ones. A copy that
+// its server already runs still makes the server fail.
 func (simulation *simulation) withdrawQueued(index int) {
 	for _, head := range simulation.heads {
 		for _, sent := range head.copies {
@@ -376,7 +388,8 @@
 	})
 }
 
-// mergeRecord merges a received record into the ledger of a node.
+// mergeRecord merges a received record into the ledger of a node. The node shares the result
+// if it has more servers than the received record.
 func (simulation *simulation) mergeRecord(index int, received shedkeel.Blame) {
 	blame, changed := simulation.nodes[index].ledger.Merge(received)
 	simulation.recordUpdated(index, blame, changed, len(blame.Servers) > len(received.Servers))
@@ -400,10 +413,10 @@
 	})
 }
 
-// TestContainmentStrategies compares strategies on the same simulations, and checks the
-// bound of the one in use: once three servers have failed and all connected nodes could
-// know of it, at most three more copies of the request reach servers, whatever fault the
-// fleet has.
+// TestContainmentStrategies runs the same simulations with each strategy and logs the
+// outcomes. It checks the bound of the strategy in use: from convergenceTime after the third
+// failure on, connected nodes send at most three more copies of the request to servers,
+// whatever the fault.
 func TestContainmentStrategies(t *testing.T) {
 	strategies := map[string]strategy{
 		"1 bounded by attempts":          {},
@@ -431,8 +444,8 @@
 	}
 }
 
-// compare runs simulations and logs their outcomes. It returns the maximum of lateCopies over
-// all of them.
+// compare runs simulations, in equal numbers for each fault, and logs their outcomes. It
+// returns the maximum of lateCopies over all of them.
 func compare(t *testing.T, label string, simulate func(seed uint64) *simulation) int {
 	t.Helper()
 	const seeds = 20 * uint64(faultCount)
