--- a/ratelimit/cold.go
+++ b/ratelimit/cold.go
@@ -10,7 +10,7 @@
 	"shedkeel.org/shedkeel"
 )
 
-// ColdServers holds the backend servers that are cold: they have started lately and take
+// ColdServers holds the backend servers that are cold: they have started recently and accept
 // fewer requests until they are warm. The zero value is empty. It is safe for concurrent
 // use.
 type ColdServers struct {
@@ -18,8 +18,8 @@
 	servers map[shedkeel.InstanceID]shedkeel.ColdServer
 }
 
-// Add records that a server is cold, and reports whether the record of the server changed.
-// It never moves Until to an earlier time.
+// Add records that a server is cold, in place of an earlier record of the server, and
+// reports whether the record changed. It keeps the later of the two times in Until.
 func (servers *ColdServers) Add(server shedkeel.ColdServer) bool {
 	servers.mutex.Lock()
 	defer servers.mutex.Unlock()
@@ -37,8 +37,8 @@
 	return true
 }
 
-// Lookup returns the record of a server, and whether the server is cold now. A server that
-// became warm has a record until Expire removes it.
+// Lookup returns the record of a server, and whether the server is cold now. A server keeps
+// its record when it becomes warm, until Expire removes it.
 func (servers *ColdServers) Lookup(server shedkeel.InstanceID, now time.Duration) (shedkeel.ColdServer, bool) {
 	servers.mutex.RLock()
 	defer servers.mutex.RUnlock()
--- a/ratelimit/cold_test.go
+++ b/ratelimit/cold_test.go
@@ -10,8 +10,8 @@
 	"shedkeel.org/shedkeel/ratelimit"
 )
 
-// TestColdServersAreKnownUntilWarm records a server as cold one or more times, and checks
-// that it is cold until the latest time recorded, and that Add reports changes.
+// TestColdServersAreKnownUntilWarm records a server as cold once or twice, and checks that
+// the server is cold until the latest recorded time, and that Add reports changes.
 func TestColdServersAreKnownUntilWarm(t *testing.T) {
 	type call struct {
 		until   time.Duration
@@ -34,7 +34,7 @@
 				assert.Equal(t, cold.Add(shedkeel.ColdServer{Server: "s", Rate: 2, Until: call.until}), call.changed)
 			}
 			_, isCold := cold.Lookup("s", test.until)
-			assert.Assert(t, !isCold, "it is warm from then on")
+			assert.Assert(t, !isCold, "the server must be warm from its Until on")
 			known, isCold := cold.Lookup("s", test.until-1)
 			assert.Assert(t, isCold)
 			assert.Equal(t, known.Rate, 2.0)
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// handoverDelay is the time after a change of the set of live processes in which a
-	// process grants no permits of servers that it takes over: the previous granter may
-	// still be granting them.
+	// handoverDelay is how long after a change of the set of live processes a process
+	// grants no permits of a server that it takes over: the previous granter may still be
+	// granting them.
 	handoverDelay = time.Second
 	// probeRate is the lowest rate at which permits are granted, in requests a second,
 	// even if the server states a rate of zero: only the answers to requests show that
 	// the limit has been lifted.
 	probeRate = 0.1
-	// A bucket holds up to the permits of burstDuration, or minBurst if that is more.
+	// The capacity of a bucket is the number of permits that accumulate in burstDuration,
+	// but at least minBurst.
 	minBurst      = 2
 	burstDuration = 50 * time.Millisecond
 	// maxRetryWait bounds the Wait of a refusal, so that refused processes ask again at
@@ -26,9 +27,9 @@
 	maxRetryWait = 2 * time.Second
 )
 
-// Granter grants permits of servers that limit their rate. The callers make sure that
-// only one process at a time grants the permits of a server. The zero value is ready to
-// use. It is safe for concurrent use.
+// Granter grants permits of servers that limit their rate, with a token bucket for each
+// server. It must be used so that only one process at a time grants the permits of a
+// server. The zero value is ready to use. It is safe for concurrent use.
 type Granter struct {
 	mutex   sync.Mutex
 	buckets map[shedkeel.InstanceID]*bucket
@@ -53,7 +54,7 @@
 type PermitRequest struct {
 	Server       shedkeel.InstanceID
 	Rate         float64       // requests a second that this process may grant
-	MaxWait      time.Duration // a permit is granted in advance if it is valid within this time
+	MaxWait      time.Duration // how long the request can wait: a permit may be granted that becomes valid within this time
 	SettledSince time.Duration // since when the set of live processes has not changed
 }
 
@@ -77,8 +78,8 @@
 	return shedkeel.Permit{Granted: true, Wait: delay}
 }
 
-// bucket returns the server's bucket, with the rate set to request.Rate. It creates an
-// empty one for a new server. The caller holds the mutex.
+// bucket returns the server's bucket, with its rate set to request.Rate, but at least to
+// probeRate. It creates an empty bucket for a new server. The caller holds the mutex.
 func (granter *Granter) bucket(request PermitRequest, now time.Duration) *bucket {
 	perSecond := rate.Limit(max(request.Rate, probeRate))
 	known := granter.buckets[request.Server]
@@ -90,7 +91,7 @@
 		return known
 	}
 	known = &bucket{tokens: rate.NewLimiter(perSecond, burst(perSecond)), grantsFrom: max(now, request.SettledSince+handoverDelay)}
-	known.tokens.AllowN(instant(known.grantsFrom), burst(perSecond))
+	known.tokens.AllowN(instant(known.grantsFrom), burst(perSecond)) // a new rate.Limiter is full: empty it
 	if granter.buckets == nil {
 		granter.buckets = map[shedkeel.InstanceID]*bucket{}
 	}
@@ -103,9 +104,9 @@
 	return max(minBurst, int(float64(perSecond)*burstDuration.Seconds()))
 }
 
-// refuse counts and returns a refusal, with the time after which to ask again. Successive
-// refusals are spaced at the server's rate, so that refused processes do not all ask at
-// the same time.
+// refuse counts and returns a refusal. Its Wait is at least delay, but at most maxRetryWait.
+// The retry times of successive refusals are spaced at the server's rate, so that refused
+// processes do not all ask again at the same time.
 func (bucket *bucket) refuse(delay, now time.Duration) shedkeel.Permit {
 	bucket.usage.Refused++
 	bucket.nextRetry = max(bucket.nextRetry, now+delay)
@@ -125,8 +126,8 @@
 	return Usage{}
 }
 
-// Retain removes the servers whose permits this process no longer grants, that is, for
-// which granted returns false.
+// Retain removes the buckets of the servers for which granted returns false, because this
+// process no longer grants their permits.
 func (granter *Granter) Retain(granted func(shedkeel.InstanceID) bool) {
 	granter.mutex.Lock()
 	defer granter.mutex.Unlock()
--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -9,8 +9,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// requestPermits asks for a permit at every interval, for a length of time, and returns
-// when permits were granted.
+// requestPermits asks for a permit at each interval of every, in the time of the given length
+// that begins at from. It returns the times at which permits were granted.
 func requestPermits(granter *Granter, request PermitRequest, from, every, length time.Duration) (granted []time.Duration) {
 	for now := from; now < from+length; now += every {
 		if granter.Grant(request, now).Granted {
@@ -20,9 +20,9 @@
 	return granted
 }
 
-// TestGranterKeepsTheRate checks that at least 90% of a rate, less one permit, is granted
-// when permits are asked for each millisecond, and that no window of four seconds has
-// more permits than the rate and a full bucket allow, from the first permit on.
+// TestGranterKeepsTheRate asks for a permit each millisecond. It checks that at least 90% of
+// the rate is granted, less one permit, and that no window of four seconds has more permits
+// than the rate and a full bucket allow.
 func TestGranterKeepsTheRate(t *testing.T) {
 	const start, length, window = time.Minute, 20 * time.Second, 4 * time.Second
 	cases := map[string]float64{"a half": 0.5, "two": 2, "twenty": 20, "two hundred": 200}
@@ -42,13 +42,13 @@
 	}
 }
 
-// TestGranterHandover checks that a process grants no permits while the previous granter
-// may still grant them, and that there is no wait if the set of live processes has not
-// changed for long.
+// TestGranterHandover checks that a process grants no permits within handoverDelay after a
+// change of the set of live processes, in which the previous granter may still grant them,
+// and that it does not wait if the last change was long ago.
 func TestGranterHandover(t *testing.T) {
 	cases := map[string]struct {
 		settled time.Duration // since when the set of live processes has not changed
-		first   time.Duration // from when the bucket, which starts empty, fills
+		first   time.Duration // when the bucket, which is empty at first, begins to fill
 	}{
 		"long ago": {0, time.Minute},
 		"just now": {time.Minute, time.Minute + handoverDelay},
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestGranterWaits checks that requests that can wait get permits in advance, and that
-// refused ones get different times for a new attempt.
+// TestGranterWaits checks that requests that can wait get permits that become valid later,
+// and that refused requests get different times at which to ask again.
 func TestGranterWaits(t *testing.T) {
 	const now = time.Minute
 	request := PermitRequest{Server: "s", Rate: 2, MaxWait: time.Second}
--- a/ratelimit/limits.go
+++ b/ratelimit/limits.go
@@ -1,6 +1,6 @@
-// Package ratelimit shares the rate limits of backend servers among processes. It keeps
-// the limits that servers state, and grants permits, each for one request: for each
-// server, one process grants permits to all processes.
+// Package ratelimit divides the rate limits of backend servers among the processes that send
+// requests to them. Limits records the limits that servers state. Granter grants permits,
+// each for one request: for each server, one process grants the permits to all processes.
 package ratelimit
 
 import (
@@ -24,10 +24,10 @@
 // Idle reports whether no server is known to limit its rate.
 func (limits *Limits) Idle() bool { return limits.inUse.Load() == 0 }
 
-// Observe records the limit that an answer, received now, states or does not state. Sent
-// is when the request of the answer was sent: an answer without a limit proves only that
-// there was none at that time. It returns the limit that is known now, and whether it has
-// changed.
+// Observe records what an answer that was received now states about the server's limit. The
+// answer is to a request that was sent at the time sent: an answer without a limit only
+// proves that the server had no limit at that time. It returns the known limit, and whether
+// it changed.
 func (limits *Limits) Observe(server shedkeel.InstanceID, limit shedkeel.StatedLimit, sent, now time.Duration) (shedkeel.ServerLimit, bool) {
 	if !limit.Stated {
 		if limits.Idle() {
@@ -38,8 +38,9 @@
 	return limits.Merge(shedkeel.ServerLimit{Server: server, Rate: limit.Rate, AsOf: now, Since: now})
 }
 
-// Merge records a limit, possibly from another process, unless the known limit of the server
-// is as new or newer. It returns the limit that is known now, and whether it has changed.
+// Merge records a limit that may come from another process. It ignores the limit if the known
+// limit of the server is as new or newer, or if it is lifted and none is known. It returns the
+// limit that is known afterwards, and whether its Rate or Lifted changed.
 func (limits *Limits) Merge(limit shedkeel.ServerLimit) (shedkeel.ServerLimit, bool) {
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
--- a/ratelimit/limits_test.go
+++ b/ratelimit/limits_test.go
@@ -26,7 +26,7 @@
 		"stated":                       {[]answer{{2, 0, 1}}, true, 2, 1},
 		"stated again":                 {[]answer{{2, 0, 1}, {2, 1, 2}}, true, 2, 1},
 		"changed":                      {[]answer{{2, 0, 1}, {5, 1, 2}}, true, 5, 2},
-		"none at all":                  {[]answer{{0, 0, 1}}, true, 0, 1},
+		"accepts no requests":          {[]answer{{0, 0, 1}}, true, 0, 1},
 		"lifted":                       {[]answer{{2, 0, 1}, {-1, 2, 3}}, false, 0, 2},
 		"an older answer arrives late": {[]answer{{2, 0, 3}, {-1, 1, 4}}, true, 2, 1},
 		"stated after lift":            {[]answer{{2, 0, 1}, {-1, 2, 3}, {4, 4, 5}}, true, 4, 3},
@@ -50,13 +50,13 @@
 	}
 }
 
-// TestLimitsMerge checks that the newest statement wins, from whichever process it comes,
-// and that Retain removes servers that are not listed.
+// TestLimitsMerge checks that the newest limit replaces older ones, that a changed limit keeps
+// the earliest Since, and that Retain removes servers that are not listed.
 func TestLimitsMerge(t *testing.T) {
 	var limits Limits
 	limits.Merge(shedkeel.ServerLimit{Server: "s", Rate: 2, AsOf: 10, Since: 10})
 	_, changed := limits.Merge(shedkeel.ServerLimit{Server: "s", Rate: 9, AsOf: 5, Since: 5})
-	assert.Assert(t, !changed, "older than what is known")
+	assert.Assert(t, !changed, "a limit older than the known one was recorded")
 	known, changed := limits.Merge(shedkeel.ServerLimit{Server: "s", Rate: 3, AsOf: 12, Since: 4})
 	assert.Assert(t, changed)
 	assert.Equal(t, known.Since, time.Duration(4))
@@ -66,8 +66,8 @@
 	assert.Equal(t, len(limits.All()), 1)
 }
 
-// BenchmarkObserve measures an answer with and without a limit, while no server limits
-// its rate and while 1,000 do.
+// BenchmarkObserve measures Observe for answers with and without a limit, while no server
+// limits its rate and while 1,000 do.
 func BenchmarkObserve(b *testing.B) {
 	cases := map[string]struct {
 		limited int
--- a/ratelimit/sharing_test.go
+++ b/ratelimit/sharing_test.go
@@ -19,10 +19,10 @@
 
 var allSizes = flag.Bool("sizes", false, "compare the schemes for sharing a limit at all sizes and rates")
 
-// scheme is how nodes share the limit of a server.
+// scheme is a way for the nodes to share the limit of a server.
 type scheme interface {
-	// ask requests a permit for the node. It calls answer before it returns or later in
-	// virtual time.
+	// ask requests a permit for the node. It calls answer once, either before it returns
+	// or later in virtual time.
 	ask(fleet *simFleet, node *simNode, answer func(permit shedkeel.Permit))
 	// restart clears the state that the scheme keeps for the node.
 	restart(node *simNode)
@@ -40,7 +40,8 @@
 	answerDelay     = 100 * time.Millisecond // after which the server's answer states its limit
 	// gossipDelay is how long a limit takes to reach all other nodes.
 	gossipDelay = 60 * time.Millisecond
-	// Failure detection takes this long to find a node dead, or alive again.
+	// Failure detection finds a node dead after suspectMin to suspectMax, and alive again
+	// after recoverMin to recoverMax.
 	suspectMin, suspectMax = 400 * time.Millisecond, 1300 * time.Millisecond
 	recoverMin, recoverMax = 50 * time.Millisecond, 600 * time.Millisecond
 	// delistDelay is how long a node is down before its record is removed.
@@ -54,12 +55,12 @@
 	return now >= interval.from && now < interval.until
 }
 
-// scenario is the faults and the changes of the limit in one simulation.
+// scenario describes the faults and the changes of the limit in one simulation.
 type scenario struct {
 	kill      func(fleet *simFleet)                  // takes nodes down; they restart without state
 	freeze    func(fleet *simFleet)                  // suspends nodes; they keep their state
 	partition interval                               // the two halves of the fleet cannot reach each other
-	limit     func(at time.Duration) (float64, bool) // of the server, as a fraction of the rate; nil: always 1
+	limit     func(at time.Duration) (float64, bool) // the server's limit as a fraction of simFleet.rate, and whether it states one; nil: always 1
 }
 
 // killInTurn takes each node down for 1.5 s, one node every 2 s.
@@ -88,8 +89,8 @@
 	}
 }
 
-// changingLimit is a server that states a limit, then a fifth of it, then none, then the
-// full one again.
+// changingLimit is the limit of a server that states its full rate, then a fifth of it, then
+// no limit, then the full rate again.
 func changingLimit(at time.Duration) (float64, bool) {
 	switch {
 	case at < 6*time.Second, at > 16*time.Second:
@@ -110,7 +111,7 @@
 	"killed while it changes": {kill: killInTurn, limit: changingLimit},
 }
 
-// demand returns the fraction of all requests that arrive at a node.
+// demand returns the fraction of all requests that arrives at a node.
 type demand func(fleet *simFleet, node *simNode, now time.Duration) float64
 
 var demands = map[string]demand{
@@ -134,21 +135,21 @@
 type simFleet struct {
 	scheme   scheme
 	scenario scenario
-	rate     float64
+	rate     float64 // the server's full rate, in requests a second
 	random   *rand.Rand
 	now      time.Duration
 	events   eventQueue
 	nodes    []*simNode
-	ranked   []*simNode // in the server's rendezvous hashing order
+	ranked   []*simNode // in the order in which rendezvous hashing ranks them for the server
 	attempts []attempt
 	offered  int // requests that arrived at nodes
-	calls    int // between nodes
+	calls    int // calls between nodes
 }
 
 // attempt is one request that was sent to the server.
 type attempt struct {
 	at       time.Duration
-	informed bool // its node had known the limit for at least half a second
+	informed bool // the node had known the limit for at least half a second
 }
 
 // simNode is one node of the fleet.
@@ -156,22 +157,22 @@
 	index          int
 	hash           uint64
 	killed, frozen []interval
-	blockedUntil   time.Duration // by a refusal
-	knownSince     time.Duration // when it received the limit; below 0: it has not
+	blockedUntil   time.Duration // until when it asks for no permit, after a refusal
+	knownSince     time.Duration // when it received the limit; below 0: it knows of none
 
 	granter       Granter
 	bucket        *rate.Limiter
-	leasedPermits int           // permits left of its block, for leasedBlocks
-	leaseEnd      time.Duration // when the permits of the block expire
-	recent        float64       // number of requests that arrived at the node, halved each second
+	leasedPermits int           // for leasedBlocks: permits of its block that it has not used
+	leaseEnd      time.Duration // for leasedBlocks: when the permits of the block expire
+	recent        float64       // demand: number of requests that arrived at the node, halved each second
 }
 
-// randomBetween returns a random duration from least up to most.
+// randomBetween returns a random duration of at least least and less than most.
 func (fleet *simFleet) randomBetween(least, most time.Duration) time.Duration {
 	return least + time.Duration(fleet.random.Int64N(int64(most-least)))
 }
 
-// event is an action at a point of virtual time.
+// event is an action at a point in virtual time.
 type event struct {
 	at time.Duration
 	do func()
@@ -190,7 +191,7 @@
 	return last
 }
 
-// schedule runs do after a delay in virtual time.
+// schedule schedules do for a time that is after from now, in virtual time.
 func (fleet *simFleet) schedule(after time.Duration, do func()) {
 	heap.Push(&fleet.events, event{fleet.now + after, do})
 }
@@ -200,7 +201,7 @@
 	fleet := &simFleet{scheme: scheme, scenario: scenario, rate: rate, random: rand.New(rand.NewPCG(seed, 1))}
 	for index := range size {
 		hash := fnv.New64a()
-		_, _ = fmt.Fprint(hash, seed, "-", index) // it never fails
+		_, _ = fmt.Fprint(hash, seed, "-", index) // a hash never returns an error
 		fleet.nodes = append(fleet.nodes, &simNode{index: index, hash: hash.Sum64(), knownSince: -1})
 	}
 	fleet.ranked = slices.Clone(fleet.nodes)
@@ -222,7 +223,7 @@
 	}
 	// Demand is three times the server's limit, and at least 8 requests a second.
 	fleet.arrive(demand, max(3*rate, 8))
-	heap.Push(&fleet.events, event{time.Second, fleet.everySecond})
+	heap.Push(&fleet.events, event{time.Second, fleet.decayDemand})
 	return fleet
 }
 
@@ -240,12 +241,12 @@
 	})
 }
 
-// everySecond decays the recent demand of all nodes.
-func (fleet *simFleet) everySecond() {
+// decayDemand decays the recent demand of all nodes.
+func (fleet *simFleet) decayDemand() {
 	for _, node := range fleet.nodes {
 		node.recent /= 2
 	}
-	fleet.schedule(time.Second, fleet.everySecond)
+	fleet.schedule(time.Second, fleet.decayDemand)
 }
 
 // restart clears the state of a node.
@@ -266,18 +267,19 @@
 	return true
 }
 
-// limit returns the server's limit now, and whether it states one. Nodes receive it
-// later.
+// limit returns the limit that the server states now, and whether it states one. Nodes learn
+// of a new limit later.
 func (fleet *simFleet) limit() (float64, bool) {
 	if fleet.scenario.limit == nil {
 		return fleet.rate, true
 	}
-	part, limited := fleet.scenario.limit(fleet.now)
-	return fleet.rate * part, limited
+	fraction, limited := fleet.scenario.limit(fleet.now)
+	return fleet.rate * fraction, limited
 }
 
-// request handles a request that arrives at a node: it is sent if the node knows no
-// limit or gets a permit.
+// request handles a request that arrives at a node: the node sends it if it knows of no
+// limit or gets a permit. It drops a request without a permit. A node learns at once that
+// the server no longer has a limit.
 func (fleet *simFleet) request(node *simNode) {
 	if !node.running(fleet.now) {
 		return
@@ -302,7 +304,8 @@
 	}
 }
 
-// send sends a request to the server, whose answer states the limit.
+// send sends a request to the server. If the node does not know the limit, it learns it from
+// the answer.
 func (fleet *simFleet) send(node *simNode) {
 	informed := node.knownSince >= 0 && fleet.now-node.knownSince >= 500*time.Millisecond
 	fleet.attempts = append(fleet.attempts, attempt{fleet.now, informed})
@@ -311,7 +314,7 @@
 	}
 }
 
-// learn makes the limit known to a node, and after gossipDelay to all that it reaches.
+// learn makes the limit known to a node, and after gossipDelay to all nodes that it reaches.
 func (fleet *simFleet) learn(node *simNode) {
 	if node.knownSince >= 0 {
 		return
@@ -332,8 +335,8 @@
 	return b.running(fleet.now) && !partitioned
 }
 
-// call runs serve at another node and passes its result to answer. If the node cannot be
-// reached, answer gets a refusal after callTimeout.
+// call runs serve at the node to and passes its result to answer at the node from, after the
+// delay of the links. If to cannot be reached, answer gets a refusal after callTimeout.
 func (fleet *simFleet) call(from, to *simNode, serve func() shedkeel.Permit, answer func(shedkeel.Permit)) {
 	if from == to {
 		answer(serve())
@@ -350,7 +353,8 @@
 	})
 }
 
-// suspected returns when node a believes that node b is dead.
+// suspected returns the intervals in which node a believes that node b is dead: those in which
+// b is down or partitioned from a, with a delay of detection that depends on the two nodes.
 func (fleet *simFleet) suspected(a, b *simNode) []interval {
 	lag := func(least, most time.Duration) time.Duration {
 		return least + time.Duration((a.hash^b.hash*31)%uint64(most-least))
@@ -397,7 +401,8 @@
 	return last
 }
 
-// listed reports whether a node has a record in the key-value service.
+// listed reports whether a node has a record in the key-value service. The service removes
+// the record delistDelay after the node goes down, until the node is up again.
 func (fleet *simFleet) listed(node *simNode) bool {
 	for _, down := range append(slices.Clone(node.killed), node.frozen...) {
 		if (interval{down.from + delistDelay, down.until}).contains(fleet.now) {
@@ -454,7 +459,8 @@
 	calls       float64 // calls between nodes, per second
 }
 
-// evaluate counts the requests of nodes that knew the limit, in sliding windows.
+// evaluate compares the requests that were sent with the limit. It counts only requests of
+// nodes that had been informed of the limit, in sliding windows of simWindow.
 func (fleet *simFleet) evaluate() outcome {
 	var informed []time.Duration
 	for _, attempt := range fleet.attempts {
@@ -489,7 +495,8 @@
 }
 
 // allowed returns how many requests the server may get in the window that ends at end. It
-// uses the highest limit stated in the window or within propagationTime before it.
+// uses the highest limit stated in the window or within propagationTime before it. It changes
+// fleet.now, by which limit looks the limit up.
 func (fleet *simFleet) allowed(end time.Duration) float64 {
 	most := 0.0
 	for at := max(end-simWindow-propagationTime, 0); at <= end; at += 100 * time.Millisecond {
@@ -503,10 +510,11 @@
 	return 1.5*most*simWindow.Seconds() + simBurst
 }
 
-// singleGranter is the scheme that the product uses: one node grants the permits of all. It
+// singleGranter is the scheme that the product uses: one node grants permits to all nodes. It
 // reduces the rate to the fraction of the nodes that it believes alive, so that two
-// granters in a partitioned fleet together keep the limit.
-type singleGranter struct{ fullRate bool } // fullRate: without that reduction
+// granters in a partitioned fleet together keep the limit. With fullRate, it does not reduce
+// the rate.
+type singleGranter struct{ fullRate bool }
 
 func (singleGranter singleGranter) ask(fleet *simFleet, node *simNode, answer func(shedkeel.Permit)) {
 	granter := fleet.firstAlive(node, 1)[0]
@@ -519,6 +527,8 @@
 		return shedkeel.Permit{Granted: true}
 	}
 	if fleet.firstAlive(granter, 1)[0] != granter {
+		// Another node is the granter now. If this one takes over again, it starts with an
+		// empty bucket and waits for handoverDelay.
 		granter.granter.Retain(func(shedkeel.InstanceID) bool { return false })
 		return shedkeel.Permit{Wait: retryPause}
 	}
@@ -530,7 +540,7 @@
 
 func (singleGranter) restart(*simNode) {}
 
-// evenShares gives each listed node an equal share of the limit.
+// evenShares gives each listed node an equal share of the limit, which the node grants itself.
 type evenShares struct{}
 
 func (evenShares) ask(fleet *simFleet, node *simNode, answer func(shedkeel.Permit)) {
@@ -546,7 +556,7 @@
 
 func (evenShares) restart(*simNode) {}
 
-// take takes a permit from the node's own token bucket.
+// take takes a permit from the node's own token bucket, after it has set the bucket's rate.
 func (node *simNode) take(perSecond float64, now time.Duration) shedkeel.Permit {
 	if node.bucket == nil {
 		node.bucket = rate.NewLimiter(rate.Limit(perSecond), 1)
@@ -555,8 +565,8 @@
 	return shedkeel.Permit{Granted: node.bucket.AllowN(instant(now), 1)}
 }
 
-// demandShares gives each node a share of the limit in proportion to its recent demand.
-// Nodes know each other's demand.
+// demandShares gives each node a share of the limit in proportion to its recent demand. Each
+// node knows the present demand of all others.
 type demandShares struct{}
 
 func (demandShares) ask(fleet *simFleet, node *simNode, answer func(shedkeel.Permit)) {
@@ -572,7 +582,7 @@
 
 func (demandShares) restart(*simNode) {}
 
-// leasedBlocks has one node grant blocks of permits that expire after leaseDuration.
+// leasedBlocks lets one node grant blocks of permits, which expire after leaseDuration.
 type leasedBlocks struct{}
 
 const leaseDuration = 500 * time.Millisecond
@@ -619,13 +629,13 @@
 
 func (twoSenders) restart(*simNode) {}
 
-// minUtilization is the minimum fraction of a limit to be used without faults when demand
-// exceeds the limit: a limited server must still get requests at about its limit.
+// minUtilization is the fraction of a limit that must be used if there are no faults and the
+// demand exceeds the limit: a limited server must still get requests at about its limit.
 const minUtilization = 0.7
 
-// TestSharingSchemes simulates the same scenarios with each scheme and prints the outcomes.
-// The scheme that the product uses must keep the limit in all of them, and without faults use
-// minUtilization of it.
+// TestSharingSchemes simulates the same scenarios with each scheme and logs the outcomes. The
+// scheme that the product uses must keep the limit in all scenarios, and without faults must
+// use at least minUtilization of it.
 func TestSharingSchemes(t *testing.T) {
 	sizes, rates, seeds := []int{9, 66}, []float64{0.5, 2, 20}, uint64(2)
 	if *allSizes {
@@ -659,9 +669,9 @@
 	}
 }
 
-// summary sums outcomes up.
+// summary adds up the outcomes of several simulations.
 type summary struct {
-	count, violated    int
+	count, violated    int // number of outcomes, and of those over the limit
 	worst              float64
 	utilization, calls float64
 }
