--- a/serve/budget.go
+++ b/serve/budget.go
@@ -7,11 +7,11 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Budget is a retry budget. It bounds the retries that all processes together
-// send to a service in each window: Ratio times the requests for the service,
-// plus FixedRetries. Each process uses Ratio times its own requests and an equal share
-// of FixedRetries, so that the total bound holds even when processes cannot reach each
-// other. Its methods are safe for concurrent use.
+// Budget is a retry budget. It bounds the retries that all processes together send to a
+// service in each window: Ratio times the requests for the service, plus FixedRetries.
+// Each process uses Ratio times its own requests and an equal share of FixedRetries, so
+// that the total bound holds even when processes cannot reach each other. Its methods are
+// safe for concurrent use.
 type Budget struct {
 	Ratio        float64       // retries per request
 	Window       time.Duration // over which requests and retries are counted
@@ -24,17 +24,17 @@
 	// retries it sent before a restart.
 	StartedAt time.Duration
 	// RandomOffset is a random number from 0 to 1, drawn once per process. It is added to
-	// the bound, so that a fractional retry is allowed with a probability equal to
-	// the fraction. Without it, no process could retry where there are more
-	// processes than allowed retries.
+	// the bound, so that a process whose bound is a fraction of a retry allows one retry
+	// with a probability equal to the fraction. Without it, no process could retry where
+	// there are more processes than allowed retries.
 	RandomOffset float64
 
 	mutex    sync.Mutex
 	services map[shedkeel.ServiceID]*serviceUsage
 }
 
-// serviceUsage counts the requests and retries of one service in a ring of slots.
-// Each slot covers a tenth of the window.
+// serviceUsage counts the requests and retries of one service in a ring of slots. Each slot
+// covers a tenth of the window.
 type serviceUsage struct {
 	slot     int64 // number of the current slot since time 0
 	requests [budgetSlots]float64
@@ -44,7 +44,8 @@
 // budgetSlots is the number of slots in a window.
 const budgetSlots = 10
 
-// advance makes slot the current one and clears the slots that it skips.
+// advance makes slot the current one and clears all slots after the former current one, up
+// to and including slot.
 func (serviceUsage *serviceUsage) advance(slot int64) {
 	if slot-serviceUsage.slot >= budgetSlots {
 		*serviceUsage = serviceUsage.reset(slot)
@@ -84,8 +85,8 @@
 	return usage
 }
 
-// Set changes the bound. If the window changes, all counts restart at zero, so that only
-// FixedRetries allows retries until new requests are counted.
+// Set changes Ratio, Window and FixedRetries. If the window changes, all counts restart at
+// zero, so that only FixedRetries allows retries until new requests are counted.
 func (budget *Budget) Set(ratio float64, window time.Duration, fixedRetries float64) {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
@@ -106,8 +107,8 @@
 	usage.requests[usage.slot%budgetSlots]++
 }
 
-// AllowRetry reports whether a request may be retried now, and counts the retry if so.
-// Nodes is the number of processes that share FixedRetries.
+// AllowRetry reports whether a request may be retried now, and counts the retry if so. The
+// parameter nodes is the number of processes that share FixedRetries.
 func (budget *Budget) AllowRetry(service shedkeel.ServiceID, nodes int, now time.Duration) bool {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
@@ -122,8 +123,8 @@
 	return true
 }
 
-// Refund returns a retry to the budget that AllowRetry has just allowed and that was
-// not sent to any server.
+// Refund takes back a retry that AllowRetry has just counted, because it was not sent to any
+// server.
 func (budget *Budget) Refund(service shedkeel.ServiceID, now time.Duration) {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
--- a/serve/digest.go
+++ b/serve/digest.go
@@ -10,18 +10,18 @@
 	"shedkeel.org/shedkeel"
 )
 
-// digestBytes is the length of a request digest: the first 128 bits of the HMAC
+// digestBytes is the length of a request digest in bytes: the first 128 bits of the HMAC
 // make collisions negligible.
 const digestBytes = 16
 
 // digester computes the digests of requests with one key.
 type digester struct {
 	hash   hash.Hash
-	prefix []byte // buffer for what is hashed before the body
-	sum    []byte // buffer for the hash
+	prefix []byte // buffer for the parts that are hashed before the body
+	sum    []byte // buffer for the resulting hash
 }
 
-// digesterPool reuses digesters: creating one takes as long as hashing a request of
+// digesterPool reuses digesters, because creating one takes as long as hashing a request of
 // a kilobyte.
 type digesterPool struct{ pool sync.Pool }
 
@@ -35,9 +35,9 @@
 	return &digester{hash: hmac.New(sha256.New, key)}
 }
 
-// computeDigest returns the digest of the request's content: method, host, target,
-// client account and body. All attempts of a request have the same digest at all
-// processes with the same key.
+// computeDigest returns the digest of the request's content: method, host, target, client
+// account and body. All attempts of a request have the same digest at all processes with
+// the same DigestKey.
 func (exchange *exchange) computeDigest() shedkeel.RequestDigest {
 	digester := exchange.handler.digesters.get(exchange.handler.DigestKey)
 	defer exchange.handler.digesters.pool.Put(digester)
@@ -47,7 +47,7 @@
 	}
 	for _, part := range [...]string{exchange.request.Method, exchange.call.Host, exchange.call.Target, account} {
 		digester.prefix = append(digester.prefix, part...)
-		digester.prefix = append(digester.prefix, 0)
+		digester.prefix = append(digester.prefix, 0) // separates the parts
 	}
 	_, _ = digester.hash.Write(digester.prefix) // a hash never returns an error
 	_, _ = digester.hash.Write(exchange.body)
--- a/serve/ended.go
+++ b/serve/ended.go
@@ -13,67 +13,68 @@
 )
 
 const (
-	// endCheckTimeout bounds the check whether a server has ended: a box that is
-	// alive accepts or refuses a connection within a round trip.
+	// endCheckTimeout bounds the check whether a server has ended. A box that is alive
+	// accepts or refuses a connection within a round trip.
 	endCheckTimeout = 100 * time.Millisecond
-	// maxEndedServers bounds how many servers are remembered as ended.
+	// maxEndedServers bounds the number of checks in endedServers.
 	maxEndedServers = 1024
 )
 
-// endedServers caches which servers are known to have ended. When a server ends,
-// tens of requests to it fail; it is checked only once for all of them. The zero
-// value is empty. It is safe for concurrent use.
+// endedServers caches which servers are known to have ended. When a server ends, tens of
+// requests to it fail; it is checked only once for all of them. The zero value is empty. It
+// is safe for concurrent use.
 type endedServers struct {
-	mutex sync.Mutex
-	known map[shedkeel.InstanceID]*endCheck
+	mutex  sync.Mutex
+	checks map[shedkeel.InstanceID]*endCheck
 }
 
 // endCheck is the check of one server.
 type endCheck struct {
-	firstFailure time.Duration // when the first request to the server failed
+	firstFailure time.Duration // when the failure that led to the check was reported
 	once         sync.Once
 	ended        bool
 }
 
-// endedSince reports whether the server has ended, and when the first request to it
-// failed. It calls ask once for concurrent callers. Only a positive result is
-// remembered.
-func (endedServers *endedServers) endedSince(server shedkeel.InstanceID, now time.Duration, ask func() bool) (at time.Duration, ended bool) {
+// endedSince reports whether the server has ended, and when the first request to it failed.
+// It calls probe to find out, once for all concurrent callers. Only a positive result is
+// cached: after a negative one, the next call probes again.
+func (endedServers *endedServers) endedSince(server shedkeel.InstanceID, now time.Duration, probe func() bool) (at time.Duration, ended bool) {
 	check := endedServers.entry(server, now)
-	check.once.Do(func() { check.ended = ask() })
+	check.once.Do(func() { check.ended = probe() })
 	if !check.ended {
 		endedServers.forget(server, check)
 	}
 	return check.firstFailure, check.ended
 }
 
-// entry returns the check of the server and creates it if there is none. It drops
-// all checks first when maxEndedServers is reached.
+// entry returns the check of the server, and creates it if there is none. When there are
+// maxEndedServers checks, it drops all of them first.
 func (endedServers *endedServers) entry(server shedkeel.InstanceID, now time.Duration) *endCheck {
 	endedServers.mutex.Lock()
 	defer endedServers.mutex.Unlock()
-	if endedServers.known == nil || len(endedServers.known) >= maxEndedServers {
-		endedServers.known = map[shedkeel.InstanceID]*endCheck{}
+	if endedServers.checks == nil || len(endedServers.checks) >= maxEndedServers {
+		endedServers.checks = map[shedkeel.InstanceID]*endCheck{}
 	}
-	if endedServers.known[server] == nil {
-		endedServers.known[server] = &endCheck{firstFailure: now}
+	if endedServers.checks[server] == nil {
+		endedServers.checks[server] = &endCheck{firstFailure: now}
 	}
-	return endedServers.known[server]
+	return endedServers.checks[server]
 }
 
 // forget removes the check unless a newer one has replaced it.
 func (endedServers *endedServers) forget(server shedkeel.InstanceID, check *endCheck) {
 	endedServers.mutex.Lock()
 	defer endedServers.mutex.Unlock()
-	if endedServers.known[server] == check {
-		delete(endedServers.known, server)
+	if endedServers.checks[server] == check {
+		delete(endedServers.checks, server)
 	}
 }
 
-// reportServerEnd checks whether the chosen server ended while it served the request,
-// and reports this to the guard. It ignores a server that is no longer listed or that
-// stated that it drains, because such an end is planned. It does not blame requests
-// that were sent after the first failure on the server.
+// reportServerEnd checks, after an attempt has failed, whether the server ended while it ran
+// the request. If so, it reports this to the guard and makes later attempts use new
+// connections. It ignores a server that is no longer listed or that stated that it drains,
+// because such an end is planned. It does not report the end for a request that was sent
+// after the first failure at the server, because the server had already ended then.
 func (exchange *exchange) reportServerEnd(choice *dispatch.Choice, failure error) {
 	now := exchange.handler.Timers.Now()
 	if exchange.handler.ServerCheck == nil || !isDisconnect(failure) || !choice.Listed() {
@@ -101,8 +102,9 @@
 	return handler.ServerCheck.Stopped(ctx, address)
 }
 
-// isDisconnect reports whether an attempt failed without an answer or refusal from
-// the server itself, and not because this process canceled it.
+// isDisconnect reports whether an attempt may have failed because the connection to the server
+// broke: the server sent neither a complete answer nor a refusal, and this process did not
+// cancel the attempt.
 func isDisconnect(failure error) bool {
 	var notRun *shedkeel.NotRunError
 	var status *statusError
--- a/serve/guard.go
+++ b/serve/guard.go
@@ -8,17 +8,17 @@
 	"shedkeel.org/shedkeel"
 )
 
-// errServersEnded is the cause of a canceled request: servers have ended while they
-// served other attempts of it.
+// errServersEnded is the cancellation cause of a request if servers have ended while they
+// ran copies of it.
 var errServersEnded = errors.New("backend servers have ended under this very request")
 
-// guardActive reports whether the guard currently has a record of any request under
-// which servers ended. Computing digests is skipped while it has none.
+// guardActive reports whether the guard currently has records of servers that ended while
+// they ran requests. While it has none, the handler computes no digests to ask it.
 func (handler *Handler) guardActive() bool { return handler.Guard != nil && !handler.Guard.Idle() }
 
-// checkGuard asks the guard whether the request may be sent. If it may, the caller
-// must call done when the request is over; otherwise err is the refusal. It sets
-// exchange.quarantined for a request that may run on one server only.
+// checkGuard asks the guard whether the request may be sent. If it may, the caller must call
+// done when the request is over; otherwise err is the refusal. It sets
+// exchange.quarantined for a quarantined request, which may run on one server only.
 func (exchange *exchange) checkGuard(ctx context.Context) (done func(), err error) {
 	if !exchange.handler.guardActive() {
 		return func() {}, nil
@@ -37,8 +37,8 @@
 	return func() {}, nil
 }
 
-// guardAllows reports whether the guard still allows another attempt: servers may
-// have ended under the request since checkGuard.
+// guardAllows reports whether the guard still allows another attempt. Servers may have ended
+// while they ran the request since checkGuard was called.
 func (exchange *exchange) guardAllows() bool {
 	if !exchange.handler.guardActive() {
 		return true
@@ -47,7 +47,7 @@
 	return judgment == shedkeel.Unblamed || exchange.quarantined && judgment == shedkeel.Quarantined
 }
 
-// reportAnswer tells the guard that a server has answered the request completely.
+// reportAnswer reports to the guard that a server has answered the request completely.
 func (exchange *exchange) reportAnswer() {
 	if exchange.handler.guardActive() {
 		exchange.handler.Guard.RequestAnswered(exchange.digest())
@@ -71,10 +71,10 @@
 	delete(handler.exchanges, exchange)
 }
 
-// CancelCopies cancels all active copies of the request whose answers have not started:
-// copies that wait at servers would end those servers too once they run. A copy
-// whose answer has started goes on, since its complete answer clears the request,
-// and so does a quarantined one.
+// CancelCopies cancels the active copies of the request whose answers have not started:
+// copies that are queued at servers would crash those servers too once they run. A copy
+// whose answer has started goes on, because its complete answer clears the request. A
+// quarantined copy goes on too: it is the one attempt that the guard has allowed.
 func (handler *Handler) CancelCopies(request shedkeel.RequestDigest) {
 	for _, exchange := range handler.activeExchanges() {
 		if !exchange.quarantined && !exchange.answerStarted.Load() && exchange.digest() == request {
@@ -83,9 +83,9 @@
 	}
 }
 
-// CancelOverdue cancels the requests whose deadline has passed. It is needed because the
-// timers of their contexts stop while the box is suspended, and would afterwards
-// still hold the requests for the time that remained before.
+// CancelOverdue cancels the requests whose deadline has passed by the clock of Timers. Their
+// contexts do not suffice: the timers of contexts stop while the box is suspended, and would
+// end the requests too late by the duration of the suspension.
 func (handler *Handler) CancelOverdue(now time.Duration) {
 	for _, exchange := range handler.activeExchanges() {
 		if now > exchange.deadline {
--- a/serve/handler.go
+++ b/serve/handler.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	// bodyTimeout bounds how long a caller may take to send its body. The
+	// bodyTimeout bounds how long a caller may take to send its request body. The
 	// platform's callers need milliseconds.
 	bodyTimeout = 10 * time.Second
 	// defaultTimeout is the timeout of routes that state none.
@@ -30,8 +30,8 @@
 	// maxAnswerBytes bounds an answer that is buffered completely. It also bounds
 	// request bodies where the configuration states no limit.
 	maxAnswerBytes = 32 << 20
-	// unreadTimeout is how long after its own deadline a caller may take to read
-	// what was written. Then the connection is closed and its buffers are freed.
+	// unreadTimeout is how long after its deadline a caller may take to read its answer.
+	// Then the connection is closed, so that its buffers are freed.
 	unreadTimeout = time.Second
 	// answerMargin is how long before the caller's deadline a request ends, so that
 	// the caller receives the final status in time.
@@ -48,25 +48,26 @@
 	Timers   shedkeel.Timers
 	Log      *event.Log
 	Meter    *Meter // nil: nothing is recorded
-	// CurrentConfig returns the configuration to serve by.
+	// CurrentConfig returns the configuration that applies to new requests.
 	CurrentConfig func() ConfigState
 	// RetryBudgetNodes returns how many processes share the retry budget.
 	RetryBudgetNodes func() int
 	// ServingNodes returns how many processes accept requests and share the slots of the
-	// groups.
+	// replica groups.
 	ServingNodes func() int
-	// Recommend asks the process that distributes the requests of all processes over
-	// the groups of a model which group should serve this one. It returns false if
-	// there is no answer. nil: no process does this.
+	// Recommend asks which group of a model should serve a request. The process that it
+	// asks distributes the requests of all processes over the groups. It returns false
+	// if that process does not answer. nil: there is no such process.
 	Recommend func(context.Context, dispatch.Query, dispatch.Load) (dispatch.Recommendation, bool)
-	// MaxConfigAge is how long after it was last proven current a configuration counts
-	// as out of date: keys may have been removed, and keys and routes added since.
+	// MaxConfigAge is the age above which a configuration counts as out of date, counted
+	// from when it was last proven current. It may then contain keys that have been
+	// removed, and lack new keys and routes.
 	MaxConfigAge time.Duration
-	// RefuseStaleKeys makes the handler refuse requests with keys while the
+	// RefuseStaleKeys makes the handler refuse requests that need a key while the
 	// configuration is out of date. Otherwise it serves them by the newest
 	// configuration that it has.
 	RefuseStaleKeys bool
-	// Guard limits attempts of requests under which servers ended. nil: all
+	// Guard limits the attempts of requests that servers ran when they ended. nil: all
 	// requests may be sent.
 	Guard shedkeel.RequestGuard
 	// ServerCheck finds out whether a server has ended after a request to it failed.
@@ -75,21 +76,21 @@
 	// Limits grants the permits for servers that limit the rate of their requests.
 	// nil: no permits are needed.
 	Limits shedkeel.ServerLimits
-	// OnDraining is called with a server when an answer first states that it is
+	// OnDraining is called with a server when an answer first states that the server is
 	// draining. It may be nil.
 	OnDraining func(shedkeel.InstanceID)
 	// MaxBackoff bounds the backoff that a server may ask for. 0: no bound.
 	MaxBackoff time.Duration
-	// DigestKey is the HMAC key of request digests, so that nobody outside can craft
-	// two requests with the same digest. It must be the same at all processes.
+	// DigestKey is the HMAC key of request digests. It prevents callers from crafting two
+	// requests with the same digest. It must be the same at all processes.
 	DigestKey []byte
-	// StoreOutage reports whether the key-value service is not available to any process,
+	// StoreOutage reports whether the key-value service is unavailable to all processes,
 	// as far as this one can tell, and since when. nil: this is not known.
 	StoreOutage func() (since time.Duration, unavailable bool)
 
 	stopping     atomic.Bool // answers ask callers to close their connections
 	refusing     atomic.Bool // new requests are refused
-	served       atomic.Int64
+	received     atomic.Int64
 	endedServers endedServers
 	digesters    digesterPool
 
@@ -100,12 +101,12 @@
 // CloseConnections makes every answer from now on ask its caller to close the connection.
 func (handler *Handler) CloseConnections() { handler.stopping.Store(true) }
 
-// RefuseNew makes the handler refuse all further requests, so that their callers retry at
-// another process.
+// RefuseNew makes the handler refuse all new requests, so that their callers retry at another
+// process.
 func (handler *Handler) RefuseNew() { handler.refusing.Store(true) }
 
 // RequestCount returns how many requests have been received, including refused ones.
-func (handler *Handler) RequestCount() int64 { return handler.served.Load() }
+func (handler *Handler) RequestCount() int64 { return handler.received.Load() }
 
 // refusal is an error status that the handler itself answers with.
 type refusal struct {
@@ -129,21 +130,21 @@
 	account         *shedkeel.KeyedAccount
 	service         shedkeel.ServiceID
 	body            []byte
-	configAge       time.Duration // since the configuration was last proven current
+	configAge       time.Duration // time from when the configuration was last proven current to startedAt
 	startedAt       time.Duration
-	deadline        time.Duration // when the request ends: callerDeadline less answerMargin
-	callerDeadline  time.Duration // until when the caller waits, by the route's timeout and its own
-	tried           []shedkeel.InstanceID
-	runs            int         // attempts that have run or may have
-	mayHaveRun      bool        // whether any attempt may have run
-	attempts        int         // that may have reached a server
-	late            bool        // no slot is free for it to be on time
-	answerAttrs     []slog.Attr // of the answer, for the log
-	digest          func() shedkeel.RequestDigest
-	quarantined     bool                    // it may run on one server only
-	answerStarted   atomic.Bool             // writing the answer to the caller has started
-	freshConnection atomic.Bool             // a server ended while running it: later attempts use new connections, which a server that has ended refuses
-	abort           context.CancelCauseFunc // cancels all its attempts
+	deadline        time.Duration                 // when the request ends: callerDeadline less answerMargin
+	callerDeadline  time.Duration                 // until when the caller waits: by the route's timeout or the caller's own, whichever ends first
+	tried           []shedkeel.InstanceID         // servers chosen so far
+	runs            int                           // attempts that have run or may have run
+	mayHaveRun      bool                          // an attempt without a complete answer may have run
+	attempts        int                           // attempts that may have reached a server
+	late            bool                          // the model's slots are too full for the request to be on time
+	answerAttrs     []slog.Attr                   // log attributes of the answer
+	digest          func() shedkeel.RequestDigest // computes the request's digest at the first call
+	quarantined     bool                          // the request may run on one server only
+	answerStarted   atomic.Bool                   // writing the answer to the caller has started
+	freshConnection atomic.Bool                   // a server ended while running the request: later attempts use new connections, which a server that has ended refuses
+	abort           context.CancelCauseFunc       // cancels all attempts of the request
 	// retryIn is how long until a server that limits its rate or asked for a backoff
 	// accepts a request again, as of the latest choice.
 	retryIn time.Duration
@@ -152,7 +153,7 @@
 // ServeHTTP serves one request. It panics with http.ErrAbortHandler when an answer that
 // has started cannot be completed, so that the connection is aborted.
 func (handler *Handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	handler.served.Add(1)
+	handler.received.Add(1)
 	exchange := &exchange{handler: handler, writer: writer, request: request, startedAt: handler.Timers.Now()}
 	exchange.digest = sync.OnceValue(exchange.computeDigest)
 	exchange.setWriteDeadline(defaultTimeout)
@@ -204,8 +205,9 @@
 	return exchange.readBody()
 }
 
-// setWriteDeadline bounds how long the caller may leave its answer unread, given how long
-// it still waits for it.
+// setWriteDeadline sets the write deadline of the caller's connection, given how long the
+// caller still waits for its answer. It bounds how long the caller may leave the answer
+// unread.
 func (exchange *exchange) setWriteDeadline(remaining time.Duration) {
 	controller := http.NewResponseController(exchange.writer)
 	_ = controller.SetWriteDeadline(time.Now().Add(remaining + unreadTimeout)) // response recorders in tests do not support it
@@ -215,9 +217,9 @@
 // process has not received.
 func (exchange *exchange) outOfDate() bool { return exchange.configAge > exchange.handler.MaxConfigAge }
 
-// refuseUnknown refuses a request whose route or key is not in the configuration, with
-// the given status. If the configuration is out of date, it refuses with 503 instead,
-// because the route or key may have been added since.
+// refuseUnknown returns the refusal, with the given status, of a request whose route or key
+// is not in the configuration. If the configuration is out of date, the status is 503
+// instead, because the route or key may have been added since.
 func (exchange *exchange) refuseUnknown(status int, reason string) error {
 	if exchange.outOfDate() {
 		return exchange.refuse(causeStaleConfig, reason+" in a configuration last proved "+exchange.configAge.String()+" ago")
@@ -225,7 +227,8 @@
 	return &refusal{status: status, reason: reason}
 }
 
-// authenticate finds the client account of the request's key, if the route needs one.
+// authenticate sets exchange.account to the client account of the request's key, if the
+// route needs a key.
 func (exchange *exchange) authenticate(current ConfigState) error {
 	if !current.View.needsKey(exchange.route) {
 		return nil
@@ -243,7 +246,7 @@
 	return nil
 }
 
-// readBody reads the request's body within bodyTimeout and the configured size.
+// readBody reads the request's body, within bodyTimeout and up to the configured size.
 func (exchange *exchange) readBody() error {
 	limit := exchange.view.Config.Limits.BodyBytes
 	if limit <= 0 {
@@ -279,9 +282,10 @@
 	defer exchange.abort(nil)
 	exchange.handler.track(exchange)
 	defer exchange.handler.untrack(exchange)
-	// A request that ends servers is sent again under other IDs and at other nodes.
-	// When only the attempts of each request were bounded, each repetition ended
-	// two more servers. The guard recognizes them by their digest.
+	// Callers repeat a request that crashed servers, under other IDs and at other
+	// nodes. A bound on the attempts of each request alone does not stop them: each
+	// repetition crashed two more servers. The guard recognizes the repetitions by their
+	// digest.
 	done, err := exchange.checkGuard(ctx)
 	if err != nil {
 		return err
@@ -294,8 +298,8 @@
 	return exchange.servePlain(ctx)
 }
 
-// writeResult logs and counts the end of the request. If err is not nil, it writes the
-// handler's own error status, or panics to abort an answer that has started.
+// writeResult logs and counts the result of the request. If err is not nil, it answers with an
+// error status of the handler's own, or panics to abort an answer that has started.
 func (exchange *exchange) writeResult(err error) {
 	var refused *refusal
 	took := exchange.handler.Timers.Now() - exchange.startedAt
@@ -350,8 +354,9 @@
 	exchange.handler.Log.Write(kind, fields...)
 }
 
-// failure returns the error for a request that no backend server answered: errAborted
-// if the caller has disconnected, 502 or 504 if the request may have run, or else 503.
+// failure returns the error for a request that no backend server answered: errAborted if the
+// caller has disconnected; a refusal with 502 or 504 if the request may have run; otherwise
+// one with 503.
 func (exchange *exchange) failure(ctx context.Context, reason error) error {
 	switch {
 	case exchange.request.Context().Err() != nil:
@@ -378,11 +383,11 @@
 	return exchange.refuse(cause, "the request did not run: "+reason.Error())
 }
 
-// refuse returns a 503 refusal for a request that did not run and will not run later.
+// refuse returns a refusal with 503. The request must not have run, and must not run later.
 func (exchange *exchange) refuse(cause cause, reason string) *refusal {
 	return &refusal{status: http.StatusServiceUnavailable, reason: reason, retryAfter: exchange.retryAfter(cause), cause: cause}
 }
 
-// errAborted says that an answer that has started cannot be completed, or that the
-// caller has disconnected.
+// errAborted reports that an answer that has started cannot be completed, or that the caller
+// has disconnected.
 var errAborted = errors.New("the answer was broken off")
--- a/serve/meter.go
+++ b/serve/meter.go
@@ -8,24 +8,23 @@
 
 // Meter holds the metrics of request handling. The zero value records nothing.
 type Meter struct {
-	answered       tally.Counter
-	refused        [len(causeNames)]tally.Counter // by cause
-	failed         tally.Counter
-	aborted        tally.Counter
-	hedges         tally.Counter
-	failedAttempts tally.Counter
-	retriesDenied  tally.Counter
-	noServer       tally.Counter
-	noAdvice       tally.Counter
-	backoffs       tally.Counter
-	firstEvent     tally.Histogram
-	longestPause   tally.Histogram
-	answerTime     tally.Histogram
+	answered         tally.Counter
+	refused          [len(causeNames)]tally.Counter // by cause
+	failed           tally.Counter
+	aborted          tally.Counter
+	hedges           tally.Counter
+	failedAttempts   tally.Counter
+	retriesDenied    tally.Counter
+	noServer         tally.Counter
+	noRecommendation tally.Counter
+	backoffs         tally.Counter
+	firstEvent       tally.Histogram
+	longestPause     tally.Histogram
+	answerTime       tally.Histogram
 }
 
-// NewMeter returns a meter that reports to the scope. Its histogram buckets are
-// densest around the objectives of the users' sites, 150 to 500 ms, and end at
-// their deadlines.
+// NewMeter returns a meter that reports to the scope. Its histogram buckets are densest around
+// the latency objectives of the users' sites, 150 to 500 ms, and end at their deadlines.
 func NewMeter(scope tally.Scope) *Meter {
 	buckets := tally.DurationBuckets{}
 	for _, millis := range []int{20, 50, 100, 150, 200, 250, 300, 400, 500, 700, 1000, 1500, 2500, 4000, 8000} {
@@ -35,7 +34,7 @@
 		answered: scope.Counter("requests_answered"), failed: scope.Counter("requests_failed"),
 		aborted: scope.Counter("answers_broken_off"), hedges: scope.Counter("streams_moved"), failedAttempts: scope.Counter("sendings_failed"),
 		retriesDenied: scope.Counter("repeats_not_allowed"), noServer: scope.Counter("no_server_found"),
-		noAdvice: scope.Counter("requests_not_spread"), backoffs: scope.Counter("backoffs_stated"),
+		noRecommendation: scope.Counter("requests_not_spread"), backoffs: scope.Counter("backoffs_stated"),
 		firstEvent: scope.Histogram("first_event", buckets), longestPause: scope.Histogram("longest_pause", buckets), answerTime: scope.Histogram("answer_time", buckets),
 	}
 	for cause, name := range causeNames {
--- a/serve/permit.go
+++ b/serve/permit.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// maxPermitRequests is for how many servers a request tries to get a permit
+	// maxPermitRequests is the number of servers for which a request asks for a permit
 	// before it considers only servers without a rate limit.
 	maxPermitRequests = 3
-	// permitWaitFraction is the fraction of its objective that a request may wait
-	// for a permit. The rest is enough for a server that is not full to answer.
+	// permitWaitFraction is the longest wait for a permit, as a fraction of the route's
+	// latency objective. The rest is enough for a server with free slots to answer.
 	permitWaitFraction = 0.5
 )
 
-// chooseWithPermit returns the best server that needs no permit or grants one now. If
-// there is none and mayWait is set, it waits for the next permit, at most for
-// permitWaitFraction of the route's objective.
+// chooseWithPermit chooses the best server that needs no permit or for which a permit is
+// granted now. If there is none and mayWait is set, it waits for the next permit, at most
+// for permitWaitFraction of the route's objective.
 func (exchange *exchange) chooseWithPermit(ctx context.Context, query dispatch.Query, mayWait bool) (*dispatch.Choice, error) {
 	for requested := 0; ; requested++ {
 		query.UnlimitedOnly = requested >= maxPermitRequests
@@ -43,9 +43,9 @@
 	return exchange.awaitPermit(ctx, query)
 }
 
-// awaitPermit reserves a permit of the server that is likely to have the next one,
-// and waits until it is valid. It returns errLimited, and sets exchange.retryIn, if
-// that takes too long.
+// awaitPermit acquires a permit for the server that is likely to have the next one, and waits
+// until the permit is valid. If that takes too long, it returns errLimited and sets
+// exchange.retryIn.
 func (exchange *exchange) awaitPermit(ctx context.Context, query dispatch.Query) (*dispatch.Choice, error) {
 	server, found := exchange.handler.Table.NextPermit(query)
 	if !found || exchange.handler.Limits == nil {
--- a/serve/plain.go
+++ b/serve/plain.go
@@ -11,8 +11,8 @@
 	"shedkeel.org/shedkeel/event"
 )
 
-// maxServersTried bounds to how many servers one request is sent, including those
-// that refuse the connection.
+// maxServersTried is the maximum number of servers to which one request is sent, including
+// those that refuse the connection.
 const maxServersTried = 4
 
 // bufferedAnswer is a complete answer of a backend server.
@@ -21,9 +21,9 @@
 	body     []byte
 }
 
-// servePlain serves a request that has a single answer. It retries on other servers
-// where the route allows it, and passes on the last server failure if no attempt
-// succeeds.
+// servePlain serves a request that has a single answer. It retries on other servers where
+// the route allows it. If no attempt succeeds, it forwards the latest answer with a 5xx
+// status, or returns an error if there is none.
 func (exchange *exchange) servePlain(ctx context.Context) error {
 	var serverFailure bufferedAnswer // the latest answer with a 5xx status
 	var reason error
@@ -64,14 +64,14 @@
 	return exchange.failure(ctx, firstError(reason, errNoServer))
 }
 
-// mayRetry reports whether the request may run on another server although it may
-// have run already.
+// mayRetry reports whether the request may run on another server although it may have run
+// already.
 func (exchange *exchange) mayRetry() bool {
 	return exchange.route.Repeatable() && exchange.runs < exchange.route.MaxRuns && !exchange.quarantined
 }
 
-// tryServer sends the request to the chosen server, reads the answer completely and
-// ends the choice.
+// tryServer sends the request to the chosen server, reads the answer completely and ends the
+// choice. An answer with a 5xx status is not an error.
 func (exchange *exchange) tryServer(ctx context.Context, choice *dispatch.Choice) (bufferedAnswer, error) {
 	response, err := exchange.send(ctx, choice, "") //nolint:bodyclose // readWhole closes it
 	if err != nil {
--- a/serve/retryafter.go
+++ b/serve/retryafter.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// retrySoon is the shortest Retry-After. It is used when another process can
-	// serve the caller at once, or this one can within milliseconds.
+	// retrySoon is the shortest Retry-After. It applies when another process can serve
+	// the caller at once, or this process can within milliseconds.
 	retrySoon = 50 * time.Millisecond
 	// retryRepair is about the time in which a failed member of a replica group is
-	// replaced, or in which full servers get free slots.
+	// replaced, or in which slots of full servers become free.
 	retryRepair = 700 * time.Millisecond
-	// retryOutage is the shortest wait, before jitter and the caller's own limit, in an
-	// outage of the key-value service in which no process can serve the caller. An
-	// outage that has lasted longer is assumed to go on for as long again.
+	// retryOutage is the shortest wait, before the jitter and the bound by
+	// maxWaitFraction, in an outage of the key-value service in which no process can
+	// serve the caller. An outage that has lasted longer is assumed to last as long
+	// again.
 	retryOutage = 1200 * time.Millisecond
-	// maxWaitFraction is the largest fraction of the caller's remaining time that
-	// Retry-After asks it to wait: callers honor at most a third, and need the rest
-	// for the answer.
+	// maxWaitFraction is the longest Retry-After, as a fraction of the time that the
+	// caller still waits: callers honor at most a third of it, and need the rest for
+	// the answer.
 	maxWaitFraction = 0.3
 	// retryJitter is the largest fraction by which Retry-After varies, so that
 	// callers that were refused together do not retry at the same time.
@@ -29,14 +30,14 @@
 type cause int
 
 const (
-	causeStopping    cause = iota // this process is stopping; others serve
+	causeStopping    cause = iota // this process is stopping; other processes serve
 	causeStaleConfig              // this process has no configuration, or one that is out of date
 	causeNoCapacity               // no server is available, or none has a free slot
-	causeNotRun                   // all servers tried refused it or were unreachable
-	causeQuarantined              // servers ended under it, and only one attempt at a time is allowed
+	causeNotRun                   // all servers tried refused the request or were unreachable
+	causeQuarantined              // servers ended while they ran the request, and only one attempt at a time is allowed
 	causeLimited                  // the servers limit their rate, and no permit is available in time
 	causeBackoff                  // all servers have asked for a backoff
-	causeContained                // too many servers ended under it; it is not sent again
+	causeContained                // too many servers ended while they ran the request; it is not sent again
 )
 
 // causeNames are the names of the causes in logs and metrics.
@@ -45,8 +46,8 @@
 // String returns the name of the cause in logs and metrics.
 func (cause cause) String() string { return causeNames[cause] }
 
-// retryAfter returns how long the caller should wait before it retries after a
-// refusal. It returns 0 where a retry cannot succeed.
+// retryAfter returns how long the caller should wait before it retries after a refusal. It
+// returns 0 if a retry cannot succeed.
 func (exchange *exchange) retryAfter(cause cause) time.Duration {
 	wait := retryRepair
 	switch cause {
@@ -64,9 +65,9 @@
 	return max(wait, retrySoon)
 }
 
-// retryWhenFree returns how long until a server accepts a request again, by retryIn.
-// No caller can be served earlier, so the jitter is added. If retryIn exceeds what the
-// caller honors, the result is the longest wait that it honors, less the jitter.
+// retryWhenFree returns how long the caller should wait until a server accepts a request
+// again: retryIn plus the jitter, because no caller can be served before retryIn. If retryIn
+// exceeds the longest wait by maxWaitFraction, it returns that wait, less the jitter.
 func (exchange *exchange) retryWhenFree() time.Duration {
 	spread := retryJitter * exchange.jitter()
 	longest := time.Duration(maxWaitFraction * float64(exchange.remaining()))
@@ -78,9 +79,9 @@
 }
 
 // retryStaleConfig returns how long to wait when this process cannot prove that its
-// configuration is current. It is retrySoon where only this process is cut off or has
-// just started, and the expected rest of the outage where all processes have lost
-// the key-value service.
+// configuration is current. The wait is retrySoon if only this process cannot reach the
+// key-value service or has just started. If no process can reach the service, it is the
+// expected rest of the outage.
 func (handler *Handler) retryStaleConfig(now time.Duration) time.Duration {
 	if handler.StoreOutage == nil {
 		return retrySoon
@@ -105,7 +106,7 @@
 	return until - exchange.handler.Timers.Now()
 }
 
-// jitter returns a number from 0 to 1 that is derived from the request's ID.
+// jitter returns a number from 0 to below 1 that is derived from the request's ID.
 func (exchange *exchange) jitter() float64 {
 	const steps = 1 << 10
 	hash := fnv.New32a()
--- a/serve/send.go
+++ b/serve/send.go
@@ -40,7 +40,7 @@
 		count(exchange.handler.meter().retriesDenied)
 		return nil, errNoBudget
 	}
-	model := exchange.call.Model
+	model := exchange.call.Model // ignored if the service has no engine and so no models
 	if service := exchange.view.Service(exchange.service); service == nil || service.Engine == nil {
 		model = ""
 	}
@@ -69,21 +69,22 @@
 	// onTimeFraction is the fraction of the slots up to which requests count as on
 	// time. Beyond it they would wait for a slot and be late.
 	onTimeFraction = 0.9
-	// lateFraction is how many more requests may wait behind them, as a fraction of
-	// the slots. Callers give up after some two seconds without an event, and late
-	// requests only get the slots that the others leave free.
+	// lateFraction is how many late requests may wait in addition, as a fraction of the
+	// slots. Callers give up after some two seconds without an event, and late requests
+	// only get the slots that requests on time leave free.
 	lateFraction = 0.5
 	// latePriority is the priority of late requests at an engine; 0 is most urgent.
 	latePriority = 9
 )
 
-// admitToModel is the admission control of a model. It marks the request as late, or
-// returns errFull, when the model's slots are filled, and sets query.Preferred to the best
-// group. Under overload some requests are served on time and some wait behind them:
-// if all waited in one queue, all would be late.
+// admitToModel is the admission control of a model. When the model's slots are filled, it
+// marks the request as late, or returns errFull if too many late requests wait already. It
+// also sets query.Preferred to the recommended group. Under overload, some requests are
+// served on time and the late ones wait behind them: if all waited in one queue, all would
+// be late.
 func (exchange *exchange) admitToModel(query *dispatch.Query) error {
 	load := exchange.handler.Table.Load(query.Service, query.Model, query.Now)
-	running, capacity := exchange.modelCapacity(query, load) // also without usable groups, so that demand for the model is reported
+	running, capacity := exchange.modelCapacity(query, load) // even if no group is usable, because Recommend also reports the demand for the model
 	if load.Usable == 0 {
 		return exchange.noServerError(*query)
 	}
@@ -94,17 +95,17 @@
 	return nil
 }
 
-// modelCapacity returns the requests that run on a model and its slots, for all
-// processes together if Recommend answers; it then sets query.Preferred to the recommended
-// group. Otherwise it returns the requests of this process and its equal share of the
-// slots.
+// modelCapacity returns the number of requests that run on a model and of the model's slots.
+// If Recommend answers, these are the requests of all processes and all slots, and
+// query.Preferred is set to the recommended group. Otherwise they are the requests of this
+// process and its equal share of the slots.
 func (exchange *exchange) modelCapacity(query *dispatch.Query, load dispatch.Load) (dispatch.RunningRequests, float64) {
 	if exchange.handler.Recommend != nil {
 		if recommendation, known := exchange.handler.Recommend(exchange.request.Context(), *query, load); known {
 			query.Preferred = recommendation.Head
 			return recommendation.Running, float64(load.Slots)
 		}
-		count(exchange.handler.meter().noAdvice)
+		count(exchange.handler.meter().noRecommendation)
 	}
 	return load.RunningRequests, float64(load.Slots) / float64(max(exchange.handler.ServingNodes(), 1))
 }
@@ -126,9 +127,9 @@
 	}
 }
 
-// send sends the request to the chosen server once and checks the head of the answer.
-// The caller must close the response's body. The error is a NotRunError if the request
-// did not run there.
+// send sends the request to the chosen server once and checks the head of the answer. The
+// caller must close the response's body. The error is a NotRunError if the request did not
+// run at the server.
 func (exchange *exchange) send(ctx context.Context, choice *dispatch.Choice, lastEvent string) (*http.Response, error) {
 	remaining := exchange.callerDeadline - exchange.handler.Timers.Now()
 	if remaining <= 0 {
@@ -150,8 +151,8 @@
 }
 
 // newRequest builds the request to the chosen server. The server gets remaining as its
-// deadline and resumes a stream after lastEvent. Requests that may run only once use a
-// fresh connection, as do those under which a server ended.
+// deadline and resumes a stream after the event with the ID lastEvent. Requests that may run
+// only once use a fresh connection, as do requests that a server ran when it ended.
 func (exchange *exchange) newRequest(ctx context.Context, choice *dispatch.Choice, remaining time.Duration, lastEvent string) (*http.Request, error) {
 	if exchange.route.Kind == shedkeel.RequestOnce || exchange.freshConnection.Load() {
 		ctx = engine.WithFreshConnection(ctx)
@@ -176,8 +177,8 @@
 	return request, nil
 }
 
-// targetURL returns the URL at the server, with path and query exactly as the caller
-// sent them. Targets that are not a plain path use the parsed URL.
+// targetURL returns the URL at the server, with path and query exactly as the caller sent
+// them. For targets that are not a plain path, it uses the parsed URL.
 func (exchange *exchange) targetURL(address string) *url.URL {
 	if strings.HasPrefix(exchange.call.Target, "/") && !strings.HasPrefix(exchange.call.Target, "//") {
 		return &url.URL{Scheme: "http", Host: address, Opaque: exchange.call.Target}
@@ -188,8 +189,9 @@
 	return &target
 }
 
-// checkAnswer records what the answer states about the server, and returns an error if
-// the answer belongs to another request, is a refusal, or is not signed by the server.
+// checkAnswer records what the answer states about the server. It returns an error if the
+// answer does not belong to this request, is a refusal, has a Content-Encoding, or is a
+// success that the server has not signed.
 func (exchange *exchange) checkAnswer(response *http.Response, choice *dispatch.Choice) error {
 	answer := exchange.handler.Protocol.Answer(response)
 	exchange.observeLimit(answer, response.StatusCode, choice)
@@ -238,8 +240,8 @@
 	}
 }
 
-// applyBackoff keeps requests from the server for the backoff that it asked for, at most
-// for MaxBackoff.
+// applyBackoff keeps this process from sending requests to the server for the backoff that
+// it asked for, at most for MaxBackoff.
 func (exchange *exchange) applyBackoff(server shedkeel.InstanceID, length time.Duration) {
 	handler := exchange.handler
 	count(handler.meter().backoffs)
@@ -252,9 +254,9 @@
 	}
 }
 
-// noServerError returns why no server was found for a request. It is errBackoff, with
-// exchange.retryIn set, if all eligible servers have asked for a backoff, and otherwise
-// errNoServer.
+// noServerError returns the reason why no server was found for a request: errBackoff if all
+// eligible servers have asked for a backoff, otherwise errNoServer. With errBackoff, it sets
+// exchange.retryIn.
 func (exchange *exchange) noServerError(query dispatch.Query) error {
 	end, backsOff := exchange.handler.Table.BackoffEnd(query)
 	if !backsOff {
--- a/serve/source.go
+++ b/serve/source.go
@@ -16,21 +16,21 @@
 // readBufferBytes is the size of a stream's read buffer.
 const readBufferBytes = 4 << 10
 
-// source is one attempt of a stream: the request at one server and the events that
-// the server sends.
+// source is one attempt of a stream: the request to one server and the events that the
+// server sends.
 type source struct {
 	stream      *stream
 	choice      *dispatch.Choice
 	context     context.Context //nolint:containedctx // its scope is this attempt
 	cancel      context.CancelFunc
 	response    *http.Response
-	resumeAfter string // ID of the event after which it was asked to resume
-	hedged      bool   // another source was started because this one stalled
-	lastNumber  int64  // number of the last event that it delivered
+	resumeAfter string // ID of the event after which the server is to resume; "": it starts at the beginning
+	hedged      bool   // a second source was started because this one stalled
+	lastNumber  int64  // number of its last event that was forwarded; before that, of the event after which it resumes
 }
 
-// loop sends the request and delivers each event, and finally the error with which
-// the source ended, to the stream.
+// loop sends the request and delivers each event to the stream, and finally the error with
+// which the source ended.
 func (source *source) loop() {
 	err := source.read()
 	failed := !errors.Is(err, errStreamEnd) && source.context.Err() == nil
@@ -94,11 +94,11 @@
 	event  []byte
 	number int64  // of the event; 0: its ID is not a number
 	id     string // of the event; "": it has none
-	err    error  // not nil: the source has ended, regularly if errStreamEnd
+	err    error  // not nil: the source has ended; errStreamEnd: it has ended after the last event
 }
 
-// errStreamEnd says that a stream was received completely. It is distinct from io.EOF,
-// which a connection that is closed without an answer returns too.
+// errStreamEnd reports that a stream was received completely. It is distinct from io.EOF,
+// which is also the error of a connection that is closed without an answer.
 var errStreamEnd = errors.New("the stream has ended")
 
 // statusError is an answer of a backend server with a status other than 200, and
@@ -109,8 +109,8 @@
 
 func (err *statusError) Error() string { return "status " + strconv.Itoa(err.response.StatusCode) }
 
-// eventID returns the ID of a server-sent event, as a number and as text. The number is
-// 0 if the ID is not one, and both are zero if the event has no ID.
+// eventID returns the ID of a server-sent event, as a number and as text. The number is 0 if
+// the ID is not a number. If the event has no ID, the text is empty too.
 func eventID(message []byte) (int64, string) {
 	for line := range bytes.Lines(message) {
 		value, found := bytes.CutPrefix(line, []byte("id:"))
--- a/serve/stream.go
+++ b/serve/stream.go
@@ -12,20 +12,20 @@
 	"shedkeel.org/shedkeel/event"
 )
 
-// updateBuffer is how many events are buffered for a caller that reads slowly.
+// updateBuffer is the number of events that are buffered for a caller that reads slowly.
 const updateBuffer = 4
 
-// stream forwards a stream of events to its caller. When the server stalls or the
-// connection to it fails, the stream resumes at another server after its last complete
-// event. While two servers run it, the one that delivers the next event first is
-// used and the other canceled.
+// stream forwards a stream of events to its caller. When the server stalls or the connection
+// to it fails, the stream resumes at another server after the last complete event. While two
+// servers run the stream, the server that delivers the next event first is kept and the
+// attempt at the other is canceled.
 type stream struct {
 	*exchange
 	updates    chan update
-	sources    []*source
-	lastNumber int64 // number of the last event forwarded; 0: none
-	lastID     string
-	lastErr    error // why the last source failed
+	sources    []*source // the active ones, at most two
+	lastNumber int64     // number of the last event forwarded, or at first of that after which the caller resumes; 0: none
+	lastID     string    // ID of the same event; "": none
+	lastErr    error     // why the last source failed
 	timing     timing
 }
 
@@ -74,8 +74,9 @@
 	}
 }
 
-// stallSignal returns the channel that signals that the only source has stalled. It
-// returns nil if a second source is running or must not be started.
+// stallSignal returns the channel that signals that the only source has stalled. It returns
+// nil, from which a receive blocks forever, if a second source is running or must not be
+// started.
 func (stream *stream) stallSignal() <-chan struct{} {
 	if len(stream.sources) != 1 || stream.sources[0].hedged || !stream.mayFailOver() {
 		return nil
@@ -83,15 +84,15 @@
 	return stream.sources[0].choice.Stalled
 }
 
-// mayFailOver reports whether the stream may run on another server too. Every server
-// that it was sent to and that did not refuse it counts as having run it, because a
-// server whose attempt was canceled may already have started.
+// mayFailOver reports whether the stream may run on another server too. Every server to which
+// the stream was sent counts towards MaxRuns unless it refused the stream: a server whose
+// attempt was canceled may already have started to run it.
 func (stream *stream) mayFailOver() bool {
 	return stream.route.Repeatable() && stream.runs < stream.route.MaxRuns && !stream.quarantined && stream.guardAllows()
 }
 
-// hedge starts a second source beside one that stalled. If none can be started now,
-// the next stall signal triggers another try.
+// hedge starts a second source beside one that has stalled. If none can be started now, the
+// next stall signal triggers another try.
 func (stream *stream) hedge(ctx context.Context) {
 	stalled := stream.sources[0]
 	outcome := "begun at another server"
@@ -153,7 +154,8 @@
 	return http.NewResponseController(stream.writer).Flush()
 }
 
-// cancelOthers cancels all sources except the one that delivered an event.
+// cancelOthers cancels all sources except kept, which has delivered an event. If kept stalls
+// again, another source may be started.
 func (stream *stream) cancelOthers(kept *source) {
 	for _, source := range stream.sources {
 		if source != kept {
@@ -164,9 +166,9 @@
 	kept.hedged = false
 }
 
-// sourceEnded processes the end of a source. It returns true when the stream is
-// complete: the source ended regularly, and its last event is the last one forwarded.
-// The end of a source that was canceled before has no effect.
+// sourceEnded processes the end of a source. It returns true when the stream is complete: the
+// source ended with errStreamEnd, and its last event is the last one forwarded. The end of a
+// source that was canceled before has no effect.
 func (stream *stream) sourceEnded(ctx context.Context, update update) (bool, error) {
 	active := false
 	for index, source := range stream.sources {
@@ -197,8 +199,8 @@
 	return false, stream.failOver(ctx, update)
 }
 
-// failOver starts another source after one has failed, unless another is still running.
-// It ends the stream if no further attempt is allowed or possible.
+// failOver starts another source after one has failed, unless a second source is still
+// running. It ends the stream if no further attempt is allowed or possible.
 func (stream *stream) failOver(ctx context.Context, update update) error {
 	stream.lastErr = update.err
 	stream.uncountUnsent(update.err)
@@ -222,8 +224,9 @@
 	return nil
 }
 
-// finish ends a stream that cannot be completed. It aborts the connection if events
-// were forwarded; otherwise the caller gets the server's error status or a refusal.
+// finish ends a stream that cannot be completed. If events were forwarded, it returns
+// errAborted, so that the connection is aborted. Otherwise the caller gets the error status
+// of the server or a refusal.
 func (stream *stream) finish(ctx context.Context, reason error) error {
 	if stream.answerStarted.Load() {
 		return errors.Join(errAborted, reason)
@@ -233,7 +236,7 @@
 		stream.writeHead(status.response, 0)
 		return nil
 	}
-	if len(stream.sources) > 0 {
+	if len(stream.sources) > 0 { // their servers may run the stream
 		stream.mayHaveRun = true
 	}
 	return stream.failure(ctx, reason)
--- a/serve/view.go
+++ b/serve/view.go
@@ -19,8 +19,8 @@
 	services map[shedkeel.ServiceID]*shedkeel.RoutedService
 }
 
-// NewView indexes a configuration. The view keeps pointers into it, so the caller must
-// not change it afterwards.
+// NewView indexes a configuration. The view keeps pointers into the configuration, so the
+// caller must not change the configuration afterwards.
 func NewView(config *shedkeel.ServingConfig) *View {
 	view := &View{
 		Config: config, routes: map[string][]*shedkeel.Route{},
@@ -99,8 +99,8 @@
 	return route.Priority
 }
 
-// ConfigState is the configuration that a process takes for current, and when that was
-// last proven.
+// ConfigState is the configuration that a process serves by, and when that configuration was
+// last proven to be current.
 type ConfigState struct {
 	View     *View         // nil: no configuration has been received yet
 	ProvenAt time.Duration // when View was last proven to be current
