--- a/serve/backoff_test.go
+++ b/serve/backoff_test.go
@@ -11,34 +11,35 @@
 	"shedkeel.org/shedkeel/dispatch"
 )
 
-// TestBackoffAppliesToLaterRequests checks on every path that later requests are not sent
-// to a server that asked for a backoff, and the refusal when all servers did.
+// TestBackoffAppliesToLaterRequests checks, for each kind of route, that later requests are
+// not sent to a server that asked for a backoff, and that they are refused at once if all
+// servers did.
 func TestBackoffAppliesToLaterRequests(t *testing.T) {
-	rest := step{status: 503, notRun: true, backoff: time.Minute}
+	backsOff := step{status: 503, notRun: true, backoff: time.Minute}
 	cases := map[string]struct {
 		path   string
 		steps  []step
 		first  int // attempts of the first request
-		second int // and of the next one
-		status int // of the next one
+		second int // attempts of the second request
+		status int // status of the second request
 	}{
-		"one plain server":        {"/safe/x", []step{rest, {body: "ok"}}, 2, 1, 200},
-		"all plain servers":       {"/safe/x", []step{rest, rest, rest}, 3, 0, 503},
-		"all, run once":           {"/once/x", []step{rest, rest, rest}, 3, 0, 503},
-		"one group":               {"/s/x", []step{rest, {events: 5}}, 2, 1, 200},
-		"all groups":              {"/s/x", []step{rest, rest, rest}, 3, 0, 503},
-		"two, and one fails":      {"/s/x", []step{rest, rest, {status: 503, notRun: true}}, 3, 1, 200},
-		"the group of a failover": {"/s/x", []step{{events: 5, cutAfter: 2}, rest, {events: 5}}, 3, 1, 200},
+		"one plain server":        {"/safe/x", []step{backsOff, {body: "ok"}}, 2, 1, 200},
+		"all plain servers":       {"/safe/x", []step{backsOff, backsOff, backsOff}, 3, 0, 503},
+		"all, run once":           {"/once/x", []step{backsOff, backsOff, backsOff}, 3, 0, 503},
+		"one group":               {"/s/x", []step{backsOff, {events: 5}}, 2, 1, 200},
+		"all groups":              {"/s/x", []step{backsOff, backsOff, backsOff}, 3, 0, 503},
+		"two, and one fails":      {"/s/x", []step{backsOff, backsOff, {status: 503, notRun: true}}, 3, 1, 200},
+		"the group of a failover": {"/s/x", []step{{events: 5, cutAfter: 2}, backsOff, {events: 5}}, 3, 1, 200},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			harness := newHarness(t, append(test.steps, step{events: 5, body: "ok"})...)
 			harness.post(test.path, "", "Model", "m")
 			assert.Equal(t, len(harness.backend.requests), test.first)
-			resting := map[string]bool{}
+			backingOff := map[string]bool{}
 			for index, sent := range test.steps {
 				if sent.backoff > 0 {
-					resting[harness.backend.requests[index].Header.Get("To")] = true
+					backingOff[harness.backend.requests[index].Header.Get("To")] = true
 				}
 			}
 			began := time.Now()
@@ -46,7 +47,7 @@
 			assert.Equal(t, got.Code, test.status, got.Body.String())
 			assert.Equal(t, len(harness.backend.requests)-test.first, test.second)
 			for _, request := range harness.backend.requests[test.first:] {
-				assert.Assert(t, !resting[request.Header.Get("To")])
+				assert.Assert(t, !backingOff[request.Header.Get("To")])
 			}
 			if test.status == 503 {
 				assert.Assert(t, time.Since(began) < 50*time.Millisecond, "the request must be refused at once")
@@ -58,15 +59,16 @@
 	}
 }
 
-// TestServerStatements checks which answers' backoffs and draining states are applied.
+// TestServerStatements checks from which answers the handler applies a backoff or a draining
+// state.
 func TestServerStatements(t *testing.T) {
 	cases := map[string]struct {
 		step     step
-		most     time.Duration // MaxBackoff
+		most     time.Duration // Handler.MaxBackoff
 		backsOff bool
 		drains   bool
 	}{
-		"nothing":             {step{body: "ok"}, 0, false, false},
+		"no statement":        {step{body: "ok"}, 0, false, false},
 		"a backoff":           {step{status: 503, notRun: true, backoff: time.Minute}, 0, true, false},
 		"in a failure":        {step{status: 503, backoff: time.Minute}, 0, true, false},
 		"over the bound":      {step{status: 503, notRun: true, backoff: time.Minute}, time.Nanosecond, false, false},
@@ -88,13 +90,13 @@
 	}
 }
 
-// TestRetryAfterABackoff checks that callers that are refused together get different
-// Retry-After times, from the end of the backoff on, or the longest wait that they honor
-// if the backoff ends later.
+// TestRetryAfterABackoff checks that callers that are refused together get different times in
+// Retry-After. The times are after the end of the backoff. If the backoff ends later than
+// callers are willing to wait, they are near the longest wait that callers honor.
 func TestRetryAfterABackoff(t *testing.T) {
 	cases := map[string]struct {
-		length      time.Duration
-		least, most float64 // Retry-After, in seconds
+		length      time.Duration // of the backoff
+		least, most float64       // Retry-After, in seconds
 	}{
 		"ends soon": {100 * time.Millisecond, 0.08, 0.13},
 		"ends late": {time.Minute, 0.2, 0.3}, // at most 0.3 of the second that the caller waits
--- a/serve/budget_test.go
+++ b/serve/budget_test.go
@@ -10,45 +10,45 @@
 )
 
 // TestRetryBudgetAcrossRestarts simulates a fleet whose nodes restart while every request
-// fails and is retried. In each sliding window the sum of all retries must stay within
-// the bound.
+// fails and is retried if the budget allows it. In each sliding window, the retries of all
+// nodes together must stay within the bound.
 func TestRetryBudgetAcrossRestarts(t *testing.T) {
 	const (
-		window  = 10 * time.Second
-		length  = 60 * time.Second
-		ratio   = 0.2
-		slack   = 134.0
-		careful = 0.7
-		step    = 10 * time.Millisecond
+		window       = 10 * time.Second
+		length       = 60 * time.Second
+		ratio        = 0.2
+		fixedRetries = 134.0
+		safetyFactor = 0.7
+		step         = 10 * time.Millisecond
 	)
 	cases := map[string]struct {
-		nodes    int
-		requests float64 // per second, over all nodes
-		slack    float64
-		restarts func(node, second int) bool // whether the node restarts at the start of the second
-		least    float64                     // fraction of the bound that must be used in some window
+		nodes        int
+		requests     float64 // per second, over all nodes
+		fixedRetries float64
+		restarts     func(node, second int) bool // whether the node restarts at the start of the second
+		least        float64                     // fraction of the bound that must be used in some window
 	}{
-		"no restart":               {9, 40, slack, func(int, int) bool { return false }, 0.5},
-		"all twice":                {9, 40, slack, func(_, second int) bool { return second == 25 || second == 30 }, 0.1},
-		"all each two seconds":     {66, 40, slack, func(_, second int) bool { return second > 20 && second%2 == 0 }, 0.1},
-		"one by one":               {66, 40, slack, func(node, second int) bool { return second > 20 && node%10 == second%10 }, 0.1},
-		"all twice, large":         {300, 400, slack, func(_, second int) bool { return second == 25 || second == 30 }, 0.1},
-		"more nodes than retries":  {984, 58, 1040, func(int, int) bool { return false }, 0.5},
-		"twice as many":            {1968, 116, 1040, func(int, int) bool { return false }, 0.5},
-		"as many, half twice":      {984, 58, 1040, func(node, second int) bool { return node%2 == 0 && (second == 25 || second == 30) }, 0.5},
-		"more nodes, small number": {984, 58, slack, func(int, int) bool { return false }, 0.4},
+		"no restart":                   {9, 40, fixedRetries, func(int, int) bool { return false }, 0.5},
+		"all twice":                    {9, 40, fixedRetries, func(_, second int) bool { return second == 25 || second == 30 }, 0.1},
+		"all every two seconds":        {66, 40, fixedRetries, func(_, second int) bool { return second > 20 && second%2 == 0 }, 0.1},
+		"one by one":                   {66, 40, fixedRetries, func(node, second int) bool { return second > 20 && node%10 == second%10 }, 0.1},
+		"all twice, large":             {300, 400, fixedRetries, func(_, second int) bool { return second == 25 || second == 30 }, 0.1},
+		"more nodes than retries":      {984, 58, 1040, func(int, int) bool { return false }, 0.5},
+		"twice the nodes and requests": {1968, 116, 1040, func(int, int) bool { return false }, 0.5},
+		"more nodes than retries, half restart twice": {984, 58, 1040, func(node, second int) bool { return node%2 == 0 && (second == 25 || second == 30) }, 0.5},
+		"many more nodes than retries":                {984, 58, fixedRetries, func(int, int) bool { return false }, 0.4},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(1, 2))
 			newBudget := func(now time.Duration) *Budget {
-				return &Budget{Ratio: ratio, Window: window, FixedRetries: test.slack, SafetyFactor: careful, StartedAt: now, RandomOffset: random.Float64()}
+				return &Budget{Ratio: ratio, Window: window, FixedRetries: test.fixedRetries, SafetyFactor: safetyFactor, StartedAt: now, RandomOffset: random.Float64()}
 			}
 			nodes := make([]*Budget, test.nodes)
 			for index := range nodes {
 				nodes[index] = newBudget(0)
 			}
-			var requests, repeats []time.Duration
+			var requests, retries []time.Duration
 			for now := time.Duration(0); now < length; now += step {
 				for index := range nodes {
 					if now%time.Second == 0 && test.restarts(index, int(now/time.Second)) {
@@ -60,7 +60,7 @@
 					requests = append(requests, now)
 					node.CountRequest("s", now)
 					if node.AllowRetry("s", len(nodes), now) {
-						repeats = append(repeats, now)
+						retries = append(retries, now)
 					}
 				}
 				// Each node also uses up its budget once a second, as if further
@@ -68,15 +68,15 @@
 				if now%time.Second == 0 {
 					for _, node := range nodes {
 						for node.AllowRetry("s", len(nodes), now) {
-							repeats = append(repeats, now)
+							retries = append(retries, now)
 						}
 					}
 				}
 			}
 			worst := 0.0
 			for end := window; end < length; end += step {
-				bound := ratio*float64(countWithin(requests, end-window, end)) + test.slack
-				worst = max(worst, float64(countWithin(repeats, end-window, end))/bound)
+				bound := ratio*float64(countWithin(requests, end-window, end)) + test.fixedRetries
+				worst = max(worst, float64(countWithin(retries, end-window, end))/bound)
 			}
 			t.Logf("%.2f of the bound used", worst)
 			assert.Assert(t, worst <= 1, fmt.Sprintf("%.2f of the bound used", worst))
@@ -85,7 +85,7 @@
 	}
 }
 
-// countWithin counts the moments that lie after the first bound and up to the second.
+// countWithin counts the moments later than after, up to and including until.
 func countWithin(moments []time.Duration, after, until time.Duration) int {
 	count := 0
 	for _, moment := range moments {
--- a/serve/digest_test.go
+++ b/serve/digest_test.go
@@ -10,7 +10,7 @@
 	"shedkeel.org/shedkeel"
 )
 
-// newExchange returns an exchange with what is part of its digest.
+// newExchange returns an exchange with a value in each field that its digest depends on.
 func newExchange() *exchange {
 	return &exchange{
 		handler: &Handler{DigestKey: []byte("k")},
@@ -50,8 +50,8 @@
 	}
 }
 
-// BenchmarkDigest measures the digest of a request with a body of 2 KB. Digests are computed
-// only while the guard has records or after a server has ended.
+// BenchmarkDigest measures the digest of a request with a body of 2 KiB. The handler computes
+// digests only while the guard has records or after a server has ended.
 func BenchmarkDigest(b *testing.B) {
 	exchange := newExchange()
 	exchange.body = make([]byte, 2<<10)
--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -16,19 +16,19 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// fixedGuard is a fake shedkeel.RequestGuard that judges all requests alike and records
-// its calls.
+// fixedGuard is a fake shedkeel.RequestGuard that returns the same judgment for all requests
+// and counts its calls.
 type fixedGuard struct {
 	judgment shedkeel.Judgment
-	refuses  bool // AcquireAttempt allows nothing
-	idle     bool
-	worsens  bool // requests are quarantined once a server has ended
+	refuses  bool // AcquireAttempt allows no attempt
+	idle     bool // Idle returns true until a server has ended
+	worsens  bool // all requests are quarantined once a server has ended
 
-	mutex    sync.Mutex
-	ended    []shedkeel.InstanceID
-	answers  int
-	tries    int
-	finished int
+	mutex         sync.Mutex
+	ended         []shedkeel.InstanceID // servers reported by ServerEnded
+	answers       int                   // calls of RequestAnswered
+	attempts      int                   // attempts that AcquireAttempt allowed
+	endedAttempts int                   // calls of done
 }
 
 func (guard *fixedGuard) Idle() bool {
@@ -64,22 +64,23 @@
 	if guard.refuses {
 		return nil, false
 	}
-	guard.tries++
+	guard.attempts++
 	return func() {
 		guard.mutex.Lock()
 		defer guard.mutex.Unlock()
-		guard.finished++
+		guard.endedAttempts++
 	}, true
 }
 
-// fixedCheck is a fake shedkeel.ServerCheck that reports all servers as stopped, or none.
+// fixedCheck is a fake shedkeel.ServerCheck that reports all servers as stopped if it is true,
+// and none otherwise.
 type fixedCheck bool
 
 func (check fixedCheck) Stopped(context.Context, string) bool { return bool(check) }
 
-// TestGuardedRequests checks requests under which servers ended: the status must say
-// truly whether the request may have run, and a quarantined request runs on one server
-// only.
+// TestGuardedRequests checks requests that servers ran when they ended: the status must say
+// correctly whether the request may have run, and a quarantined request must run on one
+// server only.
 func TestGuardedRequests(t *testing.T) {
 	cut := step{events: 3, cutAfter: 1}
 	cases := map[string]struct {
@@ -88,14 +89,14 @@
 		serversEnded bool // servers whose connections fail have ended
 		steps        []step
 		status       int
-		broken       bool
-		sent         int
-		ended        int
-		retryAfter   bool // Retry-After is set
+		broken       bool // the connection to the caller is aborted
+		sent         int  // attempts that reach the backend
+		ended        int  // servers reported to the guard as ended
+		retryAfter   bool // the answer has a Retry-After
 	}{
 		"contained":                          {"/s/x", &fixedGuard{judgment: shedkeel.Contained}, true, nil, 503, false, 0, 0, false},
 		"contained, plain":                   {"/once/x", &fixedGuard{judgment: shedkeel.Contained}, true, nil, 503, false, 0, 0, false},
-		"quarantined, tried elsewhere":       {"/s/x", &fixedGuard{judgment: shedkeel.Quarantined, refuses: true}, true, nil, 503, false, 0, 0, true},
+		"quarantined, attempt not allowed":   {"/s/x", &fixedGuard{judgment: shedkeel.Quarantined, refuses: true}, true, nil, 503, false, 0, 0, true},
 		"quarantined, answered":              {"/s/x", &fixedGuard{judgment: shedkeel.Quarantined}, true, []step{{events: 3}}, 200, false, 1, 0, false},
 		"quarantined, cut off":               {"/s/x", &fixedGuard{judgment: shedkeel.Quarantined}, true, []step{cut, {events: 3}}, 200, true, 1, 1, false},
 		"quarantined, plain, lost":           {"/safe/x", &fixedGuard{judgment: shedkeel.Quarantined}, true, []step{{err: errAnswerLost}, {}}, 502, false, 1, 1, false},
@@ -118,7 +119,7 @@
 			assert.Equal(t, len(harness.backend.requests), test.sent)
 			assert.Equal(t, len(test.guard.ended), test.ended)
 			assert.Equal(t, got.Header().Get("Retry-After") != "", test.retryAfter)
-			assert.Equal(t, test.guard.finished, test.guard.tries, "done must be called for each allowed try")
+			assert.Equal(t, test.guard.endedAttempts, test.guard.attempts, "done must be called for each allowed attempt")
 		})
 	}
 }
@@ -131,9 +132,10 @@
 	return ""
 }
 
-// TestFreshConnectionAfterServerEnd checks that a request under which a server ended is
-// sent to the next server over a new connection. Servers often end together; over a
-// pooled connection, one that ended before would count as ended under this request.
+// TestFreshConnectionAfterServerEnd checks that a request that a server ran when it ended is
+// sent to the next server over a new connection. Servers often end together: if the next
+// server has ended too, an attempt over a pooled connection fails without an answer, and the
+// end of that server would be blamed on the request, which it never received.
 func TestFreshConnectionAfterServerEnd(t *testing.T) {
 	for name, serverEnded := range map[string]bool{"server ended": true, "connection failed": false} {
 		for _, path := range []string{"/s/x", "/safe/x"} {
@@ -149,8 +151,8 @@
 	}
 }
 
-// TestServerEndBlamesEarlierAttemptsOnly checks that the end of a server is reported only
-// for requests that were sent to it before the first request failed there.
+// TestServerEndBlamesEarlierAttemptsOnly checks that the end of a server is reported to the
+// guard only for attempts that began before the first attempt failed there.
 func TestServerEndBlamesEarlierAttemptsOnly(t *testing.T) {
 	harness := newHarness(t)
 	timers := &timer.Manual{}
@@ -169,10 +171,10 @@
 	asked.reportServerEnd(late, errAnswerLost)
 	assert.Equal(t, len(guard.ended), 1)
 	asked.reportServerEnd(another, errAnswerLost)
-	assert.Equal(t, len(guard.ended), 2, "it was sent before the first failure")
+	assert.Equal(t, len(guard.ended), 2, "the attempt began before the first failure")
 	harness.Table.Replace(nil)
 	asked.reportServerEnd(before, errAnswerLost)
-	assert.Equal(t, len(guard.ended), 2, "the server is no longer listed")
+	assert.Equal(t, len(guard.ended), 2, "the end of a server that is no longer listed was reported")
 }
 
 // TestAnswerReportedToGuard checks that answers are reported to the guard while it has
@@ -190,8 +192,8 @@
 	}
 }
 
-// TestCallBackCancelsWaitingCopies checks that CancelCopies cancels a copy of the request
-// that waits at a server, and that one whose answer has started goes on.
+// TestCallBackCancelsWaitingCopies checks that CancelCopies cancels a copy of the request that
+// waits at a server, and that a copy whose answer has started goes on.
 func TestCallBackCancelsWaitingCopies(t *testing.T) {
 	cases := map[string]struct {
 		path   string
@@ -227,9 +229,9 @@
 	}
 }
 
-// TestExpireAfterBoxSuspension advances the clock while no timer of the process runs, as
-// when its box was suspended. Requests whose deadline has passed must end at once, and
-// others go on.
+// TestExpireAfterBoxSuspension advances the handler's clock but not the timers of contexts, as
+// after a suspension of the box. Requests whose deadline has passed must end at once, and
+// other requests go on.
 func TestExpireAfterBoxSuspension(t *testing.T) {
 	cases := map[string]struct {
 		path      string
--- a/serve/permit_test.go
+++ b/serve/permit_test.go
@@ -15,9 +15,9 @@
 // scriptedLimits is a fake shedkeel.ServerLimits that records its calls.
 type scriptedLimits struct {
 	mutex    sync.Mutex
-	waits    map[shedkeel.InstanceID]time.Duration // for a permit of the server; none: granted at once
-	asked    int
-	observed []shedkeel.StatedLimit
+	waits    map[shedkeel.InstanceID]time.Duration // until a permit of the server is valid; not listed: granted at once
+	asked    int                                   // calls of Acquire
+	observed []shedkeel.StatedLimit                // limits passed to Observe
 }
 
 func (scriptedLimits *scriptedLimits) Observe(_ shedkeel.InstanceID, limit shedkeel.StatedLimit, _ time.Duration) {
@@ -26,24 +26,24 @@
 	scriptedLimits.observed = append(scriptedLimits.observed, limit)
 }
 
-func (scriptedLimits *scriptedLimits) Acquire(_ context.Context, server shedkeel.InstanceID, patience time.Duration) shedkeel.Permit {
+func (scriptedLimits *scriptedLimits) Acquire(_ context.Context, server shedkeel.InstanceID, maxWait time.Duration) shedkeel.Permit {
 	scriptedLimits.mutex.Lock()
 	defer scriptedLimits.mutex.Unlock()
 	scriptedLimits.asked++
 	wait := scriptedLimits.waits[server]
-	return shedkeel.Permit{Granted: wait <= patience, Wait: wait}
+	return shedkeel.Permit{Granted: wait <= maxWait, Wait: wait}
 }
 
-// TestPermits checks a request while servers limit their rate: it is sent to a server
-// without a limit or with a free permit, waits for a permit that comes in time, or is
-// refused at once with a Retry-After.
+// TestPermits checks a request while servers limit their rate. The request is sent at once to
+// a server that has no limit or a free permit, waits for a permit that becomes valid in
+// time, or is refused at once with a Retry-After.
 func TestPermits(t *testing.T) {
 	const soon, late = 20 * time.Millisecond, 300 * time.Millisecond
 	cases := map[string]struct {
 		waits  map[shedkeel.InstanceID]time.Duration // of servers that limit their rate
 		status int
-		sent   int
-		took   time.Duration // at least
+		sent   int           // attempts that reach the backend
+		took   time.Duration // shortest time until the answer
 		wait   time.Duration // shortest Retry-After; 0: not stated
 	}{
 		"a permit is free":         {map[shedkeel.InstanceID]time.Duration{"p0": 0, "p1": 0, "p2": 0}, 200, 1, 0, 0},
@@ -80,7 +80,7 @@
 	cases := map[string]struct {
 		path  string
 		steps []step
-		asked int
+		asked int // permits that are requested
 	}{
 		"answered":        {"/safe/x", []step{{body: "ok"}}, 1},
 		"safe, retried":   {"/safe/x", []step{{status: 500}, {body: "ok"}}, 2},
@@ -116,7 +116,7 @@
 		"in a refusal":     {step{status: 429, notRun: true, limit: 2}, []shedkeel.StatedLimit{{Stated: true, Rate: 2}}},
 		"in a failure":     {step{status: 500, limit: 2}, []shedkeel.StatedLimit{{Stated: true, Rate: 2}}},
 		"failure without":  {step{status: 500}, nil},
-		"unsigned":         {step{unsealed: true}, nil},
+		"unsigned":         {step{unsigned: true}, nil},
 		"another's answer": {step{wrongID: true, limit: 2}, nil},
 	}
 	for name, test := range cases {
--- a/serve/reader_test.go
+++ b/serve/reader_test.go
@@ -14,9 +14,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSlowReadersAreDisconnected has callers open connections and read nothing. Without a
-// write deadline, the state of each request is kept until the operating system closes
-// the connection.
+// TestSlowReadersAreDisconnected lets callers send requests and read nothing of the answers.
+// Without a write deadline, the state of each request would be kept until the operating
+// system closes the connection.
 func TestSlowReadersAreDisconnected(t *testing.T) {
 	const callers, deadline = 20, 300 * time.Millisecond
 	cases := map[string]struct {
@@ -36,11 +36,11 @@
 			began := time.Now()
 			var open, ended, latest, longest atomic.Int64
 			server := httptest.NewUnstartedServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-				came := time.Now()
-				latest.Store(max(latest.Load(), int64(came.Sub(began))))
+				arrived := time.Now()
+				latest.Store(max(latest.Load(), int64(arrived.Sub(began))))
 				open.Add(1)
 				defer func() {
-					longest.Store(max(longest.Load(), int64(time.Since(came))))
+					longest.Store(max(longest.Load(), int64(time.Since(arrived))))
 					open.Add(-1)
 					ended.Add(1)
 				}()
--- a/serve/retryafter_test.go
+++ b/serve/retryafter_test.go
@@ -13,7 +13,7 @@
 
 // TestRetryAfter checks the range and the jitter of Retry-After for each cause.
 func TestRetryAfter(t *testing.T) {
-	const since = 30 * time.Second // length of a long outage
+	const longOutage = 30 * time.Second
 	cases := map[string]struct {
 		cause    cause
 		deadline time.Duration
@@ -21,17 +21,17 @@
 		least    time.Duration
 		most     time.Duration
 	}{
-		"it is stopping":                           {causeStopping, 8 * time.Second, 0, retrySoon, retrySoon},
-		"it is stopping, in an outage":             {causeStopping, 8 * time.Second, time.Second, retrySoon, retrySoon},
-		"only it has a stale configuration":        {causeStaleConfig, 8 * time.Second, 0, retrySoon, retrySoon},
+		"process is stopping":                      {causeStopping, 8 * time.Second, 0, retrySoon, retrySoon},
+		"process is stopping, in an outage":        {causeStopping, 8 * time.Second, time.Second, retrySoon, retrySoon},
+		"stale configuration without an outage":    {causeStaleConfig, 8 * time.Second, 0, retrySoon, retrySoon},
 		"an outage has started":                    {causeStaleConfig, 8 * time.Second, 10 * time.Millisecond, retryOutage * 3 / 4, retryOutage},
 		"an outage lasts":                          {causeStaleConfig, 8 * time.Second, 2 * time.Second, 1500 * time.Millisecond, 2 * time.Second},
-		"an outage lasts long":                     {causeStaleConfig, 8 * time.Second, since, 1800 * time.Millisecond, 2400 * time.Millisecond},
+		"an outage lasts long":                     {causeStaleConfig, 8 * time.Second, longOutage, 1800 * time.Millisecond, 2400 * time.Millisecond},
 		"an outage, and an impatient caller":       {causeStaleConfig, time.Second, time.Second, 225 * time.Millisecond, 300 * time.Millisecond},
-		"an outage, and a caller without deadline": {causeStaleConfig, 0, since, 6750 * time.Millisecond, 9 * time.Second},
+		"an outage, and a caller without deadline": {causeStaleConfig, 0, longOutage, 6750 * time.Millisecond, 9 * time.Second},
 		"all slots are taken":                      {causeNoCapacity, 8 * time.Second, 0, retryRepair * 3 / 4, retryRepair},
-		"servers refused it":                       {causeNotRun, 8 * time.Second, since, retryRepair * 3 / 4, retryRepair},
-		"its deadline is very near":                {causeNoCapacity, 20 * time.Millisecond, 0, retrySoon, retrySoon},
+		"servers refused the request":              {causeNotRun, 8 * time.Second, longOutage, retryRepair * 3 / 4, retryRepair},
+		"the deadline is very near":                {causeNoCapacity, 20 * time.Millisecond, 0, retrySoon, retrySoon},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestRetryAfterInStoreOutage covers a process that starts in an outage of the key-value
-// service. A Retry-After of 50 ms would make every caller retry only to be refused
-// again.
+// TestRetryAfterInStoreOutage checks a process that has no configuration, as after a start in
+// an outage of the key-value service. In an outage, a Retry-After of 50 ms would make every
+// caller retry only to be refused again.
 func TestRetryAfterInStoreOutage(t *testing.T) {
 	harness := newHarness(t)
 	harness.CurrentConfig = func() ConfigState { return ConfigState{} }
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -20,7 +20,7 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// testProtocol is a shedkeel.CallerProtocol with one plain header per field.
+// testProtocol is a shedkeel.CallerProtocol in which each field is a header field of its own.
 type testProtocol struct{}
 
 func (testProtocol) Read(request *http.Request) (shedkeel.Call, error) {
@@ -65,16 +65,16 @@
 	stallAfter int           // send nothing more after this event; 0: never
 	unframed   bool          // the answer has neither length nor chunks
 	delay      time.Duration // before the answer
-	wrongID    bool
-	unsealed   bool
-	notRun     bool
-	limit      float64 // stated rate limit, in requests a second; 0: none
-	backoff    time.Duration
-	drains     bool
+	wrongID    bool          // the answer has the ID of another request
+	unsigned   bool
+	notRun     bool          // the answer states that the request did not run
+	limit      float64       // stated rate limit, in requests a second; 0: none
+	backoff    time.Duration // stated backoff; 0: none
+	drains     bool          // the answer states that the server is draining
 }
 
-// backend is a fake shedkeel.Backend that handles each request by the next step of a
-// script, and answers "ok" after the last.
+// backend is a fake shedkeel.Backend that handles each request by the next step of a script,
+// and answers "ok" after the last step.
 type backend struct {
 	mutex    sync.Mutex
 	steps    []step
@@ -106,13 +106,14 @@
 	return next.response(request), nil
 }
 
-// response returns the head of the answer, with the body as the step says.
+// response returns the answer that the step describes. For a stream, it starts a goroutine
+// that writes the body.
 func (step *step) response(request *http.Request) *http.Response {
 	header := http.Header{"Id": {request.Header.Get("Id")}, "Seal": {request.Header.Get("To")}}
 	if step.wrongID {
 		header.Set("Id", "another")
 	}
-	if step.unsealed {
+	if step.unsigned {
 		header.Del("Seal")
 	}
 	if step.notRun {
@@ -142,7 +143,8 @@
 	return response
 }
 
-// runStream writes the events of the stream, from after the one that the request names.
+// runStream writes the events of the stream that follow the event that the request names in
+// After, or all events if it names none.
 func (step *step) runStream(request *http.Request, writer *io.PipeWriter) {
 	first := 1
 	_, _ = fmt.Sscanf(request.Header.Get("After"), "%d", &first)
@@ -168,9 +170,9 @@
 // harness is a Handler with a scripted backend, three plain servers and three groups.
 type harness struct {
 	*Handler
-	backend *backend
-	asOf    atomic.Int64 // ConfigState.ProvenAt
-	clock   timer.System
+	backend  *backend
+	provenAt atomic.Int64 // ConfigState.ProvenAt
+	clock    timer.System
 }
 
 func testConfig() *shedkeel.ServingConfig {
@@ -201,11 +203,11 @@
 	}
 	table.Replace(servers)
 	view := NewView(testConfig())
-	harness.asOf.Store(int64(harness.clock.Now()))
+	harness.provenAt.Store(int64(harness.clock.Now()))
 	harness.Handler = &Handler{
 		Protocol: testProtocol{}, Backend: harness.backend, Table: table, Timers: &harness.clock,
 		Budget:           &Budget{Ratio: 0.2, Window: 10 * time.Second, FixedRetries: 10, SafetyFactor: 1},
-		CurrentConfig:    func() ConfigState { return ConfigState{View: view, ProvenAt: time.Duration(harness.asOf.Load())} },
+		CurrentConfig:    func() ConfigState { return ConfigState{View: view, ProvenAt: time.Duration(harness.provenAt.Load())} },
 		RetryBudgetNodes: func() int { return 1 }, ServingNodes: func() int { return 1 }, MaxConfigAge: time.Second,
 	}
 	cancel := harness.clock.Subscribe(10*time.Millisecond, func(now time.Duration) { table.FindStalled(now) })
@@ -213,7 +215,7 @@
 	return harness
 }
 
-// result is what a caller receives.
+// result is the answer that a caller receives.
 type result struct {
 	*httptest.ResponseRecorder
 	broken bool // the connection was aborted
@@ -257,7 +259,7 @@
 		path   string
 		steps  []step
 		status int
-		sent   int
+		sent   int // attempts that reach the backend
 	}{
 		"answered":                                {"/safe/x", []step{{body: "ok"}}, 200, 1},
 		"safe, failed once":                       {"/safe/x", []step{{status: 500}, {body: "ok"}}, 200, 2},
@@ -265,7 +267,7 @@
 		"safe, answer lost":                       {"/safe/x", []step{{err: errAnswerLost}, {body: "ok"}}, 200, 2},
 		"safe, answer lost twice":                 {"/safe/x", []step{{err: errAnswerLost}, {err: errAnswerLost}, {}}, 502, 2},
 		"safe, another's answer":                  {"/safe/x", []step{{wrongID: true}, {body: "ok"}}, 200, 2},
-		"safe, unsigned":                          {"/safe/x", []step{{unsealed: true}, {body: "ok"}}, 200, 2},
+		"safe, unsigned":                          {"/safe/x", []step{{unsigned: true}, {body: "ok"}}, 200, 2},
 		"once, answered":                          {"/once/x", []step{{body: "ok"}}, 200, 1},
 		"once, the server's failure is forwarded": {"/once/x", []step{{status: 500}, {}}, 500, 1},
 		"once, answer lost":                       {"/once/x", []step{{err: errAnswerLost}, {}}, 502, 1},
@@ -311,13 +313,13 @@
 	}
 }
 
-// TestStaleConfiguration covers an outage of the key-value service, in which the
-// process's copy of the configuration becomes out of date. Operators choose whether
-// keys are refused then. Where they are not, a request with an unknown key or path
-// gets 503 and a Retry-After, because the key or route may be newer than the copy.
+// TestStaleConfiguration checks requests while the configuration is out of date, as in an
+// outage of the key-value service. The operator chooses whether requests with keys are then
+// refused. A request with an unknown key or path gets 503 and a Retry-After, because the key
+// or route may be newer than the configuration.
 func TestStaleConfiguration(t *testing.T) {
 	cases := map[string]struct {
-		refuse bool
+		refuse bool // Handler.RefuseStaleKeys
 		age    time.Duration
 		path   string
 		key    string
@@ -336,7 +338,7 @@
 		t.Run(name, func(t *testing.T) {
 			harness := newHarness(t)
 			harness.RefuseStaleKeys = test.refuse
-			harness.asOf.Store(int64(harness.clock.Now() - test.age))
+			harness.provenAt.Store(int64(harness.clock.Now() - test.age))
 			result := harness.post(test.path, "", "Key", test.key)
 			assert.Equal(t, result.Code, test.status)
 			assert.Equal(t, result.Header().Get("Retry-After") != "", test.status == http.StatusServiceUnavailable)
@@ -350,7 +352,7 @@
 	harness := newHarness(t)
 	harness.CloseConnections()
 	got := harness.post("/safe/x", "")
-	assert.Equal(t, got.Code, 200, "callers may still hold the address")
+	assert.Equal(t, got.Code, 200, "callers that still have the address must be served")
 	assert.Equal(t, got.Header().Get("Connection"), "close")
 	harness.RefuseNew()
 	got = harness.post("/safe/x", "")
@@ -426,9 +428,9 @@
 	}
 }
 
-// TestStalledStreamRetriesHedge has a stream stall while all other groups are avoided
-// for half a second. If the hedge is not tried again on later stall signals, the
-// stream never resumes elsewhere and ends at the caller's deadline.
+// TestStalledStreamRetriesHedge lets a stream stall while all other groups are avoided for
+// half a second. If the hedge were not tried again at later stall signals, the stream would
+// not resume at another group and would end at the caller's deadline.
 func TestStalledStreamRetriesHedge(t *testing.T) {
 	harness := newHarness(t, step{events: 5, stallAfter: 2}, step{events: 5})
 	for _, other := range []shedkeel.GroupID{"g1", "g2"} {
@@ -451,8 +453,8 @@
 	assert.Equal(t, harness.backend.requests[1].Header.Get("After"), "2")
 }
 
-// TestBudget checks the retries that are allowed by FixedRetries and Ratio, and after the
-// end of a window and Set.
+// TestBudget checks how many retries are allowed by FixedRetries and by Ratio, after the end
+// of a window, and after a call of Set.
 func TestBudget(t *testing.T) {
 	budget := &Budget{Ratio: 0.5, Window: 10 * time.Second, FixedRetries: 4, SafetyFactor: 1}
 	now := time.Minute
@@ -463,11 +465,11 @@
 		}
 		return allowed
 	}
-	assert.Equal(t, count(2), 2, "half of Slack")
+	assert.Equal(t, count(2), 2, "half of FixedRetries")
 	budget.Refund("s", now)
-	assert.Equal(t, count(2), 1, "one was not sent")
+	assert.Equal(t, count(2), 1, "the refunded retry is allowed again")
 	budget.Refund("other", now)
-	assert.Equal(t, count(2), 0, "it was another service's retry")
+	assert.Equal(t, count(2), 0, "a refund to another service has no effect")
 	for range 10 {
 		budget.CountRequest("s", now)
 	}
@@ -480,8 +482,8 @@
 	assert.Equal(t, count(2), 4)
 }
 
-// TestUnsentRetryIsRefunded has all three servers refuse. Two retries are sent; the
-// third finds no server and must not use up the retry budget.
+// TestUnsentRetryIsRefunded lets all three servers refuse a request. Two retries are sent; the
+// third finds no server and must not be counted in the retry budget.
 func TestUnsentRetryIsRefunded(t *testing.T) {
 	refused := step{status: 503, notRun: true}
 	harness := newHarness(t, refused, refused, refused)
@@ -493,12 +495,12 @@
 	assert.Equal(t, left, 10-2)
 }
 
-// TestModelAdmission checks that requests are refused only when there are more than the
-// groups can run and queue.
+// TestModelAdmission checks that requests are refused only if there are more than the groups
+// can run on time and queue as late.
 func TestModelAdmission(t *testing.T) {
 	harness := newHarness(t)
-	capacity := 3 * 8                                  // groups and slots
-	harness.RetryBudgetNodes = func() int { return 9 } // only one accepts requests: the others are stopping
+	capacity := 3 * 8                                  // three groups of eight slots
+	harness.RetryBudgetNodes = func() int { return 9 } // ServingNodes returns 1: the other nodes are stopping
 	request := httptest.NewRequest(http.MethodPost, "/s/x", nil)
 	onTime, late, refused := 0, 0, 0
 	for range 2 * capacity {
