--- a/serve/backoff_test.go
+++ b/serve/backoff_test.go
@@ -65,8 +65,8 @@
 	cases := map[string]struct {
 		step     step
 		most     time.Duration // Handler.MaxBackoff
-		backsOff bool
-		drains   bool
+		backsOff bool          // the table has a backoff of the server
+		drains   bool          // the table lists the server as draining
 	}{
 		"no statement":        {step{body: "ok"}, 0, false, false},
 		"a backoff":           {step{status: 503, notRun: true, backoff: time.Minute}, 0, true, false},
--- a/serve/handler.go
+++ b/serve/handler.go
@@ -1,8 +1,10 @@
 // Package serve is the reverse proxy for callers' requests. It matches a request to
 // its route and client account, sends it to backend servers, retries it where the
 // route allows that, and writes the answer. A caller gets either the complete answer
-// of a backend server, or a status that says whether the request may have run: 503
-// with Retry-After if it did not run, 502 or 504 if it may have.
+// of a backend server, or a status that says whether the request may have run: 502 or
+// 504 if it may have run, 503 or a 4xx status if it did not. A 503 has a Retry-After
+// unless a retry cannot succeed. If an answer that has started cannot be completed, the
+// connection to the caller is aborted.
 package serve
 
 import (
--- a/serve/plain.go
+++ b/serve/plain.go
@@ -27,6 +27,7 @@
 func (exchange *exchange) servePlain(ctx context.Context) error {
 	var serverFailure bufferedAnswer // the latest answer with a 5xx status
 	var reason error
+	// checkGuard has already allowed the first attempt.
 	for len(exchange.tried) < maxServersTried && ctx.Err() == nil && (len(exchange.tried) == 0 || exchange.guardAllows()) {
 		choice, err := exchange.choose(ctx)
 		if err != nil {
@@ -34,6 +35,7 @@
 			break
 		}
 		answer, err := exchange.tryServer(ctx, choice)
+		// A 5xx answer is forwarded if the request may not run again.
 		if err == nil && (answer.response.StatusCode < http.StatusInternalServerError || !exchange.mayRetry()) {
 			exchange.reportAnswer()
 			exchange.answerAttrs = []slog.Attr{slog.String("server", string(choice.Instance))}
--- a/serve/reader_test.go
+++ b/serve/reader_test.go
@@ -34,6 +34,8 @@
 			}
 			harness := newHarness(t, steps...)
 			began := time.Now()
+			// open and ended count requests. latest is the time from began to the latest
+			// arrival of a request, longest the longest duration of one, in nanoseconds.
 			var open, ended, latest, longest atomic.Int64
 			server := httptest.NewUnstartedServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 				arrived := time.Now()
@@ -61,7 +63,7 @@
 				assert.NilError(t, err)
 			}
 			time.Sleep(deadline / 2)
-			assert.Assert(t, open.Load() > 0, "no answer waits for its reader")
+			assert.Assert(t, open.Load() > 0, "no request is being served")
 			for end := time.Now().Add(10 * unreadTimeout); ended.Load() < callers && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			}
 			t.Logf("the last request arrived after %s, the longest took %s", time.Duration(latest.Load()), time.Duration(longest.Load()))
--- a/serve/retryafter.go
+++ b/serve/retryafter.go
@@ -67,7 +67,7 @@
 
 // retryWhenFree returns how long the caller should wait until a server accepts a request
 // again: retryIn plus the jitter, because no caller can be served before retryIn. If retryIn
-// exceeds the longest wait by maxWaitFraction, it returns that wait, less the jitter.
+// is longer than the wait that maxWaitFraction allows, it returns the latter, less the jitter.
 func (exchange *exchange) retryWhenFree() time.Duration {
 	spread := retryJitter * exchange.jitter()
 	longest := time.Duration(maxWaitFraction * float64(exchange.remaining()))
@@ -106,7 +106,7 @@
 	return until - exchange.handler.Timers.Now()
 }
 
-// jitter returns a number from 0 to below 1 that is derived from the request's ID.
+// jitter returns a number of at least 0 and below 1 that is derived from the request's ID.
 func (exchange *exchange) jitter() float64 {
 	const steps = 1 << 10
 	hash := fnv.New32a()
