--- a/serve/reader_test.go
+++ b/serve/reader_test.go
@@ -14,9 +14,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSlowReadersAreDisconnected has callers open connections and read nothing. Without a
-// write deadline, the state of each request is kept until the operating system closes
-// the connection.
+// TestSlowReadersAreDisconnected lets callers send requests and read nothing of the answers.
+// Without a write deadline, the state of each request would be kept until the operating
+// system closes the connection.
 func TestSlowReadersAreDisconnected(t *testing.T) {
 	const callers, deadline = 20, 300 * time.Millisecond
 	cases := map[string]struct {
@@ -34,13 +34,15 @@
 			}
 			harness := newHarness(t, steps...)
 			began := time.Now()
+			// open and ended count requests. latest is the time from began to the latest
+			// arrival of a request, longest the longest duration of one, in nanoseconds.
 			var open, ended, latest, longest atomic.Int64
 			server := httptest.NewUnstartedServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-				came := time.Now()
-				latest.Store(max(latest.Load(), int64(came.Sub(began))))
+				arrived := time.Now()
+				latest.Store(max(latest.Load(), int64(arrived.Sub(began))))
 				open.Add(1)
 				defer func() {
-					longest.Store(max(longest.Load(), int64(time.Since(came))))
+					longest.Store(max(longest.Load(), int64(time.Since(arrived))))
 					open.Add(-1)
 					ended.Add(1)
 				}()
@@ -61,7 +63,7 @@
 				assert.NilError(t, err)
 			}
 			time.Sleep(deadline / 2)
-			assert.Assert(t, open.Load() > 0, "no answer waits for its reader")
+			assert.Assert(t, open.Load() > 0, "no request is being served")
 			for end := time.Now().Add(10 * unreadTimeout); ended.Load() < callers && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			}
 			t.Logf("the last request arrived after %s, the longest took %s", time.Duration(latest.Load()), time.Duration(longest.Load()))
