--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -151,7 +151,9 @@
 		first++
 	}
 	for number := first; number <= step.events; number++ {
-		_, _ = fmt.Fprintf(writer, "id: %d\ndata: %d\n\n", number, number)
+		if _, err := fmt.Fprintf(writer, "id: %d\ndata: %d\n\n", number, number); err != nil {
+			return // the handler has closed the response body
+		}
 		switch number {
 		case step.cutAfter:
 			_, _ = io.WriteString(writer, "id: 9")
