--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -61,7 +61,9 @@
 			before := cluster.countArrivals(test.servers)
 			statuses := cluster.sendLoad(cluster.nodes, test.path, rate, time.Second)
 			assert.Equal(t, cluster.countArrivals(test.servers), before, "the zone gets no requests")
-			assert.Equal(t, statuses[http.StatusOK], rate, "the other zone serves all: %v", statuses)
+			assert.Assert(t, statuses[http.StatusOK] > 0)
+			delete(statuses, http.StatusOK)
+			assert.Equal(t, len(statuses), 0, "the other zone serves all: also got %v", statuses)
 
 			cluster.start(3)
 			cluster.eventually("a node that starts serves", func() bool {
