--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -77,7 +77,7 @@
 func operationOf(recorded porcupine.Operation) operation { return recorded.Input.(operation) }
 
 // TestKeyIsGrantedToOneAttempt runs three committers on the same shard concurrently, while
-// replies of the key-value service are lost and it has outages. The history must be
+// the key-value service loses replies and has outages. The history must be
 // linearizable under claimModel: no key is granted to two attempts.
 func TestKeyIsGrantedToOneAttempt(t *testing.T) {
 	for seed := range uint64(40) {
@@ -99,7 +99,7 @@
 
 // claimConcurrently runs 8 clients that call Claim 12 times each on 4 keys, with random
 // faults of the store, and returns the history. The times in the history come from a
-// counter.
+// counter, which orders all calls and returns.
 func claimConcurrently(ctx context.Context, t *testing.T, committers []*Committer, store *standin.Store, seed uint64) []porcupine.Operation {
 	t.Helper()
 	var mutex sync.Mutex
--- a/claim/committer.go
+++ b/claim/committer.go
@@ -13,16 +13,16 @@
 
 const (
 	// sealThreshold is the number of claims in a head above which all of them move
-	// to a segment. So many claims take about 400 KB; the key-value service's
-	// limit for a record is 1 MB.
+	// to a segment. A head with 2000 claims takes about 400 KB; the key-value
+	// service's limit for a record is 1 MB.
 	sealThreshold = 2000
-	// maxTries limits how often a batch is tried while writes of other processes
-	// to the same head conflict with it.
+	// maxTries limits how often a committer tries to write a batch while writes of
+	// other processes to the same head conflict with it.
 	maxTries = 5
 	// maxBatch limits the requests in a batch.
 	maxBatch = 1000
-	// queueLength limits the requests waiting for a batch; Claim refuses further
-	// ones at once.
+	// queueLength limits the requests waiting for a batch. Claim refuses a request
+	// at once if the queue is full.
 	queueLength = 4000
 )
 
@@ -40,7 +40,7 @@
 	queue chan pendingRequest
 	shard *shard
 	// revision is the revision of the head last read or written. headStale is set
-	// if the head must be read before the next try of a batch.
+	// if the head must be read before the next try to write a batch.
 	revision  shedkeel.Revision
 	headStale bool
 }
@@ -65,14 +65,14 @@
 
 // Claim requests the right to run a call and waits until the request is decided and,
 // if it is granted, the claim is written. Every error is an UnavailableError. After
-// one, the attempt must never run, although its claim may have been stored. Claim may
-// be called concurrently.
+// an error, the attempt must never run, although its claim may have been stored. Claim
+// may be called concurrently.
 func (committer *Committer) Claim(ctx context.Context, request Request) (Result, error) {
 	pending := pendingRequest{request: request, answer: make(chan outcome, 1)}
 	select {
 	case committer.queue <- pending:
 	default:
-		return Result{}, &shedkeel.UnavailableError{What: "claims", RetryAfter: time.Second, Cause: errors.New("too many wait")}
+		return Result{}, &shedkeel.UnavailableError{What: "claims", RetryAfter: time.Second, Cause: errors.New("the queue of claim requests is full")}
 	}
 	select {
 	case outcome := <-pending.answer:
@@ -125,10 +125,10 @@
 
 // commit decides a batch and answers its requests. After a conflict it reads the
 // head and decides again, up to maxTries times. A batch without new claims needs
-// no write, so it is answered also while the key-value service is not available,
-// unless the head must be read. Its answers are safe even if another process has
-// since written the head: a claim is replaced only by a request whose InsteadOf names
-// the claim's attempt, and that attempt never runs.
+// no write, so commit answers it even if the key-value service is not available,
+// unless headStale is set. Its answers are safe even if another process has since
+// written the head: a claim is replaced only by a request whose InsteadOf names the
+// claim's attempt, and that attempt never runs.
 func (committer *Committer) commit(ctx context.Context, batch []pendingRequest) {
 	var err error
 	for range maxTries {
@@ -175,8 +175,8 @@
 func (committer *Committer) headKey() string { return committer.Prefix + "head" }
 
 // loadHead reads the head and those of its segments that are not yet in memory. If
-// the stored head is older than the known one, loadHead adds the claims that are
-// missing in it (see recoverClaims).
+// the stored head is older than the known one, loadHead adds the known claims that
+// it lacks (see recoverClaims).
 func (committer *Committer) loadHead(ctx context.Context) error {
 	record, err := committer.Store.Get(ctx, committer.headKey())
 	if err != nil {
@@ -285,8 +285,8 @@
 }
 
 // clearSegments removes the claims of dropped segments from memory and empties
-// their records to free space. It ignores errors: they only leave memory and space in
-// the key-value service in use.
+// their records to free space. It ignores errors: after an error, the claims only keep
+// occupying memory and space in the key-value service.
 func (committer *Committer) clearSegments(ctx context.Context, dropped []Segment) {
 	for _, segment := range dropped {
 		record, err := committer.Store.Get(ctx, segment.Key)
--- a/claim/head.go
+++ b/claim/head.go
@@ -2,7 +2,7 @@
 // claimed each call that must run at most once. Claims are spread over shards. The
 // head record of a shard changes only by compare-and-swap, so two processes can
 // never both grant the same key. Correctness does not depend on which processes
-// write a shard; one process for each shard only avoids conflicts.
+// write a shard. If only one process writes each shard, fewer writes conflict.
 package claim
 
 import (
@@ -23,9 +23,9 @@
 type Request struct {
 	Key       string // as KeyOf returns it
 	Attempt   string // ID of the attempt; unique in the fleet
-	Holder    string // the entry process that makes the attempt
-	Digest    string // digest of the call's content, to notice another call with the same Key
-	InsteadOf string // ID of another attempt, or "": one that its holder knows will never run, so that its claim may be replaced
+	Holder    string // the entry process that makes the attempt, as shedkeel.ClaimHolder names it
+	Digest    string // digest of the call's content, to detect another call with the same Key
+	InsteadOf string // ID of an attempt whose holder has confirmed that it will never run; this request may replace its claim. "": none
 }
 
 // Status is the decision on a request.
@@ -98,7 +98,7 @@
 
 // shard holds the claims of a shard that one process knows.
 type shard struct {
-	head           Head
+	head           Head             // the known head: the one last read or written, or merged by recoverClaims
 	claims         map[string]Claim // by Key: the claims of the head and of loadedSegments
 	loadedSegments map[string]bool  // keys of the segments whose claims are in claims
 	pending        map[string]Claim // by Key: the claims granted in this try of the batch and not yet written
@@ -149,9 +149,9 @@
 	return next
 }
 
-// setHead makes the given head, which was read from the key-value service, the known
-// one and adds its claims to claims. It returns the segments of the head that are not
-// in loadedSegments.
+// setHead sets the known head to one that was read from the key-value service, and adds
+// its claims to claims. It returns the segments of the head that are not in
+// loadedSegments.
 func (shard *shard) setHead(head Head) (missing []Segment) {
 	shard.head = head
 	for _, segment := range head.Sealed {
@@ -165,18 +165,18 @@
 	return missing
 }
 
-// recoverClaims returns the head to use when the stored head, older, has a lower
-// generation than the known one because the key-value service was restored from
-// older data: the stored head with the known generation and with all known claims
-// whose keys are not among its own. The next write stores it.
-func (shard *shard) recoverClaims(older Head) Head {
+// recoverClaims merges the known claims into a stored head that has a lower
+// generation than the known head, because the key-value service was restored from
+// older data. The result has the known generation, the stored head's claims, and the
+// known claims for all other keys. The next write stores it.
+func (shard *shard) recoverClaims(stored Head) Head {
 	present := map[string]bool{}
-	for _, claim := range older.Claims {
+	for _, claim := range stored.Claims {
 		present[claim.Key] = true
 	}
-	recovered := older
+	recovered := stored
 	recovered.Generation = shard.head.Generation
-	recovered.Claims = slices.Clone(older.Claims)
+	recovered.Claims = slices.Clone(stored.Claims)
 	for _, key := range slices.Sorted(maps.Keys(shard.claims)) {
 		if !present[key] {
 			recovered.Claims = append(recovered.Claims, shard.claims[key])
