--- a/member/exchange.go
+++ b/member/exchange.go
@@ -85,8 +85,8 @@
 }
 
 // nodesNewerThan returns the live nodes that the peer does not know or of which it
-// knows an older version. It leaves out dead nodes: nodes that have evicted them
-// would take them for new ones and spread them again.
+// knows an older version. It leaves out dead nodes: a peer that has evicted a dead
+// node would take it for a new one and spread it again.
 func (table *Table) nodesNewerThan(theirs []*wire.NodeVersion, now time.Duration) []*wire.Node {
 	peerHas := map[string]shedkeel.Node{}
 	for _, version := range theirs {
--- a/member/permit.go
+++ b/member/permit.go
@@ -6,12 +6,13 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Permit says whether a group may be sent new requests, and until when. Each newer
-// finding that the group is whole extends it.
+// Permit says whether entries may send new requests to a group, and until when. Each
+// newer shedkeel.VerdictWhole on the group extends it. A whole finding is a watcher's
+// digest with that verdict.
 type Permit struct {
 	Group   shedkeel.Group
 	Until   time.Duration // local time from which on no new requests may be sent; 0: no permit
-	Broken  bool          // the group was found broken, or silent for too long: requests running there are abandoned
+	Broken  bool          // the group was found broken, or silent for too long: entries cancel the requests running there
 	Load    int           // requests running and queued at the newest whole finding; 0 without a permit
 	Reason  string        // why there is no permit
 	WholeAt time.Duration // time of the newest whole finding; 0 without a permit
@@ -25,17 +26,18 @@
 	Digests []Digest
 }
 
-// leavingWindows is for how many times PermitInput.Window a digest's list of leaving boxes
-// counts. Permits from verdicts in the same digest expire after one Window.
+// leavingWindows is the age, in multiples of PermitInput.Window, up to which a digest's
+// list of leaving boxes is used. The permits from the verdicts in the same digest expire
+// after one Window.
 const leavingWindows = 10
 
 // Permits returns the permit of every group of the placements. The permit of a group
 // that a watcher found whole under its current epoch lasts for the Window after the
 // newest such finding, so Until may be in the past. A newer finding that the group is
-// broken or draining revokes the permit at once. A silent member only stops the
+// broken or draining revokes the permit at once. A silent finding only stops the
 // renewal, but a group that is found silent more than the Window after it was last
-// found whole counts as broken. A group that is draining or has a box in Leaving has
-// no permit.
+// found whole counts as broken. A group that is draining or has a member on a box in
+// Leaving has no permit.
 func (input *PermitInput) Permits(placements []shedkeel.Placement) []Permit {
 	findings := input.findings()
 	leaving := input.Leaving()
@@ -48,8 +50,9 @@
 	return permits
 }
 
-// finding holds, for each kind of verdict, the time of the newest one that any watcher
-// gave on a group under one epoch, or never.
+// finding combines the verdicts of all watchers on a group under one epoch. For each
+// kind of verdict it holds the AsOf of the newest digest with that verdict, or never if
+// there is none.
 type finding struct {
 	wholeAt    time.Duration
 	brokenAt   time.Duration
@@ -92,7 +95,7 @@
 	}
 }
 
-// never stands for the time of a kind of verdict that no watcher has given.
+// never is the time in a finding for a kind of verdict that no watcher has given.
 const never = -1
 
 // Leaving returns the boxes that operators drain and those that a watcher reported
--- a/member/permit_test.go
+++ b/member/permit_test.go
@@ -10,7 +10,7 @@
 	"shedkeel.org/shedkeel"
 )
 
-// window is the Window of the judges in the tests.
+// window is the PermitInput.Window in the tests.
 const window = 3 * time.Second
 
 // oneGroup returns a placement with group g of boxes a and b under epoch 4.
@@ -27,7 +27,7 @@
 }
 
 // TestPermits checks when a group has a permit, until when, and when it counts as
-// broken. The group's current epoch is 4. Times with -1 are 1 ns earlier than now.
+// broken. The group's current epoch is 4. The time now-1 is 1 ns before now.
 func TestPermits(t *testing.T) {
 	const now = 100 * time.Second
 	whole, silent, broken, draining := shedkeel.VerdictWhole, shedkeel.VerdictNoReply, shedkeel.VerdictBroken, shedkeel.VerdictDraining
@@ -68,8 +68,8 @@
 
 // TestPermitsAgainstReference compares permits with referenceAllowed on random
 // digests: 1 to 5 of up to 4 watchers, under the current epoch or the one before,
-// and up to 5 s old, which is longer than the window. Enough of them must have a
-// permit for the comparison to mean something.
+// and up to 5 s old, which is longer than the window. More than a tenth of the sets of
+// digests must give a permit, so that the comparison covers both results.
 func TestPermitsAgainstReference(t *testing.T) {
 	allowed := 0
 	for seed := range uint64(5000) {
--- a/member/rank.go
+++ b/member/rank.go
@@ -70,8 +70,9 @@
 	return ranked[:min(watchersPerGroup, len(ranked))]
 }
 
-// Candidates returns the live nodes that may work for a zone: those in the zone,
-// or all live nodes of the fleet if fewer than watchersPerGroup are in the zone.
+// Candidates returns the live nodes that may probe the groups of a zone or hold its
+// lease: those in the zone, or all live nodes of the fleet if fewer than
+// watchersPerGroup are in the zone.
 func Candidates(zone shedkeel.ZoneID, live []shedkeel.Node) []shedkeel.Node {
 	var inZone []shedkeel.Node
 	for _, node := range live {
--- a/member/spread_test.go
+++ b/member/spread_test.go
@@ -22,20 +22,20 @@
 // gossip simulates keepers in virtual time that exchange their tables as
 // keeper.tickExchange does.
 type gossip struct {
-	tables      []*Table // one of each keeper (node)
+	tables      []*Table // one for each keeper, which is a node
 	random      *rand.Rand
 	now         time.Duration
 	loss        float64             // probability that an exchange is lost
 	partitioned func(a, b int) bool // reports whether two nodes cannot reach each other
-	groups      int                 // that the nodes watch
+	groups      int                 // number of groups that the nodes watch
 	bytes       int                 // size of all calls and replies
 	calls       int                 // exchanges that were not lost
 }
 
 const (
-	gossipTick  = 500 * time.Millisecond
-	maxAllPeers = 4 // with more peers than this, only randomPeers of them are asked a tick; as in package keeper
-	randomPeers = 3
+	gossipTick      = 500 * time.Millisecond
+	maxFullExchange = 4 // a node with more peers than this asks only sampledPeers of them in each tick; as in package keeper
+	sampledPeers    = 3
 )
 
 // newGossip returns a simulation in which every node knows all others.
@@ -84,9 +84,9 @@
 			peers = append(peers, peer)
 		}
 	}
-	if len(peers) > maxAllPeers {
+	if len(peers) > maxFullExchange {
 		gossip.random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-		peers = peers[:randomPeers]
+		peers = peers[:sampledPeers]
 	}
 	return peers
 }
@@ -104,8 +104,7 @@
 }
 
 // timeToAll stores a new configuration of 4 KB on node 0 and returns how long it takes
-// to arrive at all nodes that node 0 can reach. It gives up after a minute and then
-// returns a minute.
+// to arrive at all nodes that node 0 can reach, or a minute if it takes longer.
 func (gossip *gossip) timeToAll(generation uint64) time.Duration {
 	start := gossip.now
 	gossip.tables[0].MergeRecord(Record{Key: KeyConfig, Generation: generation, Value: make([]byte, 4096)})
@@ -124,8 +123,8 @@
 	return time.Minute
 }
 
-// digestAge returns the 99th percentile of the ages of all digests in all tables.
-func (gossip *gossip) digestAge() time.Duration {
+// digestAgeP99 returns the 99th percentile of the ages of all digests in all tables.
+func (gossip *gossip) digestAgeP99() time.Duration {
 	var ages []time.Duration
 	for _, table := range gossip.tables {
 		for _, digest := range table.Digests() {
@@ -138,8 +137,8 @@
 
 // TestSpread measures how fast a configuration reaches all nodes, the age of the
 // digests, and the bytes and calls sent. A configuration must reach all nodes
-// within 12 s, without loss and if 20% of the exchanges are lost. The table of
-// measures is printed with -v; -sizes adds larger numbers of keepers.
+// within 12 s, without loss and if 20% of the exchanges are lost. The test prints
+// the measurements with -v; -sizes adds more numbers of keepers, up to 380.
 func TestSpread(t *testing.T) {
 	counts := []int{9, 50}
 	if *allSizes {
@@ -149,8 +148,8 @@
 	_, _ = fmt.Fprintln(table, "keepers\tgroups\tloss\ttime to all\tdigest age p99\tsent bytes/s a node\tcalls/s a node")
 	for _, count := range counts {
 		for _, loss := range []float64{0, 0.2} {
-			// 600 groups for 380 keepers, and as many for each keeper in smaller
-			// fleets, but at least 50.
+			// As many groups for each keeper as with 600 groups for 380 keepers,
+			// but at least 50 in total.
 			groups := max(50, count*600/380)
 			gossip := newGossip(count, groups, uint64(count))
 			gossip.loss = loss
@@ -165,7 +164,7 @@
 			}
 			seconds := (gossip.now - start).Seconds()
 			perNode := float64(count) * seconds
-			_, _ = fmt.Fprintf(table, "%d\t%d\t%.0f%%\t%s\t%s\t%.0f\t%.1f\n", count, groups, loss*100, worst, gossip.digestAge(), float64(gossip.bytes)/perNode, float64(gossip.calls)/perNode)
+			_, _ = fmt.Fprintf(table, "%d\t%d\t%.0f%%\t%s\t%s\t%.0f\t%.1f\n", count, groups, loss*100, worst, gossip.digestAgeP99(), float64(gossip.bytes)/perNode, float64(gossip.calls)/perNode)
 			assert.Assert(t, worst <= 12*time.Second, "%d keepers: a configuration took %s to reach all nodes, want at most 12s", count, worst)
 		}
 	}
@@ -197,8 +196,8 @@
 	}
 }
 
-// BenchmarkExchange measures one exchange, with encoding and decoding on both sides,
-// in which the callee has a new digest of each node.
+// BenchmarkExchange measures one exchange in which the callee has a new digest of each
+// node, with encoding and decoding on both sides.
 func BenchmarkExchange(b *testing.B) {
 	for _, count := range []int{9, 50, 380} {
 		b.Run(fmt.Sprintf("keepers=%d", count), func(b *testing.B) {
--- a/member/table.go
+++ b/member/table.go
@@ -50,7 +50,7 @@
 	Sequence    uint64
 	AsOf        time.Duration // local time at which the probes were sent, or earlier if the digest came from another process
 	Verdicts    []GroupVerdict
-	Leaving     []shedkeel.BoxID // boxes that are listed as leaving
+	Leaving     []shedkeel.BoxID // boxes that the watcher's box list marks as leaving
 }
 
 // NodeState is a node and the time of its last new heartbeat, which was received from
@@ -60,20 +60,21 @@
 	HeartbeatAt time.Duration // local time at which its heartbeat or incarnation last advanced
 }
 
-// Table is the state that one process knows. Its exported fields are set before
+// Table is the state that one process knows. Its exported fields must be set before
 // use. It must not be used concurrently.
 type Table struct {
-	Self     shedkeel.Node // zero in a process that is not a node
+	Self     shedkeel.Node // this node; zero in a process that is not a node. AdvanceHeartbeat announces changes
 	LiveTime time.Duration // a node without a new heartbeat for this long counts as dead; zero: DefaultLiveTime
 
 	nodes   map[shedkeel.NodeID]*NodeState
 	records map[string]Record
 	digests map[shedkeel.NodeID]Digest
 
-	// config and placements cache the decoded records; configGeneration and
-	// placementGenerations are the generations, by key for placements, that were
-	// decoded. Decoding a placement takes about a millisecond, and callers ask
-	// for both several times a tick.
+	// config and placements cache the decoded records. configGeneration is the
+	// generation of the decoded configuration; placementGenerations are those of
+	// the decoded placements and fallbacks, by record key. Decoding a placement
+	// takes about a millisecond, and Config and Placements are called several
+	// times a tick.
 	config               shedkeel.Config
 	configGeneration     uint64
 	placements           []shedkeel.Placement
@@ -135,8 +136,8 @@
 	known, found := table.records[record.Key]
 	if found && record.Generation <= known.Generation {
 		if record.Generation == known.Generation && record.Revision.After(known.Revision) {
-			// After the service was restored from older data and the record
-			// was written back, the same value has a later revision.
+			// After the key-value service was restored from older data and a
+			// keeper wrote the record back, the same value has a later revision.
 			known.Revision = record.Revision
 			table.records[record.Key] = known
 		}
@@ -231,7 +232,8 @@
 	return state.Node.ID == table.Self.ID || now-state.HeartbeatAt < liveTime
 }
 
-// evictAfter is for how many times DefaultLiveTime a dead node stays in the table.
+// evictAfter is how long a dead node stays in the table, in multiples of
+// DefaultLiveTime.
 const evictAfter = 60
 
 // EvictDead evicts nodes that have been dead for evictAfter times DefaultLiveTime,
@@ -281,7 +283,7 @@
 }
 
 // applyPlacementRecord decodes a placement and appends it, or decodes a fallback
-// and applies it to the placements read before. It ignores records that cannot
+// and applies it to the placements appended before. It ignores records that cannot
 // be decoded.
 func (table *Table) applyPlacementRecord(record Record) {
 	if strings.HasPrefix(record.Key, KeyPlacements) {
@@ -324,7 +326,7 @@
 func ParseRecord(stored shedkeel.Record) (Record, error) {
 	var header generationHeader
 	if err := json.Unmarshal(stored.Value, &header); err != nil || header.Generation == 0 {
-		return Record{}, &shedkeel.InvalidError{Where: "key " + stored.Key, What: "its value is no record with a generation", Remedy: "restore the key from a state dump of any keeper"}
+		return Record{}, &shedkeel.InvalidError{Where: "key " + stored.Key, What: "its value is not JSON with a generation above 0", Remedy: "restore the key from a state dump of any keeper"}
 	}
 	return Record{Key: stored.Key, Generation: header.Generation, Revision: stored.Revision, Value: stored.Value}, nil
 }
--- a/member/table_test.go
+++ b/member/table_test.go
@@ -30,8 +30,8 @@
 // TestRecordGenerationNeverFalls exchanges versions of one record between 7 nodes
 // in random order, with repeats and concurrent writers, and with a partition of
 // nodes 0 to 2 from the others in the first 150 of 200 steps. The generation that a
-// node knows may never fall, and after the nodes have exchanged with their
-// neighbors as many times as there are nodes, all must know the newest one.
+// node knows may never fall, and after each node has exchanged with its neighbor in
+// the list as many times as there are nodes, all must know the newest one.
 func TestRecordGenerationNeverFalls(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 2))
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestDigestNeverLooksYounger passes digests of one watcher between nodes with
-// unrelated clocks (the offsets) and slow messages. No node may take a digest for
-// younger than it is, because the node would then keep a group's permit for too long.
+// TestDigestNeverLooksYounger passes digests of one watcher between nodes with slow
+// messages and unrelated clocks, which differ by the offsets. No node may take a digest
+// for younger than it is, because the node would then keep a group's permit too long.
 func TestDigestNeverLooksYounger(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 3))
