--- a/keeper/agree.go
+++ b/keeper/agree.go
@@ -12,7 +12,7 @@
 	"shedkeel.org/shedkeel/platform"
 )
 
-// maintainLease gains or renews the zone's lease if a write is due.
+// maintainLease acquires or renews the zone's lease if a write is due.
 func (zone *zonePlanner) maintainLease(ctx context.Context) {
 	keeper := zone.keeper
 	now := keeper.Timers.Now()
@@ -53,15 +53,16 @@
 	if err != nil {
 		return
 	}
-	// The stored value decides, whether or not the conflicting write was ours.
+	// The stored record says who holds the lease, also if the write that conflicted
+	// was an earlier one of this keeper whose reply was lost.
 	_ = zone.lease.Reset(record.Revision, record.Value, zone.keeper.Timers.Now())
 	if record.Revision.Exists() {
 		zone.publish(zone.leaseKey(), record.Value, record.Revision)
 	}
 }
 
-// publish merges a record that was just written or read, from where it spreads
-// to the other keepers.
+// publish merges a record that this keeper just wrote or read into the table, from
+// which the exchanges send it to the other keepers.
 func (zone *zonePlanner) publish(key string, value []byte, revision shedkeel.Revision) {
 	record, err := member.ParseRecord(shedkeel.Record{Key: key, Value: value, Revision: revision})
 	if err == nil {
@@ -87,7 +88,7 @@
 		}
 	}
 	if inForce := zone.mergedPlacement(); inForce.Generation > placement.Generation {
-		placement = inForce // the key-value service was restored from older data
+		placement = inForce // the stored one is older: the key-value service was restored from older data
 	}
 	zone.placement = placement
 	zone.revision = record.Revision
--- a/keeper/calls.go
+++ b/keeper/calls.go
@@ -54,7 +54,8 @@
 // handleClaim decides a claim for an idempotency key. It forwards the claim to
 // the keeper that writes the key's shard, or decides it here if that keeper is
 // not available. Compare-and-swap makes both safe; forwarding needs fewer
-// writes.
+// writes. If it is unknown whether the other keeper handled the forwarded claim,
+// the reply is UNAVAILABLE.
 func (keeper *Keeper) handleClaim(ctx context.Context, call *wire.ClaimCall) *wire.ClaimReply {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
--- a/keeper/fallback.go
+++ b/keeper/fallback.go
@@ -43,7 +43,7 @@
 
 // applyFallback replaces lost members by reserve boxes, publishes the fallback
 // and sends the orders for it under the epoch of the placement. Engines refuse
-// these orders once a planner with a newer epoch has sent its own. The next
+// these orders once a planner with a newer epoch has sent them orders. The next
 // agreed placement ends the fallback.
 func (zone *zonePlanner) applyFallback(ctx context.Context) {
 	planner, supported := zone.planner.(fallbackPlanner)
@@ -73,7 +73,7 @@
 }
 
 // currentFallback returns the fallback based on the current placement, or an
-// empty one. The caller may change its Lost map.
+// empty one if there is none. The caller may change its Lost map.
 func (zone *zonePlanner) currentFallback() shedkeel.Fallback {
 	zone.keeper.mutex.Lock()
 	defer zone.keeper.mutex.Unlock()
@@ -92,8 +92,8 @@
 
 func (zone *zonePlanner) fallbackKey() string { return member.KeyFallbacks + string(zone.id) }
 
-// publishFallback merges the fallback under its next generation, from where it
-// spreads to the other keepers.
+// publishFallback merges the fallback under its next generation into the table, from
+// which the exchanges send it to the other keepers.
 func (zone *zonePlanner) publishFallback(fallback shedkeel.Fallback) {
 	fallback.Generation++
 	value, err := json.Marshal(fallback)
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -46,11 +46,11 @@
 	lastSync         time.Duration   // time of the entry's last sync call
 	boxes            []shedkeel.Box  // last box list read
 	planners         map[shedkeel.ZoneID]*zonePlanner
-	verdicts         map[shedkeel.GroupID]shedkeel.Verdict // last own verdict on each watched group
-	downSince        map[shedkeel.GroupID]time.Duration
+	verdicts         map[shedkeel.GroupID]shedkeel.Verdict // this keeper's last verdict on each group that it watches
+	downSince        map[shedkeel.GroupID]time.Duration    // when status first saw each group that is not whole
 	digestSequence   uint64
 	peers            map[string]*wire.Peer
-	unreachable      map[string]bool // by wire address, or "box list"
+	unreachable      map[string]bool // by wire address of a keeper, or "box list": whether the last call to it failed
 	storeUnavailable bool
 
 	committers []*claim.Committer
@@ -163,14 +163,15 @@
 	}
 }
 
-// liveNodes returns the nodes whose heartbeat has advanced recently.
+// liveNodes returns the live nodes; see member.Table.Live.
 func (keeper *Keeper) liveNodes(now time.Duration) []shedkeel.Node {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
 	return keeper.table.Live(now)
 }
 
-// mergeRecord merges a record that this keeper read from or wrote to the store.
+// mergeRecord merges a record into the table, from which the exchanges send it to the
+// other keepers. If the record is a newer configuration, it also advertises it.
 func (keeper *Keeper) mergeRecord(record member.Record) {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
@@ -179,8 +180,9 @@
 	}
 }
 
-// advertiseConfig logs a newly merged configuration and reports its generation
-// to the other nodes. It ignores other records. The mutex must be held.
+// advertiseConfig logs a newly merged configuration and sets its generation in
+// Self, which reports it to the other nodes. It ignores other records. The mutex
+// must be held.
 func (keeper *Keeper) advertiseConfig(record member.Record) {
 	if record.Key == member.KeyConfig {
 		keeper.table.Self.Config = record.Generation
@@ -188,8 +190,9 @@
 	}
 }
 
-// markSettled records that the keeper has read the records in force, and logs
-// from which source. Until then the keeper neither plans nor reports ready.
+// markSettled records that the keeper has read the records in force, from the
+// key-value service or from a majority of the listed keepers, and logs which of
+// the two. Until then the keeper neither plans nor reports ready.
 func (keeper *Keeper) markSettled(source string) {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
@@ -216,5 +219,5 @@
 	return input.Permits(keeper.table.Placements())
 }
 
-// newPlanner returns a planner of the type that this process runs.
+// newPlanner returns the planner for a new zonePlanner.
 func (keeper *Keeper) newPlanner() shedkeel.Planner { return &group.Planner{} }
--- a/keeper/operator.go
+++ b/keeper/operator.go
@@ -50,7 +50,7 @@
 	Groups               []GroupStatus               `json:"groups"`
 	StrandedAccelerators int                         `json:"stranded_accelerators"` // accelerators of boxes in no whole group
 	BoxesKnown           bool                        `json:"boxes_known"`           // whether this keeper has read the box list
-	DownFor              map[shedkeel.GroupID]string `json:"down_since"`
+	DownFor              map[shedkeel.GroupID]string `json:"down_since"`            // for each group that is not whole: time since a status report first showed that
 }
 
 // operatorHandler returns the handler of the operators' HTTP interface.
@@ -202,8 +202,7 @@
 	writeJSON(writer, http.StatusOK, keeper.status())
 }
 
-// status builds the status report and updates the times since which groups are
-// down.
+// status builds the status report and updates downSince.
 func (keeper *Keeper) status() Status {
 	now := keeper.Timers.Now()
 	keeper.mutex.Lock()
@@ -239,8 +238,8 @@
 	return status
 }
 
-// updateDownSince stores when a group was first reported as not whole, and
-// deletes the time when it is whole again. The mutex must be held.
+// updateDownSince stores when a status report first showed a group as not whole,
+// and deletes the time once the group is whole again. The mutex must be held.
 func (keeper *Keeper) updateDownSince(id shedkeel.GroupID, whole bool, now time.Duration) {
 	_, down := keeper.downSince[id]
 	switch {
@@ -251,7 +250,8 @@
 	}
 }
 
-// groupState returns the state of a group as it appears in GroupStatus.
+// groupState returns the state of a group as it appears in GroupStatus. A reason that
+// contains "leaving" means that a member leaves; see member.PermitInput.Permits.
 func groupState(permit member.Permit, now time.Duration) string {
 	switch {
 	case permit.Until > now:
@@ -318,11 +318,12 @@
 	return holder.Holder
 }
 
-// Dump is the keeper's state for debugging, without keys.
+// Dump is the keeper's state for debugging, without the key hashes of client
+// accounts.
 type Dump struct {
 	Status            Status                       `json:"status"`
 	Config            shedkeel.Config              `json:"config"`
-	PolicyTable       shedkeel.PlannerParameters   `json:"policy_table"`
+	PolicyTable       shedkeel.PlannerParameters   `json:"policy_table"` // of any one zone for which this keeper has a planner
 	RecordGenerations map[string]uint64            `json:"record_generations"`
 	Digests           []member.Digest              `json:"digests"`
 	Decisions         []shedkeel.Decision          `json:"decisions"`
@@ -330,7 +331,7 @@
 	Placements        []shedkeel.Placement         `json:"placements"`
 }
 
-// serveDump returns the Dump, with the key hashes of client accounts removed.
+// serveDump serves the Dump.
 func (keeper *Keeper) serveDump(writer http.ResponseWriter, _ *http.Request) {
 	dump := Dump{Status: keeper.status(), RecordGenerations: map[string]uint64{}, StoreCalls: map[shedkeel.StoreCall]int64{}, PolicyTable: policy.DefaultTable()}
 	keeper.mutex.Lock()
--- a/keeper/plan.go
+++ b/keeper/plan.go
@@ -45,8 +45,8 @@
 	inFallback      bool // sending fallback orders during an outage of the store
 	policyTable     shedkeel.PlannerParameters
 	tableGeneration uint64                           // configuration generation that the policies were computed from
-	unknownOutcomes map[shedkeel.BoxID]time.Duration // by box: end of the last order with unknown outcome
-	decisions       []shedkeel.Decision
+	unknownOutcomes map[shedkeel.BoxID]time.Duration // by box: when the call of its last order with an unknown outcome ended
+	decisions       []shedkeel.Decision              // newest last, at most maxDecisions
 }
 
 // tickPlan runs one planning step for each zone whose lease this keeper may
@@ -107,8 +107,8 @@
 func (zone *zonePlanner) leaseKey() string     { return member.KeyLeases + string(zone.id) }
 func (zone *zonePlanner) placementKey() string { return member.KeyPlacements + string(zone.id) }
 
-// tick maintains the lease. It plans if the lease is held, and otherwise applies
-// the fallback if that is allowed.
+// tick maintains the lease. If this keeper holds it, tick plans; otherwise it applies
+// the fallback if canFallBack allows that.
 func (zone *zonePlanner) tick(ctx context.Context) {
 	zone.maintainLease(ctx)
 	keeper := zone.keeper
@@ -155,7 +155,7 @@
 
 // gatherInput returns the planner's input, or false if the configuration or the
 // box list is not known. Members of groups with a valid permit are taken to be
-// in the state that the group needs; all other boxes are probed.
+// in the state that the group needs; gatherInput probes all other boxes.
 func (zone *zonePlanner) gatherInput(ctx context.Context) (shedkeel.PlanInput, bool) {
 	keeper := zone.keeper
 	now := keeper.Timers.Now()
@@ -167,21 +167,21 @@
 	if !known || len(boxes) == 0 {
 		return shedkeel.PlanInput{}, false
 	}
-	whole := map[shedkeel.Assignment]member.Permit{}
+	validPermits := map[shedkeel.Assignment]member.Permit{}
 	for _, permit := range permits {
 		if permit.Until > now {
-			whole[permit.Group.Assignment()] = permit
+			validPermits[permit.Group.Assignment()] = permit
 		}
 	}
 	input := shedkeel.PlanInput{Zone: zone.id, Config: config, Boxes: map[shedkeel.BoxID]shedkeel.BoxView{}, Placement: zone.placement.Clone()}
 	for _, placed := range zone.placement.Groups {
-		permit, found := whole[placed.Assignment()]
+		permit, found := validPermits[placed.Assignment()]
 		if !found {
 			continue
 		}
-		for _, place := range placed.Members {
-			input.Boxes[place.Box] = shedkeel.BoxView{LastReply: permit.WholeAt, State: shedkeel.BoxState{
-				Boot: place.Boot, Phase: shedkeel.PhaseReady, Weights: placed.Service, Assigned: placed.Assignment(), Running: permit.Load,
+		for _, groupMember := range placed.Members {
+			input.Boxes[groupMember.Box] = shedkeel.BoxView{LastReply: permit.WholeAt, State: shedkeel.BoxState{
+				Boot: groupMember.Boot, Phase: shedkeel.PhaseReady, Weights: placed.Service, Assigned: placed.Assignment(), Running: permit.Load,
 			}}
 		}
 	}
@@ -191,8 +191,8 @@
 	return input, true
 }
 
-// probeUnwatched probes the boxes of the zone that are in no group with a valid
-// permit, and adds all boxes of the zone to the input.
+// probeUnwatched probes the boxes of the zone that are not yet in the input, which are
+// those in no group with a valid permit, and adds all boxes of the zone to the input.
 func (zone *zonePlanner) probeUnwatched(ctx context.Context, boxes []shedkeel.Box, input *shedkeel.PlanInput) {
 	known, unlisted := zone.zoneBoxes(boxes)
 	addresses := map[shedkeel.BoxID]string{}
@@ -211,7 +211,7 @@
 		}
 		view := zone.boxView(box)
 		if unlisted[id] && (view.LastReply < 0 || now-view.LastReply > group.DefaultMissAfter) {
-			continue // neither listed nor answering: it no longer exists
+			continue // neither on the box list nor answering probes: the box no longer exists
 		}
 		input.Boxes[id] = view
 	}
@@ -229,10 +229,10 @@
 		}
 	}
 	for _, placed := range zone.placement.Groups {
-		for _, place := range placed.Members {
-			if _, listed := known[place.Box]; !listed {
-				known[place.Box] = shedkeel.Box{ID: place.Box, Address: place.Address, Zone: zone.id, Domain: placed.Domain}
-				unlisted[place.Box] = true
+		for _, groupMember := range placed.Members {
+			if _, listed := known[groupMember.Box]; !listed {
+				known[groupMember.Box] = shedkeel.Box{ID: groupMember.Box, Address: groupMember.Address, Zone: zone.id, Domain: placed.Domain}
+				unlisted[groupMember.Box] = true
 			}
 		}
 	}
@@ -273,7 +273,8 @@
 	return table
 }
 
-// PolicyFacts returns the facts about a zone that a policy program receives.
+// PolicyFacts returns the facts about a zone that a policy program receives. The
+// restart and weight load times are those of policy.SampleFacts.
 func PolicyFacts(config shedkeel.Config, zone shedkeel.ZoneID, boxes []shedkeel.Box) policy.Facts {
 	facts := policy.SampleFacts()
 	facts.Zone = zone
@@ -296,8 +297,8 @@
 }
 
 // recordDecisions logs the decisions and keeps them for the explain command. It
-// skips those among the recent ones, since the planner repeats a decision on
-// each tick.
+// skips a decision that is among recentDecisions, since the planner repeats its
+// decisions on each tick.
 func (zone *zonePlanner) recordDecisions(decisions []shedkeel.Decision) {
 	for _, decision := range decisions {
 		if slices.Contains(zone.recentDecisions(), decision) {
@@ -343,9 +344,10 @@
 	pending.Wait()
 }
 
-// sendOrder sends one order if the lease holds for the lifetime of an order or
-// the planner is in fallback. It returns when the call ended, and whether the
-// outcome of the order is unknown.
+// sendOrder sends one order if the lease stays valid for the lifetime of an order
+// or the planner is in fallback. It holds back an unfenced order in a fallback and
+// until orders of a former holder have expired. It returns when the call ended,
+// and whether the outcome of the order is unknown.
 func (zone *zonePlanner) sendOrder(ctx context.Context, order shedkeel.Order) (time.Duration, bool) {
 	keeper := zone.keeper
 	orderLife := time.Duration(keeper.Settings.Timing.OrderLife)
@@ -353,7 +355,7 @@
 	defer cancel()
 	now := keeper.Timers.Now()
 	if order.Unfenced && (zone.inFallback || now < zone.lease.HeldSince()+zone.lease.TTL+orderLife) {
-		return now, false // the box cannot fence, and a former holder's order may still be in flight
+		return now, false // the box does not check the planner epoch, and an order of another holder may still be in flight
 	}
 	if _, held := zone.lease.Held(now, orderLife); !held && !zone.inFallback {
 		return now, false
--- a/keeper/probe.go
+++ b/keeper/probe.go
@@ -69,7 +69,7 @@
 	return state, sent, err
 }
 
-// storeAnswer stores the state of a box as of the time the probe was sent.
+// storeAnswer stores the state that a box reported to a probe sent at the time sent.
 func (prober *prober) storeAnswer(box shedkeel.BoxID, state shedkeel.BoxState, sent time.Duration) {
 	prober.mutex.Lock()
 	defer prober.mutex.Unlock()
@@ -98,8 +98,8 @@
 	groups := keeper.watchedGroups(now)
 	addresses := map[shedkeel.BoxID]string{}
 	for _, watched := range groups {
-		for _, place := range watched.Members {
-			addresses[place.Box] = place.Address
+		for _, groupMember := range watched.Members {
+			addresses[groupMember.Box] = groupMember.Address
 		}
 	}
 	started := keeper.Timers.Now()
--- a/keeper/spread.go
+++ b/keeper/spread.go
@@ -17,8 +17,8 @@
 	// maxFullExchange is the number of peers up to which a keeper exchanges with
 	// all of them on every tick.
 	maxFullExchange = 4
-	// sampledPeers is how many random peers a keeper exchanges with per tick when
-	// there are more.
+	// sampledPeers is how many random peers a keeper exchanges with on each tick if
+	// it has more than maxFullExchange.
 	sampledPeers = 3
 	// storeWatchersPerZone is how many keepers of each zone watch the key-value
 	// service and the box list. The others receive the records from them.
@@ -30,7 +30,7 @@
 func (keeper *Keeper) tickExchange(ctx context.Context, now time.Duration) {
 	keeper.mutex.Lock()
 	if now-keeper.lastSync > keeper.permitWindow() {
-		keeper.table.Self.Stopping = true // the entry has stopped syncing: advertise it to no caller
+		keeper.table.Self.Stopping = true // the entry has stopped syncing, so other entries must no longer list it for callers
 	}
 	keeper.table.AdvanceHeartbeat(now)
 	keeper.table.EvictDead(now)
@@ -110,7 +110,7 @@
 	keeper.Log.Write(event.KeeperAvailable, slog.String("address", address))
 }
 
-// peer returns the connection to a keeper, creating it on first use.
+// peer returns the wire peer for a keeper's address, and creates it on first use.
 func (keeper *Keeper) peer(address string) *wire.Peer {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
@@ -173,9 +173,9 @@
 	}
 }
 
-// settleFromStore marks the keeper as settled if the key-value service can be
-// read. It covers a service without a configuration record, for which the watch
-// reports nothing.
+// settleFromStore marks the keeper as settled if it can read from the key-value
+// service. It covers a service without a configuration record, for which the
+// watch reports nothing.
 func (keeper *Keeper) settleFromStore() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(keeper.Settings.Timing.StoreCall))
 	defer cancel()
@@ -202,7 +202,8 @@
 }
 
 // handleStoreRecord merges a record reported by the watch. If the record is older
-// than the one in force, it writes the one in force back.
+// than the one in force, it writes the one in force back. A deleted record counts
+// as one with generation 0.
 func (keeper *Keeper) handleStoreRecord(stored shedkeel.Record) {
 	keeper.recordStoreState(nil)
 	record, err := member.ParseRecord(stored)
@@ -239,7 +240,7 @@
 	defer cancel()
 	revision, err := keeper.Store.Swap(ctx, known.Key, stored.Revision, known.Value)
 	if err != nil {
-		return // another keeper was first, or the next watch reports the record again
+		return // another keeper has written it back, or the next watch reports the old record again
 	}
 	known.Revision = revision
 	keeper.mergeRecord(known)
@@ -275,8 +276,8 @@
 	return false
 }
 
-// recordBoxListError logs the first failure of a series of box-list reads. The
-// mutex must be held.
+// recordBoxListError logs a failed read of the box list, unless the read before failed
+// too. The mutex must be held.
 func (keeper *Keeper) recordBoxListError(err error) {
 	if !keeper.unreachable["box list"] {
 		keeper.Log.Write(event.BoxListUnavailable, slog.String("error", err.Error()))
