--- a/claim/committer.go
+++ b/claim/committer.go
@@ -142,7 +142,7 @@
 		for index, pending := range batch {
 			results[index] = committer.shard.decide(pending.request, committer.currentMinute())
 		}
-		if len(committer.shard.pending) > 0 {
+		if len(committer.shard.pendingClaims) > 0 {
 			err = committer.writeHead(ctx)
 			var conflict *shedkeel.ConflictError
 			if errors.As(err, &conflict) {
@@ -255,7 +255,7 @@
 
 // applyWrite records in memory that the head was written, with the batch's claims.
 func (committer *Committer) applyWrite(head Head) {
-	for key, claim := range committer.shard.pending {
+	for key, claim := range committer.shard.pendingClaims {
 		committer.shard.claims[key] = claim
 	}
 	for _, segment := range head.Sealed {
--- a/claim/head.go
+++ b/claim/head.go
@@ -101,7 +101,7 @@
 	head           Head             // the known head: the one last read or written, or merged by recoverClaims
 	claims         map[string]Claim // by Key: the claims of the head and of loadedSegments
 	loadedSegments map[string]bool  // keys of the segments whose claims are in claims
-	pending        map[string]Claim // by Key: the claims granted in this try of the batch and not yet written
+	pendingClaims  map[string]Claim // by Key: the claims granted in this try of the batch and not yet written
 }
 
 func newShard() *shard {
@@ -110,14 +110,14 @@
 
 // beginBatch starts a try of a batch and discards the pending claims of the previous
 // try.
-func (shard *shard) beginBatch() { shard.pending = map[string]Claim{} }
+func (shard *shard) beginBatch() { shard.pendingClaims = map[string]Claim{} }
 
 // decide decides one request, given the known claims and those that the batch has
-// granted so far, and adds a new claim to pending. A repeated request of the attempt
+// granted so far, and adds a new claim to pendingClaims. A repeated request of the attempt
 // that holds the claim is granted again. nowMinute is the current time in minutes
 // since the Unix epoch.
 func (shard *shard) decide(request Request, nowMinute int64) Result {
-	current, found := shard.pending[request.Key]
+	current, found := shard.pendingClaims[request.Key]
 	if !found {
 		current, found = shard.claims[request.Key]
 	}
@@ -130,7 +130,7 @@
 		return Result{Status: Taken, Claim: current}
 	}
 	claim := Claim{Key: request.Key, Attempt: request.Attempt, Holder: request.Holder, Digest: request.Digest, Minute: nowMinute}
-	shard.pending[request.Key] = claim
+	shard.pendingClaims[request.Key] = claim
 	return Result{Status: Granted, Claim: claim}
 }
 
@@ -139,12 +139,12 @@
 func (shard *shard) nextHead(nonce string) Head {
 	next := Head{Generation: shard.head.Generation + 1, Nonce: nonce, Sealed: slices.Clone(shard.head.Sealed)}
 	for _, claim := range shard.head.Claims {
-		if _, replaced := shard.pending[claim.Key]; !replaced {
+		if _, replaced := shard.pendingClaims[claim.Key]; !replaced {
 			next.Claims = append(next.Claims, claim)
 		}
 	}
-	for _, key := range slices.Sorted(maps.Keys(shard.pending)) {
-		next.Claims = append(next.Claims, shard.pending[key])
+	for _, key := range slices.Sorted(maps.Keys(shard.pendingClaims)) {
+		next.Claims = append(next.Claims, shard.pendingClaims[key])
 	}
 	return next
 }
--- a/member/rank.go
+++ b/member/rank.go
@@ -89,9 +89,9 @@
 // RankOf returns the position, from 0, of the node self in the order that Rank gives
 // for the key among the Candidates of a zone, or false if self is not a candidate.
 func RankOf(self shedkeel.NodeID, key string, zone shedkeel.ZoneID, live []shedkeel.Node) (int, bool) {
-	for place, node := range Rank(key, Candidates(zone, live)) {
+	for position, node := range Rank(key, Candidates(zone, live)) {
 		if node.ID == self {
-			return place, true
+			return position, true
 		}
 	}
 	return 0, false
