--- a/entry/attempts.go
+++ b/entry/attempts.go
@@ -22,8 +22,8 @@
 )
 
 // attempts stores the results of calls with an idempotency key, by attempt ID.
-// The zero value is usable once now is set. The limits can be exceeded while the
-// oldest attempt is still running.
+// The zero value is usable once now is set. The limits above can be exceeded while
+// the oldest attempt is still running.
 type attempts struct {
 	now func() time.Duration
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,7 +1,7 @@
 // Package entry is the request-serving process of an entry box. It authenticates
-// client accounts and forwards each request to a backend server. It tells the
-// caller one of three outcomes: the complete answer, that the request did not
-// run, or that its outcome is unknown. Requests that are invalid are refused.
+// client accounts and forwards each request to a backend server. Each response
+// states one of three outcomes: the complete answer, that the request did not
+// run, or that its outcome is unknown. The entry refuses invalid requests.
 package entry
 
 import (
@@ -47,19 +47,19 @@
 
 	stopping          atomic.Bool
 	lastAdvertised    atomic.Int64 // time of the last /v1/entries answer that listed this entry
-	activeCalls       atomic.Int64
-	mutex             sync.Mutex // guards table
+	activeCalls       atomic.Int64 // HTTP requests of callers in flight
+	mutex             sync.Mutex   // guards table and keeperUnreachable
 	table             member.Table
 	keeperUnreachable bool
 	background        sync.WaitGroup
 }
 
-// snapshot is the state on which requests are decided. It is never changed, but
-// replaced by a new one.
+// snapshot is the state that the entry uses to serve requests. A snapshot never
+// changes; rebuildSnapshot replaces it by a new one.
 type snapshot struct {
 	config     shedkeel.Config
-	configured bool // whether a configuration is in force
-	accounts   map[string]*shedkeel.Account
+	configured bool                         // whether a configuration is in force
+	accounts   map[string]*shedkeel.Account // by KeyHash
 	weights    map[shedkeel.AccountID]int
 	nodes      []shedkeel.Node
 	lastSync   time.Duration // when the last successful sync call was sent; negative: never
@@ -109,8 +109,8 @@
 	headerTimeout  = 5 * time.Second
 	idleTimeout    = 60 * time.Second
 	maxHeaderBytes = 64 << 10
-	bodyTimeout    = 30 * time.Second // for a caller to send its request body
-	writeTimeout   = 30 * time.Second // for a caller to receive an answer or one event of a stream
+	bodyTimeout    = 30 * time.Second // maximum time for a caller to send its request body
+	writeTimeout   = 30 * time.Second // maximum time for a caller to receive an answer or one event of a stream
 )
 
 // initialize sets up the unexported fields, and the keeper connection if there
@@ -144,8 +144,9 @@
 	}
 }
 
-// shutDown stops the entry without failing requests. It returns an error if
-// requests are still in flight after the drain time.
+// shutDown stops accepting requests once no caller uses this entry's address, and
+// waits for the requests in flight. It returns an error if some are still in flight
+// after the drain time.
 func (entry *Entry) shutDown(callers *http.Server) error {
 	entry.Log.Write(event.Stopping)
 	entry.stopping.Store(true)
@@ -155,9 +156,8 @@
 	return callers.Shutdown(ctx)
 }
 
-// waitAddressExpiry waits until no caller can still hold this entry's address:
-// other entries have learned that it is stopping, and the last answer that listed
-// it has expired. Requests are served meanwhile.
+// waitAddressExpiry waits until no caller may still use a cached /v1/entries answer
+// that lists this entry. The entry serves requests meanwhile.
 func (entry *Entry) waitAddressExpiry() {
 	started := entry.Timers.Now()
 	expired := make(chan struct{})
@@ -171,11 +171,12 @@
 	cancel()
 }
 
-// addressExpiry returns when the last answer that listed this entry expires.
-// started is when it began to stop. Other entries stop listing it within the
-// permit time plus the live time of a node: an entry without a reply from its
-// keeper within the permit time gives no such answers. Callers may keep an answer
-// for the DirectoryTTL setting.
+// addressExpiry returns when the last /v1/entries answer that lists this entry
+// expires. started is when the entry began to stop. Other entries list it for at
+// most the permit time plus DefaultLiveTime after that: a keeper that receives no
+// news of this node counts it as dead after DefaultLiveTime, and an entry whose last
+// sync is older than the permit time answers no /v1/entries requests. Callers may
+// cache an answer for the DirectoryTTL setting.
 func (entry *Entry) addressExpiry(started time.Duration) time.Duration {
 	propagation := time.Duration(entry.Settings.Timing.Permit) + member.DefaultLiveTime
 	return max(started+propagation, time.Duration(entry.lastAdvertised.Load())) + time.Duration(entry.Settings.Entry.DirectoryTTL)
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -35,13 +35,13 @@
 	cutAfter  int    // fail after this many bytes of the body; 0: send it completely
 	stream    bool
 	attemptID string // attempt ID in the response; empty: that of the request
-	notRun    bool
-	noLength  bool
-	resumedAt string
+	notRun    bool   // the response says that the request did not run
+	noLength  bool   // neither a length nor chunked encoding
+	resumedAt string // value of headerFrom in the response; empty: none
 }
 
-// scriptedBackend is a backend that takes one reply per request from a list, then
-// answers "ok". It records the requests.
+// scriptedBackend is a backend that takes one reply per request from a list, and
+// answers "ok" once the list is empty. It records the requests.
 type scriptedBackend struct {
 	mutex    sync.Mutex
 	replies  []reply
@@ -129,7 +129,8 @@
 }
 
 // testConfig has one model service, one plain service with a path that requires
-// an idempotency key, and one client account.
+// an idempotency key, and one client account. The plain service is called "permits",
+// which has nothing to do with the permits of groups.
 func testConfig() shedkeel.Config {
 	sum := sha256.Sum256([]byte(testKey))
 	return shedkeel.Config{
@@ -275,7 +276,7 @@
 		"cut before the end mark, resumed": {[]reply{{stream: true, body: events, cutAfter: 22}, {stream: true, body: "data: [DONE]\n\n", resumedAt: "2"}}, events, false, 200},
 		"ends without end mark":            {[]reply{{stream: true, body: "data: one\n\n"}, {status: 404}}, "data: one\n\n", true, 200},
 		"resumed at another event":         {[]reply{{stream: true, body: events, cutAfter: 11}, {stream: true, body: events, resumedAt: "0"}}, "data: one\n\n", true, 200},
-		"resumed under another name":       {[]reply{{stream: true, body: events, cutAfter: 11}, {stream: true, body: rest, resumedAt: "1", attemptID: "x"}}, "data: one\n\n", true, 200},
+		"resumed with wrong attempt ID":    {[]reply{{stream: true, body: events, cutAfter: 11}, {stream: true, body: rest, resumedAt: "1", attemptID: "x"}}, "data: one\n\n", true, 200},
 		"no resumption header":             {[]reply{{stream: true, body: events, cutAfter: 11}, {stream: true, body: events}}, "data: one\n\n", true, 200},
 		"answer has wrong ID":              {[]reply{{stream: true, body: events, attemptID: "x"}, {stream: true, body: events}}, events, false, 200},
 		"refused by all":                   {[]reply{{notRun: true}, {notRun: true}, {notRun: true}}, "", false, 503},
@@ -293,12 +294,12 @@
 	}
 }
 
-// TestEveryCut truncates an answer and a stream after each byte. The caller must
-// never take a truncated answer for a complete one.
+// TestEveryCut truncates an answer and a stream after each byte. The response must
+// never present a truncated answer as a complete one.
 func TestEveryCut(t *testing.T) {
-	whole := strings.Repeat("x", 40)
-	for cut := 1; cut < len(whole); cut++ {
-		broken := reply{body: whole, cutAfter: cut}
+	body := strings.Repeat("x", 40)
+	for cut := 1; cut < len(body); cut++ {
+		broken := reply{body: body, cutAfter: cut}
 		harness := newHarness(t, broken, broken, broken)
 		recorder := harness.post("/v1/completions", completionBody)
 		assert.Equal(t, outcome(recorder.Header().Get(HeaderOutcome)), outcomeUnknown, "cut after %d", cut)
@@ -308,8 +309,8 @@
 		harness := newHarness(t, broken, broken, broken, broken, broken)
 		recorder := harness.post("/v1/completions", streamBody)
 		got := recorder.Body.String()
-		whole := recorder.Code == 200 && recorder.Header().Get("Aborted") == ""
-		assert.Assert(t, !whole, "cut after %d: %q was presented as complete", cut, got)
+		complete := recorder.Code == 200 && recorder.Header().Get("Aborted") == ""
+		assert.Assert(t, !complete, "cut after %d: %q was presented as complete", cut, got)
 		assert.Assert(t, recorder.Code != 200 || strings.HasPrefix(events, got), "cut after %d: %q", cut, got)
 	}
 }
@@ -377,9 +378,9 @@
 	return nil, &shedkeel.UnknownRunError{Reason: "cut", Cause: context.Cause(request.Context())}
 }
 
-// TestBrokenGroupEndsItsRequests checks that requests in flight on a group are
-// canceled once a member is known to be lost, and that the caller is told at
-// once.
+// TestBrokenGroupEndsItsRequests checks that the entry cancels the requests in flight
+// on a group once a member is found lost, and that the caller then receives the error
+// at once.
 func TestBrokenGroupEndsItsRequests(t *testing.T) {
 	cases := map[string]shedkeel.Verdict{"refused": shedkeel.VerdictBroken, "silent": shedkeel.VerdictNoReply}
 	for name, verdict := range cases {
@@ -418,8 +419,8 @@
 	}
 }
 
-// TestBounds checks the limits on body, key and calls in flight, and that invalid
-// keys and time limits are refused.
+// TestBounds checks the limits on the request body, the idempotency key and the calls
+// in flight, and that invalid bearer keys and time limits are refused.
 func TestBounds(t *testing.T) {
 	harness := newHarness(t)
 	harness.Settings.Entry.MaxBody = 10
@@ -463,8 +464,8 @@
 	code, answer := ask()
 	assert.Equal(t, code, 200)
 	assert.DeepEqual(t, answer.Entries, []Address{{Address: "e2", Zone: "b"}, {Address: "e1", Zone: "a"}})
-	named := harness.clock.Now()
-	assert.Equal(t, harness.addressExpiry(0), named+5*time.Second, "the last answer must expire before the entry stops")
+	listedAt := harness.clock.Now()
+	assert.Equal(t, harness.addressExpiry(0), listedAt+5*time.Second, "the last answer must expire before the entry stops")
 	harness.stopping.Store(true)
 	_, answer = ask()
 	assert.DeepEqual(t, answer.Entries, []Address{{Address: "e2", Zone: "b"}})
@@ -481,7 +482,7 @@
 	attempts.begin("a")
 	state, _ := attempts.find("a")
 	assert.Equal(t, state.String(), "RUNNING")
-	attempts.end("a", 2, answer{status: 200, body: bytes.Repeat([]byte("x"), 10)})
+	attempts.end("a", 2, answer{status: 200, body: bytes.Repeat([]byte("x"), 10)}) // 2: KEPT
 	kept, err := answerFromWire(attempts.answerReply("a"))
 	assert.NilError(t, err)
 	assert.Equal(t, len(kept.body), 10)
@@ -489,7 +490,7 @@
 	attempts.begin("b")
 	state, _ = attempts.find("a")
 	assert.Equal(t, state.String(), "UNKNOWN", "an attempt that is not remembered may have run")
-	attempts.end("never begun", 3, answer{})
+	attempts.end("never begun", 3, answer{}) // 3: NEVER_SENT
 	assert.Equal(t, attempts.bodyBytes, 0)
 }
 
--- a/entry/flights.go
+++ b/entry/flights.go
@@ -26,9 +26,9 @@
 }
 
 // begin adds a request. It returns a context that is canceled with cause
-// errGroupBroken when the group is lost, and a function to call when the request
-// has ended.
-func (inFlightCalls *inFlightCalls) begin(ctx context.Context, on shedkeel.Assignment) (context.Context, func()) {
+// errGroupBroken when cancelExcept finds the assignment not intact, and a function
+// to call when the request has ended.
+func (inFlightCalls *inFlightCalls) begin(ctx context.Context, assignment shedkeel.Assignment) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	inFlightCalls.mutex.Lock()
 	defer inFlightCalls.mutex.Unlock()
@@ -37,7 +37,7 @@
 	}
 	inFlightCalls.nextID++
 	number := inFlightCalls.nextID
-	inFlightCalls.byID[number] = inFlightCall{assignment: on, cancel: cancel}
+	inFlightCalls.byID[number] = inFlightCall{assignment: assignment, cancel: cancel}
 	return ctx, func() {
 		inFlightCalls.mutex.Lock()
 		defer inFlightCalls.mutex.Unlock()
@@ -46,8 +46,8 @@
 	}
 }
 
-// cancelExcept cancels the requests to all groups that are not in intact.
-// Requests to servers that belong to no group are kept.
+// cancelExcept cancels the requests to all group assignments that are not in intact.
+// It does not cancel requests to servers that belong to no group.
 func (inFlightCalls *inFlightCalls) cancelExcept(intact map[shedkeel.Assignment]bool) {
 	inFlightCalls.mutex.Lock()
 	defer inFlightCalls.mutex.Unlock()
--- a/entry/history.go
+++ b/entry/history.go
@@ -63,7 +63,7 @@
 	return record, found
 }
 
-// assignID gives a call its request ID and sends the ID in the response header.
+// assignID gives a call its request ID and sets it in the response header.
 func (entry *Entry) assignID(writer http.ResponseWriter, call *call) {
 	call.id = entry.NewAttemptID()
 	writer.Header().Set(HeaderRequest, call.id)
--- a/entry/http.go
+++ b/entry/http.go
@@ -243,8 +243,8 @@
 	Usable   int `json:"usable_targets"`
 }
 
-// GroupUse is the permit of one group: how much longer it lasts, or why there is
-// none.
+// GroupUse is the permit of one group: how much longer it lasts, or the reason why
+// there is none.
 type GroupUse struct {
 	Group     shedkeel.Assignment `json:"group"`
 	PermitFor string              `json:"permit_for"`
@@ -284,7 +284,7 @@
 	entry.writeJSON(writer, dump)
 }
 
-// Handle serves the keeper's calls for the results of attempts.
+// Handle serves the keeper's calls, which ask for the results of attempts.
 func (entry *Entry) Handle(_ context.Context, call *wire.Call) *wire.Reply {
 	question, ok := call.GetKind().(*wire.Call_Answer)
 	if !ok {
--- a/entry/model.go
+++ b/entry/model.go
@@ -10,8 +10,9 @@
 	"shedkeel.org/shedkeel"
 )
 
-// affinityBytes is how much of a prompt is hashed for affinity. Requests that
-// begin alike go to groups that likely have the prefix in their prefix cache.
+// affinityBytes is how many bytes of a prompt the affinity hash covers. Requests whose
+// prompts have the same beginning go to groups that likely have it in their prefix
+// cache.
 const affinityBytes = 512
 
 // completionRequest has the fields of a completion request that an entry uses.
@@ -22,7 +23,8 @@
 	Messages json.RawMessage    `json:"messages"`
 }
 
-// affinity returns a hash of the beginning of the prompt, or 0 without prompt.
+// affinity returns a hash of the beginning of the prompt, or 0 if there is no prompt.
+// It sets the lowest bit of each hash, so that none is 0.
 func (request *completionRequest) affinity() uint64 {
 	text := request.Messages
 	if len(text) == 0 {
@@ -95,8 +97,8 @@
 }
 
 // stream forwards a call with a streamed answer, and reports whether the answer
-// is complete. It tries another server only while nothing of an answer has been
-// sent to the caller.
+// was complete. It tries another server only as long as it has sent no part of an
+// answer to the caller.
 func (entry *Entry) stream(ctx context.Context, writer http.ResponseWriter, call *call) bool {
 	for {
 		try, err := entry.nextTry(ctx, call)
--- a/entry/outcome.go
+++ b/entry/outcome.go
@@ -19,8 +19,8 @@
 // outcome is the value of HeaderOutcome and the type in an error body.
 type outcome string
 
-// The three outcomes, and refused for invalid requests, which did not run
-// either.
+// The three outcomes, and outcomeRefused for invalid requests, which the entry does
+// not send to a backend server.
 const (
 	outcomeAnswered outcome = "answered"
 	outcomeNotRun   outcome = "not-run"
@@ -50,9 +50,9 @@
 // Error returns the message, which says how to correct the request.
 func (refusal *refusal) Error() string { return refusal.text }
 
-// writeError sends an error response with the outcome that follows from err. An
-// error of an unlisted type means that the outcome is unknown. Callers of this
-// function send errors as soon as they are known.
+// writeError sends an error response with the outcome that follows from err. For an
+// error of a type that it does not list, the outcome is unknown. Call writeError as
+// soon as the error occurs, without waiting for the caller's time limit.
 func (entry *Entry) writeError(writer http.ResponseWriter, err error) {
 	var refused *refusal
 	var notRun *shedkeel.NotRunError
--- a/entry/plain.go
+++ b/entry/plain.go
@@ -19,8 +19,8 @@
 	// attempt.
 	HeaderRepeat = "Shedkeel-Repeat"
 	maxKeyBytes  = 255
-	// maxClaimTries limits how often a call is claimed again after the attempt that held
-	// the claim was never sent.
+	// maxClaimTries limits how often a call is claimed. Each time but the first replaces
+	// the claim of an attempt that was never sent.
 	maxClaimTries = 3
 	// claimTimeout is the time limit of one claim or answer call to the keeper.
 	claimTimeout = 4 * time.Second
@@ -123,8 +123,8 @@
 	entry.attempts.begin(call.attemptID)
 	earlier, err := entry.claim(ctx, call, key)
 	if err != nil || earlier != nil {
-		// The claim was not granted, or its result was lost. Either way this
-		// attempt is never sent.
+		// The claim was not granted, or the reply to it was lost. In both cases
+		// this attempt is never sent.
 		entry.attempts.end(call.attemptID, wire.AnswerReply_NEVER_SENT, answer{})
 		if err != nil {
 			return answer{}, err
@@ -159,7 +159,7 @@
 		}
 		switch reply.GetStatus() {
 		case wire.ClaimReply_GRANTED:
-			return nil, nil //nolint:nilnil // no earlier answer: the call is ours to run
+			return nil, nil //nolint:nilnil // granted: there is no earlier answer
 		case wire.ClaimReply_MISMATCH:
 			return nil, &refusal{status: http.StatusUnprocessableEntity, text: "this Idempotency-Key was used for another request; send a new key"}
 		case wire.ClaimReply_UNAVAILABLE:
@@ -196,9 +196,9 @@
 	return reply.GetClaim(), nil
 }
 
-// earlierAnswer returns the state and answer of the attempt that holds a claim,
-// from this entry or through the keeper from another. The state is UNKNOWN if
-// the other entry does not answer.
+// earlierAnswer returns the state and answer of the attempt that holds a claim. It
+// asks the entry that made the attempt through the keeper, unless that is this one.
+// The state is UNKNOWN if the other entry does not answer.
 func (entry *Entry) earlierAnswer(ctx context.Context, claimed *wire.ClaimReply) (wire.AnswerReply_State, answer) {
 	if claimed.GetHolder() == entry.claimHolder() {
 		state, kept := entry.attempts.find(claimed.GetAttempt())
--- a/entry/send.go
+++ b/entry/send.go
@@ -32,13 +32,13 @@
 	path            string // with the query, as sent to the backend server
 	header          http.Header
 	body            []byte
-	affinity        uint64
+	affinity        uint64        // see completionRequest.affinity; 0: none
 	timeout         time.Duration // time limit, counted from began
 	began           time.Duration
 	repeatable      bool   // may be sent again even if an earlier try may have run
-	freshConnection bool   // sent over a new connection
+	freshConnection bool   // sent over a new connection; see engine.WithFreshConnection
 	attemptID       string // attempt ID for all tries, or empty for a new one each try
-	mustEchoAttempt bool   // the response must carry the attempt ID
+	mustEchoAttempt bool   // the response must carry the attempt ID, as those of model groups do
 
 	id           string // request ID for the caller and operators
 	tries        []TryRecord
@@ -57,8 +57,8 @@
 	entry     *Entry
 }
 
-// finalError returns the error to report to the caller when no more tries are
-// made. It replaces a NotRunError if an earlier try may have run.
+// finalError returns the error to report to the caller when the entry makes no more
+// tries. It replaces a NotRunError if an earlier try may have run.
 func (call *call) finalError(err error) error {
 	var notRun *shedkeel.NotRunError
 	if errors.As(err, &notRun) && call.mayHaveRun != nil {
@@ -122,8 +122,8 @@
 	return err
 }
 
-// leaveGate tells the admission gate that a call has ended, with its duration if
-// it was answered.
+// leaveGate reports to the admission gate that a call has ended, with its duration,
+// or 0 if it was not answered.
 func (entry *Entry) leaveGate(call *call, answered bool) {
 	if !call.admitted {
 		return
@@ -168,8 +168,8 @@
 	return response, nil
 }
 
-// withGroupLoss returns an error that names the loss of a group member, if that
-// is why the request was canceled. A NotRunError is returned unchanged.
+// withGroupLoss returns an error that names the loss of a group member, if the request
+// was canceled because of it, and otherwise err. It returns a NotRunError unchanged.
 func (try *try) withGroupLoss(err error) error {
 	var notRun *shedkeel.NotRunError
 	if !errors.As(err, &notRun) && errors.Is(context.Cause(try.context), errGroupBroken) {
@@ -222,7 +222,7 @@
 }
 
 // mayRetry reports whether the call may be sent again after this error. It stores
-// an error after which the call may have run.
+// the error in mayHaveRun if the call may have run.
 func (call *call) mayRetry(err error) bool {
 	var notRun *shedkeel.NotRunError
 	if errors.As(err, &notRun) {
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -37,12 +37,12 @@
 	started bool // the response to the caller has begun
 	events  int  // number of events forwarded
 	resumes int
-	ended   bool // the end mark was forwarded
+	ended   bool // the end mark has been forwarded
 }
 
-// run forwards the stream up to its end mark. A stream that breaks off is resumed
-// at the same event of the same attempt. The events of different attempts are
-// never mixed.
+// run forwards the stream up to its end mark. It resumes a stream that breaks off, at
+// the next event of the same attempt, and never mixes the events of different
+// attempts. If the response is not a stream, run forwards it as a complete answer.
 func (relay *relay) run() error {
 	response, err := relay.try.send() //nolint:bodyclose // relayEvents and readAnswer close it
 	if err != nil {
--- a/entry/sync.go
+++ b/entry/sync.go
@@ -14,7 +14,8 @@
 )
 
 // sync fetches newer state from the keeper on this box and rebuilds the snapshot.
-// It rebuilds it without a reply too, so that expired permits take effect.
+// If the keeper does not reply, sync rebuilds the snapshot from the known state, so
+// that groups with expired permits no longer count in the router's capacity.
 func (entry *Entry) sync(time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(entry.Settings.Timing.Permit)/2)
 	defer cancel()
@@ -55,8 +56,8 @@
 }
 
 // rebuildSnapshot replaces the snapshot by one built from the table, updates the
-// limiter and the router, and cancels requests to broken groups. synced is when
-// the last successful sync call was sent. The mutex must be held.
+// limiter and the router, and cancels requests to broken groups. synced is when the
+// entry sent its last successful sync call, or negative. The mutex must be held.
 func (entry *Entry) rebuildSnapshot(synced, now time.Duration) {
 	before := entry.snapshot.Load()
 	next := &snapshot{lastSync: synced, accounts: map[string]*shedkeel.Account{}, weights: map[shedkeel.AccountID]int{}}
@@ -110,8 +111,8 @@
 }
 
 // serverTargets returns the servers of a plain service that are not leaving. They
-// need no permit, but expire without a sync, so that a notice that a server is
-// leaving arrives in time.
+// need no permit, but an entry may use them only for a limited time after a sync:
+// without its keeper it does not receive the notice that a server is leaving.
 func serverTargets(service shedkeel.Service, input member.PermitInput, synced time.Duration) []route.Target {
 	leaving := input.Leaving()
 	var targets []route.Target
@@ -126,11 +127,12 @@
 	return targets
 }
 
-// serverWindows is for how many permit windows after the last sync the servers of
-// a plain service may be used. Two windows allow for a restart of the keeper.
+// serverWindows is how long after the last sync an entry may use the servers of a
+// plain service, in permit windows. Two windows allow for a restart of the keeper.
 const serverWindows = 2
 
-// cancelBroken cancels the requests to groups that are known to be broken.
+// cancelBroken cancels the requests to groups that are broken or that no placement
+// contains any more.
 func (entry *Entry) cancelBroken(next *snapshot) {
 	intact := map[shedkeel.Assignment]bool{}
 	for _, permit := range next.permits {
