--- a/keeper/operator.go
+++ b/keeper/operator.go
@@ -36,7 +36,7 @@
 type GroupStatus struct {
 	Group  shedkeel.Group  `json:"group"`
 	Zone   shedkeel.ZoneID `json:"zone"`
-	State  string          `json:"state"` // whole, short, loading or draining
+	State  string          `json:"state"` // whole, short, loading or draining; see groupState
 	Reason string          `json:"reason,omitempty"`
 }
 
@@ -250,8 +250,10 @@
 	}
 }
 
-// groupState returns the state of a group as it appears in GroupStatus. A reason that
-// contains "leaving" means that a member leaves; see member.PermitInput.Permits.
+// groupState returns the state of a group as it appears in GroupStatus: "whole" with a
+// valid permit, "draining" if the group or a member of it is leaving, "short" if it is
+// broken, and "loading" otherwise. Only the reasons that the package member gives for
+// a leaving member contain "leaving".
 func groupState(permit member.Permit, now time.Duration) string {
 	switch {
 	case permit.Until > now:
--- a/keeper/plan.go
+++ b/keeper/plan.go
@@ -44,13 +44,13 @@
 	fenced          bool // the stored placement carries the current epoch
 	inFallback      bool // sending fallback orders during an outage of the store
 	policyTable     shedkeel.PlannerParameters
-	tableGeneration uint64                           // configuration generation that the policies were computed from
+	tableGeneration uint64                           // configuration generation with which the policy program last ran
 	unknownOutcomes map[shedkeel.BoxID]time.Duration // by box: when the call of its last order with an unknown outcome ended
 	decisions       []shedkeel.Decision              // newest last, at most maxDecisions
 }
 
-// tickPlan runs one planning step for each zone whose lease this keeper may
-// hold, all zones in parallel.
+// tickPlan runs one planning step for each of candidateZones, all zones in
+// parallel.
 func (keeper *Keeper) tickPlan(ctx context.Context, now time.Duration) {
 	var running sync.WaitGroup
 	for _, zone := range keeper.candidateZones(now) {
@@ -60,7 +60,8 @@
 }
 
 // candidateZones returns the planners of the zones whose lease this keeper may
-// hold. It creates missing ones.
+// hold or held earlier. It creates the planner of a zone when this keeper first is
+// a candidate for the zone's lease.
 func (keeper *Keeper) candidateZones(now time.Duration) []*zonePlanner {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
@@ -240,8 +241,8 @@
 }
 
 // boxView returns the last state that a box reported. After an order with an
-// unknown outcome the box counts as not answering until a later probe shows the
-// effect of the order.
+// unknown outcome, boxView reports the box as not answering until the box has
+// answered a probe sent after the order's call ended, which shows the order's effect.
 func (zone *zonePlanner) boxView(box shedkeel.Box) shedkeel.BoxView {
 	view := zone.keeper.prober.lastView(box)
 	orderedAt, outcomeUnknown := zone.unknownOutcomes[box.ID]
