--- a/entry/flights.go
+++ b/entry/inflight.go
@@ -8,7 +8,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// errGroupBroken is the cancellation cause of requests whose group lost a member.
+// errGroupBroken is the cancellation cause of requests whose group lost a member or is
+// no longer in any placement.
 var errGroupBroken = errors.New("the group lost a member")
 
 // inFlightCalls tracks the requests sent to groups, so that they can be
--- a/entry/plain.go
+++ b/entry/plain.go
@@ -18,7 +18,8 @@
 	// HeaderRepeat is the response header that marks the stored answer of an earlier
 	// attempt.
 	HeaderRepeat = "Shedkeel-Repeat"
-	maxKeyBytes  = 255
+	// maxKeyBytes limits the length of an idempotency key.
+	maxKeyBytes = 255
 	// maxClaimTries limits how often a call is claimed. Each time but the first replaces
 	// the claim of an attempt that was never sent.
 	maxClaimTries = 3
--- a/entry/send.go
+++ b/entry/send.go
@@ -68,8 +68,9 @@
 }
 
 // nextTry chooses a server for the next try of a call, and admits the call if it
-// is the first. It fails if the time limit, the retry limits or the admission
-// gate do not allow another try. The caller must call end on the try.
+// is the first. It fails if no server is usable, or if the time limit, the retry
+// limits or the admission gate do not allow another try. The caller must call end
+// on the try.
 func (entry *Entry) nextTry(ctx context.Context, call *call) (*try, error) {
 	now := entry.Timers.Now()
 	remaining := call.timeout - (now - call.began)
@@ -195,6 +196,7 @@
 	return nil
 }
 
+// The causes of an UnknownRunError for a response that is not a complete answer.
 var (
 	errWrongAnswer  = errors.New("the answer names another attempt")
 	errServerFailed = errors.New("the server failed")
--- a/entry/sync.go
+++ b/entry/sync.go
@@ -144,7 +144,7 @@
 }
 
 // entryNodes returns the entry boxes that are not stopping: those in zone first,
-// then those in own, the zone of this entry, then the others, each by name.
+// then those in own, the zone of this entry, then the others, each sorted by ID.
 func (snapshot *snapshot) entryNodes(zone, own shedkeel.ZoneID) []shedkeel.Node {
 	var nodes []shedkeel.Node
 	for _, node := range snapshot.nodes {
