--- a/claim/head.go
+++ b/claim/head.go
@@ -2,7 +2,7 @@
 // claimed each call that must run at most once. Claims are spread over shards. The
 // head record of a shard changes only by compare-and-swap, so two processes can
 // never both grant the same key. Correctness does not depend on which processes
-// write a shard; one process for each shard only avoids conflicts.
+// write a shard. If only one process writes each shard, fewer writes conflict.
 package claim
 
 import (
@@ -23,9 +23,9 @@
 type Request struct {
 	Key       string // as KeyOf returns it
 	Attempt   string // ID of the attempt; unique in the fleet
-	Holder    string // the entry process that makes the attempt
-	Digest    string // digest of the call's content, to notice another call with the same Key
-	InsteadOf string // ID of another attempt, or "": one that its holder knows will never run, so that its claim may be replaced
+	Holder    string // the entry process that makes the attempt, as shedkeel.ClaimHolder names it
+	Digest    string // digest of the call's content, to detect another call with the same Key
+	InsteadOf string // ID of an attempt whose holder has confirmed that it will never run; this request may replace its claim. "": none
 }
 
 // Status is the decision on a request.
@@ -98,10 +98,10 @@
 
 // shard holds the claims of a shard that one process knows.
 type shard struct {
-	head           Head
+	head           Head             // the known head: the one last read or written, or merged by recoverClaims
 	claims         map[string]Claim // by Key: the claims of the head and of loadedSegments
 	loadedSegments map[string]bool  // keys of the segments whose claims are in claims
-	pending        map[string]Claim // by Key: the claims granted in this try of the batch and not yet written
+	pendingClaims  map[string]Claim // by Key: the claims granted in this try of the batch and not yet written
 }
 
 func newShard() *shard {
@@ -110,14 +110,14 @@
 
 // beginBatch starts a try of a batch and discards the pending claims of the previous
 // try.
-func (shard *shard) beginBatch() { shard.pending = map[string]Claim{} }
+func (shard *shard) beginBatch() { shard.pendingClaims = map[string]Claim{} }
 
 // decide decides one request, given the known claims and those that the batch has
-// granted so far, and adds a new claim to pending. A repeated request of the attempt
+// granted so far, and adds a new claim to pendingClaims. A repeated request of the attempt
 // that holds the claim is granted again. nowMinute is the current time in minutes
 // since the Unix epoch.
 func (shard *shard) decide(request Request, nowMinute int64) Result {
-	current, found := shard.pending[request.Key]
+	current, found := shard.pendingClaims[request.Key]
 	if !found {
 		current, found = shard.claims[request.Key]
 	}
@@ -130,7 +130,7 @@
 		return Result{Status: Taken, Claim: current}
 	}
 	claim := Claim{Key: request.Key, Attempt: request.Attempt, Holder: request.Holder, Digest: request.Digest, Minute: nowMinute}
-	shard.pending[request.Key] = claim
+	shard.pendingClaims[request.Key] = claim
 	return Result{Status: Granted, Claim: claim}
 }
 
@@ -139,19 +139,19 @@
 func (shard *shard) nextHead(nonce string) Head {
 	next := Head{Generation: shard.head.Generation + 1, Nonce: nonce, Sealed: slices.Clone(shard.head.Sealed)}
 	for _, claim := range shard.head.Claims {
-		if _, replaced := shard.pending[claim.Key]; !replaced {
+		if _, replaced := shard.pendingClaims[claim.Key]; !replaced {
 			next.Claims = append(next.Claims, claim)
 		}
 	}
-	for _, key := range slices.Sorted(maps.Keys(shard.pending)) {
-		next.Claims = append(next.Claims, shard.pending[key])
+	for _, key := range slices.Sorted(maps.Keys(shard.pendingClaims)) {
+		next.Claims = append(next.Claims, shard.pendingClaims[key])
 	}
 	return next
 }
 
-// setHead makes the given head, which was read from the key-value service, the known
-// one and adds its claims to claims. It returns the segments of the head that are not
-// in loadedSegments.
+// setHead sets the known head to one that was read from the key-value service, and adds
+// its claims to claims. It returns the segments of the head that are not in
+// loadedSegments.
 func (shard *shard) setHead(head Head) (missing []Segment) {
 	shard.head = head
 	for _, segment := range head.Sealed {
@@ -165,18 +165,18 @@
 	return missing
 }
 
-// recoverClaims returns the head to use when the stored head, older, has a lower
-// generation than the known one because the key-value service was restored from
-// older data: the stored head with the known generation and with all known claims
-// whose keys are not among its own. The next write stores it.
-func (shard *shard) recoverClaims(older Head) Head {
+// recoverClaims merges the known claims into a stored head that has a lower
+// generation than the known head, because the key-value service was restored from
+// older data. The result has the known generation, the stored head's claims, and the
+// known claims for all other keys. The next write stores it.
+func (shard *shard) recoverClaims(stored Head) Head {
 	present := map[string]bool{}
-	for _, claim := range older.Claims {
+	for _, claim := range stored.Claims {
 		present[claim.Key] = true
 	}
-	recovered := older
+	recovered := stored
 	recovered.Generation = shard.head.Generation
-	recovered.Claims = slices.Clone(older.Claims)
+	recovered.Claims = slices.Clone(stored.Claims)
 	for _, key := range slices.Sorted(maps.Keys(shard.claims)) {
 		if !present[key] {
 			recovered.Claims = append(recovered.Claims, shard.claims[key])
--- a/member/rank.go
+++ b/member/rank.go
@@ -70,8 +70,9 @@
 	return ranked[:min(watchersPerGroup, len(ranked))]
 }
 
-// Candidates returns the live nodes that may work for a zone: those in the zone,
-// or all live nodes of the fleet if fewer than watchersPerGroup are in the zone.
+// Candidates returns the live nodes that may probe the groups of a zone or hold its
+// lease: those in the zone, or all live nodes of the fleet if fewer than
+// watchersPerGroup are in the zone.
 func Candidates(zone shedkeel.ZoneID, live []shedkeel.Node) []shedkeel.Node {
 	var inZone []shedkeel.Node
 	for _, node := range live {
@@ -88,9 +89,9 @@
 // RankOf returns the position, from 0, of the node self in the order that Rank gives
 // for the key among the Candidates of a zone, or false if self is not a candidate.
 func RankOf(self shedkeel.NodeID, key string, zone shedkeel.ZoneID, live []shedkeel.Node) (int, bool) {
-	for place, node := range Rank(key, Candidates(zone, live)) {
+	for position, node := range Rank(key, Candidates(zone, live)) {
 		if node.ID == self {
-			return place, true
+			return position, true
 		}
 	}
 	return 0, false
