--- a/config/node.go
+++ b/config/node.go
@@ -28,12 +28,12 @@
 	Log      LogSettings `toml:"log"`
 }
 
-// NodeListen are the addresses of a node, each IP:PORT.
+// NodeListen are the addresses on which a node listens, each IP:PORT.
 type NodeListen struct {
 	Callers   string `toml:"callers"`
-	Directory string `toml:"directory"` // where callers ask which addresses to use
-	Readiness string `toml:"readiness"`
-	Control   string `toml:"control"` // for other nodes
+	Directory string `toml:"directory"` // answers callers that ask which node addresses to use
+	Readiness string `toml:"readiness"` // answers the platform's readiness checks
+	Control   string `toml:"control"`   // for other nodes
 	// Gossip receives the failure detector's datagrams from other nodes.
 	// Empty: the address of Control.
 	Gossip  string `toml:"gossip"`
@@ -45,7 +45,8 @@
 	Key string `toml:"key"` // shared secret, the same on all nodes
 }
 
-// NodeBounds are the limits that the platform's operators guarantee to callers.
+// NodeBounds are the time limits that the platform and its callers rely on, and the
+// limits of retries and backoffs.
 type NodeBounds struct {
 	Grace  shedkeel.Duration `toml:"grace"`  // from SIGTERM until the platform kills the process
 	Revoke shedkeel.Duration `toml:"revoke"` // from the removal of an API key until no request runs with it
@@ -54,7 +55,7 @@
 	// node uses the newest configuration that it knows, and a removed key works
 	// for as long as the key-value service is unreachable.
 	RefuseStaleKeys bool              `toml:"refuse_stale_keys"`
-	Directory       shedkeel.Duration `toml:"directory"`    // longest that callers may use a directory answer
+	Directory       shedkeel.Duration `toml:"directory"`    // longest time for which callers may cache a directory answer
 	RetryRatio      float64           `toml:"retry_ratio"`  // retries allowed per request, over all nodes
 	RetryWindow     shedkeel.Duration `toml:"retry_window"` // window in which retries and requests are counted
 	RetrySlack      float64           `toml:"retry_slack"`  // retries allowed in addition to the ratio
--- a/config/node_test.go
+++ b/config/node_test.go
@@ -29,7 +29,7 @@
 func TestNodeSettings(t *testing.T) {
 	cases := map[string]struct {
 		change func(string) string
-		remedy string // part of the error; empty: the file is valid
+		want   string // part of the error; empty: the file is valid
 	}{
 		"valid":                 {func(text string) string { return text }, ""},
 		"no node":               {func(text string) string { return strings.Replace(text, `node = "n1"`, "", 1) }, "node is missing; set it"},
@@ -44,15 +44,15 @@
 		"wrong type of a flag":  {func(text string) string { return text + "refuse_stale_keys = \"no\"\n" }, "refuse_stale_keys"},
 		"seeds":                 {func(text string) string { return "seeds = [\"127.0.0.1:5\", \"127.0.0.2:5\"]\n" + text }, ""},
 		"a seed without a port": {func(text string) string { return "seeds = [\"127.0.0.1:5\", \"127.0.0.2\"]\n" + text }, "seeds[1] is no address"},
-		"truncated file":        {func(text string) string { return text[:40] }, "mend that line"},
+		"truncated file":        {func(text string) string { return text[:40] }, "correct that line"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "node.toml")
 			assert.NilError(t, os.WriteFile(path, []byte(test.change(nodeText)), 0o600))
 			settings, err := ReadNodeSettings(path)
-			if test.remedy != "" {
-				assert.ErrorContains(t, err, test.remedy)
+			if test.want != "" {
+				assert.ErrorContains(t, err, test.want)
 				return
 			}
 			assert.NilError(t, err)
--- a/config/settings.go
+++ b/config/settings.go
@@ -29,7 +29,7 @@
 	Listen       string            `toml:"listen"`     // for callers
 	Advertise    string            `toml:"advertise"`  // address under which callers reach it; empty: Listen
 	Admin        string            `toml:"admin"`      // health, metrics and state, for operators
-	DirectoryTTL shedkeel.Duration `toml:"keep_for"`   // how long callers may cache the answer which entry box to use
+	DirectoryTTL shedkeel.Duration `toml:"keep_for"`   // how long callers may cache the addresses of entry boxes
 	MaxBody      int64             `toml:"max_body"`   // largest request body, in bytes
 	MaxCalls     int               `toml:"max_calls"`  // limit of concurrent requests
 	DrainTime    shedkeel.Duration `toml:"drain_time"` // limit of the wait for requests in flight on a graceful stop
@@ -56,7 +56,8 @@
 	BoxList string `toml:"box_list"` // host:port of the box list
 }
 
-// Timing holds the intervals and time limits of failure detection and coordination.
+// Timing holds the intervals and time limits of failure detection and coordination. A
+// claim is the right to run a call under its idempotency key.
 type Timing struct {
 	Tick        shedkeel.Duration `toml:"tick"`         // interval at which a keeper probes engines, exchanges state and plans
 	Sync        shedkeel.Duration `toml:"sync"`         // interval at which an entry polls its keeper
@@ -181,11 +182,13 @@
 			return &shedkeel.InvalidError{Where: name, What: setting.key + " is not positive", Remedy: `write it as "500ms" or "3s"`}
 		}
 	}
+	// A permit must outlast a round of probes, an exchange between keepers and two polls
+	// by the entry.
 	if timing.Permit < 3*timing.Tick+2*timing.Sync {
-		return &shedkeel.InvalidError{Where: name, What: "timing.permit is shorter than a round of probes, an exchange and two of sync", Remedy: "lengthen it, or permits run out between renewals"}
+		return &shedkeel.InvalidError{Where: name, What: "timing.permit is shorter than three times timing.tick plus twice timing.sync", Remedy: "lengthen it, or permits run out between renewals"}
 	}
 	if timing.Lease < 2*(timing.LeaseMargin+timing.OrderLife+timing.Tick) {
-		return &shedkeel.InvalidError{Where: name, What: "timing.lease is too short for its margin, the order life and the tick", Remedy: "make it at least twice their sum"}
+		return &shedkeel.InvalidError{Where: name, What: "timing.lease is too short for timing.lease_margin, timing.order_life and timing.tick", Remedy: "make it at least twice their sum"}
 	}
 	if settings.Entry.MaxBody <= 0 || settings.Entry.MaxCalls <= 0 {
 		return &shedkeel.InvalidError{Where: name, What: "entry.max_body and entry.max_calls must be positive", Remedy: "leave them out for the defaults"}
--- a/config/toml.go
+++ b/config/toml.go
@@ -27,7 +27,7 @@
 	meta, err := toml.Decode(string(text), target)
 	var parseErr toml.ParseError
 	if errors.As(err, &parseErr) {
-		return &shedkeel.InvalidError{Where: fmt.Sprintf("%s:%d", name, parseErr.Position.Line), What: parseErr.Message, Remedy: "mend that line"}
+		return &shedkeel.InvalidError{Where: fmt.Sprintf("%s:%d", name, parseErr.Position.Line), What: parseErr.Message, Remedy: "correct that line"}
 	}
 	if err != nil {
 		return &shedkeel.InvalidError{Where: name, What: err.Error(), Remedy: "give the key a value of that type"}
