--- a/engine/client.go
+++ b/engine/client.go
@@ -18,8 +18,8 @@
 // Headers between an entry and an engine.
 const (
 	HeaderAttempt = "Shedkeel-Attempt" // echoed by the engine in its answer
-	HeaderGroup   = "Shedkeel-Group"
-	HeaderEpoch   = "Shedkeel-Epoch"
+	HeaderGroup   = "Shedkeel-Group"   // replica group to which the entry sends the request
+	HeaderEpoch   = "Shedkeel-Epoch"   // epoch of the group's assignment; an engine rejects a request with another one than its own
 	HeaderNotRun  = "Shedkeel-Not-Run" // set by an engine that rejected a request without running it; the value is the reason
 )
 
@@ -54,9 +54,9 @@
 
 // SendOrder sends an order to the engine at order.Address. It prevents net/http from
 // retrying the order and closes the connection after it. The client's timeout keeps
-// a delayed order from being sent late. The error is a
-// ConflictError if the engine rejects the order, an UnknownOutcomeError if no
-// answer came, and an untyped error for any other status.
+// a delayed order from being sent late. The error is a ConflictError if the engine
+// rejects the order, an UnknownOutcomeError if no answer came, and an untyped error for
+// any other status.
 func (control *Control) SendOrder(ctx context.Context, order shedkeel.Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
--- a/engine/event.go
+++ b/engine/event.go
@@ -38,7 +38,7 @@
 // startsLine reports whether line, the last bytes of event, begins at the start of
 // a line. It is false for the remainder of a line that was longer than the
 // reader's buffer.
-func startsLine(message, line []byte) bool {
-	preceding := message[:len(message)-len(line)]
+func startsLine(event, line []byte) bool {
+	preceding := event[:len(event)-len(line)]
 	return len(preceding) == 0 || preceding[len(preceding)-1] == '\n'
 }
--- a/engine/event_test.go
+++ b/engine/event_test.go
@@ -50,14 +50,14 @@
 		reader := bufio.NewReaderSize(bytes.NewReader(stream), 16)
 		var read []byte
 		for {
-			message, err := ReadEvent(reader)
+			event, err := ReadEvent(reader)
 			if errors.Is(err, io.EOF) {
 				assert.DeepEqual(t, read, append([]byte(nil), stream...))
 			}
 			if err != nil {
 				break
 			}
-			read = append(read, message...)
+			read = append(read, event...)
 		}
 		assert.Assert(t, bytes.HasPrefix(stream, read))
 	})
--- a/engine/transport.go
+++ b/engine/transport.go
@@ -21,7 +21,7 @@
 )
 
 // errConnSealed is the error of a write to a connection after seal.
-var errConnSealed = errors.New("the request was given up before this was written")
+var errConnSealed = errors.New("write to a connection that was closed because its request failed")
 
 // Transport sends each request to a backend server at most once. The zero value
 // is ready to use.
@@ -112,7 +112,8 @@
 }
 
 // Stopped reports whether the address refuses connections, which means that no
-// process listens there. A timeout or any other failure is no proof of that.
+// process listens there. After a timeout or any other failure it returns false,
+// because a process may still listen.
 func (transport *Transport) Stopped(ctx context.Context, address string) bool {
 	dialer := &net.Dialer{}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -198,7 +199,7 @@
 type requestWrites struct {
 	mutex         sync.Mutex
 	conns         []*countingConn
-	writtenBefore []int64
+	writtenBefore []int64 // bytes that earlier requests wrote, per connection
 }
 
 // gotConn records a connection that net/http chose for the request, and how many
