--- a/wire/closing_test.go
+++ b/wire/closing_test.go
@@ -35,15 +35,15 @@
 }
 
 // TestClosingWhileCallsWait closes a session while calls wait for their replies and the
-// connection is slow to end. The waiting calls must not spin meanwhile: on a single
-// core without preemption the session would never end.
+// connection reports its closing late. The waiting calls must not spin meanwhile: on a
+// single core without preemption the session would never end.
 func TestClosingWhileCallsWait(t *testing.T) {
-	const late = 400 * time.Millisecond
+	const closeDelay = 400 * time.Millisecond
 	handler := &echo{release: make(chan struct{})}
 	address, stop := serve(t, handler)
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", address)
 	assert.NilError(t, err)
-	link, err := newLink(&delayedErrorConn{Conn: conn, delay: late}, newClientSession)
+	link, err := newLink(&delayedErrorConn{Conn: conn, delay: closeDelay}, newClientSession)
 	assert.NilError(t, err)
 	var callers sync.WaitGroup
 	for range 16 {
@@ -59,8 +59,8 @@
 	callers.Wait()
 	took, work := time.Since(began), processorTime(t)-before
 	t.Logf("closed in %s with %s of processor time", took, work)
-	assert.Assert(t, took >= late, "the session ended in %s, too fast for a meaningful test", took)
-	assert.Assert(t, work < late/4, "%s of processor time while the session closed", work)
+	assert.Assert(t, took >= closeDelay, "the session ended in %s, too fast for a meaningful test", took)
+	assert.Assert(t, work < closeDelay/4, "%s of processor time while the session closed", work)
 	close(handler.release)
 	stop()
 }
--- a/wire/datagram_test.go
+++ b/wire/datagram_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// FuzzGossip checks that OpenGossip either decodes any text with a valid tag, so that it
-// can be encoded again, or returns an error.
+// FuzzGossip checks that OpenGossip, given any text with a valid tag, returns an error or
+// a message that can be encoded again.
 func FuzzGossip(f *testing.F) {
 	sealed, err := SealGossip("k", shedkeel.GossipMessage{Kind: shedkeel.GossipAck, From: "a", Updates: []shedkeel.GossipUpdate{{Node: 1, Age: time.Second}}})
 	assert.NilError(f, err)
--- a/wire/link.go
+++ b/wire/link.go
@@ -85,8 +85,8 @@
 	return stream, nil
 }
 
-// setDeadline sets the deadline of a stream, unless the link is closed and the deadline
-// therefore expired.
+// setDeadline sets the deadline of a stream. On a closed link it leaves the deadline
+// expired.
 func (link *link) setDeadline(stream *yamux.Stream, deadline time.Time) {
 	link.mutex.Lock()
 	defer link.mutex.Unlock()
--- a/wire/session.go
+++ b/wire/session.go
@@ -61,9 +61,9 @@
 	link  *link
 }
 
-// Do sends a call and returns its reply. The error is an UnavailableError if no session
-// could be opened, so that the call was certainly not handled, else an
-// UnknownOutcomeError.
+// Do sends a call, whose Key it sets, and returns its reply. The error is an
+// UnavailableError if no session could be opened, so that the call was certainly not
+// handled, else an UnknownOutcomeError.
 func (peer *Peer) Do(ctx context.Context, call *Call) (*Reply, error) {
 	link, err := peer.open(ctx)
 	if err != nil {
@@ -131,8 +131,8 @@
 	}
 }
 
-// roundTrip sends a call over a new stream and returns its reply. The error is that of
-// the context if the context ended.
+// roundTrip sets the call's key, sends the call over a new stream and returns its reply.
+// The error is that of the context if the context ended.
 func roundTrip(ctx context.Context, link *link, key string, call *Call) (*Reply, error) {
 	stream, err := link.open()
 	if err != nil {
@@ -172,8 +172,8 @@
 
 // Server accepts sessions and has Handler answer their calls.
 type Server struct {
-	Key     string
-	TLS     *tls.Config
+	Key     string      // shared secret of all processes of the fleet
+	TLS     *tls.Config // nil: no TLS
 	Handler Handler
 
 	mutex   sync.Mutex
@@ -187,7 +187,8 @@
 	key  string
 }
 
-// Do sends a call to the other side of the session and returns its reply.
+// Do sends a call, whose Key it sets, to the other side of the session and returns its
+// reply. On an error it is unknown whether the other side handled the call.
 func (session *Session) Do(ctx context.Context, call *Call) (*Reply, error) {
 	return roundTrip(ctx, session.link, session.key, call)
 }
@@ -198,15 +199,16 @@
 // sessionContextKey is the context key of the Session that SessionFromContext returns.
 type sessionContextKey struct{}
 
-// SessionFromContext returns the session of the call to which a handler's context belongs, or
-// nil for any other context.
+// SessionFromContext returns the session of the call to which a handler's context
+// belongs, or nil for any other context.
 func SessionFromContext(ctx context.Context) *Session {
 	session, _ := ctx.Value(sessionContextKey{}).(*Session)
 	return session
 }
 
-// Run accepts sessions until the listener is closed. It then closes all sessions and
-// waits for their calls to end.
+// Run accepts sessions until the listener is closed or fails. It then closes all
+// sessions, waits for their calls to end and returns the listener's error, or nil if the
+// listener was closed.
 func (server *Server) Run(listener net.Listener) error {
 	if server.TLS != nil {
 		listener = tls.NewListener(listener, server.TLS)
@@ -227,7 +229,7 @@
 	}
 }
 
-// addSession starts to answer the calls of a new connection.
+// addSession starts a goroutine that answers the calls of a new connection.
 func (server *Server) addSession(conn net.Conn) {
 	link, err := newLink(conn, newServerSession)
 	if err != nil {
@@ -278,7 +280,8 @@
 	}
 }
 
-// serve reads one call from the stream, checks its key and sends the reply.
+// serve reads one call from the stream, checks its key, has the handler answer it and
+// sends the reply.
 func (callServer *callServer) serve(ctx context.Context, stream *yamux.Stream) {
 	defer callServer.link.close(stream)
 	callServer.link.setDeadline(stream, time.Now().Add(serveTimeout))
--- a/wire/session_test.go
+++ b/wire/session_test.go
@@ -53,8 +53,8 @@
 }
 
 // longPause is the shortest scheduling pause of the machine that may end a session. Both
-// sides must be scheduled several times for a keepalive, so that such pauses can add up
-// to its two seconds.
+// sides must be scheduled several times for one keepalive, so pauses of this length can
+// add up to its timeout of 2 s.
 const longPause = 300 * time.Millisecond
 
 // pauseMonitor measures the longest time for which the machine did not schedule the
