--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -22,8 +22,8 @@
 	ReportInterval   time.Duration // minimum interval between updates of the reported load
 	Slots            int           // maximum number of concurrent requests
 	Unfenced         bool          // accepts orders with an outdated planner epoch
-	WeightStoreSlots chan struct{} // semaphore of the weight store: its capacity limits concurrent loads; nil: no limit
-	BootPrefix       string        // prefix of the boot identifiers
+	WeightStoreSlots chan struct{} // semaphore of the weight store, from which a load takes a slot at its end; nil: none
+	BootPrefix       string        // prefix of the boot identifiers, of which each restart gets a new one
 
 	faults              faultSwitch
 	mutex               sync.Mutex
@@ -138,9 +138,9 @@
 	}
 	model.state.Weights = order.Service
 	model.state.Phase = shedkeel.PhaseLoading
-	after := shedkeel.PhaseReady
+	next := shedkeel.PhaseReady
 	if order.Kind == shedkeel.OrderPrefetch {
-		after = shedkeel.PhaseWarm
+		next = shedkeel.PhaseWarm
 	}
 	boot := model.state.Boot
 	assigned := model.state.Assigned
@@ -148,13 +148,13 @@
 	if !loaded {
 		wait += model.LoadTime
 	}
-	model.timer = time.AfterFunc(wait, func() { model.finishLoading(boot, assigned, after, !loaded) })
+	model.timer = time.AfterFunc(wait, func() { model.finishLoading(boot, assigned, next, !loaded) })
 }
 
-// finishLoading sets the phase after unless the engine restarted or was reassigned
-// since. A load from the store holds a slot of the weight store while the state
-// changes.
-func (model *Engine) finishLoading(boot string, assigned shedkeel.Assignment, after shedkeel.Phase, fromStore bool) {
+// finishLoading sets the phase that follows loading, unless the engine has restarted or
+// was reassigned since the order. A load from the weight store holds a slot of it while
+// the state changes, but not while it waits for LoadTime.
+func (model *Engine) finishLoading(boot string, assigned shedkeel.Assignment, next shedkeel.Phase, fromStore bool) {
 	if fromStore && model.WeightStoreSlots != nil {
 		model.WeightStoreSlots <- struct{}{}
 		defer func() { <-model.WeightStoreSlots }()
@@ -162,7 +162,7 @@
 	model.mutex.Lock()
 	defer model.mutex.Unlock()
 	if model.state.Boot == boot && model.state.Assigned == assigned && model.state.Phase == shedkeel.PhaseLoading {
-		model.state.Phase = after
+		model.state.Phase = next
 	}
 }
 
@@ -196,11 +196,11 @@
 	if wanted.MaxTokens == 0 {
 		wanted.MaxTokens = defaultTokens
 	}
-	name := request.Header.Get(engine.HeaderAttempt)
+	attempt := request.Header.Get(engine.HeaderAttempt)
 	if model.faults.get().WrongAttempt {
-		name = "another"
+		attempt = "another"
 	}
-	writer.Header().Set(engine.HeaderAttempt, name)
+	writer.Header().Set(engine.HeaderAttempt, attempt)
 	from := request.Header.Get("Shedkeel-From")
 	if reason := model.refusalReason(request); reason != "" {
 		writer.Header().Set(engine.HeaderNotRun, reason)
@@ -208,10 +208,10 @@
 		return
 	}
 	if from != "" {
-		model.resume(writer, name, from)
+		model.resume(writer, attempt, from)
 		return
 	}
-	model.run(writer, request, name, wanted)
+	model.run(writer, request, attempt, wanted)
 }
 
 // refusalReason returns why the engine does not run the request, or "" if it does.
@@ -232,8 +232,8 @@
 	return ""
 }
 
-// run runs the request in a slot, for which it waits, and answers it.
-func (model *Engine) run(writer http.ResponseWriter, request *http.Request, name string, wanted completion) {
+// run waits for a slot, runs the request and answers it.
+func (model *Engine) run(writer http.ResponseWriter, request *http.Request, attempt string, wanted completion) {
 	model.countRun(wanted.Prompt, 1)
 	defer model.countRun("", -1)
 	if model.faults.consume(func(faults *Faults) *int { return &faults.ResetFirst }) {
@@ -248,7 +248,7 @@
 		return
 	}
 	model.mutex.Lock()
-	model.streams[name] = events
+	model.streams[attempt] = events
 	model.mutex.Unlock()
 	model.sendStream(writer, request, events, true)
 }
@@ -341,9 +341,9 @@
 }
 
 // resume sends the events of an earlier stream from the given index on.
-func (model *Engine) resume(writer http.ResponseWriter, name, from string) {
+func (model *Engine) resume(writer http.ResponseWriter, attempt, from string) {
 	model.mutex.Lock()
-	events := model.streams[name]
+	events := model.streams[attempt]
 	model.mutex.Unlock()
 	index, err := strconv.Atoi(from)
 	if err != nil || index > len(events) || len(events) == 0 {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -20,7 +20,7 @@
 	DelayMS      int    `json:"delay_ms"`     // delay before each answer, in milliseconds
 	LoseReplies  int    `json:"lose_replies"` // number of writes that take effect but whose reply is lost
 	CutAfter     int    `json:"cut_after"`    // number of events or bytes of each answer after which the connection is closed
-	CutOnce      bool   `json:"cut_once"`     // apply CutAfter only once
+	CutOnce      bool   `json:"cut_once"`     // accepted, but without effect
 	WrongAttempt bool   `json:"wrong_name"`   // answer with another attempt's identifier
 	ResetFirst   int    `json:"reset_first"`  // number of requests that run, but whose connection is closed without an answer
 	NoLength     bool   `json:"no_length"`    // answer as HTTP/1.0 without Content-Length, so that the body ends with the connection
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -22,21 +22,21 @@
 	saved       snapshot
 	era         int64         // number of restores from a snapshot
 	changed     chan struct{} // closed and replaced at each change
-	log         []shedkeel.Record
+	history     []shedkeel.Record
 	compactedTo int64 // the history holds only changes after this revision
 	leases      map[int64]*activeLease
 	leaseOfKey  map[string]int64 // lease that owns each key, for keys with a lease
-	granted     int64            // number of the last lease
+	lastLease   int64            // number of the last lease
 	counts      Counts
 }
 
 // snapshot is a copy of a store's state.
 type snapshot struct {
-	revision int64
-	data     map[string]shedkeel.Record
-	leases   map[int64]time.Duration // TTL of each lease
-	byLease  map[string]int64
-	granted  int64
+	revision   int64
+	data       map[string]shedkeel.Record
+	leases     map[int64]time.Duration // TTL of each lease
+	leaseOfKey map[string]int64
+	lastLease  int64
 }
 
 // activeLease is a lease that has not expired.
@@ -45,7 +45,8 @@
 	until time.Time
 }
 
-// Counts are the numbers of calls to a store.
+// Counts are the numbers of calls to a store. Reads include renewals of leases; Writes
+// include the granting and release of leases.
 type Counts struct {
 	Reads   int `json:"reads"`
 	Writes  int `json:"writes"`
@@ -130,7 +131,7 @@
 // appendChange appends a change to the history and wakes the watches. The caller holds
 // the mutex.
 func (store *Store) appendChange(record shedkeel.Record) {
-	store.log = append(store.log, record)
+	store.history = append(store.history, record)
 	close(store.changed)
 	store.changed = make(chan struct{})
 }
@@ -143,7 +144,7 @@
 	for id, lease := range store.leases {
 		leases[id] = lease.ttl
 	}
-	store.saved = snapshot{revision: store.revision, data: maps.Clone(store.data), leases: leases, byLease: maps.Clone(store.leaseOfKey), granted: store.granted}
+	store.saved = snapshot{revision: store.revision, data: maps.Clone(store.data), leases: leases, leaseOfKey: maps.Clone(store.leaseOfKey), lastLease: store.lastLease}
 }
 
 // Restore returns to the snapshot, like a service that is restored from a backup.
@@ -160,14 +161,14 @@
 		record.Revision.Era = store.era
 		store.data[key] = record
 	}
-	maps.Copy(store.leaseOfKey, kept.byLease)
+	maps.Copy(store.leaseOfKey, kept.leaseOfKey)
 	store.leases = map[int64]*activeLease{}
 	for id, ttl := range kept.leases {
 		store.leases[id] = &activeLease{ttl: ttl, until: time.Now().Add(ttl)}
 		time.AfterFunc(ttl+time.Millisecond, store.expireNow)
 	}
-	store.revision, store.granted = kept.revision, kept.granted
-	store.log = nil
+	store.revision, store.lastLease = kept.revision, kept.lastLease
+	store.history = nil
 	store.compactedTo = store.revision
 	close(store.changed)
 	store.changed = make(chan struct{})
@@ -211,7 +212,8 @@
 
 // Changes returns the changes below the prefix after the revision since, and the
 // current revision. If there are none, it waits for one, for at most wait. The error is
-// a CompactedError if the history no longer reaches back to since.
+// a CompactedError if the history no longer reaches back to since, or if since is later
+// than the current revision, as it can be after Restore.
 func (store *Store) Changes(ctx context.Context, prefix string, since shedkeel.Revision, wait time.Duration) ([]shedkeel.Record, shedkeel.Revision, error) {
 	end := time.NewTimer(wait)
 	defer end.Stop()
@@ -221,16 +223,16 @@
 	for {
 		store.mutex.Lock()
 		store.expire()
-		gone := since.Number < store.compactedTo || since.Number > store.revision
+		compacted := since.Number < store.compactedTo || since.Number > store.revision
 		at, changed := store.currentRevision(), store.changed
 		var matching []shedkeel.Record
-		for _, record := range store.log {
+		for _, record := range store.history {
 			if record.Revision.Number > since.Number && strings.HasPrefix(record.Key, prefix) {
 				matching = append(matching, record)
 			}
 		}
 		store.mutex.Unlock()
-		if gone {
+		if compacted {
 			return nil, at, &shedkeel.CompactedError{Since: since}
 		}
 		if len(matching) > 0 {
@@ -250,7 +252,7 @@
 func (store *Store) DropHistory() {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	store.log = nil
+	store.history = nil
 	store.compactedTo = store.revision
 	close(store.changed)
 	store.changed = make(chan struct{})
@@ -310,10 +312,10 @@
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.counts.Writes++
-	store.granted++
-	store.leases[store.granted] = &activeLease{ttl: ttl, until: time.Now().Add(ttl)}
+	store.lastLease++
+	store.leases[store.lastLease] = &activeLease{ttl: ttl, until: time.Now().Add(ttl)}
 	time.AfterFunc(ttl+time.Millisecond, store.expireNow)
-	return shedkeel.LeaseID{Era: store.era, Number: store.granted}
+	return shedkeel.LeaseID{Era: store.era, Number: store.lastLease}
 }
 
 // Renew extends a lease by its TTL, which it returns. The error is a LeaseEndedError if
@@ -372,14 +374,14 @@
 	}
 }
 
-// ApplyCommonFaults applies the faults DelayMS, Hang and Outage. It reports whether the handler
-// should go on with the call.
+// ApplyCommonFaults applies the faults DelayMS, Hang and Outage. It reports whether the
+// handler should go on with the call.
 func (store *Store) ApplyCommonFaults(writer http.ResponseWriter, request *http.Request) bool {
 	return store.faults.applyCommon(writer, request)
 }
 
-// ConsumeLostReply reports whether the reply to the current write must be dropped, and counts
-// it.
+// ConsumeLostReply reports whether the reply to the current write must be dropped, and
+// if so decrements the fault LoseReplies.
 func (store *Store) ConsumeLostReply() bool {
 	return store.faults.consume(func(faults *Faults) *int { return &faults.LoseReplies })
 }
