--- a/soak/checker_test.go
+++ b/soak/checker_test.go
@@ -19,8 +19,8 @@
 // nodes' setting bounds.revoke, and 200 ms for the request to arrive.
 const revokeBound = 5*time.Second + 200*time.Millisecond
 
-// maxServersCrashed is how many servers one deadly request may crash: five until all
-// nodes know of it, and three more.
+// maxServersCrashed is how many servers one deadly request may crash: five before all
+// nodes know of the crashes, and three by copies that reach servers after that.
 const maxServersCrashed = 8
 
 // streamEvents is the number of events in a stream.
@@ -85,9 +85,9 @@
 func (caller *caller) address() string {
 	if time.Now().After(caller.addressesExpireAt) {
 		node := caller.checker.cluster.nodes[caller.random.IntN(len(caller.checker.cluster.nodes))]
-		if answer, keep := caller.ask(node.directory); len(answer) > 0 {
+		if answer, ttl := caller.ask(node.directory); len(answer) > 0 {
 			caller.addresses = answer
-			caller.addressesExpireAt = time.Now().Add(keep * time.Duration(1+2*caller.random.IntN(2)))
+			caller.addressesExpireAt = time.Now().Add(ttl * time.Duration(1+2*caller.random.IntN(2)))
 		}
 	}
 	if len(caller.addresses) == 0 {
@@ -105,16 +105,18 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	var answer struct {
-		Addresses []string `json:"addresses"`
-		KeepS     float64  `json:"ttl_s"`
+		Addresses  []string `json:"addresses"`
+		TTLSeconds float64  `json:"ttl_s"`
 	}
 	if json.NewDecoder(response.Body).Decode(&answer) != nil {
 		return nil, 0
 	}
-	return answer.Addresses, time.Duration(answer.KeepS * float64(time.Second))
+	return answer.Addresses, time.Duration(answer.TTLSeconds * float64(time.Second))
 }
 
-// call sends a call of a random kind with a random valid or recently removed API key.
+// call sends a call of a random kind: /copy/ is streaming, /look/ safe and /fee/ unsafe,
+// as configText says. The API key is one that stays valid or the newest, which a fault may
+// replace.
 func (caller *caller) call() {
 	address := caller.address()
 	if address == "" {
@@ -173,6 +175,7 @@
 	if kind == "/fee/" {
 		checker.atMostOnce = append(checker.atMostOnce, id)
 	}
+	// With these statuses a node states that the call did not run.
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		if kind == "/fee/" {
@@ -202,7 +205,8 @@
 	}
 }
 
-// waitServed waits until every node answers each kind of call, for at most the limit.
+// waitServed waits until every node answers each kind of call. It records a violation if
+// that takes longer than the limit.
 func (checker *checker) waitServed(when string, limit time.Duration) {
 	prober := &caller{checker: checker, client: &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 	for end := time.Now().Add(limit); ; time.Sleep(100 * time.Millisecond) {
@@ -222,7 +226,7 @@
 	}
 }
 
-// check fails the test if a guarantee was violated.
+// check fails the test if a guarantee was violated or no call was answered.
 func (checker *checker) check() {
 	t := checker.cluster.t
 	checker.mutex.Lock()
@@ -237,9 +241,9 @@
 			t.Errorf("%s ran, although its answer said that it did not", id)
 		}
 	}
-	for body, ended := range checker.cluster.fleet.CrashCounts() {
-		if ended > maxServersCrashed {
-			t.Errorf("%d servers crashed on request %s", ended, body)
+	for body, crashed := range checker.cluster.fleet.CrashCounts() {
+		if crashed > maxServersCrashed {
+			t.Errorf("%d servers crashed on request %s", crashed, body)
 		}
 	}
 	for _, violation := range append(checker.violations, checker.cluster.fleet.Violations()...) {
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -141,7 +141,7 @@
 	length := between(random, 200, 2000)
 	time.Sleep(length)
 	link.set(passing)
-	cluster.fleet.ForgetServer(id)
+	cluster.fleet.ForgetServer(id) // requests that the link delayed must not count as violations
 	return fmt.Sprintf("link to %s in mode %d for %s", id, mode, length)
 }
 
@@ -181,8 +181,8 @@
 // them.
 const deadlyPrefix = "deadly"
 
-// sendDeadly starts to send one deadly request repeatedly to random nodes, while other
-// faults go on.
+// sendDeadly starts to send one deadly request repeatedly to random nodes, without
+// waiting for the end.
 func (cluster *cluster) sendDeadly(random *rand.Rand) string {
 	cluster.mutex.Lock()
 	cluster.deadly++
@@ -211,7 +211,8 @@
 
 const (
 	// limitWindow is the time over which requests to a limited server are counted.
-	// In it the server may get one and a half times its limit, and limitBurst more.
+	// Within it the server may receive one and a half times as many requests as its
+	// limit allows, and limitBurst more.
 	limitWindow = 4 * time.Second
 	limitBurst  = 5
 	// limitPropagation is the time within which all nodes must know a limit.
@@ -221,8 +222,8 @@
 	requestsBeforeLimitKnown = 4
 )
 
-// limitServer has a server announce a request rate limit, per second, for some time
-// while other faults go on.
+// limitServer has a server announce a limit of requests per second for some time. It does
+// not wait for the end.
 func (cluster *cluster) limitServer(random *rand.Rand) string {
 	_, id := cluster.randomServer(random)
 	if id == "" {
@@ -235,10 +236,11 @@
 	return fmt.Sprintf("%s announces a limit of %v for %s", id, limit, length)
 }
 
-// runLimited checks, once the time is over, that the server received no more requests
-// than its limit allows. It ignores those before all nodes must know the limit.
+// runLimited checks, after the given time, that the server received no more requests than
+// its limit allows, and removes the limit. It ignores requests within limitPropagation,
+// before all nodes must know the limit.
 func (cluster *cluster) runLimited(id string, limit float64, length time.Duration) {
-	stated := time.Now()
+	announced := time.Now()
 	select {
 	case <-cluster.done:
 		return
@@ -246,8 +248,8 @@
 	}
 	arrivals := cluster.fleet.Arrivals(id)
 	cluster.fleet.SetLimit(id, "")
-	known := slices.DeleteFunc(arrivals, func(at time.Time) bool { return at.Sub(stated) < limitPropagation })
-	allowed := int(1.5*limit*limitWindow.Seconds()) + limitBurst + requestsBeforeLimitKnown*cluster.resumesSince(stated)
+	known := slices.DeleteFunc(arrivals, func(at time.Time) bool { return at.Sub(announced) < limitPropagation })
+	allowed := int(1.5*limit*limitWindow.Seconds()) + limitBurst + requestsBeforeLimitKnown*cluster.resumesSince(announced)
 	if most := platformstandin.MaxArrivals(known, limitWindow); most > allowed {
 		cluster.checker.recordViolation("server %s with a limit of %v received %d requests in %s, want at most %d", id, limit, most, limitWindow, allowed)
 	}
@@ -259,10 +261,10 @@
 	if id == "" {
 		return "no server to back off"
 	}
-	length, lasts := between(random, 600, 3000), between(random, 500, 5000)
-	cluster.fleet.SetBackoff(id, length)
-	time.AfterFunc(lasts, func() { cluster.fleet.SetBackoff(id, 0) })
-	return fmt.Sprintf("%s asks for backoffs of %s for %s", id, length, lasts)
+	backoff, length := between(random, 600, 3000), between(random, 500, 5000)
+	cluster.fleet.SetBackoff(id, backoff)
+	time.AfterFunc(length, func() { cluster.fleet.SetBackoff(id, 0) })
+	return fmt.Sprintf("%s asks for backoffs of %s for %s", id, backoff, length)
 }
 
 // endServerAfter ends a server and removes its record after the given time.
@@ -304,7 +306,8 @@
 	return fmt.Sprintf("store restored from a snapshot %s old after an outage of %s; records rewritten %s later", writeTime, outage, rewriteDelay)
 }
 
-// recordResume records that a node has started or has resumed after a freeze.
+// recordResume records that a node has started or has resumed after a freeze. The fleet
+// then no longer expects it to know earlier backoffs and drains.
 func (cluster *cluster) recordResume(process *process) {
 	cluster.fleet.ForgetNode(slices.Index(cluster.nodes, process))
 	cluster.mutex.Lock()
@@ -312,7 +315,7 @@
 	cluster.resumes = append(cluster.resumes, time.Now())
 }
 
-// resumesSince returns how often nodes have started or resumed after then.
+// resumesSince returns how often nodes have started or resumed after the given time.
 func (cluster *cluster) resumesSince(then time.Time) int {
 	cluster.mutex.Lock()
 	defer cluster.mutex.Unlock()
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -29,7 +29,7 @@
 	mode     atomic.Int32
 	mutex    sync.Mutex
 	listener net.Listener
-	conns    map[*net.TCPConn]struct{} // connections since the last reset
+	conns    map[*net.TCPConn]struct{} // both ends of connections since the last reset
 }
 
 // newProxy starts a proxy to the target, which the test's cleanup stops.
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// run forwards the listener's connections until it is closed.
+// run forwards the listener's connections until the listener is closed.
 func (proxy *proxy) run(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -122,8 +122,8 @@
 	}
 }
 
-// runCopy copies data in one direction until an end is closed; back is true for the
-// direction from the target. It forwards held data once the mode allows it.
+// runCopy copies data in one direction until either connection is closed; back is true
+// for the direction from the target. It forwards held data once the mode allows it.
 func (proxy *proxy) runCopy(to, from net.Conn, back bool) {
 	buffer := make([]byte, 16<<10)
 	for {
--- a/soak/signals_test.go
+++ b/soak/signals_test.go
@@ -49,7 +49,8 @@
 
 // TestSignalsWhileStarting sends signals to a node that still reads its settings. A
 // hangup must not end it, and after a hangup with invalid settings it keeps the old
-// ones.
+// ones. The settings are a named pipe at first, so that the node's read blocks until the
+// test has sent the signals.
 func TestSignalsWhileStarting(t *testing.T) {
 	cases := map[string]struct {
 		early  []sentSignal // sent before the node has read its settings
@@ -69,18 +70,18 @@
 			node.end(syscall.SIGKILL)
 			settings, err := os.ReadFile(node.settings)
 			assert.NilError(t, err)
-			plain := node.settings
+			regularFile := node.settings
 			node.settings = filepath.Join(cluster.dir, "settings-to-come")
 			assert.NilError(t, syscall.Mkfifo(node.settings, 0o600))
 			cluster.startNode(node)
-			pipe, err := os.OpenFile(node.settings, os.O_WRONLY, 0) // blocks until the node reads
+			pipe, err := os.OpenFile(node.settings, os.O_WRONLY, 0) // blocks until the node opens it
 			assert.NilError(t, err)
 			for _, sent := range test.early {
 				time.Sleep(sent.after)
 				node.signal(sent.signal)
 			}
 			time.Sleep(50 * time.Millisecond)
-			assert.NilError(t, os.Rename(plain, node.settings)) // for the next read
+			assert.NilError(t, os.Rename(regularFile, node.settings)) // a later read gets a regular file
 			_, err = pipe.Write(settings)
 			assert.NilError(t, err)
 			assert.NilError(t, pipe.Close())
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -92,10 +92,10 @@
 	mutex       sync.Mutex
 	deadly      int               // number of different deadly requests sent
 	servers     map[string]*proxy // proxy in front of each backend server
-	serverCount int
-	version     int
-	faults      []string
-	resumes     []time.Time // when nodes started, or resumed after a freeze
+	serverCount int               // number of backend servers added so far
+	version     int               // version of the last configuration
+	faults      []string          // descriptions of the injected faults, for the log
+	resumes     []time.Time       // when nodes started, or resumed after a freeze
 }
 
 // process is one node, its addresses and the proxy between it and the store.
@@ -298,16 +298,16 @@
 func (cluster *cluster) soak() {
 	cluster.checker.cluster = cluster
 	stop := make(chan struct{})
-	var calling, breaking sync.WaitGroup
+	var calling, injecting sync.WaitGroup
 	cluster.checker.waitServed("before any fault", 20*time.Second)
 	for index := range *callers {
 		calling.Go(func() { cluster.checker.runCaller(index, stop) })
 	}
 	for range 2 { // faults overlap
 		random := rand.New(rand.NewPCG(cluster.random.Uint64(), 1))
-		breaking.Go(func() { cluster.runFaults(random, time.Duration(*seconds)*time.Second) })
+		injecting.Go(func() { cluster.runFaults(random, time.Duration(*seconds)*time.Second) })
 	}
-	breaking.Wait()
+	injecting.Wait()
 	cluster.checker.waitServed("after the last fault", 12*time.Second)
 	close(stop)
 	calling.Wait()
