--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	registered "github.com/prometheus/client_golang/prometheus"
+	promclient "github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/uber-go/tally/v4"
 	"github.com/uber-go/tally/v4/prometheus"
@@ -27,7 +27,7 @@
 // name. Each call has a registry of its own, so that several parts in one process, as
 // in tests, do not share metrics. Close stops the reporting.
 func New(process string) *Metrics {
-	registry := registered.NewRegistry()
+	registry := promclient.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
--- a/timer/timer_test.go
+++ b/timer/timer_test.go
@@ -32,7 +32,7 @@
 	assert.Assert(t, first < second)
 	cancel()
 	cancel() // a second call has no effect
-	left := len(ticks)
+	ticksBefore := len(ticks)
 	assert.Assert(t, system.Now() >= second)
-	assert.Equal(t, len(ticks), left)
+	assert.Equal(t, len(ticks), ticksBefore)
 }
