--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -339,8 +339,8 @@
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.counts.Writes++
-	if known := store.leases[lease.Number]; known != nil {
-		known.until = time.Time{}
+	if active := store.leases[lease.Number]; active != nil {
+		active.until = time.Time{}
 	}
 	store.expire()
 }
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -248,9 +248,9 @@
 	}
 	arrivals := cluster.fleet.Arrivals(id)
 	cluster.fleet.SetLimit(id, "")
-	known := slices.DeleteFunc(arrivals, func(at time.Time) bool { return at.Sub(announced) < limitPropagation })
+	counted := slices.DeleteFunc(arrivals, func(at time.Time) bool { return at.Sub(announced) < limitPropagation })
 	allowed := int(1.5*limit*limitWindow.Seconds()) + limitBurst + requestsBeforeLimitKnown*cluster.resumesSince(announced)
-	if most := platformstandin.MaxArrivals(known, limitWindow); most > allowed {
+	if most := platformstandin.MaxArrivals(counted, limitWindow); most > allowed {
 		cluster.checker.recordViolation("server %s with a limit of %v received %d requests in %s, want at most %d", id, limit, most, limitWindow, allowed)
 	}
 }
--- a/timer/timer.go
+++ b/timer/timer.go
@@ -105,10 +105,10 @@
 	}
 }
 
-// Advance adds the interval to the time and calls every tick that becomes due, in the
+// Advance adds the duration to the time and calls every tick that becomes due, in the
 // order of due times and, for equal ones, of subscription.
-func (manual *Manual) Advance(interval time.Duration) {
-	end := manual.Now() + interval
+func (manual *Manual) Advance(duration time.Duration) {
+	end := manual.Now() + duration
 	for {
 		subscriber := manual.next(end)
 		if subscriber == nil {
