--- a/operator/client.go
+++ b/operator/client.go
@@ -36,8 +36,8 @@
 	return config, client.call(ctx, http.MethodGet, "/v1/config", nil, &config)
 }
 
-// Apply sends a new configuration. Its Generation must be that of the configuration it
-// replaces.
+// Apply makes config the configuration in force. Its Generation must equal the
+// generation in force; otherwise the keeper rejects it with status 409.
 func (client *Client) Apply(ctx context.Context, config shedkeel.Config) (keeper.ApplyResult, error) {
 	var accepted keeper.ApplyResult
 	return accepted, client.call(ctx, http.MethodPut, "/v1/config", config, &accepted)
@@ -62,7 +62,8 @@
 	return report, client.call(ctx, http.MethodGet, "/v1/requests/"+id, nil, &report)
 }
 
-// Trace adds the events that a node still holds for the trace's request or group.
+// Trace adds to trace the events that the node still holds about the trace's request or
+// group. The client's address must be that of a node.
 func (client *Client) Trace(ctx context.Context, trace *Trace) error {
 	if trace.Request != "" {
 		report, err := client.Request(ctx, trace.Request)
@@ -85,9 +86,9 @@
 	return dump, client.call(ctx, http.MethodGet, "/v1/dump", nil, &dump)
 }
 
-// call makes one call and decodes the answer. It returns an UnknownOutcomeError if a
-// PUT gets no answer, an UnavailableError if another call gets none, an InvalidError
-// for a malformed address, and an *Error for an error status.
+// call makes one call and decodes the answer. If no answer arrives, it returns an
+// UnknownOutcomeError for a PUT and an UnavailableError for any other method. It returns
+// an InvalidError for a malformed address, and an *Error for an error status.
 func (client *Client) call(ctx context.Context, method, path string, body, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -132,15 +133,16 @@
 
 // Error is an answer with an error status.
 type Error struct {
-	Status int
-	Text   string
+	Status int    // HTTP status code
+	Text   string // message of the keeper, node or entry
 }
 
-// Error returns the text of the answer, which names the remedy.
+// Error returns the message of the answer, which ends with what the caller can do.
 func (err *Error) Error() string { return err.Text }
 
-// responseError converts an answer with an error status, in the form of a keeper or of
-// an entry. Any other answer gives a text that asks whether the address is right.
+// responseError converts an answer with an error status. It extracts the message if the
+// body has the JSON form of a keeper or of an entry. Otherwise the message suggests to
+// check the address.
 func responseError(response *http.Response) error {
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	var keeperBody keeper.ErrorBody
--- a/operator/either.go
+++ b/operator/either.go
@@ -8,7 +8,7 @@
 	"shedkeel.org/shedkeel/node"
 )
 
-// Either holds an answer of a keeper or of a node; the other field is nil.
+// Either holds an answer of a keeper or of a node. Exactly one field is set.
 type Either[FromKeeper, FromNode any] struct {
 	Keeper *FromKeeper
 	Node   *FromNode
@@ -51,7 +51,7 @@
 	return json.Unmarshal(text, report.Entry)
 }
 
-// read decodes the answer of a node: event lines.
+// read decodes the answer of a node, which consists of log lines of events.
 func (report *RequestReport) read(lines io.Reader) error {
 	trace := &Trace{Request: report.ID}
 	if err := trace.Read(lines); err != nil {
@@ -62,7 +62,7 @@
 	return err
 }
 
-// MarshalJSON encodes the entry's record, or else the node's lines.
+// MarshalJSON encodes the entry's record if it is set, and the node's lines otherwise.
 func (report RequestReport) MarshalJSON() ([]byte, error) {
 	if report.Entry != nil {
 		return json.Marshal(report.Entry)
--- a/operator/print_node.go
+++ b/operator/print_node.go
@@ -24,11 +24,11 @@
 	if status.Isolated {
 		_, _ = fmt.Fprintf(writer, "node %s hears no other node and no answer of the store: it judges nobody\n", status.Node)
 	}
-	for _, unnamed := range status.ExcludedNodes {
-		_, _ = fmt.Fprintf(writer, "callers are not sent to %s: %s\n", unnamed.Node, unnamed.Reason)
+	for _, excluded := range status.ExcludedNodes {
+		_, _ = fmt.Fprintf(writer, "callers are not sent to %s: %s\n", excluded.Node, excluded.Reason)
 	}
-	for _, judged := range status.BlamedRequests {
-		_, _ = fmt.Fprintf(writer, "request %s is %s: servers ended under it: %s\n", judged.Request, judged.Judgment, joinNames(judged.Servers))
+	for _, blamed := range status.BlamedRequests {
+		_, _ = fmt.Fprintf(writer, "request %s is %s: servers ended under it: %s\n", blamed.Request, blamed.Judgment, joinNames(blamed.Servers))
 	}
 	for _, evacuation := range status.Evacuated {
 		_, _ = fmt.Fprintf(writer, "zone %s is evacuated: its %d listed servers get no requests\n", evacuation.Zone, evacuation.Servers)
@@ -107,7 +107,8 @@
 	_ = table.Flush()
 }
 
-// findings describes the problems found with a member, or returns "-".
+// findings describes the problems found with a member, and returns "-" if there are
+// none.
 func findings(member node.MemberDump) string {
 	var found []string
 	if member.Draining {
--- a/operator/trace.go
+++ b/operator/trace.go
@@ -83,16 +83,16 @@
 
 // stringOf returns the value if it is a string, and an empty string otherwise.
 func stringOf(value any) string {
-	written, _ := value.(string)
-	return written
+	text, _ := value.(string)
+	return text
 }
 
-// Lines returns the lines in order of time. If there are none, it returns an
+// Lines returns the collected lines in order of time. If there are none, it returns an
 // InvalidError that states how many lines were read.
 func (trace *Trace) Lines() ([]TraceLine, error) {
 	if len(trace.lines) == 0 {
 		return nil, &shedkeel.InvalidError{
-			Where: trace.Request + trace.Group, What: fmt.Sprintf("none of %d events tells of it; %d lines are no events", trace.events, trace.skipped),
+			Where: trace.Request + trace.Group, What: fmt.Sprintf("none of %d events mentions it; %d lines are not events", trace.events, trace.skipped),
 			Remedy: "give the logs of all nodes for that time, and the id as the caller sent it",
 		}
 	}
--- a/operator/trace_test.go
+++ b/operator/trace_test.go
@@ -8,6 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// firstLog and secondLog are the logs of nodes a and b.
 const firstLog = `{"time":"2026-01-02T03:04:05.300Z","level":"WARN","msg":"server or group has gone silent","node":"a","event":620,"group":"m/d/1","silent":190000000}
 {"time":"2026-01-02T03:04:05.500Z","level":"INFO","msg":"request answered","node":"a","event":610,"first":120000000,"request":"r1"}
 not a line of ours
@@ -23,9 +24,9 @@
 // and lines that are not events. The lines found must be printed in order of time.
 func TestTrace(t *testing.T) {
 	cases := map[string]struct {
-		trace  Trace
-		want   string
-		remedy string
+		trace     Trace
+		want      string // printed lines
+		wantError string // part of the error of Lines; empty: none
 	}{
 		"a request over two nodes": {
 			trace: Trace{Request: "r1"},
@@ -36,9 +37,9 @@
 			trace: Trace{Group: "m/d/1"},
 			want:  "    0.000s  a                620 server or group has gone silent: group=m/d/1 silent=190ms\n",
 		},
-		"an id that no one knows": {
-			trace:  Trace{Request: "r9"},
-			remedy: "none of 4 events tells of it; 3 lines are no events",
+		"an unknown id": {
+			trace:     Trace{Request: "r9"},
+			wantError: "none of 4 events mentions it; 3 lines are not events",
 		},
 	}
 	for name, test := range cases {
@@ -47,8 +48,8 @@
 			assert.NilError(t, test.trace.Read(strings.NewReader(secondLog)))
 			assert.Equal(t, test.trace.Skipped(), 3)
 			lines, err := test.trace.Lines()
-			if test.remedy != "" {
-				assert.ErrorContains(t, err, test.remedy)
+			if test.wantError != "" {
+				assert.ErrorContains(t, err, test.wantError)
 				return
 			}
 			assert.NilError(t, err)
