--- a/program/node.go
+++ b/program/node.go
@@ -27,24 +27,24 @@
 	// storeTimeout bounds a call to the key-value service, which answers in 4 ms when
 	// idle and in about 300 ms when it is slow.
 	storeTimeout = 700 * time.Millisecond
-	// watchMargin is how long after its wait a watch may answer: a slow service adds
-	// about 280 ms.
+	// watchMargin is how long after the end of its wait a watch may answer. A slow
+	// service answers about 280 ms after it.
 	watchMargin = 400 * time.Millisecond
-	// orderTimeout bounds a report call or an order. Engines answer both within
-	// milliseconds.
+	// orderTimeout bounds a call for a load report and an order. Engines answer both
+	// within milliseconds.
 	orderTimeout = 300 * time.Millisecond
-	// backendDialTimeout bounds the connection to a backend server, which takes
-	// milliseconds within a region.
+	// backendDialTimeout bounds the dial to a backend server, which takes milliseconds
+	// within a region.
 	backendDialTimeout = 250 * time.Millisecond
-	// backendIdleTimeout is how long an idle connection is kept open.
-	backendIdleTimeout = 4 * time.Second
+	// idleTimeout is how long an idle connection is kept open.
+	idleTimeout = 4 * time.Second
 )
 
 // Node runs the program shedkeel-node.
 func Node() {
 	run(&cli.Command{
 		Name:                  "shedkeel-node",
-		Usage:                 "serve callers and control replica groups on an entry box whose platform keeps what must last",
+		Usage:                 "serve callers and control replica groups on an entry box, with durable state in the platform's key-value service",
 		Flags:                 daemonFlags(),
 		EnableShellCompletion: true,
 		Action:                runNode,
@@ -75,7 +75,7 @@
 	}
 	values := metrics.New("shedkeel_node")
 	defer values.Close()
-	transport := &engine.Transport{DialTimeout: backendDialTimeout, IdleTimeout: backendIdleTimeout}
+	transport := &engine.Transport{DialTimeout: backendDialTimeout, IdleTimeout: idleTimeout}
 	defer transport.Close()
 	seed := rand.Uint64()
 	process := &node.Node{
@@ -103,16 +103,17 @@
 	return daemon.finish(process.Run(ctx, listeners, handlers))
 }
 
-// notifyHangups handles SIGHUP from before the settings are read until the process
-// exits. The default action would end the process: it once ended a node in the middle
-// of answers, 2.7 s into the grace period of a planned stop.
+// notifyHangups returns a channel that receives SIGHUP. The node calls it before it reads
+// the settings and never restores the default action, which ends the process: a SIGHUP
+// 2.7 s into the grace period of a planned stop once ended a node that was still sending
+// answers.
 func notifyHangups() <-chan os.Signal {
 	hangups := make(chan os.Signal, 1) // one pending signal is enough: a reload reads the latest settings
 	signal.Notify(hangups, syscall.SIGHUP)
 	return hangups
 }
 
-// reloader reads the settings again on SIGHUP and gives them to the node.
+// reloader reads the settings again on SIGHUP and passes them to the node.
 type reloader struct {
 	hangups <-chan os.Signal
 	path    string
@@ -138,10 +139,10 @@
 	}
 }
 
-// newHTTPClient returns an HTTP client that keeps up to idle unused connections to each
-// server.
-func newHTTPClient(idle int) *http.Client {
-	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idle, IdleConnTimeout: backendIdleTimeout, DisableCompression: true}}
+// newHTTPClient returns an HTTP client that keeps up to maxIdle idle connections to each
+// host.
+func newHTTPClient(maxIdle int) *http.Client {
+	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdle, IdleConnTimeout: idleTimeout, DisableCompression: true}}
 }
 
 // listenNode opens the sockets that the settings name. The metrics socket is optional.
--- a/program/operator.go
+++ b/program/operator.go
@@ -73,15 +73,15 @@
 	return &cli.Command{
 		Name:                  "shedkeel",
 		Usage:                 "operate a shedkeel fleet through any of its keepers or nodes",
-		Description:           "Exit codes: 0 done, 1 failed, 2 invalid input, 3 another operator was faster,\n4 outcome unknown, 5 keeper or key-value service away.",
+		Description:           "Exit codes: 0 done, 1 failed, 2 invalid input, 3 the configuration changed since it was read,\n4 outcome unknown, 5 keeper or key-value service does not answer.",
 		EnableShellCompletion: true,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "keeper", Usage: "operator `ADDRESS` of a keeper, metrics address of a node, or admin address of an entry for dump and request", Value: "127.0.0.1:7400", Sources: cli.EnvVars("SHEDKEEL_KEEPER")},
 			&cli.StringFlag{Name: "key", Usage: "the operators' `KEY`", Sources: cli.EnvVars("SHEDKEEL_KEY")},
 			&cli.BoolFlag{Name: "json", Usage: "print JSON"},
-			&cli.StringFlag{Name: "certificate", Usage: "PEM `FILE` to show to keepers with TLS"},
-			&cli.StringFlag{Name: "certificate-key", Usage: "PEM `FILE` of its key"},
-			&cli.StringFlag{Name: "authority", Usage: "PEM `FILE` of who signed the keepers' certificates"},
+			&cli.StringFlag{Name: "certificate", Usage: "PEM `FILE` of the client certificate for keepers with TLS"},
+			&cli.StringFlag{Name: "certificate-key", Usage: "PEM `FILE` of the client certificate's private key"},
+			&cli.StringFlag{Name: "authority", Usage: "PEM `FILE` of the authority that signed the keepers' certificates"},
 		},
 		Commands: []*cli.Command{
 			{Name: "apply", Usage: "make a document the configuration in force", ArgsUsage: "FILE", Flags: []cli.Flag{
@@ -91,19 +91,19 @@
 			{Name: "diff", Usage: "show what applying a document would change", ArgsUsage: "FILE", Action: diff},
 			{Name: "get", Usage: "print the configuration in force", Action: get},
 			{Name: "status", Usage: "show groups, nodes and stranded accelerators", Action: status},
-			{Name: "explain", Usage: "tell why a group is as it is", ArgsUsage: "GROUP", Action: explain},
-			{Name: "request", Usage: "tell what the entry or node at --keeper decided on a request, by its Shedkeel-Request or its own id", ArgsUsage: "ID", Action: explainRequest},
+			{Name: "explain", Usage: "print the reasons for a group's state", ArgsUsage: "GROUP", Action: explain},
+			{Name: "request", Usage: "print what the entry or node at --keeper recorded about a request, by its Shedkeel-Request or its own id", ArgsUsage: "ID", Action: explainRequest},
 			{Name: "drain", Usage: "take a box out of service", ArgsUsage: "BOX", Action: drain},
 			{Name: "undrain", Usage: "put a box back into service", ArgsUsage: "BOX", Action: undrain},
-			{Name: "evacuate", Usage: "have the backend servers of an availability zone get no requests, on the users' platform", ArgsUsage: "ZONE", Flags: []cli.Flag{
+			{Name: "evacuate", Usage: "stop sending requests to the backend servers of an availability zone (fleets of nodes only)", ArgsUsage: "ZONE", Flags: []cli.Flag{
 				&cli.StringFlag{Name: "store", Usage: "`ADDRESS` of the platform's key-value service", Required: true},
-				&cli.BoolFlag{Name: "withdraw", Usage: "take the zone back"},
+				&cli.BoolFlag{Name: "withdraw", Usage: "end the evacuation of the zone"},
 			}, Action: evacuate},
 			{Name: "dump", Usage: "print the state of the process at --keeper", Action: dump},
-			{Name: "trace", Usage: "tell a request's or a group's story from the logs of nodes", ArgsUsage: "[FILE...]", Flags: []cli.Flag{
+			{Name: "trace", Usage: "print the events of a request or a replica group from the logs of nodes", ArgsUsage: "[FILE...]", Flags: []cli.Flag{
 				&cli.StringFlag{Name: "request", Usage: "the request's `ID`, as its caller sent it"},
 				&cli.StringFlag{Name: "group", Usage: "the replica group's `NAME`"},
-				&cli.StringSliceFlag{Name: "node", Usage: "metrics `ADDRESS` of a running node to ask, beside the files; may be repeated"},
+				&cli.StringSliceFlag{Name: "node", Usage: "metrics `ADDRESS` of a running node to read events from, in addition to the files; may be repeated"},
 			}, Action: traceLogs},
 			{Name: "policy", Usage: "work on policies", Commands: []*cli.Command{
 				{Name: "check", Usage: "check a policy and show what it would decide", ArgsUsage: "FILE", Flags: []cli.Flag{
@@ -228,8 +228,7 @@
 	return printJSON(command, inForce)
 }
 
-// printAnswer calls ask and prints the answer with write, or as JSON if the flag says
-// so.
+// printAnswer calls ask and prints the answer with write, or as JSON if --json is set.
 func printAnswer[Answer any](command *cli.Command, ask func(*operator.Client) (Answer, error), write func(io.Writer, Answer)) error {
 	client, err := newOperatorClient(command)
 	if err != nil {
@@ -292,7 +291,8 @@
 	})
 }
 
-// changeDrains applies the configuration in force with the drains that next returns.
+// changeDrains applies the configuration in force with changed drains. next returns the
+// new drains for the current ones and the box that the argument names.
 func changeDrains(ctx context.Context, command *cli.Command, next func([]shedkeel.BoxID, shedkeel.BoxID) []shedkeel.BoxID) error {
 	box, err := argument(command)
 	if err != nil {
@@ -313,27 +313,27 @@
 // evacuateTimeout bounds the call to the key-value service.
 const evacuateTimeout = 5 * time.Second
 
-// evacuate writes or removes the evacuation record of an availability zone. The nodes
-// watch the key-value service, so its answer is the acknowledgement; the status command
-// shows whether a node follows the record.
+// evacuate writes or removes the evacuation record of an availability zone. It succeeds
+// once the key-value service has accepted the write. The nodes watch these records; the
+// status command shows whether a node has received one.
 func evacuate(ctx context.Context, command *cli.Command) error {
 	zone, err := argument(command)
 	if err != nil {
 		return err
 	}
 	if zone == "" || strings.Contains(zone, "/") {
-		return &shedkeel.InvalidError{Where: command.Name, What: "the argument names no availability zone", Remedy: "give a zone as its boxes name it"}
+		return &shedkeel.InvalidError{Where: command.Name, What: "the argument names no availability zone: it is empty or contains a slash", Remedy: "give the zone as its servers' records state it"}
 	}
 	store := &platform.Store{Address: command.String("store"), Timeout: evacuateTimeout}
 	withdraw := command.Bool("withdraw")
 	if _, err := store.Commit(ctx, platform.EvacuationChange(shedkeel.ZoneID(zone), !withdraw)); err != nil {
 		return err
 	}
-	what := "evacuated"
+	result := "evacuated"
 	if withdraw {
-		what = "taken back"
+		result = "taken back"
 	}
-	_, err = fmt.Fprintf(command.Root().Writer, "zone %s is %s; see status for its servers\n", zone, what)
+	_, err = fmt.Fprintf(command.Root().Writer, "zone %s is %s; see status for its servers\n", zone, result)
 	return err
 }
 
--- a/program/standin.go
+++ b/program/standin.go
@@ -21,25 +21,25 @@
 func Standin() {
 	run(&cli.Command{
 		Name:  "shedkeel-standin",
-		Usage: "stand in for what shedkeel meets outside itself (tests and demo only)",
+		Usage: "run stand-ins for the systems that shedkeel depends on (tests and demo only)",
 		Commands: []*cli.Command{
 			{Name: "store", Usage: "run a key-value service", Flags: []cli.Flag{listenFlag()}, Action: runStoreStandin},
 			{Name: "boxes", Usage: "run a box list from a JSON file of boxes", ArgsUsage: "FILE", Flags: []cli.Flag{
-				listenFlag(), &cli.DurationFlag{Name: "lag", Usage: "how late it tells of changes"},
+				listenFlag(), &cli.DurationFlag{Name: "lag", Usage: "delay until a change is visible"},
 			}, Action: runBoxListStandin},
 			{Name: "engine", Usage: "run model engines, one on each address", ArgsUsage: "ADDRESS...", Flags: []cli.Flag{
 				&cli.DurationFlag{Name: "load", Value: 300 * time.Millisecond, Usage: "time to load weights"},
 				&cli.DurationFlag{Name: "join", Value: 50 * time.Millisecond, Usage: "time to join a group"},
 				&cli.DurationFlag{Name: "token", Value: 5 * time.Millisecond, Usage: "time between tokens"},
-				&cli.DurationFlag{Name: "lag", Usage: "how late it reports its load"},
+				&cli.DurationFlag{Name: "lag", Usage: "minimum time between updates of the reported load"},
 				&cli.IntFlag{Name: "slots", Value: 64, Usage: "requests that run at once"},
 				&cli.IntFlag{Name: "weights", Value: 8, Usage: "loads that the weight store serves at once"},
-				&cli.BoolFlag{Name: "unfenced", Usage: "obey whoever orders"},
+				&cli.BoolFlag{Name: "unfenced", Usage: "accept orders with an outdated planner epoch"},
 			}, Action: runEngineStandins},
 			{Name: "plain", Usage: "run a plain service", Flags: []cli.Flag{
 				listenFlag(), &cli.DurationFlag{Name: "run", Usage: "how long a call runs"},
 			}, Action: runPlainStandin},
-			{Name: "relay", Usage: "pass connections on until cut", Flags: []cli.Flag{
+			{Name: "relay", Usage: "forward connections, until a fault set through the control address cuts them", Flags: []cli.Flag{
 				listenFlag(), &cli.StringFlag{Name: "to", Required: true}, &cli.StringFlag{Name: "control", Required: true},
 			}, Action: runRelay},
 			{Name: "call", Usage: "make one HTTP call and print the answer", ArgsUsage: "METHOD URL [BODY]", Flags: []cli.Flag{
@@ -55,7 +55,7 @@
 	return &cli.StringFlag{Name: "listen", Required: true, Usage: "`ADDRESS` to serve on"}
 }
 
-// serveUntil serves a handler on each address until the context ends.
+// serveUntil serves each handler on its address until the context ends.
 func serveUntil(ctx context.Context, handlers map[string]http.Handler) error {
 	for address, handler := range handlers {
 		listener, err := listen("--listen", address)
@@ -99,13 +99,13 @@
 	weights := make(chan struct{}, max(command.Int("weights"), 1))
 	handlers := map[string]http.Handler{}
 	for _, address := range command.Args().Slice() {
-		model := &standin.Engine{
+		engine := &standin.Engine{
 			LoadTime: command.Duration("load"), JoinTime: command.Duration("join"), TokenTime: command.Duration("token"),
 			ReportInterval: command.Duration("lag"), Slots: command.Int("slots"), Unfenced: command.Bool("unfenced"), WeightStoreSlots: weights,
 			BootPrefix: fmt.Sprintf("%d-%d", os.Getpid(), time.Now().UnixNano()),
 		}
-		model.Init()
-		handlers[address] = model.Handler()
+		engine.Init()
+		handlers[address] = engine.Handler()
 	}
 	return serveUntil(ctx, handlers)
 }
@@ -116,7 +116,7 @@
 	return serveUntil(ctx, map[string]http.Handler{command.String("listen"): plain.Handler()})
 }
 
-// runRelay runs a relay for connections, and its control interface.
+// runRelay runs a TCP relay, and the HTTP interface that sets its faults.
 func runRelay(ctx context.Context, command *cli.Command) error {
 	relay := &standin.Relay{To: command.String("to")}
 	listener, err := listen("--listen", command.String("listen"))
@@ -129,7 +129,7 @@
 }
 
 // makeCall makes one HTTP call and prints the status, the outcome and the body of the
-// answer.
+// answer, and its Retry-After header if it has one.
 func makeCall(ctx context.Context, command *cli.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, command.Duration("timeout"))
 	defer cancel()
@@ -153,7 +153,7 @@
 	}
 	_, _ = fmt.Println()
 	if _, err := io.Copy(os.Stdout, response.Body); err != nil {
-		return fmt.Errorf("the answer broke off: %w", err)
+		return fmt.Errorf("response body is incomplete: %w", err)
 	}
 	return nil
 }
--- a/program/trace.go
+++ b/program/trace.go
@@ -16,7 +16,7 @@
 func traceLogs(ctx context.Context, command *cli.Command) error {
 	trace := &operator.Trace{Request: command.String("request"), Group: command.String("group")}
 	if (trace.Request == "") == (trace.Group == "") {
-		return &shedkeel.InvalidError{Where: command.Name, What: "it needs one of --request and --group", Remedy: "give one"}
+		return &shedkeel.InvalidError{Where: command.Name, What: "it needs either --request or --group", Remedy: "give one of them"}
 	}
 	if err := readLogs(command, trace); err != nil {
 		return err
@@ -29,7 +29,7 @@
 		return err
 	}
 	if skipped := trace.Skipped(); skipped > 0 {
-		_, _ = fmt.Fprintf(command.Root().ErrWriter, "%d lines are no events and were passed over\n", skipped)
+		_, _ = fmt.Fprintf(command.Root().ErrWriter, "%d lines are not events and were skipped\n", skipped)
 	}
 	if command.Bool("json") {
 		return printJSON(command, lines)
