--- a/program/node.go
+++ b/program/node.go
@@ -103,8 +103,8 @@
 	return daemon.finish(process.Run(ctx, listeners, handlers))
 }
 
-// notifyHangups returns a channel that receives SIGHUP. The node calls it before it reads
-// the settings and never restores the default action, which ends the process: a SIGHUP
+// notifyHangups returns a channel that receives SIGHUP. runNode calls it before it reads
+// the settings, and nothing restores the default action, which ends the process: a SIGHUP
 // 2.7 s into the grace period of a planned stop once ended a node that was still sending
 // answers.
 func notifyHangups() <-chan os.Signal {
