--- a/node/follow.go
+++ b/node/follow.go
@@ -11,43 +11,52 @@
 )
 
 const (
-	// followBackoff is how long a node is not followed after it failed to answer, could
-	// not reach its own source, or had too old a copy.
+	// followBackoff is how long a node is not followed after peer.Relay found the node unfit:
+	// the request failed, the node gets no response from the service that it follows, or its
+	// copy is too old (see maxCopyAge).
 	followBackoff = 2 * time.Second
 	// maxSourceAge is the maximum age of a source's copy for the source to be followed.
 	// Normally the copy is at most as old as two watches of the service last (0.7 s) plus
-	// about 0.1 s for which the source collects changes before its next watch.
+	// about 0.1 s for which the source collects changes before its next watch. For what a
+	// source is, see sourceIndexes.
 	maxSourceAge = 1200 * time.Millisecond
 	// maxRelayAge is the maximum age of a relay's copy for the relay to be followed. A
-	// relay follows the source by long polls that last up to mirror.RelayWait.
+	// relay follows a source by long polls that last up to mirror.RelayWait, so its copy
+	// may be older than the source's by that time.
 	maxRelayAge = maxSourceAge + mirror.RelayWait
-	// maxDirectFollowers is the largest fleet in which all nodes follow the source
-	// itself. In larger fleets relays follow the source and the other nodes follow the
-	// relays. In a fleet of 295 boxes the source then sends a change of all servers, 0.1
-	// MB, 13 times instead of 294 times, which takes 0.05 s instead of 1.2 s over its
-	// link of 200 Mbit/s.
+	// maxDirectFollowers is the size of the largest fleet in which all other nodes follow
+	// a source directly. In larger fleets some nodes, the relays, follow a source, and most
+	// other nodes follow the relays. If the records of all servers of a fleet of 295 boxes
+	// change at once (0.1 MB), the source then sends them to 13 nodes instead of to 294,
+	// which takes 0.05 s instead of 1.2 s over its link of 200 Mbit/s.
 	maxDirectFollowers = 96
-	// followersPerRelay is how many nodes of an availability zone share one relay.
+	// followersPerRelay is how many nodes an availability zone has at most for each of its
+	// relays, if enough of its nodes can be relays.
 	followersPerRelay = 24
 	// minRelayCapacity is the minimum capacity of a relay, relative to the node with
 	// the most capacity. Small boxes also have only a tenth of a large box's bandwidth.
 	minRelayCapacity = 0.5
 )
 
-// sourceIndexes are the indexes, in the order of the nodes, of the sources: the nodes
-// that all others follow, or only the relays in a large fleet. The first available
-// source follows the key-value service itself, so that the calls to the service don't
-// grow with the number of nodes. The node at index 0 comes last because it usually
-// is the leader as well.
+// sourceIndexes are the positions of the two sources among the live nodes in the order of
+// compareNodes, the preferred source first. In a small fleet all other nodes follow a source.
+// In a large fleet (see hasRelays) the relays and the first reservedNodes nodes follow a
+// source, and the remaining nodes follow a source only if no relay is available. The first
+// available source follows the service itself, so that the calls to the service don't grow
+// with the number of nodes. The node at index 0 comes last because it usually is the leader
+// as well.
 var sourceIndexes = [...]int{1, 0}
 
-// hasRelays reports whether a fleet of so many nodes has relays between the source and
-// the other nodes.
+// hasRelays reports whether a fleet of so many nodes has relays between the sources and
+// most other nodes.
 func hasRelays(nodes int) bool { return nodes > maxDirectFollowers }
 
-// relayIndexes returns the indexes of the relays. In each availability zone these are
-// the first nodes in order that have enough capacity, are not stopping and are not among
-// the reservedNodes, which have duties for the whole fleet.
+// relayIndexes returns the indexes of the relays among the nodes, which are in the order of
+// compareNodes, or nil if the fleet has no relays. In each availability zone the relays are
+// the first nodes that have enough capacity (minRelayCapacity), are not stopping and are not
+// among the first reservedNodes nodes, which have duties for the whole fleet. A zone has one
+// relay for every followersPerRelay of its nodes, rounded up, or fewer if too few nodes
+// qualify.
 func relayIndexes(nodes []nodeRecord) []int {
 	if !hasRelays(len(nodes)) {
 		return nil
@@ -70,11 +79,14 @@
 	return relays
 }
 
-// followOrder returns the indexes of the nodes whose copies a node may follow, the
-// preferred ones first. The node's own index in the result means that it follows the
-// service itself. A node that is not a relay prefers relays of its own availability zone
-// to those of others. Each node has a different order, so that the followers of a lost
-// relay spread over the remaining relays.
+// followOrder returns the indexes of the nodes that the node at index own may follow, the
+// preferred ones first. The index own in the result means that the node follows the service
+// itself. Indexes may be beyond the end of a small fleet's nodes.
+//
+// The first reservedNodes nodes and the relays follow a source. The other nodes prefer the
+// relays to the sources, and relays of their own availability zone to those of other zones.
+// The order of the relays differs from node to node, so that the followers of a lost relay
+// spread over the remaining relays.
 func followOrder(nodes []nodeRecord, own int) []int {
 	return followOrderWithRelays(nodes, relayIndexes(nodes), own)
 }
@@ -83,7 +95,7 @@
 func followOrderWithRelays(nodes []nodeRecord, relays []int, own int) []int {
 	if relay := slices.Index(relays, own); own < reservedNodes || relay >= 0 {
 		// If neither source reaches the service, the first relay follows the service
-		// itself, and the other relays follow it.
+		// itself, and the other relays follow the first relay.
 		return slices.Concat(sourceIndexes[:], relays[:relay+1])
 	}
 	far := func(index int) bool { return nodes[index].Zone != nodes[own].Zone }
@@ -94,8 +106,9 @@
 	return append(relays, sourceIndexes[:]...)
 }
 
-// compareRelays orders two relays for a node: those of its own availability zone come
-// first; relays that are equal in this are ordered by a hash that differs from node to node.
+// compareRelays orders two relays, a and b, for the node own: a relay of the node's own
+// availability zone comes before a far one. Two near or two far relays are ordered by a hash
+// that differs from node to node.
 func compareRelays(own shedkeel.NodeID, farA, farB bool, a, b shedkeel.NodeID) int {
 	switch {
 	case farA && !farB:
@@ -107,19 +120,19 @@
 }
 
 // pairHash returns a hash of two names that is the same in all processes. The names of
-// a fleet's nodes are similar, so the bits of the hash are mixed.
+// a fleet's nodes are similar, so the bits of the FNV hash are mixed further.
 func pairHash[A, B ~string](a A, b B) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(string(a) + "\x00" + string(b))) // never fails
 	mixed := hash.Sum64()
 	mixed ^= mixed >> 33
-	mixed *= 0xff51afd7ed558ccd // the finalizer of MurmurHash3
+	mixed *= 0xff51afd7ed558ccd // the first round of the finalizer of MurmurHash3
 	mixed ^= mixed >> 33
 	return mixed
 }
 
-// choose returns the node whose mirror this node follows, or nil if it follows the
-// service itself.
+// choose returns the node that this node follows, or nil if it follows the service itself.
+// It passes over nodes that have failed within the last followBackoff, if another is left.
 func (peers *peers) choose() mirror.Peer {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
@@ -140,13 +153,13 @@
 			preferred = followed
 		}
 	}
-	return preferred // all failed recently: once the copy is stale, the follower asks other nodes or the service
+	return preferred // all have failed recently; when this node's copy is stale, its mirror.Follower asks other nodes or the service
 }
 
 // startupSeed returns the seed to follow in place of the service while this node is not
-// settled, that is, while it is not listed or knows less than half of the expected nodes.
-// Its index among the nodes is then not reliable. startupSeed returns nil if this node is
-// settled or is a seed itself, or if all seeds have failed recently.
+// settled, that is, while it is not listed or fewer than half of the expected nodes are
+// alive. This node's index among the nodes is then not reliable. startupSeed returns nil if
+// this node is settled or is a seed itself, or if all seeds have failed recently.
 func (peers *peers) startupSeed(settled bool) mirror.Peer {
 	if settled || peers.isSeed() {
 		return nil
@@ -159,7 +172,8 @@
 	return nil
 }
 
-// isSeed reports whether this node is a seed, which others ask when they start.
+// isSeed reports whether this node is a seed: one of the nodes in Settings.Seeds, which
+// others ask when they start.
 func (peers *peers) isSeed() bool {
 	settings := &peers.node.Settings
 	return slices.Contains(settings.Seeds, settings.Listen.Control)
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -11,7 +11,8 @@
 )
 
 // fleetOf returns the records of a fleet of count nodes in five availability zones, in the
-// order of compareNodes. In each zone the given number of nodes are on large boxes.
+// order of compareNodes. In each zone, large is the number of nodes on large boxes, which have
+// four times the capacity of the others.
 func fleetOf(count, large int) []nodeRecord {
 	var nodes []nodeRecord
 	for index := range count {
@@ -49,8 +50,8 @@
 }
 
 // TestFollowers makes each node of a fleet choose whom to follow. Exactly one node must
-// follow the service, and no node may have more followers than its link and processor can
-// serve, also after the loss of a source or relay.
+// follow the service, and neither the source nor another node may have more followers than
+// the case allows, also after the loss of a source or of another large box.
 func TestFollowers(t *testing.T) {
 	cases := map[string]struct {
 		nodes              []nodeRecord
@@ -58,14 +59,14 @@
 		maxSourceFollowers int   // most followers of the source
 		maxOtherFollowers  int   // most followers of any other node
 	}{
-		"a small fleet":                    {fleetOf(9, 3), nil, 8, 0},
-		"the largest without relays":       {fleetOf(maxDirectFollowers, 3), nil, maxDirectFollowers - 1, 0},
-		"300 boxes, 15 large":              {fleetOf(300, 3), nil, 20, 60}, // in one zone two of the three large boxes have duties for the whole fleet, so they are no relays
-		"300 boxes, 15 large, one is lost": {fleetOf(300, 3), []int{4}, 20, 60},
-		"300 boxes, the source is lost":    {fleetOf(300, 3), []int{1}, 20, 60},
-		"300 boxes of one size":            {fleetOf(300, 0), nil, 20, 2 * followersPerRelay},
-		"1000 boxes, 15 large":             {fleetOf(1000, 3), nil, 20, 200},
-		"1000 boxes of one size":           {fleetOf(1000, 0), nil, 50, 2 * followersPerRelay},
+		"a small fleet":                            {fleetOf(9, 3), nil, 8, 0},
+		"the largest without relays":               {fleetOf(maxDirectFollowers, 3), nil, maxDirectFollowers - 1, 0},
+		"300 boxes, 15 large":                      {fleetOf(300, 3), nil, 20, 60}, // in one zone two of the three large boxes have duties for the whole fleet, so they are no relays
+		"300 boxes, 15 large, one of them is lost": {fleetOf(300, 3), []int{4}, 20, 60},
+		"300 boxes, the source is lost":            {fleetOf(300, 3), []int{1}, 20, 60},
+		"300 boxes of one size":                    {fleetOf(300, 0), nil, 20, 2 * followersPerRelay},
+		"1000 boxes, 15 large":                     {fleetOf(1000, 3), nil, 20, 200},
+		"1000 boxes of one size":                   {fleetOf(1000, 0), nil, 50, 2 * followersPerRelay},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -88,8 +89,8 @@
 	}
 }
 
-// TestRelaysAreNear checks that a node follows a relay of its own availability zone while
-// there is one.
+// TestRelaysAreNear checks that each node that prefers a relay to the first source prefers a
+// relay of its own availability zone.
 func TestRelaysAreNear(t *testing.T) {
 	nodes := fleetOf(300, 3)
 	for own := range nodes {
@@ -100,15 +101,16 @@
 	}
 }
 
-// TestUnlistedFollowsSeed covers nodes that are not listed or know few other nodes. If their
-// index would make them follow the service itself, they must follow a seed instead.
-// Otherwise all nodes that start together would follow the service.
+// TestUnlistedFollowsSeed covers nodes that are not listed or know few other nodes. If such a
+// node's index would make it follow the service itself, the node must follow a seed instead,
+// unless it is a seed or has none. Otherwise all nodes that start together would follow the
+// service.
 func TestUnlistedFollowsSeed(t *testing.T) {
 	cases := map[string]struct {
 		seeds        []string
 		listed       []nodeRecord
-		hint         int64 // number of nodes that a seed reported
-		wantFollowed string
+		hint         int64  // number of nodes that a seed reported
+		wantFollowed string // ID or address of the followed node; "": the service
 	}{
 		"it knows no other node":              {[]string{"seed:1"}, nil, 0, "seed:1"},
 		"its index would be that of a source": {[]string{"seed:1"}, []nodeRecord{{ID: "a", Capacity: 0.8}}, 0, "seed:1"},
@@ -137,14 +139,15 @@
 	}
 }
 
-// TestDutiesPassOn checks that a duty that one node has for the whole fleet passes to the
-// next alive node as soon as the first one is suspected. The duties are to be the source that
-// other nodes follow, and to place requests.
+// TestDutiesPassOn checks that a duty that one node has for the whole fleet passes to another
+// alive node as soon as the node with the duty is suspected. The duties are to be the source
+// that other nodes follow, and to spread requests. Suspected nodes must not be among the
+// nodes whose copies are requested.
 func TestDutiesPassOn(t *testing.T) {
 	cases := map[string]struct {
 		suspected    []int // indexes of suspected nodes
 		wantFollowed int   // index of the source that other nodes follow
-		wantSpreader int   // index of the node that places requests
+		wantSpreader int   // index of the node that spreads requests
 	}{
 		"all are alive":                {nil, 1, 2},
 		"the source is suspected":      {[]int{1}, 2, 3},
@@ -172,8 +175,8 @@
 	}
 }
 
-// TestSuspectedRelayIsReplaced marks one relay after the other as suspected. A node must
-// follow another relay each time, and the source when no relay is left.
+// TestSuspectedRelayIsReplaced marks the node that a node follows as suspected, as many times
+// as there are relays. The node must follow another node each time.
 func TestSuspectedRelayIsReplaced(t *testing.T) {
 	nodes := fleetOf(300, 9)
 	relays := relayIndexes(nodes)
--- a/node/peers_test.go
+++ b/node/peers_test.go
@@ -8,8 +8,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestChoose checks whose copy a node follows, given its position in the order of nodes and
-// which nodes have failed.
+// TestChoose checks which node a node follows, given its position in the order of nodes and
+// which nodes have failed. A failed node must be followed again after followBackoff.
 func TestChoose(t *testing.T) {
 	cases := map[string]struct {
 		own          shedkeel.NodeID
@@ -17,16 +17,16 @@
 		failed       []shedkeel.NodeID // nodes that failed to answer just now
 		wantFollowed string            // ID of the followed node; "": the key-value service
 	}{
-		"alone":                                     {"a", fourNodes[:1], nil, ""},
-		"not listed yet, and no other node is":      {"a", nil, nil, ""},
-		"not listed yet, others are":                {"d", fourNodes[:3], nil, "b"},
-		"the second follows the service":            {"b", fourNodes, nil, ""},
-		"the first follows the second":              {"a", fourNodes, nil, "b"},
-		"others follow the second":                  {"c", fourNodes, nil, "b"},
-		"the second has failed":                     {"c", fourNodes, []shedkeel.NodeID{"b"}, "a"},
-		"the first chooses after the second failed": {"a", fourNodes, []shedkeel.NodeID{"b"}, ""},
-		"both have failed":                          {"d", fourNodes, []shedkeel.NodeID{"a", "b"}, "b"},
-		"another one has failed":                    {"d", fourNodes, []shedkeel.NodeID{"c"}, "b"},
+		"alone":                                                {"a", fourNodes[:1], nil, ""},
+		"not listed yet, and no other node is":                 {"a", nil, nil, ""},
+		"not listed yet, others are":                           {"d", fourNodes[:3], nil, "b"},
+		"the second follows the service":                       {"b", fourNodes, nil, ""},
+		"the first follows the second":                         {"a", fourNodes, nil, "b"},
+		"others follow the second":                             {"c", fourNodes, nil, "b"},
+		"the second has failed":                                {"c", fourNodes, []shedkeel.NodeID{"b"}, "a"},
+		"the second has failed: the first follows the service": {"a", fourNodes, []shedkeel.NodeID{"b"}, ""},
+		"both sources have failed":                             {"d", fourNodes, []shedkeel.NodeID{"a", "b"}, "b"},
+		"a node that is no source has failed":                  {"d", fourNodes, []shedkeel.NodeID{"c"}, "b"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
