--- a/node/gossip.go
+++ b/node/gossip.go
@@ -17,9 +17,10 @@
 
 const (
 	// gossipTick is how often the failure detector is called. The detector's shortest
-	// interval is 150 ms.
+	// time-out is 150 ms, so a time-out ends late by at most a third of that.
 	gossipTick = 50 * time.Millisecond
-	// readRetryDelay is the delay after reading a datagram failed.
+	// readRetryDelay is the delay after reading a datagram failed. It limits the log lines
+	// of a lasting failure to ten per second.
 	readRetryDelay = 100 * time.Millisecond
 )
 
@@ -33,7 +34,7 @@
 	detector       shedkeel.FailureDetector
 	addresses      map[shedkeel.NodeID]netip.AddrPort
 	seenChanges    uint64                                // the detector's change count at the last call of livenessChanged
-	loggedExcluded map[shedkeel.NodeID]shedkeel.Liveness // nodes that the directory leaves out, as last logged
+	loggedExcluded map[shedkeel.NodeID]shedkeel.Liveness // listed nodes to which callers may not be sent (see mayServe), as last logged
 }
 
 // prepare creates the failure detector.
@@ -41,15 +42,15 @@
 	gossip.detector = &swim.Detector{Self: gossip.node.Settings.Node, Random: random}
 }
 
-// setPeers sets the nodes that the failure detector judges. A node whose version has no
-// gossip address is not judged: it counts as alive while it is listed.
+// setPeers sets the nodes that the failure detector judges. A node whose record states no
+// IP address and port for gossip is not judged: it counts as alive while it is listed.
 func (gossip *gossip) setPeers(nodes []nodeRecord) {
 	addresses := map[shedkeel.NodeID]netip.AddrPort{}
 	var ids []shedkeel.NodeID
 	for _, record := range nodes {
 		address, err := netip.ParseAddrPort(record.Gossip)
 		if err != nil {
-			continue // it has no gossip address
+			continue // the node's version has no gossip, or the address has a host name
 		}
 		addresses[record.ID] = address
 		ids = append(ids, record.ID)
@@ -77,8 +78,9 @@
 	}
 }
 
-// handleDatagram handles one datagram. A datagram whose authentication fails is logged
-// and dropped, because its sender is not a node of this fleet.
+// handleDatagram passes one datagram to the failure detector and sends the detector's
+// responses. A datagram that is not authentic, so that its sender is no node of this fleet,
+// or that can't be decoded is logged and dropped.
 func (gossip *gossip) handleDatagram(datagram []byte, from net.Addr) {
 	message, err := wire.OpenGossip(gossip.node.Settings.Wire.Key, datagram)
 	if err != nil {
@@ -101,8 +103,9 @@
 	}
 }
 
-// tick calls the failure detector and sends its datagrams. An answer of the key-value
-// service shows the detector that this node is not cut off, even if no node answers.
+// tick calls the failure detector and sends the detector's datagrams, if there is a socket.
+// An answer of the key-value service shows the detector that this node is not cut off, even
+// if no node answers.
 func (gossip *gossip) tick(now time.Duration) {
 	if gossip.conn == nil {
 		return
@@ -128,7 +131,7 @@
 	return changed
 }
 
-// leave announces to other nodes that this node stops.
+// leave announces to other nodes that this node stops, if there is a socket.
 func (gossip *gossip) leave() {
 	if gossip.conn == nil {
 		return
@@ -145,6 +148,8 @@
 	}
 }
 
+// sendTo sends a datagram to the node that it names, or drops it if the node's address is
+// not known.
 func (gossip *gossip) sendTo(datagram shedkeel.GossipDatagram) {
 	gossip.mutex.Lock()
 	address, known := gossip.addresses[datagram.To]
@@ -154,7 +159,8 @@
 	}
 }
 
-// send sends a datagram. Errors are only logged: the failure detector tolerates loss.
+// send sends a datagram. An error is only logged, because the failure detector tolerates
+// loss, and not even logged once the socket is closed.
 func (gossip *gossip) send(message shedkeel.GossipMessage, to net.Addr) {
 	sealed, err := wire.SealGossip(gossip.node.Settings.Wire.Key, message)
 	if err == nil {
@@ -196,8 +202,10 @@
 	return gossip.detector.Isolated(gossip.node.Timers.Now())
 }
 
-// logExclusions logs which nodes the directory leaves out since the last call, and which
-// it lists again.
+// logExclusions logs which listed nodes callers may not be sent to any more since the last
+// call (see mayServe), and which nodes have ceased to be excluded since: because callers may
+// be sent to them again, or because they are no longer listed. It logs nothing if there are
+// no such nodes.
 func (gossip *gossip) logExclusions(nodes []nodeRecord) {
 	gossip.mutex.Lock()
 	excluded := map[shedkeel.NodeID]shedkeel.Liveness{}
--- a/node/node.go
+++ b/node/node.go
@@ -1,7 +1,12 @@
 // Package node implements the process that accepts callers' requests and forwards them to
-// backend servers. A fleet runs many nodes. A node keeps no durable state of its own: it
-// follows the records of the platform's key-value service, exchanges its observations
-// with other nodes, and plans the replica groups while it is the leader.
+// backend servers. A fleet runs many nodes. A node keeps no durable state of its own: its
+// mirror holds a copy of the records of the platform's key-value service. The node exchanges
+// its observations with other nodes, and plans the replica groups while it is the leader.
+//
+// To keep its copy current, a node follows another node, that is, it requests the changes
+// since its last update from that node's mirror, or it follows the key-value service itself.
+// Where comments speak of records, leases or what a node follows, "the service" is the
+// key-value service. A node or backend server is listed while its record is in use.
 package node
 
 import (
@@ -26,42 +31,47 @@
 )
 
 const (
-	// DirectoryKeep is how long callers may cache an answer of the directory. Some callers
-	// cache it for maxDirectoryKeepFactor times as long. A stopping node accepts requests
-	// until these longest-lived caches expire. A request accepted later could not finish
-	// within the grace time.
+	// DirectoryKeep is how long callers may cache an answer of the directory, which tells
+	// them the addresses of the nodes (see Addresses). Some callers cache it for
+	// maxDirectoryKeepFactor times as long. A stopping node accepts requests until these
+	// longest-lived caches expire, but for at most 3/8 of the grace time. A request that is
+	// accepted later might not finish within the grace time.
 	DirectoryKeep = time.Second
 	// maxDirectoryKeepFactor is how many times DirectoryKeep some callers cache an answer.
 	maxDirectoryKeepFactor = 3
 	// stopMargin is how long before the end of the grace time a stopping node aborts
-	// the requests that still run.
+	// the requests that still run. At the end of the grace time the platform kills the
+	// process.
 	stopMargin = 400 * time.Millisecond
-	// retryBudgetFraction is the fraction of the retry budget that this node uses. The
-	// bound must hold in every sliding window, also after requests that allowed a retry
-	// have left the window.
+	// retryBudgetFraction is the fraction of the retry budget that this node uses. The rest
+	// is a reserve: the bound on retries must hold in every sliding window, also after
+	// requests that allowed a retry have left the window.
 	retryBudgetFraction = 0.7
-	// proofAgeFraction is the fraction of the revocation bound for which a proof that
+	// proofAgeFraction is the fraction of the bound Bounds.Revoke for which a proof that
 	// the configuration is current stays valid. With a bound of 5 s a proof is valid for
 	// 3.8 s. The remainder covers the time of up to 1 s for which a watch may miss changes.
 	// A proof may already be 1.1 s old when the connection to the service is lost, so with
-	// a smaller fraction a node would refuse requests while the platform still counts it
-	// as connected.
+	// a smaller fraction a node would refuse requests while the platform still counts the
+	// node as connected.
 	proofAgeFraction = 0.76
 	// silenceTick is how often backend servers with running requests are checked for
 	// silence.
 	silenceTick = 20 * time.Millisecond
 	// expiryTick is how often requests are checked for an expired time limit. The check
-	// uses a clock that also advances while the box is suspended.
+	// uses a clock that also advances while the box is suspended, so it finds requests whose
+	// limit passed during a suspension.
 	expiryTick = 100 * time.Millisecond
-	// callerIdleTimeout is how long a caller's connection may be idle. It is longer
-	// than the idle timeouts in the platform's configurations.
+	// callerIdleTimeout is how long a connection of a caller, or of a client of the other
+	// HTTP endpoints, may be idle. It is longer than the idle timeouts in the platform's
+	// configurations.
 	callerIdleTimeout = 60 * time.Second
-	// headerTimeout is how long a caller may take to send a request's header.
+	// headerTimeout is how long a caller, or a client of the other HTTP endpoints, may take
+	// to send a request's header.
 	headerTimeout = 10 * time.Second
-	// maxHeaderBytes limits the size of a request's header.
+	// maxHeaderBytes limits the size of the header of a caller's request.
 	maxHeaderBytes = 64 << 10
-	// assumedNodes is the number of nodes that are assumed to share the fleet's limits, such
-	// as the retry budget, while no node is known.
+	// assumedNodes is the number of nodes that a node assumes while none is listed, for
+	// example to compute its share of the fleet's retry budget.
 	assumedNodes = 16
 )
 
@@ -94,12 +104,12 @@
 	Decoder     Decoder
 	Protocol    shedkeel.CallerProtocol
 	Backend     shedkeel.Backend
-	Check       shedkeel.ServerCheck // finds out whether a server that broke off a request has stopped; nil: no check
+	Check       shedkeel.ServerCheck // finds out whether a server that broke off a request has terminated; nil: no check
 	Engines     shedkeel.GroupEngines
 	Timers      shedkeel.Timers
 	Random      shedkeel.Random
 	Log         *event.Log
-	Metrics     *metrics.Metrics
+	Metrics     *metrics.Metrics // nil: none are exported
 
 	mirror      mirror.Mirror
 	follower    mirror.Follower
@@ -233,9 +243,12 @@
 	return server
 }
 
-// stop removes the node from the directory and keeps serving while callers may
-// still have its address cached. It then refuses new requests and waits for the
-// running ones until stopMargin before the end of the grace time, when it aborts them.
+// stop announces that this node stops, so that the directory leaves the node out, resigns
+// as leader, and from then on asks callers to close their connections. It keeps serving while
+// callers may still have the node's address cached, but for at most 3/8 of the grace time. It
+// then refuses new requests and waits for the running ones until stopMargin before the end of
+// the grace time, when it aborts them. It returns an error only if the server for callers
+// failed to close.
 func (node *Node) stop(callers *http.Server) error {
 	stopStarted := node.Timers.Now()
 	node.Log.Write(event.Stopping)
@@ -258,14 +271,15 @@
 	return err
 }
 
-// currentConfig returns the active configuration and when it was last proven current.
+// currentConfig returns the active configuration, or no view if none is known, and when it
+// was last proven current.
 func (node *Node) currentConfig() serve.ConfigState {
 	return serve.ConfigState{View: node.fleet.view.Load(), ProvenAt: node.mirror.State().AsOf}
 }
 
-// Ready reports whether callers should be sent to this node. They should not while it is
-// stopping or has no configuration. If the settings refuse stale keys, they also should not
-// while the configuration was not proven current within MaxConfigAge.
+// Ready reports whether callers should be sent to this node. They should not while the node
+// is stopping or has no configuration. If the settings refuse stale keys, callers should also
+// not be sent to it unless the configuration was proven current within MaxConfigAge.
 func (node *Node) Ready() bool {
 	if node.stopping.Load() || node.fleet.view.Load() == nil {
 		return false
@@ -274,8 +288,8 @@
 	return !node.handler.RefuseStaleKeys || age < node.handler.MaxConfigAge
 }
 
-// reportSilentServers logs backend servers that stopped responding and reports
-// their groups as suspected to the node that plans groups.
+// reportSilentServers logs backend servers that stopped responding, and reports their groups
+// as suspected to the leader. A server without a group is only logged.
 func (node *Node) reportSilentServers(now time.Duration) {
 	for _, silence := range node.table.FindStalled(now) {
 		node.Log.Write(event.ServerUnresponsive, slog.String("server", string(silence.Server.Instance)), slog.String("group", string(silence.Server.Group.Group)),
@@ -288,8 +302,9 @@
 }
 
 // Reload applies the retry bounds of the new settings, the only settings that may change
-// while the node runs. It logs whether the new settings also differ in a setting that needs
-// a restart, such as an address.
+// while the node runs. It logs whether the new settings also differ in one that needs a
+// restart: Listen, Store, Node, Bounds.Revoke or Bounds.RefuseStaleKeys. It ignores
+// differences in other settings.
 func (node *Node) Reload(settings config.NodeSettings) {
 	bounds := settings.Bounds
 	node.handler.Budget.Set(bounds.RetryRatio, time.Duration(bounds.RetryWindow), bounds.RetrySlack)
--- a/node/nodes.go
+++ b/node/nodes.go
@@ -33,8 +33,9 @@
 	return record == other
 }
 
-// applyNode applies a node's record and reports whether the nodes have changed. The caller
-// holds the mutex.
+// applyNode applies a node's record and reports whether the listed nodes may have changed. A
+// deleted record is handled by removeOrRetain. An invalid record is skipped; if it is this
+// node's own, this node writes its record again. The caller holds the mutex.
 func (fleet *fleet) applyNode(record shedkeel.Record, now time.Duration) bool {
 	if record.Removed {
 		return fleet.removeOrRetain(record.Key, now, func() { delete(fleet.nodes, record.Key) })
@@ -95,12 +96,12 @@
 }
 
 // compareNodes orders nodes by preference for duties that one node has for the whole
-// fleet: those with the most capacity come first.
+// fleet: those with the most capacity come first. Nodes of equal capacity are ordered by ID.
 func compareNodes(a, b nodeRecord) int {
 	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.ID, b.ID))
 }
 
-// nodeCount returns the number of listed nodes, or assumedNodes if none is known.
+// nodeCount returns the number of listed nodes, or assumedNodes if none is listed.
 func (fleet *fleet) nodeCount() int {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
@@ -129,12 +130,13 @@
 
 // Addresses returns the addresses for callers of the nodes that serve, those of the given
 // availability zone first. It leaves out stopping nodes, and this node while it is not
-// ready. A ready node includes itself even if it is not listed.
+// ready. A ready node includes itself even if it is not listed; its address then comes
+// directly after those of the given zone.
 //
 // A record does not prove that its node is alive: a node that lost power stays listed
-// during an outage of the store or until another node removes the record, and callers
-// would fail to connect to it. Addresses therefore also leaves out nodes that the failure
-// detector considers neither alive nor suspected.
+// during an outage of the key-value service or until another node removes the record, and
+// callers would fail to connect to the lost node. Addresses therefore also leaves out nodes
+// that the failure detector considers neither alive nor suspected.
 func (node *Node) Addresses(zone string) []string {
 	fleet := &node.fleet
 	fleet.mutex.Lock()
--- a/node/peers.go
+++ b/node/peers.go
@@ -19,20 +19,20 @@
 // maxLoggedNodes limits how many joined or lost nodes one log line names.
 const maxLoggedNodes = 8
 
-// peers are the other nodes that this one knows.
+// peers are the nodes that this node knows, and the clients of the other nodes.
 type peers struct {
 	node *Node
 
 	mutex         sync.Mutex
-	nodes         []nodeRecord                            // listed nodes in the order of compareNodes, including this one
+	nodes         []nodeRecord                            // listed nodes in the order of compareNodes, including this node if it is listed
 	alive         []nodeRecord                            // listed nodes that are alive, in the same order
 	aliveVersion  atomic.Uint64                           // number of times that alive has changed
 	aliveSince    time.Duration                           // when alive last changed
 	lastJoin      time.Duration                           // when the last node joined the listed nodes
 	granters      map[shedkeel.InstanceID]shedkeel.NodeID // cache for the method granter; nil: empty, as after a change of alive
-	known         map[shedkeel.NodeID]*peer
-	seeds         []*peer // from the settings; used while no other nodes are known
-	startupRelays []*peer // relays that this node asked for its first copy
+	known         map[shedkeel.NodeID]*peer               // clients of the other listed nodes
+	seeds         []*peer                                 // from the settings; asked while no other node is listed, and followed as startupSeed says
+	startupRelays []*peer                                 // relays that this node asked for its first copy
 	// random is used only with the mutex held, and is not shared with other parts.
 	random shedkeel.Random
 
@@ -47,8 +47,8 @@
 	node          *Node
 	wire          *wire.Peer
 	priorityWire  *wire.Peer // connection for calls that must not wait while wire connects
-	followFailure failure    // latest failure of Relay; the peer is not followed for followBackoff after it
-	spreadFailure failure    // latest failure to place a request; the peer is not asked for spreaderBackoff after it
+	followFailure failure    // when Relay last found that the peer should not be followed for followBackoff
+	spreadFailure failure    // when the peer last failed to answer as a spreader; it is not asked for spreaderBackoff then
 }
 
 // prepare creates the clients of the seeds. A seed's address serves as its ID, because its
@@ -62,14 +62,16 @@
 	}
 }
 
-// dial returns a new client of the node at the address. It connects at its first call.
+// dial returns a new client of the node at the address. The client connects at its first
+// call.
 func (peers *peers) dial(id shedkeel.NodeID, address string) *peer {
 	key := peers.node.Settings.Wire.Key
 	return &peer{id: id, node: peers.node, wire: &wire.Peer{Address: address, Key: key}, priorityWire: &wire.Peer{Address: address, Key: key}}
 }
 
-// update replaces the known nodes, which are in the order of compareNodes. It closes the
-// connections to nodes that are no longer listed or have another address.
+// update replaces the listed nodes, which are in the order of compareNodes. It closes the
+// connections to nodes that are no longer listed or have another address, passes the nodes to
+// the failure detector, and logs which nodes joined and which were lost.
 func (peers *peers) update(nodes []nodeRecord) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
@@ -100,8 +102,8 @@
 	peers.node.Log.Write(event.NodesChanged, slog.Int("nodes", len(nodes)), slog.Any("came", joined), slog.Any("went", lost), slog.Duration("age", peers.node.fleet.mirrorAge()))
 }
 
-// changedKeys returns the nodes that are only in the second map (joined) and those that
-// are only in the first (lost), at most maxLoggedNodes of each.
+// changedKeys returns the nodes that are only in after (joined) and those that are only in
+// before (lost), at most maxLoggedNodes of each.
 func changedKeys[Value any](before, after map[shedkeel.NodeID]Value) (joined, lost []shedkeel.NodeID) {
 	return missingKeys(after, before), missingKeys(before, after)
 }
@@ -124,7 +126,8 @@
 	peers.setAlive(peers.node.gossip.filterAlive(peers.nodes))
 }
 
-// setAlive replaces the alive nodes. The caller holds the mutex.
+// setAlive replaces the alive nodes, and records the change if there is one. The caller holds
+// the mutex.
 func (peers *peers) setAlive(alive []nodeRecord) {
 	if slices.Equal(peers.alive, alive) {
 		return
@@ -136,7 +139,8 @@
 }
 
 // aliveFraction returns the fraction of the listed nodes that are alive, not counting
-// stopping nodes, and the time of the last change of the alive nodes.
+// stopping nodes, and the time of the last change of the alive nodes. The fraction is 0 if
+// all listed nodes are stopping or none is listed.
 func (peers *peers) aliveFraction() (fraction float64, since time.Duration) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
@@ -152,7 +156,7 @@
 }
 
 // granter returns the node that grants the permits of a backend server, or false while no
-// node is known. All nodes with the same view of the alive nodes choose the same one, by
+// listed node is alive. All nodes with the same view of the alive nodes choose the same one, by
 // rendezvous hashing.
 func (peers *peers) granter(server shedkeel.InstanceID) (shedkeel.NodeID, bool) {
 	peers.mutex.Lock()
@@ -173,12 +177,12 @@
 	return first.ID, true
 }
 
-// aliveWithSelf returns the alive nodes in order and this node's index among them. This
-// node is inserted if it is not listed yet, because it follows others as well. The caller
-// holds the mutex.
+// aliveWithSelf returns the alive nodes in the order of compareNodes, this node's index among
+// them, and whether this node is listed. If it is not, it is inserted, because an unlisted
+// node follows others as well. The caller holds the mutex.
 //
 // Suspected nodes are left out, so a duty that one node has for the whole fleet passes to
-// the next node as soon as the first one is suspected.
+// the next node in the order as soon as the node with the duty is suspected.
 func (peers *peers) aliveWithSelf() (nodes []nodeRecord, own int, listed bool) {
 	record := peers.node.ownRecord()
 	index, listed := slices.BinarySearchFunc(peers.alive, record, compareNodes)
@@ -250,7 +254,7 @@
 	return found
 }
 
-// close closes the connections to all other nodes.
+// close closes the connections to all other nodes, seeds and startup relays.
 func (peers *peers) close() {
 	for _, peer := range slices.Concat(peers.all(), peers.seeds, peers.startupRelays) {
 		peer.close()
@@ -262,10 +266,12 @@
 	peer.priorityWire.Close()
 }
 
-// Name returns the node's ID, or its address while only that is known.
+// Name returns the node's ID. For a seed or a startup relay, whose ID is not known, it
+// returns the node's address.
 func (peer *peer) Name() string { return string(peer.id) }
 
-// Handle answers a call of another node.
+// Handle answers a call of another node, or returns an error reply if it does not know the
+// kind of the call.
 func (peers *peers) Handle(ctx context.Context, call *wire.Call) *wire.Reply {
 	switch kind := call.GetKind().(type) {
 	case *wire.Call_Relay:
@@ -288,8 +294,8 @@
 	return &wire.Reply{Error: "a node answers relays, notices, spreads, demands, blames, permits, limits and registrations only; upgrade one side"}
 }
 
-// ownIndex returns this node's index among the listed nodes, or their number if it is not
-// listed.
+// ownIndex returns this node's index among the listed nodes, or the number of listed nodes if
+// this node is not among them.
 func (peers *peers) ownIndex() int {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
--- a/node/report.go
+++ b/node/report.go
@@ -9,7 +9,9 @@
 	"shedkeel.org/shedkeel/formation"
 )
 
-// report logs and exports the values that no event reports. It is called once per second.
+// report logs how many log lines were dropped, and to which nodes callers may no longer, or
+// may again, be sent. If the node has metrics, report exports the current values of its
+// gauges. It is called once per second.
 func (node *Node) report(now time.Duration) {
 	node.Log.Report()
 	node.gossip.logExclusions(node.peers.listed())
@@ -42,8 +44,8 @@
 	}
 }
 
-// reportLimits exports how many servers limit their rate, and how many permits this node
-// granted and refused.
+// reportLimits exports how many servers limit their rate, back off, or drain according to
+// their answers, and how many permits of limited servers this node granted and refused.
 func (node *Node) reportLimits(scope tally.Scope) {
 	limited := node.limits.dump()
 	var granted, refused int64
--- a/node/subscribers.go
+++ b/node/subscribers.go
@@ -7,11 +7,11 @@
 	"shedkeel.org/shedkeel"
 )
 
-// subscriberTTL is how long a node counts as a subscriber after it last asked for records.
+// subscriberTTL is how long a node counts as a subscriber after it last asked.
 const subscriberTTL = 5 * time.Second
 
-// subscribers are the nodes that asked this one for records recently. The zero value is
-// empty.
+// subscribers are the nodes that asked this node for records, or whether it has a copy,
+// within subscriberTTL. The zero value is empty.
 type subscribers struct {
 	mutex     sync.Mutex
 	lastAsked map[shedkeel.NodeID]time.Duration // when each node last asked
