--- a/node/lease.go
+++ b/node/lease.go
@@ -22,12 +22,12 @@
 	ttl  time.Duration // lease time to ask for; the service may grant less
 
 	id         atomic.Pointer[shedkeel.LeaseID] // nil: none
-	validUntil atomic.Int64                     // lower bound of its expiry, on this node's clock
+	validUntil atomic.Int64                     // lower bound of the lease's expiry, on this node's clock
 }
 
-// valid reports whether the lease is certainly still in force. A lease of an earlier era
-// of the service does not count as valid, even before its expiry: the service was then
-// restored from a snapshot, which may lack the lease.
+// valid reports whether the lease is certainly still in force. From leaseSafetyMargin before
+// its expiry on it does not count as valid. Neither does a lease of an earlier era of the
+// service: the service was then restored from a snapshot, which may lack the lease.
 func (lease *lease) valid(now time.Duration) bool {
 	if !lease.held() || lease.ID().Era < lease.node.mirror.State().At.Era {
 		return false
@@ -85,6 +85,6 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), leaseSafetyMargin)
 	defer cancel()
-	_ = lease.node.Store.Release(ctx, lease.ID()) // on an error it expires by itself
+	_ = lease.node.Store.Release(ctx, lease.ID()) // on an error the lease expires by itself
 	lease.id.Store(nil)
 }
--- a/node/member.go
+++ b/node/member.go
@@ -13,12 +13,13 @@
 )
 
 const (
-	// largeFleetTTL is the lease time of a node's record in a large fleet. A long
+	// largeFleetTTL is the lease time of a node's record in a fleet of more than
+	// maxSmallFleet nodes, as long as its records have leases (see unleasedFrom). A long
 	// lease saves renewals, each of which is a call to the service. A dead node that is
 	// still listed gets only few of the callers, as there are many nodes.
 	largeFleetTTL = 4 * time.Second
 	// smallFleetTTL is the lease time in a small fleet, where a dead node gets a large share of
-	// the callers. It is long enough for two failed renewals.
+	// the callers. A lease of this time outlasts two failed renewals (see renewalsPerTTL).
 	smallFleetTTL = 1500 * time.Millisecond
 	// maxSmallFleet is the largest number of nodes of a small fleet.
 	maxSmallFleet = 12
@@ -34,28 +35,32 @@
 	// registrationRetry is the delay after a failed call to the service if the service has
 	// answered any node since; maxRegistrationRetry is the delay if it has not. A failed
 	// call costs ten times as much as a renewal, and retries during an outage are useless.
+	// registrationRetry is also the minimum time between attempts to write a record
+	// without a lease that this node's copy lacks.
 	registrationRetry    = 500 * time.Millisecond
 	maxRegistrationRetry = 4 * time.Second
 	// nodeCountHintTTL is how long after its start a node uses the number of nodes that a
 	// seed node or the record of the fleet's size reported.
 	nodeCountHintTTL = 10 * time.Second
-	// memberTick is how often a node checks whether its record must be written or renewed.
+	// memberTick is how often a node checks whether its record must be written or the
+	// record's lease renewed.
 	memberTick = 20 * time.Millisecond
 )
 
-// membership maintains the node's record in the key-value service. In a large fleet the
-// record has no lease, and other nodes remove it if this node is dead.
+// membership maintains the node's record in the key-value service. In a large fleet (see
+// needsNoLease) the record has no lease, and other nodes remove the record if this node is
+// dead.
 type membership struct {
 	node          *Node
 	lease         lease
 	dirty         atomic.Bool  // the record must be written again
 	nodeCountHint atomic.Int64 // number of nodes, as reported by a seed or the size record at the start
-	listed        atomic.Bool  // the last call to the service succeeded, and the service has the record
-	unleased      atomic.Bool  // the record needs no lease: other nodes remove it if this one is dead
+	listed        atomic.Bool  // the last call of step succeeded: the service has the record
+	unleased      atomic.Bool  // the record needs no lease: other nodes remove it if this node is dead
 
 	startedAt atomic.Int64 // when the node started, as a time.Duration; 0: not set yet
 
-	lastAttempt time.Duration // when the service was last called; 0: never. Only the goroutine of run uses it
+	lastAttempt time.Duration // when step was last called; 0: never. Only the goroutine of run uses it
 }
 
 // requestWrite makes the next tick write the record again.
@@ -70,7 +75,7 @@
 	membership.lease.release()
 }
 
-// tick calls the service if a call is due.
+// tick calls step if a step is due.
 func (membership *membership) tick(ctx context.Context) {
 	now := membership.node.Timers.Now()
 	membership.startedAt.CompareAndSwap(0, int64(now))
@@ -81,7 +86,8 @@
 	membership.step(ctx)
 }
 
-// due reports whether it is time to call the service.
+// due reports whether it is time to call step: to list the node, to try again after a
+// failure, to write the record again, with or without a lease, or to renew the lease.
 func (membership *membership) due(now time.Duration) bool {
 	sinceAttempt := now - membership.lastAttempt
 	state := membership.node.mirror.State()
@@ -98,8 +104,8 @@
 	return sinceAttempt >= membership.lease.ttl/renewalsPerTTL
 }
 
-// retryDelay returns the delay after a failed call, given when the service last answered
-// any node.
+// retryDelay returns the delay after a failed call. The argument is the latest time at which
+// the service is known to have answered any node.
 func (membership *membership) retryDelay(lastAnswer time.Duration) time.Duration {
 	if lastAnswer > membership.lastAttempt {
 		return registrationRetry
@@ -119,7 +125,7 @@
 }
 
 // expectedNodes returns the number of nodes that was reported at this node's start, when
-// some of them may not be listed yet. It returns 0 if no number was reported, or once
+// some of those nodes may not be listed yet. It returns 0 if no number was reported, or once
 // nodeCountHintTTL has passed.
 func (membership *membership) expectedNodes() int {
 	if membership.node.Timers.Now()-time.Duration(membership.startedAt.Load()) >= nodeCountHintTTL {
@@ -146,7 +152,7 @@
 // keepUnleased writes the record without a lease and reports whether the service has the
 // record. It writes nothing if the service already has the record, for example from before
 // this node restarted. The node forgets its former lease. The record is written without
-// that lease, so it stays when the lease expires.
+// that lease, so the record stays when the lease expires.
 func (membership *membership) keepUnleased(ctx context.Context) bool {
 	membership.lease.id.Store(nil)
 	membership.dirty.Store(false)
@@ -154,7 +160,7 @@
 }
 
 // isRecordCurrent reports whether the service has the current record, as far as this
-// node's copy shows.
+// node's copy shows. The incarnation may differ.
 func (membership *membership) isRecordCurrent() bool {
 	record := membership.node.mirror.Get(membership.key())
 	if !record.Revision.Exists() {
@@ -174,7 +180,7 @@
 func (membership *membership) keepLeased(ctx context.Context) bool {
 	lease := &membership.lease
 	if lease.held() && !lease.renew(ctx) && lease.held() {
-		return false // the service did not answer
+		return false // the renewal failed, but the lease may still be in force
 	}
 	if ttl := membership.targetTTL(); !lease.held() || lease.ttl != ttl {
 		lease.ttl = ttl // the record moves to the new lease, and the former one expires
@@ -203,11 +209,11 @@
 	}
 }
 
-// commitRecord writes the record and returns the revision of the write. In a large fleet
-// it asks the node whose copy this node follows to write the record, together with the
-// records of other nodes. If there is no such node, or the write by that node fails, this
-// node writes the record to the service itself. A stopping node always does, because it
-// can't wait for others.
+// commitRecord writes the record and returns the revision of the write. If the record needs
+// no lease, commitRecord asks the node that this node follows to write the record, together
+// with the records of other nodes. If there is no such node, or the write by that node fails,
+// this node writes the record to the service itself. A stopping node always writes its record
+// itself, because it can't wait for others.
 func (membership *membership) commitRecord(ctx context.Context, put shedkeel.Put) (shedkeel.Revision, error) {
 	node := membership.node
 	if membership.unleased.Load() && !node.stopping.Load() {
@@ -220,8 +226,9 @@
 	return node.Store.Commit(ctx, shedkeel.Transaction{Put: []shedkeel.Put{put}})
 }
 
-// writeRecord writes the record and reports whether that succeeded. After a failure it
-// logs the error and requests another write.
+// writeRecord writes the record and reports whether that succeeded. After a success it
+// applies the record to the mirror, after a failure it logs the error and requests another
+// write.
 func (membership *membership) writeRecord(ctx context.Context) bool {
 	node := membership.node
 	value, err := json.Marshal(node.ownRecord())
--- a/node/registrar.go
+++ b/node/registrar.go
@@ -18,7 +18,8 @@
 	// registerWriteTimeout limits the time of the write of a batch.
 	registerWriteTimeout = time.Second
 	// registerTimeout limits the time that a node waits for another node to write its
-	// record. After this time the waiting node writes the record itself.
+	// record: the time of a batch, and 200 ms for the call. After this time the waiting
+	// node writes the record itself.
 	registerTimeout = registerBatchDelay + registerWriteTimeout + 200*time.Millisecond
 )
 
@@ -31,17 +32,18 @@
 	pending *registrationBatch // the batch that still accepts records; nil: there is none
 }
 
-// registrationBatch is one write of several records.
+// registrationBatch is one write of one or more records.
 type registrationBatch struct {
 	registrar *registrar
 	puts      map[string]shedkeel.Put // by key; guarded by the registrar's mutex
-	full      chan struct{}           // closed once the batch accepts no more records
-	done      chan struct{}           // closed once the outcome is known
+	full      chan struct{}           // closed if the batch is full
+	done      chan struct{}           // closed once the write has ended
 	revision  shedkeel.Revision       // of the write; set before done is closed
 	err       error                   // of the write; set before done is closed
 }
 
-// handle answers a node that asks to have its record written.
+// handle answers a node that asks to have its record written, once the write has ended. The
+// reply states an error if the record is invalid, the write fails, or ctx ends first.
 func (registrar *registrar) handle(ctx context.Context, call *wire.RegisterCall) *wire.Reply {
 	record := shedkeel.Record{Key: nodePrefix + call.GetNode(), Value: call.GetRecord()}
 	if _, err := registrar.node.fleet.decodeNode(record); err != nil {
@@ -60,7 +62,7 @@
 	return &wire.Reply{Kind: &wire.Reply_Register{Register: &wire.RegisterReply{Written: true, Era: revision.Era, Revision: revision.Number}}}
 }
 
-// enqueue adds a record to the pending batch, or to a new one, and returns the batch.
+// enqueue adds a record to the pending batch, or to a new batch, and returns that batch.
 func (registrar *registrar) enqueue(put shedkeel.Put) *registrationBatch {
 	registrar.mutex.Lock()
 	defer registrar.mutex.Unlock()
@@ -78,7 +80,8 @@
 	return batch
 }
 
-// run writes the batch once the delay has passed or the batch is full.
+// run writes the batch once registerBatchDelay has passed or the batch is full. After a
+// success it applies the records to the mirror.
 func (batch *registrationBatch) run() {
 	timer := time.NewTimer(registerBatchDelay)
 	select {
@@ -117,6 +120,7 @@
 }
 
 // register asks the peer to write this node's record, and returns the revision of the
+// write. It returns a shedkeel.UnknownOutcomeError if the peer's reply does not confirm the
 // write.
 func (peer *peer) register(ctx context.Context, record []byte) (shedkeel.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
--- a/node/relay.go
+++ b/node/relay.go
@@ -16,13 +16,15 @@
 	// mirror may take.
 	relayTimeoutMargin = 400 * time.Millisecond
 	// copyTimeoutMargin is how much longer than its wait a request for a complete copy may
-	// take. Many nodes that start together request complete copies from a few nodes.
+	// take. It exceeds relayTimeoutMargin because many nodes that start together request
+	// complete copies from a few nodes.
 	copyTimeoutMargin = 3 * time.Second
 )
 
-// Relay requests the changes since a revision from the peer's mirror. The peer answers once
-// there are changes, or after the wait. A peer that fails, whose own source is unreachable
-// or whose copy is too old is not followed for followBackoff.
+// Relay requests the changes since a revision from the peer's mirror, or a complete copy if
+// the revision is zero. The peer answers once there are changes, or after the wait. The peer
+// is not followed for followBackoff if the call fails before ctx ends, if the peer follows
+// the service and gets no response from it, or if the peer's copy is older than maxCopyAge.
 func (peer *peer) Relay(ctx context.Context, since shedkeel.Revision, wait time.Duration) (mirror.Update, error) {
 	update, err := peer.fetchUpdate(ctx, since, wait)
 	if err != nil && ctx.Err() == nil || err == nil && (update.SourceUnreachable || -update.AsOf > peer.maxCopyAge()) {
@@ -31,7 +33,8 @@
 	return update, err
 }
 
-// maxCopyAge returns the maximum age of the peer's copy for the peer to be followed.
+// maxCopyAge returns the maximum age of the peer's copy for the peer to be followed:
+// maxRelayAge in a fleet with relays, even if the peer is a source, else maxSourceAge.
 func (peer *peer) maxCopyAge() time.Duration {
 	if peer.node.peers.hops() > 1 {
 		return maxRelayAge
@@ -40,8 +43,9 @@
 }
 
 // fetchUpdate requests changed records as differences from their former values. A
-// difference can't be applied if this node has another former value, for example one that
-// it got from the service itself meanwhile. fetchUpdate then requests complete records.
+// difference can't be applied if this node has another former value, for example because
+// the service itself has sent this node a value meanwhile. fetchUpdate then requests complete
+// records, without a wait.
 func (peer *peer) fetchUpdate(ctx context.Context, since shedkeel.Revision, wait time.Duration) (mirror.Update, error) {
 	margin := relayTimeoutMargin
 	if !since.Exists() {
@@ -57,8 +61,8 @@
 }
 
 // HasCopy asks whether the peer's mirror has a copy. The peer answers once its mirror has
-// one, or after the wait. Its answer also states how many nodes it knows, which this node
-// stores as a hint of the fleet's size.
+// one, or after the wait. The answer also states how many nodes the peer knows. This node
+// stores the largest such number as a hint of the fleet's size.
 func (peer *peer) HasCopy(ctx context.Context, wait time.Duration) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+relayTimeoutMargin)
 	defer cancel()
@@ -71,8 +75,8 @@
 	return reply.GetKnown(), nil
 }
 
-// requestUpdate sends one relay call and decodes its reply. A newer configuration in the
-// reply is applied.
+// requestUpdate sends one relay call and decodes the reply. It applies a newer configuration
+// in the reply. It returns mirror.ErrNoCopy if the peer has no copy.
 func (peer *peer) requestUpdate(ctx context.Context, call *wire.RelayCall) (mirror.Update, error) {
 	call.Config = peer.node.fleet.configVersion()
 	relay, err := peer.callRelay(ctx, call)
@@ -108,8 +112,8 @@
 	return reply.GetRelay(), err
 }
 
-// decodeRecord decodes a record of the era, which may be encoded as a difference from the
-// value that this node has.
+// decodeRecord decodes a record of the era. If the record is encoded as a difference, it is
+// applied to the value that this node has.
 func (peer *peer) decodeRecord(sent *wire.StoreRecord, era int64) (shedkeel.Record, error) {
 	if sent.GetBase() != 0 {
 		return transfer.ApplyDifference(sent, era, peer.node.mirror.Get(sent.GetKey()))
@@ -117,8 +121,12 @@
 	return transfer.Decode(sent, era)
 }
 
-// handleRelay answers a relay call. It waits until the mirror has changes that the caller
-// lacks, but at most for the time that the call states.
+// handleRelay answers a relay call. It waits until the mirror has changes that the calling
+// node lacks, or any copy if the call asks only for that (OnlyKnown), but at most for the
+// time that the call states. It answers at once if this node has a copy, follows the service
+// and gets no response from it. The reply to OnlyKnown, or of a node without a copy, states
+// only whether there is a copy and how many nodes this node knows. handleRelay also records
+// the calling node as a subscriber, and fetches that node's configuration if it is newer.
 func (peers *peers) handleRelay(ctx context.Context, call *wire.RelayCall) *wire.Reply {
 	own := &peers.node.mirror
 	peers.node.subscribers.note(shedkeel.NodeID(call.GetNode()), peers.node.Timers.Now())
@@ -167,8 +175,8 @@
 	return encoded
 }
 
-// knownNodeCount returns the larger of the number of listed nodes and the number of nodes
-// that asked this one recently.
+// knownNodeCount returns the larger of the number of listed nodes, which counts as 0 while
+// this node has no copy, and the number of subscribers plus 1 for this node.
 func (peers *peers) knownNodeCount() uint32 {
 	listed := 0
 	if peers.node.mirror.State().Known {
@@ -177,8 +185,9 @@
 	return uint32(max(listed, peers.node.subscribers.count(peers.node.Timers.Now())))
 }
 
-// encodeRecord encodes a record for a node that asks: as the difference from the former
-// value if that node has the former value, else complete. A difference saves most of the
+// encodeRecord encodes a record for a node that asks for the changes after since: as the
+// difference from the former value, if the node accepts differences, has the former value,
+// and the two values have enough in common, else complete. A difference saves most of the
 // bytes of a server's heartbeat, which changes only one number.
 func (peers *peers) encodeRecord(record shedkeel.Record, since shedkeel.Revision, differences bool) *wire.StoreRecord {
 	former := peers.node.mirror.Previous(record.Key)
@@ -191,8 +200,8 @@
 	return peers.encoder.Encode(record)
 }
 
-// mirrorUpdate returns a mirror update of records that this node wrote itself. The update
-// does not prove that the mirror's other records are current.
+// mirrorUpdate returns a mirror update of records that this node wrote itself. Its AsOf is 0,
+// because the update does not prove that the mirror's other records are current.
 func mirrorUpdate(records ...shedkeel.Record) mirror.Update {
 	return mirror.Update{Records: records}
 }
--- a/node/removal.go
+++ b/node/removal.go
@@ -9,7 +9,8 @@
 const (
 	// restoredServerHold is how long a server gets no requests after its removed record has
 	// reappeared because the key-value service was restored from an older snapshot. If the
-	// server has terminated, its record is removed again within three heartbeats.
+	// server has terminated, its record is removed again within three heartbeats, at most
+	// 1.2 s apart (see unreadableRecordHold), so before the hold ends.
 	restoredServerHold = 5 * time.Second
 	// removalRetention is how long the removal of a server's record is remembered.
 	removalRetention = time.Minute
@@ -17,14 +18,14 @@
 
 // removal describes the removal of a server's record.
 type removal struct {
-	era      int64         // the era of the key-value service in which it was removed
+	era      int64         // the era of the key-value service in which the record was removed, or reappeared if withheld
 	until    time.Duration // when the removal is forgotten
 	withheld bool          // the record reappeared in a restored snapshot; the server gets no requests until the removal is forgotten
 }
 
 // removals are the recent removals of backend servers' records. If the key-value service
-// is restored from an older snapshot, such records reappear although the servers have
-// terminated or are about to. The fleet's mutex guards the removals.
+// is restored from a snapshot that is older than a removal, the record reappears although the
+// server has terminated or is about to. The fleet's mutex guards the removals.
 type removals map[shedkeel.InstanceID]removal
 
 // recordRemoval records that the record of a server was removed.
@@ -38,7 +39,8 @@
 // recordReturn handles the arrival of a server's record that was written or restored in the
 // given era. If the record was removed in an earlier era, it may come from the restored
 // snapshot: the server is withheld for restoredServerHold. If the record was removed in the
-// same era, the server has written it again, and the removal is forgotten.
+// same era, the server has written it again, and the removal is forgotten. A server that is
+// withheld already stays so until then.
 func (removals removals) recordReturn(server shedkeel.InstanceID, era int64, now time.Duration) {
 	known, removed := removals[server]
 	switch {
@@ -50,7 +52,7 @@
 	}
 }
 
-// withheld reports whether the server gets no requests although it has a record.
+// withheld reports whether the server gets no requests although it is listed.
 func (removals removals) withheld(server shedkeel.InstanceID) bool { return removals[server].withheld }
 
 // expire forgets the removals that are due to be forgotten, and reports whether any of
--- a/node/remover.go
+++ b/node/remover.go
@@ -19,18 +19,18 @@
 	removalStagger = time.Second
 	// removalRetryInterval is how long after a removal this node removes the same record
 	// again, if the removal failed, or if the record was written again while this node
-	// still considers its owner dead.
+	// still considers the record's owner dead.
 	removalRetryInterval = 10 * time.Second
 )
 
-// remover removes the records of dead nodes from the key-value service. In a large fleet
-// records have no lease, so that an idle fleet makes no calls to stay listed. Any live node
-// may remove a dead node's record: a hash orders the live nodes, and each of them removes
-// the record at its turn if the record still exists. Callers are not sent to the dead node
-// in the meantime.
+// remover removes the records of dead nodes from the key-value service. In a large fleet (see
+// needsNoLease) records have no lease, so that an idle fleet makes no calls to stay listed. Any live node, that is, one that is alive or suspected, may remove a dead
+// node's record: a hash orders the live nodes, and each of them removes the record at its
+// turn if the record still exists. Callers are not sent to the dead node in the meantime.
 //
-// No single node is responsible for all removals, because it may itself stall: with a stall
-// of 4 s, ten of 66 nodes that lose power stay in the directory for 8 s.
+// No single node is responsible for all removals, because that node might stall: with one
+// responsible node that stalls for 4 s, ten of 66 nodes that lose power stay in the directory
+// for 8 s.
 type remover struct {
 	node *Node
 
@@ -38,8 +38,8 @@
 	dueAt map[shedkeel.NodeID]time.Duration // when this node removes the record of a dead node
 }
 
-// tick starts the removals that are due, unless this node is stopping, is cut off or has an
-// outdated mirror.
+// tick starts the removals that are due, unless this node is stopping or cut off, has no
+// copy of the records, or has a copy older than outageAge.
 func (remover *remover) tick(now time.Duration) {
 	node := remover.node
 	state := node.mirror.State()
@@ -52,8 +52,8 @@
 }
 
 // dueRecords returns the records of dead nodes that this node removes now, and schedules
-// the removal of the others. It leaves out records with a lease, which the key-value
-// service removes.
+// the removal of the other dead nodes' records. It leaves out records with a lease, which the
+// key-value service removes when the lease expires.
 func (remover *remover) dueRecords(nodes []nodeRecord, now time.Duration) []nodeRecord {
 	remover.mutex.Lock()
 	defer remover.mutex.Unlock()
@@ -92,8 +92,9 @@
 }
 
 // runRemoval removes the record of a dead node, unless the record has changed since this
-// node's mirror received it, and logs the outcome. If the node is alive after all, it
-// notices that its record is missing and writes it again.
+// node's mirror received it, and logs the outcome. It does nothing if the mirror lacks the
+// record. If the dead node is alive after all, that node notices that its record is missing
+// and writes it again.
 func (remover *remover) runRemoval(record nodeRecord) {
 	node := remover.node
 	key := nodePrefix + string(record.ID)
--- a/node/restore.go
+++ b/node/restore.go
@@ -8,8 +8,10 @@
 )
 
 // handleRestore handles a restore of the key-value service from an older snapshot. Records
-// that this node wrote after the snapshot and leases that it acquired after it may be lost.
-// The mirror calls handleRestore before it reports the changed records.
+// that this node wrote after the snapshot was taken, and leases that it acquired since, may
+// be lost. This node writes its record again, checks which blames of requests to write again,
+// and makes the fleet retain lost records. The mirror calls handleRestore before it reports
+// the changed records.
 func (node *Node) handleRestore(restore mirror.Restore) {
 	node.Log.Write(event.StoreRestored, slog.String("from", restore.From.String()), slog.String("to", restore.To.String()), slog.Int("lost", restore.Lost))
 	node.fleet.retainLostRecords()
@@ -18,8 +20,8 @@
 }
 
 // retainLostRecords makes the fleet retain the records that the restored snapshot lacks for
-// deletedRecordHold, in which time their owners write them again. The fleet also compares
-// the records of the snapshot with the known ones, which may be newer.
+// deletedRecordHold, in which time their owners write them again. It also makes the fleet
+// skip servers' records of the snapshot that are older than the known ones (see isOutdated).
 func (fleet *fleet) retainLostRecords() {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
