--- a/node/prober.go
+++ b/node/prober.go
@@ -23,8 +23,9 @@
 	// maxConcurrentProbes bounds the probes in progress. On a box with a fifth of a
 	// core, 600 concurrent probes all end late, and 67 live servers count as dead.
 	maxConcurrentProbes = 32
-	// witnessCount is how many other servers, the witnesses, are asked before a server
-	// counts as dead. If none of them answers either, this node may be cut off.
+	// witnessCount is how many other servers, the witnesses, are asked at most before a
+	// server counts as dead. If none of the witnesses answers either, this node may be cut
+	// off.
 	witnessCount = 3
 )
 
@@ -32,8 +33,8 @@
 // may be cut off or too slow.
 var errInconclusive = errors.New("probe inconclusive: this node may be cut off or overloaded")
 
-// errRestarted says that the server at the address reports another start time than the
-// probed server's. The probed server has therefore terminated.
+// errRestarted says that the server at the address reports another start time than the one
+// in the probed instance's ID. The probed instance has therefore terminated.
 var errRestarted = errors.New("the server has restarted: its start time is not the recorded one")
 
 // prober finds out whether servers are alive. Its exported fields are set before its
@@ -46,11 +47,12 @@
 	slots chan struct{} // semaphore: holds one element for each probe in progress
 }
 
-// probe returns nil if the server answers, an error that wraps errInconclusive if the probe
-// does not prove the server dead, or otherwise the reason why the server counts as dead. It
-// first waits while maxConcurrentProbes other probes are in progress. Witnesses are the
-// addresses of other servers; probe asks some of them to find out whether this node reaches
-// any server.
+// probe asks a server for its report. It returns nil if the server answers, errRestarted if
+// the answer comes from another instance of the server, an error that wraps errInconclusive
+// if the lack of an answer does not prove the server dead, or otherwise the reason why the
+// server counts as dead. It first waits while maxConcurrentProbes other probes are in
+// progress. Witnesses are the addresses of other servers; if the server does not answer,
+// probe asks some of them to find out whether this node reaches any server.
 func (prober *prober) probe(ctx context.Context, instance shedkeel.Instance, witnesses []string) error {
 	prober.once.Do(func() { prober.slots = make(chan struct{}, maxConcurrentProbes) })
 	prober.slots <- struct{}{}
--- a/node/probes.go
+++ b/node/probes.go
@@ -19,8 +19,8 @@
 	// which further reports about the group are ignored. The reports of all nodes about the
 	// same failure arrive within this time.
 	noticeCooldown = 400 * time.Millisecond
-	// stallWindow is how long a group counts as stalled after an accepted report that it
-	// does not respond.
+	// stallWindow is how long a group counts as stalled after an accepted report that the
+	// group does not respond.
 	stallWindow = 2 * time.Second
 )
 
@@ -39,7 +39,8 @@
 }
 
 // stalledGroups returns the groups about which a report was accepted within the last
-// stallWindow, and forgets reports older than a minute. The caller holds the mutex.
+// stallWindow. To bound noticedAt, it forgets reports older than a minute, which is far
+// longer than stallWindow and noticeCooldown. The caller holds the mutex.
 func (controller *controller) stalledGroups(now time.Duration) map[shedkeel.Assignment]bool {
 	found := map[shedkeel.Assignment]bool{}
 	for group, at := range controller.noticedAt {
@@ -54,8 +55,9 @@
 }
 
 // probeSuspects starts probes of the members of suspected groups, of the free servers in
-// the domains of these groups, and of dead servers whose next probe is due. It forgets dead
-// servers that are not among the instances.
+// the domains of these groups, and of dead servers whose next probe is due. Servers whose
+// probe is in progress are left out, and dead servers whose next probe is not due. It forgets
+// all suspicions, and dead servers that are not among the instances.
 func (controller *controller) probeSuspects(ctx context.Context, instances []shedkeel.Instance, now time.Duration) {
 	controller.mutex.Lock()
 	defer controller.mutex.Unlock()
@@ -102,8 +104,8 @@
 }
 
 // witnessesFor returns the addresses of the servers that a probe may ask to find out
-// whether this node reaches any server other than the probed one. They are in other domains
-// if there are servers in other domains, because all servers of a domain may fail at once.
+// whether this node reaches any server other than the probed one. If there are servers in
+// other domains, it returns only those, because all servers of a domain may fail at once.
 func witnessesFor(probed shedkeel.Instance, instances []shedkeel.Instance) []string {
 	var sameDomain, otherDomains []string
 	for _, instance := range instances {
@@ -129,7 +131,8 @@
 	delete(controller.probing, instance.ID)
 }
 
-// reportLoss makes all nodes avoid a group that has lost a member.
+// reportLoss makes this node and the other nodes avoid a group that has lost a member, for
+// lostGroupAvoidTime.
 func (controller *controller) reportLoss(group shedkeel.Assignment) {
 	node := controller.node
 	node.table.AvoidGroup(group, node.Timers.Now(), lostGroupAvoidTime)
@@ -137,8 +140,8 @@
 }
 
 // recordProbe processes the result of a probe: it marks a server as dead or as alive
-// again, and at each failed probe makes all nodes avoid the group of the dead server. An
-// inconclusive probe is only logged.
+// again, and at each failed probe makes all nodes avoid the group of which the dead server is
+// a member. An inconclusive probe is only logged.
 func (controller *controller) recordProbe(instance shedkeel.Instance, err error) {
 	controller.mutex.Lock()
 	defer controller.mutex.Unlock()
--- a/node/waits.go
+++ b/node/waits.go
@@ -34,8 +34,8 @@
 	return found
 }
 
-// waitsForGroup returns, for operators, the waits that concern a group: those of the
-// group, of its domain and of its members.
+// waitsForGroup returns, for operators, the waits that concern a group: those of the group,
+// of the given members, and of the group's domain as a whole.
 func (controller *controller) waitsForGroup(group shedkeel.GroupID, members []MemberDump, now time.Duration) []WaitDump {
 	servers := map[shedkeel.InstanceID]bool{}
 	for _, member := range members {
@@ -59,7 +59,7 @@
 	}
 }
 
-// logOverdueWaits logs the waits that have exceeded their bounds.
+// logOverdueWaits logs the waits that have exceeded their bounds, each at every call.
 func (controller *controller) logOverdueWaits(now time.Duration) {
 	for _, wait := range controller.waits() {
 		if !wait.Overdue(now) {
