--- a/node/heartbeat_test.go
+++ b/node/heartbeat_test.go
@@ -68,7 +68,8 @@
 	assert.Assert(t, fleet.applyInstance(heartbeats(t, 3, 5)[2], now), "the server is listed again")
 }
 
-// BenchmarkHeartbeats applies the heartbeats that a large fleet's servers write in 0.25 s.
+// BenchmarkHeartbeats applies the heartbeats that the 2,793 servers of a large fleet write in
+// 0.25 s if each writes one every 1.2 s.
 func BenchmarkHeartbeats(b *testing.B) {
 	const servers, heartbeatsPerRound = 2793, 580
 	node := newHeartbeatNode(b, servers)
--- a/node/member_test.go
+++ b/node/member_test.go
@@ -12,7 +12,8 @@
 )
 
 // TestListedByFleetSize checks that the lease of a node's record depends on the size of the
-// fleet once the node knows the size: a small fleet has short leases, a large one has none.
+// fleet once the node knows the size: records have short leases in a small fleet, and no
+// leases from unleasedFrom nodes on.
 func TestListedByFleetSize(t *testing.T) {
 	cases := map[string]struct {
 		nodes      int
@@ -20,10 +21,10 @@
 		wantLease  int64         // number of the record's lease in the end; 0: no lease
 		wantGrants int64         // number of leases that the node acquires
 	}{
-		"none is known yet": {0, largeFleetTTL, 1, 1},
-		"a small fleet":     {9, smallFleetTTL, 2, 2},
-		"a larger fleet":    {unleasedFrom - 1, largeFleetTTL, 1, 1},
-		"a large fleet":     {unleasedFrom, largeFleetTTL, 0, 1},
+		"no node is listed":                 {0, largeFleetTTL, 1, 1},
+		"a small fleet":                     {9, smallFleetTTL, 2, 2},
+		"the largest fleet with leases":     {unleasedFrom - 1, largeFleetTTL, 1, 1},
+		"the smallest fleet without leases": {unleasedFrom, largeFleetTTL, 0, 1},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -57,10 +58,10 @@
 		answeredAfter  time.Duration // time from the failure until another node got an answer; 0: never
 		wantRetryAfter time.Duration // time from the failure until the retry
 	}{
-		"the service is unavailable":           {0, maxRegistrationRetry},
-		"it is unavailable for this node only": {10 * time.Millisecond, registrationRetry},
-		"it is back after a second":            {time.Second, time.Second},
-		"it is back before the next retry":     {200 * time.Millisecond, registrationRetry},
+		"the service answers no node":            {0, maxRegistrationRetry},
+		"the service answers other nodes":        {10 * time.Millisecond, registrationRetry},
+		"it answers another node after a second": {time.Second, time.Second},
+		"it answers another node after 200 ms":   {200 * time.Millisecond, registrationRetry},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -30,8 +30,8 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// testCluster is a store, backend servers and nodes in one process, each at an address of
-// its own.
+// testCluster is a key-value service (the store), backend servers and nodes in one process,
+// each at an address of its own.
 type testCluster struct {
 	t      *testing.T
 	data   *standin.Store
@@ -65,8 +65,8 @@
  "limits":{"max_header_bytes":16384,"max_body_bytes":65536,"header_timeout_ms":3000,"idle_timeout_ms":15000},
  "tenants":[{"name":"shop","api_keys":[%s]}]}`
 
-// newTestCluster starts a store, 8 engine servers, 2 plain servers and the given number of
-// nodes.
+// newTestCluster starts a store, 8 servers of the service llm, which has replica groups, 2
+// servers of the service plain, which has none, and the given number of nodes.
 func newTestCluster(t *testing.T, nodes int) *testCluster {
 	t.Helper()
 	cluster := &testCluster{t: t, data: standin.NewStore(), client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
@@ -190,13 +190,14 @@
 	})
 }
 
-// send sends one request and returns the status and body of the answer. The status is 0
-// if the answer was incomplete.
+// send sends one request for the given number of answer tokens, and returns the status and
+// body of the answer. If there is no complete answer, the status is 0 and the body states the
+// error.
 func (cluster *testCluster) send(address, id, path, key string, tokens int) (int, string) {
 	return cluster.sendBody(address, id, path, key, "x", tokens)
 }
 
-// sendBody is send with a given request body.
+// sendBody is send with the request body sent.
 func (cluster *testCluster) sendBody(address, id, path, key, sent string, tokens int) (int, string) {
 	request, err := http.NewRequestWithContext(cluster.t.Context(), http.MethodPost, "http://"+address+path, strings.NewReader(sent))
 	assert.NilError(cluster.t, err)
@@ -329,8 +330,8 @@
 // interruptedStreams is how many streams run during a fault.
 const interruptedStreams = 12
 
-// interruptStreams injects a fault while streams run, and checks that all of them are
-// complete.
+// interruptStreams injects a fault while streams run, and checks that all streams are
+// complete. The streams' attempt IDs begin with the prefix.
 func (cluster *testCluster) interruptStreams(prefix string, fault func()) {
 	var calls sync.WaitGroup
 	results := make([]string, interruptedStreams)
@@ -386,9 +387,9 @@
 	}
 }
 
-// interruptStore makes the store unavailable. Nodes must serve while their proof that the
-// configuration is current is valid, and then refuse keys with status 503. Once the store is
-// available again, they must accept keys again.
+// interruptStore makes the store unavailable. The first node must serve at the start of the
+// outage, and refuse keys with status 503 once its proof that the configuration is current
+// has expired. Once the store is available again, all nodes must accept keys.
 func (cluster *testCluster) interruptStore() {
 	cluster.data.SetFaults(standin.Faults{Outage: true})
 	status, _ := cluster.send(cluster.nodes[0].callers, "store-1", "/look/x", "key-2", 0)
@@ -406,8 +407,8 @@
 	}
 }
 
-// stopNode stops a node gracefully. It must leave the directory, serve callers that still
-// have its address, and complete its running stream.
+// stopNode stops a node gracefully. The node must report that it is not ready, serve callers
+// that still have its address, leave the directory, and complete its running stream.
 func (cluster *testCluster) stopNode() {
 	stopping := cluster.nodes[2]
 	cluster.eventually("the directory names all nodes", func() bool { return len(cluster.addresses(0)) == 3 })
--- a/node/prober_test.go
+++ b/node/prober_test.go
@@ -13,7 +13,8 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// fakeEngines stands in for servers: those whose addresses are in up answer, others do not.
+// fakeEngines stands in for servers. Servers whose addresses are in up answer; other servers
+// do not.
 type fakeEngines struct {
 	shedkeel.GroupEngines
 	up    map[string]bool
@@ -33,24 +34,24 @@
 }
 
 // TestProbe checks when a server counts as alive or as dead, and when a probe is
-// inconclusive.
+// inconclusive. A server that answers must be asked only once.
 func TestProbe(t *testing.T) {
 	cases := map[string]struct {
-		up           []string // addresses that answer; "a" is probed, "b" and "c" are witnesses
-		id           shedkeel.InstanceID
-		born         int64         // the start time that the probed server reports
-		delay        time.Duration // see fakeEngines
-		fails        bool          // the probe returns an error
-		inconclusive bool          // the error is errInconclusive
+		up           []string            // addresses that answer; "a" is probed, "b" and "c" are witnesses
+		id           shedkeel.InstanceID // of the probed server; may contain its recorded start time
+		born         int64               // the start time that the probed server reports; 0: none
+		delay        time.Duration       // see fakeEngines
+		fails        bool                // the probe returns an error
+		inconclusive bool                // the error is errInconclusive
 	}{
-		"it answers":                           {up: []string{"a", "b"}},
-		"it does not answer and another does":  {up: []string{"b"}, fails: true},
-		"nobody answers: this node is cut off": {fails: true, inconclusive: true},
-		"it answers, from the same start":      {up: []string{"a", "b"}, id: shedkeel.NewInstanceID("s", 7), born: 7},
-		"it has started again":                 {up: []string{"a"}, id: shedkeel.NewInstanceID("s", 7), born: 8, fails: true},
-		"only its record has a start time":     {up: []string{"a"}, id: shedkeel.NewInstanceID("s", 7)},
-		"only its answer has a start time":     {up: []string{"a"}, id: "s", born: 8},
-		"this node is slow itself":             {up: []string{"b"}, delay: 2 * maxProbeOverrun, fails: true, inconclusive: true},
+		"it answers, no start time is known":          {up: []string{"a", "b"}},
+		"only a witness answers":                      {up: []string{"b"}, fails: true},
+		"no server answers: this node may be cut off": {fails: true, inconclusive: true},
+		"it answers with its recorded start time":     {up: []string{"a", "b"}, id: shedkeel.NewInstanceID("s", 7), born: 7},
+		"it answers with another start time":          {up: []string{"a"}, id: shedkeel.NewInstanceID("s", 7), born: 8, fails: true},
+		"only its record has a start time":            {up: []string{"a"}, id: shedkeel.NewInstanceID("s", 7)},
+		"only its answer has a start time":            {up: []string{"a"}, id: "s", born: 8},
+		"this node is too slow":                       {up: []string{"b"}, delay: 2 * maxProbeOverrun, fails: true, inconclusive: true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/node/relay_test.go
+++ b/node/relay_test.go
@@ -11,9 +11,10 @@
 	"shedkeel.org/shedkeel/mirror"
 )
 
-// TestRelayByDifferences makes a node follow another node over a real connection. The node
-// must get the same records as its source, also if it has another former value of a record
-// than the source, and the update for a server's heartbeat must be small.
+// TestRelayByDifferences makes a node follow another node, the source, over a real
+// connection. The node must get the same records as the source has, even if the two nodes
+// have different former values of a record. The difference for a server's heartbeat must be
+// small.
 func TestRelayByDifferences(t *testing.T) {
 	listener := listenHere(t)
 	source, timers := newTestNode(t)
--- a/node/remover_test.go
+++ b/node/remover_test.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestRemoverTakes checks which records a node removes: those of dead nodes only, also
-// if most nodes are dead, and none while the node itself is cut off or its mirror is
-// outdated.
+// TestRemoverTakes checks which records a node removes: those of dead nodes without a lease,
+// also if all other nodes are dead, and none while the node itself is cut off or its mirror
+// is outdated.
 func TestRemoverTakes(t *testing.T) {
 	cases := map[string]struct {
 		liveness    shedkeel.Liveness
@@ -62,14 +62,14 @@
 		age         time.Duration // of the mirror
 		wantRemoved int           // number of records removed once this node has had every possible turn
 	}{
-		"all live":                       {shedkeel.Alive, 5, true, false, 0, 0},
-		"one is suspected":               {shedkeel.Suspected, 1, true, false, 0, 0},
-		"one has left":                   {shedkeel.Left, 1, true, false, 0, 0},
-		"one is dead":                    {shedkeel.Dead, 1, true, false, 0, 1},
-		"all are dead":                   {shedkeel.Dead, 5, true, false, 0, 5},
-		"one has a record with a lease":  {shedkeel.Dead, 1, false, false, 0, 0},
-		"this node is cut off":           {shedkeel.Dead, 5, true, true, 0, 0},
-		"this node's mirror is outdated": {shedkeel.Dead, 5, true, false, outageAge + time.Second, 0},
+		"all are alive":                    {shedkeel.Alive, 5, true, false, 0, 0},
+		"one is suspected":                 {shedkeel.Suspected, 1, true, false, 0, 0},
+		"one has left":                     {shedkeel.Left, 1, true, false, 0, 0},
+		"one is dead":                      {shedkeel.Dead, 1, true, false, 0, 1},
+		"all others are dead":              {shedkeel.Dead, 5, true, false, 0, 5},
+		"one is dead, records have leases": {shedkeel.Dead, 1, false, false, 0, 0},
+		"this node is cut off":             {shedkeel.Dead, 5, true, true, 0, 0},
+		"this node's mirror is outdated":   {shedkeel.Dead, 5, true, false, outageAge + time.Second, 0},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -37,12 +37,12 @@
 		after      []shedkeel.Record // written after the restore
 		wantUsable [3]int            // number of usable servers after the restore, after the later write, and after the holds have expired
 	}{
-		"nothing was lost":                 {[]shedkeel.Record{plainServerRecord(old, "ready", 1)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{1, 1, 1}},
-		"its drain was lost":               {[]shedkeel.Record{plainServerRecord(old, "ready", 1), plainServerRecord(lost, "draining", 1)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{0, 0, 0}},
-		"its deletion was lost":            {[]shedkeel.Record{plainServerRecord(old, "ready", 1), deleted}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{0, 0, 1}},
-		"its start was lost":               {[]shedkeel.Record{plainServerRecord(lost, "ready", 1)}, nil, []shedkeel.Record{plainServerRecord(rewritten, "ready", 1)}, [3]int{1, 1, 1}},
-		"its start was lost, and it ended": {[]shedkeel.Record{plainServerRecord(lost, "ready", 1)}, nil, nil, [3]int{1, 1, 0}},
-		"an order was lost":                {[]shedkeel.Record{plainServerRecord(old, "ready", 1), plainServerRecord(lost, "ready", 2)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{1, 1, 1}},
+		"nothing was lost":                                {[]shedkeel.Record{plainServerRecord(old, "ready", 1)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{1, 1, 1}},
+		"its drain was lost":                              {[]shedkeel.Record{plainServerRecord(old, "ready", 1), plainServerRecord(lost, "draining", 1)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{0, 0, 0}},
+		"its deletion was lost":                           {[]shedkeel.Record{plainServerRecord(old, "ready", 1), deleted}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{0, 0, 1}},
+		"its only record was lost":                        {[]shedkeel.Record{plainServerRecord(lost, "ready", 1)}, nil, []shedkeel.Record{plainServerRecord(rewritten, "ready", 1)}, [3]int{1, 1, 1}},
+		"its only record was lost, and it has terminated": {[]shedkeel.Record{plainServerRecord(lost, "ready", 1)}, nil, nil, [3]int{1, 1, 0}},
+		"its latest heartbeat was lost":                   {[]shedkeel.Record{plainServerRecord(old, "ready", 1), plainServerRecord(lost, "ready", 2)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{1, 1, 1}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -203,9 +203,9 @@
 }
 
 // TestPlannerWaitsForRecordsAfterARestore restores the service while a node plans, or before
-// the node starts. The planner must give no orders until servers have had time to write their
-// records again. On the basis of an older record it could order a member of a serving group to
-// become a standby.
+// the node starts. recordsRewritten, without which the node does not plan, must be false until
+// servers have had time to write their records again. On the basis of an older record the
+// planner could order a member of a serving group to become a standby.
 func TestPlannerWaitsForRecordsAfterARestore(t *testing.T) {
 	cases := map[string]struct {
 		before, after int64 // era of the service before and after the restore
--- a/node/services_test.go
+++ b/node/services_test.go
@@ -28,7 +28,7 @@
 			ID: id, Service: service, Domain: shedkeel.DomainID(service), Member: &shedkeel.Membership{Group: group.Group, Epoch: group.Epoch, State: shedkeel.MemberOpen},
 		}
 		controller.suspect(group)
-		controller.dead[shedkeel.InstanceID("dead one of "+service)] = timers.Now() + time.Hour
+		controller.dead[shedkeel.InstanceID("dead one of "+service)] = timers.Now() + time.Hour // not probed again for an hour
 		node.fleet.instances["dead one of "+string(service)] = shedkeel.Instance{ID: shedkeel.InstanceID("dead one of " + service), Service: service}
 	}
 	controller.plan(t.Context(), timers.Now())
--- a/node/testnode_test.go
+++ b/node/testnode_test.go
@@ -68,7 +68,8 @@
 	return listener
 }
 
-// serveWire answers other nodes' calls at the listener until stop is called.
+// serveWire answers other nodes' calls at the listener, with the key "k", until stop is
+// called.
 func serveWire(t *testing.T, listener net.Listener, handler wire.Handler) (stop func()) {
 	t.Helper()
 	server := &wire.Server{Key: "k", Handler: handler}
