--- a/node/member.go
+++ b/node/member.go
@@ -24,8 +24,8 @@
 	// maxSmallFleet is the largest number of nodes of a small fleet.
 	maxSmallFleet = 12
 	// unleasedFrom is the smallest number of nodes at which the nodes' records have no
-	// lease. The failure detector then finds dead nodes; renewals would be most of the
-	// calls to the service.
+	// lease, except in a shrinking fleet (see returnToLeasesAt). The failure detector then
+	// finds dead nodes; renewals would be most of the calls to the service.
 	unleasedFrom = 48
 	// returnToLeasesAt is the number of nodes at which a shrinking fleet uses leases
 	// again.
--- a/node/peers.go
+++ b/node/peers.go
@@ -156,8 +156,8 @@
 }
 
 // granter returns the node that grants the permits of a backend server, or false while no
-// listed node is alive. All nodes with the same view of the alive nodes choose the same one, by
-// rendezvous hashing.
+// listed node is alive. All nodes with the same view of the alive nodes choose the same
+// granter, by rendezvous hashing.
 func (peers *peers) granter(server shedkeel.InstanceID) (shedkeel.NodeID, bool) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
--- a/node/removal.go
+++ b/node/removal.go
@@ -40,7 +40,7 @@
 // given era. If the record was removed in an earlier era, it may come from the restored
 // snapshot: the server is withheld for restoredServerHold. If the record was removed in the
 // same era, the server has written it again, and the removal is forgotten. A server that is
-// withheld already stays so until then.
+// already withheld stays so until that time ends.
 func (removals removals) recordReturn(server shedkeel.InstanceID, era int64, now time.Duration) {
 	known, removed := removals[server]
 	switch {
--- a/node/remover.go
+++ b/node/remover.go
@@ -24,9 +24,10 @@
 )
 
 // remover removes the records of dead nodes from the key-value service. In a large fleet (see
-// needsNoLease) records have no lease, so that an idle fleet makes no calls to stay listed. Any live node, that is, one that is alive or suspected, may remove a dead
-// node's record: a hash orders the live nodes, and each of them removes the record at its
-// turn if the record still exists. Callers are not sent to the dead node in the meantime.
+// needsNoLease) records have no lease, so that an idle fleet makes no calls to stay listed.
+// Any live node, that is, one that is alive or suspected, may remove a dead node's record: a
+// hash orders the live nodes, and each of them removes the record at its turn if the record
+// still exists. Callers are not sent to the dead node in the meantime.
 //
 // No single node is responsible for all removals, because that node might stall: with one
 // responsible node that stalls for 4 s, ten of 66 nodes that lose power stay in the directory
