--- a/node/admin.go
+++ b/node/admin.go
@@ -17,15 +17,15 @@
 	Node           shedkeel.NodeID    `json:"node"`
 	Incarnation    string             `json:"incarnation"`
 	Stopping       bool               `json:"stopping"`
-	Leads          bool               `json:"leads"`
-	Leader         shedkeel.NodeID    `json:"leader"`
-	Config         int64              `json:"config"`   // version of the active configuration
-	Revision       string             `json:"revision"` // latest revision of the store that this node knows
-	Age            string             `json:"age"`      // time since the latest proof that the node's copy is current
-	Served         int64              `json:"served"`   // requests received since the start, including refused ones
-	Nodes          []shedkeel.NodeID  `json:"nodes"`
+	Leads          bool               `json:"leads"`     // this node has been elected leader; its lease may have expired
+	Leader         shedkeel.NodeID    `json:"leader"`    // empty: no leader is known
+	Config         int64              `json:"config"`    // version of the active configuration; 0: none
+	Revision       string             `json:"revision"`  // revision of the key-value service that this node's copy of the records has reached
+	Age            string             `json:"age"`       // how long ago that copy was last proven current
+	Served         int64              `json:"served"`    // requests received since the process started, including refused ones
+	Nodes          []shedkeel.NodeID  `json:"nodes"`     // the listed nodes: those whose records this node has
 	ExcludedNodes  []ExcludedNodeDump `json:"unnamed"`   // listed nodes that the directory does not name to callers
-	Isolated       bool               `json:"isolated"`  // this node receives nothing from other nodes, so it judges none of them dead
+	Isolated       bool               `json:"isolated"`  // this node receives nothing, neither from other nodes nor from the key-value service, so it declares no node dead
 	BlamedRequests []BlameDump        `json:"judged"`    // quarantined and contained requests
 	Limited        []LimitDump        `json:"limited"`   // servers that limit their request rate or are cold
 	Evacuated      []EvacuationDump   `json:"evacuated"` // availability zones whose servers get no requests
@@ -34,21 +34,22 @@
 }
 
 // BlameDump is a request that may be sent to no server (contained) or to one at a time
-// (quarantined), because servers have terminated while running it.
+// (quarantined), because servers have terminated while running the request.
 type BlameDump struct {
 	Request  shedkeel.RequestDigest `json:"request"`
 	Judgment string                 `json:"judgment"` // "quarantined" or "contained"
-	Servers  []shedkeel.InstanceID  `json:"servers"`  // the servers that terminated while running it
+	Servers  []shedkeel.InstanceID  `json:"servers"`  // the instances that terminated while running the request
 }
 
-// LimitDump is a server whose request rate is limited: it states a limit, or it is cold. A
-// server to which both apply has two dumps.
+// LimitDump is a server whose request rate is limited: the server states a limit in its
+// answers, or it is cold, that is, it has started recently and accepts fewer requests until
+// it is warm. A server to which both apply has two dumps.
 type LimitDump struct {
 	Server  shedkeel.InstanceID `json:"server"`
 	Rate    float64             `json:"rate"`    // requests per second of all nodes together
 	For     string              `json:"for"`     // how long the server has stated a limit without a break; empty: the dump is of the cold state
 	Cold    string              `json:"cold"`    // how much longer the server stays cold; empty: the dump is of a stated limit
-	Granter shedkeel.NodeID     `json:"granter"` // the node that grants the permits; empty: no node is known
+	Granter shedkeel.NodeID     `json:"granter"` // the node that grants the permits to send the server requests; empty: no node is known
 	Granted int64               `json:"granted"` // permits granted by this node since it became the granter; 0 if it is not
 	Refused int64               `json:"refused"` // requests for permits refused by this node in the same time
 }
@@ -56,7 +57,7 @@
 // EvacuationDump is an availability zone that operators evacuated.
 type EvacuationDump struct {
 	Zone    shedkeel.ZoneID `json:"zone"`
-	Servers int             `json:"servers"` // listed in the zone; 0 may mean that its name is misspelled
+	Servers int             `json:"servers"` // listed servers in the zone; 0 may mean that the zone's name is misspelled
 }
 
 // ExcludedNodeDump is a listed node that the directory leaves out, and why.
@@ -76,13 +77,13 @@
 // GroupDump is a replica group as this node knows it.
 type GroupDump struct {
 	Group   shedkeel.GroupID      `json:"group"`
-	Epoch   uint64                `json:"epoch"`
+	Epoch   uint64                `json:"epoch"` // the highest epoch that a listed server reports for the group
 	Model   shedkeel.ModelID      `json:"model"`
-	State   shedkeel.MemberState  `json:"state"` // state of the group's head; empty: the head is not listed
-	Members []shedkeel.InstanceID `json:"members"`
+	State   shedkeel.MemberState  `json:"state"`   // state of the group's head; empty: the head is not listed
+	Members []shedkeel.InstanceID `json:"members"` // the listed servers that report the group with that epoch
 }
 
-// ServerDump is a backend server that is in no replica group.
+// ServerDump is a backend server whose record names no replica group.
 type ServerDump struct {
 	Server   shedkeel.InstanceID `json:"server"`
 	Service  shedkeel.ServiceID  `json:"service"`
@@ -113,7 +114,9 @@
 	return dump
 }
 
-// excludedNodes returns the listed nodes that the directory leaves out.
+// excludedNodes returns the listed nodes that the directory leaves out because they stop, are
+// dead or have not been heard yet. The directory also leaves out this node while it is not
+// ready; excludedNodes does not return it for that reason.
 func (node *Node) excludedNodes() []ExcludedNodeDump {
 	found := []ExcludedNodeDump{}
 	for _, record := range node.peers.listed() {
--- a/node/explain.go
+++ b/node/explain.go
@@ -19,7 +19,7 @@
 	Leader  shedkeel.NodeID   `json:"leader"` // the node that plans the group and sends its orders
 	Group   shedkeel.GroupID  `json:"group"`
 	Members []MemberDump      `json:"members"` // listed members, also those of former formations of the group
-	Waits   []WaitDump        `json:"waits"`   // why the planner waits; empty at nodes that don't lead
+	Waits   []WaitDump        `json:"waits"`   // what the planner waits for; empty at nodes that don't lead
 	Events  []json.RawMessage `json:"events"`  // the latest lines of this node's log about the group
 }
 
@@ -30,11 +30,12 @@
 	Epoch    uint64               `json:"epoch"`
 	State    shedkeel.MemberState `json:"state"`
 	Draining bool                 `json:"draining"`
-	Dead     bool                 `json:"dead"` // it does not answer probes; known only at the leader
-	Slow     float64              `json:"slow"` // how many times slower than expected; 0: not slow, or not known, as at nodes that don't lead
+	Dead     bool                 `json:"dead"` // a probe found it dead; only the leader sends probes
+	Slow     float64              `json:"slow"` // the pace (see paces) at which it began to count as slow; 0: not slow, or not known, since only the leader asks for paces
 }
 
-// adminHandler returns the HTTP handler of the metrics page and of operators' queries.
+// adminHandler returns the HTTP handler of operators' queries and, if the node has metrics, of
+// the metrics page.
 func (node *Node) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	if node.Metrics != nil {
@@ -52,7 +53,8 @@
 	writeJSON(writer, http.StatusOK, node.dump())
 }
 
-// serveExplain answers with what the node knows about a group.
+// serveExplain answers with what the node knows about a group, or with 404 if no listed server
+// is a member of the group and no recent log line is about it.
 func (node *Node) serveExplain(writer http.ResponseWriter, request *http.Request) {
 	group := shedkeel.GroupID(request.PathValue("group"))
 	explanation := Explanation{
@@ -92,7 +94,8 @@
 	return members
 }
 
-// serveRequest answers with the log lines of a request.
+// serveRequest answers with this node's recent log lines about a request, or with 404 if there
+// are none.
 func (node *Node) serveRequest(writer http.ResponseWriter, request *http.Request) {
 	id := request.PathValue("id")
 	lines := node.Log.Recent("request", id)
