--- a/node/config.go
+++ b/node/config.go
@@ -15,10 +15,10 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// configCopy is the active configuration as operators wrote it. The key-value
-// service may have an older one: it was restored from a snapshot, and operators have not
-// written the newer one again yet. Nodes that start in the meantime get the newer
-// configuration from other nodes. The zero value has no configuration.
+// configCopy is the active configuration as operators wrote it. The key-value service has an
+// older configuration if it was restored from a snapshot and operators have not written the
+// newer configuration again yet. Nodes that start in the meantime get the newer configuration
+// from other nodes. The zero value has no configuration.
 type configCopy struct {
 	mutex      sync.Mutex
 	value      []byte
@@ -34,8 +34,8 @@
 	configCopy.value, configCopy.compressed = value, nil
 }
 
-// compress returns the configuration in the compressed form in which it is sent to other
-// nodes, or nil if there is none.
+// compress returns the configuration in the compressed form in which nodes send it to each
+// other, or nil if there is no configuration.
 func (configCopy *configCopy) compress() []byte {
 	configCopy.mutex.Lock()
 	defer configCopy.mutex.Unlock()
@@ -49,7 +49,8 @@
 	return configCopy.compressed
 }
 
-// configVersion returns the version of the active configuration, or 0 if there is none.
+// configVersion returns the version of the active configuration, or 0 if no configuration is
+// active.
 func (fleet *fleet) configVersion() int64 {
 	if view := fleet.view.Load(); view != nil {
 		return view.Config.Version
@@ -58,7 +59,8 @@
 }
 
 // applyConfigRecord applies the key-value service's configuration record and reports
-// whether it became the active configuration. The caller holds the mutex.
+// whether its configuration became active. If the record was removed or is invalid, it is
+// skipped and the active configuration stays in use. The caller holds the mutex.
 func (fleet *fleet) applyConfigRecord(record shedkeel.Record) bool {
 	if record.Removed {
 		fleet.skipRecord(record, &shedkeel.InvalidError{Where: record.Key, What: "it was removed", Remedy: "write a configuration"})
@@ -73,8 +75,9 @@
 	return fleet.activateConfig(config, record)
 }
 
-// activateConfig makes a configuration the active one if it is newer, and reports
-// whether it did. The caller holds the mutex.
+// activateConfig makes a configuration active if none is active yet or if its version is
+// higher than the active one's, and reports whether it did. Otherwise it skips the record,
+// which contains the configuration. The caller holds the mutex.
 func (fleet *fleet) activateConfig(config *shedkeel.ServingConfig, record shedkeel.Record) bool {
 	if fleet.view.Load() != nil && config.Version <= fleet.configVersion() {
 		fleet.skipRecord(record, &shedkeel.InvalidError{Where: record.Key, What: "its version is not newer than the one in force", Remedy: "raise it"})
@@ -86,9 +89,9 @@
 	return true
 }
 
-// newerConfig returns the active configuration, compressed, if the asking node's
-// version is older and the key-value service has an older one too. Otherwise it
-// returns nil.
+// newerConfig returns the active configuration, compressed, for a node whose configuration
+// has the given version. It returns nil unless the active configuration is newer than both
+// that node's and the key-value service's.
 func (fleet *fleet) newerConfig(version int64) []byte {
 	if version >= fleet.configVersion() || !fleet.activeConfig.newerThanStore.Load() {
 		return nil
@@ -96,7 +99,9 @@
 	return fleet.activeConfig.compress()
 }
 
-// receiveConfig applies a configuration that another node sent, if it is newer.
+// receiveConfig makes a configuration that another node sent active if it is valid and newer
+// than the active one. Nodes send only configurations that are newer than the key-value
+// service's (see newerConfig).
 func (fleet *fleet) receiveConfig(packed []byte, from shedkeel.NodeID) {
 	record := shedkeel.Record{Key: fleet.node.Decoder.ConfigKey()}
 	value, err := transfer.Inflate(packed, transfer.MaxValueSize)
@@ -118,9 +123,9 @@
 	}
 }
 
-// fetchConfig starts fetching another node's configuration if its version is newer than this
-// node's. It does nothing if this node has no configuration yet, a fetch is running, or the
-// other node is not listed.
+// fetchConfig starts fetching the configuration of the node with the ID, which has stated its
+// configuration's version, if that version is newer than this node's. It does nothing if this
+// node has no configuration yet, a fetch is running, or the other node is not listed.
 func (peers *peers) fetchConfig(id shedkeel.NodeID, version int64) {
 	fleet := &peers.node.fleet
 	own := fleet.configVersion()
@@ -142,5 +147,5 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	at := peer.node.mirror.State().At
-	_, _ = peer.requestUpdate(ctx, &wire.RelayCall{SinceEra: at.Era, Since: at.Number}) // the records in the reply are ignored: the follower gets them
+	_, _ = peer.requestUpdate(ctx, &wire.RelayCall{SinceEra: at.Era, Since: at.Number}) // the records in the reply are ignored: node.follower requests them itself
 }
--- a/node/config_test.go
+++ b/node/config_test.go
@@ -21,7 +21,9 @@
 
 // TestNodeThatStartsAfterARestore starts a node after the key-value service was restored from
 // a snapshot with an older configuration than other nodes have. The new node must get the
-// newer one, because with the older one it would accept API keys that were removed since.
+// newer configuration from another node, because with the older one it would accept API keys
+// that were removed since. Once the service has the newer configuration, the other node no
+// longer passes it on.
 func TestNodeThatStartsAfterARestore(t *testing.T) {
 	cases := map[string]struct {
 		newNodeAsks bool // the new node asks the old one, and not the other way round
@@ -87,7 +89,7 @@
 		"newer":          {pack(string(configRecord(8, 0, 0).Value)), 8},
 		"the same":       {pack(string(configRecord(6, 0, 0).Value)), 6},
 		"older":          {pack(string(configRecord(5, 0, 0).Value)), 6},
-		"no JSON":        {pack("{"), 6},
+		"invalid JSON":   {pack("{"), 6},
 		"not compressed": {[]byte("xyz"), 6},
 		"empty":          {pack(""), 6},
 	}
