--- a/node/controller.go
+++ b/node/controller.go
@@ -18,15 +18,16 @@
 const (
 	// planInterval is the time between two planning rounds of a leader.
 	planInterval = 50 * time.Millisecond
-	// maxMirrorAge is the greatest age of the mirror at which a node gives orders or
-	// stands for election.
+	// maxMirrorAge is the greatest age of the mirror's copy of the records at which a node
+	// gives orders or stands for election.
 	maxMirrorAge = 2 * time.Second
-	// usageLogInterval is the time between two logs of how servers are used.
+	// usageLogInterval is the time between two logs of how servers are used and of what the
+	// planners have waited for too long.
 	usageLogInterval = 2 * time.Second
 )
 
-// controller elects the leader among the nodes and, while its node leads, plans the
-// replica groups of all services.
+// controller stands for election as the leader of the nodes. While its node leads, it plans
+// the replica groups of all services and sends the servers their orders.
 type controller struct {
 	node   *Node
 	prober prober
@@ -43,17 +44,17 @@
 	suspects      map[shedkeel.Assignment]time.Duration // groups reported as not responding whose members are not probed yet, with the time of the report
 	noticedAt     map[shedkeel.Assignment]time.Duration // when a report that a group does not respond was last accepted
 	probing       map[shedkeel.InstanceID]bool          // a probe of the server is in progress
-	dead          map[shedkeel.InstanceID]time.Duration // when to probe a dead server again
-	vacantSince   time.Duration                         // since when there has been no leader; 0: not noticed yet
-	orphanedSince time.Duration                         // since when the leader record has been invalid, as isOrphaned defines it; 0: it is valid
+	dead          map[shedkeel.InstanceID]time.Duration // the servers that a probe found dead, with the time of their next probe
+	vacantSince   time.Duration                         // since when elect has waited for this node's turn because there is no leader; 0: it does not wait
+	orphanedSince time.Duration                         // since when the leader record has been invalid, as isOrphaned defines it; 0: it is valid, or elect has not checked it
 	usageLoggedAt time.Duration                         // when the use of servers was last logged
-	sizeCheckedAt time.Duration                         // when the size of the fleet was last checked
+	sizeCheckedAt time.Duration                         // when maintainFleetSize last checked the size of the fleet; 0: never
 	// era is the era of the key-value service that this node follows, and eraSince is when
 	// the node began to follow it. Only run uses them.
 	era      int64
 	eraSince time.Duration
-	// storedLoads are the loads in progress as last written to the key-value service. Only
-	// run uses them.
+	// storedLoads are the loads of models in progress as last written to the key-value
+	// service, by service. Only run uses them.
 	storedLoads map[shedkeel.ServiceID]map[shedkeel.InstanceID]shedkeel.ModelID
 }
 
@@ -71,8 +72,8 @@
 	controller.dead = map[shedkeel.InstanceID]time.Duration{}
 }
 
-// run plans while this node leads and stands for election while it does not, until
-// ctx ends.
+// run plans and maintains the record of the fleet's size while this node leads, and stands
+// for election while it does not, until ctx ends.
 func (controller *controller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := controller.node.Timers.Now()
@@ -88,8 +89,9 @@
 }
 
 // trackEra records when this node began to follow the current era of the key-value
-// service. A new era begins when the service is restored from a snapshot. The snapshot
-// may lack recent writes, so trackEra also forgets which loads are stored.
+// service. A new era begins when the service is restored from a snapshot. The snapshot may
+// lack recent writes, so trackEra then also forgets which loads are stored, and the next
+// planning round writes them again.
 func (controller *controller) trackEra(now time.Duration) {
 	state := controller.node.mirror.State()
 	if state.Known && (controller.eraSince == 0 || controller.era != state.At.Era) {
@@ -98,9 +100,10 @@
 	}
 }
 
-// recordsRewritten reports whether the backend servers have had the time to write their
-// records again since the key-value service was restored from a snapshot. Until then, an
-// outdated record may show a member of a group as a free server.
+// recordsRewritten reports whether the backend servers have had the time, deletedRecordHold,
+// to write their records again since the key-value service was restored from a snapshot. Until
+// then, an outdated record may show a member of a group as a free server. The time counts from
+// when this node began to follow the era. In era 0 the service was never restored.
 func (controller *controller) recordsRewritten(now time.Duration) bool {
 	return controller.era == 0 || now-controller.eraSince >= deletedRecordHold
 }
@@ -112,9 +115,10 @@
 	return controller.term*epochsPerTerm + controller.epochs
 }
 
-// plan runs one planning round: it probes suspected servers and sends the orders that
-// the planner of each service returns. It does nothing while no configuration is known, the
-// mirror is older than maxMirrorAge, or recordsRewritten returns false.
+// plan runs one planning round: it probes suspected servers, sends the orders that the
+// planner of each service returns, and stores the loads in progress. It does nothing while no
+// configuration is known, the mirror's copy is older than maxMirrorAge, or recordsRewritten
+// returns false.
 func (controller *controller) plan(ctx context.Context, now time.Duration) {
 	node := controller.node
 	view := node.fleet.view.Load()
@@ -164,9 +168,9 @@
 	}
 }
 
-// planner returns the planner of a service, and creates it if there is none. A new
-// planner adopts the loads that the planner of the previous leader ordered. The caller
-// holds the mutex.
+// planner returns the planner of a service, and creates it if there is none. A new planner
+// adopts the loads that the planner of the previous leader ordered, if the key-value service
+// has a readable record of them. The caller holds the mutex.
 func (controller *controller) planner(id shedkeel.ServiceID, engine *shedkeel.Engine, now time.Duration) *formation.Planner {
 	if planner := controller.planners[id]; planner != nil {
 		return planner
@@ -186,8 +190,8 @@
 	return planner
 }
 
-// runOrder sends one order, if this node's lease is still valid, and reports the outcome
-// to the planner.
+// runOrder sends one order and reports the outcome to the planner. If this node's lease is no
+// longer valid, it does neither.
 func (controller *controller) runOrder(ctx context.Context, planner *formation.Planner, action formation.Action) {
 	node := controller.node
 	order := action.Order
--- a/node/corrupt_test.go
+++ b/node/corrupt_test.go
@@ -79,8 +79,8 @@
 	})
 }
 
-// TestServerThatStartsAgain restarts a head under the same name. A late record that it
-// wrote before the restart is ignored.
+// TestServerThatStartsAgain restarts a head under the same name. A record that the former
+// instance of the server wrote and that arrives after the restart is ignored.
 func TestServerThatStartsAgain(t *testing.T) {
 	node, apply := newGroupNode(t)
 	apply(0, serverRecord(4, 9, 0, shedkeel.MemberJoining))
@@ -128,14 +128,14 @@
 		lead, term string
 		next       uint64 // the term in which the node must lead; servers report epochs of term 3
 	}{
-		"valid records":                            {"", `{"term":3}`, 4},
-		"lead can't be read":                       {`[]`, `{"term":3}`, 4},
-		"lead names nobody":                        {`{"node":"nobody","term":3}`, `{"term":3}`, 4},
-		"lead names this node, by another's lease": {`{"node":"node-1","incarnation":"x","lease":99}`, `{"term":3}`, 4},
-		"term can't be read":                       {"", `7`, 4},
-		"term is too low":                          {"", `{"term":0}`, 4},
-		"term is above maxTerm":                    {"", `{"term":4611686018427387904}`, 4},
-		"term is above those of the epochs":        {"", `{"term":9}`, 10},
+		"valid records":                             {"", `{"term":3}`, 4},
+		"lead can't be read":                        {`[]`, `{"term":3}`, 4},
+		"lead names nobody":                         {`{"node":"nobody","term":3}`, `{"term":3}`, 4},
+		"lead names this node's former incarnation": {`{"node":"node-1","incarnation":"x","lease":99}`, `{"term":3}`, 4},
+		"term can't be read":                        {"", `7`, 4},
+		"term is too low":                           {"", `{"term":0}`, 4},
+		"term is above maxTerm":                     {"", `{"term":4611686018427387904}`, 4},
+		"term is above those of the epochs":         {"", `{"term":9}`, 10},
 	} {
 		t.Run(name, func(t *testing.T) {
 			node, timers, store := newListedCandidate(t)
@@ -151,7 +151,7 @@
 				}
 				return 5, nil
 			}
-			for range 3 { // the mirror stays up to date
+			for range 3 { // for longer than orphanTimeout, in which the mirror stays up to date
 				node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 4}, AsOf: timers.Now()})
 				elect(t, node, timers)
 				timers.Advance(orphanTimeout / 2)
--- a/node/election.go
+++ b/node/election.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// electionStagger is how much later each further node stands for election, so that
-	// nodes seldom write at the same time.
+	// electionStagger is how much later each further node, in the order of compareNodes,
+	// stands for election, so that nodes seldom write at the same time.
 	electionStagger = 60 * time.Millisecond
 	// initialSettleTime is for how long the list of nodes must not have grown before the
 	// first election of a fleet: while a fleet starts, each node knows few of the nodes
 	// that precede it.
 	initialSettleTime = 500 * time.Millisecond
-	// maxInitialSettle bounds the wait for a list that does not grow.
+	// maxInitialSettle bounds the wait until the list of nodes stops growing.
 	maxInitialSettle = 3 * time.Second
 	// initialStagger replaces electionStagger in the first election of a fleet. It is long
 	// enough for all nodes to learn that a node has won before the next one stands.
@@ -30,32 +30,33 @@
 	leaderTTL = 1500 * time.Millisecond
 	// leaderRenewInterval is how often a leader renews its lease.
 	leaderRenewInterval = leaderTTL / 3
-	// epochsPerTerm is the number of epochs of one term.
+	// epochsPerTerm is the number of epochs that are reserved for one term: an epoch is the
+	// term times epochsPerTerm, plus a count.
 	epochsPerTerm = 1 << 20
 	// termsPerEra is the number of terms of an era of the key-value service. An era has far
 	// fewer elections, so each term of a later era is above all terms of an earlier one.
 	termsPerEra = 1 << 20
 	// maxTerm is the highest term that is accepted. Only a foreign client, one that is not a
-	// node, writes a higher one. The epochs of such a term would overflow.
+	// node, writes a higher term. The epochs of the terms up to maxTerm fit into 64 bits;
+	// those of terms from 1<<44 on would overflow.
 	maxTerm = 1 << 40
 	// orphanTimeout is for how long the leader record must be invalid (see isOrphaned)
-	// before a node stands for election in spite of it: far longer than a live node is ever
-	// missing from the list.
+	// before a node stands for election in spite of the record: far longer than a live node
+	// is ever missing from the list.
 	orphanTimeout = 5 * time.Second
 
 	leaderKey = "shedkeel/lead"
 	termKey   = "shedkeel/term"
 )
 
-// leadRecord is the record that names the leader. The key-value service removes it
+// leadRecord is the record that names the leader. The key-value service removes the record
 // when the leader's lease ends.
 type leadRecord struct {
 	Node        shedkeel.NodeID `json:"node"`
 	Incarnation string          `json:"incarnation"`
 	Term        uint64          `json:"term"`
-	// Lease and Era identify the lease that the record was written with. That may not be
-	// the lease that the node holds now: a write of unknown outcome may take effect after the node has got
-	// another lease.
+	// Lease and Era identify the lease that the record was written with. The node may hold
+	// another lease by now, because a write of unknown outcome may take effect late.
 	Lease int64 `json:"lease"`
 	Era   int64 `json:"era,omitempty"`
 }
@@ -74,7 +75,7 @@
 }
 
 // leading reports whether this node may give orders now: it is the leader and its
-// lease is valid. If the leader record is no longer its own, or it has resigned,
+// lease is valid. If the leader record is no longer this node's, or this node has resigned,
 // leading ends its leadership. If only the lease is not valid, the node gives no orders
 // until the lease is renewed.
 func (controller *controller) leading(now time.Duration) bool {
@@ -95,7 +96,8 @@
 	return false
 }
 
-// resign ends the leadership of this node, which does not stand for election again.
+// resign ends the leadership of this node, if it leads. The node does not stand for election
+// again.
 func (controller *controller) resign() {
 	controller.mutex.Lock()
 	controller.resigned = true
@@ -123,8 +125,8 @@
 }
 
 // leaderRecord returns the leader record as this node's mirror has it, and whether it
-// exists. A record of an earlier era of the key-value service does not count: its lease has
-// ended. A record that can't be decoded is returned empty.
+// exists. A record of an earlier era of the key-value service does not count as existing: its
+// lease has ended. A record that can't be decoded exists, but is returned empty.
 func (controller *controller) leaderRecord() (lead leadRecord, exists bool) {
 	mirror := &controller.node.mirror
 	record := mirror.Get(leaderKey)
@@ -132,7 +134,7 @@
 		return lead, false
 	}
 	if controller.node.fleet.decodeRecord(record, &lead) != nil {
-		return leadRecord{}, true // it exists, but names no node
+		return leadRecord{}, true // the record exists, but names no node
 	}
 	return lead, lead.Era >= mirror.State().At.Era
 }
@@ -146,9 +148,11 @@
 	return lead.Node
 }
 
-// elect lets this node stand for election if there is no leader and its turn has come.
-// If the leader record names this node already, the node becomes the leader. A node that
-// has resigned, is not listed or has a mirror older than maxMirrorAge does neither.
+// elect lets this node stand for election if there is no leader and the node's turn has come
+// (see electionDelay). An orphaned leader record counts as no leader (see isOrphaned). If the
+// leader record names this node already, the node becomes the leader. A node that has
+// resigned, is not listed, or whose mirror has no copy or one older than maxMirrorAge does
+// neither.
 func (controller *controller) elect(ctx context.Context, now time.Duration) {
 	node := controller.node
 	state := node.mirror.State()
@@ -177,8 +181,9 @@
 }
 
 // electionDelay returns how long there must have been no leader before this node stands
-// for election. Nodes with more capacity come first. The first election of a fleet also
-// waits until the list of nodes has settled.
+// for election. Nodes with more capacity come first. If there is no term record, this is the
+// first election of the fleet: the nodes then also wait until the list of nodes has settled,
+// and stand initialStagger apart.
 func (controller *controller) electionDelay(term shedkeel.Record) time.Duration {
 	peers := &controller.node.peers
 	place := time.Duration(peers.ownIndex())
@@ -210,7 +215,8 @@
 }
 
 // nextTerm returns a term above all earlier ones. A foreign client may have written
-// the stored term, so the epochs that backend servers report count too.
+// the stored term, so nextTerm ignores a stored term above maxTerm, and also takes the epochs
+// that backend servers report into account.
 func (controller *controller) nextTerm(record shedkeel.Record) uint64 {
 	var term termRecord
 	if record.Revision.Exists() {
@@ -220,13 +226,14 @@
 		term.Term = 0
 	}
 	// The key-value service may have been restored from a snapshot that lacks the latest
-	// terms, and the servers known to this node may report no epoch of those terms.
+	// terms, and the servers known to this node may report no epoch of those terms. The term
+	// is therefore also above all terms of earlier eras.
 	era := min(uint64(controller.node.mirror.State().At.Era), maxTerm/termsPerEra-1)
 	return max(term.Term, controller.node.fleet.highestEpoch()/epochsPerTerm, era*termsPerEra) + 1
 }
 
-// campaign writes the records of the leader and the term for this node, unless these
-// have changed since the given revisions. If it succeeds, this node becomes the leader.
+// campaign writes the leader record and the term record for this node, unless one of the two
+// records has changed since the given revision. If it succeeds, this node becomes the leader.
 func (controller *controller) campaign(ctx context.Context, leadRevision, termRevision shedkeel.Revision, term uint64) {
 	node := controller.node
 	lease := controller.lease.ID()
@@ -243,8 +250,9 @@
 		Put: []shedkeel.Put{{Key: leaderKey, Value: lead, Lease: lease}, {Key: termKey, Value: next}},
 	})
 	if err != nil {
-		// Another node was faster, or the outcome is unknown. If the write takes
-		// effect later, the mirror shows the record and elect makes this node lead.
+		// Another node was faster, the service is unavailable, or the outcome is unknown. If
+		// the write takes effect later, the mirror shows the record and elect makes this
+		// node lead.
 		controller.vacantSince = 0
 		return
 	}
@@ -255,9 +263,9 @@
 	}
 }
 
-// becomeLeader makes this node the leader if the record names it and its lease is valid.
-// If the node has led in the same term before, it continues the count of epochs, so that it
-// uses none twice.
+// becomeLeader makes this node the leader if the record names it and its lease is valid,
+// unless it leads already. The leadership begins with new planners. If the node has led in the
+// same term before, it continues the count of epochs, so that it uses no epoch twice.
 func (controller *controller) becomeLeader(lead leadRecord) {
 	if !controller.isOwnLead(lead) || !controller.lease.valid(controller.node.Timers.Now()) {
 		return
--- a/node/election_test.go
+++ b/node/election_test.go
@@ -79,9 +79,9 @@
 }
 
 // TestLeadOfUnknownOutcome has a node write the record that makes it the leader. The outcome
-// of the write is unknown, and the write takes effect later. If the node ignored the record,
-// no node would lead: this node keeps renewing the record's lease, so that no other node can
-// be elected.
+// of the write is unknown, and the write takes effect later. If the lease of the record is still
+// valid then, the node must lead: if it ignored the record, no node would lead until the lease
+// ends. Otherwise the node must not lead.
 func TestLeadOfUnknownOutcome(t *testing.T) {
 	cases := map[string]struct {
 		delay time.Duration // after which the write takes effect
@@ -151,7 +151,8 @@
 }
 
 // TestLeadersLease checks that a node leads no longer than its leader's lease lasts, even
-// while its membership lease keeps it listed.
+// while its membership lease keeps it listed, and that a node that resigns releases its
+// leader's lease.
 func TestLeadersLease(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
 	elect(t, node, timers)
@@ -169,9 +170,10 @@
 }
 
 // TestFirstElectionIsOfFew has the nodes of a new fleet learn of each other within half a
-// second, and of each other's writes a quarter of a second later. Without the wait of the
-// first election, each node knows few of the nodes that precede it, and in a fleet of 142
-// nodes, 88 stand for election.
+// second, and of a record that one of them writes a quarter of a second after the write. Only
+// the first node in the order of compareNodes may stand for election, and it must win. Without
+// the wait of the first election, each node knows few of the nodes that precede it, and in a
+// fleet of 142 nodes, 88 stand for election.
 func TestFirstElectionIsOfFew(t *testing.T) {
 	const (
 		lag   = 250 * time.Millisecond // until other nodes see a write
