--- a/node/copies_test.go
+++ b/node/copies_test.go
@@ -40,9 +40,9 @@
 }
 
 // TestWholeCopyIsSmall transfers a complete copy of the records over a TCP connection to a
-// node that has none. The copy must be so small that three boxes can each send it to a
-// hundred other nodes within 0.5 s over links of 200 Mbit/s. The test's limits are 160 kB
-// and a fifth of the records' size.
+// node that has none. The copy must be so small that three boxes can each send it to a hundred
+// other nodes in about half a second over links of 200 Mbit/s: a copy of 160 kB, the test's
+// limit, takes 0.64 s. The copy must also take less than a fifth of the records' size.
 func TestWholeCopyIsSmall(t *testing.T) {
 	listener := listenHere(t)
 	source, timers := newTestNode(t)
@@ -65,7 +65,7 @@
 	update, err := peer.Relay(t.Context(), shedkeel.Revision{}, 0)
 	assert.NilError(t, err)
 	assert.Equal(t, len(update.Records), len(records))
-	assert.Assert(t, update.Full && update.At.Number == 5000 && update.AsOf < 0, "%v", update.AsOf)
+	assert.Assert(t, update.Full && update.At.Number == 5000 && update.AsOf < 0, "%v", update.AsOf) // AsOf is minus the age of the sender's copy
 	own.mirror.Apply(update)
 	for _, record := range records {
 		assert.DeepEqual(t, own.mirror.Get(record.Key), record)
--- a/node/evacuation.go
+++ b/node/evacuation.go
@@ -10,8 +10,9 @@
 )
 
 // applyEvacuation processes the record of an availability zone: operators evacuate the
-// zone by writing the record, and end the evacuation by removing it. It reports whether
-// the set of evacuated zones has changed. The caller holds the mutex.
+// zone by writing the record, and end the evacuation by removing the record. It skips a record
+// that names no zone. It reports whether the set of evacuated zones has changed. The caller
+// holds the mutex.
 //
 // An evacuation stays in force if the key-value service has lost its record in a restore,
 // because no operator has ended it.
@@ -25,7 +26,7 @@
 	case record.LostInRestore && wasEvacuated:
 		fleet.node.Log.Write(event.EvacuationLost, fields...)
 		return false
-	case wasEvacuated != record.Removed:
+	case wasEvacuated != record.Removed: // the zone is in the state that the record requests
 		return false
 	case record.Removed:
 		delete(fleet.evacuated, zone)
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -18,28 +18,29 @@
 )
 
 const (
-	// fleetTick is the interval of fleet.tick, which removes retained and unreadable records
-	// that have expired.
+	// fleetTick is the interval of fleet.tick, which detects outages of the key-value service
+	// and ends the holds of records (see deletedRecordHold and unreadableRecordHold).
 	fleetTick = 100 * time.Millisecond
 	// outageAge is the age of the mirror's copy above which the key-value service counts
-	// as unavailable. In a healthy fleet a copy is up to 1.5 s old; renewing a stale one
+	// as unavailable. In a healthy fleet a copy is up to 1.5 s old; renewing a stale copy
 	// takes some tenths of a second more. With a limit below that sum, a healthy service
 	// would count as unavailable, and servers that have left would stay in use 2 s longer.
 	outageAge = 2300 * time.Millisecond
-	// deletedRecordHold is for how long after an outage of the key-value service a record
-	// that was deleted during the outage is still used. According to the platform's
-	// documentation, live servers write their records again about 2 s after the outage.
+	// deletedRecordHold is for how long after an outage of the key-value service, or after
+	// its restore from a snapshot, a record that was deleted in the outage or lost in the
+	// restore is still used. According to the platform's documentation, live servers write
+	// their records again about 2 s after the outage.
 	deletedRecordHold = 2300 * time.Millisecond
 	// unreadableRecordHold is how long a backend server whose record became unreadable
-	// keeps its place in its group. No requests are sent to it directly in that time. Its
-	// next heartbeat, at most 1.2 s later according to the platform's documentation,
+	// keeps its place in its group. No requests are sent to it directly in that time. The
+	// server's next heartbeat, at most 1.2 s later according to the platform's documentation,
 	// replaces an invalid record that another writer wrote; 3 s covers two heartbeats and
 	// their delivery.
 	unreadableRecordHold = 3 * time.Second
 )
 
 // fleet is the state that a node derives from the records: the configuration, the
-// servers and groups that may get requests, and the other nodes.
+// servers and groups that may get requests, and the nodes.
 type fleet struct {
 	node         *Node
 	view         atomic.Pointer[serve.View]
@@ -48,7 +49,7 @@
 	mutex             sync.Mutex
 	instances         map[string]shedkeel.Instance      // by key
 	nodes             map[string]nodeRecord             // by key
-	retained          map[string]time.Duration          // until when a record that was deleted in an outage of the key-value service is used, by key
+	retained          map[string]time.Duration          // until when a record that was deleted in or after an outage of the key-value service, or lost in its restore, is used, by key
 	evacuated         map[shedkeel.ZoneID]bool          // zones whose backend servers get no requests
 	coldUntil         map[string]time.Duration          // until when a server that reported being cold counts as cold, by key
 	evacuationEndedAt map[shedkeel.ZoneID]time.Duration // when the last evacuation of a zone ended
@@ -56,12 +57,13 @@
 	unreadable        map[string]time.Duration          // until when a server whose record is unreadable keeps its place in its group, by key
 	skippedRecords    atomic.Int64                      // number of records that were not used: unreadable, invalid or outdated ones
 	afterRestore      bool                              // the next records come from a snapshot to which the key-value service was restored
-	outageUntil       time.Duration                     // end of the latest outage of the key-value service, with deletedRecordHold added
-	verifiedAt        atomic.Int64                      // when the copy was last proven current, as a time.Duration
+	outageUntil       time.Duration                     // end of the latest outage or restore of the key-value service, with deletedRecordHold added
+	verifiedAt        atomic.Int64                      // when the mirror's copy was last proven current, as of the last tick; a time.Duration
 	loggedCounts      map[string]int                    // number of servers or groups that may get requests, as last logged, by service and model
 }
 
-// applyChanges applies changed records. The mirror never calls it concurrently.
+// applyChanges applies changed records. The mirror never calls it concurrently. The mirror is
+// locked meanwhile, so applyChanges must not call it.
 func (fleet *fleet) applyChanges(records []shedkeel.Record) {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
@@ -112,9 +114,10 @@
 	return err
 }
 
-// applyInstance applies a backend server's record and reports whether it changes which
-// servers may get requests. A deleted record is retained for a while if the
-// key-value service was unavailable. A record that is older than the known one is skipped.
+// applyInstance applies a backend server's record and reports whether it may change which
+// servers get requests. A deleted record may be retained (see removeOrRetain). An unreadable
+// record is skipped (see markUnreadable), and so is a record that is older than the known one.
+// The caller holds the mutex.
 func (fleet *fleet) applyInstance(record shedkeel.Record, now time.Duration) bool {
 	if record.Removed {
 		return fleet.removeOrRetain(record.Key, now, func() { fleet.removeInstance(record.Key, record.Revision.Era, now) })
@@ -135,16 +138,16 @@
 	delete(fleet.unreadable, record.Key)
 	fleet.instances[record.Key] = instance
 	fleet.coldUntil[record.Key] = now + instance.ColdFor
-	// A heartbeat changes only the sequence. Thousands arrive per second, so they must
+	// A heartbeat changes only the sequence. Thousands of heartbeats arrive per second, so they must
 	// not rebuild the table.
 	return !listed || wasUnreadable || !instance.EqualExceptSequence(&known)
 }
 
-// isOutdated reports whether a server's record is older than the known one. A record that an
-// earlier start of the server wrote is older. If only one of the two records states the time
-// of the server's start, the record does not count as older. If both are from the same start,
-// a record from a restored snapshot is older if its sequence is lower, or if the server
-// drains according to the known record only.
+// isOutdated reports whether a server's record is older than the known one. The record of an
+// earlier instance of the server is older. If only one of the two records states when its
+// instance started, the record does not count as older. If both state the same time or neither
+// states one, a record from a restored snapshot is older if its sequence is lower, or if only
+// the known record states that the server drains. The caller holds the mutex.
 func (fleet *fleet) isOutdated(instance, known *shedkeel.Instance) bool {
 	startedAt, knownStartedAt := instance.ID.Born(), known.ID.Born()
 	if startedAt != knownStartedAt {
@@ -155,9 +158,9 @@
 }
 
 // markUnreadable stops direct requests to a listed server whose record became unreadable and
-// keeps its place in its group for unreadableRecordHold. It reports whether the
+// keeps the server's place in its group for unreadableRecordHold. It reports whether the
 // servers that may get requests have changed: they have not if the server is not listed or
-// its record was unreadable before.
+// its record was unreadable before. The caller holds the mutex.
 func (fleet *fleet) markUnreadable(key string, now time.Duration) bool {
 	_, listed := fleet.instances[key]
 	_, unreadable := fleet.unreadable[key]
@@ -168,8 +171,8 @@
 	return true
 }
 
-// removeInstance removes a server and notes the era of the key-value service in which it
-// was removed. The caller holds the mutex.
+// removeInstance removes a server and records the era of the key-value service in which its
+// record was removed. The caller holds the mutex.
 func (fleet *fleet) removeInstance(key string, era int64, now time.Duration) {
 	if instance, listed := fleet.instances[key]; listed {
 		fleet.removals.recordRemoval(instance.ID, era, now)
@@ -179,9 +182,10 @@
 	delete(fleet.coldUntil, key)
 }
 
-// removeOrRetain handles a deleted record and reports whether it called remove. During an
-// outage of the key-value service, leases of live owners may have expired, so the record is
-// retained at least until outageUntil if its owner may write it again.
+// removeOrRetain handles a deleted record: it calls remove or retains the record, and reports
+// whether it called remove. In an outage of the key-value service, leases of live owners may
+// have expired. Until outageUntil, it therefore retains the record if its owner may write it
+// again; tick removes it later. The caller holds the mutex.
 func (fleet *fleet) removeOrRetain(key string, now time.Duration, remove func()) bool {
 	if now >= fleet.outageUntil || !fleet.ownerMayRewrite(key) {
 		remove()
@@ -194,15 +198,18 @@
 	return false
 }
 
-// ownerMayRewrite reports whether the owner of a record may write it again. A node that
-// the failure detector finds dead or stopped may not.
+// ownerMayRewrite reports whether the owner of a record may write it again. A backend server
+// always may. A node may not if the failure detector finds that the node is dead or has left,
+// or has not heard it yet.
 func (fleet *fleet) ownerMayRewrite(key string) bool {
 	id, isNode := strings.CutPrefix(key, nodePrefix)
 	return !isNode || fleet.node.gossip.mayServeCallers(shedkeel.NodeID(id))
 }
 
 // tick checks whether the key-value service is unavailable, and removes retained and
-// unreadable records that have expired.
+// unreadable records whose hold has ended. It removes a retained record at once if the record's
+// owner may no longer write it again. It also ends the hold of servers that get no requests
+// after a restore (see removals).
 func (fleet *fleet) tick(now time.Duration) {
 	state := fleet.node.mirror.State()
 	fleet.verifiedAt.Store(int64(state.AsOf))
@@ -237,7 +244,7 @@
 }
 
 // mirrorAge returns the age of the mirror's copy at the last tick. Unlike the mirror's
-// state it can be read while the mirror reports a change.
+// state, this age can be read while the mirror reports a change.
 func (fleet *fleet) mirrorAge() time.Duration {
 	return fleet.node.Timers.Now() - time.Duration(fleet.verifiedAt.Load())
 }
@@ -253,8 +260,10 @@
 	}
 }
 
-// rebuildTable replaces the table of servers that may get requests. The caller holds the
-// mutex.
+// rebuildTable replaces the table of servers that may get requests: the servers of services
+// without replica groups, and the open heads of groups. It leaves out servers that drain, have
+// an unreadable record, are withheld after a restore, or are in an evacuated zone. It does
+// nothing while there is no configuration. The caller holds the mutex.
 func (fleet *fleet) rebuildTable() {
 	view := fleet.view.Load()
 	if view == nil {
@@ -286,9 +295,10 @@
 	fleet.logServerCounts(servers)
 }
 
-// reportCold reports a cold server to the limits. After an evacuation every server of the
-// zone counts as cold for the ColdTime of its routed service: a server's record states that
-// it is cold only some time after the server may get requests again.
+// reportCold reports a server to the limits if it is cold and its service has a ColdRate. After
+// an evacuation every server of the zone counts as cold for the ColdTime of its service: a
+// server's record states that the server is cold only some time after the server may get
+// requests again. The caller holds the mutex.
 func (fleet *fleet) reportCold(key string, instance *shedkeel.Instance, service *shedkeel.RoutedService) {
 	if service == nil || service.ColdRate <= 0 {
 		return
@@ -313,7 +323,9 @@
 	return dispatch.Server{Service: instance.Service, Instance: instance.ID, Address: instance.Address, Zone: instance.Zone, Slots: instance.Slots}
 }
 
-// groupServerOf returns the dispatch entry of a replica group, addressed by its head.
+// groupServerOf returns the dispatch entry of a replica group, addressed by its head. If the
+// configuration lacks the group's model, the entry has no MaxEventGap and no DelayPerRequest,
+// and its PrefillRate is that of the engine.
 func groupServerOf(head *shedkeel.Instance, engine *shedkeel.Engine) dispatch.Server {
 	server := serverOf(head)
 	server.Model = formation.ModelOf(head.Member.Group)
@@ -331,7 +343,8 @@
 	return server
 }
 
-// logServerCounts logs how many servers and groups may get requests, if that changed.
+// logServerCounts logs how many servers or groups of each service and model may get requests,
+// if one of these numbers has changed. The caller holds the mutex.
 func (fleet *fleet) logServerCounts(servers []dispatch.Server) {
 	counts := map[string]int{}
 	for _, server := range servers {
@@ -349,8 +362,9 @@
 }
 
 // groupServices returns the instances of each service that has replica groups, ordered by
-// ID. Instances that reported in an answer that they drain, and those withheld from
-// requests, are marked as draining, whatever their records state.
+// ID, or nil while there is no configuration. Instances that reported in an answer that they
+// drain, and those withheld from requests after a restore, are marked as draining, whatever
+// their records state.
 func (fleet *fleet) groupServices() map[shedkeel.ServiceID][]shedkeel.Instance {
 	view := fleet.view.Load()
 	if view == nil {
--- a/node/fleetsize.go
+++ b/node/fleetsize.go
@@ -18,8 +18,9 @@
 	// sizeCheckInterval is how often the leader checks whether the record of the fleet's
 	// size must be written again.
 	sizeCheckInterval = 2 * time.Second
-	// sizeTolerance is the relative change of the number of nodes above which the
-	// record is written again. Only the order of magnitude matters.
+	// sizeTolerance is the relative change of the number of nodes above which the record is
+	// written again. Starting nodes need only the order of magnitude, so smaller changes do
+	// not matter.
 	sizeTolerance = 0.25
 	// maxStartupRelays is how many relays a starting node asks, those of its own
 	// availability zone first.
@@ -30,7 +31,7 @@
 // and which nodes relay the records of the key-value service to others.
 type sizeRecord struct {
 	Nodes  int            `json:"nodes"`
-	Relays []startupRelay `json:"relays"` // empty in a small fleet
+	Relays []startupRelay `json:"relays"` // the relays and the sources (see sourceIndexes); empty in a fleet without relays (see hasRelays)
 }
 
 // startupRelay is a node that starting nodes ask for a first copy of the records.
@@ -39,7 +40,8 @@
 	Control string          `json:"control"` // its control address
 }
 
-// newSizeRecord returns the size record of a fleet of these nodes.
+// newSizeRecord returns the size record of a fleet of these nodes, which are in the order of
+// compareNodes.
 func newSizeRecord(nodes []nodeRecord) sizeRecord {
 	size := sizeRecord{Nodes: len(nodes)}
 	if !hasRelays(len(nodes)) {
@@ -58,8 +60,10 @@
 	return slices.Equal(size.Relays, current.Relays) && max(change, -change) <= sizeTolerance*float64(size.Nodes)
 }
 
-// maintainFleetSize writes the fleet's size if the stored record differs too much. Only the
-// leader calls it.
+// maintainFleetSize writes the record of the fleet's size if the stored record is unreadable
+// or not close to the current one (see isCloseTo). It checks this once per sizeCheckInterval,
+// but not at its first call. It logs an error; the next check tries again. Only the leader
+// calls it.
 func (controller *controller) maintainFleetSize(ctx context.Context, now time.Duration) {
 	node := controller.node
 	if now-controller.sizeCheckedAt < sizeCheckInterval {
@@ -89,8 +93,12 @@
 	}
 }
 
-// advise tells the follower how this node gets its first copy of the records: by listing
-// them from the key-value service itself, or from nodes that have a copy.
+// advise returns how this node gets its first copy of the records, for mirror.Follower. This
+// node lists the records from the key-value service if this node is a relay or a source, if the
+// fleet has no relays, or if the size record is invalid. At the fleet's first start, when there
+// is no size record, only a seed and a node without seeds list the records. In all other cases
+// this node gets the records from other nodes. advise also records the number of nodes that the size record states. It
+// returns the error of the service if that does not answer.
 func (peers *peers) advise(ctx context.Context) (mirror.Advice, error) {
 	node := peers.node
 	record, err := node.Store.GetStale(ctx, sizeKey)
@@ -112,7 +120,7 @@
 	return mirror.Advice{Peers: peers.dialStartupRelays(size.Relays)}, nil
 }
 
-// dialStartupRelays returns the relays to ask at the start, the preferred ones first.
+// dialStartupRelays returns at most maxStartupRelays of the relays, the preferred ones first.
 // Their connections are kept until the node stops, like those of seeds.
 func (peers *peers) dialStartupRelays(relays []startupRelay) []mirror.Peer {
 	own := peers.node.Settings
--- a/node/fleetsize_test.go
+++ b/node/fleetsize_test.go
@@ -68,6 +68,7 @@
 			assert.Equal(t, len(advice.Peers), test.wantPeers)
 			assert.Equal(t, node.member.nodeCountHint.Load(), test.wantHint)
 			for index, peer := range advice.Peers {
+				// The zone z3 has three relays.
 				assert.Assert(t, index > 2 || peer.Name()[:2] == "z3", "%s of another zone is among the first three relays to ask", peer.Name())
 			}
 		})
@@ -98,7 +99,7 @@
 	check(withControlAddresses(fleetOf(300, 3)))
 	check(withControlAddresses(fleetOf(295, 3)))
 	assert.Equal(t, len(written), 1, "the size changed too little")
-	assert.Equal(t, len(written[0].Relays), 15)
+	assert.Equal(t, len(written[0].Relays), 15) // 13 relays and the two sources
 	check(withControlAddresses(fleetOf(295, 2)))
 	assert.Equal(t, len(written), 2, "the relays changed")
 	check(withControlAddresses(fleetOf(9, 2)))
--- a/node/lapse_test.go
+++ b/node/lapse_test.go
@@ -43,8 +43,8 @@
 
 // TestGoneNodes deletes the records of nodes while the key-value service seems unavailable.
 // Leases may have expired, so live nodes are retained until they have written their records
-// again. A node that the failure detector finds dead or stopped must not be retained, because
-// the directory would name it for deletedRecordHold more.
+// again. A node that the failure detector finds dead or stopped must not be retained: it does
+// not write its record again, and would stay listed for deletedRecordHold more.
 func TestGoneNodes(t *testing.T) {
 	cases := map[string]struct {
 		before       shedkeel.Liveness // of the node when its record is deleted
