--- a/node/contain_test.go
+++ b/node/contain_test.go
@@ -22,10 +22,10 @@
 // terminate the servers that run them.
 //
 // Such a request may arrive repeatedly, with a new ID and at another node each time. If
-// each node sends it to two servers and does not count the servers that terminate, it is
-// sent to servers 11 more times after it has terminated three, and terminates 18 in all. For
-// ten seconds, only 0 to 4 of some 50 other requests a second for the same groups are on
-// time.
+// each node sends the request to two servers and nobody counts the servers that terminate, the
+// request is sent to servers 11 more times after it has terminated three, and terminates 18 in
+// all. For ten seconds, only 0 to 4 of some 50 other requests a second for the same groups are
+// answered on time.
 func newDeadlyCluster(t *testing.T, nodes int) *testCluster {
 	t.Helper()
 	cluster := newTestCluster(t, nodes)
@@ -55,7 +55,9 @@
 }
 
 // TestRequestThatEndsServersIsContained sends the deadly request to all nodes in turn,
-// while other requests for the model arrive too.
+// while other requests for the model arrive too. The deadly request must terminate at most
+// maxTerminated servers. Other requests must be served afterwards, and operators must be able
+// to find the deadly request and to release it.
 func TestRequestThatEndsServersIsContained(t *testing.T) {
 	cluster := newDeadlyCluster(t, 3)
 	for try := range 12 {
--- a/node/guard.go
+++ b/node/guard.go
@@ -24,16 +24,17 @@
 	blamePrefix = "shedkeel/blames/"
 	// blameTimeout bounds a call that sends a blame to another node.
 	blameTimeout = 500 * time.Millisecond
-	// trialTimeout bounds the call that asks for a trial, for which the caller waits.
+	// trialTimeout bounds the call that asks a decider for a trial, for which a request
+	// waits.
 	trialTimeout = 50 * time.Millisecond
 	// trialExpiry is the age from which a trial whose end was not reported counts as ended.
 	trialExpiry = 10 * time.Second
 	// deciderCount is how many nodes may decide about the trials of a request. They are
-	// asked in turn until one answers.
+	// asked in turn until one of them answers.
 	deciderCount = 3
 	// resendInterval is how often blames that the key-value service does not store yet
 	// are sent to all nodes again: nodes that have started or were cut off meanwhile do
-	// not know them.
+	// not know these blames.
 	resendInterval = time.Second
 	// writeInterval is the time between two checks for blames that must be written.
 	writeInterval = 100 * time.Millisecond
@@ -43,11 +44,14 @@
 )
 
 // guard keeps requests that terminate backend servers from terminating more of them. A
-// blame names a request and the servers that have terminated while running it. Each request
-// has a decider (see deciders), the node that allows or refuses trials: attempts to send the
-// request to a server while it is quarantined. A blame with one server is sent only to the
-// decider. A blame with two or more is sent to all nodes and written to the key-value
-// service, so that it survives the loss of all nodes.
+// blame names a request, by its digest, and the instances of servers that have terminated
+// while running it. Requests with the same digest are copies of each other and share a blame.
+//
+// A trial is an attempt to send a quarantined request to a server. Each request has up to
+// deciderCount deciders (see deciders), nodes that allow or refuse trials of it; the first one
+// that answers counts. A blame with one server is sent only to the first decider that answers.
+// A blame with two or more servers is sent to all nodes and written to the key-value service,
+// so that the blame survives the loss of all nodes.
 type guard struct {
 	node   *Node
 	ledger contain.Ledger
@@ -65,7 +69,7 @@
 	guard.unwritten = map[shedkeel.RequestDigest]time.Duration{}
 }
 
-// Idle reports whether there is no blame for any request.
+// Idle reports whether no blame names a server, so that all requests are unblamed.
 func (guard *guard) Idle() bool { return guard.ledger.Idle() }
 
 // Judge returns the judgment of a request, which says whether it may be sent to servers.
@@ -73,9 +77,9 @@
 	return contain.Judge(guard.ledger.Blame(request))
 }
 
-// ServerEnded records that a server has terminated while running a request. It sends a changed
-// blame to all nodes if the request is quarantined or contained, otherwise to the
-// decider of the request.
+// ServerEnded records that a server has terminated while running a request. If the blame has
+// changed, ServerEnded sends it: to all nodes if the request is now quarantined or contained,
+// otherwise to the first decider of the request that answers.
 func (guard *guard) ServerEnded(request shedkeel.RequestDigest, server shedkeel.InstanceID) {
 	blame, changed := guard.ledger.RecordFailure(request, server)
 	if changed {
@@ -84,8 +88,10 @@
 	}
 }
 
-// RequestAnswered clears a request's blame: a request that a server has answered completely
-// does not terminate servers.
+// RequestAnswered clears a request's blame, if it names a server: a request that a server has
+// answered completely does not terminate servers. RequestAnswered sends the cleared blame to
+// all nodes if the request was quarantined or contained, otherwise to the first decider of the
+// request that answers.
 func (guard *guard) RequestAnswered(request shedkeel.RequestDigest) {
 	before, now := guard.ledger.Clear(request)
 	if len(before.Servers) == 0 {
@@ -96,7 +102,8 @@
 }
 
 // merge merges a blame that another node has sent into the ledger. If the result has more
-// servers or a later round than the sender's blame, merge sends the result on.
+// servers or a later round than the sender's blame, merge sends the result to all nodes if the
+// request is quarantined or contained, otherwise to the first decider that answers.
 func (guard *guard) merge(received shedkeel.Blame) {
 	blame, changed := guard.ledger.Merge(received)
 	if changed {
@@ -107,13 +114,14 @@
 	}
 }
 
-// blameChanged handles a changed blame: it marks the blame as unwritten, logs the
-// judgment and cancels running attempts of a quarantined or contained request. It
-// ignores a blame that names at most one server and has never been cleared.
+// blameChanged handles a changed blame: it marks the blame as unwritten and logs the judgment.
+// If the request is quarantined or contained, it cancels those of the request's copies on this
+// node that serve.Handler.CancelCopies selects. It ignores a blame that names at most one
+// server and has never been cleared.
 func (guard *guard) blameChanged(blame shedkeel.Blame) {
 	judgment := contain.Judge(blame)
 	if judgment == shedkeel.Unblamed && blame.Round == 0 {
-		return // one server does not single out a request: tens of requests run on it
+		return // one terminated server does not show which request is the cause: tens of requests run on a server
 	}
 	guard.mutex.Lock()
 	guard.unwritten[blame.Request] = guard.node.Timers.Now()
@@ -125,8 +133,8 @@
 	}
 }
 
-// send sends a blame to all live nodes, or only to the decider of the request. It does
-// not wait for answers.
+// send sends a blame to all live nodes, or only to the first decider of the request that
+// answers. It does not wait for answers.
 func (guard *guard) send(blame shedkeel.Blame, toAll bool) {
 	if !toAll {
 		go guard.runSendToDecider(blame)
@@ -137,8 +145,8 @@
 	}
 }
 
-// runSendToDecider sends a blame to the deciders of the request in turn, until one
-// answers or it is this node's own turn.
+// runSendToDecider sends a blame to the deciders of the request in turn, until one of them
+// answers or the next one is this node itself.
 func (guard *guard) runSendToDecider(blame shedkeel.Blame) {
 	for _, id := range guard.node.peers.deciders(blame.Request) {
 		if id == guard.node.Settings.Node {
@@ -150,9 +158,9 @@
 	}
 }
 
-// runSendBlame sends a blame to the peer and reports whether the peer has answered
-// within blameTimeout. Most callers ignore a failure: a node that misses a blame sent to all
-// reads it from the key-value service, and a trial whose end is not reported expires.
+// runSendBlame sends a blame to the peer and reports whether the peer has answered within
+// blameTimeout. Most callers ignore a failure: a node that misses a blame sent to all nodes
+// reads the blame from the key-value service, and a trial whose end is not reported expires.
 func (peer *peer) runSendBlame(kind wire.BlameCall_Kind, blame shedkeel.Blame) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), blameTimeout)
 	defer cancel()
@@ -160,7 +168,7 @@
 	return err == nil
 }
 
-// newBlameCall returns the call that sends a blame.
+// newBlameCall returns the call of the kind that carries a blame.
 func (peer *peer) newBlameCall(kind wire.BlameCall_Kind, blame shedkeel.Blame) *wire.Call {
 	call := &wire.BlameCall{Kind: kind, Node: string(peer.node.Settings.Node), Request: string(blame.Request), Round: blame.Round}
 	for _, server := range blame.Servers {
@@ -169,7 +177,8 @@
 	return &wire.Call{Kind: &wire.Call_Blame{Blame: call}}
 }
 
-// handle answers a blame call of another node.
+// handle answers a blame call of another node. BlameCall_TELL sends a blame, BlameCall_TRY
+// sends a blame and asks for a trial, and BlameCall_DONE reports the end of a trial.
 func (guard *guard) handle(call *wire.BlameCall) *wire.Reply {
 	blame := shedkeel.Blame{Request: shedkeel.RequestDigest(call.GetRequest()), Round: call.GetRound()}
 	for _, server := range call.GetServers() {
@@ -188,10 +197,10 @@
 	return &wire.Reply{Kind: &wire.Reply_Blame{Blame: &wire.BlameReply{Allowed: allowed}}}
 }
 
-// AcquireAttempt reports whether a quarantined request may be sent to a server now. One node, the
+// AcquireAttempt reports whether a trial of a quarantined request is allowed now. One node, the
 // first decider that answers, decides for all nodes and allows one trial of the request
-// at a time. If the trial is allowed, the caller calls done when it has ended. If no
-// decider answers, the trial is not allowed.
+// at a time. If the trial is allowed, the caller must call done when the trial has ended. If no
+// decider answers, the trial is not allowed and done is nil.
 func (guard *guard) AcquireAttempt(ctx context.Context, request shedkeel.RequestDigest) (done func(), allowed bool) {
 	blame := guard.ledger.Blame(request)
 	for _, id := range guard.node.peers.deciders(request) {
@@ -263,10 +272,10 @@
 	}
 }
 
-// writePending resends unwritten blames if that is due. Unless the mirror is older than
-// outageAge, it then writes the blames that the key-value service lacks and for which it
-// is this node's turn: each further decider waits for writeStagger more, and other nodes
-// write nothing.
+// writePending resends unwritten blames if that is due. It does nothing more while the mirror
+// has no copy or one older than outageAge. Otherwise it marks the blames whose records need no
+// change as written, and writes the others when it is this node's turn: each further decider of
+// a request waits for writeStagger more, and nodes that are no deciders write nothing.
 func (guard *guard) writePending(ctx context.Context, now time.Duration) {
 	guard.resendUnwritten(now)
 	state := guard.node.mirror.State()
@@ -289,8 +298,8 @@
 	}
 }
 
-// resendUnwritten sends to all nodes again the blames that the key-value service should
-// store and does not store yet, at most once per resendInterval.
+// resendUnwritten sends the unwritten blames that changed at least resendInterval ago to all
+// nodes again. It does so at most once per resendInterval.
 func (guard *guard) resendUnwritten(now time.Duration) {
 	if now-guard.resentAt < resendInterval {
 		return
@@ -322,8 +331,8 @@
 	return maps.Clone(guard.unwritten)
 }
 
-// markWritten records that the key-value service stores the blame that changed at the
-// time since, unless the blame has changed again later.
+// markWritten removes a blame that changed at the time since from the unwritten ones, unless
+// the blame has changed again later.
 func (guard *guard) markWritten(request shedkeel.RequestDigest, since time.Duration) {
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
@@ -332,8 +341,11 @@
 	}
 }
 
-// recordChange returns the change that makes a record agree with the blame, and
-// whether a change is needed. Only quarantined and contained requests have a record.
+// recordChange returns the change that makes a record agree with the blame, and whether a
+// change is needed. Only quarantined and contained requests have a record. Their record is
+// written unless its round and its number of servers are at least those of the blame. The
+// record of an unblamed request is removed unless its round is later. A record that is
+// unreadable or names another request is replaced or removed.
 func recordChange(blame shedkeel.Blame, record shedkeel.Record) (shedkeel.Transaction, bool) {
 	key := blamePrefix + string(blame.Request)
 	exists := record.Revision.Exists()
@@ -356,8 +368,9 @@
 	return change, true
 }
 
-// write commits a change and applies it to the mirror. If that fails, the blame stays
-// unwritten and writePending tries again.
+// write commits a change and applies it to the mirror. If the commit fails, write logs the
+// error, and writePending tries again. In both cases the blame stays unwritten until
+// writePending finds that its record needs no change.
 func (guard *guard) write(ctx context.Context, change shedkeel.Transaction) {
 	revision, err := guard.node.Store.Commit(ctx, change)
 	if err != nil {
@@ -384,9 +397,11 @@
 	return found
 }
 
-// applyRecord processes a record of a blame from the key-value service. If the record
-// was removed, it clears the blame: the request was answered, or an operator has released
-// it.
+// applyRecord processes a record of a blame from the key-value service: it merges the blame
+// into the ledger. If the record was removed, applyRecord clears the blame: the request was
+// answered, or an operator has released the request. A record that was lost in a restore
+// changes nothing. A record that is unreadable or names another request than its key is
+// skipped.
 func (guard *guard) applyRecord(record shedkeel.Record) {
 	request := shedkeel.RequestDigest(strings.TrimPrefix(record.Key, blamePrefix))
 	if record.LostInRestore {
--- a/node/guard_test.go
+++ b/node/guard_test.go
@@ -80,7 +80,8 @@
 }
 
 // TestBlameIsKeptOnceTheStoreIsBack contains a request while the key-value service is
-// unavailable. The blame is written once, when the service answers again.
+// unavailable. The blame is written once, when the service answers again. After an operator
+// has released the request by removing the record, the blame is not written again.
 func TestBlameIsKeptOnceTheStoreIsBack(t *testing.T) {
 	node, timers := newTestNode(t)
 	store := &blameStore{unavailable: true}
@@ -129,7 +130,7 @@
 	assert.Equal(t, len(written.Servers), 3)
 }
 
-// TestBlameRecords checks which records of the key-value service are accepted.
+// TestBlameRecords checks which records of blames are applied, and which are skipped.
 func TestBlameRecords(t *testing.T) {
 	three := `{"request":"r","round":0,"servers":["a","b","c"]}`
 	cases := map[string]struct {
@@ -138,7 +139,7 @@
 		judgment shedkeel.Judgment
 		skipped  int64 // records that were skipped as invalid
 	}{
-		"good":                                {"r", three, shedkeel.Contained, 0},
+		"valid":                               {"r", three, shedkeel.Contained, 0},
 		"about another request":               {"q", three, shedkeel.Unblamed, 1},
 		"unreadable":                          {"r", "\x00", shedkeel.Unblamed, 1},
 		"empty":                               {"r", "", shedkeel.Unblamed, 1},
