--- a/node/backoff_test.go
+++ b/node/backoff_test.go
@@ -16,7 +16,7 @@
 // requests until the backoff is over. The fault that the test guards against is, for example,
 // five requests from one node during a backoff of 3 s.
 func TestBackoffIsHeeded(t *testing.T) {
-	const rate, length = 40, 3*backoffLength + time.Second
+	const rate, length = 40, 3*backoffLength + time.Second // requests a second, and for how long
 	cases := map[string]struct {
 		path string
 		all  bool // all servers ask for a backoff, not only one
@@ -56,7 +56,7 @@
 // TestDrainInAnswersIsHeeded has a server state in its answers that it drains, while its
 // record still says that it is ready. The nodes must not send it further requests.
 func TestDrainInAnswersIsHeeded(t *testing.T) {
-	const rate, length = 40, 4 * time.Second
+	const rate, length = 40, 4 * time.Second // requests a second, and for how long
 	for name, path := range map[string]string{"replica group": "/copy/a", "plain server": "/look/a"} {
 		t.Run(name, func(t *testing.T) {
 			cluster := newServingCluster(t)
--- a/node/cold_test.go
+++ b/node/cold_test.go
@@ -20,9 +20,10 @@
 
 // TestColdServersGetLittle sends far more requests to three nodes than a cold server
 // accepts. The server is cold because its record says so or because the evacuation of its
-// zone has just ended.
+// zone has just ended. The server must get some requests, but no more than maxColdRate in a
+// second, and more once it is warm.
 func TestColdServersGetLittle(t *testing.T) {
-	const rate, coldFor = 100, 3 * time.Second
+	const rate, coldFor = 100, 3 * time.Second // requests a second, and for how long the server is cold
 	cases := map[string]struct {
 		path     string
 		server   func(*testCluster) string
--- a/node/limits.go
+++ b/node/limits.go
@@ -22,25 +22,25 @@
 	badLimitLogInterval = time.Minute
 	// permitTimeout bounds a call for a permit, for which a request waits.
 	permitTimeout = 30 * time.Millisecond
-	// permitRetryDelay is for how long this node sends a server no requests when the
-	// server's granter does not answer, or when nodes disagree on the granter.
+	// permitRetryDelay is for how long a node sends a server no requests when the server's
+	// granter is unknown or does not answer, or when the nodes disagree on the granter.
 	permitRetryDelay = 200 * time.Millisecond
 	// announceInterval is how often changed limits are sent to other nodes.
 	announceInterval = 50 * time.Millisecond
 	// announceTimeout bounds a call that sends changed limits to a node.
 	announceTimeout = 500 * time.Millisecond
 	// neverStatedAgeMs is the age that a node sends with a lifted limit for a cold server
-	// that has never stated one. It is higher than the age of any stated limit, so the
-	// receiver keeps the limit that it knows.
+	// that has never stated a limit. The age, about 35 years, is higher than that of any stated
+	// limit, so a receiver that knows a limit of the server keeps it.
 	neverStatedAgeMs = 1 << 40
 )
 
 // limits enforces the rate limits of backend servers over all nodes: limits that
-// servers state in their answers, and the reduced rates of cold servers. Each server
-// has one node, its granter, that grants the permits to send it requests, which bounds
-// the sum over all nodes. A node that sees a stated limit change reports it to the
-// granter, which reports it to all other nodes. All nodes learn from a server's record
-// that it is cold.
+// servers state in their answers, and the reduced rates of cold servers. For each server, one
+// node, the granter, gives all nodes the permits to send the server requests, so that the sum
+// of their requests keeps the rate. A node that sees a stated limit change reports the change
+// to the granter, which reports it to all other nodes. All nodes learn from a server's record
+// that the server is cold.
 type limits struct {
 	node    *Node
 	known   ratelimit.Limits
@@ -54,8 +54,8 @@
 	aliveVersion uint64 // peers.aliveVersion when granter last dropped the servers of other granters; only run uses it
 }
 
-// Observe processes the limit that a server states in an answer. The request was sent
-// at the time sent.
+// Observe processes the limit that a server states in its answer to a request that was sent
+// at the time sent. It announces a changed limit. It only logs a limit that can't be parsed.
 func (limits *limits) Observe(server shedkeel.InstanceID, limit shedkeel.StatedLimit, sent time.Duration) {
 	now := limits.node.Timers.Now()
 	if limit.Err != nil {
@@ -69,8 +69,8 @@
 }
 
 // merge processes the limit and the cold state of a server that another node has sent. It
-// ignores each of them that is invalid. If this node is the server's granter, it sends a changed
-// limit on to all nodes.
+// ignores each of the two that is invalid. If this node is the server's granter, merge
+// announces a changed limit, so that all nodes get it.
 func (limits *limits) merge(reported *wire.ServerLimit, from shedkeel.NodeID) {
 	now := limits.node.Timers.Now()
 	if cold, isCold := parseCold(reported, now); isCold {
@@ -104,7 +104,8 @@
 }
 
 // rate returns how many requests per second a server accepts from all nodes together,
-// and whether that number is limited: the server states a limit, or it is cold.
+// and whether that number is limited: the server states a limit, or it is cold. If both apply,
+// the lower rate counts.
 func (limits *limits) rate(server shedkeel.InstanceID, now time.Duration) (rate float64, limited bool) {
 	stated, limited := limits.known.Limit(server)
 	cold, isCold := limits.cold.Lookup(server, now)
@@ -121,7 +122,7 @@
 	}
 }
 
-// announce queues a limit that is to be sent to other nodes.
+// announce queues a limit, which the next tick sends to other nodes (see announceAll).
 func (limits *limits) announce(limit shedkeel.ServerLimit) {
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
@@ -149,8 +150,9 @@
 }
 
 // Acquire asks for a permit to send a server one request, which can wait for maxWait at
-// most. The permit is granted if the server's rate is not limited. It is refused, with a
-// wait of permitRetryDelay, if the server's granter is unknown or does not answer.
+// most. The permit is granted if the server's rate is not limited. Otherwise the server's
+// granter decides. If the granter is unknown or does not answer, the permit is refused with a
+// wait of permitRetryDelay.
 func (limits *limits) Acquire(ctx context.Context, server shedkeel.InstanceID, maxWait time.Duration) shedkeel.Permit {
 	rate, limited := limits.rate(server, limits.node.Timers.Now())
 	if !limited {
@@ -169,17 +171,19 @@
 
 // grant decides about a permit for a server whose granter is this node. The node grants
 // only a fraction of the server's rate, equal to the fraction of the listed nodes that
-// it sees alive: during a network partition, the nodes on the other side may grant the
-// rest.
+// it sees alive (see peers.aliveFraction): during a network partition, the nodes on the other
+// side may grant the rest.
 func (limits *limits) grant(server shedkeel.InstanceID, rate float64, maxWait time.Duration) shedkeel.Permit {
 	fraction, settledSince := limits.node.peers.aliveFraction()
 	request := ratelimit.PermitRequest{Server: server, Rate: rate * fraction, MaxWait: maxWait, SettledSince: settledSince}
 	return limits.granter.Grant(request, limits.node.Timers.Now())
 }
 
-// requestPermit asks peer, the server's granter, for a permit. If it does not answer, no
-// other node grants permits in its place: two nodes that each grant the server's rate
-// would send it twice as many requests.
+// requestPermit asks the peer, which is the server's granter, for a permit, and merges the
+// limit that the answer states. If the peer does not answer within permitTimeout, the permit
+// is refused with a wait of permitRetryDelay. No other node grants permits in the granter's
+// place: if two nodes each granted the server's rate, the server would get twice as many
+// requests.
 func (limits *limits) requestPermit(ctx context.Context, peer *peer, server shedkeel.InstanceID, maxWait time.Duration) shedkeel.Permit {
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
@@ -198,9 +202,10 @@
 	return shedkeel.Permit{Granted: answer.GetGranted(), Wait: time.Duration(answer.GetWaitMs()) * time.Millisecond}
 }
 
-// handlePermit answers another node's request for a permit. If this node knows no limit
-// of the server, it grants the permit only if the server has withdrawn an earlier
-// limit.
+// handlePermit answers another node's request for a permit, after it has merged the limit that
+// the request states. If this node is not the server's granter, it refuses the permit with a
+// wait of permitRetryDelay. If the server's rate is not limited, it grants the permit only if
+// the server has lifted an earlier limit.
 func (limits *limits) handlePermit(call *wire.PermitCall) *wire.Reply {
 	limits.merge(call.GetLimit(), shedkeel.NodeID(call.GetNode()))
 	server := shedkeel.InstanceID(call.GetLimit().GetServer())
@@ -271,8 +276,8 @@
 	}
 }
 
-// announceAll sends each limit to its server's granter, or to all nodes if this node is
-// the granter.
+// announceAll sends each limit to its server's granter, or to all live nodes if this node is
+// the granter. It drops a limit whose granter is unknown.
 func (limits *limits) announceAll(changed []shedkeel.ServerLimit) {
 	changes := map[*peer][]shedkeel.ServerLimit{}
 	for _, limit := range changed {
@@ -304,7 +309,7 @@
 	_, _ = peer.wire.Do(ctx, &wire.Call{Kind: &wire.Call_Limit{Limit: call}})
 }
 
-// dump returns the servers that limit their rate or are cold, for operators.
+// dump returns the servers that state a limit or are cold, for operators.
 func (limits *limits) dump() []LimitDump {
 	now := limits.node.Timers.Now()
 	found := []LimitDump{}
@@ -376,7 +381,8 @@
 	}
 }
 
-// retain drops the limits and permits of servers for which listed returns false.
+// retain drops the stated limits, the permits and the log times of servers for which listed
+// returns false.
 func (limits *limits) retain(listed func(shedkeel.InstanceID) bool) {
 	limits.known.Retain(listed)
 	limits.granter.Retain(listed)
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -31,7 +31,7 @@
 }
 
 // TestFractionOfLimitFollowsAliveNodes checks which fraction of the listed nodes a node sees
-// alive, and since when. It may grant the same fraction of a limit: the other nodes may be
+// alive, and since when. The node may grant that fraction of a limit: the other nodes may be
 // alive on the other side of a network partition. Stopping nodes do not count.
 func TestFractionOfLimitFollowsAliveNodes(t *testing.T) {
 	node, timers := newListedNode(t, "a", fourNodes)
@@ -54,8 +54,8 @@
 	assert.Equal(t, fraction, 1.0)
 }
 
-// newServerID returns the ID of a server whose granter is the node if own, and another
-// node otherwise.
+// newServerID returns the ID of a server. The server's granter is the given node if own is
+// true, otherwise another node.
 func newServerID(node *Node, own bool) string {
 	for {
 		server := shedkeel.InstanceID(shedkeel.NewNonce())
@@ -65,28 +65,31 @@
 	}
 }
 
-// TestTakePermit checks the answers to calls for a permit.
+// TestTakePermit checks the answers to calls for a permit that state the server's limit: the
+// granter grants the permit, also if it knows that the limit was lifted, and a node that is not
+// the granter refuses the permit. The granter ignores a limit that is no valid rate, and refuses
+// the permit, since it knows no limit of the server then.
 func TestTakePermit(t *testing.T) {
 	cases := map[string]struct {
-		own     bool // the node grants the server's permits
-		lifted  bool // the node knows that the server no longer states a limit
-		rate    float64
-		granted bool // the permit is granted
+		own     bool    // the node grants the server's permits
+		lifted  bool    // the node knows that the server no longer states a limit
+		rate    float64 // the limit that the call states
+		granted bool    // the permit is granted
 	}{
-		"granted here":      {true, false, 50, true},
-		"granted elsewhere": {false, false, 50, false},
-		"lifted meanwhile":  {true, true, 50, true},
-		"not a number":      {true, false, math.NaN(), false},
-		"infinite":          {true, false, math.Inf(1), false},
-		"negative":          {true, false, -1, false},
+		"the node is the granter":     {true, false, 50, true},
+		"another node is the granter": {false, false, 50, false},
+		"the limit was lifted":        {true, true, 50, true},
+		"the limit is not a number":   {true, false, math.NaN(), false},
+		"the limit is infinite":       {true, false, math.Inf(1), false},
+		"the limit is negative":       {true, false, -1, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			node, timers := newListedNode(t, "a", fourNodes)
-			timers.Advance(time.Minute)
+			timers.Advance(time.Minute) // longer than handoverDelay of package ratelimit, in which a new granter grants nothing
 			reported := &wire.ServerLimit{Server: newServerID(node, test.own), Rate: test.rate, AgeMs: 100, SinceMs: 100}
 			ask := func() bool {
-				call := &wire.PermitCall{Node: "b", Limit: reported, PatienceMs: 20}
+				call := &wire.PermitCall{Node: "b", Limit: reported, PatienceMs: 20} // the first permit at a rate of 50 becomes valid after 20 ms
 				return node.limits.handlePermit(call).GetPermit().GetGranted()
 			}
 			if test.lifted {
@@ -115,7 +118,7 @@
 }
 
 // TestNoPermitWithoutGranter checks that a node grants no permits in place of a granter
-// that does not answer, and asks again after permitRetryDelay.
+// that does not answer, and refuses them with a wait of permitRetryDelay.
 func TestNoPermitWithoutGranter(t *testing.T) {
 	node, timers := newListedNode(t, "a", fourNodes)
 	server := shedkeel.InstanceID(newServerID(node, false))
@@ -141,7 +144,7 @@
 			node, timers := newListedNode(t, "a", fourNodes)
 			server := newServerID(node, true)
 			node.peers.setAlive(test.alive)
-			timers.Advance(time.Minute)
+			timers.Advance(time.Minute) // longer than handoverDelay of package ratelimit, in which a new granter grants nothing
 			node.limits.Observe(shedkeel.InstanceID(server), shedkeel.StatedLimit{Stated: true, Rate: 10}, timers.Now())
 			granted := 0
 			for range 1000 { // 10 s
