--- a/node/demand.go
+++ b/node/demand.go
@@ -22,19 +22,19 @@
 	demandLogPolls = 5
 )
 
-// demands holds the demand of callers for the models of each service, summed over all
-// nodes.
+// demands holds the demand for the models of each service: the requests of callers that all
+// nodes have spread recently, as dispatch.Table.Demand counts them.
 type demands struct {
 	controller *controller
 	pollMutex  sync.Mutex // held during a poll
 	polls      int        // number of polls so far; guarded by pollMutex
 
 	mutex  sync.Mutex
-	latest map[shedkeel.ServiceID]map[shedkeel.ModelID]shedkeel.ModelDemand
+	latest map[shedkeel.ServiceID]map[shedkeel.ModelID]shedkeel.ModelDemand // as of the last poll
 }
 
-// forService returns the demand for a service's models as of the last poll; nil before
-// the first one.
+// forService returns the demand for a service's models as of the last poll, or nil if that
+// poll did not include the service or there was no poll yet.
 func (demands *demands) forService(service shedkeel.ServiceID) map[shedkeel.ModelID]shedkeel.ModelDemand {
 	demands.mutex.Lock()
 	defer demands.mutex.Unlock()
@@ -48,9 +48,10 @@
 	}
 }
 
-// runPoll asks all nodes that may have spread requests for the demand in these requests, and
-// releases pollMutex, which the caller has locked. The demand of a node that does not answer
-// is left out: planners only compare the models with each other.
+// runPoll asks all nodes that may have spread requests for the demand in these requests, for
+// each service that has replica groups, and releases pollMutex, which the caller has locked.
+// The demand of a node that does not answer is left out: planners only compare the models with
+// each other, for which the answers of the other nodes suffice.
 func (demands *demands) runPoll() {
 	defer demands.pollMutex.Unlock()
 	node := demands.controller.node
@@ -67,7 +68,7 @@
 	demands.latest = polled
 }
 
-// logRequests logs the number of requests for each model.
+// logRequests logs the polled number of requests for each model, by service.
 func (demands *demands) logRequests(polled map[shedkeel.ServiceID]map[shedkeel.ModelID]shedkeel.ModelDemand) {
 	for service, models := range polled {
 		requests := map[shedkeel.ModelID]int{}
@@ -115,7 +116,7 @@
 	return found
 }
 
-// demand asks the peer for the demand for a service's models in the requests that it has
+// demand asks the peer for the demand for a service's models in the requests that the peer has
 // spread. It returns nil if the peer does not answer within demandTimeout.
 func (peer *peer) demand(service shedkeel.ServiceID) map[shedkeel.ModelID]shedkeel.ModelDemand {
 	ctx, cancel := context.WithTimeout(context.Background(), demandTimeout)
--- a/node/demand_test.go
+++ b/node/demand_test.go
@@ -31,7 +31,7 @@
 	}
 	spread(spreaderNode, "m")
 	spread(spreaderNode, "m")
-	spread(spreaderNode, "n") // it has no group
+	spread(spreaderNode, "n") // the model n has no group
 	spread(leaderNode, "m")
 	assert.DeepEqual(t, leaderNode.peers.demand("s"), map[shedkeel.ModelID]shedkeel.ModelDemand{
 		"m": {Requests: 3, PromptTokens: 300, AnswerTokens: 30},
--- a/node/notice_test.go
+++ b/node/notice_test.go
@@ -13,9 +13,9 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// TestSuspicionDoesNotAvoidGroup checks that a group which another node suspects still gets
-// requests while its members are probed. Only a loss that the leader reports keeps requests
-// from a group.
+// TestSuspicionDoesNotAvoidGroup checks that a group which another node suspects is scheduled
+// for probes and still gets requests. Only a loss that the leader reports keeps requests from a
+// group.
 func TestSuspicionDoesNotAvoidGroup(t *testing.T) {
 	cases := map[string]struct {
 		avoid     time.Duration // for how long the notice asks to avoid the group
@@ -41,7 +41,7 @@
 }
 
 // TestDrainIsReportedToLeader has a head tell a node in an answer that it drains, while the
-// head's record does not say so. The node reports it to the leader, which sends the
+// head's record does not say so. The node reports the draining to the leader, which sends the
 // head no more requests.
 func TestDrainIsReportedToLeader(t *testing.T) {
 	leader, apply := newGroupNode(t)
--- a/node/notices.go
+++ b/node/notices.go
@@ -19,10 +19,10 @@
 	noticeTimeout = 500 * time.Millisecond
 )
 
-// reportSuspect reports to the leader that a group does not respond to this node. The
-// leader finds out whether a member is lost. A group that prefills long prompts does not
-// respond for a while either: if each node told all others, all nodes would avoid that group
-// and send its requests to the remaining groups.
+// reportSuspect reports to the leader, if one is known, that a group does not respond to this
+// node. The leader finds out whether a member is lost. Only the leader is told, because a group
+// that prefills long prompts does not respond for a while either: if each node told all others,
+// all nodes would avoid that group and send its requests to the remaining groups.
 func (peers *peers) reportSuspect(group shedkeel.Assignment) {
 	leader := peers.node.controller.leader()
 	if leader == peers.node.Settings.Node {
@@ -34,16 +34,17 @@
 	}
 }
 
-// reportDraining reports to the leader that a backend server has told this node that it
-// drains. The leader may not learn it otherwise: it may send that server no requests,
-// and the server's record may not say so. If this node leads, there is nothing to report.
+// reportDraining reports to the leader that a backend server has stated in an answer to this
+// node that it drains. The leader may not learn this otherwise: the leader may send that server
+// no requests itself, and the server's record may not state it. If this node leads or no leader
+// is known, reportDraining does nothing.
 func (peers *peers) reportDraining(server shedkeel.InstanceID) {
 	if peer := peers.peer(peers.node.controller.leader()); peer != nil {
 		go peer.runSendNotice(&wire.NoticeCall{Draining: string(server)})
 	}
 }
 
-// broadcastLoss tells the other nodes that a group has lost a member.
+// broadcastLoss tells the other listed nodes to avoid a group, because the group has lost a member.
 func (peers *peers) broadcastLoss(group shedkeel.Assignment) {
 	for _, peer := range peers.all() {
 		go peer.runGroupNotice(group, lostGroupAvoidTime)
--- a/node/paces.go
+++ b/node/paces.go
@@ -12,7 +12,7 @@
 
 const (
 	// paceInterval is how often the leader asks each member of a group for its pace. Each
-	// call costs as much as a probe.
+	// call costs as much as a probe, so the leader does not ask more often.
 	paceInterval = 2 * time.Second
 	// paceBatches is the number of batches into which the members are split. Each tick
 	// asks one batch, so that the calls are spread evenly over paceInterval.
@@ -20,8 +20,9 @@
 	// paceTimeout is how long an answer may take. The prober finds out whether servers that
 	// do not answer are dead.
 	paceTimeout = 200 * time.Millisecond
-	// slowThreshold is the pace from which a member counts as slow. The paces of members
-	// of one service differ by some tenths; slow members take several times as long.
+	// slowThreshold is the pace from which a member counts as slow. The paces of normal
+	// members of one service differ by some tenths, and slow members take several times as
+	// long, so the threshold lies between the two.
 	slowThreshold = 2.0
 	// recoveredThreshold is the pace up to which a slow member counts as normal again.
 	recoveredThreshold = 1.3
@@ -64,9 +65,9 @@
 	maps.DeleteFunc(paces.slow, func(id shedkeel.InstanceID, _ float64) bool { return !listed[id] })
 }
 
-// queryBatch asks those servers of the current batch for their pace that are members of
-// a group or count as slow. A slow server that has left its group may become normal
-// again.
+// queryBatch asks for their pace those servers of the current batch that are members of a
+// group or count as slow. Slow servers are asked even after they have left their group, so that
+// they can count as normal again.
 func (paces *paces) queryBatch(instances []shedkeel.Instance) {
 	for index, instance := range instances {
 		if index%paceBatches == paces.ticks%paceBatches && (instance.Member != nil || paces.isSlow(instance.ID)) {
@@ -83,13 +84,14 @@
 	return slow
 }
 
-// runQuery asks one server for its pace.
+// runQuery asks one server for its pace. It ignores a report that another instance at the
+// server's address has sent.
 func (paces *paces) runQuery(instance shedkeel.Instance) {
 	ctx, cancel := context.WithTimeout(context.Background(), paceTimeout)
 	defer cancel()
 	report, err := paces.controller.node.Engines.Report(ctx, instance.Address)
 	if err != nil || !report.From(instance.ID) {
-		return // its pace stays as known; probes find out whether it is alive if its group stops responding
+		return // the known pace stays; if the group stops responding, probes find out whether the server is alive
 	}
 	paces.update(instance.ID, report.Slowdown)
 }
--- a/node/paces_test.go
+++ b/node/paces_test.go
@@ -10,15 +10,15 @@
 	"shedkeel.org/shedkeel/event"
 )
 
-// TestSlowAndRecoveredPaces checks from which reported pace a server counts as slow or
-// normal again.
+// TestSlowAndRecoveredPaces checks from which reported pace a server counts as slow or normal
+// again, and that a server that is no longer listed does not count as slow.
 func TestSlowAndRecoveredPaces(t *testing.T) {
 	cases := map[string]struct {
 		reported []float64 // paces in the order in which they are reported
 		slow     bool
 	}{
 		"normal":                   {[]float64{1}, false},
-		"none reported":            {[]float64{0}, false},
+		"report without a pace":    {[]float64{0}, false},
 		"somewhat slow":            {[]float64{1.9}, false},
 		"slow":                     {[]float64{1, 5}, true},
 		"slow, and not yet normal": {[]float64{5, 1.4}, true},
--- a/node/spread.go
+++ b/node/spread.go
@@ -11,11 +11,12 @@
 )
 
 const (
-	// spreadTimeout is how long a request waits for the answer of the spreader; a round
-	// trip takes 2 to 4 ms. Without an answer, this node chooses the group alone.
+	// spreadTimeout is how long a request waits for the answer of the spreader (see
+	// peers.spreader); a round trip takes 2 to 4 ms. Without an answer, this node chooses
+	// the group alone.
 	spreadTimeout = 20 * time.Millisecond
-	// spreaderBackoff is how long a node that gave no answer is not asked again, so that
-	// few requests wait in vain.
+	// spreaderBackoff is how long a node that gave no answer as a spreader is not asked
+	// again, so that few requests wait in vain.
 	spreaderBackoff = time.Second
 )
 
@@ -36,10 +37,12 @@
 	return at != 0 && now-at < span
 }
 
-// recommendGroup returns a recommendation to which group a request is best sent, or false if
-// no spreader answers within spreadTimeout. The groups of a model are split into partitions;
-// recommendGroup picks one at random and asks its spreader, or decides itself if this node
-// is the spreader. The load is that of this node's running requests on the model's groups.
+// recommendGroup returns a recommendation to which group a request is best sent. The groups of
+// a model are split into partitions; recommendGroup picks a partition at random and asks its
+// spreader, or decides itself if this node is the spreader. It returns false if there is no
+// spreader to ask or the spreader does not answer within spreadTimeout. A spreader that fails to
+// answer is not asked again for spreaderBackoff, unless the failure is due to the end of ctx.
+// The load is that of this node's running requests on the model's groups.
 func (peers *peers) recommendGroup(ctx context.Context, query dispatch.Query, load dispatch.Load) (dispatch.Recommendation, bool) {
 	query.Partitions = peers.node.table.Partitions(query.Service, query.Model)
 	if query.Partitions > 1 {
@@ -79,19 +82,19 @@
 	return dispatch.RunningRequests{OnTime: int(running.GetOnTime()), Late: int(running.GetLate())}
 }
 
-// randomPartition returns the index of a random one of the given number of partitions.
+// randomPartition returns a random index below the number of partitions.
 func (peers *peers) randomPartition(partitions int) int {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	return int(peers.random.Uint64() % uint64(partitions))
 }
 
-// spreader returns the spreader of a partition of a model's groups, or nil and true if it is
-// this node. A spreader spreads requests: it assigns the requests of all nodes to the groups
-// of the partition. Each partition has a spreader of its own if there are enough nodes. If a
-// call to that node has failed within the last spreaderBackoff, the first live nodes (see
-// reservedNodes) replace it. If calls to them have failed too, spreader returns nil and
-// false.
+// spreader returns the spreader of a partition of a model's groups, or nil and true if the
+// spreader is this node. A spreader spreads requests: it assigns the requests of all nodes to
+// the groups of the partition. Each partition has a spreader of its own if there are enough
+// nodes. If that node does not exist or a call to it has failed within the last
+// spreaderBackoff, one of the first live nodes (see reservedNodes) replaces it. If calls to
+// these nodes have failed too, spreader returns nil and false.
 func (peers *peers) spreader(partition int, now time.Duration) (asked *peer, own bool) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
--- a/node/spread_test.go
+++ b/node/spread_test.go
@@ -25,8 +25,8 @@
 		"this node is the third":         {"c", fourNodes, nil, 0, "c"},
 		"the third does not answer":      {"d", fourNodes, []shedkeel.NodeID{"c"}, 0, "b"},
 		"the second takes over":          {"b", fourNodes, []shedkeel.NodeID{"c"}, 0, "b"},
-		"another part":                   {"a", fourNodes, nil, 1, "d"},
-		"more parts than nodes":          {"a", fourNodes, nil, 2, "c"},
+		"another partition":              {"a", fourNodes, nil, 1, "d"},
+		"more partitions than spreaders": {"a", fourNodes, nil, 2, "c"},
 		"none of the candidates answers": {"d", fourNodes, []shedkeel.NodeID{"a", "b", "c"}, 0, ""},
 	}
 	for name, test := range cases {
@@ -49,7 +49,8 @@
 }
 
 // TestSpreadWithoutAnswer has a spreader that accepts calls and never answers. One request
-// waits for it, for spreadTimeout, and later ones do not. The test allows 50 times that wait,
+// waits for its answer, for spreadTimeout. The next request is spread by the asking node, which
+// replaces the spreader until spreaderBackoff is over. The test allows 50 times spreadTimeout,
 // since the machine may be busy.
 func TestSpreadWithoutAnswer(t *testing.T) {
 	unresponsive := listenHere(t)
@@ -70,7 +71,7 @@
 	assert.Assert(t, known)
 	assert.DeepEqual(t, recommendation, dispatch.Recommendation{Head: "i", Running: dispatch.RunningRequests{OnTime: 2}})
 	_, own := node.peers.spreader(0, timers.Now()+spreaderBackoff)
-	assert.Assert(t, !own, "the first spreader is not asked again")
+	assert.Assert(t, !own, "the first spreader must be asked again")
 }
 
 // TestSpreadIsAnswered asks a spreader over a network connection. The spreader recommends
