--- a/formation/correlated_loss_test.go
+++ b/formation/correlated_loss_test.go
@@ -11,9 +11,9 @@
 )
 
 // TestServersLostTogether kills two members of a group at the same moment, as a fault of
-// their domain does. The probe of the second one fails some milliseconds after the first.
-// It must not form the group again with the second lost member, whose order to join would
-// never be answered.
+// their domain does. The probe of the second member fails 50 ms after that of the first.
+// Between the two, the planner must not form the group again with the second member, which
+// would never answer the order to join.
 func TestServersLostTogether(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(3, 2, 16)
@@ -50,9 +50,9 @@
 }
 
 // TestRepairWaitsForProbesOfSubstitutes has a group lose a member while the free servers of
-// its domain are being probed too: the planner must wait for the results, then form the group
-// with a live one. When it did not wait, it formed the group with a lost server, which took
-// 0.9 s longer, or released the group for lack of a substitute.
+// its domain are being probed too. The planner must wait for the results, then form the group
+// with a live server. A planner that did not wait formed the group with a lost server, which
+// took 0.9 s longer, or released the group for lack of a substitute.
 func TestRepairWaitsForProbesOfSubstitutes(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(3, 2, 16)
@@ -80,7 +80,7 @@
 	for _, id := range free[1:] {
 		dead[id] = true
 	}
-	delete(probed, free[0]) // it has answered
+	delete(probed, free[0]) // this server has answered
 	input.Now, input.Instances = fleet.now, fleet.instances()
 	actions := planner.Plan(input)
 	assert.Equal(t, len(actions), 1, "%v", actions)
--- a/formation/demand.go
+++ b/formation/demand.go
@@ -10,19 +10,21 @@
 	// configuredWeight is the number of measured requests at which measured and
 	// configured shares have equal weight.
 	configuredWeight = 200.0
-	// sameDemandRatio is the ratio of a measured share to the configured one, or of the
-	// configured to the measured, up to which the two count as equal. At a steady 130
-	// requests per second, measured shares vary by a tenth. A burst of 14 s, with 1.6 times
-	// the requests of one model and 0.7 times those of the other, ends before the move of a
-	// group between models pays off.
+	// sameDemandRatio is the ratio of a model's averaged share (workShares) to the
+	// configured one, or of the configured to the averaged one, up to which the two count
+	// as equal. At a steady 130 requests per second, measured shares vary by a tenth. A
+	// ratio of 1.25 was too low: a burst of 14 s, with 1.6 times the requests of one model
+	// and 0.7 times those of the other, moved a group between models and ended before the
+	// move paid off.
 	sameDemandRatio = 1.5
 )
 
-// workShares returns each model's share of the total work, measured in box time. It
-// averages measured and configured shares: the more requests were measured, the more the
-// measured shares count, because the configured ones are only an estimate from before any
-// request arrived. It returns the configured shares if the measurement is not usable or
-// all averages are within sameDemandRatio of them.
+// workShares returns each model's share of the total work, in box time (boxWork). The shares
+// have the same sum as the configured ones. It averages measured and configured shares: the
+// more requests were measured, the more the measured shares count, because the configured
+// ones are only an estimate from before any request arrived. It returns the configured shares
+// if their sum is not positive, if the measured sums are not positive and finite, or if all
+// averages are within sameDemandRatio of the configured shares.
 func workShares(engine *shedkeel.Engine, demand map[shedkeel.ModelID]shedkeel.ModelDemand) map[shedkeel.ModelID]float64 {
 	configured := map[shedkeel.ModelID]float64{}
 	total, work, requests := 0.0, 0.0, 0.0
@@ -52,9 +54,10 @@
 	return measured
 }
 
-// boxWork returns the box time, in seconds, that the demand on a model takes: the time
-// for prefilling the prompts, and the time that each request adds to the decoding steps. It
-// leaves out the base time of a step, which all running requests share.
+// boxWork returns the box time that the demand for a model takes: the seconds for which a
+// group works, times its boxes. A group takes time to prefill the prompts, and each request
+// adds time to the decoding steps. The result leaves out the base time of a step, which all
+// running requests share. It is 0 if the engine's times are not known.
 func boxWork(engine *shedkeel.Engine, model *shedkeel.Model, demand shedkeel.ModelDemand) float64 {
 	if engine.ReadPerSecond <= 0 {
 		return 0
--- a/formation/demand_test.go
+++ b/formation/demand_test.go
@@ -33,8 +33,9 @@
 	smallRate = 50.0
 )
 
-// TestShares checks which demands change the shares from the configured 0.67 and 0.33. The
-// bounds allow for the weight that workShares gives to the configured shares.
+// TestShares checks which demands change the shares from the configured 0.67 and 0.33, and
+// that the sum stays 1. The bounds allow for the weight that workShares gives to the
+// configured shares.
 func TestShares(t *testing.T) {
 	cases := map[string]struct {
 		demand             map[shedkeel.ModelID]shedkeel.ModelDemand
@@ -60,8 +61,8 @@
 }
 
 // TestLossesMoveNoGroups has half of the large model's groups lose three members, more than
-// their domains have spares for. No group of the other model may be released for that, since
-// the lost servers are replaced 20 s later.
+// their domains have spares for. No group may be ordered to close for that, since the lost
+// servers are replaced 20 s later, and a minute after that all groups must serve again.
 func TestLossesMoveNoGroups(t *testing.T) {
 	fleet := newFakeFleet(3, 6, 8)
 	planner := newPlanner(1)
@@ -88,7 +89,8 @@
 }
 
 // TestGroupsFollowDemand changes the demand while callers are served. Groups must follow a
-// lasting change without oscillating and with few loads.
+// lasting change with few loads, and only a lasting change. After three minutes, no more
+// orders may be sent.
 func TestGroupsFollowDemand(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
@@ -178,7 +180,8 @@
 var histories = flag.Int("histories", 12, "random histories to simulate")
 
 // TestRulesHoldWhileGroupsAreReleased shifts the demand between models while members are lost
-// or unreachable, orders are lost or carried out late, and planners change.
+// or unreachable, orders are lost or carried out late, and planners change. It also checks
+// that some groups are closed in these histories.
 func TestRulesHoldWhileGroupsAreReleased(t *testing.T) {
 	t.Parallel()
 	var closed atomic.Int64
--- a/formation/fake_test.go
+++ b/formation/fake_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// fakeServer is one start of a backend server that follows the protocol of engines. Its
-// exported fields are what it reports.
+// fakeServer is one instance of a backend server that follows the protocol of engines: a
+// restart makes another fakeServer. Its exported fields are what it reports.
 type fakeServer struct {
 	shedkeel.Instance
 	highestEpoch     uint64                       // of the orders to join that it accepted
@@ -30,22 +30,23 @@
 	readyAt          time.Duration                // when the current join is complete
 	stagingModel     shedkeel.ModelID             // the model that its host is loading
 	stagedAt         time.Duration                // when that load is complete; 0: the host loads nothing
-	cold             bool                         // the current join loads from the weight store, which leaves the model on the host
+	cold             bool                         // the current join loads the weights from the weight store, which leaves them on the host
 	diedAt           time.Duration                // 0: alive
-	stalledSince     time.Duration                // as a head: when a member became missing; 0: none is
+	stalledSince     time.Duration                // as a head: when checkStalled first found a member missing; 0: none is
 	unreachableUntil time.Duration                // the planner can't reach it before this time, though it serves
 	members          []shedkeel.InstanceID        // members of its current formation, by rank
 	readyIn          map[shedkeel.Assignment]bool // the formations in which it has been ready
 	partitionedAt    time.Duration                // start of a partition from the planner and the list, in which it serves
 	partitionedUntil time.Duration
-	restarted        bool // its server has started again; diedAt is set too
+	restarted        bool // a later instance of its server exists; diedAt is set too
 }
 
 // isPartitioned reports whether the server is partitioned from the planner.
 func (server *fakeServer) isPartitioned(now time.Duration) bool { return now < server.partitionedUntil }
 
-// unlisted reports whether a partitioned server is missing from the list. Its record there
-// expires after three heartbeats, and is written again 1.4 s after the partition ends.
+// unlisted reports whether the list lacks the server because of a partition. The server's
+// record in the list expires after three heartbeats, if the partition lasts that long, and is
+// written again 1.4 s after the partition ends.
 func (server *fakeServer) unlisted(now time.Duration) bool {
 	const expiry, relistDelay = 3600 * time.Millisecond, 1400 * time.Millisecond
 	return server.partitionedUntil-server.partitionedAt > expiry && now > server.partitionedAt+expiry && now < server.partitionedUntil+relistDelay
@@ -62,10 +63,10 @@
 	answerLoss  float64 // probability that the answer to an order is lost
 	violations  []string
 	lastServer  int
-	laterTerms  uint64 // number of planners after the first one
+	laterTerms  uint64 // number of terms (newPlanner) after the first one
 	demand      map[shedkeel.ModelID]shedkeel.ModelDemand
 	orderCounts map[shedkeel.GroupOrderKind]int // orders sent
-	lagSteps    int                             // how many steps of testStep the list is late
+	lagSteps    int                             // by how many steps of testStep the list lags
 	history     [][]shedkeel.Instance           // the list at each call of instances
 }
 
@@ -93,8 +94,8 @@
 	fleet.servers[id] = server
 }
 
-// restart has a server start again under its name. The server loses its state, but its host
-// keeps the weights on it.
+// restart replaces an instance of a server by the next one, under the same name. The server
+// loses its state, but its host keeps the weights that it holds.
 func (fleet *fakeFleet) restart(id shedkeel.InstanceID) {
 	former := fleet.servers[id]
 	former.diedAt, former.restarted, former.Member = fleet.now, true, nil
@@ -104,8 +105,8 @@
 	fleet.servers[next.ID] = next
 }
 
-// current returns the latest start of the server. It receives the orders to all earlier
-// starts, because engines identify themselves by server name alone.
+// current returns the latest instance of a server, which receives the orders to all earlier
+// instances: engines check only the server name.
 func (fleet *fakeFleet) current(id shedkeel.InstanceID) *fakeServer {
 	server := fleet.servers[id]
 	for server.restarted {
@@ -114,7 +115,7 @@
 	return server
 }
 
-// wasReady reports whether any start of a server was ready in the formation.
+// wasReady reports whether any instance of a server was ready in the formation.
 func (fleet *fakeFleet) wasReady(id shedkeel.InstanceID, in shedkeel.Assignment) bool {
 	for _, server := range fleet.servers {
 		if server.ID.Server() == id.Server() && server.readyIn[in] {
@@ -124,14 +125,14 @@
 	return false
 }
 
-// instances returns the list of servers as a planner sees it, late by lagSteps.
+// instances returns the list of servers as a planner sees it: that of lagSteps calls ago.
 func (fleet *fakeFleet) instances() []shedkeel.Instance {
 	fleet.history = append(fleet.history, fleet.listed())
 	return fleet.history[max(len(fleet.history)-1-fleet.lagSteps, 0)]
 }
 
-// listed returns the list of servers as the platform's store has it. Dead servers stay
-// listed for three heartbeats.
+// listed returns the list of servers as the platform's store has it. Dead servers stay listed
+// for three heartbeats, unless they have restarted.
 func (fleet *fakeFleet) listed() []shedkeel.Instance {
 	var listed []shedkeel.Instance
 	for _, server := range fleet.servers {
@@ -182,8 +183,8 @@
 	return nil
 }
 
-// execute has the latest start of a server carry out an order. It returns false if the
-// server refuses it.
+// execute has the latest instance of a server carry out an order. It returns false if the
+// instance refuses the order.
 func (fleet *fakeFleet) execute(order shedkeel.GroupOrder) bool {
 	server := fleet.current(order.To)
 	matches := server.Member != nil && server.Member.Group == order.Group && server.Member.Epoch == order.Epoch
@@ -214,9 +215,10 @@
 	return true
 }
 
-// join has a server carry out an order to join, and returns false if the server refuses it.
-// It records a violation if the server leaves a group whose head serves. A head that died
-// more than 5 s ago does not serve.
+// join has a server carry out an order to join, and returns false if the server refuses the
+// order. It records a violation if the server leaves another group whose head is open or
+// closing. That includes a head that died up to 5 s ago: a planner can't distinguish such a
+// head from one that is partitioned and serves.
 func (fleet *fakeFleet) join(server *fakeServer, order shedkeel.GroupOrder) bool {
 	same := server.Member != nil && server.Member.Group == order.Group && server.Member.Epoch == order.Epoch
 	if order.Epoch < server.highestEpoch || same && !slices.Equal(server.members, order.Members) {
@@ -255,9 +257,10 @@
 	return slices.IndexFunc(members, func(member shedkeel.InstanceID) bool { return member.Server() == id.Server() })
 }
 
-// checkOpen records a violation if a head opens although a member was never ready in its
-// formation. It is no violation if a member was ready and then left, since an order to open
-// may be carried out after the group was formed again. Such a head stalls.
+// checkOpen records a violation if a head opens with a wrong number of members, or although a
+// member that is alive was never ready in the head's formation. It is no violation if a
+// member was ready and then left, since an order to open may be carried out after the group
+// was formed again. Such a head stalls.
 func (fleet *fakeFleet) checkOpen(head *fakeServer) {
 	model := fleet.engine.Model(ModelOf(head.Member.Group))
 	if len(head.members) != model.Size {
@@ -318,8 +321,8 @@
 	}
 }
 
-// checkStalled marks an open head as broken when a member of its formation has been missing
-// for more than five seconds.
+// checkStalled marks an open head as broken when, for more than 5 s, at least one member of
+// the head's formation has been dead or in no formation of the same epoch.
 func (fleet *fakeFleet) checkStalled(head *fakeServer) {
 	if head.Member.State != shedkeel.MemberOpen {
 		head.stalledSince = 0
@@ -339,9 +342,9 @@
 	}
 }
 
-// deliver sends a plan's orders to the servers. With probability answerLoss an order is not
-// answered and carried out late, unless the server has died by then. Orders to dead,
-// unreachable and partitioned servers are lost.
+// deliver sends a plan's orders to the servers. With probability answerLoss, an order is not
+// answered and is carried out 2 to 12 s late, unless the server has died by then. Orders to
+// dead, unreachable and partitioned servers are lost.
 func (fleet *fakeFleet) deliver(planner *Planner, actions []Action) {
 	for _, action := range actions {
 		fleet.orderCounts[action.Order.Kind]++
@@ -362,7 +365,7 @@
 	}
 }
 
-// serving returns how many groups of each model are open and complete.
+// serving returns how many groups of each model have a live open head that does not stall.
 func (fleet *fakeFleet) serving() map[shedkeel.ModelID]int {
 	counts := map[shedkeel.ModelID]int{}
 	for _, server := range fleet.servers {
@@ -385,7 +388,8 @@
 	}
 }
 
-// newPlanner returns a planner whose epochs are higher than those of all lower terms.
+// newPlanner returns the planner of a term, the period in which one planner is in charge. Its
+// epochs are higher than those of all lower terms.
 func newPlanner(term uint64) *Planner {
 	epochs := uint64(0)
 	return &Planner{NextEpoch: func() uint64 {
@@ -402,8 +406,9 @@
 	}
 }
 
-// injectLoss kills a member and adds an empty server. With probability 1/oneIn it returns
-// the planner of the next term, which has no state, and otherwise the given planner.
+// injectLoss kills a member and adds an empty server to a random domain of six, which the
+// fleet must have. With probability 1/oneIn it returns the planner of the next term, which
+// has no state, and otherwise the given planner.
 func (fleet *fakeFleet) injectLoss(planner *Planner, oneIn int) *Planner {
 	fleet.killRandom()
 	fleet.addServer(shedkeel.DomainID(fmt.Sprintf("d%d", fleet.random.IntN(6))))
--- a/formation/fleet_test.go
+++ b/formation/fleet_test.go
@@ -20,9 +20,9 @@
 	assert.Equal(t, len(fleet.violations), 0, "%v", fleet.violations)
 }
 
-// TestRulesHoldUnderFaults kills members and replaces planners while orders are lost or
-// carried out late. It checks that no protocol rule is violated and that the groups
-// recover.
+// TestRulesHoldUnderFaults kills members and replaces planners while answers to orders are
+// lost and these orders are carried out late. It checks that no protocol rule is violated and
+// that, a minute after the last fault, at least four groups of each model serve.
 func TestRulesHoldUnderFaults(t *testing.T) {
 	t.Parallel()
 	seeds := 40
@@ -44,8 +44,8 @@
 	}
 }
 
-// checkRecovery runs a minute without faults, then checks that no rule was violated and
-// that at least the given number of groups of each model serve.
+// checkRecovery simulates a minute without new faults, then checks that no rule was violated
+// and that at least minServing groups of each model serve.
 func (fleet *fakeFleet) checkRecovery(t *testing.T, planner *Planner, seed, minServing int) {
 	t.Helper()
 	fleet.run(planner, time.Minute, true)
@@ -54,9 +54,9 @@
 	assert.Assert(t, serving["large"] >= minServing && serving["small"] >= minServing, "seed %d: %v", seed, serving)
 }
 
-// TestRulesHoldWhileServersAreUnreachable has serving servers fail probes and leave orders
-// unanswered for a while: their groups are formed again without them, and they become
-// reachable again after other servers have taken their ranks.
+// TestRulesHoldWhileServersAreUnreachable has random servers fail probes and leave orders
+// unanswered for up to 8 s while they go on serving. Their groups may be formed again without
+// them before they are reachable again.
 func TestRulesHoldWhileServersAreUnreachable(t *testing.T) {
 	t.Parallel()
 	for seed := range 40 {
@@ -104,9 +104,9 @@
 	}
 }
 
-// TestRulesHoldWhileServersRestart restarts servers under their names while planners change
-// and orders are lost or carried out late. The next start of a server carries out late orders
-// to the previous one.
+// TestRulesHoldWhileServersRestart restarts servers while planners change and orders are
+// carried out late without an answer. The current instance of a server carries out late
+// orders to earlier instances.
 func TestRulesHoldWhileServersRestart(t *testing.T) {
 	t.Parallel()
 	for seed := range 60 {
@@ -137,10 +137,10 @@
 }
 
 // TestMemberThatRestarts checks that a group recovers within 3 s when a member of the open
-// group restarts under its name. A planner that did not recognize the restart left the group
-// unchanged for unlistedGrace, as if the member were only unlisted. For a head, it reserved
-// the members for headTimeout, because an unreachable head may serve; a head that has
-// restarted can't.
+// group restarts. A planner that did not recognize the restart left the group unchanged for
+// unlistedGrace, as if the member were only unlisted. If the member was the head, the planner
+// reserved the other members for headTimeout, because an unreachable head may serve; a head
+// that has restarted can't.
 func TestMemberThatRestarts(t *testing.T) {
 	t.Parallel()
 	for name, rank := range map[string]int{"head": 0, "member": 1} {
@@ -161,9 +161,9 @@
 	}
 }
 
-// TestWarmSparesJoinFast kills four members, one after the other. With a spare on standby
-// the group recovers within 1 s of the detection; a spare that is not on standby takes
-// 1.1 s or 1.6 s to warm up.
+// TestWarmSparesJoinFast kills four members, one after the other, and checks that each group
+// recovers with a spare on standby within 1 s of the detection. A spare that is not on
+// standby takes 1.1 s or 1.6 s to warm up.
 func TestWarmSparesJoinFast(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(3, 6, 8)
@@ -183,9 +183,10 @@
 	assert.Equal(t, len(fleet.violations), 0, "%v", fleet.violations)
 }
 
-// TestSparesReplaceMembersOfEitherModel kills two members of one model in a domain that has
-// a spare of each model. When each spare had only one model's weights, the second group
-// waited 16 s for a load although the other model's spare was free.
+// TestSparesReplaceMembersOfEitherModel kills two members of one model in a domain with two
+// spares, and checks that each is replaced within a warm-up and 1 s. When each spare had only
+// the weights of a different model, the second group waited 16 s for a load although the
+// other model's spare was free.
 func TestSparesReplaceMembersOfEitherModel(t *testing.T) {
 	t.Parallel()
 	for _, model := range []shedkeel.ModelID{"large", "small"} {
@@ -233,8 +234,8 @@
 }
 
 // TestHeadDoesNotReplaceLostMember checks that a group that lost a member is formed again
-// once, with another server. When the head was chosen as the substitute, the group was
-// ordered to form again every 250 ms and never opened.
+// only once, with two different servers. When the head was chosen as the substitute for the
+// lost member, the group was ordered to form again every 250 ms and never opened.
 func TestHeadDoesNotReplaceLostMember(t *testing.T) {
 	fleet := newFakeFleet(3, 1, 4)
 	fleet.engine.Models = fleet.engine.Models[1:] // groups of two
@@ -278,8 +279,9 @@
 	assert.Assert(t, round.usable(&fleet.servers["s001"].Instance))
 }
 
-// TestMemberThatIsNoLongerListed removes members from the list that still work: their groups
-// must not be formed again immediately, unless their requests receive no events.
+// TestMemberThatIsNoLongerListed removes a member that still works from the list. The group
+// must not be formed again immediately: after unlistedGrace its head is ordered to close. Once
+// the requests of the group receive no events, it is formed again immediately.
 func TestMemberThatIsNoLongerListed(t *testing.T) {
 	fleet := newFakeFleet(6, 1, 8)
 	planner := newPlanner(1)
@@ -328,10 +330,10 @@
 	}
 }
 
-// TestLostLoadIsOrderedAgain checks that an order to load weights that was lost is sent
-// again. When it was not, the planner counted the server as loading for half a minute. The
-// servers must have their weights after unreachableBackoff and the longest load, 16 s, plus a
-// second.
+// TestLostLoadIsOrderedAgain checks that an order to load weights is sent again if the order
+// was lost. When it was not sent again, the planner counted the server as loading for half a
+// minute. The servers must have their weights after unreachableBackoff and the longest load,
+// 16 s, plus a second.
 func TestLostLoadIsOrderedAgain(t *testing.T) {
 	fleet := newFakeFleet(8, 1, 8)
 	planner := newPlanner(1)
@@ -346,9 +348,10 @@
 	}
 }
 
-// TestReadyHeadMayBeOpening checks that the members of a group whose head was ordered to open
-// and is still listed as ready are free only once the head has confirmed that it left. Before
-// that rule, such a head was used as a substitute while it served.
+// TestReadyHeadMayBeOpening has two groups lose a member each. One head is open; the other was
+// ordered to open and is still listed as ready. No server may be ordered to join a group
+// before both heads have confirmed that they left. Without that rule, the head that was listed
+// as ready was used as a substitute while it served.
 func TestReadyHeadMayBeOpening(t *testing.T) {
 	member := func(id string, group shedkeel.GroupID, rank int, state shedkeel.MemberState) shedkeel.Instance {
 		return shedkeel.Instance{
@@ -409,16 +412,16 @@
 }
 
 // TestLateJoinOfRestartedServer restarts a member while an order to join its group, which the
-// previous start did not answer, may still be carried out. It checks that the new start is
-// not used elsewhere before lateOrderTime has passed. A planner once ordered a new start to go
-// on standby just after it had carried out the late order, and so took it out of a group whose
-// head served.
+// previous instance did not answer, may still be carried out. It checks that the new instance
+// is not ordered into another formation before lateOrderTime has passed. A planner once
+// ordered a new instance to go on standby just after that instance had carried out the late
+// order, and so took it out of a group whose head served.
 func TestLateJoinOfRestartedServer(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
 		unanswered bool
 		wait       time.Duration // from the order to the restart
-		free       bool          // the new start may be used elsewhere
+		free       bool          // the new instance is ordered into another formation
 	}{
 		"all orders are answered":                          {false, 0, true},
 		"an order is pending":                              {true, 0, false},
--- a/formation/forget_test.go
+++ b/formation/forget_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestFormerFormationsAreForgotten has a planner observe one formation after the other for
-// an hour, each for 10 s and with a head that is lost after 5 s: the planner's state must not
-// grow with time.
+// an hour, each for 10 s and with a head that is unlisted after 5 s. The planner's state must
+// not grow with time.
 func TestFormerFormationsAreForgotten(t *testing.T) {
 	engine := &shedkeel.Engine{Models: []shedkeel.Model{{ID: "m", Size: 2, Share: 1}}}
 	planner := &Planner{NextEpoch: func() uint64 { return 1 << 40 }}
--- a/formation/form.go
+++ b/formation/form.go
@@ -8,8 +8,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// free returns the usable backend servers of a domain that are in no group. It
-// leaves out slow servers and those whose liveness probe is pending.
+// free returns the usable backend servers of a domain that are neither reserved nor in an
+// active group. It leaves out slow servers and those whose liveness probe is pending.
 func (round *round) free(domain shedkeel.DomainID) []*shedkeel.Instance {
 	var found []*shedkeel.Instance
 	for _, instance := range round.byDomain[domain] {
@@ -28,16 +28,17 @@
 	return round.input.ProbePending[instance.ID] && !round.input.Dead[instance.ID]
 }
 
-// awaitsProbeResults reports whether liveness probes of usable free servers of a domain
-// are pending. Results arrive within some tenths of a second.
+// awaitsProbeResults reports whether liveness probes of usable servers of a domain are
+// pending that are in no group and not reserved. Results arrive within some tenths of a
+// second.
 func (round *round) awaitsProbeResults(domain shedkeel.DomainID) bool {
 	return slices.ContainsFunc(round.byDomain[domain], func(instance *shedkeel.Instance) bool {
 		return round.isBeingProbed(instance) && IsFree(instance) && !round.reserved[instance.ID] && round.usable(instance)
 	})
 }
 
-// inActiveGroup reports whether the instance is in a formation whose head may be
-// serving.
+// inActiveGroup reports whether the instance is in a formation, other than for standby, whose
+// head may be serving.
 func (round *round) inActiveGroup(instance *shedkeel.Instance) bool {
 	if IsFree(instance) {
 		return false
@@ -124,18 +125,18 @@
 	}
 }
 
-// convertNeedRatio is the minimum ratio of another model's need to that of the model on a
-// spare's host at which the spare loads the other model. A spare is not available while it
-// loads.
+// convertNeedRatio is the minimum ratio of another model's need (groupNeed) to that of the
+// model on a spare's host at which the spare may load the other model for a new group. A
+// spare is not available while it loads.
 const convertNeedRatio = 1.5
 
 // picker returns up to count free servers of a domain for a model.
 type picker func(domain shedkeel.DomainID, model *shedkeel.Model, count int) []*shedkeel.Instance
 
-// candidates returns up to count free servers that have the model's weights, are
-// loading them, or could load them, the cheapest first. A server that holds
-// another model's weights counts only if this model's need for groups is at
-// least convertNeedRatio times that of the other.
+// candidates returns up to count free servers that have the model's weights, are loading
+// them, or could load them, in order of loadCost. A server whose host holds only the weights
+// of other models counts if the model's need is at least convertNeedRatio times that of the
+// first of them, or if the engine no longer has that one.
 func (round *round) candidates(domain shedkeel.DomainID, model *shedkeel.Model, count int, counts map[shedkeel.ModelID]int) []*shedkeel.Instance {
 	found := slices.DeleteFunc(round.free(domain), func(instance *shedkeel.Instance) bool {
 		if joinCost(instance, model.ID) < costLoad || len(instance.Staged) == 0 {
@@ -169,7 +170,8 @@
 	return costLoad + 1
 }
 
-// groupCounts returns the number of active and forming groups of each model.
+// groupCounts returns the number of active and forming groups of each model. It takes a group
+// with a reserved member as active.
 func (round *round) groupCounts() map[shedkeel.ModelID]int {
 	counts := map[shedkeel.ModelID]int{}
 	names := map[shedkeel.GroupID]bool{}
@@ -187,8 +189,10 @@
 	return counts
 }
 
-// nextGroup returns the model that needs another group most, among those for which
-// a domain has room, and that domain. The model is nil if there is none.
+// nextGroup returns the model that needs another group most, among those for which domainFor
+// finds a domain, and that domain. The model is nil if there is none. The donor of a
+// reallocation gets no group beyond minGroups. A model with minGroups whose need is below
+// minNeedRatio gets groups only in domains without groups.
 func (round *round) nextGroup(counts map[shedkeel.ModelID]int, pick picker) (*shedkeel.Model, shedkeel.DomainID) {
 	var best *shedkeel.Model
 	var bestDomain shedkeel.DomainID
@@ -214,8 +218,8 @@
 	return best, bestDomain
 }
 
-// groupNeed returns how much a model needs another group: its work per active or forming
-// group. The 0.5 keeps the result finite for a model without groups.
+// groupNeed returns how much a model needs another group: its work (groupWork) per active or
+// forming group. The 0.5 keeps the result finite for a model without groups.
 func (round *round) groupNeed(model *shedkeel.Model, counts map[shedkeel.ModelID]int) float64 {
 	return round.groupWork(model) / (float64(counts[model.ID]) + 0.5)
 }
@@ -231,15 +235,16 @@
 }
 
 // domainFor returns the domain for a new group of the model, and whether there is one. Of the
-// settled domains for which pick returns enough servers and that keep their spares after the
-// group is formed, it chooses the one with the fewest free backend servers. Small groups thus
-// leave the larger gaps to larger groups.
+// settled domains (settleTime) for which pick returns enough servers and that keep their
+// spares (minSparesOf) after the group is formed, it chooses the one with the fewest free
+// servers beyond these. Small groups thus leave the larger gaps to larger groups. A domain
+// without groups need not keep spares.
 //
-// With useSpares, the domain need not keep its spares. With onlyEmpty, only domains
-// without groups count. nextGroup sets onlyEmpty for a model that needs a group much less
-// than another does. If such a model could not even use a domain without groups, three free
-// servers of a domain could stay unused until another server joins: they would be kept for a
-// model that has lost its groups everywhere and whose groups are too large for the domain.
+// With useSpares, no domain need keep its spares. With onlyEmpty, only domains without groups
+// count. nextGroup sets onlyEmpty for a model that needs a group much less than another does.
+// If such a model could not even use a domain without groups, three free servers of a domain
+// could stay unused until another server joins: they would be kept for a model that has lost
+// its groups everywhere and whose groups are too large for the domain.
 func (round *round) domainFor(model *shedkeel.Model, pick picker, useSpares, onlyEmpty bool) (shedkeel.DomainID, bool) {
 	fewestFree := math.MaxInt
 	var bestDomain shedkeel.DomainID
@@ -280,15 +285,17 @@
 	return minSpares(len(round.byDomain[domain]))
 }
 
-// shortageRatio is the minimum ratio of a model's need to another's at which a group of the
-// model may be formed from a domain's last spares. A model that lost two of nine groups has a
-// ratio of 1.2, one that lost three has 1.4.
+// shortageRatio is the minimum ratio of a model's need (groupNeed) to another's at which a
+// group of the model may be formed from a domain's last spares. If the needs were equal
+// before, the ratio is 1.27 after the loss of two of nine groups and 1.46 after that of
+// three, so the loss of three suffices.
 const shortageRatio = 1.3
 
-// lacksGroups reports whether a model has lost so many groups, compared with
-// another model, that one more group is worth the spares of a domain. The
-// configured shares must show the shortage too: spares are for losses, not for
-// demand above the configured share.
+// lacksGroups reports whether a model has lost so many groups, compared with another model,
+// that one more group is worth the spares of a domain: its need is at least shortageRatio
+// times that of the other model, by the shares of the work as well as by the configured
+// shares. Both must show the shortage, because spares are for losses, not for demand above the
+// configured share.
 func (round *round) lacksGroups(model *shedkeel.Model, counts map[shedkeel.ModelID]int) bool {
 	if !round.input.Traffic {
 		return false // while the first groups are formed, models lack groups only for the moment
--- a/formation/loads_test.go
+++ b/formation/loads_test.go
@@ -21,8 +21,9 @@
 }
 
 // TestLoadsOfLostServersBlockNoOthers checks that a planner forms a group from eight empty
-// servers although it has adopted as many loads as may run at once, all on servers that have
-// been lost since. When those counted, it waited for them forever and formed no group.
+// servers although it has adopted as many loads as may run at once, all on servers that are
+// not listed. When such loads counted, the planner waited for them forever and formed no
+// group.
 func TestLoadsOfLostServersBlockNoOthers(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(7, 1, 8)
@@ -34,8 +35,8 @@
 	assert.Equal(t, len(fleet.violations), 0, "%v", fleet.violations)
 }
 
-// TestLoadsOfLostServersAreForgotten kills servers while they load: the planner must stop
-// reporting their loads, which the next planner adopts.
+// TestLoadsOfLostServersAreForgotten kills servers while they load weights. The planner must
+// stop reporting their loads, because the next planner adopts all reported loads.
 func TestLoadsOfLostServersAreForgotten(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(7, 1, 8)
--- a/formation/planner.go
+++ b/formation/planner.go
@@ -2,13 +2,14 @@
 // the engines themselves keep the state of their groups. The planner's own state is
 // not authoritative: a new planner continues from what the engines report.
 //
-// A formation is one configuration of a group: its members under one epoch. The
-// member of rank 0 is the head, which serves requests while it is open. To stage a
-// model is to load its weights onto a host. A spare is a free backend server that is
-// kept as a substitute for lost members; it is on standby while it waits, warmed up,
-// in a formation of its own. To release a group is to close it and have its head
-// leave, so that its members are free. The list is the platform's list of backend
-// servers with their memberships (Input.Instances); it lags behind the engines.
+// An instance is one start of a backend server: a restart makes another instance. A
+// formation is one configuration of a group: its members under one epoch. The member of
+// rank 0 is the head, which serves requests while it is open. To stage a model is to load
+// its weights onto a host. A spare is a free backend server that is kept as a substitute
+// for lost members; a spare is on standby while it waits, warmed up, in a formation of
+// its own. To release a group is to close it and have its head leave, so that its members
+// are free. The list is the platform's list of backend servers with their memberships
+// (Input.Instances); it lags behind the engines.
 //
 // All times are those of a shedkeel.Timers clock.
 //
@@ -18,9 +19,11 @@
 //     highest that they have seen.
 //   - A head is ordered to open only when every member reports that it is ready in
 //     that formation.
-//   - A member is used in another group only when its head can't be serving: the
-//     head has confirmed a higher epoch or that it left, or it has been unreachable
-//     for longer than network partitions last (headTimeout).
+//   - A member is used in another group only when the head of its formation can't be
+//     serving: the head has confirmed that it left, its server has restarted, it is
+//     listed as broken, or it has been unusable for headTimeout, longer than network
+//     partitions last. If a later formation of the group has replaced the formation,
+//     it suffices that the list shows the head outside the replaced one.
 package formation
 
 import (
@@ -42,8 +45,9 @@
 	// headTimeout is how long a head must be unreachable before the members of its
 	// group may be used in other groups. Only time distinguishes a lost head from
 	// one that is partitioned from the planner and the list and still serves.
-	// Partitions of 10 s were seen, and the head is listed again up to 2 s later.
-	// The group itself may be formed again immediately, under a new epoch.
+	// Partitions of 10 s were seen, and the head is listed again up to 2 s later, so
+	// the timeout is well above 12 s. The group itself may be formed again immediately,
+	// under a new epoch.
 	headTimeout = 20 * time.Second
 	// listDelay is the longest time until the list shows the effect of an answered
 	// order.
@@ -51,7 +55,8 @@
 	// lateOrderTime is how long a server may still carry out an order that it has
 	// not answered.
 	lateOrderTime = 15 * time.Second
-	// loadWindow is the sliding window over which ordered loads are counted.
+	// loadWindow is the sliding window over which ordered loads are counted for
+	// Engine.LoadsPerSecond.
 	loadWindow = 5 * time.Second
 	// spareShare is the share of a domain's servers that are kept free as spares;
 	// minSpares rounds the result.
@@ -66,19 +71,21 @@
 	// server is skipped. Even if a third of all answers is lost, two consecutive
 	// losses are rare.
 	maxUnanswered = 2
-	// unreachableBackoff is how long a server is skipped after maxUnanswered orders.
+	// unreachableBackoff is how long a server is skipped after it has left
+	// maxUnanswered consecutive orders unanswered.
 	unreachableBackoff = 3 * time.Second
 	// unlistedGrace is how long a working group is left unchanged although a member
-	// is no longer listed. If the member is merely partitioned from the list, it is
-	// listed again. If it leaves without notice, it serves for some more seconds.
+	// is no longer listed. A member that is merely partitioned from the list is listed
+	// again, and one that leaves without notice serves for some more seconds, so an
+	// immediate repair would break off requests that the group can finish.
 	unlistedGrace = 6 * time.Second
 	// retentionTime is how long the planner keeps the state of a formation that no
 	// listed server reports. It is much longer than a partitioned head can go on
 	// serving.
 	retentionTime = time.Minute
-	// minNeedRatio limits which models get more groups than minGroups: in a domain that
-	// has groups, only a model whose need (groupNeed) is at least this share of the
-	// highest need of any model. The servers left over remain spares.
+	// minNeedRatio limits which models get more groups than minGroups: a domain that has
+	// groups gets another one only for a model whose need (groupNeed) is at least this
+	// share of the highest need of any model. The servers left over remain spares.
 	minNeedRatio = 0.5
 )
 
@@ -91,7 +98,7 @@
 	ProbePending map[shedkeel.InstanceID]bool              // instances with a pending liveness probe
 	Slow         map[shedkeel.InstanceID]float64           // instances that work, but slower by this factor
 	Stalled      map[shedkeel.Assignment]bool              // groups whose requests receive no events
-	Demand       map[shedkeel.ModelID]shedkeel.ModelDemand // as measured; if empty, the configured shares apply
+	Demand       map[shedkeel.ModelID]shedkeel.ModelDemand // as measured; if not usable, the configured shares apply (workShares)
 	Traffic      bool                                      // callers are being served, so loads are limited
 }
 
@@ -108,7 +115,7 @@
 	headMissingSince   map[shedkeel.Assignment]time.Duration               // when the head was first found unusable
 	lastMembers        map[shedkeel.Assignment]map[int]shedkeel.InstanceID // the members when last listed, by rank
 	leftAt             map[shedkeel.Assignment]time.Duration               // when the head confirmed that it left
-	reservedUntil      map[shedkeel.InstanceID]time.Duration               // members of abandoned formations; not used elsewhere before this time
+	reservedUntil      map[shedkeel.InstanceID]time.Duration               // members of abandoned formations; not used in other groups before this time
 	memberMissingSince map[shedkeel.Assignment]time.Duration               // when a member was first found unlisted
 	loadStarts         []time.Duration                                     // when loads from the weight store were ordered, by stage or join orders
 	loading            map[shedkeel.InstanceID]loading                     // loads onto hosts that were ordered and have not finished
@@ -122,14 +129,14 @@
 	reallocations    map[shedkeel.DomainID]*reallocation
 	released         map[shedkeel.Assignment]bool // released formations; their members are free
 	imbalanceSince   time.Duration                // when the models became imbalanced; 0: they are balanced
-	lastReallocation time.Duration                // when the last reallocation ended; 0: never
+	lastReallocation time.Duration                // when the last reallocation ended that was not canceled; 0: never
 	lastRound        *round                       // the latest call of Plan, for Usage and Waits
 }
 
 // loading is an ordered load of a model's weights onto a host.
 type loading struct {
 	model     shedkeel.ModelID
-	deadline  time.Duration // the load is no longer tracked after this time
+	deadline  time.Duration // from this time on, the load is no longer tracked
 	confirmed bool          // the server has confirmed the order
 }
 
@@ -148,7 +155,7 @@
 	epoch uint64
 }
 
-// formingGroup is a formation that was ordered and whose members are not all ready.
+// formingGroup is a formation in progress: it was ordered, and its members are not all ready.
 type formingGroup struct {
 	epoch         uint64
 	model         shedkeel.ModelID
@@ -181,7 +188,8 @@
 	return round.actions
 }
 
-// Confirmed records that an engine accepted the order.
+// Confirmed records that an engine accepted the order. When the head of a group that a
+// reallocation releases has confirmed that it left, the group's members are free.
 func (planner *Planner) Confirmed(order shedkeel.GroupOrder) {
 	delete(planner.unanswered, order.To)
 	planner.confirmLoad(order)
@@ -204,7 +212,8 @@
 	}
 }
 
-// confirmLoad records that a server accepted an order to load weights.
+// confirmLoad records that a server accepted the order, if it is the order for the load that
+// the planner expects of that server. Other orders have no effect.
 func (planner *Planner) confirmLoad(order shedkeel.GroupOrder) {
 	if known, busy := planner.loading[order.To]; busy && order.Kind == shedkeel.OrderStage && known.model == order.Model {
 		known.confirmed = true
@@ -222,8 +231,9 @@
 	return found
 }
 
-// AdoptLoads takes over the loads that a previous planner ordered. Ordering them again
-// would restart them. Call it before the first call of Plan.
+// AdoptLoads takes over the loads that a previous planner ordered, except those of models
+// that the engine does not have. Ordering them again would restart them. Call AdoptLoads
+// before the first call of Plan.
 func (planner *Planner) AdoptLoads(models map[shedkeel.InstanceID]shedkeel.ModelID, engine *shedkeel.Engine, now time.Duration) {
 	planner.loading = map[shedkeel.InstanceID]loading{}
 	for id, model := range models {
@@ -233,8 +243,8 @@
 	}
 }
 
-// Unanswered records that an order was not answered. The server may still carry it
-// out.
+// Unanswered records that an order was not answered. The server may still carry out the
+// order. After maxUnanswered consecutive ones the server is skipped for unreachableBackoff.
 func (planner *Planner) Unanswered(order shedkeel.GroupOrder, now time.Duration) {
 	if order.Kind == shedkeel.OrderJoin {
 		join := pendingJoin{order.To, shedkeel.Assignment{Group: order.Group, Epoch: order.Epoch}, now + lateOrderTime}
@@ -247,8 +257,9 @@
 	}
 }
 
-// Refused records that an engine refused the order because it does not fit the
-// engine's state.
+// Refused records that an engine refused the order because the order does not fit the
+// engine's state. A refused order to stage counts as confirmed; a refused order to join
+// abandons the formation, if it is still in progress. Other orders have no effect.
 func (planner *Planner) Refused(order shedkeel.GroupOrder) {
 	if order.Kind == shedkeel.OrderStage {
 		planner.confirmLoad(order) // the host is loading already: an earlier answer was lost
@@ -269,10 +280,10 @@
 	return planner.lastRound.input.Now
 }
 
-// abandonForming abandons a formation that was ordered. It reserves the members for
-// listDelay, because the list may not show yet which of them have joined. Otherwise a
-// member could be ordered to join another group immediately, and carry out that order
-// when this formation is complete after all and serves.
+// abandonForming stops tracking a formation in progress, also one that is complete. It
+// reserves the members for listDelay, because the list may not show yet which of them have
+// joined. Otherwise a member could be ordered to join another group immediately, and carry
+// out that order when this formation is complete after all and serves.
 func (planner *Planner) abandonForming(group shedkeel.GroupID) {
 	for _, member := range planner.forming[group].members {
 		planner.reservedUntil[member] = planner.lastPlanTime() + listDelay
@@ -318,8 +329,9 @@
 	planner.expire(input.Now)
 }
 
-// expire removes the state of old orders, and of formations that no server has reported
-// for retentionTime.
+// expire removes the state of orders that are older than retentionTime, of unanswered joins
+// after lateOrderTime, of standby orders after standbyRetryInterval, and of formations that
+// no listed server has reported for retentionTime.
 func (planner *Planner) expire(now time.Duration) {
 	maps.DeleteFunc(planner.sentAt, func(_ orderKey, at time.Duration) bool { return now-at > retentionTime })
 	for server, joins := range planner.pendingJoins {
--- a/formation/reallocate.go
+++ b/formation/reallocate.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// reallocationNeedRatio is the minimum ratio of the recipient's need to the need that
-	// the donor will have without the released group. The servers of a released group
-	// are not available for some seconds, and a smaller imbalance is corrected when the
-	// next group is lost.
+	// reallocationNeedRatio is the minimum ratio of the recipient's need (groupNeed) to the
+	// need that the donor will have without the released group. The servers of a released
+	// group are not available for some seconds, and a smaller imbalance is corrected when
+	// the next group is lost.
 	reallocationNeedRatio = 1.3
-	// excessGroups is how many groups more than its fair share a model must have to
-	// release one for a model whose demand is not raised. It is not sufficient that the
-	// other model has lost groups, because lost servers restart or are replaced.
+	// excessGroups is how many groups more than its fair share (fairShare) the donor must
+	// have to release one for a recipient whose demand is not raised (demandIsRaised). A
+	// recipient that has only lost groups gets none from a donor with a smaller excess,
+	// because the lost servers restart or are replaced.
 	excessGroups = 1.5
 	// imbalanceTime is how long an imbalance must have lasted before a group is released.
 	imbalanceTime = 3 * time.Second
-	// reallocationPause is the minimum time between reallocations, so that the
-	// effect of the previous one is visible.
+	// reallocationPause is the minimum time from the end of a reallocation to the start of
+	// the next one, so that the effect of the former is visible.
 	reallocationPause = 6 * time.Second
 	// releaseTimeout is the longest time that the release of one group may take before
 	// the reallocation is given up. It includes the time in which the hosts of the group
@@ -29,29 +30,30 @@
 	releaseTimeout = 40 * time.Second
 )
 
-// reallocation moves servers of a domain from one model to another: it releases groups
-// of one model, one after the other, to make room for a group of the other.
+// reallocation moves servers of a domain from one model, the donor, to another, the
+// recipient: it releases groups of the donor, one after the other, to make room for a group
+// of the recipient.
 type reallocation struct {
-	from       shedkeel.ModelID
-	to         shedkeel.ModelID
+	from       shedkeel.ModelID // the donor
+	to         shedkeel.ModelID // the recipient
 	domain     shedkeel.DomainID
-	group      shedkeel.Assignment // the one being released
+	group      shedkeel.Assignment // the group being released
 	groupsLeft int                 // groups to release, the current one included
 	committed  bool                // the first group was ordered to close; the rest follow even if the imbalance ends
 	since      time.Duration       // when the release of the current group began
 }
 
-// reallocateGroups releases groups of a model with more groups than its work needs, for
-// a model that lacks groups. The hosts load the other model while the groups serve, then
-// the groups close and their members are free. Each domain has at most one reallocation
-// at a time.
+// reallocateGroups continues the reallocations in progress and begins new ones. The hosts of
+// a group load the recipient's weights while the group serves; then the group closes and its
+// members are free. Each domain has at most one reallocation at a time. A reallocation that
+// has ordered no group to close yet is canceled once imbalance returns no recipient.
 func (round *round) reallocateGroups() {
 	planner := round.planner
 	counts := round.groupCounts()
 	_, to := round.imbalance(counts)
 	for domain, reallocation := range planner.reallocations {
 		if to == nil && !reallocation.committed {
-			delete(planner.reallocations, domain) // the imbalance has ended
+			delete(planner.reallocations, domain) // canceled: the imbalance has ended
 			continue
 		}
 		round.donor = reallocation.from
@@ -63,8 +65,10 @@
 	round.beginReallocations(counts)
 }
 
-// beginReallocations starts reallocations once the models have been imbalanced for
-// imbalanceTime: as many as restore the balance, within the limit for loads ahead of need.
+// beginReallocations starts as many reallocations as restore the balance, mayPrefetch allows
+// and groupToRelease finds groups for. It starts them only under traffic, once the models
+// have been imbalanced for imbalanceTime and the last reallocation ended at least
+// reallocationPause ago. It changes counts to the numbers of groups after all reallocations.
 func (round *round) beginReallocations(counts map[shedkeel.ModelID]int) {
 	planner := round.planner
 	for _, reallocation := range planner.reallocations {
@@ -96,11 +100,11 @@
 	}
 }
 
-// imbalance returns the model that can release a group and the model that needs one
-// most, or nil for both if the models are balanced. The donor keeps at least minGroups.
-// The recipient's need must be at least reallocationNeedRatio times the donor's need after
-// the release. In addition, the donor must have excessGroups more than its fair share, or
-// the recipient's demand must be raised.
+// imbalance returns a donor and a recipient, or nil for both if the models are balanced. The
+// donor keeps at least minGroups. The recipient's need must be at least reallocationNeedRatio
+// times the donor's need after the release. In addition, the donor must have excessGroups
+// more than its fair share, or the recipient's demand must be raised. Of several such pairs
+// it returns one with the recipient that needs a group most.
 func (round *round) imbalance(counts map[shedkeel.ModelID]int) (from, to *shedkeel.Model) {
 	models := round.input.Engine.Models
 	for index := range models {
@@ -133,7 +137,7 @@
 }
 
 // fairShare returns how many groups a model would have if all servers except the spares
-// were divided in proportion to the models' work.
+// (minSparesOf) were divided in proportion to the models' work. It may be a fraction.
 func (round *round) fairShare(model *shedkeel.Model) float64 {
 	boxes := 0
 	for _, domain := range round.domains {
@@ -146,11 +150,15 @@
 	return float64(boxes) * round.shares[model.ID] / max(total, math.SmallestNonzeroFloat64) / float64(max(model.Size, 1))
 }
 
-// groupToRelease returns the open group of one model to release first for a group of
-// another, and how many groups its domain has to release in total. The group is nil if no
-// domain can release enough. Free servers of the domain beyond its spares become members of
-// the new group too. The choice needs the fewest released groups, weighted by the size of
-// the domain, and the fewest loads.
+// groupToRelease returns the group of the donor to release first for a group of the
+// recipient, and how many groups its domain has to release in total. The group is nil if no
+// domain without a reallocation can release enough. Free servers of the domain beyond its
+// spares become members of the new group too.
+//
+// Of the open groups with all members listed, it chooses the one with the lowest cost: the
+// number of groups to release times that of the domain's servers, plus the number of members
+// that have to load the recipient's weights. Among domains of equal size, the fewest
+// releases thus take precedence over the fewest loads.
 func (round *round) groupToRelease(from, to *shedkeel.Model) (group *observedGroup, groups int) {
 	var best *observedGroup
 	var lowestCost, groupCount int
@@ -182,17 +190,21 @@
 	return count
 }
 
-// membersWithoutModel returns the members of a group that would have to load the other
-// model from the weight store.
+// membersWithoutModel returns the listed members of a group that would have to load the
+// weights of the other model from the weight store.
 func (round *round) membersWithoutModel(group *observedGroup, to shedkeel.ModelID) []*shedkeel.Instance {
 	return slices.DeleteFunc(slices.Clone(group.members), func(member *shedkeel.Instance) bool {
 		return member == nil || joinCost(member, to) < costLoad
 	})
 }
 
-// continueReallocation orders the next step of a reallocation: the members load the
-// other model, then the head closes, then the head leaves. It returns false when the
-// reallocation is complete, is no longer possible or has timed out.
+// continueReallocation orders the next step of a reallocation: the members of the current
+// group load the recipient's weights, then the head closes, then the head leaves. Once the
+// head has left, nextRelease selects the next group. It returns false when the reallocation
+// is complete, is no longer possible, or has taken releaseTimeout for the current group.
+//
+// The reason of the orders is the same if the donor has no excess and releases the group
+// because the recipient's demand is raised.
 func (round *round) continueReallocation(reallocation *reallocation) bool {
 	if round.hasLeft(reallocation.group) && !round.nextRelease(reallocation) {
 		return false
@@ -214,8 +226,9 @@
 	return true
 }
 
-// nextRelease moves on to the next group to release, the one that needs the fewest
-// loads. It returns false if there is none.
+// nextRelease moves on to the next group to release: of the donor's open groups in the
+// domain, the one that needs the fewest loads. It returns false if enough groups are
+// released or none is open.
 func (round *round) nextRelease(reallocation *reallocation) bool {
 	reallocation.groupsLeft--
 	if reallocation.groupsLeft <= 0 {
@@ -240,15 +253,16 @@
 	return true
 }
 
-// canRelease reports whether the group being released is unchanged and complete, its head
-// is usable, and the engine still has the model that the servers are for.
+// canRelease reports whether the group being released has the same epoch as when it was
+// selected, all its members are listed, its head is usable, and the engine still has the
+// recipient.
 func (round *round) canRelease(group *observedGroup, reallocation *reallocation) bool {
 	return group != nil && group.assignment() == reallocation.group && round.input.Engine.Model(reallocation.to) != nil &&
 		!slices.Contains(group.members, nil) && round.usable(group.head())
 }
 
-// stageMembers orders members to load the weights of another model, within the limit for
-// loads ahead of need.
+// stageMembers orders members to load the weights of another model, as far as mayPrefetch
+// allows.
 func (round *round) stageMembers(members []*shedkeel.Instance, model shedkeel.ModelID) {
 	for _, member := range members {
 		if round.mayPrefetch() {
--- a/formation/repair.go
+++ b/formation/repair.go
@@ -7,9 +7,13 @@
 	"shedkeel.org/shedkeel"
 )
 
-// continueForming orders the members of formations in progress to join: first the head, and
-// the others once the head has joined or confirmed its order. It drops formations that are
-// complete or can't complete any more.
+// continueForming reserves the members of formations in progress and orders them to join:
+// first the head, and the others once the head has joined or confirmed its order. It abandons
+// formations that are complete or can't complete any more.
+//
+// An order without an answer is sent again after orderRetryInterval. A confirmed one is sent
+// again only after twice that time, which equals listDelay, if the list does not show yet that
+// the member has joined.
 func (round *round) continueForming() {
 	for id, forming := range round.planner.forming {
 		if !round.stillForming(id, forming) {
@@ -37,8 +41,8 @@
 }
 
 // stillForming reports whether a formation is still in progress: some member has not joined
-// or is still joining, and all of them can still join. It sets headConfirmed if the head is
-// listed as joined.
+// or is still joining, and all members are usable and in no formation with a higher epoch. It
+// sets headConfirmed if the head is listed in the formation.
 func (round *round) stillForming(id shedkeel.GroupID, forming *formingGroup) bool {
 	allReady := true
 	for _, member := range forming.members {
@@ -61,13 +65,14 @@
 	return !allReady
 }
 
-// hasJoined reports whether the instance is in the given formation.
+// hasJoined reports whether the instance is listed in the given formation, in any state.
 func hasJoined(instance *shedkeel.Instance, id shedkeel.GroupID, epoch uint64) bool {
 	return instance != nil && instance.Member != nil && instance.Member.Group == id && instance.Member.Epoch == epoch
 }
 
-// reconcileGroups reconciles the observed groups: it opens those that are ready and
-// repairs or releases those that lost a member.
+// reconcileGroups reconciles each observed group that is not forming, has members of valid
+// ranks, and whose model the engine has. Before that it reserves the servers that may be
+// members of a formation without being listed in it; afterwards it dismisses former heads.
 func (round *round) reconcileGroups() {
 	for id := range round.planner.reservedUntil {
 		round.reserved[id] = true
@@ -83,9 +88,10 @@
 }
 
 // reserveRestarted reserves a server that has restarted as long as a join order to an earlier
-// start may still be carried out and the head of the ordered formation may serve. Engines
-// identify themselves by server name and lose the highest epoch on a restart. The new start
-// may thus carry out the order and be a member of a serving group before the list shows it.
+// instance may still be carried out and the head of the ordered formation may serve. The new
+// instance may carry out that order, because engines check only the server name and forget on
+// a restart the highest epoch that they accepted. The new instance may thus be a member of a
+// serving group before the list shows the membership.
 func (round *round) reserveRestarted() {
 	for index := range round.input.Instances {
 		instance := &round.input.Instances[index]
@@ -97,9 +103,10 @@
 	}
 }
 
-// replaceSlow forms an open group again without its slow members if there are substitutes
-// for all of them. If the head is slow, it first orders the head to leave. The slowest
-// member sets the speed of its group.
+// replaceSlow forms an open group again without its slow members, because the slowest member
+// sets the speed of its group. It does nothing if there are not substitutes for all slow
+// members. If the head is slow, it only orders the head to leave; once the head has left, the
+// group is repaired.
 func (round *round) replaceSlow(group *observedGroup) {
 	fast := slices.DeleteFunc(slices.Clone(group.members), func(member *shedkeel.Instance) bool {
 		_, slow := round.input.Slow[member.ID]
@@ -118,8 +125,9 @@
 	}
 }
 
-// reconcile decides on one group: whether to leave it unchanged, open it, close it, wait
-// for it or repair it. Members of a group that it does not reserve are free for other groups.
+// reconcile decides whether to leave a group unchanged, open it, close it, wait for it or
+// repair it. Members of the group that it does not reserve are free for other groups unless
+// the head may serve (inActiveGroup).
 func (round *round) reconcile(group *observedGroup) {
 	assignment := group.assignment()
 	intact, draining := true, false
@@ -181,9 +189,10 @@
 }
 
 // toleratesUnlisted reports whether a group is not repaired for now although a member is not
-// listed, because the group works: it is open, its listed members are usable and its requests
-// are not stalled. After unlistedGrace it orders the head to close if there are substitutes,
-// so that the group finishes its requests before the repair.
+// listed, because the group works: it is open, its requests are not stalled, its listed
+// members are usable, and no unlisted member is known to have restarted. If a member has been
+// unlisted for unlistedGrace and there are substitutes, toleratesUnlisted orders the head to
+// close, so that the group finishes its requests before the repair.
 func (round *round) toleratesUnlisted(group *observedGroup, intact bool) bool {
 	assignment := group.assignment()
 	if intact || round.input.Stalled[assignment] || !round.usable(group.head()) || group.headState() != shedkeel.MemberOpen {
@@ -240,11 +249,11 @@
 // survivors returns the usable members in order of rank, except those that are in a
 // formation in progress.
 //
-// The list lags, so it still shows a member in this group after the member was ordered into
-// another formation. If it were treated as a survivor, it would be ordered into a third
-// formation. If it carried out that order late, it would leave the second formation while
-// that one serves. Formations that began in this round count too: a member whose head has
-// restarted is free and may have become a substitute in another group in this round.
+// The list lags, so it may still show a member in this group that was ordered into another
+// formation. If this group were formed again with that member, the member could carry out the
+// newer order late, and so leave the other formation while its head serves. Formations that
+// began in this round count as in progress: a member of a group whose head has restarted is
+// free, and may have become a substitute in another group in this round.
 func (round *round) survivors(group *observedGroup) []*shedkeel.Instance {
 	var found []*shedkeel.Instance
 	for _, member := range group.members {
@@ -255,7 +264,8 @@
 	return found
 }
 
-// canRepair reports whether there are substitutes for all lost members of a group.
+// canRepair reports whether there are substitutes for all members of a group that are not
+// survivors.
 func (round *round) canRepair(group *observedGroup) bool {
 	missing := group.model.Size - len(round.survivors(group))
 	return len(round.substitutes(group.domain, group.model, missing)) == missing
@@ -268,9 +278,10 @@
 	}
 }
 
-// repair forms the group again from its survivors and substitutes, under the same name
-// and a new epoch. Without enough substitutes it releases the group, but waits while a
-// substitute is being probed or an unreachable head may serve.
+// repair forms the group again from its survivors and substitutes, under the same name and a
+// new epoch. Without enough substitutes, the members are free if the head can't be serving.
+// Otherwise repair waits while a free server of the domain is being probed. Then it orders a
+// usable head to leave, and waits for an unusable one until headTimeout has passed.
 func (round *round) repair(group *observedGroup) {
 	members := round.survivors(group)
 	round.reserve(members) // so that they are not chosen as substitutes
@@ -286,7 +297,7 @@
 	case !round.headMayServe(group):
 		// Its members are free.
 	case round.awaitsProbeResults(group.domain):
-		round.reserveMembers(group) // a substitute may be among them
+		round.reserveMembers(group) // a probed server may be a substitute
 		round.recordGroupWait(group, WaitProbe, probeTimeout)
 	case round.usable(group.head()):
 		round.reserveMembers(group)
@@ -297,10 +308,11 @@
 	}
 }
 
-// headMayServe reports whether the head of a group may be serving. An open head that is
-// stalled counts as serving, and an unusable head counts until headTimeout has passed. So
-// does a head that is listed as ready, because an order to open, even one of a previous
-// planner, may be in transit.
+// headMayServe reports whether the head of a group may be serving. A head for which
+// headHasEnded does not serve. A usable head may serve in every listed state but broken: an
+// order to open, even one of a previous planner, may be in transit to a head that is not
+// open, and an open head counts even if its requests are stalled. An unusable head may serve
+// until headTimeout has passed.
 func (round *round) headMayServe(group *observedGroup) bool {
 	if round.headHasEnded(group.assignment()) {
 		return false
@@ -318,7 +330,8 @@
 }
 
 // hasLeft reports whether the head of a formation has confirmed that it left and is not
-// listed in it again. A head that left can join again, by carrying out an earlier join order late.
+// listed in the formation again more than listDelay later. A head that left can join again,
+// by carrying out an earlier join order late.
 func (round *round) hasLeft(assignment shedkeel.Assignment) bool {
 	_, left := round.planner.leftAt[assignment]
 	return left
@@ -326,7 +339,8 @@
 
 // formerHeadMayServe is headMayServe for a formation that a later one of the same group
 // has replaced. If the former head was considered lost, it is not a member of the later
-// formation and may still serve.
+// formation and may still serve. It does not serve if it is listed in another formation or in
+// none.
 func (round *round) formerHeadMayServe(former shedkeel.Assignment) bool {
 	if round.headHasEnded(former) {
 		return false
@@ -334,14 +348,15 @@
 	head := round.byID[round.planner.lastMembers[former][0]]
 	switch {
 	case head != nil && (head.Member == nil || head.Member.Assignment() != former):
-		return false // it is in another formation, or in none
+		return false // the head is in another formation, or in none
 	case round.usable(head):
 		return head.Member.State != shedkeel.MemberBroken
 	}
 	return round.input.Now-round.recordHeadMissing(former) < headTimeout
 }
 
-// dismissFormerHeads orders heads to leave formations that were replaced without them.
+// dismissFormerHeads orders heads to leave formations that were replaced without them, if
+// they are usable and may still serve.
 func (round *round) dismissFormerHeads() {
 	for index := range round.input.Instances {
 		instance := &round.input.Instances[index]
@@ -355,7 +370,7 @@
 	}
 }
 
-// recordHeadMissing returns the time since which a formation's head is not usable. If none
+// recordHeadMissing returns the time since which a formation's head is not usable. If no time
 // is stored, it stores the current time and returns that.
 func (round *round) recordHeadMissing(assignment shedkeel.Assignment) time.Duration {
 	since, known := round.planner.headMissingSince[assignment]
@@ -367,8 +382,8 @@
 }
 
 // beginForming starts a formation with a new epoch and orders its head, the first of the
-// members, to join. It reserves the members. A join for which the server has to load weights
-// from the weight store counts towards the load limit of loadWindow.
+// members, to join. It reserves the members. Each member that has to load the weights from
+// the weight store counts as a load within loadWindow (mayLoad).
 func (round *round) beginForming(id shedkeel.GroupID, model *shedkeel.Model, members []*shedkeel.Instance) {
 	forming := &formingGroup{epoch: round.planner.NextEpoch(), model: model.ID, confirmed: map[shedkeel.InstanceID]bool{}}
 	for _, member := range members {
--- a/formation/round.go
+++ b/formation/round.go
@@ -20,10 +20,13 @@
 	domains         []shedkeel.DomainID                 // sorted
 	groups          []*observedGroup                    // sorted by name
 	groupsByName    map[shedkeel.GroupID]*observedGroup // groups by name
-	reserved        map[shedkeel.InstanceID]bool        // not available in this round: in a group, in a formation in progress, or reserved by reservedUntil
-	inForming       map[shedkeel.InstanceID]bool        // in a formation whose members are not all ready
-	actions         []Action
-	waits           map[waitKey]Wait
+	// reserved holds the instances that are not free in this round: those in a group or in a
+	// formation in progress, those that may be in a formation without being listed in it, and
+	// those chosen for a new group.
+	reserved  map[shedkeel.InstanceID]bool
+	inForming map[shedkeel.InstanceID]bool // in a formation whose members are not all ready
+	actions   []Action
+	waits     map[waitKey]Wait
 }
 
 // indexInstances indexes the backend servers by instance, server and domain.
@@ -45,13 +48,16 @@
 	return instance != nil && !instance.Draining && !round.input.Dead[instance.ID] && round.planner.skippedUntil[instance.ID] <= round.input.Now
 }
 
-// observedGroup is a group as its members report it.
+// observedGroup is a group as its members report it. Its members are those of its highest
+// epoch.
 type observedGroup struct {
-	id      shedkeel.GroupID
-	epoch   uint64 // the highest that a member reports
-	domain  shedkeel.DomainID
-	model   *shedkeel.Model
-	members []*shedkeel.Instance // by rank; nil: not listed in this epoch
+	id     shedkeel.GroupID
+	epoch  uint64 // the highest that a member reports
+	domain shedkeel.DomainID
+	model  *shedkeel.Model
+	// members holds the members by rank. An element is nil if the member is not listed in this
+	// epoch. The slice is nil if the engine does not have the model or no rank is valid.
+	members []*shedkeel.Instance
 }
 
 // head returns the member of rank 0, or nil if it is not listed.
@@ -75,7 +81,10 @@
 	return ""
 }
 
-// observeGroups builds the groups from what the engines report.
+// observeGroups builds the groups from what the engines report. It also records for each
+// formation when it was last reported and by which members. A head that is still listed in a
+// formation listDelay after it confirmed that it left has joined again, so observeGroups
+// removes it from leftAt.
 func (round *round) observeGroups() {
 	byName := map[shedkeel.GroupID]*observedGroup{}
 	round.groupsByName = byName
@@ -124,8 +133,8 @@
 	round.planner.lastMembers[assignment][instance.Member.Rank] = instance.ID
 }
 
-// restarted reports whether a later start of the instance's server is listed. In that case
-// the instance has ended, whatever it last reported.
+// restarted reports whether a later instance of the same server is listed. In that case the
+// given instance has terminated, whatever it last reported.
 func (round *round) restarted(id shedkeel.InstanceID) bool {
 	current, listed := round.listedInstances[id.Server()]
 	return listed && current.Born() > id.Born()
@@ -138,7 +147,7 @@
 	return round.input.Engine.Model(name)
 }
 
-// addOrder adds an order to the plan unless the same order was sent within
+// addOrder adds an order to the plan unless the same order (orderKey) was sent within
 // orderRetryInterval.
 func (round *round) addOrder(order shedkeel.GroupOrder, reason string) {
 	key := orderKey{kind: order.Kind, to: order.To, epoch: order.Epoch}
--- a/formation/spares_test.go
+++ b/formation/spares_test.go
@@ -9,8 +9,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestMinSpares checks that an eighth of the servers is kept free, rounded up if the result is
-// at most pairLossSpares and otherwise rounded down.
+// TestMinSpares checks that an eighth of the servers is kept free, rounded up as far as
+// pairLossSpares and otherwise rounded down.
 func TestMinSpares(t *testing.T) {
 	for name, test := range map[string]struct{ servers, spares int }{
 		"none":             {0, 0},
@@ -19,10 +19,10 @@
 		"eight":            {8, 1},
 		"nine":             {9, 2},
 		"ten":              {10, 2},
-		"16":               {16, 2},
-		"19":               {19, 2},
-		"27":               {27, 3},
-		"37":               {37, 4},
+		"two eighths":      {16, 2},
+		"19, rounded down": {19, 2},
+		"27, rounded down": {27, 3},
+		"37, rounded down": {37, 4},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, minSpares(test.servers), test.spares) })
 	}
--- a/formation/stage.go
+++ b/formation/stage.go
@@ -7,8 +7,9 @@
 	"shedkeel.org/shedkeel"
 )
 
-// stageSpares orders free backend servers to load weights ahead of need. Each domain gets
-// spares for the models that its groups serve. It also repeats unanswered load orders.
+// stageSpares orders free backend servers of settled domains (settleTime) to load weights
+// ahead of need, so that each domain has spares for the models that its groups serve. It also
+// repeats load orders that were not confirmed.
 func (round *round) stageSpares() {
 	for id, loading := range round.planner.loading {
 		if !loading.confirmed && round.usable(round.byID[id]) {
@@ -49,8 +50,8 @@
 }
 
 // stageSecondModel orders servers for which hostCopyIsRedundant to load another model onto
-// their hosts. It considers the candidates, which are spares, and before traffic starts also
-// expendableMembers.
+// their hosts, as far as mayPrefetch allows. It considers the candidates, which are spares,
+// and before traffic starts also expendableMembers. staged is as for leastCovered.
 //
 // Such a spare can then replace a member of either of two models. Otherwise the second loss
 // of a member of the same model in a domain waits 12 to 16 s for a load.
@@ -69,10 +70,11 @@
 	}
 }
 
-// expendableMembers returns the members of a domain's open groups of the smallest model,
-// except one group. Releasing a group of that model costs least. The hosts of the excepted
-// group keep their own model's weights, so that the group can be formed without a load if all
-// servers of the domain restart.
+// expendableMembers returns the members of a domain's open groups of the model with the
+// smallest groups, except those of one group. It considers only groups whose members are all
+// listed. Releasing a group of that model costs least. The hosts of the excepted group keep
+// their own model's weights, so that the group can be formed without a load if all servers of
+// the domain restart.
 //
 // Before traffic starts, a load takes a tenth of the time that it takes under traffic.
 // The weights of another model on these hosts save a load of 12 to 16 s when the demand for
@@ -97,10 +99,10 @@
 	return model != nil && !slices.ContainsFunc(round.input.Engine.Models, func(other shedkeel.Model) bool { return other.Size < model.Size })
 }
 
-// hostCopyIsRedundant reports whether a server's host holds only models that the server
-// itself has loaded. The server joins such a model in a fraction of a second with or
-// without the copy on the host, so the host can hold another model instead: the server then
-// replaces a member of either model within the duration of a warm-up.
+// hostCopyIsRedundant reports whether a server has loaded a model and its host holds no model
+// that the server has not loaded. The server joins a group of a loaded model in a fraction of
+// a second with or without the weights on the host, so the host can hold another model
+// instead: the server then replaces a member of either model within the duration of a warm-up.
 func (round *round) hostCopyIsRedundant(instance *shedkeel.Instance) bool {
 	if len(instance.Models) == 0 {
 		return false
@@ -108,21 +110,22 @@
 	return !slices.ContainsFunc(instance.Staged, func(model shedkeel.ModelID) bool { return !slices.Contains(instance.Models, model) })
 }
 
-// prefetchShare is the share of the load limits that loads ahead of need may use. The
-// rest is left for groups that wait for a load.
+// prefetchShare is the share of the load limits (mayLoad) that loads ahead of need may use.
+// The rest is left for groups that wait for a load.
 const prefetchShare = 0.5
 
 // mayPrefetch reports whether a load ahead of need may begin.
 func (round *round) mayPrefetch() bool { return round.mayLoadWithin(prefetchShare) }
 
 // mayLoad reports whether another load from the weight store may begin. It limits the
-// loads in a window, and the concurrent loads to what the store serves at full speed:
-// twelve concurrent loads of 16 s, where six run at full speed, all finish after 32 s;
-// in two batches of six, the first six servers are available after 16 s.
+// loads that are ordered within loadWindow (Engine.LoadsPerSecond), and the concurrent loads
+// to what the store serves at full speed (Engine.LoadsAtOnce). Twelve concurrent loads of
+// 16 s, where six run at full speed, all finish after 32 s; in two batches of six, the first
+// six servers are available after 16 s.
 func (round *round) mayLoad() bool { return round.mayLoadWithin(1) }
 
 // mayLoadWithin reports whether another load may begin if only a part, from 0 to 1, of the
-// load limits may be used. Before traffic starts there is no limit.
+// load limits may be used. Without traffic there is no limit.
 func (round *round) mayLoadWithin(part float64) bool {
 	if !round.input.Traffic {
 		return true
@@ -169,8 +172,9 @@
 	return found
 }
 
-// orderStage orders a host to load a model's weights, unless it is loading already or
-// the load limits are reached. In the latter case it records a wait.
+// orderStage orders a server to load a model's weights onto its host, unless a load onto the
+// host was ordered and is not complete, or mayLoad allows none. In the latter case it records
+// a wait.
 func (round *round) orderStage(instance *shedkeel.Instance, model shedkeel.ModelID, reason string) {
 	if _, busy := round.planner.loading[instance.ID]; busy {
 		return
@@ -185,7 +189,7 @@
 }
 
 // memberCounts returns how many members the active and forming groups of each model have
-// in a domain.
+// in a domain. It takes a group whose head is listed and reserved as active.
 func (round *round) memberCounts(domain shedkeel.DomainID) map[shedkeel.ModelID]int {
 	members := map[shedkeel.ModelID]int{}
 	for _, group := range round.groups {
--- a/formation/standby.go
+++ b/formation/standby.go
@@ -11,10 +11,10 @@
 // longer than a warm-up.
 const standbyRetryInterval = 5 * time.Second
 
-// orderStandbys orders each spare that has weights on its host, but no model loaded, to
-// join a formation of its own, which is never opened. A server that has already joined a
-// formation of a model joins another formation of the same model in a fraction of the
-// time. A server ends its standby by joining another formation.
+// orderStandbys orders each usable spare that has weights on its host, but no model loaded,
+// to join a formation of its own, which is never opened (orderStandby). A server that has
+// already joined a formation of a model joins another formation of the same model in a
+// fraction of the time. A server ends its standby by joining another formation.
 func (round *round) orderStandbys() {
 	for index := range round.input.Instances {
 		instance := &round.input.Instances[index]
--- a/formation/usage.go
+++ b/formation/usage.go
@@ -2,8 +2,8 @@
 
 import "shedkeel.org/shedkeel"
 
-// DomainUsage counts a domain's backend servers by what they are used for. It
-// is logged to show why some servers take no requests.
+// DomainUsage counts a domain's backend servers by what they are used for. The counts
+// are logged to show why some servers take no requests.
 type DomainUsage struct {
 	Domain      shedkeel.DomainID
 	Serving     map[shedkeel.ModelID]int // members of active or forming groups, by the group's model
--- a/formation/wait.go
+++ b/formation/wait.go
@@ -25,14 +25,15 @@
 )
 
 const (
-	// probeTimeout is the longest wait for the results of liveness probes. It covers two
-	// probes of the server, those of other servers that show whether this node reaches any
-	// server at all, and the time that the probes are queued.
+	// probeTimeout is the longest wait for the result of a server's liveness probe. It
+	// covers the time that the probe is queued, two queries of the server, and queries of
+	// other servers that show whether this node reaches any server at all.
 	probeTimeout = 2 * time.Second
 	// drainTimeout is the longest time that a group takes to finish running requests.
 	// Callers wait no longer for an answer.
 	drainTimeout = 30 * time.Second
-	// slowLoadFactor is how many times longer than at full speed a load may take.
+	// slowLoadFactor is how many times longer than at full speed (Model.Load) a load may
+	// take.
 	slowLoadFactor = 2
 )
 
@@ -88,7 +89,8 @@
 	round.recordWait(Wait{Group: group.id, Domain: group.domain, Reason: reason, Bound: bound})
 }
 
-// recordServerWaits records the waits for single servers.
+// recordServerWaits records the waits for single servers: for those that are skipped because
+// they left orders unanswered, and for loads onto hosts.
 func (round *round) recordServerWaits() {
 	for id, until := range round.planner.skippedUntil {
 		if instance := round.byID[id]; instance != nil && until > round.input.Now {
@@ -103,8 +105,8 @@
 	}
 }
 
-// joinTimeout returns the longest time that a formation of a model may take: that of a join
-// that loads weights slowly, plus unreachableBackoff for orders that are sent again.
+// joinTimeout returns the longest time that a formation of a model may take: the time of a
+// join that loads the weights slowly, plus unreachableBackoff for orders that are sent again.
 func joinTimeout(model *shedkeel.Model) time.Duration {
 	return slowLoadFactor*model.Load + unreachableBackoff
 }
--- a/formation/wait_test.go
+++ b/formation/wait_test.go
@@ -11,14 +11,14 @@
 	"shedkeel.org/shedkeel"
 )
 
-// recoveryTime is the time within which a group must serve in each domain with enough
-// reachable servers for one. The planner may have to wait headTimeout for an unreachable
-// head; then weights are loaded, on at most six servers at a time.
+// recoveryTime is the time without faults within which a group must serve in each domain with
+// enough servers for a group of the small model. The planner may have to wait headTimeout for
+// an unreachable head; then weights are loaded, on at most six servers at a time.
 const recoveryTime = headTimeout + 80*time.Second
 
 // injectFault injects a random fault: a server dies, restarts, is unreachable or is
-// partitioned, an empty server is added, or the planner is replaced. It returns the current
-// planner.
+// partitioned, an empty server is added to one of six domains, or the planner is replaced. It
+// returns the current planner. Without live servers it injects none.
 func (fleet *fakeFleet) injectFault(planner *Planner) *Planner {
 	living := fleet.living()
 	if len(living) == 0 {
@@ -48,9 +48,9 @@
 // TestGroupServesWhereverServersSuffice simulates histories with all faults that a planner
 // waits for: orders lost or late, servers that die, restart, are unreachable or are not
 // listed, and planners that take over. In each domain with enough servers, a group must serve
-// at some time in the 20 s that follow recoveryTime without faults. It need not serve all of
-// that time, since it may close to make room for a group of another model. No wait may exceed
-// its bound.
+// at some time in the 20 s that follow recoveryTime without faults. The group need not serve
+// all of that time, since it may close to make room for a group of another model. At the end,
+// no wait may have exceeded its bound.
 func TestGroupServesWhereverServersSuffice(t *testing.T) {
 	t.Parallel()
 	for seed := range *histories {
@@ -136,8 +136,8 @@
 	return count
 }
 
-// TestWaits has a planner wait for a lost head, and checks that the wait ends within its
-// bound.
+// TestWaits has a planner wait for a head that is partitioned from it, in a domain without
+// substitutes, and checks that the wait ends within headTimeout, its bound.
 func TestWaits(t *testing.T) {
 	fleet := newFakeFleet(3, 1, 8)
 	planner := newPlanner(1)
