--- a/dispatch/backoff_simulation_test.go
+++ b/dispatch/backoff_simulation_test.go
@@ -21,10 +21,10 @@
 type strategy struct {
 	honors     bool // later requests of the node avoid the server
 	broadcasts bool // the node informs all other nodes
-	probes     bool // the first request after the backoff is a probe: until it is answered, the node prefers other servers
+	probes     bool // the first request after the backoff is a probe: until the probe is answered, the node prefers other servers
 }
 
-// strategies lists the strategies that are compared. The last one is in use.
+// strategies lists the strategies that are compared. Package dispatch implements the last one.
 var strategies = []struct {
 	name     string
 	strategy strategy
@@ -137,7 +137,7 @@
 }
 
 // send sends a request, which the excluded servers have rejected, to another server. The
-// request is lost if there is none or it was sent simMaxAttempts times.
+// request is lost if no other server is usable or the request was sent simMaxAttempts times.
 func (simulation *simulation) send(node int, excluded []shedkeel.InstanceID) {
 	choice := simulation.nodes[node].Choose(Query{Service: "s", Exclude: excluded, Now: simulation.now})
 	if choice == nil || len(excluded) == simMaxAttempts {
@@ -214,8 +214,8 @@
 
 // TestBackoffStrategies compares strategies for backoffs: some or all of the servers reject
 // requests for 2 to 9 s and ask for a backoff of 3 s, and a server whose slots are taken
-// asks for 500 ms. The strategy in use must violate no backoff, and serve as many requests
-// as any other that violates none, within 2 percentage points.
+// asks for 500 ms. The last strategy must violate no backoff, and serve as many requests as
+// any other strategy that violates none, within 2 percentage points.
 func TestBackoffStrategies(t *testing.T) {
 	nodes, seeds := []int{9}, 3
 	if *sizes {
--- a/dispatch/condition.go
+++ b/dispatch/condition.go
@@ -7,29 +7,32 @@
 )
 
 const (
-	// probeCost multiplies the cost of a server while the first request after its backoff
-	// is unanswered: the server may ask for another backoff.
+	// probeCost multiplies the cost of a server while its probe, the first request after
+	// a backoff, is unanswered: the server may ask for another backoff.
 	probeCost = 8
 	// conditionRetention is how long the condition of an unlisted server is kept. The
-	// record of a server may expire and be written again while the server drains.
+	// record of a server in the platform's list may expire and be written again while the
+	// server drains.
 	conditionRetention = 10 * time.Minute
 )
 
-// condition is what one start of a backend server has said in its answers about whether it
-// accepts requests. It is kept when the server's group is formed again, and for
-// conditionRetention when the server is unlisted.
+// condition is what one instance of a backend server has said in its answers about whether it
+// accepts requests: for how long this process is to back off, and whether the server drains,
+// which another process may have been told. A condition is kept when the server's group is
+// formed again, and for conditionRetention when the server is unlisted.
 type condition struct {
 	backoffUntil  time.Duration // the server accepts no requests of this process before this time
-	needsProbe    bool          // the server has answered no request sent since its backoff ended
+	needsProbe    bool          // the server has asked for a backoff and has answered no request sent since the backoff ended
 	probe         *Choice       // the first request after the backoff, while it is unanswered; nil: none
 	draining      bool
 	unlistedSince time.Duration // when RetainConditions first found the server unlisted; 0: it is listed
 }
 
-// isDraining reports whether the server has said that it drains.
+// isDraining reports whether the server has said in an answer that it drains.
 func (condition *condition) isDraining() bool { return condition != nil && condition.draining }
 
-// accepts reports whether the server accepts requests of this process.
+// accepts reports whether the server accepts requests of this process: it neither drains nor
+// backs off.
 func (condition *condition) accepts(now time.Duration) bool {
 	return condition == nil || !condition.draining && condition.backoffUntil <= now
 }
@@ -43,22 +46,22 @@
 }
 
 // requestSent records a request to the server. The request becomes the probe if the server
-// needs one and none is unanswered.
+// needs a probe and no other probe is unanswered.
 func (condition *condition) requestSent(choice *Choice) {
 	if condition != nil && condition.needsProbe && condition.probe == nil {
 		condition.probe = choice
 	}
 }
 
-// responseReceived records an event or answer of the server. It ends the need for a probe,
-// unless the request was sent before the backoff ended.
+// responseReceived records an event or answer of the server to any of its requests. It ends
+// the need for a probe, unless the server was chosen for that request before the backoff ended.
 func (condition *condition) responseReceived(choice *Choice) {
 	if condition != nil && choice.ChosenAt >= condition.backoffUntil {
 		condition.needsProbe, condition.probe = false, nil
 	}
 }
 
-// requestEnded records that a request no longer runs on the server. If that was the
+// requestEnded records that a request no longer runs on the server. If that request was the
 // unanswered probe, the next request becomes the probe.
 func (condition *condition) requestEnded(choice *Choice) {
 	if condition != nil && condition.probe == choice {
@@ -67,8 +70,8 @@
 }
 
 // BackOff keeps this process from sending requests to a server until the given time, or
-// until a later time that an earlier call gave. It reports whether the server accepted
-// requests before the call.
+// until a later time that an earlier call gave. The first request after that is a probe
+// (probeCost). began reports whether the server accepted requests before the call.
 func (table *Table) BackOff(server shedkeel.InstanceID, until, now time.Duration) (began bool) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -80,7 +83,7 @@
 }
 
 // Drain keeps requests from a server that has said in an answer that it drains. It returns
-// false if an earlier call has recorded that already.
+// false if an earlier call has recorded the draining already.
 func (table *Table) Drain(server shedkeel.InstanceID) bool {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -140,8 +143,8 @@
 }
 
 // RetainConditions drops the conditions of servers that have been unlisted for
-// conditionRetention, counted from the first call for which listed returned false. The caller
-// must call it repeatedly.
+// conditionRetention, counted from the first of the consecutive calls in which listed returned
+// false for the server. The caller must call RetainConditions repeatedly.
 func (table *Table) RetainConditions(listed func(shedkeel.InstanceID) bool, now time.Duration) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
--- a/dispatch/condition_test.go
+++ b/dispatch/condition_test.go
@@ -51,16 +51,16 @@
 		at    time.Duration // time of the choices
 		want  []shedkeel.InstanceID
 	}{
-		"nothing":                      {func(*Table) {}, 0, servers},
-		"a backs off":                  {func(table *Table) { table.BackOff("a@1", backoff, 0) }, backoff - 1, servers[1:]},
-		"a's backoff is over":          {func(table *Table) { table.BackOff("a@1", backoff, 0) }, backoff, servers},
-		"a later end is kept":          {func(table *Table) { table.BackOff("a@1", backoff, 0); table.BackOff("a@1", time.Second, 0) }, backoff - 1, servers[1:]},
-		"both back off":                {func(table *Table) { table.BackOff("a@1", backoff, 0); table.BackOff("b@1", backoff, 0) }, 1, nil},
-		"a drains":                     {func(table *Table) { table.Drain("a@1") }, time.Hour, servers[1:]},
-		"an earlier start of a drains": {func(table *Table) { table.Drain("a@0") }, 0, servers},
-		"a drains, relisted":           {func(table *Table) { table.Drain("a@1"); table.relist(servers, 0) }, time.Hour, servers[1:]},
-		"a drains, long unlisted":      {func(table *Table) { table.Drain("a@1"); table.relist(servers, conditionRetention) }, time.Hour, servers},
-		"a drains, briefly unlisted":   {func(table *Table) { table.Drain("a@1"); table.relist(servers, conditionRetention-1) }, time.Hour, servers[1:]},
+		"nothing":                         {func(*Table) {}, 0, servers},
+		"a backs off":                     {func(table *Table) { table.BackOff("a@1", backoff, 0) }, backoff - 1, servers[1:]},
+		"a's backoff is over":             {func(table *Table) { table.BackOff("a@1", backoff, 0) }, backoff, servers},
+		"a later end is kept":             {func(table *Table) { table.BackOff("a@1", backoff, 0); table.BackOff("a@1", time.Second, 0) }, backoff - 1, servers[1:]},
+		"both back off":                   {func(table *Table) { table.BackOff("a@1", backoff, 0); table.BackOff("b@1", backoff, 0) }, 1, nil},
+		"a drains":                        {func(table *Table) { table.Drain("a@1") }, time.Hour, servers[1:]},
+		"an earlier instance of a drains": {func(table *Table) { table.Drain("a@0") }, 0, servers},
+		"a drains, relisted":              {func(table *Table) { table.Drain("a@1"); table.relist(servers, 0) }, time.Hour, servers[1:]},
+		"a drains, long unlisted":         {func(table *Table) { table.Drain("a@1"); table.relist(servers, conditionRetention) }, time.Hour, servers},
+		"a drains, briefly unlisted":      {func(table *Table) { table.Drain("a@1"); table.relist(servers, conditionRetention-1) }, time.Hour, servers[1:]},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// relist removes all servers, and lists the given ones after they have been missing for the
+// relist removes all servers, and lists the given servers after they have been missing for the
 // given time.
 func (table *Table) relist(servers []shedkeel.InstanceID, missing time.Duration) {
 	unlisted := func(shedkeel.InstanceID) bool { return false }
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestFirstRequestAfterABackoff checks that a server gets a single request after its
-// backoff until that one is answered or ends, while other servers have room.
+// TestFirstRequestAfterABackoff checks that a server gets a single request after its backoff
+// until that request is answered or ends, while another server has room.
 func TestFirstRequestAfterABackoff(t *testing.T) {
 	const end = time.Second
 	cases := map[string]struct {
@@ -143,18 +143,18 @@
 }
 
 // TestBackoffEnd checks when the first server accepts requests again, and that there is no
-// such time while one accepts requests or all drain.
+// such time while a server accepts requests or all servers drain.
 func TestBackoffEnd(t *testing.T) {
 	cases := map[string]struct {
 		apply func(*Table)
 		end   time.Duration
 		want  bool // whether BackoffEnd reports a backoff
 	}{
-		"none backs off":           {func(*Table) {}, 0, false},
-		"one does":                 {func(table *Table) { table.BackOff("a", time.Second, 0) }, 0, false},
-		"all do":                   {func(table *Table) { table.BackOff("a", 2*time.Second, 0); table.BackOff("b", time.Second, 0) }, time.Second, true},
-		"one does, another drains": {func(table *Table) { table.BackOff("a", time.Second, 0); table.Drain("b") }, time.Second, true},
-		"all drain":                {func(table *Table) { table.Drain("a"); table.Drain("b") }, 0, false},
+		"none backs off":                  {func(*Table) {}, 0, false},
+		"one backs off":                   {func(table *Table) { table.BackOff("a", time.Second, 0) }, 0, false},
+		"all back off":                    {func(table *Table) { table.BackOff("a", 2*time.Second, 0); table.BackOff("b", time.Second, 0) }, time.Second, true},
+		"one backs off, the other drains": {func(table *Table) { table.BackOff("a", time.Second, 0); table.Drain("b") }, time.Second, true},
+		"all drain":                       {func(table *Table) { table.Drain("a"); table.Drain("b") }, 0, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -8,8 +8,8 @@
 )
 
 // demandTimeConstant is the time constant of the exponential decay of demand: a request of
-// that age counts for about a third. A burst of 1 s changes the demand by a fifth of the
-// change that a lasting increase of the same rate causes.
+// that age counts for about a third. A burst of 1 s changes the demand by less than a fifth of
+// the change that a lasting increase to the same rate causes.
 const demandTimeConstant = 5 * time.Second
 
 // demand is the decayed sum of the requests for a model.
@@ -18,7 +18,7 @@
 	amount shedkeel.ModelDemand
 }
 
-// decay reduces the demand by the time that has passed since it was last updated.
+// decay reduces the demand according to the time that has passed since its last decay.
 func (demand *demand) decay(now time.Duration) {
 	elapsed := max(now-demand.at, 0)
 	demand.at = now
--- a/dispatch/limit.go
+++ b/dispatch/limit.go
@@ -7,16 +7,16 @@
 	"shedkeel.org/shedkeel"
 )
 
-// permitIntervalShare is the share of the time between two permits of a server after which
-// Recommend recommends the server again. It is below 1, because a permit that no process
-// requests is lost.
+// permitIntervalShare determines how often Recommend recommends a rate-limited server: once in
+// this share of the time between two permits of the server. It is below 1, so that requests
+// come slightly faster than permits, because a permit that no process requests is lost.
 const permitIntervalShare = 0.8
 
 // limit is the part of a server's rate limit that choices depend on. Package ratelimit grants
 // the permits.
 type limit struct {
 	rate           float64       // requests per second of all processes
-	heldUntil      time.Duration // no permit is available before this time
+	heldUntil      time.Duration // no permit is available before this time, as HoldUntil has recorded
 	nextAssignment time.Duration // when Recommend may recommend the server again
 }
 
@@ -44,8 +44,9 @@
 	}
 }
 
-// HoldUntil keeps requests from a rate-limited server until the given time, because no
-// permit is available before then. It does nothing for a server without a rate limit.
+// HoldUntil keeps Choose from choosing a rate-limited server until the given time, because no
+// permit is available before then. Of several calls, the latest time applies. HoldUntil does
+// nothing for a server without a rate limit.
 func (table *Table) HoldUntil(server shedkeel.InstanceID, until time.Duration) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -55,7 +56,8 @@
 }
 
 // NextPermit returns the usable rate-limited server that is likely to have a permit for the
-// request first, and whether there is such a server.
+// request first: the one whose time of HoldUntil is earliest. It returns false if no usable
+// server of the query's service and model is rate-limited.
 func (table *Table) NextPermit(query Query) (shedkeel.InstanceID, bool) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -74,8 +76,8 @@
 	return earliest.Instance, true
 }
 
-// ChooseServer chooses the given server for the request. It returns nil if the server is
-// not usable. It does not check the rate limit.
+// ChooseServer chooses the given server for the request. It returns nil if the server is not
+// usable or does not serve the query's service and model. It does not check the rate limit.
 func (table *Table) ChooseServer(query Query, server shedkeel.InstanceID) *Choice {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -87,7 +89,8 @@
 	return nil
 }
 
-// rateLimited reports whether the server's rate limit rules it out for the request now.
+// rateLimited reports whether the server's rate limit rules the server out for the request:
+// the request is only for servers without a limit, or HoldUntil holds the server now.
 func (serverState *serverState) rateLimited(query Query) bool {
 	return serverState.limit != nil && (query.UnlimitedOnly || serverState.limit.heldUntil > query.Now)
 }
@@ -102,20 +105,21 @@
 	return min(serverState.Slots, byRate)
 }
 
-// recordAssignment records that Recommend recommended the server for a request.
+// recordAssignment records that Recommend recommended the server for a request. It does
+// nothing for a server without a rate limit.
 func (limit *limit) recordAssignment(now time.Duration) {
 	if limit == nil {
 		return
 	}
-	interval := time.Minute // if the rate is zero
+	interval := time.Minute // at a rate of zero: an occasional request shows whether the limit was lifted
 	if limit.rate > 0 {
 		interval = time.Duration(permitIntervalShare * float64(time.Second) / limit.rate)
 	}
 	limit.nextAssignment = max(limit.nextAssignment, now) + interval
 }
 
-// saturated reports whether Recommend has recommended the server as often as its rate
-// admits.
+// saturated reports whether Recommend has recommended the server as often as its rate limit
+// and permitIntervalShare admit. A server without a rate limit is never saturated.
 func (limit *limit) saturated(now time.Duration) bool {
 	return limit != nil && limit.nextAssignment > now
 }
--- a/dispatch/limit_test.go
+++ b/dispatch/limit_test.go
@@ -56,8 +56,9 @@
 	}
 }
 
-// TestLimitOutlivesTheGroup checks that a server keeps its limit when its group is
-// formed again, and that a canceled choice does not count as load.
+// TestLimitOutlivesTheGroup checks that a server keeps its limit when its group is formed
+// again, that the limit reduces the slots of Load, and that a canceled choice does not count
+// as load.
 func TestLimitOutlivesTheGroup(t *testing.T) {
 	table := limitTable()
 	table.Replace([]Server{{Service: "s", Model: "m", Instance: "a", Slots: 8, Group: shedkeel.Assignment{Group: "a", Epoch: 2}}})
@@ -69,9 +70,9 @@
 	assert.Equal(t, table.Load("s", "m", time.Second).Slots, 2, "the limit is two requests per second")
 }
 
-// TestSpreadHeedsLimits checks that Recommend recommends a rate-limited server about as
-// often as its rate admits, although the server appears idle: in 10 s, a server with a rate
-// of two a second is recommended about 25 times, as permitIntervalShare is 0.8.
+// TestSpreadHeedsLimits checks that Recommend recommends a rate-limited server no more often
+// than its rate and permitIntervalShare admit, although the server appears idle: in 10 s, a
+// server with a rate of 2 per second at most 26 times, and at least 15 times.
 func TestSpreadHeedsLimits(t *testing.T) {
 	table := limitTable()
 	recommended := map[shedkeel.InstanceID]int{}
@@ -83,7 +84,8 @@
 	assert.Equal(t, recommended["a"]+recommended["b"], 200)
 }
 
-// TestNextPermit checks which rate-limited server a request waits for.
+// TestNextPermit checks that NextPermit returns the server that HoldUntil holds for the
+// shorter time, and none if the query excludes both.
 func TestNextPermit(t *testing.T) {
 	table := limitTable()
 	query := Query{Service: "s", Model: "m", Now: time.Second}
--- a/dispatch/spread.go
+++ b/dispatch/spread.go
@@ -17,17 +17,19 @@
 	// meanStreamDuration is the assumed mean duration of a stream. The expected number of
 	// running requests decays with it as the time constant.
 	meanStreamDuration = time.Second
-	// defaultDelayPerRequest is the assumed increase of a group's step time per running
-	// request, for groups that state no Server.DelayPerRequest.
+	// defaultDelayPerRequest is the assumed Server.DelayPerRequest of groups that state
+	// none.
 	defaultDelayPerRequest = time.Millisecond
-	// groupsPerPartition is the highest average number of groups in a partition of a
-	// model's groups, over which one process spreads requests. It is large enough that a
-	// partition nearly always has a group that is not busy, and small enough that the calls
-	// of Recommend take a few hundredths of one CPU core.
+	// groupsPerPartition is the highest average number of groups in a partition. The groups
+	// of a model are split into partitions by groupHash, and one process spreads the requests
+	// over the groups of each partition. The number is large enough that a partition nearly
+	// always has a group that is not busy, and small enough that the calls of Recommend take
+	// a few hundredths of one CPU core.
 	groupsPerPartition = 24
-	// slowThreshold is the lowest ratio of a group's latency ratio to the median of the
-	// model's groups at which the group counts as slow. Each process sees few responses of
-	// a group, and smaller differences are due to chance.
+	// slowThreshold is how many times the median of its model's groups
+	// (medianLatencyRatio) a group's latency ratio must at least be for the group to count
+	// as slow. Each process sees few responses of a group, and smaller differences are due
+	// to chance.
 	slowThreshold = 2.0
 	// reportExpiry is how long the last report of a process counts towards the running
 	// requests of all processes. A process that sends no report for that long has few
@@ -39,15 +41,16 @@
 )
 
 // workload is an estimate of the work that all processes have given to a group: what
-// Recommend assigned to the group, corrected by the reports of the processes.
+// Recommend assigned to the group, with the number of running requests corrected by the
+// reports of the processes.
 type workload struct {
 	at      time.Duration // time of the estimate
 	prefill time.Duration // pending prefill work
 	running float64       // requests that are expected to be running
 }
 
-// remainingShare is the share of requests that are expected to be still running after the
-// elapsed time.
+// remainingShare returns the share of running requests that are expected to be still running
+// after the elapsed time.
 func remainingShare(elapsed time.Duration) float64 {
 	return math.Exp(-elapsed.Seconds() / meanStreamDuration.Seconds())
 }
@@ -60,10 +63,12 @@
 	workload.running *= remainingShare(elapsed)
 }
 
-// RunningRequests counts the requests that run on a model.
+// RunningRequests counts the requests that run on a model. A request is late if the model's
+// slots were too full at its admission for the request to get one without a wait
+// (Query.Late); other requests are on time.
 type RunningRequests struct {
-	OnTime int // requests that may be on time
-	Late   int // requests that can't be on time; they queue behind those that may be
+	OnTime int
+	Late   int // late requests queue behind those on time
 }
 
 // Reporter is a process that asks for the best group for a request, with its report of
@@ -78,7 +83,7 @@
 
 // Recommendation is the answer of Recommend for one request.
 type Recommendation struct {
-	Head    shedkeel.InstanceID // head of the recommended group; empty: no group is usable
+	Head    shedkeel.InstanceID // head of the recommended group; empty: fastestGroup found none
 	Running RunningRequests     // of all processes, on all groups of the model
 }
 
@@ -89,10 +94,11 @@
 	at      time.Duration
 }
 
-// Recommend returns the group of a model that is expected to send the first event for the
-// request soonest, given the requests assigned to the groups before, and assigns this request
-// to that group. First it records the request as demand and replaces the reporter's last
-// report.
+// Recommend returns the group of the query's partition that fastestGroup chooses, given the
+// requests assigned to the groups before, and assigns this request to that group. If there is
+// no such group, the result has no head. Before it chooses, Recommend records the request as
+// demand and replaces the reporter's last report. The result counts the requests of all
+// reports that have not expired; they do not include this request.
 //
 // For each partition of a model's groups, one process calls Recommend for the requests of all
 // processes. Each process alone knows few of the requests that run on a group, and prompts
@@ -131,10 +137,10 @@
 	return hash.Sum32()
 }
 
-// recordReport replaces the last report of a process. It adds to each group's workload the
-// difference between the running requests that the process reports and those expected to be
-// still running of its previous report and of the assignments since. The caller must hold
-// table.mutex.
+// recordReport replaces the last report of a process. Of the requests in the previous report
+// and those assigned since, it expects remainingShare to be still running. To the workload of
+// each group it adds the difference between the running requests that the process reports now
+// and those that it expected. The caller must hold table.mutex.
 //
 // Assignments alone are a poor estimate of the running requests, because streams last longer
 // on groups that run more of them.
@@ -161,8 +167,8 @@
 	return current
 }
 
-// totalRunning returns the running requests of all processes on a model, and drops reports older
-// than reportExpiry. The caller must hold table.mutex.
+// totalRunning returns the sum of the running requests that all processes report for a model,
+// and drops reports older than reportExpiry. The caller must hold table.mutex.
 func (table *Table) totalRunning(key poolKey, now time.Duration) RunningRequests {
 	var total RunningRequests
 	for process, report := range table.reports[key] {
@@ -177,8 +183,8 @@
 }
 
 // fastestGroup returns the group with the lowest expectedWait among those of the query's
-// partition that are usable and not saturated, or nil if there is none. The caller must hold
-// table.mutex.
+// partition that are usable and not saturated, or nil if there is no such group. The caller
+// must hold table.mutex.
 func (table *Table) fastestGroup(query Query, zone shedkeel.ZoneID) *serverState {
 	members := table.pools[poolKey{query.Service, query.Model}]
 	medianRatio := medianLatencyRatio(members, query.Now)
@@ -197,8 +203,8 @@
 }
 
 // medianLatencyRatio returns the median latency ratio of a model's groups, but at least 1,
-// after it has applied decayPenalties to them. Groups count as slow in relation to the median,
-// because a traffic burst slows down all of them.
+// after it has applied decayPenalties to the groups. Groups count as slow in relation to the
+// median, because a traffic burst slows down all groups.
 func medianLatencyRatio(members []*serverState, now time.Duration) float64 {
 	var ratios []float64
 	for _, member := range members {
@@ -213,8 +219,11 @@
 }
 
 // expectedWait returns the estimated time to the first event in seconds, multiplied by
-// expectedAttempts and, for a slow group, by the ratio of its latency ratio to medianRatio,
-// the median of the model's groups.
+// expectedAttempts and, for a slow group (slowThreshold), by the ratio of its latency ratio to
+// medianRatio, the median of the model's groups. The estimate is the sum of
+// idleFirstEventTime, the pending prefill, the delay by running requests, the wait for a slot
+// if none is free, and remoteZoneDelay if the group is not in the given zone. It does not
+// include the prefill of the request itself.
 func (serverState *serverState) expectedWait(zone shedkeel.ZoneID, medianRatio float64, now time.Duration) float64 {
 	serverState.assigned.decay(now)
 	delayPerRequest := serverState.DelayPerRequest
@@ -236,8 +245,8 @@
 }
 
 // expectedAttempts returns the mean number of attempts until a group with that failure rate
-// answers a request, but at most maxAttempts. As a factor of the cost, it makes a group that
-// fails some of its requests get fewer, but still some when the other groups are full.
+// answers a request, but at most maxAttempts. With this factor in its cost, a group that fails
+// some of its requests gets fewer requests, but still some when the other groups are full.
 func expectedAttempts(failureRate float64) float64 {
 	return 1 / max(1-failureRate, 1.0/maxAttempts)
 }
--- a/dispatch/spread_test.go
+++ b/dispatch/spread_test.go
@@ -22,7 +22,7 @@
 
 // countConcurrentPrefills simulates a minute. It returns how many requests were sent to a
 // group that had received two or more others within prefillWindow before. The group prefills
-// these prompts at the same time.
+// the prompts of all these requests at the same time.
 func (spreadSimulation *spreadSimulation) countConcurrentPrefills(seed uint64) int {
 	// A group prefills one prompt and runs a step in this time.
 	const prefillWindow = 80 * time.Millisecond
@@ -79,8 +79,8 @@
 }
 
 // TestSpreadKeepsPromptsApart compares 57 processes that each choose groups on their own
-// with 57 that follow the recommendations of a single process, by the number of requests
-// whose prompts a group prefills together with two or more others.
+// with 57 that follow the recommendations of a single process. With recommendations, less than
+// a tenth as many requests may have their prompts prefilled together with two or more others.
 func TestSpreadKeepsPromptsApart(t *testing.T) {
 	alone := &spreadSimulation{processes: 57, groups: 9, rate: 85}
 	spread := &spreadSimulation{processes: 57, groups: 9, rate: 85, spread: true}
@@ -139,7 +139,7 @@
 		maxCount int // bounds on the requests of ten that the second group gets
 		minCount int
 	}{
-		"equal":              {func(*Table, *Server) {}, "z", 5, 5},
+		"equal, and the reporter is in the first's zone": {func(*Table, *Server) {}, "z", 5, 5},
 		"avoided":            {func(table *Table, server *Server) { table.AvoidGroup(server.Group, now, time.Second) }, "z", 0, 0},
 		"four times as slow": {func(table *Table, server *Server) { table.servers[server.key()].latencyRatio = 4 }, "z", 4, 1},
 		"both were slow in a traffic burst": {func(table *Table, server *Server) {
@@ -179,8 +179,8 @@
 	assert.Equal(t, empty.Recommend(Query{Service: "s", Model: "m", Now: now}, Reporter{Zone: "z"}).Head, shedkeel.InstanceID(""))
 }
 
-// TestRunningOfAllProcesses checks the sum of the running requests that three processes
-// report. The report of a process that sends no further ones expires.
+// TestRunningOfAllProcesses checks the sum of the running requests that processes report for
+// each of two models. The report of a process that sends no further reports expires.
 func TestRunningOfAllProcesses(t *testing.T) {
 	table := &Table{}
 	ask := func(process string, onTime, late int, model shedkeel.ModelID, now time.Duration) RunningRequests {
@@ -226,8 +226,8 @@
 	}
 }
 
-// TestPartitions checks the number of partitions and that each group is in exactly one of them,
-// by asking Recommend for one partition after the other.
+// TestPartitions checks the number of partitions and that each group is in exactly one
+// partition, by asking Recommend for one partition after the other.
 func TestPartitions(t *testing.T) {
 	cases := map[string]struct {
 		groups, partitions int
--- a/dispatch/stall.go
+++ b/dispatch/stall.go
@@ -8,14 +8,16 @@
 
 const (
 	// maxDecodeGap is the longest expected time between two events of a group whose
-	// engine prefills no prompt: five tokens of about 10 ms each.
+	// engine prefills no prompt. In that time the engine generates five tokens of about
+	// 10 ms each.
 	maxDecodeGap = 60 * time.Millisecond
 	// defaultMaxEventGap is the longest expected time between two events of a group that
 	// does not state its engine's times.
 	defaultMaxEventGap = 120 * time.Millisecond
-	// stallReportInterval is how often a continuing stall is reported and its requests are
-	// notified again. The process that investigates the stall may have been replaced
-	// meanwhile, and other groups may have become available for the requests.
+	// stallReportInterval is the time after which FindStalled reports a continuing stall
+	// again and notifies the server's requests again. The process that investigates the
+	// stall may have been replaced meanwhile, and other groups may have become available for
+	// the requests.
 	stallReportInterval = 500 * time.Millisecond
 	// maxFirstEventTime is the longest expected time to the first event of a short prompt.
 	// Requests queue in the engine under load: with 400 to 600 ms, half of the stalls
@@ -28,25 +30,25 @@
 	// group takes 180 to 240 ms, and each false alarm causes a prompt to be prefilled twice
 	// (docs/PLATFORM.md).
 	stallMargin = 60 * time.Millisecond
-	// plainStallTimeout is how long a plain server with running requests may send no
-	// answer before it counts as stalled; stallMargin is added.
+	// plainStallTimeout is the longest time for which a plain server with running requests
+	// is expected to send no answer. The server counts as stalled stallMargin later.
 	plainStallTimeout = 500 * time.Millisecond
-	// avoidDuration is how long a stalled server is avoided without further evidence. Each
-	// check that finds a running request still stalled extends it.
+	// avoidDuration is how long a stalled server is avoided after the last call of
+	// FindStalled that found the server stalled.
 	avoidDuration = 1500 * time.Millisecond
 	// defaultPrefillRate applies to servers that state no prefill rate, in tokens per second.
 	defaultPrefillRate = 40_000
 	// plainResponseTime is the expected response time of a plain server.
 	plainResponseTime = 80 * time.Millisecond
 	// idleFirstEventTime is the expected time to the first event of an idle group, without
-	// prefill.
+	// the time for prefilling the prompt.
 	idleFirstEventTime = 150 * time.Millisecond
 )
 
 // Stall reports a server that has stopped responding.
 type Stall struct {
 	Server  Server
-	Elapsed time.Duration // time since its last event or answer
+	Elapsed time.Duration // time since the server's last event or answer, or since the first request after an idle period
 	Running int           // requests of this process that run there
 }
 
@@ -73,7 +75,8 @@
 	return idleFirstEventTime + choice.prefillTime()
 }
 
-// maxEventGap is the longest expected time between two events while the group works.
+// maxEventGap is the longest expected time between two events while the group works:
+// Server.MaxEventGap, or defaultMaxEventGap if the group does not state it.
 func (serverState *serverState) maxEventGap() time.Duration {
 	if serverState.MaxEventGap <= 0 {
 		return defaultMaxEventGap
@@ -82,7 +85,9 @@
 }
 
 // expectedMaxGap is the longest time that the server is expected to send no event and no
-// answer, given the requests that this process has running there.
+// answer, given the requests that this process has running there. For a plain server it is
+// plainStallTimeout. For a group it is maxEventGap if any request has received an event, and
+// otherwise maxFirstEventTime plus the time to prefill the prompts of all requests.
 func (serverState *serverState) expectedMaxGap() time.Duration {
 	if serverState.Model == "" {
 		return plainStallTimeout
@@ -99,9 +104,11 @@
 	return gap
 }
 
-// FindStalled finds servers with running requests that have sent nothing for longer than
-// expected. It avoids them for avoidDuration and notifies the requests that run there. It
-// returns each new stall, and a continuing one again every stallReportInterval.
+// FindStalled finds the stalled servers: those with running requests that have sent nothing
+// for expectedMaxGap plus stallMargin. It avoids each for avoidDuration from now. It returns
+// each new stall, and a continuing stall again after stallReportInterval. Each time that it
+// returns a stall it notifies all requests that run on the server; at other times it notifies
+// those that have received no notice of the stall.
 func (table *Table) FindStalled(now time.Duration) []Stall {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -128,8 +135,8 @@
 	return stalls
 }
 
-// notifyStall sends a notice on Stalled, unless stallNotified shows that the request has
-// received one. The caller must hold the table's mutex.
+// notifyStall sends a notice on Stalled, unless stallNotified is set or the last notice is
+// unread. The caller must hold the table's mutex.
 func (choice *Choice) notifyStall() {
 	if choice.stallNotified {
 		return
@@ -141,8 +148,8 @@
 	}
 }
 
-// clearStall takes back an unread notice of a stall that is over. The caller must hold the
-// table's mutex.
+// clearStall takes back an unread notice of a stall that is over, so that the request is
+// notified of the next stall. The caller must hold the table's mutex.
 func (choice *Choice) clearStall() {
 	choice.stallNotified = false
 	select {
@@ -151,15 +158,17 @@
 	}
 }
 
-// AvoidGroup applies a stall that another node has reported: it keeps new requests from
-// the group of that epoch for the duration and notifies those that run there. It does
-// nothing for a group that sent an event to this process within the last maxDecodeGap.
+// AvoidGroup keeps new requests from the group of that epoch for the duration, because a
+// liveness probe or another node has found that the group has lost a member or stalls. It
+// notifies the requests that run there and have no notice yet. It does nothing for a group
+// that has sent an event to this process within the last maxDecodeGap, or for which the first
+// request after an idle period was chosen within that time.
 func (table *Table) AvoidGroup(group shedkeel.Assignment, now, duration time.Duration) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	for _, state := range table.servers {
 		if state.Group != group || now-state.lastActivity < maxDecodeGap {
-			continue // another group, or one that responds to this process
+			continue // another group, or a group that may be responding to this process
 		}
 		state.avoidUntil = max(state.avoidUntil, now+duration)
 		for choice := range state.running {
--- a/dispatch/table.go
+++ b/dispatch/table.go
@@ -2,7 +2,15 @@
 // to. It weighs the requests that this process has running on each server, the
 // response times and failures that it has seen, and whether the server has stopped
 // responding. Table.Choose chooses for the requests of this process; Table.Recommend
-// spreads the requests of all processes over the groups of a model.
+// spreads the requests of all processes over the groups of a model. A process is one node,
+// with a Table of its own.
+//
+// A server is a plain server, which sends one answer to a request, or the head of a replica
+// group, which sends the answer as a stream of events. The latency ratio of a server is the
+// moving average of the ratio of actual to expected times to the first event or the answer. A
+// server is stalled if it has sent nothing for longer than expected while requests run there
+// (Table.FindStalled). No new requests are sent to a server while it is avoided, as it is
+// after a stall.
 //
 // All times are those of a shedkeel.Timers clock.
 package dispatch
@@ -16,8 +24,8 @@
 )
 
 const (
-	// latencyWeight is the weight of the newest response in a server's moving average
-	// of latency ratios: the average is mostly over the last ten responses.
+	// latencyWeight is the weight of the newest response in a server's latency ratio: the
+	// average is mostly over the last ten responses.
 	latencyWeight = 0.1
 	// failureWeight is the weight of the newest outcome in a server's failure rate.
 	failureWeight = 0.2
@@ -30,20 +38,22 @@
 	// fails nearly every request.
 	maxAttempts = 20
 	// penaltyHalfLife is the time in which the penalties for latency and failures halve
-	// while the server gets no requests, so that it is tried again.
+	// (decayPenalties) while no request of this process responds or ends at the server, so
+	// that the server is tried again.
 	penaltyHalfLife = 2 * time.Second
-	// unresponsiveCost multiplies the cost of a server that has sent nothing for longer
-	// than expected, but not yet long enough to be avoided.
+	// unresponsiveCost multiplies the cost of a server with running requests that has sent
+	// nothing for more than half of stallMargin beyond expectedMaxGap. After the whole
+	// stallMargin the server counts as stalled and is avoided.
 	unresponsiveCost = 4
 	// maxPreferredCostRatio is the highest ratio of the cost of a request's preferred
-	// server (Query.Preferred) to the cost of the cheapest one at which the preferred
+	// server (Query.Preferred) to the cost of the cheapest server at which the preferred
 	// server is chosen. A server with two running requests of this process costs three times
-	// as much as an idle one and is still chosen. One that is unresponsive, much slower or
-	// fails most requests costs more and is not.
+	// as much as an idle server and is still chosen. A server that is unresponsive, much
+	// slower or fails most requests costs more and is not chosen.
 	maxPreferredCostRatio = 3.5
-	// remoteZoneCost multiplies the cost of a server in another availability zone. It
-	// accounts for the delay of the link, which is small compared with the time of a
-	// typical answer.
+	// remoteZoneCost multiplies the cost of a server in another availability zone. The
+	// factor is close to 1, because the delay of the link is small compared with the time of
+	// a typical answer.
 	remoteZoneCost = 1.05
 )
 
@@ -94,11 +104,11 @@
 type serverState struct {
 	Server
 	running       map[*Choice]struct{}
-	lastActivity  time.Duration // last event or answer, or the start of the first request after an idle period
-	latencyRatio  float64       // moving average of actual to expected response times
+	lastActivity  time.Duration // last event or answer, or the choice for the first request after an idle period
+	latencyRatio  float64       // moving average of the ratio of actual to expected response times
 	failureRate   float64       // moving average: share of requests that failed
 	scoresUpdated time.Duration // when latencyRatio or failureRate last changed
-	avoidUntil    time.Duration // the server is avoided before this time, after a stall or a notice of another node
+	avoidUntil    time.Duration // the server is avoided before this time; set by FindStalled and AvoidGroup
 	stallReported time.Duration // when FindStalled last returned the current stall; 0: not yet
 	listed        bool
 	assigned      workload   // work of all processes, as estimated by Recommend
@@ -107,9 +117,9 @@
 	condition     *condition // nil: the server has stated no condition
 }
 
-// Replace sets the servers to choose from. It keeps the state of servers that were listed
-// before. It drops the state of a removed server if no requests run there; otherwise a later
-// call does.
+// Replace sets the servers to choose from, the listed ones. It keeps the state of servers that
+// were listed before. It drops the state of a server that is no longer listed if no requests
+// run there; otherwise a later call drops that state.
 func (table *Table) Replace(servers []Server) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -148,7 +158,7 @@
 	PromptTokens    int
 	MaxAnswerTokens int                 // maximum length of the answer
 	Preferred       shedkeel.InstanceID // the server that Recommend returned, possibly in another process; empty: none
-	Late            bool                // the request is queued behind others and cannot be on time
+	Late            bool                // the request is late (RunningRequests)
 	UnlimitedOnly   bool                // only servers without a rate limit
 	Partition       int                 // for Recommend: index of the partition of groups to choose from
 	Partitions      int                 // number of partitions; 0 means 1
@@ -159,9 +169,11 @@
 // it sends nothing.
 type Choice struct {
 	Server
-	ChosenAt time.Duration   // when the server was chosen
-	Limited  bool            // the server limits its rate, so sending requires a permit
-	Stalled  <-chan struct{} // receives each time that the server is reported as stalled
+	ChosenAt time.Duration // when the server was chosen
+	Limited  bool          // the server limits its rate, so sending requires a permit
+	// Stalled receives a notice of each stall of the server that FindStalled or AvoidGroup
+	// reports. If the server responds before the notice is read, the notice is taken back.
+	Stalled <-chan struct{}
 
 	table         *Table
 	state         *serverState
@@ -169,12 +181,13 @@
 	late          bool
 	responded     bool // the first event or the answer has arrived
 	stalled       chan struct{}
-	stallNotified bool // Stalled has received a notice of the current stall
+	stallNotified bool // Stalled has received a notice since FindStalled last reported the current stall
 }
 
-// Choose returns the server of the lowest cost, with ties broken at random, or nil if
-// none is usable. The preferred server of the query takes precedence while it costs at
-// most maxPreferredCostRatio times as much.
+// Choose chooses the server of the lowest cost among those that are usable and not
+// rateLimited, with ties broken at random. It returns nil if there is none. If the preferred
+// server of the query is among them and costs at most maxPreferredCostRatio times as much,
+// Choose chooses the preferred server.
 func (table *Table) Choose(query Query) *Choice {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -207,7 +220,8 @@
 	return best.startChoice(table, query)
 }
 
-// usable reports whether the server may be chosen for the request, except for its rate
+// usable reports whether the server may be chosen for the request: the server is not avoided,
+// does not back off or drain, and is not excluded by the query. It does not check the rate
 // limit.
 func (serverState *serverState) usable(query Query) bool {
 	return serverState.avoidUntil <= query.Now && serverState.condition.accepts(query.Now) && !containsInstance(query.Exclude, serverState.Instance)
@@ -223,8 +237,10 @@
 }
 
 // cost is what Choose minimizes: one more than the running requests of this process on the
-// server, times the penalties for latency, failures, a lack of events, another availability
-// zone and an unanswered probe. The caller must hold table.mutex.
+// server, times the penalties for latency, failures, a lack of events or answers
+// (unresponsiveCost), another availability zone and an unanswered probe. The penalty for
+// failures is failureCost times the failure rate, plus 1, for a plain server, and
+// expectedAttempts for a group. The caller must hold table.mutex.
 func (table *Table) cost(candidate *serverState, now time.Duration) float64 {
 	candidate.decayPenalties(now)
 	cost := float64(len(candidate.running)+1) * candidate.latencyRatio
@@ -242,8 +258,8 @@
 	return cost * candidate.condition.costFactor()
 }
 
-// decayPenalties halves the penalties of the server if penaltyHalfLife has passed since
-// they last changed.
+// decayPenalties halves the failure rate of the server and the deviation of its latency ratio
+// from 1, once, if at least penaltyHalfLife has passed since either last changed.
 func (serverState *serverState) decayPenalties(now time.Duration) {
 	elapsed := now - serverState.scoresUpdated
 	if elapsed < penaltyHalfLife {
@@ -254,8 +270,8 @@
 	serverState.latencyRatio = 1 + (serverState.latencyRatio-1)/2
 }
 
-// startChoice records a request as running on the server and returns its choice. The
-// caller must hold the table's mutex.
+// startChoice records a request as running on the server and returns the choice. If the server
+// was idle, its time without activity counts from now. The caller must hold the table's mutex.
 func (serverState *serverState) startChoice(table *Table, query Query) *Choice {
 	if len(serverState.running) == 0 {
 		serverState.lastActivity = query.Now
@@ -268,9 +284,9 @@
 	return choice
 }
 
-// RecordResponse records that the server sent an event or an answer for this request. It
-// ends the server's avoidance and takes back the stall notices of all requests that run
-// there.
+// RecordResponse records that the server sent an event or an answer for this request. It ends
+// the server's avoidance and takes back the unread stall notices of all requests that run
+// there. The first response of the request also changes the latency ratio.
 func (choice *Choice) RecordResponse(now time.Duration) {
 	choice.table.mutex.Lock()
 	defer choice.table.mutex.Unlock()
@@ -288,13 +304,15 @@
 	}
 }
 
-// recordLatency adds the ratio of an actual to its expected response time to the average.
+// recordLatency adds the ratio of an actual to the expected response time to the moving
+// average.
 func (serverState *serverState) recordLatency(ratio float64, now time.Duration) {
 	serverState.latencyRatio += latencyWeight * (ratio - serverState.latencyRatio)
 	serverState.scoresUpdated = now
 }
 
-// End records that the request no longer runs on the server, and whether it failed.
+// End records that the request no longer runs on the server, and adds to the failure rate
+// whether the request failed.
 func (choice *Choice) End(failed bool, now time.Duration) {
 	choice.table.mutex.Lock()
 	defer choice.table.mutex.Unlock()
@@ -309,7 +327,8 @@
 	state.scoresUpdated = now
 }
 
-// Cancel releases a choice that was not sent. It leaves the failure rate as it is.
+// Cancel releases the choice for a request that was not sent. It leaves the failure rate as it
+// is.
 func (choice *Choice) Cancel() {
 	choice.table.mutex.Lock()
 	defer choice.table.mutex.Unlock()
@@ -317,8 +336,8 @@
 	choice.state.condition.requestEnded(choice)
 }
 
-// Listed reports whether requests may still be sent to the server: it is in the list of
-// servers and has not said in an answer that it drains.
+// Listed reports whether requests may still be sent to the server: the last call of Replace
+// listed the server, and it has not said in an answer that it drains.
 func (choice *Choice) Listed() bool {
 	choice.table.mutex.Lock()
 	defer choice.table.mutex.Unlock()
@@ -329,13 +348,13 @@
 type Load struct {
 	RunningRequests
 	Groups map[shedkeel.InstanceID]int // running requests by server; servers without any are missing
-	Slots  int                         // requests that the usable servers run concurrently
-	Usable int                         // servers that requests may be sent to
+	Slots  int                         // requests that the usable servers run concurrently, within their rate limits
+	Usable int                         // servers that are not avoided, do not back off and do not drain
 }
 
-// Load returns the load of the servers that serve a model of a service. OnTime, Late,
-// Slots and Usable leave out servers that are avoided, back off or drain; Groups
-// includes them.
+// Load returns the load of the listed servers that serve a model of a service. OnTime, Late,
+// Slots and Usable leave out servers that are avoided, back off or drain; Groups includes
+// such servers.
 func (table *Table) Load(service shedkeel.ServiceID, model shedkeel.ModelID, now time.Duration) Load {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
--- a/dispatch/table_test.go
+++ b/dispatch/table_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestFailingServerIsAvoidedAndRetried checks that a server that has failed requests gets
-// none until its penalty has decayed.
+// TestFailingServerIsAvoidedAndRetried checks that a server that has failed all its requests
+// gets none, and that it gets one again once its penalty has decayed.
 func TestFailingServerIsAvoidedAndRetried(t *testing.T) {
 	table := testTable("a", "b")
 	for range 10 {
@@ -96,9 +96,9 @@
 	assert.Equal(t, table.Choose(at(now)).Instance, shedkeel.InstanceID("a"), "the failing server must be tried again")
 }
 
-// TestStalledServer checks that a server which stops responding is reported only once within
-// stallReportInterval, that its requests are notified, and that it is avoided until it
-// responds.
+// TestStalledServer checks that a server which stops responding is not reported again
+// immediately, that its requests are notified, that it is avoided until it responds, and that
+// a request is notified again of the next stall.
 func TestStalledServer(t *testing.T) {
 	table := testTable("a", "b")
 	choice := table.Choose(Query{Service: "llm", Model: "m", Exclude: []shedkeel.InstanceID{"b"}})
@@ -182,8 +182,8 @@
 	assert.Equal(t, len(table.FindStalled(start+stallReportInterval)), 1)
 }
 
-// TestAvoidNoticeOfAnotherNode checks that a group is avoided on the notice of another node,
-// unless it responds to this process.
+// TestAvoidNoticeOfAnotherNode checks that AvoidGroup keeps requests from a group for the
+// given time, unless the group responds to this process.
 func TestAvoidNoticeOfAnotherNode(t *testing.T) {
 	table := testTable("a", "b")
 	group := shedkeel.Assignment{Group: "a", Epoch: 1}
@@ -198,8 +198,8 @@
 	assert.Assert(t, table.Choose(at(time.Second+maxDecodeGap/2)) != nil, "a group that responds to this process was avoided")
 }
 
-// TestReplaceKeepsState checks that a listed server keeps its running requests, and that a
-// group of another epoch starts without running requests.
+// TestReplaceKeepsState checks that a server that stays listed keeps its running requests,
+// and that a group of another epoch starts without running requests.
 func TestReplaceKeepsState(t *testing.T) {
 	table := testTable("a", "b")
 	running := table.Choose(Query{Service: "llm", Model: "m", Exclude: []shedkeel.InstanceID{"b"}})
