--- a/dispatch/spread.go
+++ b/dispatch/spread.go
@@ -15,7 +15,7 @@
 	// time passes.
 	prefillShare = 0.5
 	// meanStreamDuration is the assumed mean duration of a stream. The expected number of
-	// running requests decays with it as the time constant.
+	// running requests decays with this time constant.
 	meanStreamDuration = time.Second
 	// defaultDelayPerRequest is the assumed Server.DelayPerRequest of groups that state
 	// none.
@@ -98,7 +98,7 @@
 // requests assigned to the groups before, and assigns this request to that group. If there is
 // no such group, the result has no head. Before it chooses, Recommend records the request as
 // demand and replaces the reporter's last report. The result counts the requests of all
-// reports that have not expired; they do not include this request.
+// reports that have not expired, and does not include this request.
 //
 // For each partition of a model's groups, one process calls Recommend for the requests of all
 // processes. Each process alone knows few of the requests that run on a group, and prompts
@@ -143,7 +143,7 @@
 // and those that it expected. The caller must hold table.mutex.
 //
 // Assignments alone are a poor estimate of the running requests, because streams last longer
-// on groups that run more of them.
+// on groups that run more streams.
 func (table *Table) recordReport(key poolKey, reporter Reporter, now time.Duration) report {
 	if table.reports == nil {
 		table.reports = map[poolKey]map[string]report{}
--- a/dispatch/stall.go
+++ b/dispatch/stall.go
@@ -25,7 +25,7 @@
 	// prefilled twice. Callers wait 2 s for the first event.
 	maxFirstEventTime = 800 * time.Millisecond
 	// stallMargin is added to the longest expected time without events or answers before a
-	// server counts as stalled. It covers delays of the links and of this process's timers.
+	// server counts as stalled. The margin covers delays of the links and of this process's timers.
 	// A smaller margin would rescue no further stream, since a first event from another
 	// group takes 180 to 240 ms, and each false alarm causes a prompt to be prefilled twice
 	// (docs/PLATFORM.md).
--- a/dispatch/table.go
+++ b/dispatch/table.go
@@ -165,8 +165,8 @@
 	Now             time.Duration
 }
 
-// Choice is the server chosen for a request. The caller must call End once, or Cancel if
-// it sends nothing.
+// Choice is the server chosen for a request. The caller must call End once, or Cancel if the
+// request is not sent.
 type Choice struct {
 	Server
 	ChosenAt time.Duration // when the server was chosen
--- a/formation/form.go
+++ b/formation/form.go
@@ -273,8 +273,8 @@
 //
 // An eighth is rounded up as far as pairLossSpares, because servers are lost in
 // pairs: with one spare among ten servers, the second loss has no substitute. Above
-// that number it is rounded down: rounded up, an eighth of 27 servers in groups of 12
-// and 6 left nine of them free, because there was no room for the fourth group.
+// that number, an eighth is rounded down: rounded up, an eighth of 27 servers in groups
+// of 12 and 6 left nine servers free, because there was no room for the fourth group.
 func minSpares(servers int) int {
 	part := float64(servers) * spareShare
 	return max(int(part), min(int(math.Ceil(part)), pairLossSpares))
--- a/formation/planner.go
+++ b/formation/planner.go
@@ -232,8 +232,8 @@
 }
 
 // AdoptLoads takes over the loads that a previous planner ordered, except those of models
-// that the engine does not have. Ordering them again would restart them. Call AdoptLoads
-// before the first call of Plan.
+// that the engine does not have. A second order would restart a load. Call AdoptLoads before
+// the first call of Plan.
 func (planner *Planner) AdoptLoads(models map[shedkeel.InstanceID]shedkeel.ModelID, engine *shedkeel.Engine, now time.Duration) {
 	planner.loading = map[shedkeel.InstanceID]loading{}
 	for id, model := range models {
@@ -244,7 +244,8 @@
 }
 
 // Unanswered records that an order was not answered. The server may still carry out the
-// order. After maxUnanswered consecutive ones the server is skipped for unreachableBackoff.
+// order. After maxUnanswered consecutive unanswered orders, the server is skipped for
+// unreachableBackoff.
 func (planner *Planner) Unanswered(order shedkeel.GroupOrder, now time.Duration) {
 	if order.Kind == shedkeel.OrderJoin {
 		join := pendingJoin{order.To, shedkeel.Assignment{Group: order.Group, Epoch: order.Epoch}, now + lateOrderTime}
--- a/formation/repair.go
+++ b/formation/repair.go
@@ -232,7 +232,7 @@
 	})
 }
 
-// reserveMembers reserves the members of a group in this round.
+// reserveMembers reserves the listed members of a group in this round.
 func (round *round) reserveMembers(group *observedGroup) {
 	for _, member := range group.members {
 		if member != nil {
@@ -339,8 +339,8 @@
 
 // formerHeadMayServe is headMayServe for a formation that a later one of the same group
 // has replaced. If the former head was considered lost, it is not a member of the later
-// formation and may still serve. It does not serve if it is listed in another formation or in
-// none.
+// formation and may still serve. A head that is listed in another formation or in none does
+// not serve.
 func (round *round) formerHeadMayServe(former shedkeel.Assignment) bool {
 	if round.headHasEnded(former) {
 		return false
