--- a/contain/ledger.go
+++ b/contain/ledger.go
@@ -1,7 +1,12 @@
-// Package contain finds requests that make servers fail: it records which servers failed
-// while they ran a request, and judges from their number whether the request may still be
-// sent. It has no clock and sends nothing: its users exchange the records of their ledgers.
-// Ledgers that have merged the same records reach the same judgments, whatever the order.
+// Package contain finds requests that terminate servers: it records which servers have
+// terminated (crashed or stopped) while they ran a request, and judges from the number of
+// these servers whether the request may still be sent. It has no clock and sends nothing: its
+// users exchange the records of their ledgers. Ledgers that have merged the same records reach
+// the same judgments, whatever the order.
+//
+// A request stands for all requests with the same digest. A record is a shedkeel.Blame: the
+// terminated servers of a request, each instance of a server separately, and the round of the
+// request, which increases each time that the request is cleared.
 package contain
 
 import (
@@ -13,20 +18,20 @@
 )
 
 const (
-	// quarantineThreshold is the number of failed servers from which a request is quarantined.
-	// It is above 1 because a server runs tens of requests when it fails, most of which are
-	// harmless.
+	// quarantineThreshold is the number of terminated servers from which a request is
+	// quarantined. It is above 1 because a server runs tens of requests when it terminates,
+	// most of which are harmless.
 	quarantineThreshold = 2
-	// containThreshold is the number of failed servers from which a request is contained. A
-	// harmless request that runs beside a harmful one may by chance run on a second server
-	// that fails, but rarely on a third.
+	// containThreshold is the number of terminated servers from which a request is contained.
+	// A harmless request that runs beside a harmful one may by chance run on a second server
+	// that terminates, but rarely on a third.
 	containThreshold = 3
-	// maxRequests bounds the requests in a ledger.
+	// maxRequests bounds the number of entries in a ledger.
 	maxRequests = 4096
 )
 
-// Judge returns the judgment of a request by the number of servers that failed while they
-// ran it.
+// Judge returns the judgment of a request by the number of servers that terminated while they
+// ran the request.
 func Judge(blame shedkeel.Blame) shedkeel.Judgment {
 	switch count := len(blame.Servers); {
 	case count >= containThreshold:
@@ -37,13 +42,13 @@
 	return shedkeel.Unblamed
 }
 
-// Ledger records for each request which servers failed while they ran it. The zero value is
-// empty. Its methods may be called concurrently.
+// Ledger records for each request which servers terminated while they ran the request. The
+// zero value is empty. Its methods may be called concurrently.
 type Ledger struct {
 	mutex    sync.Mutex
 	entries  map[shedkeel.RequestDigest]*entry
 	useCount uint64       // incremented with each use of an entry; orders entries for eviction
-	blamed   atomic.Int64 // number of entries with at least one failed server
+	blamed   atomic.Int64 // number of entries with at least one terminated server
 }
 
 // entry is the record of one request.
@@ -52,11 +57,11 @@
 	lastUsed uint64 // useCount when the entry was last used
 }
 
-// Idle reports whether no request has a failed server recorded.
+// Idle reports whether no request has a terminated server recorded.
 func (ledger *Ledger) Idle() bool { return ledger.blamed.Load() == 0 }
 
-// Blame returns the record of a request, without servers if there is none. It counts as a
-// use of the record, which delays its eviction.
+// Blame returns the record of a request, or an empty record if there is none. It counts as a
+// use of the record, which delays the eviction of the record.
 func (ledger *Ledger) Blame(request shedkeel.RequestDigest) shedkeel.Blame {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
@@ -79,8 +84,9 @@
 	return blames
 }
 
-// RecordFailure records that a server failed while it ran a request, unless containThreshold
-// servers are recorded already. It returns the record of the request and whether it changed.
+// RecordFailure records that a server terminated while it ran a request, unless
+// containThreshold servers are recorded already. It returns the record of the request and
+// whether the record changed.
 func (ledger *Ledger) RecordFailure(request shedkeel.RequestDigest, server shedkeel.InstanceID) (shedkeel.Blame, bool) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
@@ -106,8 +112,8 @@
 
 // Merge adds a record of another ledger. A record of a later round replaces the existing
 // one, and a record of an earlier round is ignored. The servers of two records of the same
-// round are combined, up to containThreshold. It returns the resulting record and whether
-// it differs from the one before.
+// round are combined, up to containThreshold. Merge returns the resulting record and whether
+// it changed. It does not store a record without servers of round 0 for an unknown request.
 func (ledger *Ledger) Merge(other shedkeel.Blame) (shedkeel.Blame, bool) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
@@ -126,7 +132,7 @@
 	return entry.copy(), changed
 }
 
-// addServers adds failed servers, up to containThreshold in total, and reports whether the
+// addServers adds terminated servers, up to containThreshold in total, and reports whether the
 // record changed. The caller must hold ledger.mutex.
 func (ledger *Ledger) addServers(entry *entry, servers []shedkeel.InstanceID) bool {
 	before := len(entry.blame.Servers)
@@ -142,7 +148,7 @@
 	return len(entry.blame.Servers) != before
 }
 
-// startRound sets the round and drops the recorded servers. The caller must hold
+// startRound sets the round of the entry and drops its servers. The caller must hold
 // ledger.mutex.
 func (ledger *Ledger) startRound(entry *entry, round uint32) {
 	if len(entry.blame.Servers) > 0 {
@@ -151,8 +157,8 @@
 	entry.blame.Round, entry.blame.Servers = round, nil
 }
 
-// entry returns the entry of a request, and creates it if there is none. The caller must hold
-// ledger.mutex.
+// entry returns the entry of a request, and creates it if there is none. It counts as a use of
+// the entry. The caller must hold ledger.mutex.
 func (ledger *Ledger) entry(request shedkeel.RequestDigest) *entry {
 	result := ledger.entries[request]
 	if result == nil {
@@ -190,7 +196,8 @@
 	delete(ledger.entries, victim.blame.Request)
 }
 
-// evictBefore reports whether the entry is to be evicted rather than the other one.
+// evictBefore reports whether the entry is to be evicted rather than the other entry: it has
+// fewer servers, or as many and was used less recently.
 func (entry *entry) evictBefore(other *entry) bool {
 	if own, others := len(entry.blame.Servers), len(other.blame.Servers); own != others {
 		return own < others
--- a/contain/ledger_test.go
+++ b/contain/ledger_test.go
@@ -11,21 +11,21 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestJudge checks the judgment for each number of failed servers. Each start of a server
-// counts separately, because it has an instance ID of its own.
+// TestJudge checks the judgment for each number of terminated servers. Each instance of a
+// server counts separately.
 func TestJudge(t *testing.T) {
 	cases := map[string]struct {
 		failed   []shedkeel.InstanceID
 		judgment shedkeel.Judgment
 	}{
-		"none":                      {nil, shedkeel.Unblamed},
-		"one":                       {[]shedkeel.InstanceID{"a"}, shedkeel.Unblamed},
+		"no server":                 {nil, shedkeel.Unblamed},
+		"one server":                {[]shedkeel.InstanceID{"a"}, shedkeel.Unblamed},
 		"one, reported by several":  {[]shedkeel.InstanceID{"a", "a", "a"}, shedkeel.Unblamed},
-		"two":                       {[]shedkeel.InstanceID{"a", "b"}, shedkeel.Quarantined},
+		"two servers":               {[]shedkeel.InstanceID{"a", "b"}, shedkeel.Quarantined},
 		"one that restarted":        {[]shedkeel.InstanceID{"a@1", "a@2"}, shedkeel.Quarantined},
-		"three":                     {[]shedkeel.InstanceID{"a", "b", "c"}, shedkeel.Contained},
+		"three servers":             {[]shedkeel.InstanceID{"a", "b", "c"}, shedkeel.Contained},
 		"three, two reported twice": {[]shedkeel.InstanceID{"c", "b", "b", "a", "c"}, shedkeel.Contained},
-		"more":                      {[]shedkeel.InstanceID{"a", "b", "c", "d", "e"}, shedkeel.Contained},
+		"five servers":              {[]shedkeel.InstanceID{"a", "b", "c", "d", "e"}, shedkeel.Contained},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -41,7 +41,7 @@
 }
 
 // TestClear checks that clearing drops the recorded servers, that a record of the earlier
-// round that arrives late has no effect, and that later failures count.
+// round that arrives late has no effect, and that later terminations count.
 func TestClear(t *testing.T) {
 	ledger := &Ledger{}
 	ledger.RecordFailure("r", "a")
--- a/contain/simulation_test.go
+++ b/contain/simulation_test.go
@@ -19,7 +19,7 @@
 // for which servers are recorded.
 type strategy struct {
 	keepsLedger      bool // nodes record failed servers in their ledgers
-	coordinator      bool // after the first failure, a node sends the record to the coordinator of the request, here node 0
+	coordinator      bool // after the first failure, a node sends the record to the coordinator of the request, which is node 0 here
 	broadcast        bool // from the second failure on, a node sends the record to all nodes
 	persisted        bool // from the second failure on, a node writes the record to the store, from which all nodes read it
 	withdrawsQueued  bool // from the second failure on, a node withdraws the copies that it has sent
@@ -45,7 +45,7 @@
 )
 
 // simulation simulates, in virtual time, a fleet that gets copies of one request. Each server
-// that runs a copy fails.
+// that runs a copy fails, that is, terminates.
 type simulation struct {
 	strategy   strategy
 	fault      fault
@@ -55,7 +55,7 @@
 	nodes      []*simNode
 	heads      []*head
 	stored     shedkeel.Blame
-	trialUntil time.Duration // no other exclusive copy is sent before this time
+	trialUntil time.Duration // no further exclusive copy is sent before this time
 
 	failedServers int           // servers that failed
 	thirdFailure  time.Duration // when the third server failed; 0: not yet
@@ -413,7 +413,7 @@
 	})
 }
 
-// TestContainmentStrategies runs the same simulations with each strategy and logs the
+// TestContainmentStrategies runs the same simulations with each strategy and logs their
 // outcomes. It checks the bound of the strategy in use: from convergenceTime after the third
 // failure on, connected nodes send at most three more copies of the request to servers,
 // whatever the fault.
