--- a/ratelimit/cold.go
+++ b/ratelimit/cold.go
@@ -11,15 +11,15 @@
 )
 
 // ColdServers holds the backend servers that are cold: they have started recently and accept
-// fewer requests until they are warm. The zero value is empty. It is safe for concurrent
-// use.
+// fewer requests until they are warm. A server is warm from the time Until of its record on.
+// The zero value is empty. It is safe for concurrent use.
 type ColdServers struct {
 	mutex   sync.RWMutex
 	servers map[shedkeel.InstanceID]shedkeel.ColdServer
 }
 
 // Add records that a server is cold, in place of an earlier record of the server, and
-// reports whether the record changed. It keeps the later of the two times in Until.
+// reports whether the record is new or changed. It keeps the later Until of the two records.
 func (servers *ColdServers) Add(server shedkeel.ColdServer) bool {
 	servers.mutex.Lock()
 	defer servers.mutex.Unlock()
@@ -37,8 +37,8 @@
 	return true
 }
 
-// Lookup returns the record of a server, and whether the server is cold now. A server keeps
-// its record when it becomes warm, until Expire removes it.
+// Lookup returns the record of a server, or an empty one, and whether the server is cold now.
+// A server keeps its record when it becomes warm, until Expire removes the record.
 func (servers *ColdServers) Lookup(server shedkeel.InstanceID, now time.Duration) (shedkeel.ColdServer, bool) {
 	servers.mutex.RLock()
 	defer servers.mutex.RUnlock()
@@ -55,7 +55,7 @@
 	return found
 }
 
-// Expire removes the servers that are warm now and returns their IDs.
+// Expire removes the records of the servers that are warm now and returns their IDs.
 func (servers *ColdServers) Expire(now time.Duration) []shedkeel.InstanceID {
 	servers.mutex.Lock()
 	defer servers.mutex.Unlock()
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// handoverDelay is how long after a change of the set of live processes a process
+	// handoverDelay is how long after the last change of the set of live processes a process
 	// grants no permits of a server that it takes over: the previous granter may still be
 	// granting them.
 	handoverDelay = time.Second
-	// probeRate is the lowest rate at which permits are granted, in requests a second,
+	// probeRate is the lowest rate at which permits are granted, in requests per second,
 	// even if the server states a rate of zero: only the answers to requests show that
 	// the limit has been lifted.
 	probeRate = 0.1
@@ -22,24 +22,24 @@
 	// but at least minBurst.
 	minBurst      = 2
 	burstDuration = 50 * time.Millisecond
-	// maxRetryWait bounds the Wait of a refusal, so that refused processes ask again at
-	// least this often.
+	// maxRetryWait bounds the Wait of a refusal, so that refused processes ask again
+	// after at most this time.
 	maxRetryWait = 2 * time.Second
 )
 
 // Granter grants permits of servers that limit their rate, with a token bucket for each
-// server. It must be used so that only one process at a time grants the permits of a
+// server. Its users must see to it that only one process at a time grants the permits of a
 // server. The zero value is ready to use. It is safe for concurrent use.
 type Granter struct {
 	mutex   sync.Mutex
 	buckets map[shedkeel.InstanceID]*bucket
 }
 
-// bucket is the token bucket of one server. It starts empty.
+// bucket is the token bucket of one server. It is empty until grantsFrom.
 type bucket struct {
 	tokens     *rate.Limiter
 	grantsFrom time.Duration // no permits are granted before this time
-	nextRetry  time.Duration // earliest time for a retry that the next refusal may state
+	nextRetry  time.Duration // earliest time at which the next process to be refused may ask again
 	usage      Usage
 }
 
@@ -53,14 +53,15 @@
 // PermitRequest is a request for one permit.
 type PermitRequest struct {
 	Server       shedkeel.InstanceID
-	Rate         float64       // requests a second that this process may grant
+	Rate         float64       // permits per second that this process may grant for the server
 	MaxWait      time.Duration // how long the request can wait: a permit may be granted that becomes valid within this time
 	SettledSince time.Duration // since when the set of live processes has not changed
 }
 
-// Grant grants or refuses a permit. A granted permit may be used after its Wait, which is
-// at most request.MaxWait. After a refusal, the caller should ask again no earlier than
-// after Wait.
+// Grant grants or refuses a permit. A granted permit is valid after its Wait, which is at most
+// request.MaxWait. Grant refuses a permit that would become valid later, and all permits before
+// the grantsFrom of the server's bucket. The Wait of a refusal is how long the caller should
+// wait before it asks again.
 func (granter *Granter) Grant(request PermitRequest, now time.Duration) shedkeel.Permit {
 	granter.mutex.Lock()
 	defer granter.mutex.Unlock()
@@ -79,7 +80,7 @@
 }
 
 // bucket returns the server's bucket, with its rate set to request.Rate, but at least to
-// probeRate. It creates an empty bucket for a new server. The caller holds the mutex.
+// probeRate. It creates an empty bucket for a new server. The caller must hold the mutex.
 func (granter *Granter) bucket(request PermitRequest, now time.Duration) *bucket {
 	perSecond := rate.Limit(max(request.Rate, probeRate))
 	known := granter.buckets[request.Server]
@@ -104,9 +105,9 @@
 	return max(minBurst, int(float64(perSecond)*burstDuration.Seconds()))
 }
 
-// refuse counts and returns a refusal. Its Wait is at least delay, but at most maxRetryWait.
-// The retry times of successive refusals are spaced at the server's rate, so that refused
-// processes do not all ask again at the same time.
+// refuse counts and returns a refusal. The Wait of the refusal is delay, or longer after other
+// refusals, but at most maxRetryWait. The retry times of successive refusals are spaced at the
+// server's rate, so that refused processes do not all ask again at the same time.
 func (bucket *bucket) refuse(delay, now time.Duration) shedkeel.Permit {
 	bucket.usage.Refused++
 	bucket.nextRetry = max(bucket.nextRetry, now+delay)
@@ -115,8 +116,8 @@
 	return shedkeel.Permit{Wait: wait}
 }
 
-// Usage returns how many permits of a server this process has granted and refused, or zeros
-// if it holds no bucket of the server.
+// Usage returns how many permits of a server this process has granted and refused since it
+// became the server's granter, or zeros if it has granted and refused none.
 func (granter *Granter) Usage(server shedkeel.InstanceID) Usage {
 	granter.mutex.Lock()
 	defer granter.mutex.Unlock()
--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -22,10 +22,10 @@
 
 // TestGranterKeepsTheRate asks for a permit each millisecond. It checks that at least 90% of
 // the rate is granted, less one permit, and that no window of four seconds has more permits
-// than the rate and a full bucket allow.
+// than the rate and a full bucket allow, plus one.
 func TestGranterKeepsTheRate(t *testing.T) {
 	const start, length, window = time.Minute, 20 * time.Second, 4 * time.Second
-	cases := map[string]float64{"a half": 0.5, "two": 2, "twenty": 20, "two hundred": 200}
+	cases := map[string]float64{"0.5 per second": 0.5, "2 per second": 2, "20 per second": 20, "200 per second": 200}
 	for name, rate := range cases {
 		t.Run(name, func(t *testing.T) {
 			granted := requestPermits(&Granter{}, PermitRequest{Server: "s", Rate: rate}, start, time.Millisecond, length)
@@ -43,15 +43,15 @@
 }
 
 // TestGranterHandover checks that a process grants no permits within handoverDelay after a
-// change of the set of live processes, in which the previous granter may still grant them,
-// and that it does not wait if the last change was long ago.
+// change of the set of live processes, because the previous granter may still grant them,
+// and that the process does not wait if the last change was long ago.
 func TestGranterHandover(t *testing.T) {
 	cases := map[string]struct {
 		settled time.Duration // since when the set of live processes has not changed
 		first   time.Duration // when the bucket, which is empty at first, begins to fill
 	}{
-		"long ago": {0, time.Minute},
-		"just now": {time.Minute, time.Minute + handoverDelay},
+		"changed long ago": {0, time.Minute},
+		"changed just now": {time.Minute, time.Minute + handoverDelay},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -82,7 +82,7 @@
 
 // TestGranterFollowsTheLimit checks that a changed limit applies immediately, and that a
 // server with a limit of zero gets requests at probeRate, six in a minute. A full bucket adds
-// up to minBurst permits.
+// up to minBurst permits. Last, it checks that Retain removes the bucket.
 func TestGranterFollowsTheLimit(t *testing.T) {
 	granter := &Granter{}
 	request := PermitRequest{Server: "s", Rate: 5}
--- a/ratelimit/limits.go
+++ b/ratelimit/limits.go
@@ -1,6 +1,10 @@
 // Package ratelimit divides the rate limits of backend servers among the processes that send
-// requests to them. Limits records the limits that servers state. Granter grants permits,
-// each for one request: for each server, one process grants the permits to all processes.
+// requests to them. Limits records the limits that servers state, and ColdServers the lower
+// rates of servers that have started recently. Granter grants permits, each for one request:
+// for each server, one process, the server's granter, grants the permits to all processes.
+//
+// Times are durations on the monotonic clock of shedkeel.Timers. Rates are in requests per
+// second, over all processes together unless stated otherwise.
 package ratelimit
 
 import (
@@ -18,7 +22,7 @@
 type Limits struct {
 	mutex  sync.RWMutex
 	limits map[shedkeel.InstanceID]shedkeel.ServerLimit // including lifted ones
-	inUse  atomic.Int64                                 // limits that are not lifted
+	inUse  atomic.Int64                                 // number of limits that are not lifted
 }
 
 // Idle reports whether no server is known to limit its rate.
@@ -26,8 +30,8 @@
 
 // Observe records what an answer that was received now states about the server's limit. The
 // answer is to a request that was sent at the time sent: an answer without a limit only
-// proves that the server had no limit at that time. It returns the known limit, and whether
-// it changed.
+// proves that the server had no limit at that time, and so lifts the known limit if that is
+// older. Observe returns the known limit, and whether its Rate or Lifted changed.
 func (limits *Limits) Observe(server shedkeel.InstanceID, limit shedkeel.StatedLimit, sent, now time.Duration) (shedkeel.ServerLimit, bool) {
 	if !limit.Stated {
 		if limits.Idle() {
@@ -38,9 +42,10 @@
 	return limits.Merge(shedkeel.ServerLimit{Server: server, Rate: limit.Rate, AsOf: now, Since: now})
 }
 
-// Merge records a limit that may come from another process. It ignores the limit if the known
-// limit of the server is as new or newer, or if it is lifted and none is known. It returns the
-// limit that is known afterwards, and whether its Rate or Lifted changed.
+// Merge records a limit that may come from another process, in place of the known limit of the
+// server. It ignores the limit if the known limit is as new or newer, or if the limit is lifted
+// and none is known. If neither of the two limits is lifted, it keeps the earlier Since. It
+// returns the limit that is known afterwards, and whether its Rate or Lifted changed.
 func (limits *Limits) Merge(limit shedkeel.ServerLimit) (shedkeel.ServerLimit, bool) {
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
@@ -62,7 +67,7 @@
 	return limit, changed
 }
 
-// Limit returns the known limit of a server, and whether it is in use, that is, known
+// Limit returns the known limit of a server, and whether the limit is in use, that is, known
 // and not lifted.
 func (limits *Limits) Limit(server shedkeel.InstanceID) (shedkeel.ServerLimit, bool) {
 	limits.mutex.RLock()
@@ -85,7 +90,7 @@
 	return found
 }
 
-// Retain removes the servers for which listed returns false.
+// Retain removes the limits of the servers for which listed returns false.
 func (limits *Limits) Retain(listed func(shedkeel.InstanceID) bool) {
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
@@ -97,7 +102,7 @@
 	limits.updateInUse()
 }
 
-// updateInUse recounts the limits in use. The caller holds the mutex.
+// updateInUse recounts the limits in use. The caller must hold the mutex.
 func (limits *Limits) updateInUse() {
 	inUse := int64(0)
 	for _, limit := range limits.limits {
--- a/ratelimit/limits_test.go
+++ b/ratelimit/limits_test.go
@@ -50,8 +50,9 @@
 	}
 }
 
-// TestLimitsMerge checks that the newest limit replaces older ones, that a changed limit keeps
-// the earliest Since, and that Retain removes servers that are not listed.
+// TestLimitsMerge checks that a newer limit replaces the known limit and an older limit does
+// not, that a changed limit keeps the earliest Since, and that Retain removes servers that are
+// not listed.
 func TestLimitsMerge(t *testing.T) {
 	var limits Limits
 	limits.Merge(shedkeel.ServerLimit{Server: "s", Rate: 2, AsOf: 10, Since: 10})
@@ -73,9 +74,9 @@
 		limited int
 		answer  shedkeel.StatedLimit
 	}{
-		"none limited":                {0, shedkeel.StatedLimit{}},
-		"1,000 limited":               {1000, shedkeel.StatedLimit{}},
-		"1,000 limited, one of these": {1000, shedkeel.StatedLimit{Stated: true, Rate: 2}},
+		"none limited":                   {0, shedkeel.StatedLimit{}},
+		"1,000 limited, no limit stated": {1000, shedkeel.StatedLimit{}},
+		"1,000 limited, limit stated":    {1000, shedkeel.StatedLimit{Stated: true, Rate: 2}},
 	}
 	for name, test := range cases {
 		b.Run(name, func(b *testing.B) {
--- a/ratelimit/sharing_test.go
+++ b/ratelimit/sharing_test.go
@@ -33,7 +33,7 @@
 	simDuration     = 24 * time.Second
 	simWindow       = 4 * time.Second // in which requests to the server are counted
 	propagationTime = 3 * time.Second // within which all nodes should have received a limit
-	simBurst        = 5               // requests allowed in a window in addition to one and a half times the limit
+	simBurst        = 5               // requests allowed in a window in addition to one and a half times the limit (see allowed)
 	linkDelay       = 2 * time.Millisecond
 	callTimeout     = 30 * time.Millisecond
 	retryPause      = 200 * time.Millisecond
@@ -102,16 +102,16 @@
 }
 
 var scenarios = map[string]scenario{
-	"no faults":               {},
-	"nodes killed in turn":    {kill: killInTurn},
-	"all killed":              {kill: killAll},
-	"partitioned":             {partition: interval{5 * time.Second, 14 * time.Second}},
-	"a third frozen":          {freeze: freezeThird},
-	"the limit changes":       {limit: changingLimit},
-	"killed while it changes": {kill: killInTurn, limit: changingLimit},
+	"no faults":             {},
+	"nodes killed in turn":  {kill: killInTurn},
+	"all killed":            {kill: killAll},
+	"partitioned":           {partition: interval{5 * time.Second, 14 * time.Second}},
+	"a third frozen":        {freeze: freezeThird},
+	"the limit changes":     {limit: changingLimit},
+	"killed, limit changes": {kill: killInTurn, limit: changingLimit},
 }
 
-// demand returns the fraction of all requests that arrives at a node.
+// demand returns the fraction of all requests that arrives at a node now.
 type demand func(fleet *simFleet, node *simNode, now time.Duration) float64
 
 var demands = map[string]demand{
@@ -135,7 +135,7 @@
 type simFleet struct {
 	scheme   scheme
 	scenario scenario
-	rate     float64 // the server's full rate, in requests a second
+	rate     float64 // the server's full rate, in requests per second
 	random   *rand.Rand
 	now      time.Duration
 	events   eventQueue
@@ -157,8 +157,8 @@
 	index          int
 	hash           uint64
 	killed, frozen []interval
-	blockedUntil   time.Duration // until when it asks for no permit, after a refusal
-	knownSince     time.Duration // when it received the limit; below 0: it knows of none
+	blockedUntil   time.Duration // until when the node asks for no permit, after a refusal
+	knownSince     time.Duration // when the node learned that the server has a limit; below 0: it does not know of one
 
 	granter       Granter
 	bucket        *rate.Limiter
@@ -221,7 +221,7 @@
 			heap.Push(&fleet.events, event{killed.until, func() { fleet.restart(node) }})
 		}
 	}
-	// Demand is three times the server's limit, and at least 8 requests a second.
+	// Demand is three times the server's full rate, and at least 8 requests per second.
 	fleet.arrive(demand, max(3*rate, 8))
 	heap.Push(&fleet.events, event{time.Second, fleet.decayDemand})
 	return fleet
@@ -241,7 +241,7 @@
 	})
 }
 
-// decayDemand decays the recent demand of all nodes.
+// decayDemand halves the recent demand of all nodes, each second.
 func (fleet *simFleet) decayDemand() {
 	for _, node := range fleet.nodes {
 		node.recent /= 2
@@ -439,7 +439,7 @@
 	return found
 }
 
-// run simulates the scenario and returns its outcome.
+// run simulates the scenario for simDuration and returns its outcome.
 func (fleet *simFleet) run() outcome {
 	for fleet.events.Len() > 0 {
 		next, _ := heap.Pop(&fleet.events).(event)
