--- a/route/router.go
+++ b/route/router.go
@@ -1,7 +1,7 @@
-// Package route chooses the target of a request, a replica group or backend server: the
-// one that likely has the prompt's prefix cached unless it is overloaded, otherwise the
-// less loaded of two drawn at random. The time of a choice does not depend on the number
-// of targets, unless few of them are usable.
+// Package route chooses the target of a request, a replica group or backend server. It
+// chooses a target that likely has the prompt's prefix cached unless that target is overloaded,
+// otherwise the less loaded of two targets drawn at random. The time of a choice does not
+// depend on the number of targets, unless the random draws find none that the request allows.
 package route
 
 import (
@@ -16,14 +16,16 @@
 )
 
 const (
-	// DefaultBound is the load, as a multiple of the mean load, up to which a target gets
-	// requests for prefixes that it likely has cached.
+	// DefaultBound is the load, as a multiple of the mean load of the usable targets, up to
+	// which a target gets requests for prefixes that it likely has cached.
 	DefaultBound = 1.25
-	// prefixSlots is the number of slots to which prefix hashes are mapped.
+	// prefixSlots is the number of slots to which prefix hashes are mapped. Requests whose
+	// prefixes share a slot prefer the same targets.
 	prefixSlots = 1024
-	// targetsPerSlot is how many targets a slot has, in order of preference.
+	// targetsPerSlot is how many targets a slot has, in order of preference: the second
+	// target gets the requests for which the first is overloaded, unusable or excluded.
 	targetsPerSlot = 2
-	// maxDraws bounds the random draws that look for two usable targets.
+	// maxDraws bounds the random draws that look for two targets that the request allows.
 	maxDraws = 16
 )
 
@@ -32,7 +34,7 @@
 	Name         string // of the group or server; the same in all epochs
 	Address      string
 	Assignment   shedkeel.Assignment
-	UsableUntil  time.Duration // when the target stops being usable
+	UsableUntil  time.Duration // time from which requests must not be sent to the target any more
 	ReportedLoad int           // load that the target reported, in requests; lags behind
 	ReportedAt   time.Duration // time of the report of ReportedLoad
 	Capacity     int           // requests that the target runs concurrently
@@ -42,7 +44,7 @@
 // before use. Its methods may be called concurrently.
 type Router struct {
 	Random shedkeel.Random
-	Bound  float64 // replaces DefaultBound; zero: DefaultBound; negative: no prefix affinity
+	Bound  float64 // used instead of DefaultBound; zero: DefaultBound; negative: no prefix affinity
 
 	mutex sync.Mutex
 	pools map[shedkeel.ServiceID]*targetPool
@@ -82,8 +84,8 @@
 	target *target
 }
 
-// Update replaces the targets of a service. A target with the name of a former one keeps
-// its count of requests in flight.
+// Update replaces the targets of a service. A target with the name of a former target keeps
+// the count of its requests in flight.
 func (router *Router) Update(service shedkeel.ServiceID, targets []Target, now time.Duration) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
@@ -109,7 +111,8 @@
 	}
 }
 
-// update replaces the targets, and reassigns the slots if any target was added or removed.
+// update replaces the targets and finds those that are usable now. It reassigns the slots if
+// any target was added or removed.
 func (targetPool *targetPool) update(targets []Target, now time.Duration) {
 	previous := map[string]*target{}
 	for _, target := range targetPool.targets {
@@ -145,7 +148,7 @@
 
 // applyReport replaces the target's description and drops the changes up to the time of
 // the report, because the reported load includes them. If the assignment or the address
-// is another one, it drops all changes.
+// differs from the former one, it drops all changes.
 func (target *target) applyReport(reported Target) {
 	if reported.Assignment != target.Assignment || reported.Address != target.Address {
 		target.changes = nil
@@ -158,7 +161,8 @@
 	}
 }
 
-// recordChange records that delta requests were added to the target's load.
+// recordChange records that delta requests were added to the target's load, or removed if
+// delta is negative.
 func (target *target) recordChange(now time.Duration, delta int) {
 	target.inFlight += delta
 	target.changes = append(target.changes, change{at: now, delta: delta})
@@ -201,7 +205,8 @@
 	Exclude  []string // names of targets that must not be chosen, such as those already tried
 }
 
-// Choose returns a target for the request, or a NotRunError if none is usable.
+// Choose returns a target for the request, or a NotRunError if no target is usable or the
+// request excludes all usable targets. It counts the request as in flight at the target.
 func (router *Router) Choose(request Request) (*Choice, error) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
@@ -226,14 +231,15 @@
 // group is rarely formed again sooner.
 const retryAfterNoTarget = 2 * time.Second
 
-// allows reports whether the target is usable and the request does not exclude it.
+// allows reports whether there is a target, which may be nil, that is usable at Now and that
+// the request does not exclude.
 func (request *Request) allows(target *target) bool {
 	return target != nil && target.UsableUntil > request.Now && !slices.Contains(request.Exclude, target.Name)
 }
 
 // chooseByPrefix returns the first target of the prefix's slot that the request allows and
-// whose load is within the bound. It returns nil if there is none or the request has no
-// affinity.
+// whose load is within the bound. It returns nil if there is no such target, the request has
+// no affinity or the router's Bound is negative.
 func (router *Router) chooseByPrefix(pool *targetPool, request Request) *target {
 	bound := router.Bound
 	if bound == 0 {
@@ -252,9 +258,9 @@
 	return nil
 }
 
-// chooseRandom returns the less loaded of two usable targets drawn at random. If maxDraws
-// draws find only one, it returns that one. If they find none, it returns the first target,
-// by name, that the request allows, or nil.
+// chooseRandom returns the less loaded of two different targets that the request allows, drawn
+// at random. If maxDraws draws find only one such target, it returns that target. If they find
+// none, it returns the first usable target, by name, that the request allows, or nil.
 func (router *Router) chooseRandom(pool *targetPool, request Request) *target {
 	var first *target
 	for range maxDraws {
@@ -288,8 +294,8 @@
 	choice.pool.inFlight--
 }
 
-// Load returns the requests in flight from this process to a service, and the total capacity
-// and number of its usable targets.
+// Load returns the number of requests in flight from this process to a service, and the total
+// capacity and number of the service's targets that were usable at the last update.
 func (router *Router) Load(service shedkeel.ServiceID) (inFlight, capacity, usable int) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
--- a/route/router_test.go
+++ b/route/router_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// targetsOf returns that many targets with 32 slots each, usable until the given time.
+// targetsOf returns that many targets with a capacity of 32 each, usable until the given time.
 func targetsOf(count int, until time.Duration) []Target {
 	var targets []Target
 	for index := range count {
@@ -25,7 +25,8 @@
 	return router
 }
 
-// TestChoose checks that a choice returns a usable target that is not excluded, or an error.
+// TestChoose checks whether a target is chosen or an error returned, with and without
+// affinity, and that the first excluded target is not chosen.
 func TestChoose(t *testing.T) {
 	cases := map[string]struct {
 		count   int
@@ -34,8 +35,8 @@
 		exclude []string
 		want    bool // a target is chosen
 	}{
-		"one":              {1, time.Second, 0, nil, true},
-		"none":             {0, time.Second, 0, nil, false},
+		"one target":       {1, time.Second, 0, nil, true},
+		"no targets":       {0, time.Second, 0, nil, false},
 		"no longer usable": {3, time.Second, time.Second, nil, false},
 		"all excluded":     {2, time.Second, 0, []string{"g000", "g001"}, false},
 		"one not excluded": {3, time.Second, 0, []string{"g000", "g001"}, true},
@@ -56,8 +57,8 @@
 	}
 }
 
-// TestLoadIsCorrected checks that the reported load is corrected by the requests that were sent
-// and have ended since the report.
+// TestLoadIsCorrected checks that the load of a target is the reported load, corrected by the
+// requests that were sent and have ended since the report.
 func TestLoadIsCorrected(t *testing.T) {
 	router := newRouter(1)
 	choose := func(now time.Duration) *Choice {
--- a/route/simulation_test.go
+++ b/route/simulation_test.go
@@ -32,7 +32,7 @@
 	prefixes         = 900         // number of different prefixes
 	reportLag        = time.Second // age of the load reports that entries receive
 	simDeadline      = 5 * time.Second
-	firstTokenTarget = 700 * time.Millisecond
+	firstTokenTarget = 700 * time.Millisecond // objective for the time to the first token
 )
 
 // routingRule chooses a group for each request that arrives at an entry.
@@ -51,7 +51,7 @@
 	maxWait time.Duration
 }
 
-// gated returns the rule with admission control: it refuses requests that would wait longer
+// gated returns the rule with admission control, which refuses requests that would wait longer
 // than maxWait.
 func gated(maxWait time.Duration) *packageRule {
 	packageRule := newPackageRule(0)
@@ -138,7 +138,7 @@
 	up      bool
 	running []*job
 	queue   []*job
-	cache   []uint64 // cached prefixes, the most recently used one last
+	cache   []uint64 // cached prefixes, the most recently used last
 }
 
 // job is a request at a server.
@@ -151,7 +151,8 @@
 	end     func(time.Duration) // informs the routing rule that the request has ended
 }
 
-// hit reports whether the prefix is cached, and makes it the most recently used one.
+// hit reports whether the prefix is cached, and makes it the most recently used prefix of the
+// cache.
 func (server *server) hit(prefix uint64) bool {
 	place := slices.Index(server.cache, prefix)
 	if place >= 0 {
@@ -224,7 +225,7 @@
 }
 
 // laggedReports returns what entries know now: the reports from lag ticks ago, or the
-// first ones, with targets that are usable for another 3 s.
+// first reports if fewer ticks have passed, with targets that are usable for another 3 s.
 func laggedReports(reports [][]Target, lag int, now time.Duration) []Target {
 	targets := slices.Clone(reports[max(len(reports)-1-lag, 0)])
 	for index := range targets {
@@ -266,8 +267,9 @@
 	servers[group].queue = append(servers[group].queue, arrived)
 }
 
-// step ends the requests that are due and starts queued ones in free slots. A server that is
-// down loses its requests and its cache.
+// step ends the requests that are due and starts queued requests in free slots. It drops queued
+// requests that have waited longer than simDeadline. A server that is down loses its requests
+// and its cache.
 func (server *server) step(now time.Duration, _ *rand.Rand, result *outcome) {
 	if !server.up {
 		for _, lost := range slices.Concat(server.running, server.queue) {
