--- a/serve/backoff_test.go
+++ b/serve/backoff_test.go
@@ -11,9 +11,9 @@
 	"shedkeel.org/shedkeel/dispatch"
 )
 
-// TestBackoffAppliesToLaterRequests checks, for each kind of route, that later requests are
-// not sent to a server that asked for a backoff, and that they are refused at once if all
-// servers did.
+// TestBackoffAppliesToLaterRequests checks, for each kind of route, that a later request is
+// not sent to a server that asked for a backoff, and that it is refused at once if all
+// servers asked for one.
 func TestBackoffAppliesToLaterRequests(t *testing.T) {
 	backsOff := step{status: 503, notRun: true, backoff: time.Minute}
 	cases := map[string]struct {
@@ -25,10 +25,10 @@
 	}{
 		"one plain server":        {"/safe/x", []step{backsOff, {body: "ok"}}, 2, 1, 200},
 		"all plain servers":       {"/safe/x", []step{backsOff, backsOff, backsOff}, 3, 0, 503},
-		"all, run once":           {"/once/x", []step{backsOff, backsOff, backsOff}, 3, 0, 503},
+		"all plain servers, once": {"/once/x", []step{backsOff, backsOff, backsOff}, 3, 0, 503},
 		"one group":               {"/s/x", []step{backsOff, {events: 5}}, 2, 1, 200},
 		"all groups":              {"/s/x", []step{backsOff, backsOff, backsOff}, 3, 0, 503},
-		"two, and one fails":      {"/s/x", []step{backsOff, backsOff, {status: 503, notRun: true}}, 3, 1, 200},
+		"two groups of three":     {"/s/x", []step{backsOff, backsOff, {status: 503, notRun: true}}, 3, 1, 200},
 		"the group of a failover": {"/s/x", []step{{events: 5, cutAfter: 2}, backsOff, {events: 5}}, 3, 1, 200},
 	}
 	for name, test := range cases {
@@ -64,18 +64,18 @@
 func TestServerStatements(t *testing.T) {
 	cases := map[string]struct {
 		step     step
-		most     time.Duration // Handler.MaxBackoff
+		most     time.Duration // Handler.MaxBackoff; a nanosecond has passed when the test looks
 		backsOff bool          // the table has a backoff of the server
 		drains   bool          // the table lists the server as draining
 	}{
 		"no statement":        {step{body: "ok"}, 0, false, false},
-		"a backoff":           {step{status: 503, notRun: true, backoff: time.Minute}, 0, true, false},
+		"in a refusal":        {step{status: 503, notRun: true, backoff: time.Minute}, 0, true, false},
 		"in a failure":        {step{status: 503, backoff: time.Minute}, 0, true, false},
-		"over the bound":      {step{status: 503, notRun: true, backoff: time.Minute}, time.Nanosecond, false, false},
-		"another's backoff":   {step{status: 503, notRun: true, wrongID: true, backoff: time.Minute}, 0, false, false},
-		"drains":              {step{body: "ok", drains: true}, 0, false, true},
+		"above MaxBackoff":    {step{status: 503, notRun: true, backoff: time.Minute}, time.Nanosecond, false, false},
+		"in another's answer": {step{status: 503, notRun: true, wrongID: true, backoff: time.Minute}, 0, false, false},
+		"drains, and answers": {step{body: "ok", drains: true}, 0, false, true},
 		"drains, and refuses": {step{status: 503, notRun: true, drains: true}, 0, false, true},
-		"another drains":      {step{wrongID: true, drains: true}, 0, false, false},
+		"drains, another's":   {step{wrongID: true, drains: true}, 0, false, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -91,8 +91,8 @@
 }
 
 // TestRetryAfterABackoff checks that callers that are refused together get different times in
-// Retry-After. The times are after the end of the backoff. If the backoff ends later than
-// callers are willing to wait, they are near the longest wait that callers honor.
+// Retry-After. The times are near the end of the backoff. If the backoff ends later than
+// callers are willing to wait, the times are near the longest wait that callers honor.
 func TestRetryAfterABackoff(t *testing.T) {
 	cases := map[string]struct {
 		length      time.Duration // of the backoff
--- a/serve/budget.go
+++ b/serve/budget.go
@@ -16,36 +16,37 @@
 	Ratio        float64       // retries per request
 	Window       time.Duration // over which requests and retries are counted
 	FixedRetries float64       // retries per window, independent of the number of requests
-	// SafetyFactor is the fraction of the bound that is used, so that the bound also
-	// holds in every sliding window.
+	// SafetyFactor is the fraction of the bound that is used. A fraction below 1 lets the
+	// bound hold in every sliding window, also after requests that allowed a retry have left
+	// the window.
 	SafetyFactor float64
-	// StartedAt is when the process started. Its share of FixedRetries grows from 0 to its
-	// full size over the first window, because the process does not know which
-	// retries it sent before a restart.
+	// StartedAt is when the process started. The process's share of FixedRetries grows from
+	// 0 to its full size over the window after StartedAt, because the process does not know
+	// which retries it sent before a restart.
 	StartedAt time.Duration
 	// RandomOffset is a random number from 0 to 1, drawn once per process. It is added to
-	// the bound, so that a process whose bound is a fraction of a retry allows one retry
-	// with a probability equal to the fraction. Without it, no process could retry where
-	// there are more processes than allowed retries.
+	// the bound, so that a process allows one retry more than the whole number of its bound
+	// with a probability equal to the bound's fraction. Without the offset, no process could
+	// retry where there are more processes than allowed retries.
 	RandomOffset float64
 
 	mutex    sync.Mutex
 	services map[shedkeel.ServiceID]*serviceUsage
 }
 
-// serviceUsage counts the requests and retries of one service in a ring of slots. Each slot
-// covers a tenth of the window.
+// serviceUsage counts the requests and retries of one service in a ring of budgetSlots slots,
+// which together cover one window.
 type serviceUsage struct {
-	slot     int64 // number of the current slot since time 0
+	slot     int64 // number of the current slot, counted from time 0
 	requests [budgetSlots]float64
 	retries  [budgetSlots]float64
 }
 
-// budgetSlots is the number of slots in a window.
+// budgetSlots is the number of slots that a window is divided into.
 const budgetSlots = 10
 
-// advance makes slot the current one and clears all slots after the former current one, up
-// to and including slot.
+// advance makes slot the current slot. It clears all slots after the former current slot, up
+// to and including the new one. It does nothing if slot is not later.
 func (serviceUsage *serviceUsage) advance(slot int64) {
 	if slot-serviceUsage.slot >= budgetSlots {
 		*serviceUsage = serviceUsage.reset(slot)
@@ -58,7 +59,7 @@
 	}
 }
 
-// reset returns empty counts with slot as the current one.
+// reset returns empty counts with slot as the current slot.
 func (*serviceUsage) reset(slot int64) serviceUsage { return serviceUsage{slot: slot} }
 
 // sum returns the total of all slots.
@@ -70,8 +71,7 @@
 	return total
 }
 
-// usage returns the counts of the service, advanced to now. The caller holds the
-// mutex.
+// usage returns the counts of the service, advanced to now. The caller must hold the mutex.
 func (budget *Budget) usage(service shedkeel.ServiceID, now time.Duration) *serviceUsage {
 	if budget.services == nil {
 		budget.services = map[shedkeel.ServiceID]*serviceUsage{}
@@ -108,7 +108,7 @@
 }
 
 // AllowRetry reports whether a request may be retried now, and counts the retry if so. The
-// parameter nodes is the number of processes that share FixedRetries.
+// parameter nodes is the number of processes that share FixedRetries; 0 counts as 1.
 func (budget *Budget) AllowRetry(service shedkeel.ServiceID, nodes int, now time.Duration) bool {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
@@ -123,8 +123,8 @@
 	return true
 }
 
-// Refund takes back a retry that AllowRetry has just counted, because it was not sent to any
-// server.
+// Refund takes back a retry that AllowRetry has just counted, because no server was found to
+// send it to.
 func (budget *Budget) Refund(service shedkeel.ServiceID, now time.Duration) {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
--- a/serve/budget_test.go
+++ b/serve/budget_test.go
@@ -28,13 +28,13 @@
 		restarts     func(node, second int) bool // whether the node restarts at the start of the second
 		least        float64                     // fraction of the bound that must be used in some window
 	}{
-		"no restart":                   {9, 40, fixedRetries, func(int, int) bool { return false }, 0.5},
-		"all twice":                    {9, 40, fixedRetries, func(_, second int) bool { return second == 25 || second == 30 }, 0.1},
-		"all every two seconds":        {66, 40, fixedRetries, func(_, second int) bool { return second > 20 && second%2 == 0 }, 0.1},
-		"one by one":                   {66, 40, fixedRetries, func(node, second int) bool { return second > 20 && node%10 == second%10 }, 0.1},
-		"all twice, large":             {300, 400, fixedRetries, func(_, second int) bool { return second == 25 || second == 30 }, 0.1},
-		"more nodes than retries":      {984, 58, 1040, func(int, int) bool { return false }, 0.5},
-		"twice the nodes and requests": {1968, 116, 1040, func(int, int) bool { return false }, 0.5},
+		"no restart":                                  {9, 40, fixedRetries, func(int, int) bool { return false }, 0.5},
+		"all restart twice":                           {9, 40, fixedRetries, func(_, second int) bool { return second == 25 || second == 30 }, 0.1},
+		"all restart every 2 seconds":                 {66, 40, fixedRetries, func(_, second int) bool { return second > 20 && second%2 == 0 }, 0.1},
+		"a tenth restarts each second":                {66, 40, fixedRetries, func(node, second int) bool { return second > 20 && node%10 == second%10 }, 0.1},
+		"all restart twice, 300 nodes":                {300, 400, fixedRetries, func(_, second int) bool { return second == 25 || second == 30 }, 0.1},
+		"more nodes than retries":                     {984, 58, 1040, func(int, int) bool { return false }, 0.5},
+		"twice the nodes and requests":                {1968, 116, 1040, func(int, int) bool { return false }, 0.5},
 		"more nodes than retries, half restart twice": {984, 58, 1040, func(node, second int) bool { return node%2 == 0 && (second == 25 || second == 30) }, 0.5},
 		"many more nodes than retries":                {984, 58, fixedRetries, func(int, int) bool { return false }, 0.4},
 	}
--- a/serve/digest.go
+++ b/serve/digest.go
@@ -10,8 +10,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// digestBytes is the length of a request digest in bytes: the first 128 bits of the HMAC
-// make collisions negligible.
+// digestBytes is the length of a request digest in bytes. The digest is the first 128 bits of
+// the HMAC, which make collisions negligible.
 const digestBytes = 16
 
 // digester computes the digests of requests with one key.
@@ -21,8 +21,8 @@
 	sum    []byte // buffer for the resulting hash
 }
 
-// digesterPool reuses digesters, because creating one takes as long as hashing a request of
-// a kilobyte.
+// digesterPool keeps digesters for reuse, because creating a digester takes as long as
+// hashing a request of a kilobyte.
 type digesterPool struct{ pool sync.Pool }
 
 // get returns a digester ready for a new request. Every call must pass the same key.
@@ -36,8 +36,9 @@
 }
 
 // computeDigest returns the digest of the request's content: method, host, target, client
-// account and body. All attempts of a request have the same digest at all processes with
-// the same DigestKey.
+// account and body. The request's ID and other headers are left out: a request that a caller
+// sends again is a copy of the first and has the same digest, at all processes with the same
+// DigestKey.
 func (exchange *exchange) computeDigest() shedkeel.RequestDigest {
 	digester := exchange.handler.digesters.get(exchange.handler.DigestKey)
 	defer exchange.handler.digesters.pool.Put(digester)
--- a/serve/digest_test.go
+++ b/serve/digest_test.go
@@ -51,7 +51,7 @@
 }
 
 // BenchmarkDigest measures the digest of a request with a body of 2 KiB. The handler computes
-// digests only while the guard has records or after a server has ended.
+// digests only while the guard has records or after a server has terminated.
 func BenchmarkDigest(b *testing.B) {
 	exchange := newExchange()
 	exchange.body = make([]byte, 2<<10)
--- a/serve/ended.go
+++ b/serve/ended.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// endCheckTimeout bounds the check whether a server has ended. A box that is alive
-	// accepts or refuses a connection within a round trip.
+	// endCheckTimeout bounds the check whether a server has terminated. A box that is alive
+	// accepts or refuses a connection within a round trip, which is far shorter.
 	endCheckTimeout = 100 * time.Millisecond
-	// maxEndedServers bounds the number of checks in endedServers.
+	// maxEndedServers bounds the number of checks that endedServers keeps.
 	maxEndedServers = 1024
 )
 
-// endedServers caches which servers are known to have ended. When a server ends, tens of
-// requests to it fail; it is checked only once for all of them. The zero value is empty. It
-// is safe for concurrent use.
+// endedServers caches which servers are known to have terminated. When a server terminates,
+// tens of requests to it fail; the server is checked only once for all of them. The zero
+// value is empty. It is safe for concurrent use.
 type endedServers struct {
 	mutex  sync.Mutex
 	checks map[shedkeel.InstanceID]*endCheck
@@ -32,12 +32,12 @@
 type endCheck struct {
 	firstFailure time.Duration // when the failure that led to the check was reported
 	once         sync.Once
-	ended        bool
+	ended        bool // the server is known to have terminated
 }
 
-// endedSince reports whether the server has ended, and when the first request to it failed.
-// It calls probe to find out, once for all concurrent callers. Only a positive result is
-// cached: after a negative one, the next call probes again.
+// endedSince reports whether the server has terminated, and when the failure that led to the
+// check was reported. It calls probe to find out, once for all concurrent callers. Only a
+// positive result is cached: after a negative result, the next call probes again.
 func (endedServers *endedServers) endedSince(server shedkeel.InstanceID, now time.Duration, probe func() bool) (at time.Duration, ended bool) {
 	check := endedServers.entry(server, now)
 	check.once.Do(func() { check.ended = probe() })
@@ -47,8 +47,8 @@
 	return check.firstFailure, check.ended
 }
 
-// entry returns the check of the server, and creates it if there is none. When there are
-// maxEndedServers checks, it drops all of them first.
+// entry returns the check of the server, and creates it if there is none. If there are
+// maxEndedServers checks already, it first drops all of them, also that of the server.
 func (endedServers *endedServers) entry(server shedkeel.InstanceID, now time.Duration) *endCheck {
 	endedServers.mutex.Lock()
 	defer endedServers.mutex.Unlock()
@@ -70,11 +70,12 @@
 	}
 }
 
-// reportServerEnd checks, after an attempt has failed, whether the server ended while it ran
-// the request. If so, it reports this to the guard and makes later attempts use new
-// connections. It ignores a server that is no longer listed or that stated that it drains,
-// because such an end is planned. It does not report the end for a request that was sent
-// after the first failure at the server, because the server had already ended then.
+// reportServerEnd checks, after an attempt has failed by a disconnect, whether the server has
+// terminated. If so, it makes later attempts use new connections, and logs the termination
+// and reports it to the guard. It reports nothing if the server was chosen for the attempt
+// after the first failure at the server, because the server had already terminated then. It
+// checks no server that is no longer listed or that stated that it drains, because the
+// termination of such a server is planned.
 func (exchange *exchange) reportServerEnd(choice *dispatch.Choice, failure error) {
 	now := exchange.handler.Timers.Now()
 	if exchange.handler.ServerCheck == nil || !isDisconnect(failure) || !choice.Listed() {
@@ -94,8 +95,8 @@
 	}
 }
 
-// serverEnded reports whether it is proven that no server listens at the address any
-// more.
+// serverEnded reports whether it is proven within endCheckTimeout that no server listens at
+// the address any more.
 func (handler *Handler) serverEnded(address string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), endCheckTimeout)
 	defer cancel()
@@ -103,8 +104,9 @@
 }
 
 // isDisconnect reports whether an attempt may have failed because the connection to the server
-// broke: the server sent neither a complete answer nor a refusal, and this process did not
-// cancel the attempt.
+// broke. That is not so if the server sent a complete stream, a refusal, a status other than
+// 200 for a stream or an answer that checkAnswer rejects, if the request was not sent, or if
+// the attempt was canceled.
 func isDisconnect(failure error) bool {
 	var notRun *shedkeel.NotRunError
 	var status *statusError
--- a/serve/guard.go
+++ b/serve/guard.go
@@ -8,17 +8,19 @@
 	"shedkeel.org/shedkeel"
 )
 
-// errServersEnded is the cancellation cause of a request if servers have ended while they
-// ran copies of it.
+// errServersEnded is the cancellation cause of a request if servers have terminated while
+// they ran copies of the request. Its text is part of refusals.
 var errServersEnded = errors.New("backend servers have ended under this very request")
 
-// guardActive reports whether the guard currently has records of servers that ended while
-// they ran requests. While it has none, the handler computes no digests to ask it.
+// guardActive reports whether there is a guard that has records of servers that terminated
+// while they ran requests. While there is none, the handler computes no digests to ask the
+// guard.
 func (handler *Handler) guardActive() bool { return handler.Guard != nil && !handler.Guard.Idle() }
 
-// checkGuard asks the guard whether the request may be sent. If it may, the caller must call
-// done when the request is over; otherwise err is the refusal. It sets
-// exchange.quarantined for a quarantined request, which may run on one server only.
+// checkGuard asks the guard whether the request may be sent. If so, the caller must call done
+// when the request is over; otherwise err is the refusal. A contained request may not be
+// sent. A quarantined request may be sent if the guard allows an attempt now: checkGuard then
+// sets exchange.quarantined, so that the request runs on one server only.
 func (exchange *exchange) checkGuard(ctx context.Context) (done func(), err error) {
 	if !exchange.handler.guardActive() {
 		return func() {}, nil
@@ -37,8 +39,8 @@
 	return func() {}, nil
 }
 
-// guardAllows reports whether the guard still allows another attempt. Servers may have ended
-// while they ran the request since checkGuard was called.
+// guardAllows reports whether the guard still allows another attempt. Servers may have
+// terminated while they ran the request or its copies since checkGuard was called.
 func (exchange *exchange) guardAllows() bool {
 	if !exchange.handler.guardActive() {
 		return true
@@ -47,14 +49,16 @@
 	return judgment == shedkeel.Unblamed || exchange.quarantined && judgment == shedkeel.Quarantined
 }
 
-// reportAnswer reports to the guard that a server has answered the request completely.
+// reportAnswer reports to the guard that a server has answered the request completely, which
+// clears the request and its copies.
 func (exchange *exchange) reportAnswer() {
 	if exchange.handler.guardActive() {
 		exchange.handler.Guard.RequestAnswered(exchange.digest())
 	}
 }
 
-// track adds the request to the active ones, so that CancelCopies and CancelOverdue find it.
+// track adds the request to the active requests, so that CancelCopies and CancelOverdue find
+// it.
 func (handler *Handler) track(tracked *exchange) {
 	handler.mutex.Lock()
 	defer handler.mutex.Unlock()
@@ -64,17 +68,17 @@
 	handler.exchanges[tracked] = struct{}{}
 }
 
-// untrack removes the request from the active ones.
+// untrack removes the request from the active requests.
 func (handler *Handler) untrack(exchange *exchange) {
 	handler.mutex.Lock()
 	defer handler.mutex.Unlock()
 	delete(handler.exchanges, exchange)
 }
 
-// CancelCopies cancels the active copies of the request whose answers have not started:
-// copies that are queued at servers would crash those servers too once they run. A copy
-// whose answer has started goes on, because its complete answer clears the request. A
-// quarantined copy goes on too: it is the one attempt that the guard has allowed.
+// CancelCopies cancels the active requests with the given digest: copies that are queued at
+// servers would crash these servers too when they run. It spares a stream of which the caller
+// has received an event, because the complete answer clears the request, and a request with
+// exchange.quarantined set, because the guard has allowed its attempt.
 func (handler *Handler) CancelCopies(request shedkeel.RequestDigest) {
 	for _, exchange := range handler.activeExchanges() {
 		if !exchange.quarantined && !exchange.answerStarted.Load() && exchange.digest() == request {
@@ -83,9 +87,9 @@
 	}
 }
 
-// CancelOverdue cancels the requests whose deadline has passed by the clock of Timers. Their
-// contexts do not suffice: the timers of contexts stop while the box is suspended, and would
-// end the requests too late by the duration of the suspension.
+// CancelOverdue cancels the active requests whose deadline has passed by the clock of Timers.
+// Their contexts do not suffice: the timers of contexts stop while the box is suspended, and
+// would end the requests too late by the duration of the suspension.
 func (handler *Handler) CancelOverdue(now time.Duration) {
 	for _, exchange := range handler.activeExchanges() {
 		if now > exchange.deadline {
@@ -94,7 +98,7 @@
 	}
 }
 
-// activeExchanges returns the requests that are being served.
+// activeExchanges returns the requests that track has added and untrack has not removed.
 func (handler *Handler) activeExchanges() []*exchange {
 	handler.mutex.Lock()
 	defer handler.mutex.Unlock()
--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -21,8 +21,8 @@
 type fixedGuard struct {
 	judgment shedkeel.Judgment
 	refuses  bool // AcquireAttempt allows no attempt
-	idle     bool // Idle returns true until a server has ended
-	worsens  bool // all requests are quarantined once a server has ended
+	idle     bool // Idle returns true until a call of ServerEnded
+	worsens  bool // Judge returns Quarantined after a call of ServerEnded
 
 	mutex         sync.Mutex
 	ended         []shedkeel.InstanceID // servers reported by ServerEnded
@@ -72,26 +72,27 @@
 	}, true
 }
 
-// fixedCheck is a fake shedkeel.ServerCheck that reports all servers as stopped if it is true,
-// and none otherwise.
+// fixedCheck is a fake shedkeel.ServerCheck that reports all servers as stopped if its value is
+// true, and none otherwise.
 type fixedCheck bool
 
 func (check fixedCheck) Stopped(context.Context, string) bool { return bool(check) }
 
-// TestGuardedRequests checks requests that servers ran when they ended: the status must say
-// correctly whether the request may have run, and a quarantined request must run on one
-// server only.
+// TestGuardedRequests checks requests with each judgment of the guard, and requests that servers
+// ran when they terminated: the status must say correctly whether the request may have run, a
+// quarantined request must run on one server only, and terminated servers must be reported to
+// the guard.
 func TestGuardedRequests(t *testing.T) {
 	cut := step{events: 3, cutAfter: 1}
 	cases := map[string]struct {
 		path         string
 		guard        *fixedGuard
-		serversEnded bool // servers whose connections fail have ended
+		serversEnded bool // servers whose connections fail have terminated
 		steps        []step
 		status       int
 		broken       bool // the connection to the caller is aborted
 		sent         int  // attempts that reach the backend
-		ended        int  // servers reported to the guard as ended
+		ended        int  // servers reported to the guard as terminated
 		retryAfter   bool // the answer has a Retry-After
 	}{
 		"contained":                          {"/s/x", &fixedGuard{judgment: shedkeel.Contained}, true, nil, 503, false, 0, 0, false},
@@ -107,7 +108,7 @@
 		"plain, lost, then quarantined":      {"/safe/x", &fixedGuard{idle: true, worsens: true}, true, []step{{err: errAnswerLost}, {}}, 502, false, 1, 1, false},
 		"refused by a server":                {"/safe/x", &fixedGuard{idle: true}, true, []step{{status: 503, notRun: true}, {body: "ok"}}, 200, false, 2, 0, false},
 		"failed by a server":                 {"/once/x", &fixedGuard{idle: true}, true, []step{{status: 500}}, 500, false, 1, 0, false},
-		"another's answer":                   {"/once/x", &fixedGuard{idle: true}, true, []step{{wrongID: true}}, 502, false, 1, 0, false},
+		"answer to another request":          {"/once/x", &fixedGuard{idle: true}, true, []step{{wrongID: true}}, 502, false, 1, 0, false},
 	}
 	for name, test := range cases {
 		runFakeTime(t, name, func(t *testing.T) {
@@ -132,12 +133,13 @@
 	return ""
 }
 
-// TestFreshConnectionAfterServerEnd checks that a request that a server ran when it ended is
-// sent to the next server over a new connection. Servers often end together: if the next
-// server has ended too, an attempt over a pooled connection fails without an answer, and the
-// end of that server would be blamed on the request, which it never received.
+// TestFreshConnectionAfterServerEnd checks that a request that a server ran when it terminated
+// is sent to the next server over a new connection. Servers often terminate together: if the
+// next server has terminated too, an attempt over a pooled connection fails without an answer,
+// and the termination of that server would be blamed on the request, which the server never
+// received.
 func TestFreshConnectionAfterServerEnd(t *testing.T) {
-	for name, serverEnded := range map[string]bool{"server ended": true, "connection failed": false} {
+	for name, serverEnded := range map[string]bool{"server terminated": true, "server alive": false} {
 		for _, path := range []string{"/s/x", "/safe/x"} {
 			runFakeTime(t, name+path, func(t *testing.T) {
 				harness := newHarness(t, step{err: errAnswerLost}, step{events: 3})
@@ -151,8 +153,9 @@
 	}
 }
 
-// TestServerEndBlamesEarlierAttemptsOnly checks that the end of a server is reported to the
-// guard only for attempts that began before the first attempt failed there.
+// TestServerEndBlamesEarlierAttemptsOnly checks that the termination of a server is reported to
+// the guard only for attempts that began before the first attempt failed there, and only while
+// the server is listed.
 func TestServerEndBlamesEarlierAttemptsOnly(t *testing.T) {
 	harness := newHarness(t)
 	timers := &timer.Manual{}
@@ -193,16 +196,17 @@
 }
 
 // TestCallBackCancelsWaitingCopies checks that CancelCopies cancels a copy of the request that
-// waits at a server, and that a copy whose answer has started goes on.
+// waits for its answer, and that a stream whose answer has started and a request with another
+// digest go on.
 func TestCallBackCancelsWaitingCopies(t *testing.T) {
 	cases := map[string]struct {
 		path   string
 		step   step
 		status int
 	}{
-		"waits":           {"/s/x", step{delay: 300 * time.Millisecond, events: 3}, 502},
+		"waits, stream":   {"/s/x", step{delay: 300 * time.Millisecond, events: 3}, 502},
 		"waits, plain":    {"/safe/x", step{delay: 300 * time.Millisecond, body: "ok"}, 502},
-		"has begun":       {"/s/x", step{events: 200}, 200},
+		"stream started":  {"/s/x", step{events: 200}, 200},
 		"another request": {"/s/y", step{delay: 300 * time.Millisecond, events: 3}, 200},
 	}
 	for name, test := range cases {
@@ -218,7 +222,7 @@
 				time.Sleep(60 * time.Millisecond)
 				harness.CancelCopies(named.computeDigest())
 			}()
-			if name == "has begun" {
+			if name == "stream started" {
 				harness.Backend = slowBackend{harness.backend}
 			}
 			got := harness.post(test.path, "body", "Model", modelOf(test.path))
@@ -238,10 +242,10 @@
 		suspended time.Duration
 		status    int
 	}{
-		"past its deadline":    {"/safe/x", 5 * time.Second, 504},
-		"past it, stream":      {"/s/x", 5 * time.Second, 504},
-		"for a moment":         {"/safe/x", 100 * time.Millisecond, 200},
-		"for a moment, stream": {"/s/x", 100 * time.Millisecond, 200},
+		"past deadline, plain":  {"/safe/x", 5 * time.Second, 504},
+		"past deadline, stream": {"/s/x", 5 * time.Second, 504},
+		"briefly, plain":        {"/safe/x", 100 * time.Millisecond, 200},
+		"briefly, stream":       {"/s/x", 100 * time.Millisecond, 200},
 	}
 	for name, test := range cases {
 		runFakeTime(t, name, func(t *testing.T) {
--- a/serve/handler.go
+++ b/serve/handler.go
@@ -1,10 +1,15 @@
 // Package serve is the reverse proxy for callers' requests. It matches a request to
-// its route and client account, sends it to backend servers, retries it where the
-// route allows that, and writes the answer. A caller gets either the complete answer
-// of a backend server, or a status that says whether the request may have run: 502 or
-// 504 if it may have run, 503 or a 4xx status if it did not. A 503 has a Retry-After
-// unless a retry cannot succeed. If an answer that has started cannot be completed, the
-// connection to the caller is aborted.
+// its route and client account, sends it to servers, retries it where the route allows
+// that, and writes the answer. A caller gets either the complete answer of a server, or
+// a status of the handler that says whether the request may have run: 502 or 504 if it
+// may have run, 503 or a 4xx status if it did not. A 503 has a Retry-After unless a
+// retry cannot succeed. If servers answer a stream with a status other than 200, the
+// caller gets only the status and header of such an answer (see stream.finish). If an
+// answer that has started cannot be completed, the connection to the caller is aborted.
+//
+// A server is a backend server, or a replica group that is addressed by its head. An
+// attempt is one sending of a request to one server. Requests with the same digest (see
+// computeDigest) are copies of each other.
 package serve
 
 import (
@@ -25,7 +30,7 @@
 
 const (
 	// bodyTimeout bounds how long a caller may take to send its request body. The
-	// platform's callers need milliseconds.
+	// platform's callers need only milliseconds.
 	bodyTimeout = 10 * time.Second
 	// defaultTimeout is the timeout of routes that state none.
 	defaultTimeout = 30 * time.Second
@@ -33,7 +38,7 @@
 	// request bodies where the configuration states no limit.
 	maxAnswerBytes = 32 << 20
 	// unreadTimeout is how long after its deadline a caller may take to read its answer.
-	// Then the connection is closed, so that its buffers are freed.
+	// After that, the caller's connection is closed, which frees the buffers of the answer.
 	unreadTimeout = time.Second
 	// answerMargin is how long before the caller's deadline a request ends, so that
 	// the caller receives the final status in time.
@@ -54,26 +59,26 @@
 	CurrentConfig func() ConfigState
 	// RetryBudgetNodes returns how many processes share the retry budget.
 	RetryBudgetNodes func() int
-	// ServingNodes returns how many processes accept requests and share the slots of the
-	// replica groups.
+	// ServingNodes returns how many processes accept requests. Each has an equal share of
+	// the slots of the replica groups while Recommend does not answer.
 	ServingNodes func() int
-	// Recommend asks which group of a model should serve a request. The process that it
-	// asks distributes the requests of all processes over the groups. It returns false
-	// if that process does not answer. nil: there is no such process.
+	// Recommend asks which group of a model should serve a request. It asks the process
+	// that distributes the requests of all processes over the groups, and returns false if
+	// that process does not answer. nil: there is no such process.
 	Recommend func(context.Context, dispatch.Query, dispatch.Load) (dispatch.Recommendation, bool)
 	// MaxConfigAge is the age above which a configuration counts as out of date, counted
-	// from when it was last proven current. It may then contain keys that have been
-	// removed, and lack new keys and routes.
+	// from when it was last proven current. A configuration that is out of date may contain
+	// keys that have been removed, and lack new keys and routes.
 	MaxConfigAge time.Duration
 	// RefuseStaleKeys makes the handler refuse requests that need a key while the
 	// configuration is out of date. Otherwise it serves them by the newest
 	// configuration that it has.
 	RefuseStaleKeys bool
-	// Guard limits the attempts of requests that servers ran when they ended. nil: all
-	// requests may be sent.
+	// Guard limits the attempts of a request if servers terminated while they ran the
+	// request. nil: all requests may be sent.
 	Guard shedkeel.RequestGuard
-	// ServerCheck finds out whether a server has ended after a request to it failed.
-	// nil: this is not checked.
+	// ServerCheck finds out, after an attempt has failed, whether the server has terminated.
+	// nil: no check is made.
 	ServerCheck shedkeel.ServerCheck
 	// Limits grants the permits for servers that limit the rate of their requests.
 	// nil: no permits are needed.
@@ -84,13 +89,14 @@
 	// MaxBackoff bounds the backoff that a server may ask for. 0: no bound.
 	MaxBackoff time.Duration
 	// DigestKey is the HMAC key of request digests. It prevents callers from crafting two
-	// requests with the same digest. It must be the same at all processes.
+	// different requests with the same digest. The key must be the same at all processes.
 	DigestKey []byte
 	// StoreOutage reports whether the key-value service is unavailable to all processes,
-	// as far as this one can tell, and since when. nil: this is not known.
+	// as far as this process can tell, and since when. nil: this is not known, and the
+	// service counts as available.
 	StoreOutage func() (since time.Duration, unavailable bool)
 
-	stopping     atomic.Bool // answers ask callers to close their connections
+	stopping     atomic.Bool // answers to new requests ask the callers to close their connections
 	refusing     atomic.Bool // new requests are refused
 	received     atomic.Int64
 	endedServers endedServers
@@ -100,11 +106,12 @@
 	exchanges map[*exchange]struct{} // being served
 }
 
-// CloseConnections makes every answer from now on ask its caller to close the connection.
+// CloseConnections makes the answers to requests that are received from now on ask their
+// callers to close the connection.
 func (handler *Handler) CloseConnections() { handler.stopping.Store(true) }
 
-// RefuseNew makes the handler refuse all new requests, so that their callers retry at another
-// process.
+// RefuseNew makes the handler refuse all new requests with 503, so that their callers retry
+// at another process.
 func (handler *Handler) RefuseNew() { handler.refusing.Store(true) }
 
 // RequestCount returns how many requests have been received, including refused ones.
@@ -138,22 +145,24 @@
 	callerDeadline  time.Duration                 // until when the caller waits: by the route's timeout or the caller's own, whichever ends first
 	tried           []shedkeel.InstanceID         // servers chosen so far
 	runs            int                           // attempts that have run or may have run
-	mayHaveRun      bool                          // an attempt without a complete answer may have run
+	mayHaveRun      bool                          // an attempt that gave the caller no answer may have run
 	attempts        int                           // attempts that may have reached a server
-	late            bool                          // the model's slots are too full for the request to be on time
+	late            bool                          // requests on time already use onTimeFraction of the model's slots: the request gets latePriority (see admitToModel)
 	answerAttrs     []slog.Attr                   // log attributes of the answer
-	digest          func() shedkeel.RequestDigest // computes the request's digest at the first call
+	digest          func() shedkeel.RequestDigest // returns the request's digest; computes it at the first call
 	quarantined     bool                          // the request may run on one server only
-	answerStarted   atomic.Bool                   // writing the answer to the caller has started
-	freshConnection atomic.Bool                   // a server ended while running the request: later attempts use new connections, which a server that has ended refuses
+	answerStarted   atomic.Bool                   // of a stream: writing the answer to the caller has started
+	freshConnection atomic.Bool                   // a server of an attempt has terminated: later attempts use new connections, which a terminated server refuses
 	abort           context.CancelCauseFunc       // cancels all attempts of the request
 	// retryIn is how long until a server that limits its rate or asked for a backoff
-	// accepts a request again, as of the latest choice.
+	// accepts a request again, as of the latest choice that failed with errLimited or
+	// errBackoff.
 	retryIn time.Duration
 }
 
-// ServeHTTP serves one request. It panics with http.ErrAbortHandler when an answer that
-// has started cannot be completed, so that the connection is aborted.
+// ServeHTTP serves one request. It panics with http.ErrAbortHandler, which aborts the
+// connection, if an answer that has started cannot be completed or the caller has
+// disconnected.
 func (handler *Handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	handler.received.Add(1)
 	exchange := &exchange{handler: handler, writer: writer, request: request, startedAt: handler.Timers.Now()}
@@ -170,7 +179,7 @@
 }
 
 // prepare matches the request to its route and client account, sets its deadlines and
-// reads its body.
+// reads its body. Its error is a refusal.
 func (exchange *exchange) prepare() error {
 	call, err := exchange.handler.Protocol.Read(exchange.request)
 	exchange.call = call
@@ -207,9 +216,9 @@
 	return exchange.readBody()
 }
 
-// setWriteDeadline sets the write deadline of the caller's connection, given how long the
-// caller still waits for its answer. It bounds how long the caller may leave the answer
-// unread.
+// setWriteDeadline sets the write deadline of the caller's connection to unreadTimeout after
+// the remaining time, for which the caller still waits for its answer. The write deadline
+// bounds how long the caller may leave the answer unread.
 func (exchange *exchange) setWriteDeadline(remaining time.Duration) {
 	controller := http.NewResponseController(exchange.writer)
 	_ = controller.SetWriteDeadline(time.Now().Add(remaining + unreadTimeout)) // response recorders in tests do not support it
@@ -230,7 +239,8 @@
 }
 
 // authenticate sets exchange.account to the client account of the request's key, if the
-// route needs a key.
+// route needs a key. It returns a refusal if the request does not have exactly one key, if
+// the key belongs to no client account, or if RefuseStaleKeys applies.
 func (exchange *exchange) authenticate(current ConfigState) error {
 	if !current.View.needsKey(exchange.route) {
 		return nil
@@ -248,7 +258,9 @@
 	return nil
 }
 
-// readBody reads the request's body, within bodyTimeout and up to the configured size.
+// readBody reads the request's body, within bodyTimeout and up to the configured size, or
+// maxAnswerBytes if none is configured. It refuses requests whose body is longer or
+// incomplete.
 func (exchange *exchange) readBody() error {
 	limit := exchange.view.Config.Limits.BodyBytes
 	if limit <= 0 {
@@ -275,7 +287,8 @@
 	return nil
 }
 
-// serve sends the prepared request to backend servers until its deadline.
+// serve asks the guard whether the prepared request may be sent, and sends it to servers
+// until its deadline. It returns nil if an answer was written.
 func (exchange *exchange) serve() error {
 	exchange.handler.Budget.CountRequest(exchange.service, exchange.startedAt)
 	ctx, cancel := context.WithTimeout(exchange.request.Context(), exchange.deadline-exchange.handler.Timers.Now())
@@ -284,10 +297,9 @@
 	defer exchange.abort(nil)
 	exchange.handler.track(exchange)
 	defer exchange.handler.untrack(exchange)
-	// Callers repeat a request that crashed servers, under other IDs and at other
-	// nodes. A bound on the attempts of each request alone does not stop them: each
-	// repetition crashed two more servers. The guard recognizes the repetitions by their
-	// digest.
+	// Callers send copies of a request that crashed servers, under other IDs and to other
+	// nodes. A bound on the attempts of each request does not suffice: each copy crashed
+	// two more servers. The guard recognizes the copies by their digest.
 	done, err := exchange.checkGuard(ctx)
 	if err != nil {
 		return err
@@ -300,8 +312,9 @@
 	return exchange.servePlain(ctx)
 }
 
-// writeResult logs and counts the result of the request. If err is not nil, it answers with an
-// error status of the handler's own, or panics to abort an answer that has started.
+// writeResult logs and counts the result of the request. It panics to abort the connection
+// if err is errAborted, and answers with an error status for any other error: that of the
+// refusal, or 502.
 func (exchange *exchange) writeResult(err error) {
 	var refused *refusal
 	took := exchange.handler.Timers.Now() - exchange.startedAt
@@ -356,9 +369,10 @@
 	exchange.handler.Log.Write(kind, fields...)
 }
 
-// failure returns the error for a request that no backend server answered: errAborted if the
-// caller has disconnected; a refusal with 502 or 504 if the request may have run; otherwise
-// one with 503.
+// failure returns the error for a request that has no answer of a server to forward:
+// errAborted if the caller has disconnected; a refusal with 502, or 504 at the deadline, if
+// the request may have run; otherwise a refusal with 503. ctx is the context of the
+// request's attempts.
 func (exchange *exchange) failure(ctx context.Context, reason error) error {
 	switch {
 	case exchange.request.Context().Err() != nil:
--- a/serve/permit.go
+++ b/serve/permit.go
@@ -13,13 +13,16 @@
 	// before it considers only servers without a rate limit.
 	maxPermitRequests = 3
 	// permitWaitFraction is the longest wait for a permit, as a fraction of the route's
-	// latency objective. The rest is enough for a server with free slots to answer.
+	// latency objective. The rest of the objective is enough for a server with free slots
+	// to answer.
 	permitWaitFraction = 0.5
 )
 
 // chooseWithPermit chooses the best server that needs no permit or for which a permit is
-// granted now. If there is none and mayWait is set, it waits for the next permit, at most
-// for permitWaitFraction of the route's objective.
+// granted now. It asks for at most maxPermitRequests permits, and keeps new requests from a
+// server whose permit is refused until the time that the refusal states. If no server is
+// found, it waits for the next permit with awaitPermit if mayWait is set, and otherwise returns
+// the error of noServerError.
 func (exchange *exchange) chooseWithPermit(ctx context.Context, query dispatch.Query, mayWait bool) (*dispatch.Choice, error) {
 	for requested := 0; ; requested++ {
 		query.UnlimitedOnly = requested >= maxPermitRequests
@@ -43,9 +46,12 @@
 	return exchange.awaitPermit(ctx, query)
 }
 
-// awaitPermit acquires a permit for the server that is likely to have the next one, and waits
-// until the permit is valid. If that takes too long, it returns errLimited and sets
-// exchange.retryIn.
+// awaitPermit acquires a permit for the server that is likely to have the next permit, and
+// waits until the permit is valid. The wait is at most permitWaitFraction of the route's
+// objective, and ends by the request's deadline. If no permit is granted for that time, it
+// returns errLimited and sets exchange.retryIn. It returns the error of noServerError if no
+// usable server limits its rate or Limits is nil, and errNoServer if the server is no longer
+// usable after the wait or the context has ended.
 func (exchange *exchange) awaitPermit(ctx context.Context, query dispatch.Query) (*dispatch.Choice, error) {
 	server, found := exchange.handler.Table.NextPermit(query)
 	if !found || exchange.handler.Limits == nil {
--- a/serve/permit_test.go
+++ b/serve/permit_test.go
@@ -47,10 +47,10 @@
 		wait   time.Duration // shortest Retry-After; 0: not stated
 	}{
 		"a permit is free":         {map[shedkeel.InstanceID]time.Duration{"p0": 0, "p1": 0, "p2": 0}, 200, 1, 0, 0},
-		"one without limit":        {map[shedkeel.InstanceID]time.Duration{"p0": late, "p1": late}, 200, 1, 0, 0},
-		"one comes in time":        {map[shedkeel.InstanceID]time.Duration{"p0": soon, "p1": soon, "p2": soon}, 200, 1, soon, 0},
-		"none comes in time":       {map[shedkeel.InstanceID]time.Duration{"p0": late, "p1": late, "p2": late}, 503, 0, 0, 200 * time.Millisecond},
-		"none comes for very long": {map[shedkeel.InstanceID]time.Duration{"p0": time.Minute, "p1": time.Minute, "p2": time.Minute}, 503, 0, 0, 200 * time.Millisecond},
+		"one server without limit": {map[shedkeel.InstanceID]time.Duration{"p0": late, "p1": late}, 200, 1, 0, 0},
+		"a permit comes in time":   {map[shedkeel.InstanceID]time.Duration{"p0": soon, "p1": soon, "p2": soon}, 200, 1, soon, 0},
+		"no permit comes in time":  {map[shedkeel.InstanceID]time.Duration{"p0": late, "p1": late, "p2": late}, 503, 0, 0, 200 * time.Millisecond},
+		"no permit for a minute":   {map[shedkeel.InstanceID]time.Duration{"p0": time.Minute, "p1": time.Minute, "p2": time.Minute}, 503, 0, 0, 200 * time.Millisecond},
 	}
 	for name, test := range cases {
 		runFakeTime(t, name, func(t *testing.T) {
@@ -111,13 +111,13 @@
 		step step
 		want []shedkeel.StatedLimit
 	}{
-		"no limit":         {step{body: "ok"}, []shedkeel.StatedLimit{{}}},
-		"a limit":          {step{body: "ok", limit: 2}, []shedkeel.StatedLimit{{Stated: true, Rate: 2}}},
-		"in a refusal":     {step{status: 429, notRun: true, limit: 2}, []shedkeel.StatedLimit{{Stated: true, Rate: 2}}},
-		"in a failure":     {step{status: 500, limit: 2}, []shedkeel.StatedLimit{{Stated: true, Rate: 2}}},
-		"failure without":  {step{status: 500}, nil},
-		"unsigned":         {step{unsigned: true}, nil},
-		"another's answer": {step{wrongID: true, limit: 2}, nil},
+		"no limit":          {step{body: "ok"}, []shedkeel.StatedLimit{{}}},
+		"a limit":           {step{body: "ok", limit: 2}, []shedkeel.StatedLimit{{Stated: true, Rate: 2}}},
+		"in a refusal":      {step{status: 429, notRun: true, limit: 2}, []shedkeel.StatedLimit{{Stated: true, Rate: 2}}},
+		"in a failure":      {step{status: 500, limit: 2}, []shedkeel.StatedLimit{{Stated: true, Rate: 2}}},
+		"failure, no limit": {step{status: 500}, nil},
+		"unsigned answer":   {step{unsigned: true}, nil},
+		"another's answer":  {step{wrongID: true, limit: 2}, nil},
 	}
 	for name, test := range cases {
 		runFakeTime(t, name, func(t *testing.T) {
--- a/serve/plain.go
+++ b/serve/plain.go
@@ -11,8 +11,9 @@
 	"shedkeel.org/shedkeel/event"
 )
 
-// maxServersTried is the maximum number of servers to which one request is sent, including
-// those that refuse the connection.
+// maxServersTried is the number of servers, including those that refuse the connection, after
+// which no further attempt replaces a failed attempt. It does not bound the second sources of
+// stalled streams.
 const maxServersTried = 4
 
 // bufferedAnswer is a complete answer of a backend server.
@@ -21,9 +22,10 @@
 	body     []byte
 }
 
-// servePlain serves a request that has a single answer. It retries on other servers where
-// the route allows it. If no attempt succeeds, it forwards the latest answer with a 5xx
-// status, or returns an error if there is none.
+// servePlain serves a request that has a single answer. After a failed attempt it tries another
+// server, if the deadline, the guard, maxServersTried and, unless the attempt did not run,
+// mayRetry allow it. It forwards the first answer with a status below 500. If there is none, it
+// forwards the latest answer with a 5xx status, or returns an error if there is none either.
 func (exchange *exchange) servePlain(ctx context.Context) error {
 	var serverFailure bufferedAnswer // the latest answer with a 5xx status
 	var reason error
@@ -35,7 +37,7 @@
 			break
 		}
 		answer, err := exchange.tryServer(ctx, choice)
-		// A 5xx answer is forwarded if the request may not run again.
+		// A 5xx answer is forwarded at once if the request may not run again.
 		if err == nil && (answer.response.StatusCode < http.StatusInternalServerError || !exchange.mayRetry()) {
 			exchange.reportAnswer()
 			exchange.answerAttrs = []slog.Attr{slog.String("server", string(choice.Instance))}
@@ -67,13 +69,14 @@
 }
 
 // mayRetry reports whether the request may run on another server although it may have run
-// already.
+// already: the route allows a further run, and the request is not quarantined.
 func (exchange *exchange) mayRetry() bool {
 	return exchange.route.Repeatable() && exchange.runs < exchange.route.MaxRuns && !exchange.quarantined
 }
 
 // tryServer sends the request to the chosen server, reads the answer completely and ends the
-// choice. An answer with a 5xx status is not an error.
+// choice. An answer with a 5xx status is not an error, but counts as a failure of the server.
+// After an error, tryServer checks whether the server has terminated.
 func (exchange *exchange) tryServer(ctx context.Context, choice *dispatch.Choice) (bufferedAnswer, error) {
 	response, err := exchange.send(ctx, choice, "") //nolint:bodyclose // readWhole closes it
 	if err != nil {
@@ -93,7 +96,8 @@
 	return bufferedAnswer{response, body}, err
 }
 
-// writeAnswer writes a complete answer to the caller.
+// writeAnswer writes a complete answer to the caller. The answer to a HEAD request keeps the
+// Content-Length that the server sent.
 func (exchange *exchange) writeAnswer(answer bufferedAnswer) {
 	length := len(answer.body)
 	if exchange.request.Method == http.MethodHead {
--- a/serve/reader_test.go
+++ b/serve/reader_test.go
@@ -35,7 +35,7 @@
 			harness := newHarness(t, steps...)
 			began := time.Now()
 			// open and ended count requests. latest is the time from began to the latest
-			// arrival of a request, longest the longest duration of one, in nanoseconds.
+			// arrival of a request, longest the longest duration of a request, in nanoseconds.
 			var open, ended, latest, longest atomic.Int64
 			server := httptest.NewUnstartedServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 				arrived := time.Now()
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestConnectionReusedAfterDeadline checks that the write deadline of one request does not
-// apply to the next one on the same connection, which is sent after that deadline.
+// TestConnectionReusedAfterDeadline checks that a request succeeds that is sent after the write
+// deadline of the request before it, over the connection that the client has kept open.
 func TestConnectionReusedAfterDeadline(t *testing.T) {
 	harness := newHarness(t)
 	server := httptest.NewServer(harness)
--- a/serve/retryafter.go
+++ b/serve/retryafter.go
@@ -14,15 +14,16 @@
 	retryRepair = 700 * time.Millisecond
 	// retryOutage is the shortest wait, before the jitter and the bound by
 	// maxWaitFraction, in an outage of the key-value service in which no process can
-	// serve the caller. An outage that has lasted longer is assumed to last as long
-	// again.
+	// serve the caller. An outage that has lasted longer than retryOutage is assumed to
+	// last as long again.
 	retryOutage = 1200 * time.Millisecond
 	// maxWaitFraction is the longest Retry-After, as a fraction of the time that the
-	// caller still waits: callers honor at most a third of it, and need the rest for
-	// the answer.
+	// caller still waits. It is below a third, which is the most that callers honor;
+	// they need the rest of the time for the answer.
 	maxWaitFraction = 0.3
-	// retryJitter is the largest fraction by which Retry-After varies, so that
-	// callers that were refused together do not retry at the same time.
+	// retryJitter is the largest fraction of Retry-After by which it varies with the
+	// request's ID, so that callers that were refused together do not retry at the same
+	// time.
 	retryJitter = 0.25
 )
 
@@ -32,12 +33,12 @@
 const (
 	causeStopping    cause = iota // this process is stopping; other processes serve
 	causeStaleConfig              // this process has no configuration, or one that is out of date
-	causeNoCapacity               // no server is available, or none has a free slot
-	causeNotRun                   // all servers tried refused the request or were unreachable
-	causeQuarantined              // servers ended while they ran the request, and only one attempt at a time is allowed
+	causeNoCapacity               // no server is available, or too many late requests wait for the model (errFull)
+	causeNotRun                   // any other reason why no attempt ran, such as refusals of all servers tried
+	causeQuarantined              // servers terminated while they ran the request, and the guard allows no attempt now
 	causeLimited                  // the servers limit their rate, and no permit is available in time
-	causeBackoff                  // all servers have asked for a backoff
-	causeContained                // too many servers ended while they ran the request; it is not sent again
+	causeBackoff                  // all available servers have asked for a backoff (see noServerError)
+	causeContained                // too many servers terminated while they ran the request; it is not sent again
 )
 
 // causeNames are the names of the causes in logs and metrics.
@@ -46,8 +47,8 @@
 // String returns the name of the cause in logs and metrics.
 func (cause cause) String() string { return causeNames[cause] }
 
-// retryAfter returns how long the caller should wait before it retries after a refusal. It
-// returns 0 if a retry cannot succeed.
+// retryAfter returns how long the caller should wait before it retries after a refusal, at
+// least retrySoon. It returns 0 for causeContained, because a retry cannot succeed.
 func (exchange *exchange) retryAfter(cause cause) time.Duration {
 	wait := retryRepair
 	switch cause {
@@ -66,8 +67,9 @@
 }
 
 // retryWhenFree returns how long the caller should wait until a server accepts a request
-// again: retryIn plus the jitter, because no caller can be served before retryIn. If retryIn
-// is longer than the wait that maxWaitFraction allows, it returns the latter, less the jitter.
+// again: retryIn plus the jitter, because no caller can be served before retryIn, but at most
+// the longest wait that maxWaitFraction allows. If retryIn is not below that longest wait, it
+// returns the longest wait less the jitter. The result is at least retrySoon.
 func (exchange *exchange) retryWhenFree() time.Duration {
 	spread := retryJitter * exchange.jitter()
 	longest := time.Duration(maxWaitFraction * float64(exchange.remaining()))
@@ -79,9 +81,9 @@
 }
 
 // retryStaleConfig returns how long to wait when this process cannot prove that its
-// configuration is current. The wait is retrySoon if only this process cannot reach the
-// key-value service or has just started. If no process can reach the service, it is the
-// expected rest of the outage.
+// configuration is current. If StoreOutage reports an outage, the wait is the expected rest of
+// the outage, at least retryOutage. Otherwise the wait is retrySoon: this process alone cannot
+// reach the key-value service, or has just started.
 func (handler *Handler) retryStaleConfig(now time.Duration) time.Duration {
 	if handler.StoreOutage == nil {
 		return retrySoon
@@ -93,8 +95,9 @@
 	return max(retryOutage, now-since)
 }
 
-// remaining returns how long the caller still waits. Requests that are refused before
-// they are matched to a route have no callerDeadline yet.
+// remaining returns how long the caller still waits. For a request that is refused before
+// prepare sets callerDeadline, this is by the caller's own deadline, or by defaultTimeout if
+// the caller states none.
 func (exchange *exchange) remaining() time.Duration {
 	until := exchange.callerDeadline
 	if until == 0 {
--- a/serve/retryafter_test.go
+++ b/serve/retryafter_test.go
@@ -11,7 +11,8 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// TestRetryAfter checks the range and the jitter of Retry-After for each cause.
+// TestRetryAfter checks the range and the jitter of Retry-After for the causes that do not
+// depend on when a server accepts requests again.
 func TestRetryAfter(t *testing.T) {
 	const longOutage = 30 * time.Second
 	cases := map[string]struct {
@@ -50,9 +51,9 @@
 	}
 }
 
-// TestRetryAfterInStoreOutage checks a process that has no configuration, as after a start in
-// an outage of the key-value service. In an outage, a Retry-After of 50 ms would make every
-// caller retry only to be refused again.
+// TestRetryAfterInStoreOutage checks the Retry-After of a process that has no configuration, as
+// after a start in an outage of the key-value service. In an outage, a Retry-After of 50 ms
+// would make every caller retry only to be refused again.
 func TestRetryAfterInStoreOutage(t *testing.T) {
 	harness := newHarness(t)
 	harness.CurrentConfig = func() ConfigState { return ConfigState{} }
--- a/serve/send.go
+++ b/serve/send.go
@@ -31,8 +31,9 @@
 )
 
 // choose picks the server for the next attempt. If an earlier attempt may have reached a
-// server, it charges the retry budget; otherwise it checks whether the model has
-// capacity.
+// server, it charges the retry budget, and returns errNoBudget if the budget allows no retry.
+// Otherwise it applies admitToModel to a request for a model, and may wait for a permit. It
+// refunds the retry if it finds no server.
 func (exchange *exchange) choose(ctx context.Context) (*dispatch.Choice, error) {
 	now := exchange.handler.Timers.Now()
 	retry := exchange.attempts > 0
@@ -64,24 +65,29 @@
 	return choice, nil
 }
 
-// Limits on how far requests may fill a model's slots.
+// Limits on how far requests may fill a model's slots (see admitToModel).
 const (
-	// onTimeFraction is the fraction of the slots up to which requests count as on
-	// time. Beyond it they would wait for a slot and be late.
+	// onTimeFraction is the fraction of the slots up to which requests are on time.
+	// Further requests would wait for a slot and be late.
 	onTimeFraction = 0.9
 	// lateFraction is how many late requests may wait in addition, as a fraction of the
-	// slots. Callers give up after some two seconds without an event, and late requests
-	// only get the slots that requests on time leave free.
+	// slots. Late requests only get the slots that requests on time leave free, and
+	// callers give up after some two seconds without an event: more late requests would
+	// get no slot before their callers give up.
 	lateFraction = 0.5
-	// latePriority is the priority of late requests at an engine; 0 is most urgent.
+	// latePriority is the priority of late requests at an engine: the least urgent that
+	// engines accept. 0 is most urgent.
 	latePriority = 9
 )
 
-// admitToModel is the admission control of a model. When the model's slots are filled, it
-// marks the request as late, or returns errFull if too many late requests wait already. It
-// also sets query.Preferred to the recommended group. Under overload, some requests are
-// served on time and the late ones wait behind them: if all waited in one queue, all would
-// be late.
+// admitToModel is the admission control of a model. A request is on time if the requests on
+// time that run on the model use less than onTimeFraction of the model's slots; otherwise it
+// is late. admitToModel sets exchange.late, and query.Preferred to the recommended group. It
+// returns errFull if lateFraction is reached as well, and the error of noServerError if no
+// group is usable. However few the slots are, it admits one request on time and one late one.
+//
+// Engines serve late requests after those on time. Under overload, some requests are thus
+// served on time: if all waited in one queue, all would be late.
 func (exchange *exchange) admitToModel(query *dispatch.Query) error {
 	load := exchange.handler.Table.Load(query.Service, query.Model, query.Now)
 	running, capacity := exchange.modelCapacity(query, load) // even if no group is usable, because Recommend also reports the demand for the model
@@ -95,10 +101,10 @@
 	return nil
 }
 
-// modelCapacity returns the number of requests that run on a model and of the model's slots.
-// If Recommend answers, these are the requests of all processes and all slots, and
-// query.Preferred is set to the recommended group. Otherwise they are the requests of this
-// process and its equal share of the slots.
+// modelCapacity returns the number of requests that run on a model and of the slots of the
+// model's usable groups. If Recommend answers, these are the requests of all processes and all
+// slots, and query.Preferred is set to the recommended group. Otherwise they are the requests
+// of this process on usable groups and this process's equal share of the slots.
 func (exchange *exchange) modelCapacity(query *dispatch.Query, load dispatch.Load) (dispatch.RunningRequests, float64) {
 	if exchange.handler.Recommend != nil {
 		if recommendation, known := exchange.handler.Recommend(exchange.request.Context(), *query, load); known {
@@ -110,7 +116,8 @@
 	return load.RunningRequests, float64(load.Slots) / float64(max(exchange.handler.ServingNodes(), 1))
 }
 
-// priority returns the request's priority at an engine; 0 is most urgent.
+// priority returns the request's priority at an engine: latePriority for a late request,
+// otherwise that of the client account or route. 0 is most urgent.
 func (exchange *exchange) priority() int {
 	if exchange.late {
 		return latePriority
@@ -118,8 +125,9 @@
 	return requestPriority(exchange.route, exchange.account)
 }
 
-// uncountUnsent removes an attempt that reached no server from the count. The retry
-// budget is charged only once an attempt has reached a server.
+// uncountUnsent removes an attempt from exchange.attempts if its error shows that it reached
+// no server: only attempts after one that may have reached a server are charged to the retry
+// budget.
 func (exchange *exchange) uncountUnsent(err error) {
 	var notRun *shedkeel.NotRunError
 	if errors.As(err, &notRun) && !notRun.ReachedServer {
@@ -129,7 +137,7 @@
 
 // send sends the request to the chosen server once and checks the head of the answer. The
 // caller must close the response's body. The error is a NotRunError if the request did not
-// run at the server.
+// run at the server, and an UnknownRunError if it may have run.
 func (exchange *exchange) send(ctx context.Context, choice *dispatch.Choice, lastEvent string) (*http.Response, error) {
 	remaining := exchange.callerDeadline - exchange.handler.Timers.Now()
 	if remaining <= 0 {
@@ -151,8 +159,9 @@
 }
 
 // newRequest builds the request to the chosen server. The server gets remaining as its
-// deadline and resumes a stream after the event with the ID lastEvent. Requests that may run
-// only once use a fresh connection, as do requests that a server ran when it ended.
+// deadline and resumes a stream after the event with the ID lastEvent; "" starts the stream
+// from the beginning. Requests that may run at most once are sent over a new connection, as
+// are requests for which exchange.freshConnection is set.
 func (exchange *exchange) newRequest(ctx context.Context, choice *dispatch.Choice, remaining time.Duration, lastEvent string) (*http.Request, error) {
 	if exchange.route.Kind == shedkeel.RequestOnce || exchange.freshConnection.Load() {
 		ctx = engine.WithFreshConnection(ctx)
@@ -178,7 +187,8 @@
 }
 
 // targetURL returns the URL at the server, with path and query exactly as the caller sent
-// them. For targets that are not a plain path, it uses the parsed URL.
+// them. For a target that does not begin with a single slash, it uses the URL as net/http has
+// parsed it: net/http takes an opaque URL that begins with two slashes for an absolute URL.
 func (exchange *exchange) targetURL(address string) *url.URL {
 	if strings.HasPrefix(exchange.call.Target, "/") && !strings.HasPrefix(exchange.call.Target, "//") {
 		return &url.URL{Scheme: "http", Host: address, Opaque: exchange.call.Target}
@@ -189,9 +199,9 @@
 	return &target
 }
 
-// checkAnswer records what the answer states about the server. It returns an error if the
-// answer does not belong to this request, is a refusal, has a Content-Encoding, or is a
-// success that the server has not signed.
+// checkAnswer records what the answer states about the server. It returns a NotRunError if the
+// answer is a refusal. It returns an UnknownRunError with errForeignAnswer if the answer has
+// the ID of another request or a Content-Encoding, or is a success without an ID or signature.
 func (exchange *exchange) checkAnswer(response *http.Response, choice *dispatch.Choice) error {
 	answer := exchange.handler.Protocol.Answer(response)
 	exchange.observeLimit(answer, response.StatusCode, choice)
@@ -220,7 +230,8 @@
 }
 
 // observeState records whether the answer asks for a backoff or states that the server
-// is draining, if the answer belongs to this request.
+// is draining, if the answer belongs to this request. It logs header fields that cannot be
+// parsed.
 func (exchange *exchange) observeState(answer shedkeel.BackendAnswer, choice *dispatch.Choice) {
 	if answer.ID != exchange.call.ID {
 		return
@@ -241,7 +252,8 @@
 }
 
 // applyBackoff keeps this process from sending requests to the server for the backoff that
-// it asked for, at most for MaxBackoff.
+// the server asked for, but at most for MaxBackoff if that is set. It logs the backoff if the
+// server accepted requests until now.
 func (exchange *exchange) applyBackoff(server shedkeel.InstanceID, length time.Duration) {
 	handler := exchange.handler
 	count(handler.meter().backoffs)
@@ -254,9 +266,10 @@
 	}
 }
 
-// noServerError returns the reason why no server was found for a request: errBackoff if all
-// eligible servers have asked for a backoff, otherwise errNoServer. With errBackoff, it sets
-// exchange.retryIn.
+// noServerError returns the reason why no server was found for a request: errBackoff if there
+// are servers that are neither avoided nor draining and all of them back off, otherwise
+// errNoServer. With errBackoff, it sets exchange.retryIn to the time until the first backoff
+// ends.
 func (exchange *exchange) noServerError(query dispatch.Query) error {
 	end, backsOff := exchange.handler.Table.BackoffEnd(query)
 	if !backsOff {
@@ -266,7 +279,8 @@
 	return errBackoff
 }
 
-// readWhole reads the body of a response, up to maxAnswerBytes, and closes it.
+// readWhole reads the body of a response completely and closes it. It returns an
+// UnknownRunError if the body breaks off or is longer than maxAnswerBytes.
 func readWhole(response *http.Response) ([]byte, error) {
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes+1))
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -69,7 +69,7 @@
 	wrongID    bool          // the answer has the ID of another request
 	unsigned   bool
 	notRun     bool          // the answer states that the request did not run
-	limit      float64       // stated rate limit, in requests a second; 0: none
+	limit      float64       // stated rate limit, in requests per second; 0: none
 	backoff    time.Duration // stated backoff; 0: none
 	drains     bool          // the answer states that the server is draining
 }
@@ -267,8 +267,8 @@
 	errAnswerLost  = &shedkeel.UnknownRunError{Reason: "no answer", Cause: io.EOF}
 )
 
-// TestPlainOutcomes checks the status that a caller gets for each sequence of attempts:
-// 503 only if the request did not run and will not run later.
+// TestPlainOutcomes checks the status that a caller gets for each sequence of attempts, and the
+// number of attempts. The status is 503 only if no attempt ran or may have run.
 func TestPlainOutcomes(t *testing.T) {
 	cases := map[string]struct {
 		path   string
@@ -304,7 +304,7 @@
 }
 
 // TestRequestValidation checks the status for requests that are refused before they are
-// sent, and that any key of an account is accepted.
+// sent, that a second key of an account is accepted, and that a public route needs no key.
 func TestRequestValidation(t *testing.T) {
 	cases := map[string]struct {
 		path   string
@@ -317,7 +317,7 @@
 		"second key of account": {"/safe/x", []string{"Key", "k2"}, "", 200},
 		"public needs no key":   {"/safe/open/x", []string{"Key", "k9"}, "", 200},
 		"body too large":        {"/safe/x", nil, strings.Repeat("x", 101), 413},
-		"no duration":           {"/safe/x", []string{"Deadline", "soon"}, "", 400},
+		"invalid deadline":      {"/safe/x", []string{"Deadline", "soon"}, "", 400},
 	}
 	for name, test := range cases {
 		runFakeTime(t, name, func(t *testing.T) {
@@ -512,8 +512,8 @@
 	assert.Equal(t, left, 10-2)
 }
 
-// TestModelAdmission checks that requests are refused only if there are more than the groups
-// can run on time and queue as late.
+// TestModelAdmission checks how many requests for a model are admitted on time, how many are
+// admitted as late, and that the others are refused.
 func TestModelAdmission(t *testing.T) {
 	harness := newHarness(t)
 	capacity := 3 * 8                                  // three groups of eight slots
--- a/serve/source.go
+++ b/serve/source.go
@@ -17,7 +17,8 @@
 const readBufferBytes = 4 << 10
 
 // source is one attempt of a stream: the request to one server and the events that the
-// server sends.
+// server sends. A source stalls when its server is reported on choice.Stalled as having sent
+// nothing for longer than expected.
 type source struct {
 	stream      *stream
 	choice      *dispatch.Choice
@@ -25,12 +26,13 @@
 	cancel      context.CancelFunc
 	response    *http.Response
 	resumeAfter string // ID of the event after which the server is to resume; "": it starts at the beginning
-	hedged      bool   // a second source was started because this one stalled
-	lastNumber  int64  // number of its last event that was forwarded; before that, of the event after which it resumes
+	hedged      bool   // a second source was started because this source stalled
+	lastNumber  int64  // number of the source's last event that was forwarded, 0 if its ID is not a number; at first stream.lastNumber
 }
 
 // loop sends the request and delivers each event to the stream, and finally the error with
-// which the source ended.
+// which the source ended. If the source failed and was not canceled, loop checks whether the
+// server has terminated.
 func (source *source) loop() {
 	err := source.read()
 	failed := !errors.Is(err, errStreamEnd) && source.context.Err() == nil
@@ -52,8 +54,9 @@
 	}
 }
 
-// read sends the request and reads the stream to its end. It returns errStreamEnd if
-// the stream was received completely.
+// read sends the request, and delivers the events until the stream ends or the source is
+// canceled. It returns errStreamEnd if the stream was received completely, errIncomplete if
+// that cannot be told, and a statusError if the status is not 200.
 func (source *source) read() error {
 	stream := source.stream
 	response, err := stream.send(source.context, source.choice, source.resumeAfter)
@@ -92,9 +95,9 @@
 type update struct {
 	source *source
 	event  []byte
-	number int64  // of the event; 0: its ID is not a number
-	id     string // of the event; "": it has none
-	err    error  // not nil: the source has ended; errStreamEnd: it has ended after the last event
+	number int64  // the event's ID as a number; 0: the ID is not a number
+	id     string // the event's ID; "": the event has none
+	err    error  // not nil: the source has ended, and there is no event; errStreamEnd: the server has sent the last event
 }
 
 // errStreamEnd reports that a stream was received completely. It is distinct from io.EOF,
@@ -110,7 +113,7 @@
 func (err *statusError) Error() string { return "status " + strconv.Itoa(err.response.StatusCode) }
 
 // eventID returns the ID of a server-sent event, as a number and as text. The number is 0 if
-// the ID is not a number. If the event has no ID, the text is empty too.
+// the ID is not a number. If the event has no ID, the number is 0 and the text is empty.
 func eventID(message []byte) (int64, string) {
 	for line := range bytes.Lines(message) {
 		value, found := bytes.CutPrefix(line, []byte("id:"))
--- a/serve/stream.go
+++ b/serve/stream.go
@@ -15,17 +15,18 @@
 // updateBuffer is the number of events that are buffered for a caller that reads slowly.
 const updateBuffer = 4
 
-// stream forwards a stream of events to its caller. When the server stalls or the connection
-// to it fails, the stream resumes at another server after the last complete event. While two
-// servers run the stream, the server that delivers the next event first is kept and the
-// attempt at the other is canceled.
+// stream forwards a stream of events to its caller. Each attempt of the stream is a source.
+// When a source fails, another source replaces it, which resumes after the last forwarded
+// event. When a source stalls, a second source is started beside it, which is a hedge; the
+// source that delivers the next event first is kept and the other is canceled. mayFailOver and
+// the retry budget limit how often either happens.
 type stream struct {
 	*exchange
 	updates    chan update
-	sources    []*source // the active ones, at most two
-	lastNumber int64     // number of the last event forwarded, or at first of that after which the caller resumes; 0: none
-	lastID     string    // ID of the same event; "": none
-	lastErr    error     // why the last source failed
+	sources    []*source // the active sources, at most two
+	lastNumber int64     // number of the last forwarded event whose ID is a number, at first of the event after which the caller resumes; 0: none
+	lastID     string    // ID of the last forwarded event that has one, at first of the event after which the caller resumes; "": none
+	lastErr    error     // error of the source that failed last
 	timing     timing
 }
 
@@ -33,7 +34,7 @@
 type timing struct {
 	firstDelay   time.Duration // from the request to the first event
 	latest       time.Duration // when the latest event was forwarded; 0: none yet
-	longestPause time.Duration // between two events
+	longestPause time.Duration // between two forwarded events
 	hedges       int           // how often a second source was started beside a stalled one
 }
 
@@ -47,7 +48,8 @@
 	timing.latest = now
 }
 
-// run serves the stream until it is complete, cannot be completed or its context ends.
+// run serves the stream until it is complete, cannot be completed or its context ends. It
+// returns nil if the stream is complete or the error status of a server was forwarded.
 func (stream *stream) run(ctx context.Context) error {
 	defer stream.cancelAll()
 	if stream.call.LastEventID != "" {
@@ -75,8 +77,9 @@
 }
 
 // stallSignal returns the channel that signals that the only source has stalled. It returns
-// nil, from which a receive blocks forever, if a second source is running or must not be
-// started.
+// nil, from which a receive blocks forever, if there is no source or a second one, if the
+// source was hedged since its last forwarded event, or if mayFailOver does not allow another
+// source.
 func (stream *stream) stallSignal() <-chan struct{} {
 	if len(stream.sources) != 1 || stream.sources[0].hedged || !stream.mayFailOver() {
 		return nil
@@ -84,15 +87,15 @@
 	return stream.sources[0].choice.Stalled
 }
 
-// mayFailOver reports whether the stream may run on another server too. Every server to which
-// the stream was sent counts towards MaxRuns unless it refused the stream: a server whose
-// attempt was canceled may already have started to run it.
+// mayFailOver reports whether the stream may run on another server too. Every source counts
+// towards MaxRuns unless its server refused the stream or was not reached: a server whose
+// source was canceled may already have started to run the stream.
 func (stream *stream) mayFailOver() bool {
 	return stream.route.Repeatable() && stream.runs < stream.route.MaxRuns && !stream.quarantined && stream.guardAllows()
 }
 
-// hedge starts a second source beside one that has stalled. If none can be started now, the
-// next stall signal triggers another try.
+// hedge starts a second source beside the only source, which has stalled. If no server can be
+// chosen now, the next stall signal triggers another try.
 func (stream *stream) hedge(ctx context.Context) {
 	stalled := stream.sources[0]
 	outcome := "begun at another server"
@@ -106,8 +109,9 @@
 	stream.log(event.StreamMoved, slog.String("from", string(stalled.choice.Instance)), slog.Int64("after", stream.lastNumber), slog.String("outcome", outcome))
 }
 
-// startSource sends the stream's request to another server, which resumes after the
-// last event.
+// startSource starts a source at a server that the stream has not tried yet. The server resumes
+// after the event with lastID, or starts at the beginning if there is none. The error is that
+// of choose.
 func (stream *stream) startSource(ctx context.Context) error {
 	choice, err := stream.choose(ctx)
 	if err != nil {
@@ -121,8 +125,10 @@
 	return nil
 }
 
-// handle processes an update of a source and forwards its event. It returns true when
-// the stream is complete.
+// handle processes an update of a source. It forwards the event and cancels the other source,
+// unless the caller already has an event with the same or a higher number. It returns true when
+// the stream is complete. It returns errAborted if the caller's connection failed, and the
+// error of sourceEnded if the source has ended.
 func (stream *stream) handle(ctx context.Context, update update) (bool, error) {
 	if update.err != nil {
 		return stream.sourceEnded(ctx, update)
@@ -155,7 +161,7 @@
 }
 
 // cancelOthers cancels all sources except kept, which has delivered an event. If kept stalls
-// again, another source may be started.
+// again, it may be hedged again.
 func (stream *stream) cancelOthers(kept *source) {
 	for _, source := range stream.sources {
 		if source != kept {
@@ -167,8 +173,9 @@
 }
 
 // sourceEnded processes the end of a source. It returns true when the stream is complete: the
-// source ended with errStreamEnd, and its last event is the last one forwarded. The end of a
-// source that was canceled before has no effect.
+// source ended with errStreamEnd, and its last event is the last event forwarded. Otherwise
+// the source has failed, and sourceEnded calls failOver. The end of a source that was canceled
+// before has no effect.
 func (stream *stream) sourceEnded(ctx context.Context, update update) (bool, error) {
 	active := false
 	for index, source := range stream.sources {
@@ -199,8 +206,9 @@
 	return false, stream.failOver(ctx, update)
 }
 
-// failOver starts another source after one has failed, unless a second source is still
-// running. It ends the stream if no further attempt is allowed or possible.
+// failOver records the failure of a source and starts another source, unless a second source
+// is still running. It ends the stream if no further attempt is allowed or possible. After a
+// source that did not run, mayFailOver does not apply, but the guard and maxServersTried do.
 func (stream *stream) failOver(ctx context.Context, update update) error {
 	stream.lastErr = update.err
 	stream.uncountUnsent(update.err)
@@ -225,8 +233,9 @@
 }
 
 // finish ends a stream that cannot be completed. If events were forwarded, it returns
-// errAborted, so that the connection is aborted. Otherwise the caller gets the error status
-// of the server or a refusal.
+// errAborted, so that the connection is aborted. If the reason is a statusError, it forwards
+// the server's status and header, without the body, and returns nil. Otherwise it returns the
+// error of failure.
 func (stream *stream) finish(ctx context.Context, reason error) error {
 	if stream.answerStarted.Load() {
 		return errors.Join(errAborted, reason)
--- a/serve/view.go
+++ b/serve/view.go
@@ -61,7 +61,8 @@
 
 // targetService returns the service for a request of the route, or "" if the route has
 // no targets. It hashes the request ID and picks a target in proportion to the
-// weights, so that the same ID always gets the same service.
+// weights, so that the same ID always gets the same service. If no weight is above 0, it
+// returns the service of the first target.
 func targetService(route *shedkeel.Route, requestID string) shedkeel.ServiceID {
 	total := 0
 	for _, target := range route.Targets {
@@ -85,13 +86,14 @@
 	return route.Targets[0].Service
 }
 
-// needsKey reports whether requests of the route need a key.
+// needsKey reports whether requests of the route need a key: the route is not public, and the
+// configuration has client accounts.
 func (view *View) needsKey(route *shedkeel.Route) bool {
 	return len(view.Config.Accounts) > 0 && !route.Public
 }
 
 // requestPriority returns the priority of a request; 0 is most urgent. The priority of
-// the client account overrides that of the route.
+// the client account, if it has one, overrides that of the route.
 func requestPriority(route *shedkeel.Route, account *shedkeel.KeyedAccount) int {
 	if account != nil && account.Priority != nil {
 		return *account.Priority
