--- a/ratelimit/sharing_test.go
+++ b/ratelimit/sharing_test.go
@@ -304,8 +304,8 @@
 	}
 }
 
-// send sends a request to the server. If the node does not know the limit, it learns it from
-// the answer.
+// send sends a request to the server. If the node does not know the limit, it learns the limit
+// from the answer.
 func (fleet *simFleet) send(node *simNode) {
 	informed := node.knownSince >= 0 && fleet.now-node.knownSince >= 500*time.Millisecond
 	fleet.attempts = append(fleet.attempts, attempt{fleet.now, informed})
@@ -314,7 +314,8 @@
 	}
 }
 
-// learn makes the limit known to a node, and after gossipDelay to all nodes that it reaches.
+// learn makes the limit known to a node, and after gossipDelay to all nodes that this node
+// reaches.
 func (fleet *simFleet) learn(node *simNode) {
 	if node.knownSince >= 0 {
 		return
@@ -460,7 +461,8 @@
 }
 
 // evaluate compares the requests that were sent with the limit. It counts only requests of
-// nodes that had been informed of the limit, in sliding windows of simWindow.
+// nodes that had been informed of the limit, in sliding windows of simWindow. The utilization
+// leaves out the time before propagationTime and the times without a limit.
 func (fleet *simFleet) evaluate() outcome {
 	var informed []time.Duration
 	for _, attempt := range fleet.attempts {
@@ -495,8 +497,9 @@
 }
 
 // allowed returns how many requests the server may get in the window that ends at end. It
-// uses the highest limit stated in the window or within propagationTime before it. It changes
-// fleet.now, by which limit looks the limit up.
+// uses the highest limit stated in the window or within propagationTime before the window, or
+// infinity if the server stated none at some moment of that time. It changes fleet.now, by
+// which limit looks the limit up.
 func (fleet *simFleet) allowed(end time.Duration) float64 {
 	most := 0.0
 	for at := max(end-simWindow-propagationTime, 0); at <= end; at += 100 * time.Millisecond {
--- a/route/router.go
+++ b/route/router.go
@@ -85,7 +85,7 @@
 }
 
 // Update replaces the targets of a service. A target with the name of a former target keeps
-// the count of its requests in flight.
+// the count of its requests in flight, and those changes of its load that applyReport keeps.
 func (router *Router) Update(service shedkeel.ServiceID, targets []Target, now time.Duration) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
@@ -238,8 +238,8 @@
 }
 
 // chooseByPrefix returns the first target of the prefix's slot that the request allows and
-// whose load is within the bound. It returns nil if there is no such target, the request has
-// no affinity or the router's Bound is negative.
+// whose load is at most one request above the bound times the mean load. It returns nil if
+// there is no such target, the request has no affinity or the router's Bound is negative.
 func (router *Router) chooseByPrefix(pool *targetPool, request Request) *target {
 	bound := router.Bound
 	if bound == 0 {
--- a/serve/budget.go
+++ b/serve/budget.go
@@ -99,7 +99,8 @@
 	budget.services = nil
 }
 
-// CountRequest counts a request for the service, at its first attempt.
+// CountRequest counts a request for the service. The caller must call it once for each request,
+// however many attempts are made.
 func (budget *Budget) CountRequest(service shedkeel.ServiceID, now time.Duration) {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
--- a/serve/plain.go
+++ b/serve/plain.go
@@ -16,7 +16,7 @@
 // stalled streams.
 const maxServersTried = 4
 
-// bufferedAnswer is a complete answer of a backend server.
+// bufferedAnswer is a complete answer of a server.
 type bufferedAnswer struct {
 	response *http.Response
 	body     []byte
@@ -76,7 +76,7 @@
 
 // tryServer sends the request to the chosen server, reads the answer completely and ends the
 // choice. An answer with a 5xx status is not an error, but counts as a failure of the server.
-// After an error, tryServer checks whether the server has terminated.
+// After an error, tryServer checks whether the server has terminated, unless ctx has ended.
 func (exchange *exchange) tryServer(ctx context.Context, choice *dispatch.Choice) (bufferedAnswer, error) {
 	response, err := exchange.send(ctx, choice, "") //nolint:bodyclose // readWhole closes it
 	if err != nil {
