--- a/interfaces.go
+++ b/interfaces.go
@@ -10,13 +10,13 @@
 type Record struct {
 	Key           string
 	Value         []byte
-	Revision      Revision // of the key's last change; zero: the key does not exist
-	Removed       bool     // in a change: the key was removed at the revision
-	LostInRestore bool     // in a change: the key is missing because the service was restored from an older backup
+	Revision      Revision // of the key's last change, including its removal; zero: the key does not exist
+	Removed       bool     // in a change: the key was removed at Revision
+	LostInRestore bool     // with Removed: the key is missing because the service was restored from an older backup
 }
 
-// Condition holds if the key has the revision. The zero revision means that the
-// key does not exist.
+// Condition holds if the key has the revision. With the zero revision, it holds if
+// the key does not exist.
 type Condition struct {
 	Key      string
 	Revision Revision
@@ -30,8 +30,8 @@
 	Lease LeaseID
 }
 
-// MaxTransactionEntries is the maximum number of conditions, puts and removals
-// together in one transaction.
+// MaxTransactionEntries is the maximum total number of conditions, puts and removals
+// in one transaction.
 const MaxTransactionEntries = 32
 
 // Transaction is a set of changes that is applied as a whole if every condition holds,
@@ -46,33 +46,35 @@
 type Changes struct {
 	Records  []Record
 	Revision Revision // revision from which to read further changes
-	// More is set if the answer reached its maximum size. The service may then
-	// already have changes later than Revision.
+	// More is set if the answer was about as large as an answer of the service can be.
+	// The service may then already have changes later than Revision.
 	More bool
 }
 
-// RecordSource reads records of the key-value service and follows their changes.
+// RecordSource reads records of the key-value service and follows their changes. Its
+// methods return an UnavailableError if the service does not reply.
 type RecordSource interface {
-	// List returns all records with the prefix and the revision from which to
-	// follow changes.
+	// List returns all records whose keys have the prefix, and the revision from which
+	// to follow changes. Some records may be newer than this revision.
 	List(ctx context.Context, prefix string) ([]Record, Revision, error)
-	// Changes waits up to the given time for changes after a revision. It returns
-	// a CompactedError if the service no longer has these changes, for example
-	// because it is in a later era.
+	// Changes returns the changes after a revision. If there are none, Changes waits
+	// for them up to the given time. It returns a CompactedError if the service no longer
+	// has these changes, for example because the service is in a later era.
 	Changes(ctx context.Context, prefix string, since Revision, wait time.Duration) (Changes, error)
 	// GetStale reads a key. The result may be some seconds old. The call costs the
-	// service a tenth of what a current read costs.
+	// service a tenth of what Store.Get costs.
 	GetStale(ctx context.Context, key string) (Record, error)
 }
 
 // LeasedStore writes records that are removed when their lease ends. Leases of
 // an earlier era have ended: for such a lease, Commit and Renew return a
-// LeaseEndedError and Release does nothing.
+// LeaseEndedError and Release does nothing. All methods return an UnavailableError
+// if the service was not available and nothing was changed, and an
+// UnknownOutcomeError if the reply was lost.
 type LeasedStore interface {
 	// Commit applies all changes or none, and returns the new revision. It returns a
-	// ConflictError if a condition does not hold, an UnavailableError if nothing was
-	// changed, and an UnknownOutcomeError if the reply was lost. A condition with a
-	// revision of an earlier era does not hold.
+	// ConflictError if a condition does not hold, and a LeaseEndedError if the lease of
+	// a put has ended. A condition with a revision of an earlier era does not hold.
 	Commit(ctx context.Context, change Transaction) (Revision, error)
 	// Grant returns a new lease and the time to live that the service gave it.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, time.Duration, error)
@@ -86,16 +88,17 @@
 // StoreCall is the kind of a call to the key-value service.
 type StoreCall string
 
-// The kinds of calls.
+// The kinds of calls, with the methods of RecordSource, LeasedStore and Store that make
+// them.
 const (
-	CallGet      StoreCall = "get"
-	CallGetStale StoreCall = "get_stale"
-	CallList     StoreCall = "list" // one call per page of the list
-	CallWatch    StoreCall = "watch"
-	CallCommit   StoreCall = "commit"
-	CallGrant    StoreCall = "grant"
-	CallRenew    StoreCall = "renew"
-	CallRelease  StoreCall = "release"
+	CallGet      StoreCall = "get"       // Store.Get
+	CallGetStale StoreCall = "get_stale" // GetStale
+	CallList     StoreCall = "list"      // List and Store.Watch, one call per page of the list
+	CallWatch    StoreCall = "watch"     // Changes and Store.Watch, one call per wait for changes
+	CallCommit   StoreCall = "commit"    // Commit and Store.Swap
+	CallGrant    StoreCall = "grant"     // Grant
+	CallRenew    StoreCall = "renew"     // Renew
+	CallRelease  StoreCall = "release"   // Release
 )
 
 // CallCounter counts the calls of this process to the key-value service.
@@ -104,28 +107,33 @@
 	Calls() map[StoreCall]int64
 }
 
-// GroupEngines queries the engines of replica groups and sends them orders.
+// GroupEngines is the client with which the program shedkeel-node calls engines (see
+// package platform): it queries their load and sends them orders of the type GroupOrder.
+// Keepers use Engines instead.
 type GroupEngines interface {
-	// Report requests the current load of an engine.
+	// Report requests the load of an engine.
 	Report(ctx context.Context, address string) (EngineReport, error)
 	// Order sends an order. It returns a ConflictError if the engine rejects the
-	// order because of its state, and an UnknownOutcomeError if the reply is lost:
-	// the engine may still carry out the order seconds later.
+	// order, and an UnknownOutcomeError if no reply arrives: the engine may still
+	// carry out the order seconds later.
 	Order(ctx context.Context, order GroupOrder) error
 }
 
-// Store is the platform's key-value service.
+// Store is the part of the key-value service that keepers use: reads and conditional
+// writes of single keys, and watches. The program shedkeel-node uses RecordSource and
+// LeasedStore instead.
 type Store interface {
-	// Get reads a key. It returns an UnavailableError if the service does not
-	// reply.
+	// Get reads a key. It returns a record with the zero revision if the key does not
+	// exist, and an UnavailableError if the service does not reply.
 	Get(ctx context.Context, key string) (Record, error)
 	// Swap writes the value if the key still has the revision (zero: does not
 	// exist) and returns the new revision. It returns a ConflictError if the key
-	// has another revision, an UnavailableError if nothing was sent, and an
-	// UnknownOutcomeError if the reply was lost.
+	// has another revision, an UnavailableError if the service was not available and
+	// nothing was written, and an UnknownOutcomeError if the reply was lost.
 	Swap(ctx context.Context, key string, revision Revision, value []byte) (Revision, error)
 	// Watch calls seen for the current records with the prefix and for each later
-	// change, until the context ends or the service fails.
+	// change, until the context ends or the service fails. A removed record has the
+	// zero revision. The error is an UnavailableError.
 	Watch(ctx context.Context, prefix string, seen func(Record)) error
 }
 
@@ -136,27 +144,31 @@
 	Boxes(ctx context.Context) ([]Box, error)
 }
 
-// Engines queries the engines of boxes and sends them orders.
+// Engines is the client with which keepers call engines (see package engine): it probes
+// their state and sends them orders of the type Order. The program shedkeel-node uses
+// GroupEngines instead.
 type Engines interface {
 	// Probe requests the state of an engine.
 	Probe(ctx context.Context, address string) (BoxState, error)
-	// SendOrder sends an order. It returns a ConflictError if the engine has accepted
-	// an order with a higher planner epoch.
+	// SendOrder sends an order. It returns a ConflictError if the engine rejects the
+	// order, as after one with a higher planner epoch, and an UnknownOutcomeError if no
+	// reply arrives.
 	SendOrder(ctx context.Context, order Order) error
 }
 
 // Backend sends a request to a backend server. It never retries.
 type Backend interface {
-	// Send returns a NotRunError if no byte of the request was written, and an
-	// UnknownRunError if some may have been written.
+	// Send returns the response, whose body the caller must close. It returns a
+	// NotRunError if no byte of the request was written, and an UnknownRunError if some
+	// may have been written.
 	Send(request *http.Request) (*http.Response, error)
 }
 
 // ServerCheck finds out whether a backend server whose connection broke has
-// stopped.
+// terminated.
 type ServerCheck interface {
-	// Stopped reports whether it is proven that no process listens at the address,
-	// as by a refused connection. A missing reply proves nothing.
+	// Stopped reports whether the address refuses connections, which proves that no
+	// process listens there. A missing reply proves nothing.
 	Stopped(ctx context.Context, address string) bool
 }
 
@@ -170,7 +182,8 @@
 	Subscribe(interval time.Duration, tick func(now time.Duration)) (cancel func())
 }
 
-// Random is a source of pseudo-random numbers. The caller provides its seed.
+// Random is a source of pseudo-random numbers. Whoever creates it chooses the seed, so
+// that a simulation can be repeated.
 type Random interface {
 	Uint64() uint64
 }
@@ -178,7 +191,7 @@
 // Planner assigns the boxes of an availability zone to groups.
 type Planner interface {
 	// Plan returns the placement to commit next and the orders that carry out the
-	// current placement.
+	// current placement, that of the input.
 	Plan(input PlanInput) PlanOutput
 }
 
@@ -191,19 +204,19 @@
 
 // PlanInput is the complete input of a planner.
 type PlanInput struct {
-	Now       time.Duration
+	Now       time.Duration // on the clock of BoxView.LastReply
 	Zone      ZoneID
 	Config    Config
-	Table     PlannerParameters
+	Table     PlannerParameters // result of the policy program in use
 	Boxes     map[BoxID]BoxView
-	Placement Placement
+	Placement Placement // the current placement of the zone
 }
 
 // Decision is a record of an action that the planner took or decided against, with
 // the reason.
 type Decision struct {
 	Group  GroupID `json:"group"`
-	Box    BoxID   `json:"box"`
+	Box    BoxID   `json:"box"` // "": the decision concerns the whole group
 	Action string  `json:"action"`
 	Reason string  `json:"reason"`
 }
