--- a/serving.go
+++ b/serving.go
@@ -11,30 +11,31 @@
 // ModelID is the name of a model that the replica groups of a service serve.
 type ModelID string
 
-// RequestKind says whether the requests of a route may run more than once.
+// RequestKind says whether the requests of a route may run more than once, and
+// whether their answers are streams.
 type RequestKind string
 
 // The kinds of request.
 const (
 	RequestSafe   RequestKind = "safe"   // may run more than once
 	RequestOnce   RequestKind = "once"   // may run at most once
-	RequestStream RequestKind = "stream" // answers with a series of events
+	RequestStream RequestKind = "stream" // the answer is a series of events; may run more than once if the route is Resumable
 )
 
-// Target is a service to which a route sends requests, with its relative share
-// of them.
+// Target is a service to which a route sends requests.
 type Target struct {
 	Service ServiceID
-	Weight  int
+	Weight  int // relative share of the route's requests
 }
 
-// Route is the rule for requests to Host whose path begins with Prefix.
+// Route is the rule for requests to Host whose path begins with Prefix. Of several such
+// routes, the one with the longest Prefix applies.
 type Route struct {
 	ID        RouteID
 	Host      string
 	Prefix    string
 	Kind      RequestKind
-	Resumable bool          // another server can continue a stream after the last event sent
+	Resumable bool          // another server can continue a stream after the last event that the caller received
 	Public    bool          // requests need no key
 	Timeout   time.Duration // maximum duration of a request
 	Objective time.Duration // latency objective for an answer or the first event of a stream
@@ -49,7 +50,7 @@
 	return route.Kind == RequestSafe || route.Kind == RequestStream && route.Resumable
 }
 
-// KeyedAccount is a client account with the keys that it may use.
+// KeyedAccount is a client account with its API keys.
 type KeyedAccount struct {
 	ID       AccountID
 	Keys     []string
@@ -67,13 +68,13 @@
 	ID       ModelID
 	Size     int           // boxes per group
 	Share    float64       // expected share of the work; the planner averages it with the measured share
-	Slowdown float64       // multiplier of the engine's times; 0 counts as 1
+	Slowdown float64       // multiplier of the times in Engine; 0 counts as 1
 	Load     time.Duration // time to load the weights from the weight store
 	Warmup   time.Duration // time to load the weights from the box's host memory
 }
 
-// EffectiveSlowdown returns the multiplier of the engine's times: Slowdown, or 1 if
-// Slowdown is not set.
+// EffectiveSlowdown returns the multiplier of the times in Engine: Slowdown, or 1 if
+// Slowdown is not above 0.
 func (model *Model) EffectiveSlowdown() float64 {
 	if model.Slowdown <= 0 {
 		return 1
@@ -86,7 +87,7 @@
 type ModelDemand struct {
 	Requests     float64
 	PromptTokens float64
-	AnswerTokens float64 // upper bounds that callers state
+	AnswerTokens float64 // sum of the maximums that callers state
 }
 
 // Add returns the sum of the demands.
@@ -102,15 +103,17 @@
 	return ModelDemand{Requests: by * demand.Requests, PromptTokens: by * demand.PromptTokens, AnswerTokens: by * demand.AnswerTokens}
 }
 
-// Engine describes the performance of the engines of a service of replica groups.
+// Engine describes the performance of the engines of a service of replica groups. A
+// step generates one token for each running request, and a pass is a fixed number of
+// steps. The Slowdown of a model multiplies the times.
 type Engine struct {
 	Models         []Model
 	Slots          int           // requests that a group runs concurrently
-	StepsPerPass   int           // decoding steps of one pass; a stream sends an event at least once per pass
+	StepsPerPass   int           // steps of one pass; a stream sends an event at least once per pass
 	Chunk          int           // maximum prompt tokens that one step reads
-	Step           time.Duration // duration of a step that generates one token for one request
+	Step           time.Duration // duration of a step without StepPerRequest and without reading
 	StepPerRequest time.Duration // time that each running request adds to a step
-	ReadPerSecond  float64       // prompt tokens read per second
+	ReadPerSecond  float64       // prompt tokens read per second; 0: the times are not known
 	LoadsPerSecond float64       // maximum rate of load starts on all boxes together
 	LoadsAtOnce    int           // number of concurrent loads above which each load takes longer
 	FormTime       time.Duration // time that forming a group takes
@@ -118,7 +121,7 @@
 
 // LongestPass returns the longest time between two events of a stream at a group
 // of the model: the duration of a pass in which each step reads Chunk prompt tokens
-// and all slots are in use. It returns 0 if the engine's times are not known.
+// and all slots are in use. It returns 0 if ReadPerSecond is not above 0.
 func (engine *Engine) LongestPass(model *Model) time.Duration {
 	if engine.ReadPerSecond <= 0 {
 		return 0
@@ -138,7 +141,8 @@
 	return nil
 }
 
-// RoutedService is a service in the serving configuration.
+// RoutedService is a service in the serving configuration. Its servers are cold for
+// some time after their start: see ColdServer.
 type RoutedService struct {
 	ID             ServiceID
 	HealthPath     string
@@ -148,8 +152,8 @@
 	Engine         *Engine       // nil for a plain service
 }
 
-// ServingConfig is the configuration that operators write for the requests that nodes
-// serve. Keepers and entries use Config instead.
+// ServingConfig is the configuration that operators write for the program
+// shedkeel-node. Keepers and entries use Config instead.
 type ServingConfig struct {
 	Version  int64 // increases with each change
 	Routes   []Route
@@ -173,8 +177,8 @@
 // Membership is the membership in a replica group that a backend server reports.
 type Membership struct {
 	Group GroupID
-	Epoch uint64
-	Rank  int // 0: the head, which receives the requests
+	Epoch uint64 // of the order with which the server joined the group
+	Rank  int    // 0: the head, which receives the requests
 	State MemberState
 }
 
@@ -191,23 +195,24 @@
 	return Assignment{Group: membership.Group, Epoch: membership.Epoch}
 }
 
-// Instance is the record of a backend server in the platform's list.
+// Instance is the record that an instance of a backend server writes into the
+// platform's list.
 type Instance struct {
 	ID       InstanceID
 	Service  ServiceID
 	Address  string // host:port
 	Zone     ZoneID
-	Slots    int           // requests that it runs concurrently
+	Slots    int           // requests that the instance runs concurrently
 	Draining bool          // finishes its running requests and accepts no new ones
-	ColdFor  time.Duration // time until the server is warm, counted from when it wrote the record; 0: already warm
-	Sequence int64         // increases with each record that the server writes; restarts with each start of the server
+	ColdFor  time.Duration // time until the instance is warm, counted from when the instance wrote the record; 0: already warm
+	Sequence int64         // number of orders that the instance has accepted; of two records of an instance, the newer never has the lower number
 	Domain   DomainID
 	Staged   []ModelID   // models whose weights are in the host memory of its box
 	Models   []ModelID   // models whose weights are loaded
 	Member   *Membership // nil: in no group
 }
 
-// EqualExceptSequence reports whether two records of a server are equal except for Sequence.
+// EqualExceptSequence reports whether two records are equal except for Sequence.
 func (instance *Instance) EqualExceptSequence(other *Instance) bool {
 	return instance.ID == other.ID && instance.Service == other.Service && instance.Address == other.Address &&
 		instance.Zone == other.Zone && instance.Slots == other.Slots && instance.Draining == other.Draining &&
@@ -226,20 +231,21 @@
 	return false
 }
 
-// GroupOrderKind is the kind of an order to the engine of a box.
+// GroupOrderKind is the kind of a GroupOrder.
 type GroupOrderKind string
 
 // The kinds of GroupOrder.
 const (
-	OrderJoin  GroupOrderKind = "join"  // become a member of the group; replaces an earlier membership
+	OrderJoin  GroupOrderKind = "join"  // load the weights and become a member of the group; replaces an earlier membership
 	OrderOpen  GroupOrderKind = "open"  // to a ready head: accept requests
 	OrderClose GroupOrderKind = "close" // to an open head: finish the running requests, then become ready
 	OrderLeave GroupOrderKind = "leave" // end the membership immediately
 	OrderStage GroupOrderKind = "stage" // load the weights into the host memory
 )
 
-// GroupOrder is an order to the engine of a box. The group's epoch is its fencing
-// token, except for OrderStage, which has none.
+// GroupOrder is an order of the program shedkeel-node to the engine of a box. (Keepers
+// send orders of type Order.) The group's epoch is the fencing token of the order, except
+// for OrderStage, which has none.
 type GroupOrder struct {
 	Kind    GroupOrderKind
 	To      InstanceID
@@ -255,12 +261,13 @@
 type EngineReport struct {
 	Queued   int     // queued requests
 	Active   int     // running requests
-	Slowdown float64 // current multiplier of its times; above 1: slow
-	Born     int64   // start of the server in Unix milliseconds; 0: not reported
+	Slowdown float64 // current multiplier of the engine's times; above 1: slow
+	Born     int64   // time of the engine's start in Unix milliseconds; 0: not reported
 }
 
 // From reports whether the report can be from this instance, rather than from
-// another start of the same server.
+// another instance of the same server. It returns true if the report or the ID does
+// not state the time of the start.
 func (report EngineReport) From(id InstanceID) bool {
 	return report.Born == 0 || id.Born() == 0 || report.Born == id.Born()
 }
