--- a/shedkeel.go
+++ b/shedkeel.go
@@ -2,6 +2,15 @@
 // services, client accounts and the records that are stored in the platform's
 // key-value service. It also defines the interfaces that the other packages
 // implement and use.
+//
+// A Box runs an engine: a backend server that loads the weights of a model and, as a
+// member of a replica group, computes the answers to requests. Nodes, which are of
+// two kinds, control replica groups and serve callers:
+//
+//   - An entry box runs an entry, the proxy for callers, and a keeper, the control
+//     process. Both use Config, Placement and Group; keepers send an Order to a box.
+//   - A process of the program shedkeel-node does the work of an entry and a keeper. It
+//     uses ServingConfig, Instance and Membership, and sends a GroupOrder to a box.
 package shedkeel
 
 import (
@@ -29,8 +38,8 @@
 // AccountID is the name of a client account.
 type AccountID string
 
-// NodeID is the name of a node: a box that runs shedkeel itself, with an entry
-// (the proxy for callers) and a keeper (the control process).
+// NodeID is the name of a node: an entry box, or a process of the program
+// shedkeel-node.
 type NodeID string
 
 // Box is a machine of the platform that can be a member of a replica group.
@@ -44,13 +53,13 @@
 }
 
 // Assignment identifies the replica group that a box was ordered to join, and the
-// group's epoch.
+// group's epoch. The zero value is no group.
 type Assignment struct {
 	Group GroupID `json:"group"`
 	Epoch uint64  `json:"epoch"`
 }
 
-// Phase is the progress of a box in carrying out its orders.
+// Phase is the progress of a box in carrying out the last order that it accepted.
 type Phase string
 
 // The phases of a box.
@@ -66,14 +75,14 @@
 	Boot     string     `json:"boot"` // changes with every start of the engine
 	Phase    Phase      `json:"phase"`
 	Weights  ServiceID  `json:"weights"`  // service whose weights are loaded or being loaded
-	Assigned Assignment `json:"assigned"` // from the last order that the engine accepted
+	Assigned Assignment `json:"assigned"` // from the last OrderLoad; zero after an OrderPrefetch or OrderRelease
 	Leaving  bool       `json:"leaving"`
 	Running  int        `json:"running"` // running requests; the report lags behind
 	Queued   int        `json:"queued"`  // queued requests; the report lags behind
 }
 
-// Member is a box of a replica group. Boot identifies the start of the engine when
-// the group was formed: after a restart of the engine, the box no longer counts as
+// Member is a box of a replica group. Boot is the BoxState.Boot of the engine when the
+// planner chose the box: after a restart of the engine, the box no longer counts as
 // this member.
 type Member struct {
 	Box     BoxID  `json:"box"`
@@ -81,13 +90,13 @@
 	Boot    string `json:"boot"`
 }
 
-// Group is a replica of a model service that runs on several boxes. The first
+// Group is a replica of a model service that runs on one or more boxes. The first
 // member receives the requests.
 type Group struct {
 	ID       GroupID   `json:"id"`
 	Service  ServiceID `json:"service"`
-	Domain   DomainID  `json:"domain"`
-	Epoch    uint64    `json:"epoch"` // increases with every change of the members
+	Domain   DomainID  `json:"domain"` // "": the group may span domains
+	Epoch    uint64    `json:"epoch"`  // increases with every change of the members
 	Members  []Member  `json:"members"`
 	Draining bool      `json:"draining"` // finishes its running requests and accepts no new ones
 	Reserve  *Reserve  `json:"reserve,omitempty"`
@@ -130,7 +139,7 @@
 }
 
 // WithFallback returns the placement with the substitutions of the fallback applied. It
-// ignores a fallback for another generation or zone.
+// returns the placement unchanged if the fallback is for another generation or zone.
 func (placement *Placement) WithFallback(fallback Fallback) Placement {
 	if fallback.Base != placement.Generation || fallback.Zone != placement.Zone {
 		return *placement
@@ -155,13 +164,14 @@
 }
 
 // Placement is the committed record of one availability zone: it assigns boxes to
-// groups. Each change replaces the whole record by compare-and-swap.
+// groups. The keeper that holds the zone's planner lease writes the placement. Each
+// change replaces the whole record by compare-and-swap.
 type Placement struct {
 	Generation   uint64  `json:"generation"` // increases by one with each write
 	Zone         ZoneID  `json:"zone"`
-	PlannerEpoch uint64  `json:"planner_epoch"` // epoch of the planner lease under which it was written
+	PlannerEpoch uint64  `json:"planner_epoch"` // epoch of the planner lease under which it was written; increases with each change of the lease's holder
 	Nonce        string  `json:"nonce"`         // random ID of the write; shows whether a write took effect whose reply was lost
-	NextEpoch    uint64  `json:"next_epoch"`    // epoch of the next group to be formed
+	NextEpoch    uint64  `json:"next_epoch"`    // next unused epoch of a Group or Reserve of the placement; 0 counts as 1
 	Groups       []Group `json:"groups"`
 }
 
@@ -214,7 +224,7 @@
 type Service struct {
 	ID        ServiceID       `json:"id" toml:"id"`
 	Kind      ServiceKind     `json:"kind" toml:"kind"`
-	Groups    int             `json:"groups" toml:"groups"`         // model: desired number of replica groups in all zones
+	Groups    int             `json:"groups" toml:"groups"`         // model: desired number of replica groups in all zones together
 	Members   int             `json:"members" toml:"members"`       // model: boxes per group
 	Zones     []ZoneID        `json:"zones" toml:"zones"`           // model: zones in which groups may be placed
 	Unfenced  bool            `json:"unfenced" toml:"unfenced"`     // model: engines do not check the planner epoch of their orders
@@ -270,25 +280,27 @@
 	Wire        string `json:"wire"`      // host:port for other keepers
 	Entry       string `json:"entry"`     // host:port for callers
 	Stopping    bool   `json:"stopping"`  // its entry accepts no new callers
-	Heartbeat   uint64 `json:"heartbeat"` // increases with each update; the newer record of an incarnation has the higher value
+	Heartbeat   uint64 `json:"heartbeat"` // increases with each update; of two records of an incarnation, the newer has the higher value
 	Config      uint64 `json:"config"`    // generation of the configuration that the node applies
 }
 
 // Verdict is the result of probing all members of a group.
 type Verdict uint8
 
-// The verdicts. Only VerdictWhole renews a group's permit to receive requests. A
-// member that does not reply is no evidence that the group is broken, so
-// VerdictNoReply only lets the current permit expire. If it lasts beyond the permit,
-// the group counts as broken.
+// The verdicts. Only VerdictWhole renews a group's permit to receive requests (see
+// member.Permit); VerdictBroken and VerdictDraining revoke the permit. A member that
+// does not reply is no evidence that the group is broken, so VerdictNoReply only lets
+// the current permit expire. If VerdictNoReply lasts beyond the permit, the group counts
+// as broken.
 const (
-	VerdictNoReply  Verdict = iota // some member did not reply
+	VerdictNoReply  Verdict = iota // some member did not reply, and the group is not broken
 	VerdictWhole                   // every member replied that it is ready, with the group's Assignment and the Boot of its Member
-	VerdictBroken                  // some member replied with another state, or refused the connection
+	VerdictBroken                  // some member replied that it is not ready or has another Assignment or Boot, or refused the connection
 	VerdictDraining                // as VerdictWhole, but a member is leaving
 )
 
-// String returns the verdict's name.
+// String returns the name of the verdict for logs and operators, or "invalid" for a
+// value that is no verdict.
 func (verdict Verdict) String() string {
 	names := [...]string{"silent", "whole", "broken", "draining"}
 	if int(verdict) < len(names) {
@@ -307,20 +319,22 @@
 	OrderRelease  OrderKind = "release"  // leave the group and keep the weights loaded
 )
 
-// Order is an instruction to a box. The box rejects it if it has accepted an order
-// with a higher planner epoch, unless the box is unfenced.
+// Order is an instruction of a keeper to a box. (The program shedkeel-node sends orders
+// of type GroupOrder.) The box rejects the order if it has accepted one with a higher
+// planner epoch, unless the box is unfenced.
 type Order struct {
 	Kind         OrderKind  `json:"kind"`
 	Box          BoxID      `json:"box"`
 	Address      string     `json:"-"`
 	Service      ServiceID  `json:"service"`
 	Assignment   Assignment `json:"assignment"`
-	PlannerEpoch uint64     `json:"planner_epoch"` // fencing token
-	Peers        []string   `json:"peers"`         // addresses of all members, in order
+	PlannerEpoch uint64     `json:"planner_epoch"` // fencing token: epoch of the planner lease under which the order is sent; in a fallback, that of the placement
+	Peers        []string   `json:"peers"`         // for OrderLoad: addresses of all members, in order
 	Unfenced     bool       `json:"-"`             // the box does not check the fencing token, so the keeper first waits until orders of a former lease holder have expired
 }
 
-// PlannerParameters is the result of a policy program: the parameters of the planner.
+// PlannerParameters are the parameters of the planner, which a policy program returns
+// as a table (see package policy).
 type PlannerParameters struct {
 	Spares     int  `json:"spares"`      // boxes to keep free in each fabric domain
 	WarmSpares bool `json:"warm_spares"` // free boxes load weights in advance
@@ -334,7 +348,7 @@
 	CrossDomain      bool          `json:"cross_domain"` // form a slower group across fabric domains if no domain has enough boxes
 	// DomainFailureFraction is the fraction of a domain's boxes that must fail to
 	// reply, two boxes at least, for the domain itself to count as failed. The planner
-	// replaces no members and forms no groups in a domain that counts as failed. 0: no
-	// domain ever counts as failed.
+	// replaces no members of the groups in a domain that counts as failed, and forms no
+	// group from the boxes of that domain alone. 0: no domain ever counts as failed.
 	DomainFailureFraction float64 `json:"storm_fraction"`
 }
