--- a/blame.go
+++ b/blame.go
@@ -2,23 +2,24 @@
 
 import "context"
 
-// Blame lists the server instances that ended (crashed or stopped) while they ran a
-// request. It helps to find requests that crash servers.
+// Blame lists the server instances that terminated (whose process exited or restarted)
+// while they ran a request. It helps to find requests that crash servers.
 type Blame struct {
 	Request RequestDigest `json:"request"`
 	// Round increases each time that a complete answer clears the request (see
-	// RequestGuard). Servers recorded in an earlier round no longer count.
+	// RequestGuard). Instances recorded in an earlier round no longer count.
 	Round   uint32       `json:"round"`
-	Servers []InstanceID `json:"servers"` // each start of a server counts separately
+	Servers []InstanceID `json:"servers"` // two instances of a server count as two
 }
 
 // Judgment says whether a request may be sent to servers, given its Blame.
 type Judgment int
 
+// The judgments, by the number of instances in the Blame (see package contain).
 const (
-	// Unblamed requests are sent without restriction. One server may have ended
-	// while it ran the request: tens of requests run on a server when it ends, so
-	// one ended server does not show which of them is the cause.
+	// Unblamed requests are sent without restriction. At most one instance has
+	// terminated while it ran the request: tens of requests run on an instance when it
+	// terminates, so one such instance does not show which of them is the cause.
 	Unblamed Judgment = iota
 	// Quarantined requests are sent by one process at a time, to one server.
 	Quarantined
@@ -41,17 +42,17 @@
 // RequestGuard limits the sending of requests that crash servers. Its records apply
 // to all attempts of a request, in all processes.
 type RequestGuard interface {
-	// Idle reports whether no request has any blame, so that callers need not
-	// compute the digests of requests.
+	// Idle reports whether no Blame lists an instance, so that the user of the guard
+	// need not compute the digests of requests.
 	Idle() bool
 	// Judge returns the judgment of a request.
 	Judge(request RequestDigest) Judgment
-	// ServerEnded records that a server ended while it ran a request.
+	// ServerEnded records that a server terminated while it ran a request.
 	ServerEnded(request RequestDigest, server InstanceID)
 	// RequestAnswered records that a server answered a request completely. This clears
-	// the request: the servers that ended before no longer count.
+	// the request: the servers that terminated before no longer count.
 	RequestAnswered(request RequestDigest)
 	// AcquireAttempt reports whether this process may send a quarantined request now. If so,
-	// the caller must call done after the attempt.
+	// the caller must call done after the attempt. If not, done may be nil.
 	AcquireAttempt(ctx context.Context, request RequestDigest) (done func(), allowed bool)
 }
--- a/call.go
+++ b/call.go
@@ -7,7 +7,7 @@
 
 // Call is the head of a caller's request, independent of the protocol.
 type Call struct {
-	ID           string        // the caller's ID of this request
+	ID           string        // the caller's ID of this request; a copy of the request may have another ID
 	Host         string        // lower case, without port
 	Path         string        // decoded path, for matching routes
 	Target       string        // path and query as received
@@ -32,19 +32,20 @@
 
 // BackendAnswer is the content of the header of a backend server's response.
 type BackendAnswer struct {
-	ID     string // ID of the attempt that it answers
-	Signed bool   // the response carries the backend server's signature
+	ID     string // Call.ID of the attempt that the response answers; "": not stated
+	Signed bool   // the response carries a signature of the backend server, which is not verified
 	NotRun bool   // the server states that it did not run the request
 	Limit  StatedLimit
 	// Backoff is how long this process must send the server no requests; 0: not
 	// stated.
 	Backoff     time.Duration
 	Draining    bool  // the server is about to stop
-	HeaderError error // names the header fields that cannot be parsed, which are ignored; nil: none
+	HeaderError error // names the header fields that cannot be parsed, which are ignored, except that of Limit (see StatedLimit.Err); nil: none
 }
 
-// RequestDigest is a digest of the content of a request. All attempts of the same
-// request have the same digest, whatever their IDs and in whichever process they run.
+// RequestDigest is a digest of the content of a request: its method, host, target,
+// client account and body. Requests with the same digest are copies of each other,
+// whatever their IDs and whichever process receives them.
 type RequestDigest string
 
 // CallerProtocol translates between the HTTP headers of callers and backend
@@ -53,7 +54,8 @@
 	// Read parses the head of a caller's request. Its error is an InvalidError.
 	Read(request *http.Request) (Call, error)
 	// Write sets the header of a request to a backend server. The header already
-	// has the caller's fields, without the hop-by-hop fields.
+	// has the caller's fields, without the hop-by-hop fields. Write removes the
+	// caller's key from it.
 	Write(header http.Header, attempt Attempt)
 	// Answer parses the header of a backend server's response.
 	Answer(response *http.Response) BackendAnswer
--- a/instance.go
+++ b/instance.go
@@ -8,17 +8,18 @@
 // ServerID is the name of a backend server. It stays the same across restarts.
 type ServerID string
 
-// InstanceID identifies one start of a backend server. A server that restarts under
-// the same name is another instance: it has lost the groups, epochs and orders of
-// the former instance, so nothing that is known about the former one applies to it.
+// InstanceID identifies one instance, that is one start, of a backend server. A server
+// that restarts under the same name is another instance: the new instance has lost the
+// groups, epochs and orders of the former instance, so nothing that is known about the
+// former instance applies to the new one.
 type InstanceID string
 
 // startSeparator separates the name of a server from the time of its start.
 const startSeparator = "@"
 
-// NewInstanceID returns the ID of the start of a server at born, in Unix
-// milliseconds. If born is 0, the server does not report its start and the ID is
-// the server's name alone.
+// NewInstanceID returns the ID of the instance of a server that started at born, in
+// Unix milliseconds. If born is 0, the server does not report when it started and the
+// ID is the server's name alone.
 func NewInstanceID(server ServerID, born int64) InstanceID {
 	if born == 0 {
 		return InstanceID(server)
@@ -32,16 +33,16 @@
 	return server
 }
 
-// Born returns the time of the server's start in Unix milliseconds, or 0 if the
-// server does not report it.
+// Born returns the time of the instance's start in Unix milliseconds, or 0 if the
+// server does not report this time.
 func (id InstanceID) Born() int64 {
 	_, born := id.split()
 	return born
 }
 
-// split splits the ID into the server and the time of its start. The name of a
-// server may itself contain the separator, so the text after the last separator
-// counts as the start only if it is a positive number.
+// split splits the ID into the name of the server and the time of the instance's
+// start. The name may itself contain the separator, so the text after the last
+// separator counts as a time only if it is a positive number.
 func (id InstanceID) split() (server ServerID, born int64) {
 	at := strings.LastIndex(string(id), startSeparator)
 	if at < 0 {
--- a/liveness.go
+++ b/liveness.go
@@ -8,16 +8,16 @@
 const (
 	// Alive is also the state of nodes that the detector does not monitor.
 	Alive Liveness = iota
-	// Suspected nodes did not answer a ping. They become dead unless they refute
-	// the suspicion in time.
+	// Suspected nodes answered neither a ping nor the indirect pings that followed.
+	// They become dead unless they refute the suspicion in time.
 	Suspected
 	// Dead nodes did not refute the suspicion in time.
 	Dead
 	// Left nodes announced that they stop.
 	Left
-	// Unconfirmed nodes were listed as peers after this node had started, and nothing
-	// has shown yet that they are alive: neither a message from them nor a report of
-	// another node.
+	// Unconfirmed nodes were listed as peers after the first seconds of this node's
+	// run, and nothing has shown yet that they are alive: neither a message from them
+	// nor a report of another node.
 	Unconfirmed
 )
 
@@ -46,7 +46,7 @@
 const (
 	GossipPing         GossipKind = iota + 1 // requests an ack
 	GossipAck                                // answers a ping
-	GossipIndirectPing                       // asks the receiver to ping Target on behalf of the sender
+	GossipIndirectPing                       // requests that the receiver pings Target on behalf of the sender
 )
 
 // GossipMessage is the content of a datagram between failure detectors.
@@ -61,7 +61,8 @@
 	Updates []GossipUpdate
 }
 
-// GossipUpdate is a report about the state of a node, passed on with messages.
+// GossipUpdate is a report about the state of a node. Nodes pass on the reports that
+// they receive, with the messages that they send.
 type GossipUpdate struct {
 	Node        uint64 // HashNode of the name of the node
 	Liveness    Liveness
@@ -79,10 +80,10 @@
 // goroutine of its own: times are durations on the caller's monotonic clock, and
 // the caller must send the datagrams that the methods return.
 type FailureDetector interface {
-	// SetPeers replaces the set of monitored nodes.
+	// SetPeers replaces the set of monitored nodes, and drops the state of all others.
 	SetPeers(peers []NodeID)
-	// NoteContact records that a host other than a peer has answered this node at the
-	// given time, so that the node is not isolated.
+	// NoteContact records that a host other than a peer answered this node at the given
+	// time, which shows that this node was not isolated then.
 	NoteContact(now time.Duration)
 	// Tick returns the datagrams that are due. The caller calls it several times
 	// per protocol period.
@@ -93,9 +94,9 @@
 	Leave(now time.Duration) []GossipDatagram
 	// Liveness returns the state of a node. Nodes that are not monitored are alive.
 	Liveness(peer NodeID) Liveness
-	// Changes returns the number of state changes of all nodes so far.
+	// Changes returns how many times the state of any node has changed so far.
 	Changes() uint64
 	// Isolated reports whether this node has received nothing from other hosts for so
-	// long that it is likely cut off itself and cannot judge other nodes.
+	// long that this node is likely cut off itself and cannot judge other nodes.
 	Isolated(now time.Duration) bool
 }
--- a/names.go
+++ b/names.go
@@ -19,15 +19,15 @@
 	return hex.EncodeToString(raw[:])
 }
 
-// NewIncarnation returns an ID for a start of a process at the given time. It sorts
-// after the IDs of earlier starts on the same box, unless the box's clock was set
-// back to before one of them.
+// NewIncarnation returns an incarnation: the ID of a process that starts at the given
+// time. The ID sorts after those of processes that started on the same box at least a
+// millisecond earlier, unless the box's clock was set back in between.
 func NewIncarnation(now time.Time) string {
 	return strconv.FormatInt(now.UnixMilli(), 36) + "-" + NewNonce()[:4]
 }
 
-// ClaimHolder returns the name that identifies one start of an entry as the holder
-// of claims: its node and its incarnation.
+// ClaimHolder returns the name under which an entry holds claims: its node and its
+// incarnation. An entry that restarts is another holder.
 func ClaimHolder(node NodeID, incarnation string) string {
 	return string(node) + "/" + incarnation
 }
--- a/ratelimit.go
+++ b/ratelimit.go
@@ -20,20 +20,21 @@
 	Server InstanceID
 	Rate   float64       // requests per second from all processes together
 	Lifted bool          // the server no longer states a limit
-	AsOf   time.Duration // time at which Rate and Lifted applied; of two ServerLimits, the later one counts
-	Since  time.Duration // time of the first limit that the server stated since it last stated none
+	AsOf   time.Duration // time at which Rate and Lifted applied; of two ServerLimits of a server, the one with the later AsOf counts
+	Since  time.Duration // time from which the server has stated limits without interruption
 }
 
-// ColdServer is a backend server that has started recently and accepts fewer
-// requests until it is warm. Until is a time on the clock of Timers.
+// ColdServer is a backend server that accepts fewer requests until it is warm: it has
+// started recently, or the evacuation of its zone has ended recently. Until is a time on
+// the clock of Timers.
 type ColdServer struct {
 	Server InstanceID
 	Rate   float64       // requests per second from all processes together
 	Until  time.Duration // time from which the server is warm
 }
 
-// Permit is the reply to a request for permission to send one request to a backend
-// server that limits its rate.
+// Permit says whether one request may be sent to a backend server that limits its rate
+// or is cold.
 type Permit struct {
 	Granted bool
 	// Wait is how long to wait: before the request is sent if the permit is
@@ -41,13 +42,15 @@
 	Wait time.Duration
 }
 
-// ServerLimits records the rate limits of backend servers and enforces them over
-// all processes.
+// ServerLimits records the rate limits that backend servers state, and enforces them
+// and the rates of cold servers over all processes.
 type ServerLimits interface {
-	// Observe records the limit that an answer of the server states. sent is the
-	// time at which the request was sent.
+	// Observe records the limit that an answer of the server states. sent is when the
+	// request was sent, or shortly before: an answer without a limit only proves that
+	// the server had none at that time.
 	Observe(server InstanceID, limit StatedLimit, sent time.Duration)
-	// Acquire requests a permit to send one request. patience is how long the
-	// request can wait.
+	// Acquire requests a permit to send one request. The permit is granted at once if
+	// the server neither limits its rate nor is cold. patience is how long the request
+	// can wait.
 	Acquire(ctx context.Context, server InstanceID, patience time.Duration) Permit
 }
