--- a/admit/admit.go
+++ b/admit/admit.go
@@ -1,6 +1,7 @@
 // Package admit is the admission control of an entry box: rate limits of client
 // accounts, fair shares of the accounts under overload, load shedding of requests
-// that would miss their deadline, and the retry budget.
+// that would miss their deadline, and the retry budget. Times are durations on a
+// monotonic clock.
 package admit
 
 import (
@@ -29,8 +30,8 @@
 )
 
 // Limiter enforces the rate limits of client accounts on one entry box with token
-// buckets. Each box enforces the rate divided by the configured number of entry
-// boxes, so that all boxes together stay within the rate even if they cannot
+// buckets. Each entry box enforces the rate divided by the configured number of entry
+// boxes, so that all entry boxes together stay within the rate even if they cannot
 // communicate. The zero value admits everything.
 type Limiter struct {
 	mutex   sync.Mutex
@@ -41,12 +42,13 @@
 type bucket struct {
 	rate    float64       // tokens per second
 	tokens  float64       // requests that may be admitted now
-	updated time.Duration // time for which tokens was last computed
+	updated time.Duration // when tokens was last computed
 }
 
 // Configure sets the accounts and the number of entry boxes. The rate of an account
-// applies to all entry boxes together; a rate of 0 or less is no limit. Accounts
-// that already had a rate limit keep their tokens.
+// applies to all entry boxes together; a rate of 0 or less is no limit. An account
+// that already had a rate limit keeps its tokens; the bucket of any other one starts
+// full.
 func (limiter *Limiter) Configure(accounts []shedkeel.Account, boxes int, now time.Duration) {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
@@ -66,14 +68,15 @@
 	}
 }
 
-// bucketSize returns the maximum number of tokens in a bucket with the rate. It is at
-// least 1, so that rates below one request per second admit requests at all.
+// bucketSize returns the maximum number of tokens in a bucket with the rate: what
+// accumulates in burstTime, but at least 1, so that rates below one request per second
+// admit requests at all.
 func bucketSize(rate float64) float64 { return max(rate*burstTime.Seconds(), 1) }
 
-// Take takes a token for one request of the account. If there is none, it returns
-// a NotRunError whose RetryAfter is the time until there is one, but at least
-// minRetryAfter and at most maxRetryAfter. Accounts without a rate limit are always
-// admitted.
+// Take takes a token for one request of the account. If the bucket has no whole token,
+// it returns a NotRunError whose RetryAfter is the time until the bucket has one, but at
+// least minRetryAfter and at most maxRetryAfter. Accounts without a rate limit are
+// always admitted.
 func (limiter *Limiter) Take(account shedkeel.AccountID, now time.Duration) error {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
@@ -119,15 +122,15 @@
 	Weight         func(shedkeel.AccountID) int // weight of an account in fair shares; below 1 counts as 1
 	Deadline       time.Duration                // maximum time from now until the request begins
 	Capacity       int                          // requests that all usable targets of the service run concurrently
-	Load           int                          // estimated requests on the chosen target without this one
+	Load           int                          // estimated requests on the target chosen for the request, without this request
 	TargetCapacity int                          // requests that the chosen target runs concurrently
 }
 
 // Enter admits a request, or returns a NotRunError with the time after which to retry
 // (from minRetryAfter to maxRetryAfter). It refuses a request whose estimated wait
-// exceeds its deadline. While the service is busy, it also refuses requests of accounts
-// that have their fair share in flight. The caller must call Leave for each admitted
-// request.
+// exceeds the request's deadline. While the service is busy (see busyFraction), it also
+// refuses requests of accounts that have their fair share in flight. The caller must call
+// Leave for each admitted request.
 func (gate *Gate) Enter(request Request) error {
 	gate.mutex.Lock()
 	defer gate.mutex.Unlock()
@@ -153,7 +156,8 @@
 
 // wait estimates how long a request is queued at a target before it begins. load
 // is the number of requests at the target without this one, capacity the number of
-// requests that the target runs concurrently.
+// requests that the target runs concurrently. The estimate is 0 if the target has a
+// free slot, the capacity is 0 or less, or no request has completed yet.
 func (usage *usage) wait(load, capacity int) time.Duration {
 	if capacity <= 0 || load < capacity {
 		return 0
@@ -161,8 +165,8 @@
 	return time.Duration(float64(load-capacity+1) / float64(capacity) * float64(usage.meanRunTime))
 }
 
-// fairShare returns the number of requests that the account may have in flight:
-// the larger of the service's capacity and the requests in flight, divided in
+// fairShare returns the number of requests that the request's account may have in
+// flight: the larger of the service's capacity and the requests in flight, divided in
 // proportion to weight among this account and the others with requests in flight.
 // The share is at least 1, and infinite if no other account has requests in flight.
 func (usage *usage) fairShare(request Request) float64 {
@@ -215,9 +219,9 @@
 	return known
 }
 
-// RetryBudget limits retries to a fraction of first attempts, so that retries do not
-// multiply the load on a failing zone. The zero value allows initialRetries retries
-// before the first attempt is recorded.
+// RetryBudget limits retries to the fraction retryRatio of first attempts, so that
+// retries do not multiply the load on a failing zone. The zero value is a full budget:
+// it allows initialRetries retries before the first attempt is recorded.
 type RetryBudget struct {
 	mutex   sync.Mutex
 	charged float64 // retries made, less what first attempts have restored; at least 0, at most initialRetries
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,8 +1,9 @@
 // Package policy runs the policy programs of operators. A policy is a short Starlark program
-// with a function plan(facts) that returns table(...), the parameters of the planner. The
-// policy runs when operators apply it and when a keeper plans a zone for the first time
-// under a new configuration, but not for each request. It cannot do I/O, and the number of
-// its steps is bounded.
+// with a function plan(facts) that returns a table: the parameters of the planner, as the
+// built-in function table(...) makes them. The policy runs when operators check or apply it
+// and when a keeper plans a zone for the first time under a new configuration, but not for
+// each request. It cannot do I/O (print has no effect), and the number of its steps is
+// bounded.
 package policy
 
 import (
@@ -55,8 +56,8 @@
 // go.starlark.net disables by default.
 var fileOptions = &syntax.FileOptions{Set: true}
 
-// Check returns an InvalidError, with line and column, if the policy does not compile or
-// returns no valid table for SampleFacts.
+// Check returns an InvalidError if the policy does not compile or returns no valid table for
+// SampleFacts. The error has the line and column if the fault has a position.
 func Check(policy shedkeel.Policy) error {
 	_, err := Run(policy, SampleFacts())
 	return err
@@ -113,10 +114,11 @@
 	table shedkeel.PlannerParameters
 }
 
-// builder implements the built-in function table.
+// builder implements the built-in function table(...).
 type builder struct{}
 
-// table builds and validates a table from the keyword arguments of table(...).
+// table builds a table from the arguments of table(...) and validates it. The arguments that
+// are left out have the values of DefaultTable.
 func (*builder) table(_ *starlark.Thread, function *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	table := DefaultTable()
 	patience := starlark.Value(starlark.Float(table.ReplaceAfter.Seconds()))
@@ -151,8 +153,8 @@
 	return &tableValue{Struct: starlarkstruct.FromStringDict(starlarkstruct.Default, nil), table: table}, nil
 }
 
-// durationArgument converts the value of a named argument in seconds. It must be from 0 to
-// maxPatience.
+// durationArgument converts the value of the named argument, in seconds, to a duration. It
+// returns an error if the value is not a number from 0 to maxPatience.
 func durationArgument(name string, value starlark.Value) (time.Duration, error) {
 	seconds, ok := starlark.AsFloat(value)
 	if !ok || !(seconds >= 0 && seconds <= maxPatience.Seconds()) {
@@ -161,7 +163,8 @@
 	return time.Duration(seconds * float64(time.Second)), nil
 }
 
-// invalidProgram converts a Starlark error to an InvalidError with line and column.
+// invalidProgram converts a Starlark error to an InvalidError, with line and column if the
+// error has a position in the program.
 func invalidProgram(policy shedkeel.Policy, err error) error {
 	remedy := "mend the program; `shedkeel policy check FILE` tries it without applying it"
 	var syntaxErr syntax.Error
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -18,7 +18,7 @@
 }
 
 // TestRefusals checks that invalid programs are refused with an InvalidError that names the
-// position or cause; want is a part of its text.
+// position or cause; want is a part of the error's text.
 func TestRefusals(t *testing.T) {
 	cases := map[string]struct{ program, want string }{
 		"syntax":                 {"def plan(facts)\n  return 1", "p.star:2:1: got newline, want ':'"},
@@ -26,16 +26,16 @@
 		"no plan":                {"x = 1", "it has no function plan"},
 		"plan is not a function": {"plan = 1", "it has no function plan"},
 		"returns a number":       {"def plan(facts):\n    return 7", "plan returned a int"},
-		"unknown field":          {"def plan(facts):\n    return table(spare = 1)", "p.star:2:17"},
-		"wrong type":             {"def plan(facts):\n    return table(spares = \"x\")", "p.star:2:17"},
+		"unknown argument":       {"def plan(facts):\n    return table(spare = 1)", "p.star:2:17"},
+		"text instead of number": {"def plan(facts):\n    return table(spares = \"x\")", "p.star:2:17"},
 		"negative spares":        {"def plan(facts):\n    return table(spares = -1)", "spares must be"},
 		"patience too long":      {"def plan(facts):\n    return table(patience_seconds = 1e9)", "patience_seconds must be"},
-		"not a number":           {"def plan(facts):\n    return table(patience_seconds = float(\"nan\"))", "patience_seconds must be"},
+		"patience is NaN":        {"def plan(facts):\n    return table(patience_seconds = float(\"nan\"))", "patience_seconds must be"},
 		"fraction over one":      {"def plan(facts):\n    return table(storm_fraction = 2)", "storm_fraction must be"},
 		"unknown fact":           {"def plan(facts):\n    return table(spares = facts.moon)", "p.star:2:32"},
 		"endless loop":           {"def plan(facts):\n    for i in range(100000000):\n        pass\n    return table()", "too many steps"},
 		"endless at top level":   {"x = [i for i in range(100000000)]", "too many steps"},
-		"reads a file":           {"load(\"x.star\", \"y\")\ndef plan(facts):\n    return table()", "load"},
+		"loads a module":         {"load(\"x.star\", \"y\")\ndef plan(facts):\n    return table()", "load"},
 		"recursion":              {"def f():\n    f()\ndef plan(facts):\n    f()\n    return table()", "recursive"},
 	}
 	for name, test := range cases {
@@ -48,8 +48,9 @@
 	}
 }
 
-// TestShippedPoliciesDiffer checks that the policies in the folder policies are valid and
-// return different tables.
+// TestShippedPoliciesDiffer checks that the two policies in the folder policies are valid,
+// that karadere keeps more spares than nafha, and that only nafha allows groups across
+// domains.
 func TestShippedPoliciesDiffer(t *testing.T) {
 	tables := map[string]shedkeel.PlannerParameters{}
 	for _, name := range []string{"karadere", "nafha"} {
@@ -62,7 +63,8 @@
 	assert.Assert(t, tables["nafha"].CrossDomain && !tables["karadere"].CrossDomain)
 }
 
-// TestEmptyPolicyIsTheDefault checks that a policy without a program gives DefaultTable.
+// TestEmptyPolicyIsTheDefault checks that a policy without a program gives DefaultTable,
+// with its ReplaceAfter of 20 s.
 func TestEmptyPolicyIsTheDefault(t *testing.T) {
 	table, err := Run(shedkeel.Policy{}, SampleFacts())
 	assert.NilError(t, err)
