--- a/event/event.go
+++ b/event/event.go
@@ -110,7 +110,8 @@
 	}
 }
 
-// Log writes events as log lines. A nil Log and the zero value discard them.
+// Log writes events as log lines. A nil Log and the zero value discard events; With
+// must not be called on them.
 type Log struct {
 	Logger *slog.Logger
 
@@ -119,7 +120,7 @@
 }
 
 // NewBoundedLog returns a log like NewLog, but with a rate limit for each event and
-// a queue, so that callers never block on a slow writer. The caller must call
+// a queue, so that logging never blocks on a slow writer. The caller must call
 // Report about once per second, and Close at the end.
 func NewBoundedLog(writer io.Writer, level string) (*Log, error) {
 	queue := NewQueue(writer)
@@ -141,7 +142,7 @@
 	return &extended
 }
 
-// Recent returns the recent lines in which the field has the value, oldest first.
+// Recent returns the recent lines in which the field has the value; see Queue.Recent.
 // It returns none unless the log was made by NewBoundedLog.
 func (log *Log) Recent(field, value string) [][]byte {
 	if log == nil || log.queue == nil {
@@ -150,8 +151,9 @@
 	return log.queue.Recent(field, value)
 }
 
-// Report logs how many lines were dropped since the last report, if any: by the
-// rate limit of each event, and because the queue was full.
+// Report logs how many lines were dropped since the last report, if any: one line for
+// each event whose rate limit dropped lines, and one for the lines that were dropped
+// because the queue was full. It does nothing unless the log was made by NewBoundedLog.
 func (log *Log) Report() {
 	if log == nil || log.limits == nil {
 		return
@@ -165,14 +167,15 @@
 }
 
 // Close waits until the queued lines are written. The caller must not log afterwards.
+// It does nothing unless the log was made by NewBoundedLog.
 func (log *Log) Close() {
 	if log != nil && log.queue != nil {
 		log.queue.Close()
 	}
 }
 
-// NewLog returns a log that writes lines of the named level and above as JSON. Its
-// error is an InvalidError.
+// NewLog returns a log that writes lines of the named level and above as JSON. It
+// returns an InvalidError if the level is unknown.
 func NewLog(writer io.Writer, level string) (*Log, error) {
 	var minLevel slog.Level
 	if err := minLevel.UnmarshalText([]byte(level)); err != nil {
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -112,7 +112,8 @@
 }
 
 // TestRecent queries the recent lines of a log after more lines were written than the
-// log keeps.
+// log keeps. The oldest line must be gone, and a value with characters that JSON escapes
+// must be found. A nil log has no lines.
 func TestRecent(t *testing.T) {
 	log, err := NewBoundedLog(io.Discard, "info")
 	assert.NilError(t, err)
