--- a/config/config_test.go
+++ b/config/config_test.go
@@ -38,10 +38,10 @@
 		"unknown key":       {func(text string) string { return text + "[entry2]\nx = 1\n" }, "s.toml:16: unknown key"},
 		"misspelled key":    {func(text string) string { return strings.Replace(text, "admin", "admn", 1) }, "s.toml:5: unknown key entry.admn"},
 		"syntax error":      {func(text string) string { return strings.Replace(text, `zone = "z"`, `zone = "z`, 1) }, "s.toml:2"},
-		"wrong type":        {func(text string) string { return strings.Replace(text, `node = "n1"`, `node = 7`, 1) }, "s.toml"},
+		"number for a name": {func(text string) string { return strings.Replace(text, `node = "n1"`, `node = 7`, 1) }, "s.toml"},
 		"no node":           {func(text string) string { return strings.Replace(text, `node = "n1"`, ``, 1) }, "node is missing"},
 		"no wire key":       {func(text string) string { return strings.Replace(text, `key = "w"`, ``, 1) }, "wire.key is missing"},
-		"no port":           {func(text string) string { return strings.Replace(text, "127.0.0.1:5", "127.0.0.1", 1) }, "platform.store is no address"},
+		"store has no port": {func(text string) string { return strings.Replace(text, "127.0.0.1:5", "127.0.0.1", 1) }, "platform.store is no address"},
 		"bad peer":          {func(text string) string { return strings.Replace(text, `["127.0.0.1:4"]`, `["x"]`, 1) }, "keeper.peers is no address"},
 		"permit too short":  {func(text string) string { return text + "[timing]\npermit = \"1s\"\n" }, "timing.permit is shorter"},
 		"lease too short":   {func(text string) string { return text + "[timing]\nlease = \"2s\"\n" }, "timing.lease is too short"},
@@ -65,8 +65,7 @@
 	}
 }
 
-// TestSettingsAreDocumented checks that docs/OPERATIONS.md lists every key of the
-// settings.
+// TestSettingsAreDocumented checks that docs/OPERATIONS.md lists every key of Settings.
 func TestSettingsAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
 	assert.NilError(t, err)
@@ -114,7 +113,7 @@
 	replace := func(from, to string) string { return strings.Replace(goodDocument, from, to, 1) }
 	cases := map[string]struct {
 		text string
-		want string
+		want string // part of the error; empty: no error
 	}{
 		"valid":                       {goodDocument, ""},
 		"unknown key":                 {goodDocument + "size = 1\n", "unknown key"},
--- a/config/document.go
+++ b/config/document.go
@@ -19,7 +19,8 @@
 	maxTimeout  = time.Hour // of a service's requests
 )
 
-// Document is the complete desired configuration, as operators write and apply it.
+// Document is the complete desired configuration of keepers and entries, as operators
+// write and apply it.
 type Document struct {
 	EntryBoxes int                `toml:"entry_boxes"` // largest number of entry boxes that run at once; rate limits are divided by it
 	Policy     DocumentPolicy     `toml:"policy"`
@@ -28,13 +29,13 @@
 }
 
 // DocumentPolicy names the file of the policy program. A relative path is relative
-// to the document's directory; an empty one means no program.
+// to the document's directory; an empty path means no program.
 type DocumentPolicy struct {
 	File string `toml:"file"`
 }
 
 // ReadDocument reads and validates a document and its policy program. The returned
-// configuration has no generation yet.
+// configuration has no generation yet. The error is an InvalidError.
 func ReadDocument(path string) (shedkeel.Config, error) {
 	text, err := ReadFile(path)
 	if err != nil {
@@ -60,15 +61,17 @@
 }
 
 // ParseDocument decodes the text of a document. It neither reads the policy program
-// nor validates values; see Check. The name stands for the file in errors.
+// nor validates values; see Check. The name stands for the file in the error, which is
+// an InvalidError.
 func ParseDocument(name string, text []byte) (Document, error) {
 	var document Document
 	err := decode(name, text, &document)
 	return document, err
 }
 
-// Check validates a configuration and returns an InvalidError for the first fault.
-// The name stands for the file in the error.
+// Check validates a configuration and its policy program, and returns an InvalidError
+// for the first fault. The name stands for the file in the error, except in an error of
+// the program, which has the policy's name.
 func Check(name string, config *shedkeel.Config) error {
 	if config.EntryBoxes < 1 {
 		return &shedkeel.InvalidError{Where: name, What: "entry_boxes is not positive", Remedy: "set the most entry boxes that ever run at once"}
@@ -131,8 +134,8 @@
 	return nil
 }
 
-// checkAccounts validates the client accounts, including that key hashes are unique and
-// that the services exist.
+// checkAccounts validates the client accounts. Among other things, key hashes must be
+// unique and the services that accounts may call must exist.
 func checkAccounts(name string, config *shedkeel.Config) error {
 	seen := map[shedkeel.AccountID]bool{}
 	keys := map[string]bool{}
--- a/config/node.go
+++ b/config/node.go
@@ -8,16 +8,16 @@
 	"shedkeel.org/shedkeel"
 )
 
-// NodeSettings are the settings of a node, a process that both serves callers and
-// controls replica groups.
+// NodeSettings are the settings of a node of the program shedkeel-node, a process that
+// both serves callers and controls replica groups.
 type NodeSettings struct {
 	Node   shedkeel.NodeID `toml:"node"` // unique in the fleet
 	Zone   shedkeel.ZoneID `toml:"zone"` // its availability zone
 	Listen NodeListen      `toml:"listen"`
 	Store  string          `toml:"store"` // host:port of the key-value service
-	// Seeds are control addresses of other nodes, IP:PORT. A node that starts
-	// without state asks them as well as the key-value service. Some may be
-	// unreachable.
+	// Seeds are control addresses of other nodes, IP:PORT. A node that starts has no
+	// records and asks the seeds for them, as well as the key-value service. Some
+	// seeds may be unreachable.
 	Seeds []string `toml:"seeds"`
 	// Capacity is the share of a processor core that the box has for the node.
 	// The nodes with the largest capacity watch the key-value service and plan
@@ -51,9 +51,9 @@
 	Grace  shedkeel.Duration `toml:"grace"`  // from SIGTERM until the platform kills the process
 	Revoke shedkeel.Duration `toml:"revoke"` // from the removal of an API key until no request runs with it
 	// RefuseStaleKeys rejects requests with API keys unless the node has
-	// confirmed within Revoke that its configuration is current. Without it the
-	// node uses the newest configuration that it knows, and a removed key works
-	// for as long as the key-value service is unreachable.
+	// confirmed within Revoke that its configuration is current. Without
+	// RefuseStaleKeys the node uses the newest configuration that it knows, and a
+	// removed key works for as long as the key-value service is unreachable.
 	RefuseStaleKeys bool              `toml:"refuse_stale_keys"`
 	Directory       shedkeel.Duration `toml:"directory"`    // longest time for which callers may cache a directory answer
 	RetryRatio      float64           `toml:"retry_ratio"`  // retries allowed per request, over all nodes
@@ -77,7 +77,7 @@
 }
 
 // ReadNodeSettings reads and validates a settings file. The error is an
-// InvalidError.
+// InvalidError. An empty Listen.Gossip is set to Listen.Control.
 func ReadNodeSettings(path string) (NodeSettings, error) {
 	text, err := ReadFile(path)
 	if err != nil {
@@ -96,7 +96,8 @@
 	return settings, nil
 }
 
-// check returns an InvalidError for the first invalid value.
+// check returns an InvalidError if a value is invalid. If several values are, the error
+// may be about any of them.
 func (settings *NodeSettings) check(name string) error {
 	for key, value := range map[string]string{"node": string(settings.Node), "zone": string(settings.Zone), "wire.key": settings.Wire.Key} {
 		if value == "" {
--- a/config/node_test.go
+++ b/config/node_test.go
@@ -33,8 +33,8 @@
 	}{
 		"valid":                 {func(text string) string { return text }, ""},
 		"no node":               {func(text string) string { return strings.Replace(text, `node = "n1"`, "", 1) }, "node is missing; set it"},
-		"no key":                {func(text string) string { return strings.Replace(text, `key = "k"`, "", 1) }, "wire.key is missing; set it"},
-		"no port":               {func(text string) string { return strings.Replace(text, "127.0.0.1:1", "127.0.0.1", 1) }, "store is no address"},
+		"no wire key":           {func(text string) string { return strings.Replace(text, `key = "k"`, "", 1) }, "wire.key is missing; set it"},
+		"store has no port":     {func(text string) string { return strings.Replace(text, "127.0.0.1:1", "127.0.0.1", 1) }, "store is no address"},
 		"unknown table":         {func(text string) string { return text + "[log]\nlevel = \"info\"\n" + "[listen2]\n" }, "unknown key listen2"},
 		"unknown key":           {func(text string) string { return "speed = 3\n" + text }, "unknown key speed"},
 		"zero duration":         {func(text string) string { return strings.Replace(text, `"9s"`, `"0s"`, 1) }, `bounds.grace is not positive; write it as "500ms" or "3s"`},
--- a/config/settings.go
+++ b/config/settings.go
@@ -10,8 +10,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Settings are the settings of one entry box. Its entry and its keeper read the same
-// file.
+// Settings are the settings of one entry box. The entry and the keeper of the box read
+// the same file.
 type Settings struct {
 	Node     shedkeel.NodeID  `toml:"node"` // name of this entry box, unique in the fleet
 	Zone     shedkeel.ZoneID  `toml:"zone"` // its availability zone
@@ -27,7 +27,7 @@
 // EntrySettings are the settings of the entry, which serves callers.
 type EntrySettings struct {
 	Listen       string            `toml:"listen"`     // for callers
-	Advertise    string            `toml:"advertise"`  // address under which callers reach it; empty: Listen
+	Advertise    string            `toml:"advertise"`  // address under which callers reach the entry; empty: Listen
 	Admin        string            `toml:"admin"`      // health, metrics and state, for operators
 	DirectoryTTL shedkeel.Duration `toml:"keep_for"`   // how long callers may cache the addresses of entry boxes
 	MaxBody      int64             `toml:"max_body"`   // largest request body, in bytes
@@ -38,14 +38,14 @@
 // KeeperSettings are the settings of the keeper, which controls replica groups.
 type KeeperSettings struct {
 	Operator    string   `toml:"operator"`     // address for operators
-	OperatorKey string   `toml:"operator_key"` // secret that operators must present; has no default
-	Peers       []string `toml:"peers"`        // wire addresses of the keepers that it contacts first
+	OperatorKey string   `toml:"operator_key"` // secret that operators must present; required
+	Peers       []string `toml:"peers"`        // wire addresses of the keepers that the keeper contacts first
 }
 
 // WireSettings are the settings of connections between the system's own processes.
 type WireSettings struct {
-	Listen    string      `toml:"listen"`
-	Advertise string      `toml:"advertise"` // address under which other keepers reach it; empty: Listen
+	Listen    string      `toml:"listen"`    // address of the keeper, for its entry and other keepers
+	Advertise string      `toml:"advertise"` // address under which other keepers reach the keeper; empty: Listen
 	Key       string      `toml:"key"`       // shared secret, the same in all processes of the fleet
 	TLS       TLSSettings `toml:"tls"`
 }
@@ -57,24 +57,28 @@
 }
 
 // Timing holds the intervals and time limits of failure detection and coordination. A
-// claim is the right to run a call under its idempotency key.
+// claim is the right to run a call under its idempotency key. Claims are divided into
+// shards, each of which one keeper writes.
 type Timing struct {
-	Tick        shedkeel.Duration `toml:"tick"`         // interval at which a keeper probes engines, exchanges state and plans
+	Tick        shedkeel.Duration `toml:"tick"`         // interval at which a keeper exchanges state with other keepers and plans; a keeper probes engines at every second tick
 	Sync        shedkeel.Duration `toml:"sync"`         // interval at which an entry polls its keeper
 	Permit      shedkeel.Duration `toml:"permit"`       // maximum age of the proof that all members of a group are healthy
 	Lease       shedkeel.Duration `toml:"lease"`        // TTL of the planner's lease
-	LeaseMargin shedkeel.Duration `toml:"lease_margin"` // largest clock drift between two boxes over a lease
+	LeaseMargin shedkeel.Duration `toml:"lease_margin"` // largest clock drift between two boxes over the TTL of a lease
 	OrderLife   shedkeel.Duration `toml:"order_life"`   // time after which an order must not reach an engine any more
 	StoreCall   shedkeel.Duration `toml:"store_call"`   // timeout of a call to the key-value service
-	ClaimBatch  shedkeel.Duration `toml:"claim_batch"`  // minimum interval between two writes of one claim shard
-	Retention   shedkeel.Duration `toml:"retention"`    // how long a claim is kept
+	ClaimBatch  shedkeel.Duration `toml:"claim_batch"`  // minimum interval between two batches of claims that are written to one shard
+	Retention   shedkeel.Duration `toml:"retention"`    // minimum time for which a claim is kept
 }
 
 // TLSSettings are paths of PEM files. Without a certificate TLS is off.
 type TLSSettings struct {
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
-	Authority   string `toml:"authority"` // certificate authorities that must have signed the other side's certificate
+	// Authority has the certificate authorities, one of which must have signed the other
+	// side's certificate. Empty: a listener requires no certificates of clients, and
+	// clients trust the authorities of the system.
+	Authority string `toml:"authority"`
 }
 
 // LogSettings are the settings of the log on standard error.
@@ -116,7 +120,7 @@
 }
 
 // ParseSettings decodes and validates the text of a settings file. The name stands
-// for the file in errors.
+// for the file in the error, which is an InvalidError.
 func ParseSettings(name string, text []byte) (Settings, error) {
 	settings := DefaultSettings()
 	if err := decode(name, text, &settings); err != nil {
@@ -182,11 +186,14 @@
 			return &shedkeel.InvalidError{Where: name, What: setting.key + " is not positive", Remedy: `write it as "500ms" or "3s"`}
 		}
 	}
-	// A permit must outlast a round of probes, an exchange between keepers and two polls
-	// by the entry.
+	// A permit must outlast the time between two rounds of probes (two ticks), that
+	// between two exchanges of a keeper (one tick) and two polls by the entry.
 	if timing.Permit < 3*timing.Tick+2*timing.Sync {
 		return &shedkeel.InvalidError{Where: name, What: "timing.permit is shorter than three times timing.tick plus twice timing.sync", Remedy: "lengthen it, or permits run out between renewals"}
 	}
+	// A keeper with a lease plans once per tick, and sends no orders in the last LeaseMargin
+	// plus OrderLife of the lease's TTL. A TTL of twice the sum leaves at least half of it
+	// for orders.
 	if timing.Lease < 2*(timing.LeaseMargin+timing.OrderLife+timing.Tick) {
 		return &shedkeel.InvalidError{Where: name, What: "timing.lease is too short for timing.lease_margin, timing.order_life and timing.tick", Remedy: "make it at least twice their sum"}
 	}
@@ -196,18 +203,19 @@
 	return nil
 }
 
-// ServerConfig returns the TLS configuration for a listener, or nil without TLS.
+// ServerConfig returns the TLS configuration for a listener, or nil if TLS is off.
 func (settings TLSSettings) ServerConfig() (*tls.Config, error) {
 	return settings.load()
 }
 
-// ClientConfig returns the TLS configuration for outgoing connections, or nil without TLS.
+// ClientConfig returns the TLS configuration for outgoing connections, or nil if TLS is off.
 func (settings TLSSettings) ClientConfig() (*tls.Config, error) {
 	return settings.load()
 }
 
-// load reads the files. With an authority, both sides must present a certificate that
-// it signed. The error is an InvalidError.
+// load reads the files and returns a configuration for both sides of connections, or nil
+// if TLS is off. With an authority, both sides must present a certificate that the
+// authority signed. The error is an InvalidError.
 func (settings TLSSettings) load() (*tls.Config, error) {
 	if settings.Certificate == "" {
 		return nil, nil //nolint:nilnil // a nil configuration is a valid result: TLS is off
--- a/config/toml.go
+++ b/config/toml.go
@@ -1,6 +1,6 @@
 // Package config reads and validates the files that operators write: the settings
 // of each process and the configuration document that they apply. Both are TOML,
-// and unknown keys are errors. An error names the file, the remedy and, where it is
+// and unknown keys are errors. An error names the file, the remedy and, if they are
 // known, the line or the service or account.
 package config
 
@@ -15,7 +15,7 @@
 	"shedkeel.org/shedkeel"
 )
 
-// maxFileBytes limits a settings file or a document.
+// maxFileBytes limits the size of a settings file or a document.
 const maxFileBytes = 1 << 20
 
 // decode decodes TOML into target and rejects unknown keys. The error is an
@@ -40,8 +40,8 @@
 }
 
 // lineOf returns the number of the first line that sets the last part of the key or
-// has it as a table's name, or 1 if there is none. It is approximate: another table
-// may have a key of the same name.
+// has that part as a table's name, or 1 if there is none. The result is approximate:
+// another table may have a key of the same name.
 func lineOf(text string, key toml.Key) int {
 	lastPart := key[len(key)-1]
 	for index, line := range strings.Split(text, "\n") {
@@ -54,7 +54,8 @@
 	return 1
 }
 
-// ReadFile reads a file that the operator named. The error is an InvalidError.
+// ReadFile reads a file that the operator named. The error is an InvalidError. It
+// does not limit the size of the file: decode and policy.Run do.
 func ReadFile(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
