--- a/capacity_test.go
+++ b/capacity_test.go
@@ -119,8 +119,8 @@
 	t.Cleanup(func() { _ = server.Close() })
 }
 
-// start starts the keeper with the number. The first nine keepers are the peers of
-// all.
+// start starts the keeper with the number. The first nine keepers, or all if there are
+// fewer, are the peers of all keepers.
 func (fleet *keeperFleet) start(t *testing.T, number, keepers int) {
 	t.Helper()
 	var peers []string
@@ -164,8 +164,9 @@
 	}
 }
 
-// apply applies a configuration with the groups. It retries for about 20 s, since
-// the keepers may still be starting.
+// apply applies a configuration with the given number of groups. It retries for about
+// 20 s, since the keepers may still be starting. Groups may span racks: of the 36
+// boxes of a rack 4 are left over, and the groups need all but 4 boxes of the fleet.
 func (fleet *keeperFleet) apply(t *testing.T, client *operator.Client, groups int) {
 	t.Helper()
 	wanted := shedkeel.Config{EntryBoxes: 9, Services: []shedkeel.Service{{
--- a/instance_test.go
+++ b/instance_test.go
@@ -10,19 +10,19 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestInstanceID checks that an ID splits into the server and start that it was made
-// from, also if the server's name contains the separator.
+// TestInstanceID checks that an ID splits into the server's name and the time of the
+// start from which the ID was made, also if the name contains the separator.
 func TestInstanceID(t *testing.T) {
 	for name, test := range map[string]struct {
 		server shedkeel.ServerID
 		born   int64
 		id     shedkeel.InstanceID
 	}{
-		"start reported":                           {"i-1", 1764720000000, "i-1@1764720000000"},
-		"start not reported":                       {"i-1", 0, "i-1"},
-		"separator in the name":                    {"i@rack-1", 0, "i@rack-1"},
-		"separator in the name and start reported": {"i@rack-1", 7, "i@rack-1@7"},
-		"separator at the end of the name":         {"i@", 0, "i@"},
+		"time reported":                           {"i-1", 1764720000000, "i-1@1764720000000"},
+		"time not reported":                       {"i-1", 0, "i-1"},
+		"separator in the name":                   {"i@rack-1", 0, "i@rack-1"},
+		"separator in the name and time reported": {"i@rack-1", 7, "i@rack-1@7"},
+		"separator at the end of the name":        {"i@", 0, "i@"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			id := shedkeel.NewInstanceID(test.server, test.born)
@@ -33,9 +33,10 @@
 	}
 }
 
-// TestEqualExceptSequence changes each field of a record in turn and checks that
-// EqualExceptSequence notices every change except that of Sequence. The test finds the
-// fields by reflection, so that it also covers fields that are added later.
+// TestEqualExceptSequence changes each field of a record in turn, and the Epoch in
+// Member, and checks that EqualExceptSequence notices every change except that of
+// Sequence. The test finds the fields by reflection, so that it also covers fields that
+// are added later.
 func TestEqualExceptSequence(t *testing.T) {
 	record := func() shedkeel.Instance {
 		return shedkeel.Instance{
--- a/scenario_load_test.go
+++ b/scenario_load_test.go
@@ -32,7 +32,7 @@
 }
 
 // cmdLoad starts a load: load CALLERS URL... The callers get the list of entry boxes
-// from the first URL that answers, and get it again when it has expired.
+// from the first URL that answers, and get a new list when the list has expired.
 func cmdLoad(script *testscript.TestScript, _ bool, args []string) {
 	fleet := fleetOf(script)
 	callers, err := strconv.Atoi(args[0])
@@ -77,7 +77,7 @@
 }
 
 // fetchEntries returns the URLs of the entry boxes and how long they may be used. It
-// asks the given URLs in turn until one answers.
+// asks the given URLs in turn until one answers, and returns no URLs if none does.
 func fetchEntries(client *http.Client, urls []string) ([]string, time.Duration) {
 	for _, url := range urls {
 		response, err := client.Get(url + "/v1/entries")
@@ -283,7 +283,7 @@
 func cmdCharged(script *testscript.TestScript, _ bool, _ []string) { fleetOf(script).charging.Wait() }
 
 // charge sends a charge under the idempotency key name and returns its outcome: cut
-// if the connection failed, bad if the request cannot be made.
+// if the call failed, bad if the request cannot be made.
 func charge(url, name string) string {
 	client := &http.Client{Timeout: 15 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	request, err := http.NewRequest(http.MethodPost, url+"/services/permits/fees", strings.NewReader(name))
--- a/scenario_test.go
+++ b/scenario_test.go
@@ -207,8 +207,8 @@
 	}
 }
 
-// settings returns the settings file of a node. Its connections to the key-value
-// service, and those of other nodes to it, go through relays.
+// settings returns the settings file of a node. The node's connections to the key-value
+// service, and the connections of other nodes to the node, go through relays.
 func (fleet *fleet) settings(node int, options fleetOptions) string {
 	var peers []string
 	for peer := 1; peer <= options.nodes; peer++ {
@@ -281,8 +281,8 @@
 	go opened.link.Run(listener)
 }
 
-// begin starts a process whose output goes to the file NAME.log of the script. It looks
-// up the program in the PATH of the script.
+// begin starts a process whose output is appended to the file NAME.log of the script. It
+// looks up the program, args[0], in the PATH of the script.
 func (fleet *fleet) begin(script *testscript.TestScript, name string, args ...string) {
 	path := ""
 	for _, dir := range filepath.SplitList(script.Getenv("PATH")) {
@@ -303,9 +303,9 @@
 	go started.run()
 }
 
-// cmdStart starts keepers and entries of nodes: start NAME... If a process was started
-// before, it waits until that one has exited and starts it again with the same
-// arguments.
+// cmdStart starts keepers and entries of nodes: start NAME... If a process of the name
+// was started before, the command waits until that process has exited and starts it
+// again with the same arguments. Such a process may also be a stand-in.
 func cmdStart(script *testscript.TestScript, _ bool, args []string) {
 	fleet := fleetOf(script)
 	for _, name := range args {
@@ -319,8 +319,8 @@
 	}
 }
 
-// cmdSignal returns a command that sends a signal to processes: crash NAME... For
-// SIGKILL it waits until they have exited.
+// cmdSignal returns a command that sends a signal to processes, such as crash NAME...
+// For SIGKILL the command waits until the processes have exited.
 func cmdSignal(signal syscall.Signal) func(*testscript.TestScript, bool, []string) {
 	return func(script *testscript.TestScript, _ bool, args []string) {
 		for _, name := range args {
@@ -523,7 +523,7 @@
 //	without NODE BOX       no group that the keeper reports has the box as a member
 //	generation NODE COUNT  the keeper applies the configuration of that generation
 //	status URL CODE        a model call to the URL returns that status code
-//	listens NAME           the process accepts connections
+//	listens NAME           the stand-in accepts connections
 //	reserved NODE COUNT    the keeper reports that many groups with a reserve
 //	obeyed NODE            the engine of each member reports the assignment of its group
 //	planner NODE           the node holds the planner lease of zone z1
@@ -619,8 +619,8 @@
 	return lease.Holder
 }
 
-// callModel makes a model call and returns the status code, or 0 if the answer was
-// incomplete.
+// callModel makes a model call and returns the status code, or 0 if the call failed or
+// the answer was incomplete.
 func callModel(ctx context.Context, url, prompt string, stream bool) int {
 	body := fmt.Sprintf(`{"model":"model","prompt":%q,"stream":%t}`, prompt, stream)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/completions", strings.NewReader(body))
