--- a/interfaces.go
+++ b/interfaces.go
@@ -199,7 +199,7 @@
 type BoxView struct {
 	Box       Box
 	State     BoxState
-	LastReply time.Duration // time of its last reply to a probe; negative: never
+	LastReply time.Duration // when the last probe to which the box replied was sent; negative: never
 }
 
 // PlanInput is the complete input of a planner.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -30,11 +30,11 @@
 	maxPatience = time.Hour
 )
 
-// Facts is the input of plan. It describes an availability zone. Keepers do not measure
-// the two times: they pass those of SampleFacts.
+// Facts is the input of plan. Except for GroupSize it describes an availability zone.
+// Keepers do not measure the two times: they pass those of SampleFacts.
 type Facts struct {
 	Zone           shedkeel.ZoneID
-	GroupSize      int           // boxes in a group of the zone's largest service
+	GroupSize      int           // most boxes per group of any service, in whatever zones
 	DomainBoxes    int           // boxes in the zone's largest fabric domain
 	Domains        int           // fabric domains in the zone
 	RestartTime    time.Duration // typical time that a box does not respond while it restarts
