--- a/lease/lease.go
+++ b/lease/lease.go
@@ -40,7 +40,7 @@
 	gainedAt          time.Duration // when the write that acquired the lease was sent
 	gainedEpoch       uint64        // the epoch to which gainedAt belongs
 	highestEpoch      uint64        // highest epoch seen, including any that the service has lost since
-	highestGeneration uint64        // highest generation seen, likewise
+	highestGeneration uint64        // highest generation seen, including any that the service has lost since
 }
 
 // Write is a compare-and-swap that the caller makes on the lease's key: the new value
@@ -61,8 +61,8 @@
 	return lease.Reset(revision, value, now)
 }
 
-// Reset is Observe for a read that follows a write conflict. It accepts an older
-// revision too, since the service may have been restored from a backup.
+// Reset does what Observe does, for a read that follows a write conflict. It also
+// accepts an older revision, since the service may have been restored from a backup.
 func (lease *Lease) Reset(revision shedkeel.Revision, value []byte, now time.Duration) error {
 	var record Record
 	if revision.Exists() {
@@ -83,9 +83,9 @@
 
 // NextWrite returns the write that this node should make now, if any: a renewal by the
 // holder, or an attempt to take a lease that does not exist or whose record has not
-// changed for a TTL. A candidate waits rank renewal intervals longer, so that the
-// one with rank 0 tries first. The caller reports the outcome by WriteSucceeded
-// or WriteFailed.
+// changed for a TTL. Before such an attempt a candidate waits one more renewal
+// interval for each rank above 0, so that the candidate with rank 0 tries first. The
+// caller reports the outcome by WriteSucceeded or WriteFailed.
 func (lease *Lease) NextWrite(now time.Duration, rank int) (Write, bool) {
 	if !lease.known || lease.inFlight {
 		return Write{}, false
@@ -115,9 +115,9 @@
 	return Write{Revision: lease.revision, Value: value}, true
 }
 
-// WriteSucceeded reports that the write in flight succeeded with the value and gave the
-// revision. The lease is valid from when the write was sent for the TTL less the
-// margin.
+// WriteSucceeded records that the write in flight succeeded: the key now has the value at
+// the revision. The lease is valid for the TTL less the margin, counted from when the
+// write was sent.
 func (lease *Lease) WriteSucceeded(revision shedkeel.Revision, value []byte) {
 	lease.inFlight = false
 	var record Record
@@ -137,8 +137,8 @@
 	lease.validUntil = lease.sentAt + lease.TTL - lease.Margin
 }
 
-// WriteFailed reports that the write in flight failed or that its outcome is unknown. The
-// next Observe or Reset brings the actual record.
+// WriteFailed records that the write in flight failed or that its outcome is unknown. The
+// lease keeps its last known record until the next Observe or Reset.
 func (lease *Lease) WriteFailed() {
 	lease.inFlight = false
 	lease.lastWriteSentAt = lease.sentAt
@@ -165,14 +165,14 @@
 	return lease.record.Epoch, true
 }
 
-// ExpiredFor reports whether this node is the last holder that it knows of and its
-// lease expired at least the duration atLeast ago.
+// ExpiredFor reports whether the last known record names this node as the holder and
+// its lease expired at least the duration atLeast ago.
 func (lease *Lease) ExpiredFor(now, atLeast time.Duration) bool {
 	return lease.heldByThisIncarnation() && now >= lease.validUntil+atLeast
 }
 
-// HeldSince returns when this node sent the write that acquired the lease in the
-// last epoch that it held.
+// HeldSince returns when this node sent the write that acquired the lease for the
+// latest epoch in which this node was the holder.
 func (lease *Lease) HeldSince() time.Duration { return lease.gainedAt }
 
 // Holder returns the last known record.
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -23,7 +23,7 @@
 	value    []byte
 }
 
-// swap makes the write if the key has its revision.
+// swap makes the write if the key is still at the revision that the write replaces.
 func (service *service) swap(write Write) (shedkeel.Revision, bool) {
 	if write.Revision != service.revision {
 		return shedkeel.Revision{}, false
@@ -36,12 +36,12 @@
 // contender is a node with its own clock and at most one write in flight.
 type contender struct {
 	lease     Lease
-	offset    time.Duration
-	drift     float64 // relative error of its clock's rate
-	resumesAt time.Duration
-	write     *Write
-	arrivesAt time.Duration
-	loseReply bool
+	offset    time.Duration // of its clock from the true time
+	drift     float64       // relative error of its clock's rate
+	resumesAt time.Duration // the node is frozen until then
+	write     *Write        // in flight; nil: none
+	arrivesAt time.Duration // when the write reaches the service
+	loseReply bool          // the reply to the write is lost
 }
 
 // clock returns the contender's time at the true time now.
@@ -127,7 +127,8 @@
 }
 
 // TestServiceRestoredFromOlderData checks that a holder keeps the lease after the
-// service is restored from a backup, with a generation above the lost ones.
+// service is restored from a backup, and that its next write has a higher generation
+// than the writes that the restore lost.
 func TestServiceRestoredFromOlderData(t *testing.T) {
 	service := &service{}
 	first := &Lease{Node: "a", Incarnation: "1", TTL: ttl, Margin: margin, RenewInterval: time.Second}
@@ -159,8 +160,8 @@
 	assert.Assert(t, holds)
 }
 
-// TestHeldForAnOrder checks that Held requires the lease to stay valid for the whole
-// life of an order.
+// TestHeldForAnOrder checks that Held requires the lease to stay valid for the duration
+// atLeast, which is how long an order that the holder sends remains valid.
 func TestHeldForAnOrder(t *testing.T) {
 	cases := map[string]struct {
 		after   time.Duration
