--- a/transfer/batches.go
+++ b/transfer/batches.go
@@ -12,14 +12,15 @@
 
 const (
 	// MinBatchRecords is the number of records from which changes are compressed together.
-	// Similar records compress well; a few are not worth the time.
+	// Similar records compress well, but for a few of them compression saves too little to
+	// be worth its time.
 	MinBatchRecords = 32
-	// maxCachedBatches is how many compressed batches are kept. Processes that follow
-	// the same one request the same changes, or the ones just before.
+	// maxCachedBatches is how many compressed batches are kept. Processes that have the
+	// same upstream request the same changes from it, some of them a little later.
 	maxCachedBatches = 4
 )
 
-// Batch identifies the changes after one revision up to another.
+// Batch identifies the changes after the revision Since, up to and including At.
 type Batch struct {
 	Since, At   shedkeel.Revision
 	Differences bool // the receiver accepts differences
@@ -38,8 +39,8 @@
 	data  []byte
 }
 
-// Encode puts the records of a batch into the reply. It calls encode for them unless the
-// batch is cached.
+// Encode puts the records of a batch into the reply, compressed if possible. It calls
+// encode to get the records unless the batch is cached.
 func (cache *BatchCache) Encode(reply *wire.RelayReply, batch Batch, encode func() []*wire.StoreRecord) {
 	cache.mutex.Lock()
 	defer cache.mutex.Unlock()
--- a/transfer/batches_test.go
+++ b/transfer/batches_test.go
@@ -28,7 +28,8 @@
 	return deltas
 }
 
-// TestBatchesAreCompressedOnce lets several processes request the same changes.
+// TestBatchesAreCompressedOnce checks that a batch which several processes request is
+// encoded once while it is cached, and that other batches are encoded by themselves.
 func TestBatchesAreCompressedOnce(t *testing.T) {
 	at := func(number int64) shedkeel.Revision { return shedkeel.Revision{Number: number} }
 	first := Batch{Since: at(1), At: at(9), Differences: true}
@@ -63,8 +64,8 @@
 	}
 }
 
-// TestBatchIsSmall compresses the heartbeats that a large fleet sends in a quarter of a
-// second.
+// TestBatchIsSmall checks that the heartbeats that a large fleet sends in a quarter of a
+// second compress to at most 60% of their size.
 func TestBatchIsSmall(t *testing.T) {
 	deltas := heartbeatDeltas(t, 580)
 	uncompressed := proto.Size(&wire.RelayReply{Records: deltas})
--- a/transfer/difference.go
+++ b/transfer/difference.go
@@ -8,7 +8,8 @@
 )
 
 // minCommonBytes is how many bytes a record must have in common with its previous value
-// to be sent as a difference, whose fields take some twelve bytes.
+// to be sent as a difference. The additional fields of a difference take some twelve
+// bytes.
 const minCommonBytes = 32
 
 // ErrBaseMismatch means that a difference applies to another revision of the record than
@@ -47,8 +48,8 @@
 }
 
 // ApplyDifference restores a record of the era from its difference. The base is the record
-// that this process has; ErrBaseMismatch is returned if it is not the one that the sender
-// used.
+// that this process has. The error is ErrBaseMismatch if the sender encoded the difference
+// from another revision, or if the difference takes more bytes from the base than it has.
 func ApplyDifference(delta *wire.StoreRecord, era int64, base shedkeel.Record) (shedkeel.Record, error) {
 	record := shedkeel.Record{Key: delta.GetKey(), Revision: shedkeel.Revision{Era: era, Number: delta.GetRevision()}}
 	baseRevision := shedkeel.Revision{Era: era, Number: delta.GetBase()}
--- a/transfer/difference_test.go
+++ b/transfer/difference_test.go
@@ -48,6 +48,8 @@
 	}
 }
 
+// TestDifferRandom checks on random values of two letters, which have much in common, that
+// a difference restores the record.
 func TestDifferRandom(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 9))
 	for range 10_000 {
--- a/transfer/encoder.go
+++ b/transfer/encoder.go
@@ -30,7 +30,7 @@
 	cached map[string]compressedRecord // by key, the latest revision that was encoded
 }
 
-// compressedRecord is a revision of a record in its compressed form.
+// compressedRecord is a record compressed at a revision.
 type compressedRecord struct {
 	revision shedkeel.Revision
 	message  *wire.StoreRecord
--- a/transfer/snapshot.go
+++ b/transfer/snapshot.go
@@ -13,7 +13,8 @@
 
 const (
 	// snapshotMaxAge is for how long a compressed snapshot is sent again although
-	// records have changed since. The receiver requests those changes next.
+	// records have changed since it was made. The receiver gets these changes by its next
+	// request.
 	snapshotMaxAge = 500 * time.Millisecond
 	// maxSnapshotSize bounds a decompressed reply, in bytes.
 	maxSnapshotSize = 32 << 20
@@ -28,8 +29,9 @@
 	data         []byte        // compressed records of the snapshot; nil: there is none
 }
 
-// Encode returns the reply with the full update, or with an older snapshot of the same
-// era that may still be sent. The records are compressed together, as similar records compress well.
+// Encode returns the reply with the full update, or with a cached snapshot of the same
+// era that is not older than snapshotMaxAge or has the same revision. The records are
+// compressed together, as similar records compress well.
 func (cache *SnapshotCache) Encode(update mirror.Update, now time.Duration) *wire.RelayReply {
 	cache.mutex.Lock()
 	defer cache.mutex.Unlock()
@@ -82,8 +84,8 @@
 	return unpacked.GetRecords(), nil
 }
 
-// EncodeReply encodes an update without its records. The age in milliseconds is never less
-// than the copy's.
+// EncodeReply encodes an update without its records. The age of the copy is rounded up to
+// milliseconds, so that the receiver never takes the copy for newer than it is.
 func EncodeReply(update mirror.Update, now time.Duration) *wire.RelayReply {
 	age := now - update.AsOf
 	return &wire.RelayReply{Whole: update.Full, Era: update.At.Era, At: update.At.Number, AgeMs: uint64(age.Milliseconds()) + 1, Known: true}
