--- a/mirror/bootstrap.go
+++ b/mirror/bootstrap.go
@@ -43,7 +43,7 @@
 	// FirstStart says that the fleet starts for the first time: no callers wait, and all
 	// peers may still be starting.
 	FirstStart bool
-	// Peers are queried besides those that were known without the advice.
+	// Peers are queried for a copy in addition to those of Follower.Peers.
 	Peers []Peer
 }
 
@@ -54,13 +54,13 @@
 type bootstrap struct {
 	startedAt   atomic.Int64 // when Run was called
 	copyMutex   sync.Mutex   // held while a full copy is requested
-	listsSource atomic.Bool  // the process lists at once, as advised
-	firstStart  atomic.Bool  // the fleet starts for the first time, as advised
+	listsSource atomic.Bool  // the process lists the service's records at once (Advice.ListSource)
+	firstStart  atomic.Bool  // the fleet starts for the first time (Advice.FirstStart)
 
 	// Only the loop that queries the service uses these.
 	jitter      float64       // random, from 0 to 1; fixed for the process
 	nextList    time.Duration // when a failed list may be repeated
-	retryWindow time.Duration // within which the next list is repeated; 0: no list has failed
+	retryWindow time.Duration // the failed list is repeated within this time; 0: no list has failed
 }
 
 // begin records the start of the process and draws its jitter.
@@ -116,8 +116,9 @@
 	bootstrap.nextList = follower.Timers.Now() + time.Duration(follower.randomBelow(uint64(bootstrap.retryWindow)))
 }
 
-// bootstrapFrom queries peers until the process has a copy: the service may be down,
-// and other processes serve by the peer's copy. The copy is as old as the peer says.
+// bootstrapFrom queries the peers until the process has a copy, since the service may be
+// down while a peer still has a recent copy. The age of the copy counts from when the
+// peer's copy was proven, not from its receipt.
 func (follower *Follower) bootstrapFrom(ctx context.Context, peers []Peer) {
 	for index, peer := range peers {
 		follower.running.Go(func() {
@@ -127,10 +128,10 @@
 	}
 }
 
-// runBootstrap asks one peer whether it has a copy, and then requests it. Only one peer
-// at a time is asked for its copy, which is large.
+// runBootstrap asks one peer whether it has a copy, and requests the copy once it has
+// one. Since a copy is large, fetchCopy requests it from only one peer at a time.
 func (follower *Follower) runBootstrap(ctx context.Context, peer Peer) {
-	delay, wait := bootstrapRetryDelay, time.Duration(0) // the first response comes at once and shows whether the peer is running
+	delay, wait := bootstrapRetryDelay, time.Duration(0) // the peer answers the first query at once, which shows that it is running
 	for ctx.Err() == nil && !follower.Mirror.State().Known {
 		knows, err := peer.HasCopy(ctx, wait)
 		if err != nil {
@@ -146,8 +147,8 @@
 	}
 }
 
-// fetchCopy requests a peer's full copy unless the process has one by then. It reports
-// whether the process has a copy afterwards.
+// fetchCopy requests a peer's full copy, unless the process already has a copy when its
+// turn comes. It reports whether the process has a copy afterwards.
 func (follower *Follower) fetchCopy(ctx context.Context, peer Peer) bool {
 	follower.bootstrap.copyMutex.Lock()
 	defer follower.bootstrap.copyMutex.Unlock()
@@ -158,8 +159,8 @@
 	return responded
 }
 
-// bootstrappingSince returns when this process started, if it still has no copy and
-// has left the listing of the service's records to others.
+// bootstrappingSince returns when this process started, if it still has no copy after
+// responseTimeout and leaves the listing of the service's records to other processes.
 func (follower *Follower) bootstrappingSince(now time.Duration) (since time.Duration, bootstrapping bool) {
 	startedAt := time.Duration(follower.bootstrap.startedAt.Load())
 	if startedAt == 0 || follower.bootstrap.listsSource.Load() || follower.Mirror.State().Known || now-startedAt < responseTimeout {
--- a/mirror/bootstrap_test.go
+++ b/mirror/bootstrap_test.go
@@ -17,11 +17,11 @@
 // sharedLink is the network link of the service. Lists pass through it one after the
 // other, including those whose caller has timed out.
 type sharedLink struct {
-	listTime      time.Duration // that one list takes
-	clientTimeout time.Duration // after which a process abandons a list and loses what it has read
+	listTime      time.Duration // for which one list occupies the link
+	clientTimeout time.Duration // after which a process abandons a list and drops what it has read
 
 	mutex     sync.Mutex
-	idleAt    time.Time // when all lists so far are through
+	idleAt    time.Time // when the link will have transferred all lists requested so far
 	listCount int
 }
 
@@ -65,15 +65,16 @@
 	return peer.peer.HasCopy(ctx, wait)
 }
 
-// TestSimultaneousStart starts all processes of a fleet at one moment, as after a loss
-// of power. Each list takes 12 ms of the service's link, so that of the lists that are
-// requested together 58 complete in 0.7 s.
+// TestSimultaneousStart starts all processes of a fleet at one moment, as after a power
+// failure. All must have a copy within the limit of the case, and may request at most
+// maxLists lists of the service's records. A list occupies the service's link for 12 ms,
+// so that only 58 of the lists that are requested together complete in 0.7 s.
 func TestSimultaneousStart(t *testing.T) {
 	const processes, seeds = 300, 3 // the seeds are advised to list
 	cases := map[string]struct {
 		seedsRun      bool
 		seedsStart    time.Duration // when the seeds start
-		first         bool          // the advice that all processes get
+		firstStart    bool          // the advice that all processes get
 		clientTimeout time.Duration
 		limit         time.Duration
 		maxLists      int
@@ -104,7 +105,7 @@
 				follower := &Follower{
 					Mirror: own, Source: service, Timers: clock, Upstream: func() Peer { return seedPeers[0] }, Peers: func() []Peer { return seedPeers },
 					RequestAdvice: func(context.Context) (Advice, error) {
-						return Advice{ListSource: index < seeds, FirstStart: test.first}, nil
+						return Advice{ListSource: index < seeds, FirstStart: test.firstStart}, nil
 					},
 					Processes: func() int { return processes }, Random: rand.NewPCG(uint64(index), 8),
 				}
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -16,20 +16,21 @@
 const (
 	// watchWait is how long the service holds a watch while nothing changes. The
 	// response proves the age of the copy as of the time when the watch began, so
-	// just before the next response the copy is up to twice that old. A watch may
-	// get no response at all: together with its time-out and the delay before a
-	// follower turns to other peers, a change must still reach every node within
-	// the 2 s that the platform allows for a server that leaves.
+	// just before the next response the copy is up to twice watchWait old. The value
+	// is small, since a watch may get no response at all: the watch, its time-out and
+	// the delay before a follower turns to other peers must still let a change reach
+	// every node within the 2 s that the platform allows for a server that leaves.
 	watchWait = 350 * time.Millisecond
-	// RelayWait is how long another mirror holds a request while nothing changes.
+	// RelayWait is how long a peer holds a request for changes while nothing changes.
 	RelayWait = 300 * time.Millisecond
-	// staleAge is the age at which the copy of a process that follows a peer counts
-	// as stale; the process then queries the service itself. It covers two watches
-	// by the peer, two requests to the peer, which arrive at any moment of a watch,
-	// and their responses. Where the peer follows another peer, one more request is
-	// added (see Follower.staleAge). While nothing changes no copy may get this old:
-	// otherwise idle processes would leave their upstream and call the service.
-	staleAge = 2*watchWait + 2*RelayWait + 200*time.Millisecond
+	// baseStaleAge is the age at which the copy of a process counts as stale if the
+	// process follows a peer that follows the service; the process then queries the
+	// service itself. The age covers two watches by the peer, two requests to the peer,
+	// which arrive at any moment of a watch, and their responses. Follower.staleAge adds
+	// one request for each further peer on the way. While no record changes, no copy may
+	// get this old: otherwise the processes would leave their upstream and query the
+	// service.
+	baseStaleAge = 2*watchWait + 2*RelayWait + 200*time.Millisecond
 	// upstreamDisconnectedTime is for how long a process treats its copy as stale,
 	// and queries the service and random peers, after its upstream has reported that
 	// it cannot reach the service.
@@ -38,9 +39,9 @@
 	// age of a stale copy.
 	ageProofWait = 50 * time.Millisecond
 	// batchDelayPerRecord, minBatchDelay and maxBatchDelay set how long a process
-	// waits after changes before it queries again, so that more changes come with
-	// one response: each response costs a call, and the more records there are, the
-	// more often one changes. 260 records give a delay of 0.1 s. Without the upper
+	// waits after changes before it queries again, so that one response holds more
+	// changes: each response costs a call, and the more records there are, the more
+	// often one of them changes. 260 records give a delay of 0.1 s. Without the upper
 	// bound, the 3,300 records of 300 boxes would delay a change of the
 	// configuration by 1.3 s of the 3 s within which it must be in force.
 	batchDelayPerRecord = 400 * time.Microsecond
@@ -68,7 +69,8 @@
 	// Name returns the name of the process.
 	Name() string
 	// Relay requests the changes after the revision, and waits up to wait for a
-	// change. The update's AsOf is minus the age of the peer's copy.
+	// change. The AsOf of the update is relative to the time when the request was
+	// sent: the negated age of the peer's copy.
 	Relay(ctx context.Context, since shedkeel.Revision, wait time.Duration) (Update, error)
 	// HasCopy reports whether the peer has a copy. While it has none, the response is
 	// delayed by up to wait.
@@ -94,7 +96,8 @@
 	// Hops returns the largest number of other processes that a copy passes through
 	// on its way from the service to this one. If it is nil, the number is 1.
 	Hops func() int
-	// Processes returns how many processes follow the service or each other.
+	// Processes returns how many processes, including this one, follow the service or
+	// each other. Queries by processes with stale copies are spread by this number.
 	Processes func() int
 	Random    shedkeel.Random // must not be shared
 
@@ -153,7 +156,8 @@
 	}
 }
 
-// batchDelay returns how long to wait for further changes among so many records.
+// batchDelay returns how long a process whose copy has the given number of records waits
+// for further changes before the next query.
 func batchDelay(records int) time.Duration {
 	return min(max(minBatchDelay, time.Duration(records)*batchDelayPerRecord), maxBatchDelay)
 }
@@ -168,9 +172,9 @@
 // staleAge returns the age at which the copy of this process is stale.
 func (follower *Follower) staleAge() time.Duration {
 	if follower.Hops == nil {
-		return staleAge
+		return baseStaleAge
 	}
-	return staleAge + time.Duration(follower.Hops()-1)*RelayWait
+	return baseStaleAge + time.Duration(follower.Hops()-1)*RelayWait
 }
 
 // mayQuerySource reports whether this process may query the service now. It may if
@@ -198,9 +202,9 @@
 	return true
 }
 
-// sourceQueryPause returns how long a process waits that may not query the service
-// yet. A process without a copy checks more often, as it may query within
-// milliseconds.
+// sourceQueryPause returns how long a process that may not query the service yet waits
+// until it checks again. A process without a copy checks more often, as it may be
+// allowed to query within milliseconds.
 func (follower *Follower) sourceQueryPause(state State) time.Duration {
 	if !state.Known {
 		return bootstrapRetryDelay / 2
@@ -233,8 +237,8 @@
 	}
 	follower.health.beginQuery(sent, wait)
 	changes, err := follower.Source.Changes(ctx, "", state.At, wait)
-	var historyGone *shedkeel.CompactedError
-	if errors.As(err, &historyGone) {
+	var compacted *shedkeel.CompactedError
+	if errors.As(err, &compacted) {
 		return false, follower.listSource(ctx, sent)
 	}
 	if err != nil {
@@ -242,9 +246,9 @@
 	}
 	update := Update{Records: changes.Records, At: changes.Revision, AsOf: sent}
 	if changes.More {
-		// The response may lack changes that the service held when it was asked, so it
-		// proves no age. When it counted as a proof, a copy that was 8 s behind counted
-		// as fresh, and requests for newly added routes were refused.
+		// The response may lack changes that the service held when the query was sent,
+		// so it does not prove the age of the copy. When it counted as a proof, a copy that
+		// was 8 s behind counted as fresh, and requests for newly added routes were refused.
 		update.AsOf = 0
 	}
 	follower.Mirror.Apply(update)
@@ -288,7 +292,8 @@
 		peer, wait := follower.Upstream(), RelayWait
 		stale := !follower.fresh(state) || follower.SourceUnreachable()
 		if stale {
-			// A peer that receives a change passes it at once to all whose requests wait.
+			// A peer that receives a change passes it at once to all processes whose
+			// requests it holds.
 			peer, wait = follower.randomPeer(), retryDelay
 		}
 		follower.logUpstream(peer, state, stale)
@@ -303,7 +308,8 @@
 	}
 }
 
-// logUpstream logs a change of the process or service whose copy is followed.
+// logUpstream logs when this process begins to follow another process, the service, or
+// random peers.
 func (follower *Follower) logUpstream(peer Peer, state State, stale bool) {
 	name := "the service"
 	switch {
@@ -336,8 +342,8 @@
 }
 
 // relayFrom sends one request to a peer, if it is not nil, and applies the response.
-// It reports whether the peer responded with an update, and whether the peer follows
-// the service and gets no response from it.
+// It reports whether the peer responded with an update, and whether the peer reports
+// that it follows the service and gets no response from it.
 func (follower *Follower) relayFrom(ctx context.Context, peer Peer, state State, wait time.Duration) (responded, disconnected bool) {
 	if peer == nil {
 		return false, false
@@ -348,7 +354,7 @@
 		follower.health.notePeerResponse(follower.Timers.Now())
 	}
 	if err != nil {
-		return false, false // the age of the copy grows, and the service or another peer is queried
+		return false, false // the copy becomes stale, and this process then queries the service or another peer
 	}
 	update.AsOf += sent
 	follower.Mirror.Apply(update)
--- a/mirror/health.go
+++ b/mirror/health.go
@@ -11,15 +11,15 @@
 
 const (
 	// responseTimeout is how long the service may take to respond before it counts
-	// as not responding. 4 ms are usual and some 300 ms when it is slow, which then
-	// counts as an outage too: a caller that is refused meanwhile waits no longer than
-	// until the service responds again.
+	// as not responding. It usually takes 4 ms. When it is slow it takes some 300 ms,
+	// which counts as an outage too: a caller that is refused meanwhile waits no longer
+	// than until the service responds again.
 	responseTimeout = 150 * time.Millisecond
 	// peerReachableTime is for how long a peer counts as reachable after a response.
 	// A process without a copy queries its peers at least every 0.4 s.
 	peerReachableTime = time.Second
 	// unreachableFailures is how many queries in a row must fail until this process
-	// reports that it cannot reach the service: single responses get lost.
+	// reports that it cannot reach the service. A single response may be lost.
 	unreachableFailures = 2
 )
 
@@ -32,7 +32,7 @@
 	failingSince  time.Duration // when the first failed query was sent; 0: the last one succeeded
 	failures      int           // consecutive failed queries
 	peerResponded time.Duration // when a peer responded last; 0: never
-	confirmedAt   time.Duration // when the last successful query was sent; 0: never
+	confirmedAt   time.Duration // when the last successful query was sent; 0: none has succeeded
 }
 
 // beginQuery records a query to the service, which may hold it for up to wait.
@@ -42,7 +42,7 @@
 	health.querySent, health.responseDue = now, now+wait+responseTimeout
 }
 
-// endQuery records the result of the query.
+// endQuery records the result of the query that beginQuery recorded.
 func (health *health) endQuery(err error) {
 	health.mutex.Lock()
 	defer health.mutex.Unlock()
@@ -82,8 +82,8 @@
 	return 0, false
 }
 
-// SourceUnreachable reports whether this process is to follow the service and gets no
-// response from it.
+// SourceUnreachable reports whether this process has no upstream, so that it follows the
+// service itself, and gets no response from it.
 func (follower *Follower) SourceUnreachable() bool {
 	now := follower.Timers.Now()
 	if follower.Upstream() != nil {
@@ -95,8 +95,8 @@
 	return health.failures >= unreachableFailures || health.querySent != 0 && now >= health.responseDue
 }
 
-// LastConfirmed returns when the last query was sent to which the service itself responded,
-// not a peer; 0 if it never did.
+// LastConfirmed returns when this process sent the last query to which the service itself,
+// and not a peer, responded. It returns 0 if the service has never responded.
 func (follower *Follower) LastConfirmed() time.Duration {
 	health := &follower.health
 	health.mutex.Lock()
@@ -105,11 +105,13 @@
 }
 
 // Outage reports whether the service is down for all processes, as far as this one can
-// tell, and since when. It is if this process gets no response from the service and
-// has recently reached a peer: a process that reaches no peer may itself be cut off. A
-// process that has no peers relies on its own queries. A process that has started and
-// has no copy, as the peers that it reaches, reports an outage too though it leaves
-// queries to the service to others: for its callers the effect is the same.
+// tell, and since when. It reports an outage if this process gets no response from the
+// service and has recently reached a peer: a process that reaches no peer may itself be
+// cut off. A process that has no peers relies on its own queries.
+//
+// A process without a copy that leaves the queries to others (see bootstrappingSince)
+// reports an outage too: it reaches a peer but gets no copy, and so cannot serve its
+// callers.
 func (follower *Follower) Outage() (since time.Duration, unresponsive bool) {
 	now := follower.Timers.Now()
 	noPeers := len(follower.Peers()) == 0
--- a/mirror/health_test.go
+++ b/mirror/health_test.go
@@ -10,15 +10,15 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// TestOutage checks that an outage of the service is told apart from a process that is
-// itself cut off and from a slow response.
+// TestOutage checks that Outage distinguishes an outage of the service from a process that
+// is itself cut off and from a response that is not due yet.
 func TestOutage(t *testing.T) {
 	errUnreachable := errors.New("service unavailable")
 	peers := []Peer{unresponsivePeer{}}
 	cases := map[string]struct {
 		others       []Peer
 		events       func(health *health, now time.Duration)
-		since        time.Duration // counted back from the end of the events
+		since        time.Duration // how long before the end of the events the outage began
 		unresponsive bool
 	}{
 		"no query was sent": {peers, func(health *health, now time.Duration) { health.notePeerResponse(now) }, 0, false},
--- a/mirror/idle_test.go
+++ b/mirror/idle_test.go
@@ -17,10 +17,10 @@
 )
 
 // These tests cover a fleet in which no record changes. When the copies of followers
-// became up to 1.7 s old and counted as stale from 1.5 s on, all 65 followers of 66 nodes
-// left their upstream during each watch and queried the service and each other in turn;
-// their logs named "any process" as upstream 60 times each half second. A change of the
-// configuration then came late where the service refused some of them.
+// became up to 1.7 s old but counted as stale from 1.5 s on, all 65 followers of a fleet of
+// 66 nodes left their upstream during each watch and queried the service and each other in
+// turn: their logs showed 60 changes of the upstream to "any process" each half second. If
+// the service refused some of the followers, changes of the configuration then came late.
 
 // followerPeer makes a follower available as a peer. It responds once its copy changes,
 // or after the whole wait.
@@ -112,7 +112,7 @@
 			oldest = max(oldest, follower.Timers.Now()-follower.Mirror.State().AsOf)
 		}
 	}
-	assert.Assert(t, oldest < staleAge, "a copy was %s old", oldest)
+	assert.Assert(t, oldest < baseStaleAge, "a copy was %s old", oldest)
 	assert.Equal(t, fleet.followerSource.callCount(), queries, "followers query the service")
 }
 
@@ -143,22 +143,22 @@
 				eventually(t, "the change", func() bool { return string(follower.Mirror.Get("a").Value) == "new" })
 			}
 			t.Logf("took %s", time.Since(began))
-			assert.Assert(t, time.Since(began) < staleAge-200*time.Millisecond, "it took %s", time.Since(began))
+			assert.Assert(t, time.Since(began) < baseStaleAge-200*time.Millisecond, "it took %s", time.Since(began))
 		})
 	}
 }
 
-// TestRefusedUpstreamAsksPeers checks that a process which follows the service, and alone
-// is refused by it, keeps its copy fresh from the copies of its peers.
+// TestRefusedUpstreamAsksPeers checks that a process which follows the service keeps its
+// copy fresh from its peers while the service refuses this process alone.
 func TestRefusedUpstreamAsksPeers(t *testing.T) {
 	fleet := newIdleFleet(t, 20)
 	fleet.source.setErr(errRefused)
-	time.Sleep(staleAge)
+	time.Sleep(baseStaleAge)
 	oldest := time.Duration(0)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		oldest = max(oldest, fleet.first.Timers.Now()-fleet.first.Mirror.State().AsOf)
 	}
-	assert.Assert(t, oldest < staleAge, "the copy was %s old", oldest)
+	assert.Assert(t, oldest < baseStaleAge, "the copy was %s old", oldest)
 }
 
 var errRefused = errors.New("refused by the service")
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -35,7 +35,7 @@
 	tombstoneFloor   shedkeel.Revision          // deletions up to this revision may be forgotten
 	at               shedkeel.Revision          // the service's revision that the copy has reached
 	known            bool                       // a full update has been applied
-	asOf             time.Duration              // time of the Follower's Timers; the copy is what the service held then or later
+	asOf             time.Duration              // by the Follower's Timers: the copy has all changes that the service had made by then
 	changed          chan struct{}              // closed at the next change; nil: nobody waits
 	listeners        []func([]shedkeel.Record)
 	restoreListeners []func(Restore)
@@ -46,7 +46,7 @@
 	Records []shedkeel.Record // present or deleted records
 	Full    bool              // Records is a full copy: keys that it lacks are deleted
 	At      shedkeel.Revision
-	AsOf    time.Duration // when the request was sent that this update answers
+	AsOf    time.Duration // when the request that this update answers was sent; 0: the update proves no age
 	// SourceUnreachable says that the sending peer follows the service and gets no response
 	// from it, so that the next change will not come from this peer.
 	SourceUnreachable bool
@@ -74,8 +74,8 @@
 }
 
 // Apply applies an update. Older records never replace newer ones, and updates of an
-// earlier era are ignored. A new era begins with a full update, since records may have
-// been lost without a change that deletes them.
+// earlier era are ignored. The first update of a later era must be full and is ignored
+// otherwise, since the restore may have lost records without a change that deletes them.
 func (mirror *Mirror) Apply(update Update) {
 	mirror.mutex.Lock()
 	defer mirror.mutex.Unlock()
@@ -98,7 +98,7 @@
 	mirror.known = mirror.known || update.Full
 	mirror.asOf = max(mirror.asOf, update.AsOf)
 	if newEra {
-		clear(mirror.previous) // they belong to the earlier era
+		clear(mirror.previous) // these records are of the earlier era
 		mirror.notifyRestored(oldRevision, changes)
 	}
 	if len(changes) == 0 && !first && !newEra {
@@ -126,7 +126,7 @@
 	}
 }
 
-// merge applies the records that are newer than the copy's and returns them.
+// merge applies those of the records that are newer than the copy's and returns them.
 func (mirror *Mirror) merge(records []shedkeel.Record) []shedkeel.Record {
 	var changes []shedkeel.Record
 	for _, record := range records {
@@ -173,8 +173,9 @@
 	}
 }
 
-// removeAbsent deletes the keys that a full update lacks and returns their tombstones,
-// which are marked as lost where the update begins an era.
+// removeAbsent deletes the keys that a full update lacks and returns their tombstones. The
+// caller sets lost if the update begins a new era; the tombstones are then marked as lost
+// in the restore.
 func (mirror *Mirror) removeAbsent(update Update, lost bool) []shedkeel.Record {
 	present := map[string]bool{}
 	for _, record := range update.Records {
@@ -196,7 +197,7 @@
 type State struct {
 	Known bool              // there is a copy
 	At    shedkeel.Revision // the revision that it has reached
-	AsOf  time.Duration     // it is what the service held then or later
+	AsOf  time.Duration     // it has all changes that the service had made by then
 }
 
 // State returns the state of the copy.
@@ -252,27 +253,27 @@
 func (mirror *Mirror) UpdateSince(revision shedkeel.Revision) Update {
 	mirror.mutex.Lock()
 	defer mirror.mutex.Unlock()
-	era, known := mirror.at.Era, revision.Number
-	whole := mirror.tombstoneFloor.After(revision) || revision.Era < era
-	if whole {
-		known = 0
+	era, sinceNumber := mirror.at.Era, revision.Number
+	full := mirror.tombstoneFloor.After(revision) || revision.Era < era
+	if full {
+		sinceNumber = 0
 	}
-	update := Update{At: mirror.at, AsOf: mirror.asOf, Full: whole}
+	update := Update{At: mirror.at, AsOf: mirror.asOf, Full: full}
 	if revision.Era > era {
 		return update // the other mirror is in a later era
 	}
 	for _, record := range mirror.records {
-		// A record of a later era was written by this process before it received the
-		// era's first update.
-		if record.Revision.Number > known && record.Revision.Era == era {
+		// The copy has a record of a later era if this process wrote it before it received
+		// the first update of that era.
+		if record.Revision.Number > sinceNumber && record.Revision.Era == era {
 			update.Records = append(update.Records, record)
 		}
 	}
-	if whole {
+	if full {
 		return update
 	}
 	for _, record := range mirror.tombstones {
-		if record.Revision.Number > known && record.Revision.Era == era {
+		if record.Revision.Number > sinceNumber && record.Revision.Era == era {
 			update.Records = append(update.Records, record)
 		}
 	}
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -73,8 +73,9 @@
 	}
 }
 
-// TestRelay lets mirrors follow each other in random order. In the end each must hold
-// what the service holds, and no record may go back to an older revision.
+// TestRelay lets one mirror follow the service and another one follow the first, in random
+// order. In the end the second must hold what the service holds, and none of its records
+// may go back to an older revision.
 func TestRelay(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 3))
@@ -130,6 +131,7 @@
 	maxRecords int // per response; 0: unlimited
 }
 
+// beginCall counts a call and returns the error with which it fails, if any.
 func (source *source) beginCall() error {
 	source.mutex.Lock()
 	defer source.mutex.Unlock()
@@ -274,7 +276,7 @@
 	var followers []*Follower
 	for index := range processes {
 		own := &Mirror{}
-		own.Apply(Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: clock.Now() - staleAge})
+		own.Apply(Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: clock.Now() - baseStaleAge})
 		peers = append(peers, &peer{mirror: own, now: clock.Now})
 		followers = append(followers, &Follower{
 			Mirror: own, Source: service, Timers: clock, Upstream: func() Peer { return emptyPeer }, Peers: func() []Peer { return peers },
@@ -312,7 +314,7 @@
 	assert.NilError(t, err)
 	clock := &timer.System{}
 	own, emptyPeer := &Mirror{}, &peer{mirror: &Mirror{}, now: clock.Now}
-	own.Apply(Update{Full: true, AsOf: clock.Now() - staleAge})
+	own.Apply(Update{Full: true, AsOf: clock.Now() - baseStaleAge})
 	follower := &Follower{
 		Mirror: own, Source: &source{Store: store}, Timers: clock, Upstream: func() Peer { return emptyPeer }, Peers: func() []Peer { return nil },
 		Processes: func() int { return 9 }, Random: rand.NewPCG(1, 2),
@@ -327,8 +329,8 @@
 	running.Wait()
 }
 
-// TestFollower covers an outage of the service, a history that the service no longer
-// has, and a peer that becomes the upstream.
+// TestFollower covers an outage of the service, changes that the service has dropped from
+// its history, and a peer that becomes the upstream.
 func TestFollower(t *testing.T) {
 	store := standin.NewStore()
 	service := &source{Store: store}
@@ -358,7 +360,7 @@
 	store.DropHistory()
 	time.Sleep(2 * retryDelay)
 	service.setErr(nil)
-	eventually(t, "changes from the outage, whose history the service lost", func() bool { return own.Get("b").Revision.Number > 0 })
+	eventually(t, "changes from the outage, which the service dropped from its history", func() bool { return own.Get("b").Revision.Number > 0 })
 
 	service.setErr(errors.New("service unavailable"))
 	age := clock.Now() - own.State().AsOf
@@ -369,15 +371,15 @@
 	mutex.Unlock()
 	eventually(t, "the peer's records", func() bool { return own.Get("c").Revision.Number > 0 })
 	assert.Assert(t, clock.Now()-own.State().AsOf < age+5*time.Second)
-	assert.Assert(t, own.State().AsOf <= clock.Now(), "the copy is proven for a future time")
+	assert.Assert(t, own.State().AsOf <= clock.Now(), "AsOf of the copy is in the future")
 	cancel()
 	running.Wait()
 }
 
-// TestCopyKeepsUpWithManyChanges changes the records of 3,000 servers while a response
-// holds 50. The copy must be complete within the batch delay of one round, and must not
-// count as fresh before. With a delay after each response, a change of the configuration
-// came 8 s late while the copy counted as fresh.
+// TestCopyKeepsUpWithManyChanges writes the records of 3,000 servers while a response
+// holds at most 50 changes. The copy must be complete within about one batch delay, and
+// must not count as fresh before. When the follower waited for the batch delay after each
+// response, a change of the configuration came 8 s late while the copy counted as fresh.
 func TestCopyKeepsUpWithManyChanges(t *testing.T) {
 	store := standin.NewStore()
 	service := &source{Store: store, maxRecords: 50}
@@ -412,14 +414,14 @@
 func TestBatchDelay(t *testing.T) {
 	for name, test := range map[string]struct {
 		records int
-		pause   time.Duration
+		delay   time.Duration
 	}{
 		"few records":   {10, minBatchDelay},
 		"260 records":   {260, 104 * time.Millisecond},
 		"3,300 records": {3300, maxBatchDelay},
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, batchDelay(test.records), test.pause)
+			assert.Equal(t, batchDelay(test.records), test.delay)
 		})
 	}
 }
--- a/mirror/restore_test.go
+++ b/mirror/restore_test.go
@@ -20,7 +20,7 @@
 )
 
 // sizes makes TestFollowRestore run all fleet sizes.
-var sizes = flag.Bool("sizes", false, "measure how all processes follow a restored service, at all sizes")
+var sizes = flag.Bool("sizes", false, "measure how long all processes take to follow a restored service, at all fleet sizes")
 
 // inEra returns the record with the era set.
 func inEra(era int64, record shedkeel.Record) shedkeel.Record {
@@ -90,9 +90,9 @@
 	}
 }
 
-// TestRelayAcrossEras lets mirrors follow each other in random order while the service is
-// restored from older copies. In the end each must hold what the service holds, and no
-// record may go back within an era or to an earlier one.
+// TestRelayAcrossEras lets mirrors follow the service and each other in random order while
+// the service is restored from older copies. In the end each must hold what the service
+// holds, and no record may go back within an era or to an earlier one.
 func TestRelayAcrossEras(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 5))
@@ -144,8 +144,9 @@
 }
 
 // TestFollowerListsNewEra restores the service from an older copy and writes until its
-// revision numbers have passed those that the follower knows. The service then answers a
-// watch as if nothing had happened.
+// revision numbers have passed those that the follower knows. By the numbers alone a watch
+// of the follower is then still valid; the follower must notice the new era and list the
+// records again.
 func TestFollowerListsNewEra(t *testing.T) {
 	store := standin.NewStore()
 	put := func(key string) {
@@ -176,8 +177,8 @@
 	<-ended
 }
 
-// eraSource answers watches like a restored service whose revision numbers have passed the
-// requested one, reports a new era as the client of the service does, and counts lists.
+// eraSource is a source that reports a new era to a watch as the client of the service
+// does, by a CompactedError, and counts lists.
 type eraSource struct {
 	*source
 	lists *atomic.Int64
@@ -196,14 +197,14 @@
 	return source.source.List(ctx, prefix)
 }
 
-// TestFollowRestore restores a service from an older copy during an outage, and measures
-// how processes come to follow it: each by itself, or one that passes its copy to the
-// others, which is the way in use.
+// TestFollowRestore restores a service from an older copy during an outage, and checks how
+// long the processes take to follow the restored service. Either each of them follows the
+// service itself, or one does and passes its copy to the others, as in production.
 func TestFollowRestore(t *testing.T) {
 	type scenario struct {
-		processes int
-		alone     bool
-		within    time.Duration
+		processes   int
+		independent bool
+		within      time.Duration
 	}
 	cases := map[string]scenario{"9, one passes its copy on": {9, false, 500 * time.Millisecond}}
 	if *sizes {
@@ -215,7 +216,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			for _, overtaken := range []bool{false, true} {
-				took, lists, calls := measureRestore(t, test.processes, test.alone, overtaken)
+				took, lists, calls := measureRestore(t, test.processes, test.independent, overtaken)
 				t.Logf("revisions overtaken: %t; all follow after %s; %d lists, %d calls", overtaken, took, lists, calls)
 				assert.Assert(t, took < test.within, "it took %s", took)
 			}
@@ -224,8 +225,9 @@
 }
 
 // measureRestore returns how long it takes from the end of the outage until all processes
-// follow the restored service, and how often they list and call it meanwhile. If overtaken
-// is set, the service's revision numbers have passed the known ones by then.
+// follow the restored service, and how often they list and call it meanwhile. If
+// independent is set, each process follows the service itself. If overtaken is set, the
+// service's revision numbers have passed those that the processes know when the outage ends.
 func measureRestore(t *testing.T, processes int, independent, overtaken bool) (took time.Duration, lists, calls int64) {
 	t.Helper()
 	store := standin.NewStore()
@@ -282,8 +284,8 @@
 		change(100)
 	}
 	callsBefore, listsBefore := service.callCount(), service.lists.Load()
-	returned := clock.Now()
+	availableAt := clock.Now()
 	service.setErr(nil)
 	eventually(t, "all processes to follow the new era", reached(1))
-	return clock.Now() - returned, service.lists.Load() - listsBefore, int64(service.callCount() - callsBefore)
+	return clock.Now() - availableAt, service.lists.Load() - listsBefore, int64(service.callCount() - callsBefore)
 }
