--- a/group/drain.go
+++ b/group/drain.go
@@ -74,8 +74,7 @@
 	maps.DeleteFunc(planner.draining, func(id shedkeel.GroupID, _ *drainState) bool { return !seen[id] })
 }
 
-// hasLeavingMember reports whether the condition of a member of the group is
-// conditionLeaving.
+// hasLeavingMember reports whether a member of the group responds but is about to leave.
 func (round *round) hasLeavingMember(group shedkeel.Group) bool {
 	return slices.ContainsFunc(group.Members, func(member shedkeel.Member) bool { return round.condition(member) == conditionLeaving })
 }
--- a/group/fleet_test.go
+++ b/group/fleet_test.go
@@ -22,7 +22,7 @@
 	isOutage    func(now time.Duration) bool // whether the key-value service is unavailable at that time
 	noFallback  bool                         // the planner's Fallback is not used in outages
 
-	// The measures. A group is whole if it may serve (see isWhole).
+	// The measures. A group is whole if it can serve requests (see isWhole).
 	groupDown   time.Duration // time in which groups that the service wants were missing or not whole, summed over groups
 	stranded    time.Duration // time in which boxes (one accelerator each) were up and in no whole group, summed over boxes
 	crossDomain time.Duration // time in which boxes were in whole groups that span domains, summed over boxes
@@ -33,7 +33,7 @@
 	id            shedkeel.BoxID
 	domain        shedkeel.DomainID
 	downUntil     time.Duration // unreachable until then
-	losesState    bool          // its state is lost when it comes back
+	losesState    bool          // it has no state once it is reachable again
 	leaving       bool
 	boot          int
 	state         shedkeel.BoxState
@@ -118,8 +118,8 @@
 	return output
 }
 
-// fallBack repairs groups with their reserves, as Planner.Fallback decides, while the
-// key-value service is not available.
+// fallBack runs instead of Plan while the key-value service is not available. It repairs
+// groups with their reserves, as Planner.Fallback decides.
 func (fleet *fleet) fallBack(input shedkeel.PlanInput) {
 	planner, isPlanner := fleet.planner.(*Planner)
 	if !isPlanner || fleet.noFallback {
@@ -133,8 +133,8 @@
 	}
 }
 
-// updateBox restarts a box that comes back without its state, and advances one
-// that is loading.
+// updateBox restarts a box that has lost its state once the box is reachable again, and
+// advances a box that is loading.
 func (fleet *fleet) updateBox(box *box) {
 	if box.losesState && box.up(fleet.now) {
 		box.losesState = false
@@ -203,8 +203,9 @@
 	}
 }
 
-// isWhole reports whether a group may serve: it is not draining, no member is
-// leaving, and ProbeVerdict finds it whole from the answers of the boxes that are up.
+// isWhole reports whether a group can serve requests: it is not draining, no member is
+// leaving, and ProbeVerdict returns VerdictWhole for the answers of the boxes that are
+// up.
 func (fleet *fleet) isWhole(group shedkeel.Group) bool {
 	if group.Draining {
 		return false
--- a/group/form.go
+++ b/group/form.go
@@ -12,7 +12,7 @@
 // GroupsInZone returns how many groups of a service an availability zone must
 // hold. The groups are spread evenly over the service's zones; the zones whose
 // names sort first hold one more if the number does not divide evenly. It returns
-// 0 for zones that the service does not list and for services that are no models.
+// 0 for zones that the service does not list and for services that serve no model.
 func GroupsInZone(service shedkeel.Service, zone shedkeel.ZoneID) int {
 	zones := slices.Clone(service.Zones)
 	slices.Sort(zones)
@@ -29,8 +29,8 @@
 
 // consolidate removes a short group (see shortage) if its healthy members and the
 // free boxes suffice to repair another short group of the same service and domain,
-// and repeats this as long as there is such a pair. One group is then down in place
-// of two.
+// and repeats this as long as there is such a pair. Then one group is down instead of
+// two.
 func (round *round) consolidate() {
 	for {
 		donor, receiver := round.findDonor()
@@ -116,9 +116,9 @@
 // formGroup forms one group of the service from free boxes, in the order of
 // sortWarmFirst, and reports whether it did. Of the fabric domains with enough
 // free boxes for the group and the table's spares, it uses the one with the fewest.
-// If no domain has enough and the table allows it, the group spans domains. A
-// domain found by findSilentDomains never holds a group alone, but its free boxes
-// may join a group that spans domains.
+// If no domain has enough and the table allows it, the group spans domains. No group
+// is formed within a domain that findSilentDomains has marked, but the free boxes of
+// such a domain may join a group that spans domains.
 func (round *round) formGroup(service shedkeel.Service) bool {
 	best := shedkeel.DomainID("")
 	found := false
--- a/group/planner.go
+++ b/group/planner.go
@@ -1,6 +1,6 @@
 // Package group plans the replica groups of one availability zone. It decides
 // which boxes belong to which group, forms, repairs, drains and removes groups,
-// and derives the orders that bring the boxes into line with the agreed placement.
+// and derives the orders that bring the boxes into line with the committed placement.
 package group
 
 import (
@@ -17,14 +17,14 @@
 	DefaultMissAfter = 3 * time.Second
 	// DefaultDrainIdle is how long a group that receives no new requests must
 	// report no running or queued ones before the group is changed. It is longer
-	// than the time that entries (the processes that send requests to groups)
-	// take to learn that the group takes no new requests, and longer than the
-	// delay of the engines' reports.
+	// than the time until all entries (the processes that send requests to groups)
+	// have stopped sending new requests to the group, and longer than the delay of
+	// the engines' reports.
 	DefaultDrainIdle = 8 * time.Second
 )
 
-// Planner is the planner used in production. Its parameters are the result
-// of the policy (Table in the input). It follows four rules:
+// Planner is the planner used in production. The policy returns its parameters, which
+// are Table in the input. It follows four rules:
 //   - A member that lost its state is replaced at once, if possible by a box that
 //     has the weights loaded.
 //   - A silent member is replaced only after ReplaceAfter of the parameters, or
@@ -33,9 +33,9 @@
 //   - A leaving member is replaced only when its group has no requests in flight
 //     and its substitute has the weights, unless the group must be changed anyway
 //     because another member has failed.
-//   - No group of a fabric domain is repaired, and none is formed in it, while so
-//     many of its boxes are silent that the cause is taken to be the domain (the
-//     parameters' DomainFailureFraction).
+//   - While at least two boxes of a fabric domain, and at least the fraction
+//     DomainFailureFraction of its boxes, are silent, the domain itself is presumed to
+//     have failed: no group of the domain is repaired, and none is formed in it.
 //
 // A Planner keeps state between calls and must not be used concurrently.
 type Planner struct {
@@ -48,7 +48,7 @@
 
 // Plan returns the next placement of one availability zone, the decisions that
 // led to it, and the orders for its boxes. Load and release orders follow the
-// placement in the input, which is agreed, not the one that Plan proposes.
+// placement in the input, which is the committed one, not the one that Plan proposes.
 func (planner *Planner) Plan(input shedkeel.PlanInput) shedkeel.PlanOutput {
 	planner.trackSilence(input)
 	round := newRound(planner, input)
@@ -106,7 +106,7 @@
 const (
 	conditionHealthy condition = iota
 	conditionLeaving           // responds, but its box is about to leave
-	conditionSilent            // does not respond; may come back with its state
+	conditionSilent            // does not respond; may still have its state
 	conditionLost              // restarted without its state, or is no longer listed
 )
 
@@ -115,7 +115,7 @@
 	planner        *Planner
 	input          shedkeel.PlanInput
 	next           shedkeel.Placement                       // the placement that is proposed
-	ids            []shedkeel.BoxID                         // of all listed boxes, sorted
+	ids            []shedkeel.BoxID                         // of all boxes in the input, sorted
 	assigned       map[shedkeel.BoxID]bool                  // members of any group of next
 	operatorDrains map[shedkeel.BoxID]bool                  // boxes that operators drain
 	free           map[shedkeel.DomainID][]shedkeel.BoxView // usable boxes in no group, sorted by ID
@@ -154,14 +154,14 @@
 }
 
 // findSilentDomains marks the fabric domains in which at least two boxes, and at
-// least the fraction DomainFailureFraction of all boxes, are silent. The cause is then
-// taken to be the domain and not its boxes. With a fraction of 0 it marks none.
+// least the fraction DomainFailureFraction of all boxes, are silent. Such a domain is
+// presumed to have failed as a whole. With a fraction of 0 the method marks none.
 func (round *round) findSilentDomains() {
 	total := map[shedkeel.DomainID]int{}
 	silent := map[shedkeel.DomainID]int{}
 	for id, view := range round.input.Boxes {
 		total[view.Box.Domain]++
-		if _, gone := round.planner.silentSince[id]; gone {
+		if _, isSilent := round.planner.silentSince[id]; isSilent {
 			silent[view.Box.Domain]++
 		}
 	}
--- a/group/planner_test.go
+++ b/group/planner_test.go
@@ -22,8 +22,8 @@
 
 // TestBoxIsInAtMostOneGroup runs random histories of losses, drains and changed
 // group counts. Every placement must be valid (no box in two groups), epochs must
-// not fall, and members must not change within an epoch. The number of whole groups
-// (those that may serve, see isWhole) shows that the histories are not idle.
+// not decrease, and members must not change within an epoch. A minimum number of whole
+// groups (see isWhole) ensures that the planner does form groups in these histories.
 func TestBoxIsInAtMostOneGroup(t *testing.T) {
 	for name, table := range testParameters {
 		t.Run(name, func(t *testing.T) {
@@ -55,7 +55,7 @@
 		fleet.advance()
 		assert.NilError(t, fleet.placement.Validate(), "seed %d at %s", seed, fleet.now)
 		for _, group := range fleet.placement.Groups {
-			assert.Assert(t, group.Epoch >= epochs[group.ID], "seed %d: epoch of %s fell", seed, group.ID)
+			assert.Assert(t, group.Epoch >= epochs[group.ID], "seed %d: the epoch of %s decreased", seed, group.ID)
 			epochs[group.ID] = group.Epoch
 			assertSameMembers(t, before, group)
 			if fleet.isWhole(group) {
@@ -103,7 +103,7 @@
 	return fleet
 }
 
-// countWhole returns the number of groups that may serve.
+// countWhole returns the number of groups that can serve requests (see isWhole).
 func countWhole(fleet *fleet) int {
 	count := 0
 	for _, group := range fleet.placement.Groups {
@@ -115,7 +115,7 @@
 }
 
 // timeToRecover runs the fleet until the wanted number of groups is whole, and
-// returns how long that took, or longest if they are not whole by then.
+// returns how long that takes, or longest if it takes longer.
 func timeToRecover(fleet *fleet, wanted int, longest time.Duration) time.Duration {
 	start := fleet.now
 	for fleet.now-start < longest {
@@ -169,9 +169,9 @@
 	return -1
 }
 
-// TestPauseWithinPatienceChangesNoGroup checks that a member that is silent for
+// TestPauseWithinReplaceAfterChangesNoGroup checks that a member that is silent for
 // less than ReplaceAfter and keeps its state causes no change of the groups.
-func TestPauseWithinPatienceChangesNoGroup(t *testing.T) {
+func TestPauseWithinReplaceAfterChangesNoGroup(t *testing.T) {
 	fleet := newSteadyFleet(t, testParameters["one warm spare"], 1, 9, 2)
 	before := fleet.placement.Clone()
 	fleet.applyLoss(loss{box: boxIndex(fleet, before.Groups[0].Members[0].Box), duration: 4 * time.Second, keepsState: true})
@@ -254,11 +254,11 @@
 	}
 }
 
-// TestBothPlannersKeepTheRules runs Planner and Naive on random losses. Both must
+// TestBothPlannersKeepInvariants runs Planner and Naive on random losses. Both must
 // keep each box in at most one group, and isWhole, which uses ProbeVerdict, must agree
 // with referenceWhole for every group. The planners are not compared with each
 // other.
-func TestBothPlannersKeepTheRules(t *testing.T) {
+func TestBothPlannersKeepInvariants(t *testing.T) {
 	planners := map[string]func() shedkeel.Planner{
 		"planner": func() shedkeel.Planner { return &Planner{} },
 		"naive":   func() shedkeel.Planner { return &Naive{} },
@@ -302,8 +302,8 @@
 	return true
 }
 
-// TestInspect checks the verdict on a group of two for each state of the second
-// member.
+// TestInspect checks the verdict of ProbeVerdict on a group of two for each state of the
+// second member.
 func TestInspect(t *testing.T) {
 	group := shedkeel.Group{ID: "g", Epoch: 2, Members: []shedkeel.Member{{Box: "a", Boot: "1"}, {Box: "b", Boot: "1"}}}
 	ready := shedkeel.BoxState{Boot: "1", Phase: shedkeel.PhaseReady, Assigned: group.Assignment()}
--- a/group/reconcile.go
+++ b/group/reconcile.go
@@ -7,12 +7,12 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Reconcile returns the orders that bring the boxes into line with the agreed
-// placement: load orders for members that have not joined their group, and
+// Reconcile returns the orders that bring the boxes into line with the placement
+// in the input: load orders for members that have not joined their group, and
 // release orders for boxes that report a group but are members of none. Boxes that
-// have never answered, and members whose box runs under another boot, get no
-// order. It keeps no state: an order that was lost is sent again when the next
-// probe shows that the box has not carried it out.
+// have never answered, and members whose box has restarted since it became a member,
+// get no order. Reconcile keeps no state: it returns an order again as long as the
+// probes show that the box has not carried it out, for example because it was lost.
 func Reconcile(input shedkeel.PlanInput) []shedkeel.Order {
 	var orders []shedkeel.Order
 	members := map[shedkeel.BoxID]bool{}
@@ -70,10 +70,10 @@
 
 // ProbeVerdict returns the verdict on a group from one round of probes. The answers
 // map holds the members that answered; refused holds those that refused the
-// connection. The group is broken if a member refused, or answered under another
-// boot or assignment, or is not ready; otherwise silent if a member did not
-// answer; otherwise draining if a member reports that it is leaving; and
-// otherwise whole: every member is ready under the group's assignment.
+// connection. The verdict is VerdictBroken if a member refused, or answered under
+// another boot or assignment, or is not ready; otherwise VerdictNoReply if a member did
+// not answer; otherwise VerdictDraining if a member reports that it is leaving; and
+// otherwise VerdictWhole: every member is ready under the group's assignment.
 func ProbeVerdict(group shedkeel.Group, answers map[shedkeel.BoxID]shedkeel.BoxState, refused map[shedkeel.BoxID]bool) shedkeel.Verdict {
 	verdict := shedkeel.VerdictWhole
 	for _, member := range group.Members {
--- a/group/repair.go
+++ b/group/repair.go
@@ -22,7 +22,7 @@
 }
 
 // repairGroups replaces failed and leaving members of all groups that are not
-// draining. It skips groups in the fabric domains found by findSilentDomains.
+// draining. It skips groups in the fabric domains that findSilentDomains has marked.
 func (round *round) repairGroups() {
 	for index := range round.next.Groups {
 		group := &round.next.Groups[index]
@@ -77,8 +77,8 @@
 }
 
 // membersToReplace returns the indexes of the members that have failed and of
-// those that are leaving. A silent member counts as failed unless it is
-// withinReplaceAfter, which makes a substitute load the weights meanwhile.
+// those that are leaving. A silent member counts as failed once withinReplaceAfter
+// returns false for it. Until then that method makes a substitute load the weights.
 func (round *round) membersToReplace(group *shedkeel.Group) (failed, leaving []int) {
 	for position, member := range group.Members {
 		switch round.condition(member) {
@@ -99,28 +99,28 @@
 }
 
 // withinReplaceAfter reports whether a silent member must not be replaced yet, because
-// it has been silent for less than ReplaceAfter. If the best substitute
-// lacks the weights, it is made to load them. If it has them, the limit is
-// WarmReplaceAfter in place of ReplaceAfter, because a replacement is then cheap and
-// waiting is rarely worth it.
+// it has been silent for less than ReplaceAfter. If the best substitute lacks the
+// weights, the method makes it load them. If it has them, the limit is WarmReplaceAfter
+// instead of ReplaceAfter, because a replacement is then cheap and waiting is rarely
+// worth it.
 func (round *round) withinReplaceAfter(group *shedkeel.Group, member shedkeel.Member) bool {
-	patience := round.input.Table.ReplaceAfter
+	replaceAfter := round.input.Table.ReplaceAfter
 	for _, substitute := range round.substitutes(group, 1) {
 		if hasWeights(substitute, group.Service) {
-			patience = round.input.Table.WarmReplaceAfter
+			replaceAfter = round.input.Table.WarmReplaceAfter
 			continue
 		}
 		round.prefetch[substitute.Box.ID] = group.Service
 	}
-	return round.input.Now-round.planner.silentSince[member.Box] < patience
+	return round.input.Now-round.planner.silentSince[member.Box] < replaceAfter
 }
 
 // substitutes returns up to count free boxes for the group, in the order of
 // sortWarmFirst. They come from the group's domain, or from all domains if the
 // group spans several or if its domain has too few and the table allows
 // cross-domain groups. The group's own boxes that restarted without their state
-// and respond again also count as free. They come after other boxes of the same
-// loadRank, so that they rejoin only when no better box is available.
+// and respond again also count as free. They are sorted after the other boxes of the
+// same loadRank, so that a box that has just restarted is the last choice of its rank.
 func (round *round) substitutes(group *shedkeel.Group, count int) []shedkeel.BoxView {
 	candidates := slices.Clone(round.free[group.Domain])
 	if group.Domain == "" || round.input.Table.CrossDomain && len(candidates) < count {
--- a/group/reserve.go
+++ b/group/reserve.go
@@ -11,11 +11,12 @@
 // another one.
 const reserveSilenceLimit = time.Minute
 
-// assignReserves gives each group a reserve if its domain has a free box: one that
-// is agreed in advance to replace a lost member while the key-value service is not
-// available. Draining groups and groups that span domains get none. Groups of
-// unfenced services get none either, because their engines would also carry out
-// the orders of a planner that another one has replaced.
+// assignReserves gives each group a reserve if its domain has a free box. A reserve is a
+// box that the placement names in advance, so that it can replace a lost member while
+// the key-value service is not available and no new placement can be committed. Draining
+// groups and groups that span domains get none. Groups of unfenced services get none
+// either, because their engines do not check the epoch of orders and would carry out
+// those of a planner that another one has replaced.
 func (round *round) assignReserves() {
 	reserved := map[shedkeel.BoxID]bool{}
 	for index := range round.next.Groups {
@@ -46,9 +47,9 @@
 }
 
 // reserveAvailable reports whether the group keeps its reserve: the box is listed, in
-// no group, not leaving, and under the agreed boot if it responds. A silent reserve
-// is kept for reserveSilenceLimit, and for as long as findSilentDomains finds the
-// group's domain.
+// no group and not leaving, and, if it responds, it has not restarted since it became
+// the reserve. A silent reserve is kept for reserveSilenceLimit, or longer while
+// findSilentDomains marks the group's domain.
 func (round *round) reserveAvailable(group *shedkeel.Group) bool {
 	box := group.Reserve.Member.Box
 	view, listed := round.input.Boxes[box]
@@ -65,9 +66,9 @@
 // use their reserve, and returns for each of them the member that the reserve
 // replaces. A group is repaired only if it is not draining, exactly one member has
 // lost its state, is no longer listed or has been silent for at least
-// WarmReplaceAfter, and the reserve responds and has the weights. Groups in domains found
-// by findSilentDomains are left alone. Each group has a single reserve, so it is
-// repaired at most once.
+// WarmReplaceAfter, and the reserve responds and has the weights. Groups in domains that
+// findSilentDomains has marked are not repaired. Each group has a single reserve, so it
+// is repaired at most once.
 func (planner *Planner) Fallback(input shedkeel.PlanInput) map[shedkeel.GroupID]shedkeel.BoxID {
 	planner.trackSilence(input)
 	round := newRound(planner, input)
@@ -84,8 +85,8 @@
 	return lost
 }
 
-// reserveReady reports whether the group's reserve can join at once: usable, under
-// the agreed boot and with the weights loaded.
+// reserveReady reports whether the group's reserve can join at once: it is usable, has not
+// restarted since it became the reserve and has the weights loaded.
 func (round *round) reserveReady(group *shedkeel.Group) bool {
 	view := round.input.Boxes[group.Reserve.Member.Box]
 	return round.usable(view) && view.State.Boot == group.Reserve.Member.Boot && hasWeights(view, group.Service)
--- a/group/trace_test.go
+++ b/group/trace_test.go
@@ -25,7 +25,7 @@
 	at         time.Duration // virtual time at which it begins
 	box        int           // index of the box in the fleet
 	duration   time.Duration // how long the box is unreachable
-	keepsState bool          // the box comes back with its state
+	keepsState bool          // the box still has its state when it is reachable again
 	notice     time.Duration // how long before the loss the box is listed as leaving; 0: unannounced
 	isDomain   bool          // all boxes of the box's domain are lost
 	isZone     bool          // all boxes are lost
@@ -96,7 +96,7 @@
 	}
 }
 
-// settleTicks is how many ticks without a change must pass before run skips time.
+// settleTicks is how many ticks without a change must pass before run skips ticks.
 // It is longer than any ReplaceAfter in the parameters that are measured here.
 const settleTicks = 90
 
@@ -142,9 +142,9 @@
 	return true
 }
 
-// skipAhead advances to the tick before the next event: a loss, a notice, the return
-// of a box or the end at length. The measures grow for each skipped tick as they do
-// in the current one.
+// skipAhead advances to the tick before the next event: a loss, a notice, a box that
+// becomes reachable again, or the end at length. The measures grow for each skipped tick
+// as they do in the current one.
 func (fleet *fleet) skipAhead(pending, notices []loss, length time.Duration) {
 	next := length
 	if len(pending) > 0 {
@@ -174,8 +174,8 @@
 var days = flag.Int("days", shortTrace, "length in days of the loss trace that planners are measured on")
 
 const (
-	// shortTrace, in days, is long enough for what TestTrace asserts. With a
-	// larger -days also the candidates that it asserts nothing on are measured.
+	// shortTrace, in days, is long enough for what TestTrace asserts. With a larger
+	// -days the test also measures the candidates on which it asserts nothing.
 	shortTrace   = 3
 	traceDomains = 4
 	traceBoxes   = 36 // in each domain: 4 groups of 8 and 4 boxes left over
@@ -221,8 +221,8 @@
 	}
 	boxes := cmp.Or(candidate.boxes, traceBoxes)
 	fleet := newFleet(planner, candidate.table, traceDomains, boxes, candidate.groups, traceMembers)
-	// The boxes left over in each domain start without weights, like restarted
-	// boxes for which the planner has not ordered a prefetch.
+	// The boxes that are left over in each domain start without weights, like boxes
+	// that have restarted and have not got a prefetch order yet.
 	for index, box := range fleet.boxes {
 		if index%boxes < boxes/traceMembers*traceMembers {
 			box.state.Weights, box.state.Phase = "model", shedkeel.PhaseWarm
@@ -285,7 +285,7 @@
 		{name: "karadere without warm spares", table: variant(karadere, func(table *shedkeel.PlannerParameters) { table.WarmSpares = false }), groups: 16},
 		{name: "karadere with 5 s of patience for a warm spare", table: variant(karadere, func(table *shedkeel.PlannerParameters) { table.WarmReplaceAfter = 5 * time.Second }), groups: 16},
 		{name: "karadere with consolidation", table: variant(karadere, func(table *shedkeel.PlannerParameters) { table.Consolidate = true }), groups: 16},
-		{name: "karadere with StormFraction 0", table: variant(karadere, func(table *shedkeel.PlannerParameters) { table.DomainFailureFraction = 0 }), groups: 16},
+		{name: "karadere with DomainFailureFraction 0", table: variant(karadere, func(table *shedkeel.PlannerParameters) { table.DomainFailureFraction = 0 }), groups: 16},
 		{asserted: true, name: "naive, 18 groups wanted", naive: true, groups: 18},
 		{asserted: true, name: "nafha, 18 groups wanted", table: nafha, groups: 18},
 		{name: "nafha without cross-domain groups", table: variant(nafha, func(table *shedkeel.PlannerParameters) { table.CrossDomain = false }), groups: 18},
@@ -294,7 +294,7 @@
 		{name: "naive, no boxes over", naive: true, groups: 16, boxes: 32},
 		{name: "nafha, no boxes over", table: nafha, groups: 16, boxes: 32},
 		{name: "nafha with consolidation, no boxes over", table: variant(nafha, func(table *shedkeel.PlannerParameters) { table.Consolidate = true }), groups: 16, boxes: 32},
-		{name: "nafha with StormFraction 0, no boxes over", table: variant(nafha, func(table *shedkeel.PlannerParameters) { table.DomainFailureFraction = 0 }), groups: 16, boxes: 32},
+		{name: "nafha with DomainFailureFraction 0, no boxes over", table: variant(nafha, func(table *shedkeel.PlannerParameters) { table.DomainFailureFraction = 0 }), groups: 16, boxes: 32},
 		{name: "nafha without patience, no boxes over", table: variant(nafha, func(table *shedkeel.PlannerParameters) { table.ReplaceAfter = 0 }), groups: 16, boxes: 32},
 		{name: "nafha without cross-domain groups, no boxes over", table: variant(nafha, func(table *shedkeel.PlannerParameters) { table.CrossDomain = false }), groups: 16, boxes: 32},
 		{name: "naive, 16 groups, service outages", naive: true, groups: 16, outages: true},
