--- a/swim/comparison_test.go
+++ b/swim/comparison_test.go
@@ -13,10 +13,11 @@
 )
 
 const (
-	// heartbeatInterval is how often a node sends a heartbeat with the detectors that
-	// swim is compared to, and heartbeatTimeout the time without one after which it is
-	// dead. They detect a failure as late as swim does, so that the detectors differ
-	// only in their cost and in which nodes they declare dead.
+	// heartbeatInterval is the time between two heartbeats of a node in the detectors
+	// that swim is compared with, and heartbeatTimeout the time without a heartbeat after
+	// which the node counts as dead. With these values the detectors take as long as swim
+	// to detect a failure, and differ only in their cost and in which nodes they declare
+	// dead.
 	heartbeatInterval = 500 * time.Millisecond
 	heartbeatTimeout  = 2 * time.Second
 	// watchersPerNode is how many others receive a node's heartbeats where only some
@@ -53,13 +54,13 @@
 	for _, peer := range peers {
 		heartbeatDetector.byHash[shedkeel.HashNode(peer)] = peer
 		if peer != heartbeatDetector.self && slices.Contains(heartbeatDetector.watchersOf(peer), heartbeatDetector.self) {
-			heartbeatDetector.lastHeartbeat[peer] = time.Second // the emulated fleets start then
+			heartbeatDetector.lastHeartbeat[peer] = time.Second // when the nodes of the emulated fleets start
 		}
 	}
 }
 
-// watchersOf returns which nodes receive a node's heartbeats: all, or the next ones in a
-// ring.
+// watchersOf returns which nodes receive a node's heartbeats: all, or with watchersOnly the
+// watchersPerNode that follow it in a ring.
 func (heartbeatDetector *heartbeatDetector) watchersOf(peer shedkeel.NodeID) []shedkeel.NodeID {
 	if !heartbeatDetector.watchersOnly {
 		return heartbeatDetector.peers
@@ -153,7 +154,7 @@
 		"heartbeats to some": newHeartbeatDetector(true),
 	}
 	sizes := []int{9, 66, 89}
-	if *plays > 1 {
+	if *seedFactor > 1 {
 		sizes = append(sizes, 300)
 	}
 	cost := map[string]map[int]float64{}
@@ -169,8 +170,8 @@
 				before := fleet.bytesSent
 				fleet.run(5 * time.Second)
 				cost[name][size] = float64(fleet.bytesSent-before) / 5 / float64(size)
-				single = append(single, fleet.timeLoss(1))
-				took := fleet.timeLoss(len(fleet.living()) / 2)
+				single = append(single, fleet.measureDetection(1))
+				took := fleet.measureDetection(len(fleet.living()) / 2)
 				half = append(half, took)
 				if took >= detectionLimit {
 					undetected[name]++
@@ -198,12 +199,13 @@
 	assert.Assert(t, undetected["heartbeats to some"] > 0)
 }
 
-// detectionLimit is how long detection of a loss may take before it counts as failed.
+// detectionLimit is how long the detection of dead nodes may take before it counts as
+// failed.
 const detectionLimit = 10 * time.Second
 
-// timeLoss has random nodes lose power, and returns how long it takes until all others
+// measureDetection has random nodes fail, and returns how long it takes until all others
 // declare them dead.
-func (fleet *fleet) timeLoss(count int) time.Duration {
+func (fleet *fleet) measureDetection(count int) time.Duration {
 	dead := fleet.pick(count)
 	for _, node := range dead {
 		node.dead = true
--- a/swim/detector.go
+++ b/swim/detector.go
@@ -19,12 +19,12 @@
 
 const (
 	// pingInterval is the time between two pings. In a large fleet each node is pinged
-	// within an interval with a probability of 0.63 or more, so that one in a hundred
-	// failures is first noticed after 4.6 intervals.
+	// by some other node within an interval with a probability of 0.63 or more, so that
+	// no more than one in a hundred failures stays unnoticed for 4.6 intervals.
 	pingInterval = 200 * time.Millisecond
 	// ackTimeout is how long a node may take to answer a ping before others are asked
-	// to ping it. 3 ms are usual, and a box that has used up its share of a core stalls
-	// for up to 100 ms.
+	// to ping it. An answer usually takes 3 ms, but a box that has used up its CPU quota
+	// stalls for up to 100 ms.
 	ackTimeout = 150 * time.Millisecond
 	// indirectTimeout is how much longer the node may take to answer an indirect ping
 	// before it is suspected.
@@ -37,36 +37,37 @@
 	// above, no node that stalls for less than 2 s is declared dead.
 	suspicionTimeout = 1600 * time.Millisecond
 	// refutationTime is the minimum time between the receipt of a suspicion and the
-	// declaration of a death, however old the suspicion is: within it a refutation
-	// arrives from any of 300 nodes. Without it, a node that had been cut off spread
-	// suspicions that were old enough to take effect at once.
+	// declaration of a death, however old the suspicion is. It is long enough for a
+	// refutation to arrive from any of 300 nodes. Without this minimum, a node that had
+	// been cut off spread suspicions that were old enough to take effect at once.
 	refutationTime = 800 * time.Millisecond
 	// isolationTimeout is the time without a datagram after which a node counts itself
-	// as cut off. It then neither suspects others nor declares them dead.
+	// as cut off. While it is cut off, it neither suspects others nor declares them dead.
 	isolationTimeout = 700 * time.Millisecond
-	// stallThreshold is the time between two ticks from which on a node has itself
-	// stalled: others may suspect it, and its open probes prove nothing.
+	// stallThreshold is the time between two ticks above which a node takes itself to have
+	// stalled: others may suspect it, and its open probes prove nothing about their
+	// targets.
 	stallThreshold = 600 * time.Millisecond
 	// startupTrustTime is for how long after its own start a node presumes newly listed
 	// nodes to be alive, as all of a fleet may start together. A node that is listed
-	// later counts as alive once any node has received a message from it: a record that
-	// was written late, or read from an old copy, may be that of a dead node, and such
-	// a node counted as alive for another 2.3 s.
+	// later counts as alive once any node has received a message from it. Its record may
+	// have been written late, or read from an old copy, when the node was already dead:
+	// without this rule such a node counted as alive for another 2.3 s.
 	startupTrustTime = 3 * time.Second
 	// announceFanout is to how many nodes a node sends an update about itself at once.
 	announceFanout = 5
 	// maxExtraPings bounds the additional pings per interval that a node sends when
-	// some have no answer, or when a dead node is heard again.
+	// pings have no answer, or when it receives a message from a dead node.
 	maxExtraPings = 8
 	// deadPingRounds is the number of ping intervals between additional pings to a
-	// random node that is dead or has left. Regular pings skip such a node, which may
-	// be alive without knowing how others list it. After a network partition both
-	// sides find each other by these pings.
+	// random node that is dead or has left. Regular pings skip such a node, although
+	// it may be alive and unaware that it counts as dead. After a network partition
+	// both sides find each other by these pings.
 	deadPingRounds = 4
 	// maxUpdates bounds the updates of a message to what one datagram of 1.1 kB holds.
 	maxUpdates = 50
-	// retransmitFactor, times the logarithm of the number of nodes, is how often an
-	// update is sent.
+	// retransmitFactor, times the binary logarithm of the number of nodes, is how often a
+	// node sends an update (see transmitLimit).
 	retransmitFactor = 3
 )
 
@@ -92,7 +93,7 @@
 	pingRounds       int
 	extraPings       int           // pings of this interval beside the regular one
 	lastReceived     time.Duration // when a datagram came last
-	lastConnected    time.Duration // when something other than a peer responded last
+	lastContact      time.Duration // when something other than a peer responded last (see NoteContact)
 	changes          uint64
 }
 
@@ -102,11 +103,11 @@
 	hash             uint64
 	liveness         shedkeel.Liveness
 	incarnation      uint32
-	noticePending    bool          // the node is to be informed that it is suspected or counts as left
+	noticePending    bool          // this node is to notify it that it is suspected or counts as left
 	suspectedAt      time.Duration // when the suspicion began
 	suspicionHeardAt time.Duration // when this node received or raised the suspicion
 	lastReceived     time.Duration // when a datagram came from it last
-	lastAlive        time.Duration // the last time at which this node knew it to be alive
+	lastAlive        time.Duration // when a message or an update last confirmed that it is alive
 	presumedAlive    bool          // listed during this node's start: counts as alive though nothing confirms it
 	transmitsLeft    int           // how often the update about it is still to be sent
 }
@@ -128,7 +129,8 @@
 // never is the time of an event that has not happened.
 const never = math.MinInt64 / 2
 
-// SetPeers sets the nodes to be monitored. The state of all others is dropped.
+// SetPeers replaces the set of monitored nodes. It drops the state of nodes that are no
+// longer in the set.
 func (detector *Detector) SetPeers(ids []shedkeel.NodeID) {
 	oldPeers := detector.peers
 	detector.peers = make(map[shedkeel.NodeID]*peer, len(ids))
@@ -151,11 +153,12 @@
 // NoteContact records that something other than a peer has responded to this node, which is
 // therefore not cut off.
 func (detector *Detector) NoteContact(now time.Duration) {
-	detector.lastConnected = max(detector.lastConnected, now)
+	detector.lastContact = max(detector.lastContact, now)
 }
 
 // Liveness returns the liveness of a node. A node that is not monitored is Alive. One
-// that was listed after this node's start is Unconfirmed until something shows that it lives.
+// that was listed after this node's start is Unconfirmed until this node receives a
+// message from it, or an update by a node that has received one.
 func (detector *Detector) Liveness(id shedkeel.NodeID) shedkeel.Liveness {
 	peer := detector.peers[id]
 	switch {
@@ -167,7 +170,8 @@
 	return peer.liveness
 }
 
-// startingUp reports whether this node has just started.
+// startingUp reports whether Tick has not been called yet, or was first called less than
+// startupTrustTime before its last call.
 func (detector *Detector) startingUp() bool {
 	return detector.lastTick == 0 || detector.lastTick-detector.startedAt < startupTrustTime
 }
@@ -186,10 +190,10 @@
 // Isolated reports whether this node is cut off: it receives nothing, neither from peers
 // nor from anything else.
 func (detector *Detector) Isolated(now time.Duration) bool {
-	return now-max(detector.lastReceived, detector.lastConnected) > isolationTimeout
+	return now-max(detector.lastReceived, detector.lastContact) > isolationTimeout
 }
 
-// Leave announces to others that this node stops.
+// Leave returns the datagrams that announce to some other nodes that this node stops.
 func (detector *Detector) Leave(now time.Duration) []shedkeel.GossipDatagram {
 	detector.leaving = true
 	return detector.announce(now)
@@ -217,7 +221,7 @@
 	return sent
 }
 
-// init makes the tables.
+// init allocates the maps at the first use of the detector.
 func (detector *Detector) init() {
 	if detector.probes == nil {
 		detector.probes = map[uint64]*probe{}
@@ -226,7 +230,8 @@
 }
 
 // resume resets the detector at its start and after this node has stalled. After a stall
-// others may suspect this node, and its open probes prove nothing.
+// others may suspect this node, so it raises its incarnation to refute them, and its open
+// probes prove nothing about their targets.
 func (detector *Detector) resume(now time.Duration) []shedkeel.GossipDatagram {
 	clear(detector.probes)
 	clear(detector.relayedPings)
@@ -242,7 +247,7 @@
 	return detector.announce(now)
 }
 
-// announce sends the update about this node to some others at once.
+// announce returns pings to some other nodes, which carry the update about this node.
 func (detector *Detector) announce(now time.Duration) []shedkeel.GossipDatagram {
 	detector.init()
 	detector.ownTransmitsLeft = detector.transmitLimit()
@@ -253,14 +258,15 @@
 	return sent
 }
 
-// suspect raises a suspicion, unless this node itself may be cut off.
+// suspect raises a suspicion of a node that is alive, unless this node itself is cut off.
 func (detector *Detector) suspect(now time.Duration, peer *peer) {
 	if peer.liveness == shedkeel.Alive && !detector.Isolated(now) {
 		detector.startSuspicion(now, peer, now)
 	}
 }
 
-// startSuspicion marks a node as suspected and has others informed.
+// startSuspicion marks a node as suspected since the given time, and schedules updates to
+// others and a notice to the node itself.
 func (detector *Detector) startSuspicion(now time.Duration, peer *peer, since time.Duration) {
 	detector.setLiveness(peer, shedkeel.Suspected)
 	peer.suspectedAt, peer.suspicionHeardAt, peer.noticePending = since, now, true
@@ -283,7 +289,9 @@
 	}
 }
 
-// transmitLimit returns how often an update is sent.
+// transmitLimit returns how many times this node sends an update. The number grows with
+// the logarithm of the size of the fleet, as the number of steps does in which gossip
+// reaches all nodes.
 func (detector *Detector) transmitLimit() int {
 	return retransmitFactor * int(math.Ceil(math.Log2(float64(len(detector.peers)+2))))
 }
--- a/swim/detector_test.go
+++ b/swim/detector_test.go
@@ -13,12 +13,12 @@
 	"shedkeel.org/shedkeel/swim"
 )
 
-// plays multiplies the number of seeds.
-var plays = flag.Uint64("plays", 1, "factor for the number of seeds")
+// seedFactor multiplies the number of seeds. Values above 1 also run the largest fleets.
+var seedFactor = flag.Uint64("plays", 1, "factor for the number of seeds")
 
 // seedCount returns how many seeds a fleet of the size is run with. Large fleets take
 // seconds per run.
-func seedCount(size int) uint64 { return max(1, 60/uint64(size)) * *plays }
+func seedCount(size int) uint64 { return max(1, 60/uint64(size)) * *seedFactor }
 
 func newDetector(id shedkeel.NodeID, random shedkeel.Random) shedkeel.FailureDetector {
 	return &swim.Detector{Self: id, Random: random}
@@ -34,9 +34,10 @@
 	return fleet
 }
 
-// TestDeadNodesAreDetected has part of a fleet lose power at once. Every living node must
-// know within the limit of the case, without any other source. The platform asks for 5 s,
-// and for 3 s in 99 of 100 cases of a single dead node; the test logs that percentile.
+// TestDeadNodesAreDetected has some nodes of a fleet fail at once. Every living node must
+// declare them dead within the limit of the case, by the detector alone. The platform
+// requires 5 s, and 3 s in 99 of 100 cases of a single dead node; the test logs that
+// percentile.
 func TestDeadNodesAreDetected(t *testing.T) {
 	cases := map[string]struct {
 		size  int
@@ -60,7 +61,7 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			if test.size > 300 && *plays == 1 {
+			if test.size > 300 && *seedFactor == 1 {
 				t.Skip("takes half a minute; run it with -plays 2")
 			}
 			var took []time.Duration
@@ -89,7 +90,8 @@
 }
 
 // TestStalledNodes has nodes stall. A node that stalls for less than 2 s must not be
-// declared dead; one that was must be alive in all views within 1 s of its resumption.
+// declared dead. One that stalls for longer and is declared dead must no longer count as
+// dead at any node 1 s after it resumes.
 func TestStalledNodes(t *testing.T) {
 	for _, size := range []int{9, 66, 300} {
 		for name, test := range map[string]struct {
@@ -118,9 +120,9 @@
 	}
 }
 
-// TestLateListedNodes lists a node in a fleet that has run for a while. If it is dead, as by
-// a record that was written late, it must never be alive in any view. If it lives, it must be
-// alive in all views within 1.5 s.
+// TestLateListedNodes lists a node in a fleet that has run for a while. If the node is dead,
+// since its record was written late, it must never count as alive at any node. If it lives,
+// it must count as alive at all nodes within 1.5 s.
 func TestLateListedNodes(t *testing.T) {
 	for _, size := range []int{9, 66, 300} {
 		for name, lives := range map[string]bool{"alive": true, "dead": false} {
--- a/swim/fleet_test.go
+++ b/swim/fleet_test.go
@@ -27,8 +27,8 @@
 	nodes     []*node
 	byName    map[shedkeel.NodeID]*node
 	queue     events
-	serial    int
-	loss      float64
+	serial    int                       // of the last event that was queued; orders events of the same time
+	loss      float64                   // the fraction of datagrams that is lost
 	blocked   func(from, to *node) bool // whether a link drops all datagrams; nil: no link does
 	bytesSent int                       // by all nodes
 }
@@ -39,7 +39,7 @@
 	detector     shedkeel.FailureDetector
 	dead         bool
 	stalled      bool
-	disconnected bool                     // reaches no other node and is reached by none
+	disconnected bool                     // the network drops all datagrams to and from it
 	inbox        []shedkeel.GossipMessage // received while it was stalled
 }
 
@@ -65,7 +65,8 @@
 	return last
 }
 
-// newFleet returns a fleet whose nodes know each other.
+// newFleet returns a fleet of the given size whose nodes monitor each other. The nodes
+// start after a second of virtual time.
 func newFleet(seed uint64, size int, build func(id shedkeel.NodeID, random shedkeel.Random) shedkeel.FailureDetector) *fleet {
 	fleet := &fleet{random: rand.New(rand.NewPCG(seed, 1)), byName: map[shedkeel.NodeID]*node{}}
 	var names []shedkeel.NodeID
@@ -88,26 +89,26 @@
 	heap.Push(&fleet.queue, event)
 }
 
-// run advances virtual time by the length.
+// run advances virtual time by the length and handles the events that are due by then.
 func (fleet *fleet) run(length time.Duration) {
 	end := fleet.now + length
 	for fleet.queue[0].at <= end {
-		one := heap.Pop(&fleet.queue).(event)
-		fleet.now = one.at
-		fleet.handle(one)
+		due := heap.Pop(&fleet.queue).(event)
+		fleet.now = due.at
+		fleet.handle(due)
 	}
 	fleet.now = end
 }
 
 // handle runs an event.
-func (fleet *fleet) handle(one event) {
-	node := one.node
+func (fleet *fleet) handle(due event) {
+	node := due.node
 	switch {
 	case node.dead:
-	case one.message != nil && node.stalled:
-		node.inbox = append(node.inbox, *one.message)
-	case one.message != nil:
-		fleet.send(node, node.detector.Receive(fleet.now, *one.message))
+	case due.message != nil && node.stalled:
+		node.inbox = append(node.inbox, *due.message)
+	case due.message != nil:
+		fleet.send(node, node.detector.Receive(fleet.now, *due.message))
 	default:
 		if !node.stalled {
 			fleet.send(node, node.detector.Tick(fleet.now))
@@ -152,7 +153,7 @@
 }
 
 // runUntil runs the fleet until the condition holds, which is checked each 50 ms. It
-// returns how long that took, or about the limit if it never held.
+// returns how long that took, or about the limit if the condition never held.
 func (fleet *fleet) runUntil(limit time.Duration, condition func() bool) time.Duration {
 	began := fleet.now
 	for fleet.now-began < limit && !condition() {
@@ -161,8 +162,8 @@
 	return fleet.now - began
 }
 
-// countViews returns in how many views of living nodes one of the given nodes has the
-// liveness.
+// countViews returns the number of pairs of a living node that is not stalled and another
+// node, one of the given ones, to which the first assigns the liveness.
 func (fleet *fleet) countViews(of []*node, liveness shedkeel.Liveness) int {
 	count := 0
 	for _, viewer := range fleet.living() {
--- a/swim/partition_test.go
+++ b/swim/partition_test.go
@@ -12,17 +12,18 @@
 )
 
 // TestPartitions blocks links for a while. A node that is cut off must declare no other
-// dead, no other node may be declared dead by the rest, and all must be alive again soon
-// after the links are back.
+// dead, and the others may declare only that node dead. Where the fleet is split into two
+// large parts, each part may declare nodes of the other dead. Soon after the links are
+// restored no node may count as dead.
 func TestPartitions(t *testing.T) {
 	for _, size := range []int{9, 66, 300} {
 		oneNode := func(from, to *node) bool { return from.id == "node-0" || to.id == "node-0" }
 		halves := func(from, to *node) bool { return (shedkeel.HashNode(from.id)^shedkeel.HashNode(to.id))&1 == 1 }
 		cases := map[string]struct {
-			blocked      func(from, to *node) bool
-			otherDead    bool          // others declare node-0 dead
-			mutuallyDead bool          // others declare each other dead
-			backWithin   time.Duration // after the links are back
+			blocked       func(from, to *node) bool
+			otherDead     bool          // others declare node-0 dead
+			mutuallyDead  bool          // others declare each other dead
+			recoveryLimit time.Duration // how long after the links are restored nodes may still count as dead
 		}{
 			"one node, both directions": {oneNode, true, false, time.Second},
 			"one node, outgoing only":   {func(from, _ *node) bool { return from.id == "node-0" }, true, false, time.Second},
@@ -55,7 +56,7 @@
 					}
 					fleet.blocked = nil
 					recovery := fleet.runUntil(20*time.Second, func() bool { return fleet.countViews(fleet.nodes, shedkeel.Dead) == 0 })
-					assert.Assert(t, recovery <= test.backWithin, "seed %d: recovered after %s", seed, recovery)
+					assert.Assert(t, recovery <= test.recoveryLimit, "seed %d: recovered after %s", seed, recovery)
 					fleet.run(4 * time.Second)
 					assert.Equal(t, fleet.countViews(fleet.nodes, shedkeel.Dead), 0, "seed %d: declared dead after the links were back", seed)
 				}
@@ -64,8 +65,9 @@
 	}
 }
 
-// TestIsolated has a node that receives no datagram. It must declare nobody dead, unless
-// something else responds to it: then the other nodes are dead.
+// TestIsolated has all nodes but one fail. The remaining node receives no datagram and must
+// take itself for cut off and declare nobody dead, unless the service responds to it: then
+// it must declare the other nodes dead.
 func TestIsolated(t *testing.T) {
 	for name, connected := range map[string]bool{"nothing responds": false, "the service responds": true} {
 		t.Run(name, func(t *testing.T) {
@@ -90,8 +92,9 @@
 	}
 }
 
-// TestLeaving has nodes announce that they stop, and later start again under their names
-// without any state. Both must be known to all within 1.5 s.
+// TestLeaving has two nodes announce that they stop, and later start again under their names
+// without any state. All other nodes must list them as left, and later as alive, within
+// 1.5 s.
 func TestLeaving(t *testing.T) {
 	for _, size := range []int{9, 66, 300} {
 		t.Run(fmt.Sprint(size, " nodes"), func(t *testing.T) {
@@ -101,7 +104,7 @@
 				for _, node := range leaving {
 					fleet.send(node, node.detector.Leave(fleet.now))
 				}
-				others := 2 * (size - 2)
+				expectedViews := 2 * (size - 2)
 				allSee := func(liveness shedkeel.Liveness) func() bool {
 					return func() bool {
 						count := 0
@@ -112,7 +115,7 @@
 								}
 							}
 						}
-						return count == others
+						return count == expectedViews
 					}
 				}
 				detection := fleet.runUntil(10*time.Second, allSee(shedkeel.Left))
--- a/swim/probe.go
+++ b/swim/probe.go
@@ -9,7 +9,7 @@
 )
 
 // checkProbes requests indirect pings of nodes that have not answered within ackTimeout,
-// and suspects those that have not answered by indirectTimeout after it.
+// and suspects those that have not answered within indirectTimeout after that.
 func (detector *Detector) checkProbes(now time.Duration) []shedkeel.GossipDatagram {
 	var sent []shedkeel.GossipDatagram
 	for _, sequence := range slices.Sorted(maps.Keys(detector.probes)) {
@@ -36,8 +36,8 @@
 	return sent
 }
 
-// pingExtra pings one more node when another has not answered. After a loss of many nodes
-// most pings go to dead ones, and one ping per interval would find them too late.
+// pingExtra pings one more node when another has not answered. When many nodes have failed
+// at once, one ping per interval would take too long to find them all.
 func (detector *Detector) pingExtra(now time.Duration) []shedkeel.GossipDatagram {
 	next := detector.nextTarget()
 	if next == nil || detector.extraPings >= maxExtraPings {
@@ -49,7 +49,7 @@
 
 // pingNext pings the next node of the round, and in some intervals also one that is dead
 // or has left. A node that has received nothing for a while also pings the one that it
-// heard last: if most nodes of the fleet are lost, the next one is seldom alive.
+// heard last: if most nodes of the fleet have failed, the next one is seldom alive.
 func (detector *Detector) pingNext(now time.Duration) []shedkeel.GossipDatagram {
 	var sent []shedkeel.GossipDatagram
 	next := detector.nextTarget()
@@ -71,8 +71,8 @@
 }
 
 // nextTarget returns the next node to ping, or nil. Each round pings all nodes that are
-// alive, in a new random order. Suspected nodes need no ping: they learn of the suspicion
-// from the answers to their own pings.
+// alive, in a new random order. Suspected nodes need no ping: the answers to their own
+// pings notify them of the suspicion.
 func (detector *Detector) nextTarget() *peer {
 	for range 2 {
 		for len(detector.round) > 0 {
--- a/swim/receive.go
+++ b/swim/receive.go
@@ -35,9 +35,10 @@
 	return sent
 }
 
-// handleSender records that a node has sent a message. A higher incarnation refutes what
-// others report of it. With the same incarnation only this node knows that it is alive,
-// until the node learns of the suspicion and refutes it.
+// handleSender records that a node has sent a message. If its incarnation is higher than
+// the known one, it has refuted the suspicions of others. Otherwise only this node counts
+// it as alive again; other nodes do so once it has been notified of the suspicion and has
+// refuted it.
 func (detector *Detector) handleSender(now time.Duration, peer *peer, incarnation uint32) {
 	peer.lastReceived = now
 	detector.confirmAlive(now, peer)
@@ -45,12 +46,12 @@
 	case incarnation > peer.incarnation:
 		detector.markAlive(now, peer, incarnation)
 	case peer.liveness == shedkeel.Suspected || peer.liveness == shedkeel.Dead:
-		detector.setLiveness(peer, shedkeel.Alive) // noticePending stays set, so the node learns of the suspicion
+		detector.setLiveness(peer, shedkeel.Alive) // noticePending stays set, so the node is notified of the suspicion
 	}
 }
 
-// confirmAlive records that a node is alive now. If the node was Unconfirmed before, others
-// are informed.
+// confirmAlive records that a node is alive now. If the node was Unconfirmed before, the
+// update about it is sent to others.
 func (detector *Detector) confirmAlive(now time.Duration, peer *peer) {
 	if peer.lastAlive == never && !peer.presumedAlive {
 		peer.transmitsLeft = detector.transmitLimit()
@@ -71,8 +72,8 @@
 	return []shedkeel.GossipDatagram{detector.ping(now, target)}
 }
 
-// markAlive marks a node as alive in an incarnation, and has others informed if they may
-// suspect it.
+// markAlive marks a node as alive in an incarnation. If others may suspect it, the update
+// about it is sent to them.
 func (detector *Detector) markAlive(now time.Duration, peer *peer, incarnation uint32) {
 	if peer.noticePending {
 		peer.transmitsLeft = detector.transmitLimit()
@@ -82,7 +83,7 @@
 	peer.incarnation, peer.noticePending = incarnation, false
 }
 
-// relayPing pings a node on behalf of the sender.
+// relayPing pings a node on behalf of the sender of the message.
 func (detector *Detector) relayPing(now time.Duration, message shedkeel.GossipMessage) []shedkeel.GossipDatagram {
 	target := detector.peers[message.Target]
 	if target == nil {
@@ -133,7 +134,9 @@
 	return sent
 }
 
-// refute raises this node's incarnation and announces it, if this node is suspected.
+// refute raises this node's incarnation and announces it, if the update reports this node as
+// suspected, dead or left in its current incarnation, or in a higher one from before a
+// restart. A node that is leaving does not refute.
 func (detector *Detector) refute(now time.Duration, update shedkeel.GossipUpdate) []shedkeel.GossipDatagram {
 	if detector.leaving || update.Liveness == shedkeel.Alive || update.Incarnation < detector.incarnation {
 		return nil
@@ -165,9 +168,10 @@
 }
 
 // handleSuspicion applies another node's suspicion, unless this node knows that the
-// suspected one was alive since then. The incarnation alone does not void a suspicion,
-// as the node that raises it may not know the newest one: when it did, a dead one of 300
-// nodes counted as alive for up to 4.9 s instead of 3 s.
+// suspected node was alive after the suspicion began. It applies a suspicion of an older
+// incarnation too, as the node that raised it may not know the newest one: when such
+// suspicions were ignored, a dead node in a fleet of 300 counted as alive for up to 4.9 s
+// instead of 3 s.
 func (detector *Detector) handleSuspicion(now time.Duration, peer *peer, update shedkeel.GossipUpdate) {
 	since := now - update.Age
 	switch {
@@ -184,8 +188,8 @@
 }
 
 // selectUpdates returns the updates for a message: first the one about this node and the
-// notice to the receiver, then recent updates, then nodes that are dead or have left, for
-// receivers that have started since.
+// notice to the receiver, then recent updates, then updates about nodes that are dead or
+// have left, for receivers that started after the first updates about these nodes.
 func (detector *Detector) selectUpdates(now time.Duration, to *peer) []shedkeel.GossipUpdate {
 	var updates []shedkeel.GossipUpdate
 	if detector.ownTransmitsLeft > 0 {
@@ -195,14 +199,14 @@
 	if to.noticePending {
 		updates = append(updates, detector.suspicionNotice(now, to))
 	}
-	var recent, settled []*peer
+	var recent, inactive []*peer
 	for _, peer := range detector.sortedPeers {
 		switch {
 		case peer == to:
 		case peer.transmitsLeft > 0:
 			recent = append(recent, peer)
 		case deadOrLeft(peer):
-			settled = append(settled, peer)
+			inactive = append(inactive, peer)
 		}
 	}
 	slices.SortStableFunc(recent, func(a, b *peer) int { return cmp.Compare(b.transmitsLeft, a.transmitsLeft) })
@@ -210,7 +214,7 @@
 		peer.transmitsLeft--
 		updates = append(updates, detector.updateAbout(now, peer))
 	}
-	return append(updates, detector.sampleUpdates(now, settled, maxUpdates-len(recent))...)
+	return append(updates, detector.sampleUpdates(now, inactive, maxUpdates-len(recent))...)
 }
 
 // sampleUpdates returns updates about up to limit of the nodes, starting at a random one.
@@ -227,7 +231,7 @@
 }
 
 // updateAbout returns the update about a node. A dead node is reported as suspected, with
-// the age of the suspicion.
+// the age of the suspicion, so that each receiver allows it refutationTime.
 func (detector *Detector) updateAbout(now time.Duration, peer *peer) shedkeel.GossipUpdate {
 	update := shedkeel.GossipUpdate{Node: peer.hash, Liveness: peer.liveness, Incarnation: peer.incarnation}
 	if peer.liveness == shedkeel.Suspected || peer.liveness == shedkeel.Dead {
@@ -236,8 +240,8 @@
 	return update
 }
 
-// suspicionNotice returns the update that informs a node that it is suspected, even if this
-// node has received a message from it since.
+// suspicionNotice returns the update that notifies a node that it is suspected or counts as
+// left. It reports a suspicion even if this node has received a message from it since.
 func (detector *Detector) suspicionNotice(now time.Duration, peer *peer) shedkeel.GossipUpdate {
 	update := detector.updateAbout(now, peer)
 	if update.Liveness == shedkeel.Alive {
