--- a/operator/client.go
+++ b/operator/client.go
@@ -19,7 +19,7 @@
 const (
 	// callTimeout bounds each call.
 	callTimeout = 10 * time.Second
-	// maxResponseBytes bounds the body of an answer.
+	// maxResponseBytes is how much of the body of an answer is read.
 	maxResponseBytes = 64 << 20
 )
 
@@ -30,14 +30,14 @@
 	HTTP    *http.Client // nil: http.DefaultClient
 }
 
-// Config returns the configuration in force.
+// Config returns the configuration in force. Only keepers answer the call.
 func (client *Client) Config(ctx context.Context) (shedkeel.Config, error) {
 	var config shedkeel.Config
 	return config, client.call(ctx, http.MethodGet, "/v1/config", nil, &config)
 }
 
-// Apply makes config the configuration in force. Its Generation must equal the
-// generation in force; otherwise the keeper rejects it with status 409.
+// Apply asks a keeper to make config the configuration in force. config.Generation must
+// equal the generation in force; otherwise Apply returns an *Error with status 409.
 func (client *Client) Apply(ctx context.Context, config shedkeel.Config) (keeper.ApplyResult, error) {
 	var accepted keeper.ApplyResult
 	return accepted, client.call(ctx, http.MethodPut, "/v1/config", config, &accepted)
@@ -62,8 +62,9 @@
 	return report, client.call(ctx, http.MethodGet, "/v1/requests/"+id, nil, &report)
 }
 
-// Trace adds to trace the events that the node still holds about the trace's request or
-// group. The client's address must be that of a node.
+// Trace adds to trace the latest events of a node about the trace's request or group. The
+// client's address must be that of a node. A node that has no such events and, for a group,
+// no record of a member gives an *Error with status 404.
 func (client *Client) Trace(ctx context.Context, trace *Trace) error {
 	if trace.Request != "" {
 		report, err := client.Request(ctx, trace.Request)
@@ -80,15 +81,16 @@
 	return nil
 }
 
-// Dump returns the state of the process as JSON.
+// Dump returns the state of the keeper, entry or node as JSON.
 func (client *Client) Dump(ctx context.Context) (json.RawMessage, error) {
 	var dump json.RawMessage
 	return dump, client.call(ctx, http.MethodGet, "/v1/dump", nil, &dump)
 }
 
-// call makes one call and decodes the answer. If no answer arrives, it returns an
+// call makes one call and decodes the answer, which is JSON or, for a request at a node,
+// log lines of events. If no answer arrives within callTimeout, call returns an
 // UnknownOutcomeError for a PUT and an UnavailableError for any other method. It returns
-// an InvalidError for a malformed address, and an *Error for an error status.
+// an InvalidError for a malformed address, and an *Error for any status other than 200.
 func (client *Client) call(ctx context.Context, method, path string, body, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -123,7 +125,8 @@
 	return json.NewDecoder(limited).Decode(answer)
 }
 
-// url returns the URL of a path, with http unless the address is an https URL.
+// url returns the URL of a path at the client's address, with the scheme http unless the
+// address is an https URL.
 func (client *Client) url(path string) string {
 	if len(client.Address) > 8 && client.Address[:8] == "https://" {
 		return client.Address + path
@@ -131,18 +134,18 @@
 	return "http://" + client.Address + path
 }
 
-// Error is an answer with an error status.
+// Error is an answer with a status other than 200.
 type Error struct {
 	Status int    // HTTP status code
-	Text   string // message of the keeper, node or entry
+	Text   string // message of the keeper, entry or node; if the answer has none, a hint to check the address
 }
 
-// Error returns the message of the answer, which ends with what the caller can do.
+// Error returns the text.
 func (err *Error) Error() string { return err.Text }
 
-// responseError converts an answer with an error status. It extracts the message if the
-// body has the JSON form of a keeper or of an entry. Otherwise the message suggests to
-// check the address.
+// responseError converts an answer with a status other than 200 to an *Error. It extracts
+// the message if the body has the JSON form of a keeper's or node's error, or of an
+// entry's. Otherwise the text suggests to check the address.
 func responseError(response *http.Response) error {
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	var keeperBody keeper.ErrorBody
--- a/operator/either.go
+++ b/operator/either.go
@@ -8,13 +8,15 @@
 	"shedkeel.org/shedkeel/node"
 )
 
-// Either holds an answer of a keeper or of a node. Exactly one field is set.
+// Either holds an answer of a keeper or of a node. After it was decoded, exactly one
+// field is set.
 type Either[FromKeeper, FromNode any] struct {
 	Keeper *FromKeeper
 	Node   *FromNode
 }
 
-// UnmarshalJSON decodes an answer. The process field identifies an answer of a node.
+// UnmarshalJSON decodes an answer. An answer is of a node if its field process has the
+// value node.Process, and of a keeper otherwise.
 func (either *Either[FromKeeper, FromNode]) UnmarshalJSON(text []byte) error {
 	var sender struct {
 		Process string `json:"process"`
@@ -40,9 +42,9 @@
 
 // RequestReport holds what an entry or a node recorded about a request.
 type RequestReport struct {
-	ID    string
-	Entry *entry.RequestRecord // set for an answer of an entry
-	Lines []TraceLine          // set for an answer of a node
+	ID    string               // ID of the request
+	Entry *entry.RequestRecord // answer of an entry; nil: the answer is of a node
+	Lines []TraceLine          // answer of a node, in order of time
 }
 
 // UnmarshalJSON decodes the answer of an entry.
@@ -51,7 +53,8 @@
 	return json.Unmarshal(text, report.Entry)
 }
 
-// read decodes the answer of a node, which consists of log lines of events.
+// read decodes the answer of a node, which consists of log lines of events. It returns an
+// InvalidError if no event is about the request.
 func (report *RequestReport) read(lines io.Reader) error {
 	trace := &Trace{Request: report.ID}
 	if err := trace.Read(lines); err != nil {
--- a/operator/print.go
+++ b/operator/print.go
@@ -14,7 +14,8 @@
 	"shedkeel.org/shedkeel/node"
 )
 
-// PrintStatus prints the status of a keeper or node as tables.
+// PrintStatus prints the state of the fleet, as a keeper or node reports it, as text and
+// tables.
 func PrintStatus(writer io.Writer, status Either[keeper.Status, node.Dump]) {
 	if status.Node != nil {
 		printNodeStatus(writer, status.Node)
@@ -98,8 +99,10 @@
 	}
 }
 
-// Diff returns the differences between two configurations, one line for each added (+),
-// removed (-) or changed (~) item.
+// Diff returns the differences between two configurations, one text for each added (+),
+// removed (-) or changed (~) service, account or drain, and for a changed number of entry
+// boxes or policy. The text of a changed service or account has three lines: its name, its
+// old form and its new form. Generations and nonces are not compared.
 func Diff(from, to shedkeel.Config) []string {
 	var lines []string
 	if from.EntryBoxes != to.EntryBoxes {
@@ -125,8 +128,8 @@
 	return texts
 }
 
-// diffNamed returns the differences between two maps from names to texts, in order of
-// name.
+// diffNamed returns the differences between two maps, from the names to the printed forms
+// of items of a kind, in order of name.
 func diffNamed(kind string, from, to map[string]string) []string {
 	names := slices.Concat(slices.Collect(maps.Keys(from)), slices.Collect(maps.Keys(to)))
 	slices.Sort(names)
--- a/operator/print_node.go
+++ b/operator/print_node.go
@@ -69,7 +69,8 @@
 	return strings.Join(texts, ",")
 }
 
-// printNodeExplanation prints what a node knows about a group.
+// printNodeExplanation prints what a node knows about a group: its members, what the
+// planner waits for, and the node's latest events about the group.
 func printNodeExplanation(writer io.Writer, explanation *node.Explanation) {
 	_, _ = fmt.Fprintf(writer, "group %s, seen by node %s; planned by %s\n", explanation.Group, explanation.Node, cmp.Or(string(explanation.Leader), "nobody"))
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)
@@ -92,8 +93,8 @@
 	_ = PrintTrace(writer, lines)
 }
 
-// printWaits prints what the planner waits for, for how long it has waited, and the
-// longest time it may wait.
+// printWaits prints a table of what the planner waits for, how long each wait has lasted,
+// and how long it should last at most. Without waits it prints nothing.
 func printWaits(writer io.Writer, waits []node.WaitDump) {
 	if len(waits) == 0 {
 		return
--- a/operator/trace.go
+++ b/operator/trace.go
@@ -18,27 +18,29 @@
 // are still read in full.
 const logBufferBytes = 1 << 20
 
-// Trace collects the log lines about one request or one replica group from the logs of
-// several nodes.
+// Trace collects the events about one request or one replica group from the logs of several
+// nodes. A log line is an event if it contains a JSON object with an event number and a
+// time.
 type Trace struct {
 	Request string // ID of the request; empty if Group is set
 	Group   string // name of the group; empty if Request is set
 
-	lines   []TraceLine
-	events  int // number of lines read that are events
-	skipped int // number of lines read that are not events, such as truncated ones or those of other programs
+	lines   []TraceLine // the events about the request or group
+	events  int         // number of lines read that are events, about any request or group
+	skipped int         // number of lines read that are not events, such as truncated lines or those of other programs
 }
 
 // TraceLine is one event of a log.
 type TraceLine struct {
 	Time   time.Time      `json:"time"`
 	Node   string         `json:"node"`
-	Event  int            `json:"event"`
+	Event  int            `json:"event"` // event number
 	Text   string         `json:"msg"`
-	Fields map[string]any `json:"fields"`
+	Fields map[string]any `json:"fields"` // the other fields of the log line, without its level
 }
 
-// Read reads one log. It skips and counts lines that are not events.
+// Read reads one log. It counts the lines that are not events and skips them, and ignores
+// blank lines.
 func (trace *Trace) Read(log io.Reader) error {
 	reader := bufio.NewReaderSize(log, logBufferBytes)
 	for {
@@ -55,7 +57,8 @@
 	}
 }
 
-// addLine adds a log line if it is an event about the trace's request or group.
+// addLine counts a log line as an event or as skipped, and adds the line if it is an event
+// about the trace's request or group.
 func (trace *Trace) addLine(line string) {
 	start := strings.IndexByte(line, '{') // a process supervisor may put text before the JSON
 	fields := map[string]any{}
@@ -87,8 +90,8 @@
 	return text
 }
 
-// Lines returns the collected lines in order of time. If there are none, it returns an
-// InvalidError that states how many lines were read.
+// Lines returns the collected events in order of time. If there are none, it returns an
+// InvalidError that states how many events and how many other lines were read.
 func (trace *Trace) Lines() ([]TraceLine, error) {
 	if len(trace.lines) == 0 {
 		return nil, &shedkeel.InvalidError{
@@ -103,7 +106,7 @@
 // Skipped returns the number of lines that were not events.
 func (trace *Trace) Skipped() int { return trace.skipped }
 
-// PrintTrace prints one row per line, with the time since the first line.
+// PrintTrace prints one row per event, with the time since the first event.
 func PrintTrace(writer io.Writer, lines []TraceLine) error {
 	for _, line := range lines {
 		var fields []string
@@ -121,8 +124,8 @@
 // durationFields are the log fields that hold durations in nanoseconds.
 var durationFields = []string{"took", "first", "pause", "silent", "age"}
 
-// fieldValue returns the value to print for a field: durations are rounded to
-// milliseconds.
+// fieldValue returns the value to print for a field: for durationFields a duration rounded
+// to milliseconds, and for other fields the value itself.
 func fieldValue(name string, value any) any {
 	nanoseconds, isNumber := value.(float64)
 	if isNumber && slices.Contains(durationFields, name) {
--- a/operator/trace_test.go
+++ b/operator/trace_test.go
@@ -8,7 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// firstLog and secondLog are the logs of nodes a and b.
+// firstLog and secondLog are the logs of nodes a and b. Together they hold 4 events and 3
+// other lines.
 const firstLog = `{"time":"2026-01-02T03:04:05.300Z","level":"WARN","msg":"server or group has gone silent","node":"a","event":620,"group":"m/d/1","silent":190000000}
 {"time":"2026-01-02T03:04:05.500Z","level":"INFO","msg":"request answered","node":"a","event":610,"first":120000000,"request":"r1"}
 not a line of ours
