--- a/program/daemon.go
+++ b/program/daemon.go
@@ -20,12 +20,13 @@
 
 // Exit codes of all programs.
 const (
-	exitFailed  = 1
-	exitInvalid = 2
+	exitFailed  = 1 // failed for a reason without an exit code of its own
+	exitInvalid = 2 // invalid input
 )
 
-// run runs a command line until it ends or the process receives SIGINT or SIGTERM. If
-// the command fails, run exits with the error's code.
+// run runs a command line and cancels its context when the process receives SIGINT or
+// SIGTERM. If the command fails, run prints the error and ends the process with the code
+// that exitCode returns.
 func run(command *cli.Command) {
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	err := command.Run(ctx, os.Args)
@@ -37,7 +38,7 @@
 	os.Exit(exitCode(err))
 }
 
-// daemonFlags returns the flags that all daemons have.
+// daemonFlags returns the flags of the daemons: keeper, entry and node.
 func daemonFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "settings", Aliases: []string{"s"}, Required: true, Usage: "TOML `FILE` of settings; docs/OPERATIONS.md lists its keys"},
@@ -45,14 +46,14 @@
 	}
 }
 
-// daemon holds the settings and log that the daemons share.
+// daemon is the part that the daemons have in common.
 type daemon struct {
-	settings config.Settings
+	settings config.Settings // of a keeper or entry; a node has config.NodeSettings instead
 	log      *event.Log
 }
 
-// begin reads the settings and opens the log. It returns false if the command only
-// checks the settings.
+// begin reads the settings of a keeper or entry and opens the log. It returns false if the
+// process must end: because of an error, or because the command only checks the settings.
 func (daemon *daemon) begin(command *cli.Command) (bool, error) {
 	settings, err := config.ReadSettings(command.String("settings"))
 	if err != nil {
@@ -89,8 +90,8 @@
 	return conn, nil
 }
 
-// finish logs the end of the process, with a stack trace if it failed, and returns the
-// error.
+// finish logs the end of the process, with the error and a stack trace if err is not nil,
+// and returns the error.
 func (daemon *daemon) finish(err error) error {
 	if err != nil {
 		err = merry.Wrap(err) // adds a stack trace for the log
--- a/program/entry.go
+++ b/program/entry.go
@@ -26,7 +26,8 @@
 	})
 }
 
-// runEntry reads the settings and runs an entry until ctx ends.
+// runEntry reads the settings and runs an entry until ctx ends. With --check it only checks
+// the settings.
 func runEntry(ctx context.Context, command *cli.Command) error {
 	daemon := &daemon{}
 	proceed, err := daemon.begin(command)
--- a/program/keeper.go
+++ b/program/keeper.go
@@ -26,7 +26,8 @@
 	})
 }
 
-// runKeeper reads the settings and runs a keeper until ctx ends.
+// runKeeper reads the settings and runs a keeper until ctx ends. With --check it only
+// checks the settings.
 func runKeeper(ctx context.Context, command *cli.Command) error {
 	daemon := &daemon{}
 	proceed, err := daemon.begin(command)
--- a/program/node.go
+++ b/program/node.go
@@ -24,19 +24,20 @@
 )
 
 const (
-	// storeTimeout bounds a call to the key-value service, which answers in 4 ms when
-	// idle and in about 300 ms when it is slow.
+	// storeTimeout is the Timeout of calls to the key-value service, which answers in 4 ms
+	// when idle and in about 300 ms when it is slow. Twice the slow time still fits.
 	storeTimeout = 700 * time.Millisecond
 	// watchMargin is how long after the end of its wait a watch may answer. A slow
-	// service answers about 280 ms after it.
+	// service answers about 280 ms after the wait, which must not count as a failure.
 	watchMargin = 400 * time.Millisecond
 	// orderTimeout bounds a call for a load report and an order. Engines answer both
-	// within milliseconds.
+	// within milliseconds, so the bound leaves a wide margin.
 	orderTimeout = 300 * time.Millisecond
-	// backendDialTimeout bounds the dial to a backend server, which takes milliseconds
-	// within a region.
+	// backendDialTimeout bounds the dial to a backend server. A dial takes milliseconds
+	// within a region, so the bound leaves a wide margin.
 	backendDialTimeout = 250 * time.Millisecond
-	// idleTimeout is how long an idle connection is kept open.
+	// idleTimeout is how long an idle connection to a backend server, an engine or the
+	// key-value service is kept open.
 	idleTimeout = 4 * time.Second
 )
 
@@ -52,7 +53,7 @@
 }
 
 // runNode reads the settings and runs a node until ctx ends. It reloads the settings on
-// SIGHUP.
+// SIGHUP. With --check it only checks the settings.
 func runNode(ctx context.Context, command *cli.Command) error {
 	hangups := notifyHangups()
 	settings, err := config.ReadNodeSettings(command.String("settings"))
@@ -103,10 +104,10 @@
 	return daemon.finish(process.Run(ctx, listeners, handlers))
 }
 
-// notifyHangups returns a channel that receives SIGHUP. runNode calls it before it reads
-// the settings, and nothing restores the default action, which ends the process: a SIGHUP
-// 2.7 s into the grace period of a planned stop once ended a node that was still sending
-// answers.
+// notifyHangups returns a channel that receives SIGHUP. The default action of SIGHUP ends
+// the process. runNode therefore calls notifyHangups before it reads the settings, and
+// nothing restores the default action while the node stops: a SIGHUP 2.7 s into the grace
+// period of a planned stop once ended a node that was still sending answers.
 func notifyHangups() <-chan os.Signal {
 	hangups := make(chan os.Signal, 1) // one pending signal is enough: a reload reads the latest settings
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -121,8 +122,8 @@
 	log     *event.Log
 }
 
-// run reloads the settings until ctx ends. If they are invalid, it logs the error and
-// the node keeps the previous ones.
+// run reloads the settings on each SIGHUP until ctx ends. If the settings are invalid, run
+// logs the error and the node keeps its previous settings.
 func (reloader *reloader) run(ctx context.Context) {
 	for {
 		select {
@@ -140,12 +141,13 @@
 }
 
 // newHTTPClient returns an HTTP client that keeps up to maxIdle idle connections to each
-// host.
+// host for idleTimeout, and does not ask for compressed answers.
 func newHTTPClient(maxIdle int) *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdle, IdleConnTimeout: idleTimeout, DisableCompression: true}}
 }
 
-// listenNode opens the sockets that the settings name. The metrics socket is optional.
+// listenNode opens the sockets that the settings name: UDP for gossip, TCP for the others.
+// The metrics socket is optional.
 func listenNode(settings config.NodeSettings) (node.Listeners, error) {
 	var listeners node.Listeners
 	var err error
--- a/program/operator.go
+++ b/program/operator.go
@@ -33,7 +33,8 @@
 	exitUnavailable = 5 // the keeper or the key-value service does not answer
 )
 
-// exitCode returns the exit code for an error.
+// exitCode returns the exit code for an error. For an *operator.Error, the HTTP status of
+// the answer decides.
 func exitCode(err error) int {
 	var invalid *shedkeel.InvalidError
 	var conflict *shedkeel.ConflictError
@@ -118,8 +119,9 @@
 	}
 }
 
-// newOperatorClient returns a client for the process that the flags name, with TLS if
-// they name certificates.
+// newOperatorClient returns a client for the process at --keeper. If --certificate is set,
+// the client uses TLS 1.3 with that certificate for https addresses, and trusts only the
+// authority that --authority names, if any.
 func newOperatorClient(command *cli.Command) (*operator.Client, error) {
 	client := &operator.Client{Address: command.String("keeper"), Key: command.String("key")}
 	settings := config.TLSSettings{Certificate: command.String("certificate"), Key: command.String("certificate-key"), Authority: command.String("authority")}
@@ -150,8 +152,8 @@
 }
 
 // planChange reads the document that the argument names and the configuration in force.
-// It returns a client, the configuration to apply and its differences from the one in
-// force.
+// It returns a client, the configuration to apply, which keeps the generation and drains of
+// the one in force, and its differences from the one in force.
 func planChange(ctx context.Context, command *cli.Command) (*operator.Client, shedkeel.Config, []string, error) {
 	path, err := argument(command)
 	if err != nil {
@@ -171,7 +173,10 @@
 	return client, wanted, operator.Diff(inForce, wanted), err
 }
 
-// apply makes a document the configuration in force.
+// apply prints on standard error what applying a document would change, and then makes the
+// document the configuration in force. It changes nothing with --dry-run or if there are
+// no differences. It returns a ConflictError if the generation in force is not the one that
+// --on names.
 func apply(ctx context.Context, command *cli.Command) error {
 	client, wanted, changes, err := planChange(ctx, command)
 	if err != nil {
@@ -190,7 +195,8 @@
 	return applyConfig(ctx, command, client, wanted)
 }
 
-// applyConfig sends a configuration and prints on how many keepers it is in force.
+// applyConfig sends a configuration and prints the accepted generation and on how many
+// keepers it is in force, as JSON if --json is set.
 func applyConfig(ctx context.Context, command *cli.Command, client *operator.Client, wanted shedkeel.Config) error {
 	accepted, err := client.Apply(ctx, wanted)
 	if err != nil {
@@ -215,7 +221,7 @@
 	return nil
 }
 
-// get prints the configuration in force.
+// get prints the configuration in force as JSON.
 func get(ctx context.Context, command *cli.Command) error {
 	client, err := newOperatorClient(command)
 	if err != nil {
@@ -291,8 +297,9 @@
 	})
 }
 
-// changeDrains applies the configuration in force with changed drains. next returns the
-// new drains for the current ones and the box that the argument names.
+// changeDrains applies the configuration in force with changed drains, even if next changes
+// nothing. next returns the new drains for the current ones and the box that the argument
+// names.
 func changeDrains(ctx context.Context, command *cli.Command, next func([]shedkeel.BoxID, shedkeel.BoxID) []shedkeel.BoxID) error {
 	box, err := argument(command)
 	if err != nil {
@@ -310,12 +317,13 @@
 	return applyConfig(ctx, command, client, wanted)
 }
 
-// evacuateTimeout bounds the call to the key-value service.
+// evacuateTimeout bounds the write to the key-value service.
 const evacuateTimeout = 5 * time.Second
 
-// evacuate writes or removes the evacuation record of an availability zone. It succeeds
-// once the key-value service has accepted the write. The nodes watch these records; the
-// status command shows whether a node has received one.
+// evacuate writes the evacuation record of an availability zone, or removes the record with
+// --withdraw. It succeeds once the key-value service has accepted the change, also if the
+// record existed before or was already removed. The nodes watch these records; the status
+// command shows whether a node has received one.
 func evacuate(ctx context.Context, command *cli.Command) error {
 	zone, err := argument(command)
 	if err != nil {
@@ -337,7 +345,7 @@
 	return err
 }
 
-// dump prints the state of the process.
+// dump prints the state of the process at --keeper as JSON.
 func dump(ctx context.Context, command *cli.Command) error {
 	client, err := newOperatorClient(command)
 	if err != nil {
@@ -350,7 +358,8 @@
 	return printJSON(command, state)
 }
 
-// checkPolicy runs a policy on sample facts and prints its decisions.
+// checkPolicy runs a policy on sample facts, with the group and domain sizes that the flags
+// state, and prints the planner parameters that the policy returns as JSON.
 func checkPolicy(_ context.Context, command *cli.Command) error {
 	path, err := argument(command)
 	if err != nil {
@@ -363,14 +372,15 @@
 	facts := policy.SampleFacts()
 	facts.GroupSize = command.Int("members")
 	facts.DomainBoxes = command.Int("domain-boxes")
-	table, err := policy.Run(shedkeel.Policy{Name: filepath.Base(path), Program: string(program)}, facts)
+	parameters, err := policy.Run(shedkeel.Policy{Name: filepath.Base(path), Program: string(program)}, facts)
 	if err != nil {
 		return err
 	}
-	return printJSON(command, table)
+	return printJSON(command, parameters)
 }
 
-// printKeyHash prints the SHA-256 hash of a bearer key.
+// printKeyHash prints the SHA-256 hash of a bearer key in hexadecimal, as key_sha256 of an
+// account holds it.
 func printKeyHash(_ context.Context, command *cli.Command) error {
 	key, err := argument(command)
 	if err != nil {
--- a/program/standin.go
+++ b/program/standin.go
@@ -55,7 +55,8 @@
 	return &cli.StringFlag{Name: "listen", Required: true, Usage: "`ADDRESS` to serve on"}
 }
 
-// serveUntil serves each handler on its address until the context ends.
+// serveUntil serves each handler on its address until the context ends. It returns an error
+// if an address cannot be listened on.
 func serveUntil(ctx context.Context, handlers map[string]http.Handler) error {
 	for address, handler := range handlers {
 		listener, err := listen("--listen", address)
@@ -93,8 +94,8 @@
 	return serveUntil(ctx, map[string]http.Handler{command.String("listen"): list.Handler()})
 }
 
-// runEngineStandins serves a stand-in engine on each address. The engines share the
-// weight store, which limits concurrent loads.
+// runEngineStandins serves a stand-in engine on each address. The engines share one weight
+// store, which serves up to --weights loads at once, but at least one.
 func runEngineStandins(ctx context.Context, command *cli.Command) error {
 	weights := make(chan struct{}, max(command.Int("weights"), 1))
 	handlers := map[string]http.Handler{}
@@ -128,8 +129,9 @@
 	return serveUntil(ctx, map[string]http.Handler{command.String("control"): relay.Control()})
 }
 
-// makeCall makes one HTTP call and prints the status, the outcome and the body of the
-// answer, and its Retry-After header if it has one.
+// makeCall makes one HTTP call and prints the answer's status, its Shedkeel-Outcome header,
+// its Retry-After header if it has one, and its body. It returns an error if no complete
+// answer arrives within --timeout.
 func makeCall(ctx context.Context, command *cli.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, command.Duration("timeout"))
 	defer cancel()
--- a/program/trace.go
+++ b/program/trace.go
@@ -12,7 +12,8 @@
 )
 
 // traceLogs prints the events about one request or group, from log files and running
-// nodes.
+// nodes. It returns an InvalidError if the command does not name either a request or a
+// group, or if no event is about the one that the command names.
 func traceLogs(ctx context.Context, command *cli.Command) error {
 	trace := &operator.Trace{Request: command.String("request"), Group: command.String("group")}
 	if (trace.Request == "") == (trace.Group == "") {
@@ -37,8 +38,9 @@
 	return operator.PrintTrace(command.Root().Writer, lines)
 }
 
-// askNodes adds the events that the named nodes still hold. A node that does not answer
-// or holds no events is reported on standard error and skipped.
+// askNodes adds the latest events of the named nodes. If a node does not answer or knows
+// nothing about the request or group, askNodes prints the error on standard error and goes
+// on to the next node.
 func askNodes(ctx context.Context, command *cli.Command, trace *operator.Trace) error {
 	for _, address := range command.StringSlice("node") {
 		client, err := newOperatorClient(command)
