--- a/engine/client.go
+++ b/engine/client.go
@@ -1,6 +1,7 @@
-// Package engine is the HTTP client for backend servers. Control probes model
-// engines and sends them orders. Transport forwards callers' requests and reports
-// whether any byte of a failed request was written.
+// Package engine is the HTTP client for backend servers. A model engine, or engine, is
+// the backend server of a box: it serves a model and carries out the orders of the
+// planner. Control probes engines and sends them orders. Transport forwards callers'
+// requests and reports whether any byte of a failed request was written.
 package engine
 
 import (
@@ -15,11 +16,11 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Headers between an entry and an engine.
+// Headers between an entry, the proxy for callers, and an engine.
 const (
 	HeaderAttempt = "Shedkeel-Attempt" // echoed by the engine in its answer
 	HeaderGroup   = "Shedkeel-Group"   // replica group to which the entry sends the request
-	HeaderEpoch   = "Shedkeel-Epoch"   // epoch of the group's assignment; an engine rejects a request with another one than its own
+	HeaderEpoch   = "Shedkeel-Epoch"   // epoch of the group that HeaderGroup names; an engine rejects a request whose epoch is not that of its own assignment
 	HeaderNotRun  = "Shedkeel-Not-Run" // set by an engine that rejected a request without running it; the value is the reason
 )
 
@@ -31,7 +32,8 @@
 	Client *http.Client
 }
 
-// Probe requests the state of the engine at the address, HOST:PORT.
+// Probe requests the state of the engine at the address, HOST:PORT. A status other than
+// 200 and a body that is not a JSON state of at most maxStateBytes are errors.
 func (control *Control) Probe(ctx context.Context, address string) (shedkeel.BoxState, error) {
 	var state shedkeel.BoxState
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/control/state", nil)
@@ -53,10 +55,11 @@
 }
 
 // SendOrder sends an order to the engine at order.Address. It prevents net/http from
-// retrying the order and closes the connection after it. The client's timeout keeps
-// a delayed order from being sent late. The error is a ConflictError if the engine
-// rejects the order, an UnknownOutcomeError if no answer came, and an untyped error for
-// any other status.
+// retrying the order and closes the connection afterwards. The client's timeout keeps a
+// delayed order from being sent late. The error is a ConflictError if the engine rejects
+// the order with status 409, and an UnknownOutcomeError if no answer came, even if the
+// connection could not be opened. It is untyped for any other status than 200 and for an
+// order from which no HTTP request can be built.
 func (control *Control) SendOrder(ctx context.Context, order shedkeel.Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
--- a/engine/event.go
+++ b/engine/event.go
@@ -14,8 +14,10 @@
 var ErrEventTooLong = errors.New("an event of the stream is too long")
 
 // ReadEvent reads the next server-sent event of a stream, including the blank line
-// that terminates it. It never returns a part of an event: at the end of the stream
-// the error is io.EOF between two events and io.ErrUnexpectedEOF within one.
+// that terminates the event. A blank line that follows no other line counts as an event.
+// ReadEvent never returns a part of an event: at the end of the stream the error is
+// io.EOF between two events and io.ErrUnexpectedEOF within one. For an event that is too
+// long the error is ErrEventTooLong, and any other error of the reader is returned as is.
 func ReadEvent(reader *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
@@ -36,7 +38,7 @@
 }
 
 // startsLine reports whether line, the last bytes of event, begins at the start of
-// a line. It is false for the remainder of a line that was longer than the
+// a line. It returns false for the remainder of a line that was longer than the
 // reader's buffer.
 func startsLine(event, line []byte) bool {
 	preceding := event[:len(event)-len(line)]
--- a/engine/event_test.go
+++ b/engine/event_test.go
@@ -11,7 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestReadEvent uses a reader with a buffer of 16 bytes, so that lines exceed it.
+// TestReadEvent uses a reader with a buffer of 16 bytes, so that some lines are longer
+// than the buffer.
 func TestReadEvent(t *testing.T) {
 	long := "data: " + strings.Repeat("x", 100) + "\n\n" // longer than the reader's buffer
 	cases := map[string]struct {
@@ -42,7 +43,7 @@
 }
 
 // FuzzEvents checks that the events read from a stream, joined, are a prefix of
-// the stream, and the whole stream if ReadEvent returns io.EOF.
+// the stream. If ReadEvent returns io.EOF, they must be the whole stream.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("data: a\n\ndata: b\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("data: a\r\n\r\n\n\ndata: b"))
--- a/engine/transport.go
+++ b/engine/transport.go
@@ -15,8 +15,10 @@
 )
 
 const (
-	defaultDialTimeout    = time.Second
-	defaultIdleTimeout    = 30 * time.Second
+	defaultDialTimeout = time.Second
+	defaultIdleTimeout = 30 * time.Second
+	// unreachableRetryAfter is the RetryAfter of the NotRunError for a request of which
+	// no byte was written.
 	unreachableRetryAfter = time.Second
 )
 
@@ -28,8 +30,9 @@
 //
 // net/http retries a request by itself if a reused connection proves to be closed
 // and the request is replayable: it has no body or a body that GetBody can
-// rewind, and it is a GET or carries an Idempotency-Key. Transport gives every
-// request a body that cannot be rewound, so that net/http never retries.
+// rewind, and its method is GET, HEAD, OPTIONS or TRACE or it carries an
+// Idempotency-Key. Transport gives every request a body that cannot be rewound, so
+// that net/http never retries.
 type Transport struct {
 	DialTimeout time.Duration // zero means one second
 	IdleTimeout time.Duration // after which an idle connection is closed; zero means 30 seconds
@@ -72,10 +75,10 @@
 // freshConnectionKey is the context key that WithFreshConnection sets.
 type freshConnectionKey struct{}
 
-// WithFreshConnection returns a context whose request is sent over a new
-// connection. A server may close a reused connection just as the request is
-// written, which leaves the outcome unknown. Requests that must not be repeated
-// use a new connection to avoid this.
+// WithFreshConnection returns a context with which Send uses a new connection. A
+// server may close a reused connection just as the request is written, which leaves
+// the outcome of the request unknown. A new connection avoids this unknown outcome for
+// requests that must not be repeated.
 func WithFreshConnection(ctx context.Context) context.Context {
 	return context.WithValue(ctx, freshConnectionKey{}, true)
 }
@@ -112,8 +115,8 @@
 }
 
 // Stopped reports whether the address refuses connections, which means that no
-// process listens there. After a timeout or any other failure it returns false,
-// because a process may still listen.
+// process listens there. It returns false if the connection is accepted, and after a
+// timeout or any other failure, because a process may then still listen.
 func (transport *Transport) Stopped(ctx context.Context, address string) bool {
 	dialer := &net.Dialer{}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -124,7 +127,7 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// Close closes idle connections.
+// Close closes idle connections. Connections in use stay open.
 func (transport *Transport) Close() {
 	transport.once.Do(transport.init)
 	transport.shared.CloseIdleConnections()
@@ -132,12 +135,12 @@
 }
 
 // nonReplayableBody wraps a body, or nil for none, so that net/http can neither
-// see that it is empty nor rewind it.
+// see that the body is empty nor rewind the body.
 type nonReplayableBody struct {
 	reader io.ReadCloser
 }
 
-// Read reads from the wrapped body.
+// Read reads from the wrapped body. Without one it returns io.EOF.
 func (body *nonReplayableBody) Read(buffer []byte) (int, error) {
 	if body.reader == nil {
 		return 0, io.EOF
@@ -162,10 +165,10 @@
 	sealed  bool
 }
 
-// Write writes unless the connection is sealed. It holds the mutex during the
-// write, so that no byte is written after seal has returned. A write to a full
-// socket buffer can block for long with the mutex held; seal therefore closes the
-// connection before it locks.
+// Write writes, or returns errConnSealed if the connection is sealed. It holds the
+// mutex during the write, so that no byte is written after seal has returned. A write
+// to a full socket buffer can block for long with the mutex held. Closing the
+// connection makes such a write fail, so seal closes the connection before it locks.
 func (conn *countingConn) Write(data []byte) (int, error) {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
@@ -203,7 +206,8 @@
 }
 
 // gotConn records a connection that net/http chose for the request, and how many
-// bytes earlier requests had written to it.
+// bytes earlier requests had written to that connection. It ignores a connection that
+// is not a countingConn, such as the TLS connection of an https URL.
 func (writes *requestWrites) gotConn(info httptrace.GotConnInfo) {
 	conn, ok := info.Conn.(*countingConn)
 	if !ok {
--- a/engine/transport_test.go
+++ b/engine/transport_test.go
@@ -26,8 +26,8 @@
 	listener net.Listener
 	script   []string // one step per request, over all connections; "answer" when used up
 	mutex    sync.Mutex
-	runs     int
-	conns    int
+	runs     int // requests received completely
+	conns    int // accepted connections
 	running  sync.WaitGroup
 }
 
@@ -150,7 +150,8 @@
 }
 
 // TestNotRunIsTrue checks the errors of Send against the requests that the server
-// received: a NotRunError is returned only for a request that did not arrive.
+// received. Send must return a NotRunError only for a request that did not arrive, and
+// net/http must not send a failed request again.
 func TestNotRunIsTrue(t *testing.T) {
 	cases := map[string]struct {
 		script  []string
@@ -160,13 +161,13 @@
 		runs    int
 		notRun  bool
 	}{
-		"closed after the request":              {[]string{"close"}, http.MethodPost, "x", time.Second, 1, false},
-		"closed after a request without body":   {[]string{"close"}, http.MethodGet, "", time.Second, 1, false},
-		"closed within the answer's header":     {[]string{"half a header"}, http.MethodPost, "x", time.Second, 1, false},
-		"no answer in time":                     {[]string{"hang"}, http.MethodPost, "x", 100 * time.Millisecond, 1, false},
-		"deadline exceeded before sending":      {nil, http.MethodPost, "x", 0, 0, true},
-		"reused connection closed on a request": {[]string{"answer", "close"}, http.MethodPost, "", time.Second, 2, false},
-		"reused connection closed on a GET":     {[]string{"answer", "close"}, http.MethodGet, "", time.Second, 2, false},
+		"closed after the request":            {[]string{"close"}, http.MethodPost, "x", time.Second, 1, false},
+		"closed after a request without body": {[]string{"close"}, http.MethodGet, "", time.Second, 1, false},
+		"closed within the answer's header":   {[]string{"half a header"}, http.MethodPost, "x", time.Second, 1, false},
+		"no answer in time":                   {[]string{"hang"}, http.MethodPost, "x", 100 * time.Millisecond, 1, false},
+		"deadline exceeded before sending":    {nil, http.MethodPost, "x", 0, 0, true},
+		"reused connection closed on a POST":  {[]string{"answer", "close"}, http.MethodPost, "", time.Second, 2, false},
+		"reused connection closed on a GET":   {[]string{"answer", "close"}, http.MethodGet, "", time.Second, 2, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -197,8 +198,9 @@
 	assert.Assert(t, errors.As(err, &notRun), "%v", err)
 }
 
-// TestResetBeforeReading checks that Send fails when the server resets the
-// connection before it reads the request.
+// TestResetBeforeReading checks that Send fails when the server resets the connection
+// before the server reads the request, and that the request is not sent again. The test
+// accepts a NotRunError and an UnknownRunError.
 func TestResetBeforeReading(t *testing.T) {
 	for range 50 {
 		server := newServer(t, "reset before reading")
@@ -211,8 +213,10 @@
 }
 
 // TestIdleConnectionClosed sends requests to a server that closes the connection
-// after each answer. Each request must run at most once, and one that fails with a
-// NotRunError must not have run.
+// after each answer. The number of runs must be at least the number of answered
+// requests, and at most the number of requests that did not fail with a NotRunError: a
+// request that runs twice, or runs although it failed with a NotRunError, adds to the
+// runs.
 func TestIdleConnectionClosed(t *testing.T) {
 	const requests = 300
 	script := make([]string, requests)
@@ -269,7 +273,8 @@
 	assert.Equal(t, conn.bytesWritten(), int64(0))
 }
 
-// TestStopped checks that Stopped is true only for a refused connection.
+// TestStopped checks that Stopped is true for a refused connection, and false for an
+// accepted connection and a canceled dial.
 func TestStopped(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	address := server.Listener.Addr().String()
