--- a/wire/closing_test.go
+++ b/wire/closing_test.go
@@ -17,7 +17,7 @@
 	delay time.Duration
 }
 
-// Read reads, and delays an error.
+// Read reads, and returns an error only after the delay.
 func (delayedErrorConn *delayedErrorConn) Read(into []byte) (int, error) {
 	count, err := delayedErrorConn.Conn.Read(into)
 	if err != nil {
@@ -35,8 +35,10 @@
 }
 
 // TestClosingWhileCallsWait closes a session while calls wait for their replies and the
-// connection reports its closing late. The waiting calls must not spin meanwhile: on a
-// single core without preemption the session would never end.
+// connection reports its closing late. The waiting calls must not spin until the session
+// has ended: on a single core without preemption the session would never end. The limit of
+// a quarter of closeDelay, 100 ms, lies between the 491 ms of processor time of spinning
+// calls and the 1.4 ms of calls with expired deadlines.
 func TestClosingWhileCallsWait(t *testing.T) {
 	const closeDelay = 400 * time.Millisecond
 	handler := &echo{release: make(chan struct{})}
--- a/wire/datagram.go
+++ b/wire/datagram.go
@@ -11,7 +11,9 @@
 	"shedkeel.org/shedkeel"
 )
 
-// MaxDatagram is the size of the largest accepted datagram, in bytes.
+// MaxDatagram is the size of the buffer with which a process receives a datagram, in
+// bytes. A larger datagram is truncated and then has no valid tag. SealGossip does not
+// limit the size.
 const MaxDatagram = 4 << 10
 
 // tagBytes is the length of the authentication tag, a truncated HMAC-SHA256.
@@ -22,8 +24,8 @@
 var ErrForgedDatagram = errors.New("datagram without a valid tag: its sender has another wire.key")
 
 // SealGossip encodes a message of the failure detector and appends an authentication
-// tag. There is no protection against replay: a replayed datagram only repeats
-// information that was sent before.
+// tag. Ages are sent in whole milliseconds and at most as maxAge. There is no protection
+// against replay: a replayed datagram only repeats information that was sent before.
 func SealGossip(key string, message shedkeel.GossipMessage) ([]byte, error) {
 	gossip := &Gossip{Kind: Gossip_Kind(message.Kind), Sequence: message.Sequence, From: string(message.From), Incarnation: message.Incarnation, Target: string(message.Target)}
 	for _, update := range message.Updates {
@@ -38,12 +40,14 @@
 	return append(body, computeTag(key, body)...), nil
 }
 
-// maxAge is the largest age of a suspicion that a message carries; a larger one is sent
-// as maxAge.
+// maxAge is the largest age of a suspicion that a message carries; a larger age is sent
+// as maxAge. The age's field, 32 bits of milliseconds, overflows after 49 days.
 const maxAge = 24 * time.Hour
 
 // OpenGossip verifies the tag and decodes a datagram of SealGossip. The error is
-// ErrForgedDatagram if the tag is wrong.
+// ErrForgedDatagram if the tag is missing or wrong, and that of the decoder if a datagram
+// with a valid tag is no Gossip message. OpenGossip does not check that the values of kind
+// and liveness are known.
 func OpenGossip(key string, datagram []byte) (shedkeel.GossipMessage, error) {
 	if len(datagram) < tagBytes {
 		return shedkeel.GossipMessage{}, ErrForgedDatagram
--- a/wire/link.go
+++ b/wire/link.go
@@ -13,8 +13,9 @@
 //
 // While a yamux session closes, a blocked read on one of its streams spins until the
 // session has ended. In TestClosingWhileCallsWait, with 16 calls and a session that
-// takes 400 ms to end, this used 491 ms of processor time, against 1.4 ms with expired
-// deadlines. On a single core without preemption the session never ended.
+// takes 400 ms to end, the spinning reads used 491 ms of processor time. With expired
+// deadlines the calls used 1.4 ms. On a single core without preemption the session never
+// ended.
 type link struct {
 	*yamux.Session
 
@@ -24,7 +25,8 @@
 }
 
 // linkConn is the connection of a link. A session that ends for any reason closes its
-// connection before it waits for its goroutines.
+// connection before it waits for its goroutines, so Close can expire the deadlines of the
+// streams in time.
 type linkConn struct {
 	net.Conn
 	link *link
@@ -64,14 +66,14 @@
 	return link.addStream(link.OpenStream())
 }
 
-// accept waits for a stream that the other side opens. The caller must close it with
-// link.close.
+// accept waits for a stream that the other side opens, until the session ends. The caller
+// must close the stream with link.close.
 func (link *link) accept() (*yamux.Stream, error) {
 	return link.addStream(link.AcceptStream())
 }
 
-// addStream tracks a new stream unless err is set. If the link is already closed, the
-// stream gets an expired deadline.
+// addStream tracks a new stream and returns it, or returns err if that is set. If the link
+// is already closed, the stream gets an expired deadline.
 func (link *link) addStream(stream *yamux.Stream, err error) (*yamux.Stream, error) {
 	if err != nil {
 		return nil, err
--- a/wire/session.go
+++ b/wire/session.go
@@ -25,19 +25,26 @@
 const MaxMessage = 4 << 20
 
 const (
-	dialTimeout = time.Second
-	// serveTimeout limits the time from the opening of a stream until its call was read,
-	// handled and answered.
+	dialTimeout = time.Second // includes the TLS handshake
+	// serveTimeout is the deadline of an accepted stream. After it a read that waits for
+	// the call fails, and so does a write of the reply that waits until the other side
+	// reads. It does not end the handler's context, and a late reply is still sent if the
+	// stream accepts it at once.
 	serveTimeout = 10 * time.Second
 )
 
-// Handler answers incoming calls. Handle runs on one goroutine per call; the context
-// ends with the session.
+// Handler answers incoming calls. Handle runs on one goroutine per call. The context
+// belongs to the session: it ends when the session ends, and SessionFromContext returns
+// the session.
 type Handler interface {
 	Handle(ctx context.Context, call *Call) *Reply
 }
 
-// yamuxConfig returns the configuration of sessions on both sides.
+// yamuxConfig returns the configuration of sessions on both sides. Each side sends
+// keepalives with pauses of KeepAliveInterval. It closes the session if the other side does
+// not reply to a keepalive within ConnectionWriteTimeout, or does not accept a stream
+// within StreamOpenTimeout. It resets a stream that it has closed if the other side does
+// not close the stream within StreamCloseTimeout.
 func yamuxConfig() *yamux.Config {
 	config := yamux.DefaultConfig()
 	config.LogOutput = io.Discard
@@ -49,7 +56,7 @@
 }
 
 // Peer is the client of one other process. It dials on first use and again after the
-// session failed. If Handler is set, it answers calls that the other process sends over
+// session has ended. If Handler is set, it answers calls that the other process sends over
 // the same session.
 type Peer struct {
 	Address string
@@ -63,7 +70,9 @@
 
 // Do sends a call, whose Key it sets, and returns its reply. The error is an
 // UnavailableError if no session could be opened, so that the call was certainly not
-// handled, else an UnknownOutcomeError.
+// handled. For every other failure it is an UnknownOutcomeError, also if the other process
+// replied with an error, such as for a wrong key. Such a failure closes the session, with
+// its other calls, unless the cause is the end of ctx.
 func (peer *Peer) Do(ctx context.Context, call *Call) (*Reply, error) {
 	link, err := peer.open(ctx)
 	if err != nil {
@@ -77,7 +86,7 @@
 	return reply, nil
 }
 
-// Close ends the session.
+// Close ends the session. A later Do dials again.
 func (peer *Peer) Close() {
 	peer.mutex.Lock()
 	defer peer.mutex.Unlock()
@@ -87,7 +96,9 @@
 	}
 }
 
-// open returns the open link, or dials a new one.
+// open returns the open link. If there is none, it dials and, if Handler is set, starts to
+// answer calls over the new link. It holds the mutex while it dials: concurrent calls wait
+// for the result, without regard to their contexts.
 func (peer *Peer) open(ctx context.Context) (*link, error) {
 	peer.mutex.Lock()
 	defer peer.mutex.Unlock()
@@ -117,8 +128,8 @@
 	return link, nil
 }
 
-// drop closes a link on which a call failed, so that the next call dials again. It keeps
-// the link if only the call's own context ended, since other calls use it.
+// drop closes a link on which a call failed with err, so that the next call dials again.
+// If only the call's own context ended, drop keeps the link, since other calls use it.
 func (peer *Peer) drop(link *link, err error) {
 	if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
 		return
@@ -132,7 +143,8 @@
 }
 
 // roundTrip sets the call's key, sends the call over a new stream and returns its reply.
-// The error is that of the context if the context ended.
+// The error is that of the context if the context ended while the call was sent or the
+// reply was read. The error field of a reply is returned as an error.
 func roundTrip(ctx context.Context, link *link, key string, call *Call) (*Reply, error) {
 	stream, err := link.open()
 	if err != nil {
@@ -165,7 +177,9 @@
 	return nil
 }
 
-// readMessage reads one length-delimited message of at most MaxMessage bytes.
+// readMessage reads one length-delimited message of at most MaxMessage bytes. It may
+// consume more of the stream than the message, so a stream must carry only one message in
+// each direction.
 func readMessage(stream io.Reader, message proto.Message) error {
 	return protodelim.UnmarshalOptions{MaxSize: MaxMessage}.UnmarshalFrom(bufio.NewReader(stream), message)
 }
@@ -229,7 +243,8 @@
 	}
 }
 
-// addSession starts a goroutine that answers the calls of a new connection.
+// addSession starts a goroutine that answers the calls of a new connection. It closes the
+// connection if no session can be created.
 func (server *Server) addSession(conn net.Conn) {
 	link, err := newLink(conn, newServerSession)
 	if err != nil {
@@ -264,7 +279,8 @@
 	handler Handler
 }
 
-// run answers calls until the session ends, then waits for those in progress.
+// run answers calls until the session ends. It then cancels the context of the calls in
+// progress and waits for them.
 func (callServer *callServer) run() {
 	var calls sync.WaitGroup
 	defer calls.Wait()
@@ -280,8 +296,9 @@
 	}
 }
 
-// serve reads one call from the stream, checks its key, has the handler answer it and
-// sends the reply.
+// serve reads one call from the stream, has the handler answer the call and sends the
+// reply. To a call with a wrong key it replies with an error. If it cannot read the call, it
+// closes the stream without a reply.
 func (callServer *callServer) serve(ctx context.Context, stream *yamux.Stream) {
 	defer callServer.link.close(stream)
 	callServer.link.setDeadline(stream, time.Now().Add(serveTimeout))
--- a/wire/session_test.go
+++ b/wire/session_test.go
@@ -22,7 +22,8 @@
 	release chan struct{}
 }
 
-// Handle answers once release is closed, if it is set, or when the session ends.
+// Handle answers at once if release is nil. Otherwise it waits until release is closed or
+// the session ends.
 func (echo *echo) Handle(ctx context.Context, call *Call) *Reply {
 	if echo.release != nil {
 		select {
@@ -52,9 +53,9 @@
 	return &Call{Kind: &Call_Exchange{Exchange: &ExchangeCall{Self: &Node{Id: id}}}}
 }
 
-// longPause is the shortest scheduling pause of the machine that may end a session. Both
-// sides must be scheduled several times for one keepalive, so pauses of this length can
-// add up to its timeout of 2 s.
+// longPause is the length above which a scheduling pause of the machine may end a session.
+// Both sides must be scheduled several times for one keepalive, so pauses of this length
+// can add up to the keepalive's timeout of 2 s.
 const longPause = 300 * time.Millisecond
 
 // pauseMonitor measures the longest time for which the machine did not schedule the
@@ -91,7 +92,8 @@
 	return time.Duration(pauseMonitor.longestPause.Load())
 }
 
-// TestCalls checks concurrent calls over one session, a wrong key and a stopped server.
+// TestCalls checks concurrent calls of one Peer, a wrong key and a stopped server. It
+// ignores failed calls once the machine has paused for more than longPause.
 func TestCalls(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	address, stop := serve(t, &echo{})
@@ -144,8 +146,8 @@
 	stop()
 }
 
-// FuzzCall checks that any input either gives an error or a call that can be encoded
-// again.
+// FuzzCall checks that readMessage, given any input, returns an error or a call that can
+// be encoded again.
 func FuzzCall(f *testing.F) {
 	var good bytes.Buffer
 	_, err := protodelim.MarshalTo(&good, exchangeCall("a"))
