--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -13,7 +13,8 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportInterval is how often tally reports values to the page.
+// reportInterval is how often tally reports values to the page, which is therefore up to
+// one interval old.
 const reportInterval = time.Second
 
 // Metrics is the tally scope of a process and its Prometheus page.
--- a/timer/timer.go
+++ b/timer/timer.go
@@ -22,15 +22,16 @@
 }
 
 // Subscribe calls tick at each interval, on a goroutine of its own, until cancel is
-// called. Cancel waits for a tick in progress to return and may be called
-// repeatedly; tick must not call it.
+// called. Of the ticks that become due while tick runs, only one is kept. The interval
+// must be positive. Cancel waits for a tick in progress to return, so tick must not call
+// cancel. Cancel may be called repeatedly.
 func (system *System) Subscribe(interval time.Duration, tick func(now time.Duration)) (cancel func()) {
 	subscription := &subscription{clock: system, interval: interval, tick: tick, stop: make(chan struct{}), ended: make(chan struct{})}
 	go subscription.run()
 	return subscription.cancel
 }
 
-// Sleep waits for the duration or until the context is done.
+// Sleep waits for the duration or until the context is done, whichever comes first.
 func Sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -40,14 +41,14 @@
 	}
 }
 
-// subscription is the goroutine that calls tick for one subscriber of System.
+// subscription is one subscription to System. Its goroutine, run, calls tick.
 type subscription struct {
 	clock    *System
 	interval time.Duration
 	tick     func(now time.Duration)
 	once     sync.Once
-	stop     chan struct{}
-	ended    chan struct{}
+	stop     chan struct{} // closed by cancel
+	ended    chan struct{} // closed when run returns
 }
 
 func (subscription *subscription) run() {
@@ -78,6 +79,7 @@
 	subscribers []*manualSubscriber
 }
 
+// manualSubscriber is one subscription to a Manual.
 type manualSubscriber struct {
 	interval time.Duration
 	due      time.Duration // time of the next tick
@@ -92,7 +94,9 @@
 	return manual.now
 }
 
-// Subscribe has Advance call tick at each interval until cancel is called.
+// Subscribe has Advance call tick at each interval, the first time one interval from now,
+// until cancel is called. The interval must be positive. Unlike that of System, cancel does
+// not wait for a tick in progress, and tick may call cancel.
 func (manual *Manual) Subscribe(interval time.Duration, tick func(now time.Duration)) (cancel func()) {
 	manual.mutex.Lock()
 	defer manual.mutex.Unlock()
@@ -105,8 +109,9 @@
 	}
 }
 
-// Advance adds the duration to the time and calls every tick that becomes due, in the
-// order of due times and, for equal ones, of subscription.
+// Advance adds the duration to the time. It calls every tick that becomes due, on its own
+// goroutine, in the order of due times and, for equal due times, in the order of
+// subscription. During a tick the time is the tick's due time.
 func (manual *Manual) Advance(duration time.Duration) {
 	end := manual.Now() + duration
 	for {
@@ -121,8 +126,9 @@
 	manual.now = end
 }
 
-// next returns the subscriber with the earliest tick that is due by end, or nil. It
-// sets the time to that tick and schedules the subscriber's next one.
+// next returns the subscriber with the earliest tick that is due by end, or nil if no tick
+// is. It sets the time to the due time of that tick and schedules the subscriber's next
+// tick.
 func (manual *Manual) next(end time.Duration) *manualSubscriber {
 	manual.mutex.Lock()
 	defer manual.mutex.Unlock()
--- a/timer/timer_test.go
+++ b/timer/timer_test.go
@@ -23,7 +23,8 @@
 	assert.Equal(t, clock.Now(), 10*time.Second)
 }
 
-// TestSystem checks that ticks occur and that none occurs after cancel.
+// TestSystem checks that ticks occur with increasing times, that cancel may be called
+// twice, and that no tick is recorded right after cancel has returned.
 func TestSystem(t *testing.T) {
 	system := &System{}
 	ticks := make(chan time.Duration, 1000)
