--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -48,7 +48,9 @@
 	model.restart()
 }
 
-// restart resets the state as a crash and a start of the engine do.
+// restart resets the state as a crash and a start of the engine do: the boot identifier is
+// new, and weights, assignment and highest planner epoch are gone. Running requests go on,
+// and the counts and streams, which tests read, stay.
 func (model *Engine) restart() {
 	model.mutex.Lock()
 	defer model.mutex.Unlock()
@@ -99,8 +101,8 @@
 	writeJSON(writer, state)
 }
 
-// serveOrder applies an order. It rejects one whose planner epoch is older than the
-// highest seen, unless the engine is unfenced.
+// serveOrder applies an order. It rejects an order whose planner epoch is lower than the
+// highest epoch seen with status 409, unless the engine is unfenced.
 func (model *Engine) serveOrder(writer http.ResponseWriter, request *http.Request) {
 	if !model.faults.applyCommon(writer, request) {
 		return
@@ -120,7 +122,10 @@
 	model.applyOrder(order)
 }
 
-// applyOrder changes the state as the order says. The caller holds the mutex.
+// applyOrder carries out an order in place of an earlier order whose load has not finished.
+// OrderRelease ends the assignment and sets the phase warm at once. OrderPrefetch and
+// OrderLoad end in the phases warm and ready: after JoinTime if the weights are loaded, and
+// after LoadTime and JoinTime if not. The caller holds the mutex.
 func (model *Engine) applyOrder(order shedkeel.Order) {
 	if model.timer != nil {
 		model.timer.Stop()
@@ -151,9 +156,9 @@
 	model.timer = time.AfterFunc(wait, func() { model.finishLoading(boot, assigned, next, !loaded) })
 }
 
-// finishLoading sets the phase that follows loading, unless the engine has restarted or
-// was reassigned since the order. A load from the weight store holds a slot of it while
-// the state changes, but not while it waits for LoadTime.
+// finishLoading sets the phase that follows loading. It does nothing if the engine has
+// restarted, has another assignment or is no longer loading. A load from the weight store
+// holds one of WeightStoreSlots while the state changes, but not during LoadTime.
 func (model *Engine) finishLoading(boot string, assigned shedkeel.Assignment, next shedkeel.Phase, fromStore bool) {
 	if fromStore && model.WeightStoreSlots != nil {
 		model.WeightStoreSlots <- struct{}{}
@@ -179,8 +184,10 @@
 // defaultTokens is the length of an answer to a request without max_tokens.
 const defaultTokens = 8
 
-// serveCompletion runs a completion request, rejects it, or resumes an earlier stream if
-// the request has the header Shedkeel-From.
+// serveCompletion runs a completion request, rejects it with status 409 and HeaderNotRun,
+// or resumes an earlier stream if the request has the header Shedkeel-From. The prompt of a
+// chat request is its last message. The answer echoes the attempt identifier, unless the
+// fault WrongAttempt is set.
 func (model *Engine) serveCompletion(writer http.ResponseWriter, request *http.Request) {
 	if !model.faults.applyCommon(writer, request) {
 		return
@@ -214,7 +221,10 @@
 	model.run(writer, request, attempt, wanted)
 }
 
-// refusalReason returns why the engine does not run the request, or "" if it does.
+// refusalReason returns why the engine does not run the request, or "" if it does. Apart
+// from the fault Refuse, the engine runs every request that names no group. It runs a
+// request that names a group only if the engine is ready in that group at the epoch that
+// the request names.
 func (model *Engine) refusalReason(request *http.Request) string {
 	if model.faults.get().Refuse {
 		return "told to refuse"
@@ -232,7 +242,9 @@
 	return ""
 }
 
-// run waits for a slot, runs the request and answers it.
+// run waits for a slot, runs the request and answers it. The request counts as run before
+// it has a slot, and also if the fault ResetFirst then closes the connection. The events of
+// a stream are stored under the attempt identifier, for resume.
 func (model *Engine) run(writer http.ResponseWriter, request *http.Request, attempt string, wanted completion) {
 	model.countRun(wanted.Prompt, 1)
 	defer model.countRun("", -1)
@@ -291,7 +303,8 @@
 	writeBody(writer, []byte(body), model.faults.get())
 }
 
-// writeBody sends a JSON body, subject to the faults NoLength and CutAfter.
+// writeBody sends a JSON body, subject to the faults NoLength and CutAfter. CutAfter has no
+// effect together with NoLength, or if it is not less than the length of the body.
 func writeBody(writer http.ResponseWriter, body []byte, faults Faults) {
 	writer.Header().Set("Content-Type", "application/json")
 	if faults.NoLength {
@@ -319,8 +332,9 @@
 	_ = buffer.Flush()
 }
 
-// sendStream sends the events at intervals of TokenTime. If mayCut is true, the fault
-// CutAfter closes the connection in the middle of an event.
+// sendStream sends the events at intervals of TokenTime, until the caller disconnects. If
+// mayCut is true, the fault CutAfter closes the connection in the middle of the event that
+// follows CutAfter complete events.
 func (model *Engine) sendStream(writer http.ResponseWriter, request *http.Request, events []string, mayCut bool) {
 	writer.Header().Set("Content-Type", "text/event-stream")
 	for index, event := range events {
@@ -340,7 +354,9 @@
 	}
 }
 
-// resume sends the events of an earlier stream from the given index on.
+// resume sends the events of the attempt's earlier stream from the given index on, without
+// pauses. It answers with status 404 if there is no such stream, or if from is no number or
+// exceeds the number of events.
 func (model *Engine) resume(writer http.ResponseWriter, attempt, from string) {
 	model.mutex.Lock()
 	events := model.streams[attempt]
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -22,7 +22,8 @@
 	runs   map[string]int
 }
 
-// Handler returns the service's HTTP handler. GET /runs returns the counts.
+// Handler returns the service's HTTP handler and resets the counts. GET /runs returns the
+// counts, and POST /fault sets the faults.
 func (plain *Plain) Handler() http.Handler {
 	plain.runs = map[string]int{}
 	mux := http.NewServeMux()
@@ -36,6 +37,8 @@
 	return mux
 }
 
+// serve counts the request and answers it after RunTime. A request whose connection the
+// fault ResetFirst closes counts as run, one that Hang or Outage stops does not.
 func (plain *Plain) serve(writer http.ResponseWriter, request *http.Request) {
 	if !plain.faults.applyCommon(writer, request) {
 		return
@@ -63,7 +66,8 @@
 	writeBody(writer, append(text, '\n'), plain.faults.get())
 }
 
-// BoxList is a fake of the platform's list of boxes.
+// BoxList is a fake of the platform's list of boxes. Its exported fields must be set
+// before the handler serves.
 type BoxList struct {
 	Lag   time.Duration // delay until a change is visible
 	Boxes []shedkeel.Box
@@ -72,8 +76,9 @@
 	mutex  sync.Mutex
 }
 
-// Handler returns the list's HTTP handler. POST /change takes Faults as JSON and
-// applies their fields Box, Leaving and Gone after the lag.
+// Handler returns the list's HTTP handler. GET /boxes returns the list. POST /change
+// takes Faults as JSON and applies their fields Box, Leaving and Gone after the lag. POST
+// /fault sets the faults of the list itself.
 func (list *BoxList) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST /fault", &list.faults)
@@ -96,7 +101,8 @@
 	return mux
 }
 
-// change applies a change to the list.
+// change sets Leaving of the box that the change names, and removes the box if Gone is
+// set.
 func (list *BoxList) change(change Faults) {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
@@ -111,8 +117,8 @@
 }
 
 // Relay is a TCP proxy that can be cut. A cut relay accepts connections and forwards
-// nothing in either direction, like a broken network link. It forwards the held data
-// once it is no longer cut.
+// nothing in either direction, like a broken network link. Once the relay is no longer
+// cut, it forwards the held data.
 type Relay struct {
 	To string // target address
 
@@ -140,7 +146,8 @@
 	}
 }
 
-// loop forwards one connection in both directions until it is closed.
+// loop forwards one connection in both directions until either side closes. It closes the
+// connection if the target cannot be dialed.
 func (relay *Relay) loop(near net.Conn) {
 	defer func() { _ = near.Close() }()
 	far, err := net.Dial("tcp", relay.To)
@@ -152,7 +159,8 @@
 	relay.pipe(far, near)
 }
 
-// pipe copies data in one direction, and holds it while the relay is cut.
+// pipe copies data in one direction until a read or a write fails, and then closes to. It
+// holds the data while the relay is cut.
 func (relay *Relay) pipe(from, to net.Conn) {
 	defer func() { _ = to.Close() }()
 	buffer := make([]byte, 32<<10)
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -17,17 +17,17 @@
 type Faults struct {
 	Outage       bool   `json:"outage"`       // answer every call with status 503
 	Hang         bool   `json:"hang"`         // accept calls and never answer
-	DelayMS      int    `json:"delay_ms"`     // delay before each answer, in milliseconds
+	DelayMS      int    `json:"delay_ms"`     // delay before each call is handled, in milliseconds
 	LoseReplies  int    `json:"lose_replies"` // number of writes that take effect but whose reply is lost
-	CutAfter     int    `json:"cut_after"`    // number of events or bytes of each answer after which the connection is closed
+	CutAfter     int    `json:"cut_after"`    // number of events of a stream, or bytes of another answer, after which the connection is closed; 0: never
 	CutOnce      bool   `json:"cut_once"`     // accepted, but without effect
 	WrongAttempt bool   `json:"wrong_name"`   // answer with another attempt's identifier
 	ResetFirst   int    `json:"reset_first"`  // number of requests that run, but whose connection is closed without an answer
 	NoLength     bool   `json:"no_length"`    // answer as HTTP/1.0 without Content-Length, so that the body ends with the connection
 	Refuse       bool   `json:"refuse"`       // reject requests and report that they did not run
-	Leaving      bool   `json:"leaving"`      // report that the box is about to be removed
-	Box          string `json:"box"`          // box list: the box to which Leaving and Gone apply
-	Gone         bool   `json:"gone"`         // box list: the box is no longer listed
+	Leaving      bool   `json:"leaving"`      // engine and POST /change to the box list: report that the box is about to be removed
+	Box          string `json:"box"`          // POST /change to the box list: the box to which Leaving and Gone apply
+	Gone         bool   `json:"gone"`         // POST /change to the box list: the box is no longer listed
 }
 
 // faultSwitch holds the faults of one fake. The zero value has none.
@@ -55,7 +55,8 @@
 	return true
 }
 
-// ServeHTTP replaces the faults by those in the request's body.
+// ServeHTTP replaces the faults by those in the request's body. It rejects a body that is
+// invalid or has unknown fields with status 400 and keeps the earlier faults.
 func (faultSwitch *faultSwitch) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	var faults Faults
 	decoder := json.NewDecoder(request.Body)
@@ -74,7 +75,8 @@
 }
 
 // applyCommon applies the faults DelayMS, Hang and Outage, which any call can have. It
-// reports whether the handler should go on with the call.
+// reports whether the handler should go on with the call, which is false after Hang, once
+// the caller has disconnected, and after Outage.
 func (faultSwitch *faultSwitch) applyCommon(writer http.ResponseWriter, request *http.Request) bool {
 	faults := faultSwitch.get()
 	if faults.DelayMS > 0 {
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -68,7 +68,8 @@
 	return store.counts
 }
 
-// Get reads a key, for tests without HTTP. A missing key has the zero revision.
+// Get reads a key, for tests without HTTP. A missing key has the zero revision. The error is
+// an UnavailableError during an outage. Other faults do not apply.
 func (store *Store) Get(_ context.Context, key string) (shedkeel.Record, error) {
 	if store.faults.get().Outage {
 		return shedkeel.Record{}, &shedkeel.UnavailableError{What: "store"}
@@ -83,9 +84,10 @@
 	return record, nil
 }
 
-// Swap writes a key if it has the revision, for tests without HTTP. The error is a
-// ConflictError, an UnavailableError during an outage, or an UnknownOutcomeError if
-// the reply is lost.
+// Swap writes a key if it has the revision, for tests without HTTP. The error is an
+// UnavailableError during an outage. It is a ConflictError if the key has another revision
+// or the revision is of another era, and an UnknownOutcomeError if the fault LoseReplies
+// drops the reply, whether or not the key was written. Other faults do not apply.
 func (store *Store) Swap(_ context.Context, key string, revision shedkeel.Revision, value []byte) (shedkeel.Revision, error) {
 	if store.faults.get().Outage {
 		return shedkeel.Revision{}, &shedkeel.UnavailableError{What: "store"}
@@ -104,7 +106,8 @@
 }
 
 // Watch calls seen for each record below the prefix and then for each change, until
-// the context is done or the history is lost. It is for tests without HTTP.
+// the context is done or the history is lost, which are its errors. It is for tests without
+// HTTP, and no faults apply.
 func (store *Store) Watch(ctx context.Context, prefix string, seen func(shedkeel.Record)) error {
 	records, at := store.List(prefix)
 	for {
@@ -136,7 +139,7 @@
 	store.changed = make(chan struct{})
 }
 
-// Snapshot saves the state for Restore.
+// Snapshot saves the state for Restore, in place of an earlier snapshot.
 func (store *Store) Snapshot() {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -149,7 +152,8 @@
 
 // Restore returns to the snapshot, like a service that is restored from a backup.
 // Later writes are lost, and their revision and lease numbers are assigned again, in a
-// new era. Leases begin a full TTL. Watches of lost changes end with a
+// new era. Leases begin a full TTL. Restore deletes the history and wakes all watches: those
+// that wait for changes after another revision than that of the snapshot end with a
 // CompactedError.
 func (store *Store) Restore() {
 	store.mutex.Lock()
@@ -211,9 +215,10 @@
 }
 
 // Changes returns the changes below the prefix after the revision since, and the
-// current revision. If there are none, it waits for one, for at most wait. The error is
+// current revision. If there are no such changes, it waits for one, for at most wait, and
+// then returns none and no error. The error is that of the context if the context ends, and
 // a CompactedError if the history no longer reaches back to since, or if since is later
-// than the current revision, as it can be after Restore.
+// than the current revision, as it can be after Restore. The era of since is ignored.
 func (store *Store) Changes(ctx context.Context, prefix string, since shedkeel.Revision, wait time.Duration) ([]shedkeel.Record, shedkeel.Revision, error) {
 	end := time.NewTimer(wait)
 	defer end.Stop()
@@ -248,7 +253,8 @@
 	}
 }
 
-// DropHistory deletes the history of changes.
+// DropHistory deletes the history of changes. Watches from an earlier revision than the
+// current one then end with a CompactedError.
 func (store *Store) DropHistory() {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -263,9 +269,10 @@
 	return shedkeel.Revision{Era: store.era, Number: store.revision}
 }
 
-// Commit applies all changes at one revision, or none. Like the service, it ignores the
-// eras of revisions and leases. The error is a ConflictError if a key does not have the
-// required revision, or a LeaseEndedError.
+// Commit applies all changes at one revision, or none, and returns the current revision in
+// either case. Like the service, it ignores the eras of revisions and leases. The error is a
+// ConflictError if a key does not have the required revision, or a LeaseEndedError if the
+// lease of a put has ended.
 func (store *Store) Commit(change shedkeel.Transaction) (shedkeel.Revision, error) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -295,7 +302,8 @@
 	return store.currentRevision(), nil
 }
 
-// remove deletes keys at the current revision. The caller holds the mutex.
+// remove deletes those of the keys that exist, at the current revision. The caller holds the
+// mutex.
 func (store *Store) remove(keys []string) {
 	for _, key := range keys {
 		if _, found := store.data[key]; !found {
@@ -318,8 +326,8 @@
 	return shedkeel.LeaseID{Era: store.era, Number: store.lastLease}
 }
 
-// Renew extends a lease by its TTL, which it returns. The error is a LeaseEndedError if
-// the lease has expired.
+// Renew begins a full TTL of a lease and returns the TTL. The error is a LeaseEndedError if
+// the lease has expired or was released.
 func (store *Store) Renew(lease shedkeel.LeaseID) (time.Duration, error) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -334,7 +342,7 @@
 	return active.ttl, nil
 }
 
-// Release ends a lease and deletes its keys.
+// Release ends a lease and deletes its keys. It does nothing if the lease has ended.
 func (store *Store) Release(lease shedkeel.LeaseID) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -345,15 +353,16 @@
 	store.expire()
 }
 
-// expireNow is expire for timers, which do not hold the mutex.
+// expireNow is expire for timers, which do not hold the mutex. They fire 1 ms after a TTL
+// has passed, when the lease has expired unless it was renewed.
 func (store *Store) expireNow() {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.expire()
 }
 
-// expire ends the leases whose time is over and deletes their keys. The caller holds
-// the mutex.
+// expire ends the leases whose time is over and deletes their keys, at one new revision for
+// each lease that has keys. The caller holds the mutex.
 func (store *Store) expire() {
 	now := time.Now()
 	for id, lease := range store.leases {
@@ -375,7 +384,7 @@
 }
 
 // ApplyCommonFaults applies the faults DelayMS, Hang and Outage. It reports whether the
-// handler should go on with the call.
+// handler should go on with the call, which is false after Hang and Outage.
 func (store *Store) ApplyCommonFaults(writer http.ResponseWriter, request *http.Request) bool {
 	return store.faults.applyCommon(writer, request)
 }
