--- a/soak/checker_test.go
+++ b/soak/checker_test.go
@@ -20,13 +20,14 @@
 const revokeBound = 5*time.Second + 200*time.Millisecond
 
 // maxServersCrashed is how many servers one deadly request may crash: five before all
-// nodes know of the crashes, and three by copies that reach servers after that.
+// nodes know of the crashes, and three by copies of the request that reach servers after
+// that.
 const maxServersCrashed = 8
 
 // streamEvents is the number of events in a stream.
 const streamEvents = 20
 
-// checker sends requests and checks their answers and where they ran.
+// checker sends requests and checks their answers and how often they ran.
 type checker struct {
 	cluster *cluster
 
@@ -38,7 +39,8 @@
 	outcomes   map[string]int
 }
 
-// keyRemoved records that the API key was removed just now.
+// keyRemoved records that the API key was removed just now. Its first call creates the
+// checker's maps.
 func (checker *checker) keyRemoved(key string) {
 	checker.mutex.Lock()
 	defer checker.mutex.Unlock()
@@ -56,7 +58,8 @@
 	checker.violations = append(checker.violations, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
 }
 
-// caller is a client with its own connections, which it reuses.
+// caller is a client of the nodes. Only the callers of runCaller reuse their connections
+// and look addresses up in the directory.
 type caller struct {
 	checker           *checker
 	random            *rand.Rand
@@ -65,7 +68,8 @@
 	addressesExpireAt time.Time
 }
 
-// runCaller sends calls until stop is closed.
+// runCaller sends calls until stop is closed. Its client waits one second longer than the
+// deadline of 8 s that post states.
 func (checker *checker) runCaller(index int, stop <-chan struct{}) {
 	caller := &caller{checker: checker, random: rand.New(rand.NewPCG(uint64(index), 5)), client: &http.Client{Timeout: 9 * time.Second, Transport: &http.Transport{}}}
 	defer caller.client.CloseIdleConnections()
@@ -79,9 +83,9 @@
 	}
 }
 
-// address returns a node's address from the directory, or "". Like the platform's
-// callers it caches an answer for up to three times its TTL, and for longer if it gets
-// no new one.
+// address returns a node's address from the directory, or "" if no answer with an address
+// came yet. Like the platform's callers it caches an answer for up to three times the
+// answer's TTL, here once or three times, and for longer if it gets no new answer.
 func (caller *caller) address() string {
 	if time.Now().After(caller.addressesExpireAt) {
 		node := caller.checker.cluster.nodes[caller.random.IntN(len(caller.checker.cluster.nodes))]
@@ -96,7 +100,8 @@
 	return caller.addresses[caller.random.IntN(len(caller.addresses))]
 }
 
-// ask returns the addresses and the TTL of a directory answer.
+// ask returns the addresses and the TTL of a directory answer, or no addresses if none
+// came.
 func (caller *caller) ask(directory string) ([]string, time.Duration) {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get("http://" + directory + "/shedkeel/resolve?name=h.example&zone=z")
@@ -143,8 +148,9 @@
 	return true
 }
 
-// post sends one request. It returns the answer's status, or 0 if there is none, and
-// its body, or "" if the body is incomplete.
+// post sends one request, which asks for a stream of streamEvents events: a server sends
+// one event for each five answer tokens. post returns the answer's status, or 0 if there
+// is no answer, and its body, or "" if the body is incomplete.
 func (caller *caller) post(address, path, id, key, requestBody string) (int, string) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+path, strings.NewReader(requestBody))
 	if err != nil {
@@ -167,7 +173,8 @@
 	return response.StatusCode, string(body)
 }
 
-// recordOutcome records the status of a call's answer.
+// recordOutcome records the status of a call's answer. For an unsafe call it also records
+// the ID, and whether the status says that the call did not run.
 func (checker *checker) recordOutcome(kind, id string, status int) {
 	checker.mutex.Lock()
 	defer checker.mutex.Unlock()
@@ -184,7 +191,8 @@
 	}
 }
 
-// checkAnswer checks a complete answer and that its API key was still valid.
+// checkAnswer checks the body of a complete answer, and that the call was sent within
+// revokeBound of the removal of its API key, if the key was removed.
 func (checker *checker) checkAnswer(kind, id, key string, sent time.Time, body string) {
 	checker.mutex.Lock()
 	removed, wasRemoved := checker.removed[key]
@@ -206,7 +214,7 @@
 }
 
 // waitServed waits until every node answers each kind of call. It records a violation if
-// that takes longer than the limit.
+// the wait takes longer than the limit.
 func (checker *checker) waitServed(when string, limit time.Duration) {
 	prober := &caller{checker: checker, client: &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 	for end := time.Now().Add(limit); ; time.Sleep(100 * time.Millisecond) {
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// between returns a random number of milliseconds in [least, most).
+// between returns a random duration of at least least and less than most milliseconds.
 func between(random *rand.Rand, least, most int64) time.Duration {
 	return time.Duration(least+random.Int64N(most-least)) * time.Millisecond
 }
@@ -86,8 +86,8 @@
 	return fmt.Sprintf("store of %s in mode %d for %s", node.name, mode, length)
 }
 
-// killServer kills a random server. Its record is removed 1.5 s later, as after three missed
-// heartbeats, and a new server is added.
+// killServer kills a random server and adds a new one at once. The killed server's record
+// is removed 1.5 s later, as after three missed heartbeats.
 func (cluster *cluster) killServer(random *rand.Rand) string {
 	service, id := cluster.randomServer(random)
 	if id == "" {
@@ -127,7 +127,8 @@
 	return service, id
 }
 
-// degradeServer degrades the connections to a random server for some time.
+// degradeServer degrades the connections to a random server for some time. The fleet then
+// no longer expects nodes to know the server's earlier backoffs and drains.
 func (cluster *cluster) degradeServer(random *rand.Rand) string {
 	_, id := cluster.randomServer(random)
 	cluster.mutex.Lock()
@@ -145,7 +146,8 @@
 	return fmt.Sprintf("link to %s in mode %d for %s", id, mode, length)
 }
 
-// drainServer drains a random server, ends it 3 s later and adds a new one.
+// drainServer drains a random server, adds a new one at once and ends the drained server
+// 3 s later.
 func (cluster *cluster) drainServer(random *rand.Rand) string {
 	service, id := cluster.randomServer(random)
 	if id == "" {
@@ -194,7 +196,8 @@
 	return fmt.Sprintf("%s sent %d times, one every %s", body, sendings, pause)
 }
 
-// runDeadly sends the body, with a new attempt identifier each time.
+// runDeadly sends the body to a random node after each pause, with a new attempt
+// identifier each time, until all are sent or the test ends.
 func (cluster *cluster) runDeadly(body string, pause time.Duration, sendings int, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 3))
 	caller := &caller{checker: &cluster.checker, random: random, client: &http.Client{Timeout: 9 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
@@ -238,7 +241,7 @@
 
 // runLimited checks, after the given time, that the server received no more requests than
 // its limit allows, and removes the limit. It ignores requests within limitPropagation,
-// before all nodes must know the limit.
+// before all nodes must know the limit. If the test ends earlier, it checks nothing.
 func (cluster *cluster) runLimited(id string, limit float64, length time.Duration) {
 	announced := time.Now()
 	select {
@@ -275,8 +278,8 @@
 	})
 }
 
-// drainByAnswers drains a server that announces this only in its answers, not in its
-// record.
+// drainByAnswers drains a random server that announces the drain only in its answers, not
+// in its record. It adds a new server at once and ends the drained server 3.5 s later.
 func (cluster *cluster) drainByAnswers(random *rand.Rand) string {
 	service, id := cluster.randomServer(random)
 	if id == "" {
@@ -307,7 +310,7 @@
 }
 
 // recordResume records that a node has started or has resumed after a freeze. The fleet
-// then no longer expects it to know earlier backoffs and drains.
+// then no longer expects the node to know earlier backoffs and drains.
 func (cluster *cluster) recordResume(process *process) {
 	cluster.fleet.ForgetNode(slices.Index(cluster.nodes, process))
 	cluster.mutex.Lock()
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -13,11 +13,11 @@
 type proxyMode int32
 
 const (
-	passing        proxyMode = iota
-	delayed                  // each chunk is delayed by proxyDelay
-	stalled                  // both directions are held back; connections stay open
-	repliesStalled           // data from the target is held back
-	refusing                 // connections are reset
+	passing        proxyMode = iota // data is forwarded at once
+	delayed                         // each chunk is delayed by proxyDelay
+	stalled                         // both directions are held back; connections stay open
+	repliesStalled                  // data from the target is held back
+	refusing                        // open connections are reset, and new ones as soon as they are accepted
 )
 
 // proxyDelay is the delay of each chunk in the mode delayed.
@@ -53,7 +53,7 @@
 }
 
 // stopListening resets all connections and stops listening, so that the address refuses
-// connections like that of a process that has ended.
+// connections like the address of a process that has terminated.
 func (proxy *proxy) stopListening() {
 	proxy.mutex.Lock()
 	_ = proxy.listener.Close()
@@ -97,7 +97,8 @@
 	_ = conn.Close()
 }
 
-// runConn forwards one connection until both directions have ended.
+// runConn forwards one connection until both directions have ended. It resets the
+// connection if the target cannot be dialed within a second.
 func (proxy *proxy) runConn(near net.Conn) {
 	far, err := net.DialTimeout("tcp", proxy.target, time.Second)
 	if err != nil {
@@ -122,8 +123,9 @@
 	}
 }
 
-// runCopy copies data in one direction until either connection is closed; back is true
-// for the direction from the target. It forwards held data once the mode allows it.
+// runCopy copies data in one direction until a read or a write fails; back is true for the
+// direction from the target. It forwards held data once the mode allows it. It passes on
+// the end of the data, and resets the other connection after any other error.
 func (proxy *proxy) runCopy(to, from net.Conn, back bool) {
 	buffer := make([]byte, 16<<10)
 	for {
--- a/soak/signals_test.go
+++ b/soak/signals_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// sentSignal is a signal to a process and the pause after the signal before it.
+// sentSignal is a signal to a process and the pause before it is sent.
 type sentSignal struct {
 	after  time.Duration
 	signal syscall.Signal
@@ -19,14 +19,14 @@
 
 // TestSignalsWhileStopping sends more signals to a node during its graceful stop. It
 // guards against a node that restores the default action of SIGHUP when its stop
-// begins: a hangup then ended it 2.7 s after SIGTERM, in the middle of answers that it
-// had time left to finish.
+// begins: a hangup then ended the node 2.7 s after SIGTERM, in the middle of answers that
+// the node had time left to finish.
 func TestSignalsWhileStopping(t *testing.T) {
 	cases := map[string][]sentSignal{
-		"a hangup":               {{300 * time.Millisecond, syscall.SIGHUP}},
-		"several hangups":        {{0, syscall.SIGHUP}, {time.Millisecond, syscall.SIGHUP}, {50 * time.Millisecond, syscall.SIGHUP}, {time.Second, syscall.SIGHUP}},
-		"a second SIGTERM":       {{300 * time.Millisecond, syscall.SIGTERM}},
-		"both, before and after": {{100 * time.Millisecond, syscall.SIGTERM}, {0, syscall.SIGHUP}, {500 * time.Millisecond, syscall.SIGTERM}, {500 * time.Millisecond, syscall.SIGHUP}},
+		"a hangup":         {{300 * time.Millisecond, syscall.SIGHUP}},
+		"several hangups":  {{0, syscall.SIGHUP}, {time.Millisecond, syscall.SIGHUP}, {50 * time.Millisecond, syscall.SIGHUP}, {time.Second, syscall.SIGHUP}},
+		"a second SIGTERM": {{300 * time.Millisecond, syscall.SIGTERM}},
+		"two more SIGTERMs, each followed by a hangup": {{100 * time.Millisecond, syscall.SIGTERM}, {0, syscall.SIGHUP}, {500 * time.Millisecond, syscall.SIGTERM}, {500 * time.Millisecond, syscall.SIGHUP}},
 	}
 	binary := build(t)
 	for name, signals := range cases {
@@ -47,18 +47,18 @@
 	}
 }
 
-// TestSignalsWhileStarting sends signals to a node that still reads its settings. A
-// hangup must not end it, and after a hangup with invalid settings it keeps the old
-// ones. The settings are a named pipe at first, so that the node's read blocks until the
-// test has sent the signals.
+// TestSignalsWhileStarting sends hangups to a node that still reads its settings. They
+// must not end the node, and after a later hangup with invalid settings it keeps the old
+// settings: it must still answer calls. The settings are a named pipe at first, so that the
+// node's read blocks until the test has sent the signals.
 func TestSignalsWhileStarting(t *testing.T) {
 	cases := map[string]struct {
 		early  []sentSignal // sent before the node has read its settings
 		broken bool         // the settings then become invalid and the node gets a hangup
 	}{
-		"a hangup":         {[]sentSignal{{0, syscall.SIGHUP}}, false},
-		"several hangups":  {[]sentSignal{{0, syscall.SIGHUP}, {0, syscall.SIGHUP}, {20 * time.Millisecond, syscall.SIGHUP}}, false},
-		"invalid settings": {[]sentSignal{{0, syscall.SIGHUP}}, true},
+		"a hangup":                         {[]sentSignal{{0, syscall.SIGHUP}}, false},
+		"several hangups":                  {[]sentSignal{{0, syscall.SIGHUP}, {0, syscall.SIGHUP}, {20 * time.Millisecond, syscall.SIGHUP}}, false},
+		"invalid settings after the start": {[]sentSignal{{0, syscall.SIGHUP}}, true},
 	}
 	binary := build(t)
 	for name, test := range cases {
@@ -98,7 +98,8 @@
 	}
 }
 
-// wait waits until the process has ended by itself and returns its exit error.
+// wait waits until the process has ended by itself and returns its exit error, or
+// exec.ErrNotFound if it does not run.
 func (process *process) wait() error {
 	process.lifecycle.Lock()
 	defer process.lifecycle.Unlock()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -98,18 +98,20 @@
 	resumes     []time.Time       // when nodes started, or resumed after a freeze
 }
 
-// process is one node, its addresses and the proxy between it and the store.
+// process is the process of one node.
 type process struct {
 	name      string
-	settings  string
-	callers   string
-	directory string
-	store     *proxy
-	lifecycle sync.Mutex // held while it is started or ended
+	settings  string     // path of the settings file
+	callers   string     // address for the requests of callers
+	directory string     // address of the directory
+	store     *proxy     // between the node and the store
+	lifecycle sync.Mutex // held while the process is started or ended
 	mutex     sync.Mutex // guards command; never held while waiting
 	command   *exec.Cmd  // nil: not running
 }
 
+// configText is the format of the configuration. Its arguments are the version and the
+// number of the API key that the fault replaceKey replaces.
 const configText = `{"version":%d,
  "routes":[
   {"name":"r1","host":"h.example","path_prefix":"/copy/","kind":"streaming","timeout_ms":8000,"target_latency_ms":500,"gap_aim_ms":300,"max_attempts":2,"resume_streams":true,"service":"llm"},
@@ -174,8 +176,8 @@
 	return fmt.Sprint("key-", cluster.version)
 }
 
-// addServer starts a backend server behind a proxy. After a deadly request it refuses
-// connections and restarts later.
+// addServer starts a backend server behind a proxy. After a deadly request the server
+// refuses connections, and it restarts after serverRestartDelay.
 func (cluster *cluster) addServer(service, domain string) {
 	cluster.mutex.Lock()
 	defer cluster.mutex.Unlock()
@@ -200,7 +202,8 @@
 // serverRestartDelay is how long a server is down after a deadly request.
 const serverRestartDelay = 700 * time.Millisecond
 
-// restartServer restarts a crashed server unless the test has ended.
+// restartServer restarts a crashed server unless the test has ended. It records a violation
+// if the proxy cannot listen on the server's address again.
 func (cluster *cluster) restartServer(id string, link *proxy) {
 	select {
 	case <-cluster.done:
@@ -280,7 +283,8 @@
 	}
 }
 
-// end sends a signal that ends the process and waits until it has ended.
+// end sends a signal that ends the process and waits until it has ended. It does nothing if
+// the process does not run.
 func (process *process) end(signal syscall.Signal) {
 	process.lifecycle.Lock()
 	defer process.lifecycle.Unlock()
@@ -318,8 +322,8 @@
 	}
 }
 
-// keepLogs copies the nodes' logs to a directory that outlives the test and returns its
-// path.
+// keepLogs copies the nodes' logs to a directory that outlives the test. It returns the path
+// of the directory, or the text of an error.
 func (cluster *cluster) keepLogs() string {
 	kept, err := os.MkdirTemp("", "soak-logs-")
 	if err != nil {
