--- a/engine/transport.go
+++ b/engine/transport.go
@@ -62,7 +62,7 @@
 	}
 	transport.shared = &http.Transport{
 		DialContext:         dial,
-		DisableCompression:  true,
+		DisableCompression:  true, // forward answers as the backend server encodes them
 		MaxIdleConnsPerHost: 256,
 		IdleConnTimeout:     idle,
 		WriteBufferSize:     32 << 10,
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -36,7 +36,8 @@
 	callers   = flag.Int("callers", 12, "number of concurrent callers")
 )
 
-// regressions are seeds that found a fault, with its cause. They always run.
+// regressions are seeds that found a fault, each with the cause of the fault. They always
+// run.
 var regressions = map[uint64]string{
 	110: "a planner regarded a member as free because of a record from an older copy of the store",
 }
@@ -123,7 +124,8 @@
  "limits":{"max_header_bytes":16384,"max_body_bytes":65536,"header_timeout_ms":3000,"idle_timeout_ms":15000},
  "tenants":[{"name":"shop","api_keys":["stays","key-%d"]}]}`
 
-// newCluster starts the store, 10 servers of llm, 3 of plain, and the nodes.
+// newCluster starts the store, 10 servers of llm in two failure domains, 3 of plain, and
+// the nodes. The times of the servers' model are those that configText states.
 func newCluster(t *testing.T, binary string, seed uint64) *cluster {
 	t.Helper()
 	cluster := &cluster{
--- a/wire/link.go
+++ b/wire/link.go
@@ -21,7 +21,7 @@
 
 	mutex   sync.Mutex
 	streams map[*yamux.Stream]struct{}
-	closed  bool
+	closed  bool // expireStreams was called
 }
 
 // linkConn is the connection of a link. A session that ends for any reason closes its
