--- a/keeper/agree.go
+++ b/keeper/agree.go
@@ -12,7 +12,10 @@
 	"shedkeel.org/shedkeel/platform"
 )
 
-// maintainLease acquires or renews the zone's lease if a write is due.
+// maintainLease acquires or renews the zone's lease if a write is due and this keeper
+// is a candidate for the lease or holds it. Before that, it takes over the lease
+// record in the table if that is newer; it makes no write if that record is invalid.
+// After a write conflict, it reads the stored record.
 func (zone *zonePlanner) maintainLease(ctx context.Context) {
 	keeper := zone.keeper
 	now := keeper.Timers.Now()
@@ -47,14 +50,15 @@
 	keeper.recordStoreState(err)
 }
 
-// rereadLease reads the lease after a write conflict.
+// rereadLease takes over the stored lease record after a write conflict and merges it
+// into the table. It changes nothing if the read fails.
 func (zone *zonePlanner) rereadLease(ctx context.Context) {
 	record, err := zone.keeper.Store.Get(ctx, zone.leaseKey())
 	if err != nil {
 		return
 	}
-	// The stored record says who holds the lease, also if the write that conflicted
-	// was an earlier one of this keeper whose reply was lost.
+	// The write that came first may be an earlier one of this keeper whose reply was
+	// lost. The stored record names the holder in that case too.
 	_ = zone.lease.Reset(record.Revision, record.Value, zone.keeper.Timers.Now())
 	if record.Revision.Exists() {
 		zone.publish(zone.leaseKey(), record.Value, record.Revision)
@@ -62,7 +66,8 @@
 }
 
 // publish merges a record that this keeper just wrote or read into the table, from
-// which the exchanges send it to the other keepers.
+// which the exchanges send it to the other keepers. It ignores a value that
+// member.ParseRecord rejects.
 func (zone *zonePlanner) publish(key string, value []byte, revision shedkeel.Revision) {
 	record, err := member.ParseRecord(shedkeel.Record{Key: key, Value: value, Revision: revision})
 	if err == nil {
@@ -70,10 +75,12 @@
 	}
 }
 
-// fencePlacement rewrites the placement under the new epoch before planning
-// starts, so that compare-and-swap writes of a former holder fail. It includes
-// the reserve boxes that a fallback has put in use. It reports whether the write
-// succeeded.
+// fencePlacement writes the placement again under the new epoch before planning
+// starts. The write changes the record's revision, so that later compare-and-swap
+// writes of a former holder fail. It starts from the stored placement, or from the
+// merged one if that has a higher generation, and includes the reserve boxes that a
+// fallback has put in use. It reports whether the write succeeded. It writes nothing
+// if the stored placement cannot be read or decoded.
 func (zone *zonePlanner) fencePlacement(ctx context.Context) bool {
 	record, err := zone.keeper.Store.Get(ctx, zone.placementKey())
 	if err != nil {
@@ -96,7 +103,8 @@
 	return zone.fenced
 }
 
-// mergedPlacement returns the newest placement that this keeper has merged.
+// mergedPlacement returns the newest placement of the zone that this keeper has
+// merged, or one with generation 0 if there is none.
 func (zone *zonePlanner) mergedPlacement() shedkeel.Placement {
 	zone.keeper.mutex.Lock()
 	defer zone.keeper.mutex.Unlock()
@@ -105,8 +113,9 @@
 	return placement
 }
 
-// commitPlacement writes the placement by compare-and-swap on the previous
-// revision, provided that the lease is still held. It reports whether the write
+// commitPlacement gives the placement the next generation, the current epoch and a new
+// nonce, and writes it by compare-and-swap on zone.revision. It writes nothing if the
+// placement is invalid or the lease is no longer held. It reports whether the write
 // succeeded.
 func (zone *zonePlanner) commitPlacement(ctx context.Context, next shedkeel.Placement) bool {
 	keeper := zone.keeper
@@ -142,7 +151,8 @@
 	return true
 }
 
-// stepDown ends planning after the lease was lost.
+// stepDown ends planning after the lease was lost. It does nothing if this keeper does
+// not plan the zone.
 func (zone *zonePlanner) stepDown() {
 	if zone.epoch == 0 {
 		return
--- a/keeper/calls.go
+++ b/keeper/calls.go
@@ -12,11 +12,12 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// claimTimeout is the time limit for one claim or answer call, including the
-// forwarded call.
+// claimTimeout is the time limit for one claim or answer call, including the forwarded
+// call. It is shorter than the 4 s for which an entry waits for the reply.
 const claimTimeout = 3 * time.Second
 
-// Handle serves calls from other keepers and from the entry on this box.
+// Handle serves calls from other keepers and from the entry on this box. Its reply to
+// a call of an unknown kind has only an Error.
 func (keeper *Keeper) Handle(ctx context.Context, call *wire.Call) *wire.Reply {
 	now := keeper.Timers.Now()
 	switch kind := call.GetKind().(type) {
@@ -34,8 +35,10 @@
 	return &wire.Reply{Error: "unknown call; upgrade this process"}
 }
 
-// handleSync serves a sync call of the entry on this box: it stores the entry's
-// state and returns the records and digests that are newer than the entry's.
+// handleSync serves a sync call of the entry on this box. It stores the entry's
+// session and incarnation, the time of the call and whether the entry is stopping. It
+// returns the nodes, records and digests that are newer than the entry's, and whether
+// this keeper is settled.
 func (keeper *Keeper) handleSync(ctx context.Context, call *wire.SyncCall, now time.Duration) *wire.SyncReply {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
@@ -51,11 +54,13 @@
 	return reply
 }
 
-// handleClaim decides a claim for an idempotency key. It forwards the claim to
-// the keeper that writes the key's shard, or decides it here if that keeper is
-// not available. Compare-and-swap makes both safe; forwarding needs fewer
-// writes. If it is unknown whether the other keeper handled the forwarded claim,
-// the reply is UNAVAILABLE.
+// handleClaim decides a claim for an idempotency key. It forwards the claim to the
+// keeper that should write the key's shard. It decides the claim here if that is this
+// keeper, if the claim was forwarded already, or if the other keeper certainly did not
+// receive the call. Compare-and-swap makes a decision by any keeper safe; forwarding
+// needs fewer writes. The status is UNAVAILABLE if it is unknown whether the other
+// keeper handled the forwarded claim, or if the committer here returns an error. The
+// claim may have been stored in either case.
 func (keeper *Keeper) handleClaim(ctx context.Context, call *wire.ClaimCall) *wire.ClaimReply {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -81,14 +86,16 @@
 	return &wire.ClaimReply{Status: status, Attempt: result.Claim.Attempt, Holder: result.Claim.Holder}
 }
 
-// shardOwner returns the keeper that should write the claims of a shard.
+// shardOwner returns the keeper that should write the claims of a shard: of the live
+// keepers in this keeper's table, the first that member.Rank gives for the shard.
 func (keeper *Keeper) shardOwner(shard int) shedkeel.Node {
 	ranked := member.Rank("claims/"+claim.ShardName(shard), keeper.liveNodes(keeper.Timers.Now()))
 	return ranked[0] // never empty: this keeper always counts as live
 }
 
-// forwardClaim sends a claim to the owner of its shard. The Forwarded flag keeps
-// the owner from forwarding it again.
+// forwardClaim sends a claim to the owner of its shard. The Forwarded flag keeps the
+// owner from forwarding it again. With an error, the status of the reply is
+// UNAVAILABLE.
 func (keeper *Keeper) forwardClaim(ctx context.Context, owner shedkeel.Node, call *wire.ClaimCall) (*wire.ClaimReply, error) {
 	forwarded := &wire.ClaimCall{
 		Account: call.GetAccount(), Key: call.GetKey(), Attempt: call.GetAttempt(), Holder: call.GetHolder(),
@@ -101,9 +108,10 @@
 	return reply.GetClaim(), nil
 }
 
-// handleAnswer asks the entry that ran an attempt for its result. If that entry
-// is on another box, the call goes through that box's keeper. The state is
-// UNKNOWN if the entry is not available or has been restarted.
+// handleAnswer asks the entry that made an attempt for its result. If that entry is on
+// another box, the call goes through that box's keeper. The state is UNKNOWN if that
+// box is not a known node, if its entry has another incarnation now or no open session
+// to its keeper, or if a call fails.
 func (keeper *Keeper) handleAnswer(ctx context.Context, call *wire.AnswerCall) *wire.AnswerReply {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
--- a/keeper/fallback.go
+++ b/keeper/fallback.go
@@ -13,23 +13,25 @@
 	"shedkeel.org/shedkeel/member"
 )
 
-// maxFallbackGenerations is how many fallbacks can be based on one agreed
-// placement. Fallback generations start at the placement's generation times this
-// number, so that those of a newer placement are always higher.
+// maxFallbackGenerations is how many generations of the fallback can be based on one
+// agreed placement. Fallback generations start at the placement's generation times
+// this number, so that those of a newer placement are always higher.
 const maxFallbackGenerations = 1 << 16
 
-// fallbackPlanner is a planner that can replace lost members by reserve boxes
-// while no new placement can be agreed.
+// fallbackPlanner is a planner that can replace lost members by reserve boxes while no
+// new placement can be agreed.
 type fallbackPlanner interface {
+	// Fallback returns the lost member of each group whose reserve box must replace
+	// it.
 	Fallback(input shedkeel.PlanInput) map[shedkeel.GroupID]shedkeel.BoxID
 }
 
-// canFallBack reports whether this keeper may use the reserve boxes of its zone.
-// All of these must hold: this keeper was the last holder of the lease and wrote
-// the placement under it; the lease lapsed at least one TTL ago, so that this
-// keeper would know of a later holder; the store is unavailable; and more than
-// half of the known nodes are live, so that this keeper is not partitioned from
-// the others.
+// canFallBack reports whether this keeper may use the reserve boxes of its zone. All
+// of these must hold: this keeper was the last holder of the lease that it knows of,
+// and the placement was written in its epoch; the lease expired at least one TTL ago,
+// so that this keeper would know of a later holder; the store is unavailable; and more
+// than half of the nodes in the table are live, so that this keeper is not on the
+// smaller side of a partition.
 func (zone *zonePlanner) canFallBack(now time.Duration) bool {
 	keeper := zone.keeper
 	keeper.mutex.Lock()
@@ -41,10 +43,11 @@
 	return zone.lease.ExpiredFor(now, zone.lease.TTL) && zone.placement.PlannerEpoch == zone.lease.Holder().Epoch
 }
 
-// applyFallback replaces lost members by reserve boxes, publishes the fallback
-// and sends the orders for it under the epoch of the placement. Engines refuse
-// these orders once a planner with a newer epoch has sent them orders. The next
-// agreed placement ends the fallback.
+// applyFallback replaces lost members by reserve boxes, publishes the fallback if it
+// has changed, and sends the orders for it under the epoch of the placement. It does
+// nothing if the planner has no fallback, if there is no input for the planner, or if
+// no group uses its reserve box. Engines refuse these orders once a planner with a
+// newer epoch has sent them orders. The next agreed placement ends the fallback.
 func (zone *zonePlanner) applyFallback(ctx context.Context) {
 	planner, supported := zone.planner.(fallbackPlanner)
 	input, ready := zone.gatherInput(ctx)
@@ -72,8 +75,8 @@
 	zone.inFallback = false
 }
 
-// currentFallback returns the fallback based on the current placement, or an
-// empty one if there is none. The caller may change its Lost map.
+// currentFallback returns the fallback in force if it is based on the current
+// placement, and otherwise an empty one that is. The caller may change its Lost map.
 func (zone *zonePlanner) currentFallback() shedkeel.Fallback {
 	zone.keeper.mutex.Lock()
 	defer zone.keeper.mutex.Unlock()
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -1,8 +1,15 @@
-// Package keeper is the control-plane process of an entry box. It watches the
-// key-value service, exchanges records with the other keepers, probes groups,
-// and, for each availability zone whose lease it holds, plans the groups and
-// sends orders to the boxes. The decisions are made in the packages member,
-// lease, group and claim; this package connects them to clocks and sockets.
+// Package keeper is the control-plane process of an entry box, a box that runs
+// shedkeel itself: an entry, which is the proxy for callers, and a keeper. A keeper
+// watches the key-value service, exchanges records with the other keepers, probes
+// groups, and, for each availability zone whose lease it holds, plans the groups and
+// sends orders to the boxes. While the key-value service is not available, the last
+// holder of an expired lease may still replace lost members by reserve boxes; see
+// canFallBack. The decisions are made in the packages member, lease, group and claim;
+// this package connects them to clocks and sockets.
+//
+// A placement or configuration is agreed once it is written to the key-value service
+// by compare-and-swap. The record in force of a key is the one with the highest
+// generation that this keeper knows.
 package keeper
 
 import (
@@ -35,32 +42,34 @@
 	Metrics  *metrics.Metrics
 	Now      func() time.Time // wall clock, for the retention of claims and the incarnation
 
-	// mutex guards the fields below down to storeUnavailable, and the epoch,
-	// policyTable and decisions of each zonePlanner.
+	// mutex guards the fields below down to storeUnavailable. It also guards the
+	// epoch, policyTable and decisions of each zonePlanner, which the planner's own
+	// tick writes with the mutex held and may read without it.
 	mutex            sync.Mutex
 	table            member.Table
 	settled          bool            // see markSettled
 	answeredPeers    map[string]bool // by address: peers that have answered an exchange
 	entrySession     *wire.Session   // connection from the entry on this box
 	entryIncarnation string          // incarnation of that entry
-	lastSync         time.Duration   // time of the entry's last sync call
+	lastSync         time.Duration   // when the entry on this box last polled this keeper by a sync call
 	boxes            []shedkeel.Box  // last box list read
 	planners         map[shedkeel.ZoneID]*zonePlanner
 	verdicts         map[shedkeel.GroupID]shedkeel.Verdict // this keeper's last verdict on each group that it watches
 	downSince        map[shedkeel.GroupID]time.Duration    // when status first saw each group that is not whole
-	digestSequence   uint64
+	digestSequence   uint64                                // Sequence of this keeper's last digest
 	peers            map[string]*wire.Peer
 	unreachable      map[string]bool // by wire address of a keeper, or "box list": whether the last call to it failed
-	storeUnavailable bool
+	storeUnavailable bool            // whether the last call that recordStoreState was told of failed
 
 	committers []*claim.Committer
 	prober     *prober
 	background sync.WaitGroup
 }
 
-// slowLoopTicks is the interval, in ticks, between probe rounds and between
-// reads of the box list. Probing takes most of a keeper's processor time, and
-// the box list lags behind the boxes by more than this interval.
+// slowLoopTicks is the interval, in ticks, between probe rounds and between reads of
+// the box list. Probing takes most of a keeper's processor time, so a keeper does not
+// probe on every tick. Reading the box list more often would gain nothing, because the
+// list lags behind the boxes by more than this interval.
 const slowLoopTicks = 2
 
 // Listeners are the sockets on which a keeper accepts connections.
@@ -171,7 +180,8 @@
 }
 
 // mergeRecord merges a record into the table, from which the exchanges send it to the
-// other keepers. If the record is a newer configuration, it also advertises it.
+// other keepers. If the table stores the record and it is a configuration, mergeRecord
+// also advertises it.
 func (keeper *Keeper) mergeRecord(record member.Record) {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
@@ -190,9 +200,11 @@
 	}
 }
 
-// markSettled records that the keeper has read the records in force, from the
-// key-value service or from a majority of the listed keepers, and logs which of
-// the two. Until then the keeper neither plans nor reports ready.
+// markSettled marks the keeper as settled: it knows the records in force, because the
+// key-value service or enough other keepers (see exchangeWith) have answered it. On
+// the first call, markSettled logs source, which names the one or the other. Until the
+// keeper is settled, it neither plans nor reports ready, and the entry on this box
+// ignores its sync replies.
 func (keeper *Keeper) markSettled(source string) {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
@@ -202,13 +214,14 @@
 	}
 }
 
-// permitWindow returns the maximum age of a finding that a group is whole.
+// permitWindow returns the maximum age of a verdict shedkeel.VerdictWhole on a group
+// for which the group has a permit to receive requests.
 func (keeper *Keeper) permitWindow() time.Duration {
 	return time.Duration(keeper.Settings.Timing.Permit)
 }
 
-// permits computes the permits of all placed groups by the same rule as an
-// entry. The mutex must be held.
+// permits computes the permits of all placed groups by the rule that entries apply
+// too, member.PermitInput.Permits. The mutex must be held.
 func (keeper *Keeper) permits(now time.Duration) []member.Permit {
 	input := member.PermitInput{Now: now, Window: keeper.permitWindow(), Drains: map[shedkeel.BoxID]bool{}, Digests: keeper.table.Digests()}
 	if config, known := keeper.table.Config(); known {
--- a/keeper/operator.go
+++ b/keeper/operator.go
@@ -21,23 +21,23 @@
 	"shedkeel.org/shedkeel/policy"
 )
 
-// maxConfigBytes is the maximum size of a configuration, which is stored as one
-// value of the key-value service.
+// maxConfigBytes is the maximum size of a configuration in JSON. It is stored as one
+// value of the key-value service, which can be about 1 MB long.
 const maxConfigBytes = 1 << 20
 
 // ApplyResult is the response to a configuration that was accepted.
 type ApplyResult struct {
 	Generation uint64 `json:"generation"`
 	Nodes      int    `json:"nodes"`    // live keepers
-	InForce    int    `json:"in_force"` // live keepers that report this generation or a newer one
+	InForce    int    `json:"in_force"` // this keeper and the live keepers that report this generation or a newer one
 }
 
 // GroupStatus is the state of one group.
 type GroupStatus struct {
 	Group  shedkeel.Group  `json:"group"`
 	Zone   shedkeel.ZoneID `json:"zone"`
-	State  string          `json:"state"` // whole, short, loading or draining; see groupState
-	Reason string          `json:"reason,omitempty"`
+	State  string          `json:"state"`            // whole, short, loading or draining; see groupState
+	Reason string          `json:"reason,omitempty"` // why the group has no permit
 }
 
 // Status is the state of the fleet as known to one keeper.
@@ -49,7 +49,7 @@
 	Nodes                []shedkeel.Node             `json:"nodes"`
 	Groups               []GroupStatus               `json:"groups"`
 	StrandedAccelerators int                         `json:"stranded_accelerators"` // accelerators of boxes in no whole group
-	BoxesKnown           bool                        `json:"boxes_known"`           // whether this keeper has read the box list
+	BoxesKnown           bool                        `json:"boxes_known"`           // whether this keeper has read a box list with any box
 	DownFor              map[shedkeel.GroupID]string `json:"down_since"`            // for each group that is not whole: time since a status report first showed that
 }
 
@@ -94,7 +94,7 @@
 	_ = json.NewEncoder(writer).Encode(body)
 }
 
-// serveReady reports whether the keeper knows the records in force.
+// serveReady responds with status 200 if the keeper is settled, and 503 otherwise.
 func (keeper *Keeper) serveReady(writer http.ResponseWriter, _ *http.Request) {
 	if !keeper.isSettled() {
 		writeError(writer, http.StatusServiceUnavailable, errors.New("not settled; the key-value service or a majority of listed keepers must answer"))
@@ -103,7 +103,7 @@
 	_, _ = io.WriteString(writer, "ready\n")
 }
 
-// serveGetConfig returns the configuration in force.
+// serveGetConfig returns the configuration in force, or an empty one if none is known.
 func (keeper *Keeper) serveGetConfig(writer http.ResponseWriter, _ *http.Request) {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
@@ -111,8 +111,10 @@
 	writeJSON(writer, http.StatusOK, inForce)
 }
 
-// servePutConfig replaces the configuration if the request is based on the
-// generation in force; otherwise it responds with status 409.
+// servePutConfig replaces the configuration by the one in the request; see
+// applyConfig. The status is 400 if the request cannot be decoded, 422 if the
+// configuration is invalid, 409 for a ConflictError, 503 for an UnavailableError, and
+// 504 for any other error, such as a write with an unknown outcome.
 func (keeper *Keeper) servePutConfig(writer http.ResponseWriter, request *http.Request) {
 	var wanted shedkeel.Config
 	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxConfigBytes))
@@ -143,9 +145,10 @@
 	}
 }
 
-// applyConfig stores a configuration by compare-and-swap. wanted.Generation is
-// the generation that the operator edited. If another operator has stored a
-// newer one, applyConfig returns a ConflictError and changes nothing.
+// applyConfig stores a configuration by compare-and-swap. wanted.Generation is the
+// generation that the operator edited. applyConfig returns a ConflictError and changes
+// nothing if the stored configuration has another generation, or if it is older than
+// the one in force because the key-value service was restored from older data.
 func (keeper *Keeper) applyConfig(ctx context.Context, wanted shedkeel.Config) (ApplyResult, error) {
 	stored, err := keeper.Store.Get(ctx, member.KeyConfig)
 	if err != nil {
@@ -185,8 +188,8 @@
 	return keeper.configRollout(wanted.Generation), nil
 }
 
-// configRollout counts the live keepers and those that report at least the
-// given generation of the configuration.
+// configRollout counts the live keepers, and among them this one and those that report
+// at least the given generation of the configuration.
 func (keeper *Keeper) configRollout(generation uint64) ApplyResult {
 	accepted := ApplyResult{Generation: generation}
 	for _, node := range keeper.liveNodes(keeper.Timers.Now()) {
@@ -251,9 +254,9 @@
 }
 
 // groupState returns the state of a group as it appears in GroupStatus: "whole" with a
-// valid permit, "draining" if the group or a member of it is leaving, "short" if it is
-// broken, and "loading" otherwise. Only the reasons that the package member gives for
-// a leaving member contain "leaving".
+// valid permit, "draining" if the group is draining or a member is leaving, "short" if
+// the group is broken, and "loading" otherwise. Only the reasons that the package
+// member gives for a leaving member contain "leaving".
 func groupState(permit member.Permit, now time.Duration) string {
 	switch {
 	case permit.Until > now:
@@ -276,6 +279,8 @@
 	Planner   string              `json:"planner"`
 }
 
+// serveExplain serves the Explanation of a group. The status is 404 if the group is in
+// no placement and no planner decision is kept for it.
 func (keeper *Keeper) serveExplain(writer http.ResponseWriter, request *http.Request) {
 	id := shedkeel.GroupID(request.PathValue("group"))
 	status := keeper.status()
@@ -310,8 +315,8 @@
 	writeJSON(writer, http.StatusOK, explanation)
 }
 
-// leaseHolder returns the holder of a zone's lease, or "" if none is known. The
-// mutex must be held.
+// leaseHolder returns the last known holder of a zone's lease, which may have expired,
+// or "" if none is known. The mutex must be held.
 func (keeper *Keeper) leaseHolder(zone shedkeel.ZoneID) string {
 	var holder struct {
 		Holder string `json:"holder"`
@@ -325,7 +330,7 @@
 type Dump struct {
 	Status            Status                       `json:"status"`
 	Config            shedkeel.Config              `json:"config"`
-	PolicyTable       shedkeel.PlannerParameters   `json:"policy_table"` // of any one zone for which this keeper has a planner
+	PolicyTable       shedkeel.PlannerParameters   `json:"policy_table"` // of any one zone for which this keeper has a planner; the default table if there is none
 	RecordGenerations map[string]uint64            `json:"record_generations"`
 	Digests           []member.Digest              `json:"digests"`
 	Decisions         []shedkeel.Decision          `json:"decisions"`
--- a/keeper/plan.go
+++ b/keeper/plan.go
@@ -29,7 +29,9 @@
 	maxDecisions = 200
 )
 
-// zonePlanner plans one availability zone while this keeper holds its lease.
+// zonePlanner plans one availability zone while this keeper holds its lease, and may
+// apply a fallback after that. Only its own tick uses its fields, except those that
+// Keeper.mutex guards.
 type zonePlanner struct {
 	keeper  *Keeper
 	id      shedkeel.ZoneID
@@ -41,7 +43,7 @@
 	// that the next compare-and-swap expects.
 	placement       shedkeel.Placement
 	revision        shedkeel.Revision
-	fenced          bool // the stored placement carries the current epoch
+	fenced          bool // the stored placement carries the current epoch; see fencePlacement
 	inFallback      bool // sending fallback orders during an outage of the store
 	policyTable     shedkeel.PlannerParameters
 	tableGeneration uint64                           // configuration generation with which the policy program last ran
@@ -49,8 +51,7 @@
 	decisions       []shedkeel.Decision              // newest last, at most maxDecisions
 }
 
-// tickPlan runs one planning step for each of candidateZones, all zones in
-// parallel.
+// tickPlan runs one tick of each planner that candidateZones returns, all in parallel.
 func (keeper *Keeper) tickPlan(ctx context.Context, now time.Duration) {
 	var running sync.WaitGroup
 	for _, zone := range keeper.candidateZones(now) {
@@ -59,9 +60,10 @@
 	running.Wait()
 }
 
-// candidateZones returns the planners of the zones whose lease this keeper may
-// hold or held earlier. It creates the planner of a zone when this keeper first is
-// a candidate for the zone's lease.
+// candidateZones returns the planners of the zones for whose lease this keeper is, or
+// once was, a candidate. It creates the planner of a zone when this keeper first is a
+// candidate. Only zones in which a service of the configuration may have groups count.
+// There are none before the keeper is settled and knows a configuration.
 func (keeper *Keeper) candidateZones(now time.Duration) []*zonePlanner {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
@@ -108,8 +110,9 @@
 func (zone *zonePlanner) leaseKey() string     { return member.KeyLeases + string(zone.id) }
 func (zone *zonePlanner) placementKey() string { return member.KeyPlacements + string(zone.id) }
 
-// tick maintains the lease. If this keeper holds it, tick plans; otherwise it applies
-// the fallback if canFallBack allows that.
+// tick maintains the lease. If this keeper holds it, tick fences the placement, unless
+// that is done already in this epoch, and plans. Otherwise it applies the fallback if
+// canFallBack allows that.
 func (zone *zonePlanner) tick(ctx context.Context) {
 	zone.maintainLease(ctx)
 	keeper := zone.keeper
@@ -139,8 +142,9 @@
 	zone.epoch = epoch
 }
 
-// plan runs the planner once, sends the orders and commits a changed placement.
-// The orders are those for the placement before the change.
+// plan runs the planner once, sends the orders and commits a changed placement. The
+// load and release orders are those for the placement before the change, because the
+// change is not agreed yet when they are sent.
 func (zone *zonePlanner) plan(ctx context.Context) {
 	input, ready := zone.gatherInput(ctx)
 	if !ready {
@@ -154,9 +158,10 @@
 	}
 }
 
-// gatherInput returns the planner's input, or false if the configuration or the
-// box list is not known. Members of groups with a valid permit are taken to be
-// in the state that the group needs; gatherInput probes all other boxes.
+// gatherInput returns the planner's input, or false if the configuration or the box
+// list is not known. Members of groups with a valid permit are taken to be in the
+// state that the group needs, as of the verdict that gave the permit; gatherInput
+// probes all other boxes of the zone.
 func (zone *zonePlanner) gatherInput(ctx context.Context) (shedkeel.PlanInput, bool) {
 	keeper := zone.keeper
 	now := keeper.Timers.Now()
@@ -186,26 +191,28 @@
 			}}
 		}
 	}
-	zone.probeUnwatched(ctx, boxes, &input)
+	zone.probeRemaining(ctx, boxes, &input)
 	input.Now = keeper.Timers.Now()
 	input.Table = zone.refreshPolicyTable(config, boxes)
 	return input, true
 }
 
-// probeUnwatched probes the boxes of the zone that are not yet in the input, which are
-// those in no group with a valid permit, and adds all boxes of the zone to the input.
-func (zone *zonePlanner) probeUnwatched(ctx context.Context, boxes []shedkeel.Box, input *shedkeel.PlanInput) {
+// probeRemaining probes the boxes of the zone that are not yet in the input, which are
+// those in no group with a valid permit, and adds the boxes of the zone to the input.
+// It leaves out boxes that are not on the box list and have not answered a probe
+// within group.DefaultMissAfter.
+func (zone *zonePlanner) probeRemaining(ctx context.Context, boxes []shedkeel.Box, input *shedkeel.PlanInput) {
 	known, unlisted := zone.zoneBoxes(boxes)
 	addresses := map[shedkeel.BoxID]string{}
 	for id, box := range known {
-		if _, watched := input.Boxes[id]; !watched {
+		if _, present := input.Boxes[id]; !present {
 			addresses[id] = box.Address
 		}
 	}
 	zone.keeper.prober.probeAll(ctx, addresses)
 	now := zone.keeper.Timers.Now()
 	for id, box := range known {
-		if view, watched := input.Boxes[id]; watched {
+		if view, present := input.Boxes[id]; present {
 			view.Box = box
 			input.Boxes[id] = view
 			continue
@@ -218,9 +225,10 @@
 	}
 }
 
-// zoneBoxes returns the boxes of the zone: those on the box list and the members
-// of groups that are missing from it. The list lags and may be incomplete, so a
-// member that answers probes counts as present even if it is not listed.
+// zoneBoxes returns the boxes of the zone: those on the box list, and those members of
+// the zone's groups that the list lacks, which are marked in unlisted. The list lags
+// and may be incomplete, so a member that answers probes counts as present even if it
+// is not listed.
 func (zone *zonePlanner) zoneBoxes(boxes []shedkeel.Box) (known map[shedkeel.BoxID]shedkeel.Box, unlisted map[shedkeel.BoxID]bool) {
 	known = map[shedkeel.BoxID]shedkeel.Box{}
 	unlisted = map[shedkeel.BoxID]bool{}
@@ -240,15 +248,16 @@
 	return known, unlisted
 }
 
-// boxView returns the last state that a box reported. After an order with an
-// unknown outcome, boxView reports the box as not answering until the box has
-// answered a probe sent after the order's call ended, which shows the order's effect.
+// boxView returns the last state that a box reported. After an order with an unknown
+// outcome, boxView reports the box as not answering until the box has answered a probe
+// sent after the order's call ended, because only such an answer shows whether the
+// order took effect.
 func (zone *zonePlanner) boxView(box shedkeel.Box) shedkeel.BoxView {
 	view := zone.keeper.prober.lastView(box)
-	orderedAt, outcomeUnknown := zone.unknownOutcomes[box.ID]
+	callEnded, outcomeUnknown := zone.unknownOutcomes[box.ID]
 	switch {
 	case !outcomeUnknown:
-	case view.LastReply <= orderedAt:
+	case view.LastReply <= callEnded:
 		view.LastReply = -1
 	default:
 		delete(zone.unknownOutcomes, box.ID)
@@ -256,8 +265,9 @@
 	return view
 }
 
-// refreshPolicyTable runs the policy program if the configuration has changed. If
-// the program fails, the previous table stays in use.
+// refreshPolicyTable runs the policy program if the configuration has changed since
+// the last run. If the program fails, the previous table stays in use until the next
+// change.
 func (zone *zonePlanner) refreshPolicyTable(config shedkeel.Config, boxes []shedkeel.Box) shedkeel.PlannerParameters {
 	if zone.tableGeneration == config.Generation {
 		return zone.policyTable
@@ -323,8 +333,8 @@
 	return slices.Clone(zone.decisions[max(len(zone.decisions)-20, 0):])
 }
 
-// sendOrders sends the orders in parallel and waits for all. Boxes whose order
-// has an unknown outcome are added to unknownOutcomes.
+// sendOrders sends the orders in parallel under the given planner epoch, and waits for
+// all. Boxes whose order has an unknown outcome are added to unknownOutcomes.
 func (zone *zonePlanner) sendOrders(ctx context.Context, epoch uint64, orders []shedkeel.Order) {
 	var pending sync.WaitGroup
 	var mutex sync.Mutex
@@ -334,10 +344,10 @@
 		slots <- struct{}{}
 		pending.Go(func() {
 			defer func() { <-slots }()
-			sent, outcomeUnknown := zone.sendOrder(ctx, order)
+			ended, outcomeUnknown := zone.sendOrder(ctx, order)
 			if outcomeUnknown {
 				mutex.Lock()
-				zone.unknownOutcomes[order.Box] = sent
+				zone.unknownOutcomes[order.Box] = ended
 				mutex.Unlock()
 			}
 		})
@@ -345,10 +355,11 @@
 	pending.Wait()
 }
 
-// sendOrder sends one order if the lease stays valid for the lifetime of an order
-// or the planner is in fallback. It holds back an unfenced order in a fallback and
-// until orders of a former holder have expired. It returns when the call ended,
-// and whether the outcome of the order is unknown.
+// sendOrder sends one order if the lease stays valid for the lifetime of an order or
+// the planner is in fallback. It does not send an unfenced order in a fallback, or
+// before all orders of a former holder have expired. It logs errors. It returns when
+// the call ended, or the current time if it sent nothing, and whether the outcome of
+// the order is unknown.
 func (zone *zonePlanner) sendOrder(ctx context.Context, order shedkeel.Order) (time.Duration, bool) {
 	keeper := zone.keeper
 	orderLife := time.Duration(keeper.Settings.Timing.OrderLife)
--- a/keeper/probe.go
+++ b/keeper/probe.go
@@ -16,14 +16,15 @@
 	"shedkeel.org/shedkeel/member"
 )
 
-// maxConcurrentProbes limits the probes in flight in one round.
+// maxConcurrentProbes limits the probes that one call of probeAll has in flight.
 const maxConcurrentProbes = 32
 
-// prober probes engines for their state and stores the last answer of each box.
+// prober probes engines for their state and stores the last answer of each box. Its
+// methods may be called concurrently.
 type prober struct {
 	engines shedkeel.Engines
 	timers  shedkeel.Timers
-	timeout time.Duration
+	timeout time.Duration // of one probe
 
 	mutex sync.Mutex
 	views map[shedkeel.BoxID]shedkeel.BoxView
@@ -31,11 +32,12 @@
 
 // probeRound is the result of one round of probes.
 type probeRound struct {
-	answers map[shedkeel.BoxID]shedkeel.BoxState
-	refused map[shedkeel.BoxID]bool // by failed box: whether it refused the connection
+	answers map[shedkeel.BoxID]shedkeel.BoxState // states of the boxes that answered
+	refused map[shedkeel.BoxID]bool              // by failed box: whether it refused the connection
 }
 
-// probeAll probes all boxes and returns when each has answered or timed out.
+// probeAll probes all boxes at their addresses, stores the answers, and returns when
+// each box has answered or its probe has failed.
 func (prober *prober) probeAll(ctx context.Context, addresses map[shedkeel.BoxID]string) probeRound {
 	result := probeRound{answers: map[shedkeel.BoxID]shedkeel.BoxState{}, refused: map[shedkeel.BoxID]bool{}}
 	var mutex sync.Mutex
@@ -92,8 +94,8 @@
 	return view
 }
 
-// tickProbe probes the members of all groups that this keeper watches and merges
-// the verdicts as its digest.
+// tickProbe probes the members of all groups that this keeper watches and merges the
+// verdicts as its digest, unless ctx has ended meanwhile.
 func (keeper *Keeper) tickProbe(ctx context.Context, now time.Duration) {
 	groups := keeper.watchedGroups(now)
 	addresses := map[shedkeel.BoxID]string{}
@@ -110,7 +112,7 @@
 	keeper.recordDigest(groups, found, started)
 }
 
-// watchedGroups returns the groups that this keeper probes.
+// watchedGroups returns the groups that this keeper probes; see member.ShouldProbe.
 func (keeper *Keeper) watchedGroups(now time.Duration) []shedkeel.Group {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
@@ -126,8 +128,9 @@
 	return groups
 }
 
-// recordDigest builds and merges this keeper's digest: a verdict on each watched
-// group and the boxes that the box list marks as leaving.
+// recordDigest builds and merges this keeper's digest: a verdict on each watched group
+// and the boxes that the box list marks as leaving. asOf is when the round of probes
+// began.
 func (keeper *Keeper) recordDigest(groups []shedkeel.Group, found probeRound, asOf time.Duration) {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
@@ -149,8 +152,8 @@
 	keeper.table.MergeDigest(digest)
 }
 
-// recordVerdict stores the verdict on a group and logs it if it has changed. The
-// mutex must be held.
+// recordVerdict stores the verdict on a group, and logs it if it is the first one or
+// differs from the last. The mutex must be held.
 func (keeper *Keeper) recordVerdict(watched shedkeel.Group, verdict shedkeel.Verdict) {
 	before, known := keeper.verdicts[watched.ID]
 	keeper.verdicts[watched.ID] = verdict
--- a/keeper/spread.go
+++ b/keeper/spread.go
@@ -20,17 +20,20 @@
 	// sampledPeers is how many random peers a keeper exchanges with on each tick if
 	// it has more than maxFullExchange.
 	sampledPeers = 3
-	// storeWatchersPerZone is how many keepers of each zone watch the key-value
-	// service and the box list. The others receive the records from them.
+	// storeWatchersPerZone is how many keepers of each zone are its store watchers,
+	// which watch the key-value service and the box list. The others receive the
+	// records and the leaving boxes from them by exchanges.
 	storeWatchersPerZone = 2
 )
 
-// tickExchange advances this node's heartbeat and fetches newer state from other
-// keepers.
+// tickExchange advances this node's heartbeat if that is due, evicts dead nodes from
+// the table, and fetches newer state from all other keepers, or from sampledPeers of
+// them if there are more than maxFullExchange. If the entry on this box has not synced
+// within the permit window, tickExchange first marks this node as stopping.
 func (keeper *Keeper) tickExchange(ctx context.Context, now time.Duration) {
 	keeper.mutex.Lock()
 	if now-keeper.lastSync > keeper.permitWindow() {
-		keeper.table.Self.Stopping = true // the entry has stopped syncing, so other entries must no longer list it for callers
+		keeper.table.Self.Stopping = true // other entries must no longer list this box's entry for callers
 	}
 	keeper.table.AdvanceHeartbeat(now)
 	keeper.table.EvictDead(now)
@@ -67,8 +70,10 @@
 	return addresses
 }
 
-// exchangeWith fetches newer state from one keeper and merges it. The keeper is
-// settled once a majority of the listed keepers, itself included, has answered.
+// exchangeWith fetches newer state from one keeper and merges it. If the settings list
+// peers, this keeper is settled once the keepers that have answered and this one are
+// more than half of the listed peers and this one. A keeper that is not listed counts
+// like one that is.
 func (keeper *Keeper) exchangeWith(ctx context.Context, address string) {
 	sent := keeper.Timers.Now()
 	keeper.mutex.Lock()
@@ -95,7 +100,8 @@
 	}
 }
 
-// recordPeerState logs when a peer becomes unavailable or available again.
+// recordPeerState stores whether the last exchange with a peer failed, and logs when
+// the peer becomes unavailable or available again.
 func (keeper *Keeper) recordPeerState(address string, err error) {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
@@ -126,12 +132,12 @@
 	return peer
 }
 
-// loopWatchStore watches the key-value service while this keeper is one of its
-// zone's watchers. Any other keeper watches it only until it is settled.
+// loopWatchStore watches the key-value service while this keeper is a store watcher or
+// not yet settled. It starts a new watch one tick after the last one ended.
 func (keeper *Keeper) loopWatchStore(ctx context.Context) {
 	tick := time.Duration(keeper.Settings.Timing.Tick)
 	for ctx.Err() == nil {
-		if keeper.isWatcher() || !keeper.isSettled() {
+		if keeper.isStoreWatcher() || !keeper.isSettled() {
 			keeper.watchStore(ctx)
 		}
 		select {
@@ -147,20 +153,20 @@
 	return keeper.settled
 }
 
-// isWatcher reports whether this keeper is one of those that watch the key-value
-// service and the box list for its zone.
-func (keeper *Keeper) isWatcher() bool {
+// isStoreWatcher reports whether this keeper is one of the store watchers of its zone.
+func (keeper *Keeper) isStoreWatcher() bool {
 	rank, isCandidate := member.RankOf(keeper.Settings.Node, "watch/"+string(keeper.Settings.Zone), keeper.Settings.Zone, keeper.liveNodes(keeper.Timers.Now()))
 	return isCandidate && rank < storeWatchersPerZone
 }
 
-// watchStore watches the key-value service until the watch fails or this keeper
-// is no longer one of the zone's watchers.
+// watchStore watches the key-value service until the watch fails. Once every permit
+// window, it ends the watch if this keeper is not a store watcher. After the time
+// limit of a store call, it calls settleFromStore once.
 func (keeper *Keeper) watchStore(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := keeper.Timers.Subscribe(time.Duration(keeper.Settings.Timing.Permit), func(time.Duration) {
-		if !keeper.isWatcher() {
+		if !keeper.isStoreWatcher() {
 			cancel()
 		}
 	})
@@ -174,8 +180,8 @@
 }
 
 // settleFromStore marks the keeper as settled if it can read from the key-value
-// service. It covers a service without a configuration record, for which the
-// watch reports nothing.
+// service. It covers a service without a configuration record: handleStoreRecord marks
+// the keeper as settled only when the watch reports that record.
 func (keeper *Keeper) settleFromStore() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(keeper.Settings.Timing.StoreCall))
 	defer cancel()
@@ -185,8 +191,8 @@
 	}
 }
 
-// recordStoreState logs when the key-value service becomes unavailable or
-// available again.
+// recordStoreState stores whether a call to the key-value service failed, and logs
+// when the service becomes unavailable or available again.
 func (keeper *Keeper) recordStoreState(err error) {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
@@ -201,9 +207,10 @@
 	keeper.Log.Write(event.StoreAvailable)
 }
 
-// handleStoreRecord merges a record reported by the watch. If the record is older
-// than the one in force, it writes the one in force back. A deleted record counts
-// as one with generation 0.
+// handleStoreRecord merges a record reported by the watch. If its generation is lower
+// than that of the record in force, handleStoreRecord writes the latter back instead.
+// A deleted record counts as one with generation 0. An invalid record is logged and
+// ignored. A configuration that is not written back marks the keeper as settled.
 func (keeper *Keeper) handleStoreRecord(stored shedkeel.Record) {
 	keeper.recordStoreState(nil)
 	record, err := member.ParseRecord(stored)
@@ -228,8 +235,9 @@
 	}
 }
 
-// writeBack stores the record in force again after the key-value service was
-// restored from older data. It skips leases: the next holder overwrites them.
+// writeBack stores the record in force again after the key-value service was restored
+// from older data or the key was deleted. It skips leases: the next holder overwrites
+// them.
 func (keeper *Keeper) writeBack(stored shedkeel.Record, known member.Record) {
 	isLease := len(known.Key) > len(member.KeyLeases) && known.Key[:len(member.KeyLeases)] == member.KeyLeases
 	if isLease {
@@ -247,10 +255,10 @@
 	keeper.Log.Write(event.StoreHealed, slog.String("key", known.Key), slog.Uint64("generation", known.Generation))
 }
 
-// tickBoxes reads the box list if this keeper watches it for its zone or holds
-// the lease of any zone.
+// tickBoxes reads the box list if this keeper is a store watcher or holds the lease of
+// any zone. If the read fails, the last list stays.
 func (keeper *Keeper) tickBoxes(ctx context.Context, _ time.Duration) {
-	if !keeper.holdsAnyLease() && !keeper.isWatcher() {
+	if !keeper.holdsAnyLease() && !keeper.isStoreWatcher() {
 		return
 	}
 	boxes, err := keeper.BoxList.Boxes(ctx)
@@ -264,7 +272,8 @@
 	keeper.boxes = boxes
 }
 
-// holdsAnyLease reports whether this keeper plans any zone.
+// holdsAnyLease reports whether this keeper held the lease of any zone at that zone's
+// last tick.
 func (keeper *Keeper) holdsAnyLease() bool {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
@@ -276,8 +285,8 @@
 	return false
 }
 
-// recordBoxListError logs a failed read of the box list, unless the read before failed
-// too. The mutex must be held.
+// recordBoxListError logs a failed read of the box list, unless the previous read
+// failed too. The mutex must be held.
 func (keeper *Keeper) recordBoxListError(err error) {
 	if !keeper.unreachable["box list"] {
 		keeper.Log.Write(event.BoxListUnavailable, slog.String("error", err.Error()))
