--- a/entry/attempts.go
+++ b/entry/attempts.go
@@ -11,9 +11,8 @@
 )
 
 const (
-	// attemptRetention is how long the answer to an idempotent call is kept for
-	// retries by the caller, and how long an attempt that was never sent is
-	// remembered.
+	// attemptRetention is how long an attempt and its answer are kept for retries by
+	// the caller, counted from when the attempt began.
 	attemptRetention = 10 * time.Minute
 	// maxAttemptBytes limits the total size of the kept answer bodies.
 	maxAttemptBytes = 64 << 20
@@ -21,9 +20,9 @@
 	maxAttempts = 100_000
 )
 
-// attempts stores the results of calls with an idempotency key, by attempt ID.
-// The zero value is usable once now is set. The limits above can be exceeded while
-// the oldest attempt is still running.
+// attempts stores the results of calls with an idempotency key, by attempt ID. The
+// zero value is usable once now is set. Attempts that are running are never removed,
+// so the limits above can be exceeded while the oldest attempt is still running.
 type attempts struct {
 	now func() time.Duration
 
@@ -59,9 +58,9 @@
 	attempts.trim()
 }
 
-// end stores the final state of an attempt. After state NEVER_SENT the attempt
-// must not be sent, since another may already run in its place. An attempt that
-// is no longer remembered is ignored.
+// end stores the final state of an attempt. State NEVER_SENT says that the attempt did
+// not run. After it, the attempt must not be sent any more, since another attempt may
+// already run in its place. end ignores an attempt that is no longer remembered.
 func (attempts *attempts) end(id string, state wire.AnswerReply_State, answer answer) {
 	attempts.mutex.Lock()
 	defer attempts.mutex.Unlock()
@@ -87,8 +86,8 @@
 	return stored.state, stored.answer
 }
 
-// trim removes the oldest attempts while they are too old or over the limits. It
-// stops at one that is still running. The mutex must be held.
+// trim removes attempts, the oldest first, while the oldest is expired or a limit is
+// exceeded. It stops at an attempt that is still running. The mutex must be held.
 func (attempts *attempts) trim() {
 	for len(attempts.order) > 0 {
 		oldest := attempts.byID[attempts.order[0]]
@@ -103,8 +102,9 @@
 	}
 }
 
-// answerReply returns the reply to a keeper that asks for the result of an
-// attempt.
+// answerReply returns the reply to a keeper that asks for the result of an attempt.
+// The state is UNKNOWN if the attempt is not remembered or the header of its answer
+// cannot be encoded.
 func (attempts *attempts) answerReply(id string) *wire.AnswerReply {
 	state, kept := attempts.find(id)
 	reply := &wire.AnswerReply{State: state, Status: uint32(kept.status), Body: kept.body}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,7 +1,13 @@
 // Package entry is the request-serving process of an entry box. It authenticates
-// client accounts and forwards each request to a backend server. Each response
-// states one of three outcomes: the complete answer, that the request did not
-// run, or that its outcome is unknown. The entry refuses invalid requests.
+// client accounts and forwards each request to a backend server. Each response states
+// its outcome: the complete answer, that the request did not run, that it is unknown
+// whether it ran, or that the entry refused it as invalid. A stream that cannot be
+// completed is cut off by aborting the connection.
+//
+// A caller is a program that sends requests with the key of a client account. A call
+// is one request of a caller; each sending of a call to a server is a try. An attempt
+// is what an attempt ID names: all tries of one call if it has an idempotency key, and
+// otherwise a single try.
 package entry
 
 import (
@@ -46,7 +52,7 @@
 	history     history
 
 	stopping          atomic.Bool
-	lastAdvertised    atomic.Int64 // time of the last /v1/entries answer that listed this entry
+	lastAdvertised    atomic.Int64 // Timers time, in nanoseconds, of the last /v1/entries answer that listed this entry
 	activeCalls       atomic.Int64 // HTTP requests of callers in flight
 	mutex             sync.Mutex   // guards table and keeperUnreachable
 	table             member.Table
@@ -62,7 +68,7 @@
 	accounts   map[string]*shedkeel.Account // by KeyHash
 	weights    map[shedkeel.AccountID]int
 	nodes      []shedkeel.Node
-	lastSync   time.Duration // when the last successful sync call was sent; negative: never
+	lastSync   time.Duration // when the last sync call that a settled keeper answered was sent; negative: never
 	permits    []member.Permit
 }
 
@@ -72,9 +78,10 @@
 	Admin   net.Listener
 }
 
-// Run serves until ctx is canceled, then shuts down: it is no longer listed in
-// /v1/entries answers, keeps serving until callers have dropped its address, and
-// waits for the requests in flight.
+// Run serves until ctx is canceled, then shuts down: the entry is no longer listed in
+// /v1/entries answers, keeps serving until callers have dropped its address, and waits
+// for the requests in flight. Run returns an error if it cannot start, if the server
+// for callers fails, or if requests are still in flight after the drain time.
 func (entry *Entry) Run(ctx context.Context, listeners Listeners) error {
 	if err := entry.initialize(); err != nil {
 		return err
@@ -106,9 +113,9 @@
 }
 
 const (
-	headerTimeout  = 5 * time.Second
-	idleTimeout    = 60 * time.Second
-	maxHeaderBytes = 64 << 10
+	headerTimeout  = 5 * time.Second  // maximum time for a client to send its request header
+	idleTimeout    = 60 * time.Second // maximum time that a caller's connection stays open without a request
+	maxHeaderBytes = 64 << 10         // maximum size of a caller's request header
 	bodyTimeout    = 30 * time.Second // maximum time for a caller to send its request body
 	writeTimeout   = 30 * time.Second // maximum time for a caller to receive an answer or one event of a stream
 )
@@ -144,9 +151,9 @@
 	}
 }
 
-// shutDown stops accepting requests once no caller uses this entry's address, and
-// waits for the requests in flight. It returns an error if some are still in flight
-// after the drain time.
+// shutDown stops accepting requests once no caller may still use this entry's address,
+// and then waits for the requests in flight. It returns an error if some are still in
+// flight after the drain time.
 func (entry *Entry) shutDown(callers *http.Server) error {
 	entry.Log.Write(event.Stopping)
 	entry.stopping.Store(true)
@@ -172,11 +179,11 @@
 }
 
 // addressExpiry returns when the last /v1/entries answer that lists this entry
-// expires. started is when the entry began to stop. Other entries list it for at
-// most the permit time plus DefaultLiveTime after that: a keeper that receives no
-// news of this node counts it as dead after DefaultLiveTime, and an entry whose last
-// sync is older than the permit time answers no /v1/entries requests. Callers may
-// cache an answer for the DirectoryTTL setting.
+// expires. started is when the entry began to stop. Other entries list it for at most
+// the permit time plus DefaultLiveTime after that: a keeper that receives no new
+// heartbeat of this node counts the node as dead after DefaultLiveTime, and an entry
+// whose last sync is older than the permit time answers no /v1/entries requests.
+// Callers may cache an answer for the DirectoryTTL setting.
 func (entry *Entry) addressExpiry(started time.Duration) time.Duration {
 	propagation := time.Duration(entry.Settings.Timing.Permit) + member.DefaultLiveTime
 	return max(started+propagation, time.Duration(entry.lastAdvertised.Load())) + time.Duration(entry.Settings.Entry.DirectoryTTL)
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -218,26 +218,26 @@
 		outcome outcome
 		sent    int
 	}{
-		"model answers":                    {model, completionBody, nil, 200, outcomeAnswered, 1},
-		"model refuses, another answers":   {model, completionBody, []reply{{notRun: true, status: 409}}, 200, outcomeAnswered, 2},
-		"model cut, another answers":       {model, completionBody, []reply{{body: "half", cutAfter: 2}}, 200, outcomeAnswered, 2},
-		"model answer has wrong ID":        {model, completionBody, []reply{{body: "theirs", attemptID: "x"}}, 200, outcomeAnswered, 2},
-		"model fails, another answers":     {model, completionBody, []reply{{status: 500}}, 200, outcomeAnswered, 2},
-		"model without length":             {model, completionBody, []reply{{body: "?", noLength: true}}, 200, outcomeAnswered, 2},
-		"all refuse":                       {model, completionBody, []reply{{notRun: true}, {err: errNotRun}, {notRun: true}}, 503, outcomeNotRun, 3},
-		"one may have run, others refuse":  {model, completionBody, []reply{{err: errUnknown}, {err: errNotRun}, {notRun: true}}, 502, outcomeUnknown, 3},
-		"all may have run":                 {model, completionBody, []reply{{err: errUnknown}, {err: errUnknown}, {err: errUnknown}}, 502, outcomeUnknown, 3},
-		"plain answers":                    {plain, "b", nil, 200, outcomeAnswered, 1},
-		"plain error is its answer":        {plain, "b", []reply{{status: 500, body: "no"}}, 500, outcomeAnswered, 1},
-		"plain refused, another answers":   {plain, "b", []reply{{err: errNotRun}}, 200, outcomeAnswered, 2},
-		"plain POST is not repeated":       {plain, "b", []reply{{err: errUnknown}}, 502, outcomeUnknown, 1},
-		"plain POST cut is not repeated":   {plain, "b", []reply{{body: "half", cutAfter: 1}}, 502, outcomeUnknown, 1},
-		"missing required key":             {fees, "b", nil, 400, outcomeRefused, 0},
-		"unknown service":                  {model, `{"model":"none"}`, nil, 404, outcomeRefused, 0},
-		"plain service asked for as model": {model, `{"model":"permits"}`, nil, 404, outcomeRefused, 0},
-		"malformed body":                   {model, `{"model":`, nil, 400, outcomeRefused, 0},
-		"wrong type in body":               {model, `{"model":7}`, nil, 400, outcomeRefused, 0},
-		"unknown path":                     {"/v2/x", "", nil, 404, outcomeRefused, 0},
+		"model answers":                                      {model, completionBody, nil, 200, outcomeAnswered, 1},
+		"model refuses, another answers":                     {model, completionBody, []reply{{notRun: true, status: 409}}, 200, outcomeAnswered, 2},
+		"model cut, another answers":                         {model, completionBody, []reply{{body: "half", cutAfter: 2}}, 200, outcomeAnswered, 2},
+		"model answer has wrong attempt ID, another answers": {model, completionBody, []reply{{body: "theirs", attemptID: "x"}}, 200, outcomeAnswered, 2},
+		"model fails, another answers":                       {model, completionBody, []reply{{status: 500}}, 200, outcomeAnswered, 2},
+		"model without length, another answers":              {model, completionBody, []reply{{body: "?", noLength: true}}, 200, outcomeAnswered, 2},
+		"all refuse":                                         {model, completionBody, []reply{{notRun: true}, {err: errNotRun}, {notRun: true}}, 503, outcomeNotRun, 3},
+		"one may have run, others refuse":                    {model, completionBody, []reply{{err: errUnknown}, {err: errNotRun}, {notRun: true}}, 502, outcomeUnknown, 3},
+		"all may have run":                                   {model, completionBody, []reply{{err: errUnknown}, {err: errUnknown}, {err: errUnknown}}, 502, outcomeUnknown, 3},
+		"plain answers":                                      {plain, "b", nil, 200, outcomeAnswered, 1},
+		"plain error is its answer":                          {plain, "b", []reply{{status: 500, body: "no"}}, 500, outcomeAnswered, 1},
+		"plain refused, another answers":                     {plain, "b", []reply{{err: errNotRun}}, 200, outcomeAnswered, 2},
+		"plain POST is not repeated":                         {plain, "b", []reply{{err: errUnknown}}, 502, outcomeUnknown, 1},
+		"plain POST cut is not repeated":                     {plain, "b", []reply{{body: "half", cutAfter: 1}}, 502, outcomeUnknown, 1},
+		"missing idempotency key":                            {fees, "b", nil, 400, outcomeRefused, 0},
+		"unknown service":                                    {model, `{"model":"none"}`, nil, 404, outcomeRefused, 0},
+		"plain service asked for as model":                   {model, `{"model":"permits"}`, nil, 404, outcomeRefused, 0},
+		"malformed body":                                     {model, `{"model":`, nil, 400, outcomeRefused, 0},
+		"wrong type in body":                                 {model, `{"model":7}`, nil, 400, outcomeRefused, 0},
+		"unknown path":                                       {"/v2/x", "", nil, 404, outcomeRefused, 0},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -269,17 +269,17 @@
 		aborted bool
 		status  int
 	}{
-		"whole":                            {[]reply{{stream: true, body: events}}, events, false, 200},
-		"cut before the first event":       {[]reply{{stream: true, body: events, cutAfter: 5}, {stream: true, body: events}}, events, false, 200},
-		"cut between events, resumed":      {[]reply{{stream: true, body: events, cutAfter: 11}, {stream: true, body: rest, resumedAt: "1"}}, events, false, 200},
-		"cut within an event, resumed":     {[]reply{{stream: true, body: events, cutAfter: 15}, {stream: true, body: rest, resumedAt: "1"}}, events, false, 200},
-		"cut before the end mark, resumed": {[]reply{{stream: true, body: events, cutAfter: 22}, {stream: true, body: "data: [DONE]\n\n", resumedAt: "2"}}, events, false, 200},
-		"ends without end mark":            {[]reply{{stream: true, body: "data: one\n\n"}, {status: 404}}, "data: one\n\n", true, 200},
-		"resumed at another event":         {[]reply{{stream: true, body: events, cutAfter: 11}, {stream: true, body: events, resumedAt: "0"}}, "data: one\n\n", true, 200},
-		"resumed with wrong attempt ID":    {[]reply{{stream: true, body: events, cutAfter: 11}, {stream: true, body: rest, resumedAt: "1", attemptID: "x"}}, "data: one\n\n", true, 200},
-		"no resumption header":             {[]reply{{stream: true, body: events, cutAfter: 11}, {stream: true, body: events}}, "data: one\n\n", true, 200},
-		"answer has wrong ID":              {[]reply{{stream: true, body: events, attemptID: "x"}, {stream: true, body: events}}, events, false, 200},
-		"refused by all":                   {[]reply{{notRun: true}, {notRun: true}, {notRun: true}}, "", false, 503},
+		"complete":                          {[]reply{{stream: true, body: events}}, events, false, 200},
+		"cut before the first event":        {[]reply{{stream: true, body: events, cutAfter: 5}, {stream: true, body: events}}, events, false, 200},
+		"cut between events, resumed":       {[]reply{{stream: true, body: events, cutAfter: 11}, {stream: true, body: rest, resumedAt: "1"}}, events, false, 200},
+		"cut within an event, resumed":      {[]reply{{stream: true, body: events, cutAfter: 15}, {stream: true, body: rest, resumedAt: "1"}}, events, false, 200},
+		"cut before the end mark, resumed":  {[]reply{{stream: true, body: events, cutAfter: 22}, {stream: true, body: "data: [DONE]\n\n", resumedAt: "2"}}, events, false, 200},
+		"ends without end mark":             {[]reply{{stream: true, body: "data: one\n\n"}, {status: 404}}, "data: one\n\n", true, 200},
+		"resumed at another event":          {[]reply{{stream: true, body: events, cutAfter: 11}, {stream: true, body: events, resumedAt: "0"}}, "data: one\n\n", true, 200},
+		"resumed with wrong attempt ID":     {[]reply{{stream: true, body: events, cutAfter: 11}, {stream: true, body: rest, resumedAt: "1", attemptID: "x"}}, "data: one\n\n", true, 200},
+		"resumed without event number":      {[]reply{{stream: true, body: events, cutAfter: 11}, {stream: true, body: events}}, "data: one\n\n", true, 200},
+		"wrong attempt ID, another answers": {[]reply{{stream: true, body: events, attemptID: "x"}, {stream: true, body: events}}, events, false, 200},
+		"refused by all":                    {[]reply{{notRun: true}, {notRun: true}, {notRun: true}}, "", false, 503},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -315,7 +315,8 @@
 	}
 }
 
-// TestPermits checks that requests are sent only to groups with a valid permit.
+// TestPermits checks that requests are sent only to groups with a valid permit. A
+// permit lasts for 3 s.
 func TestPermits(t *testing.T) {
 	cases := map[string]struct {
 		change func(*harness)
@@ -380,7 +381,8 @@
 
 // TestBrokenGroupEndsItsRequests checks that the entry cancels the requests in flight
 // on a group once a member is found lost, and that the caller then receives the error
-// at once.
+// without waiting for the time limit of 10 s. The clock advances beyond the permit
+// time of 3 s, after which a silent group counts as broken.
 func TestBrokenGroupEndsItsRequests(t *testing.T) {
 	cases := map[string]shedkeel.Verdict{"refused": shedkeel.VerdictBroken, "silent": shedkeel.VerdictNoReply}
 	for name, verdict := range cases {
@@ -436,8 +438,8 @@
 	assert.Equal(t, len(harness.scriptedBackend.requests), 0)
 }
 
-// TestKeyIsNotPassedOn checks that backend servers receive the account ID, but
-// not the caller's bearer key.
+// TestKeyIsNotPassedOn checks that backend servers receive the account ID and the path
+// without the service's prefix, but not the caller's bearer key.
 func TestKeyIsNotPassedOn(t *testing.T) {
 	harness := newHarness(t)
 	assert.Equal(t, harness.post("/services/permits/status", "").Code, 200)
@@ -446,8 +448,9 @@
 	assert.Equal(t, harness.scriptedBackend.requests[0].URL.Path, "/status")
 }
 
-// TestEntriesAnswer checks the order of /v1/entries answers, that stopping entries
-// are left out, and that the entry refuses after its last sync has become too old.
+// TestEntriesAnswer checks the order of /v1/entries answers, that stopping entries are
+// left out, that the last answer expires 5 s (DirectoryTTL) after it was given, and
+// that the entry refuses after its last sync has become too old.
 func TestEntriesAnswer(t *testing.T) {
 	harness := newHarness(t)
 	harness.table.MergeNode(shedkeel.Node{ID: "node-1", Incarnation: "1", Zone: "a", Entry: "e1", Heartbeat: 1}, harness.clock.Now())
@@ -474,8 +477,9 @@
 	assert.Equal(t, code, 503, "an entry without a recent sync might list one that is stopping")
 }
 
-// TestAttempts checks that kept answers expire, and that an attempt that is no
-// longer remembered is reported as UNKNOWN, since it may have run.
+// TestAttempts checks that a kept answer expires, that an attempt that is no longer
+// remembered is reported as UNKNOWN, since it may have run, and that end ignores an
+// attempt that was never begun.
 func TestAttempts(t *testing.T) {
 	clock := &timer.Manual{}
 	attempts := &attempts{now: clock.Now}
--- a/entry/history.go
+++ b/entry/history.go
@@ -19,7 +19,7 @@
 // TryRecord is the result of one try of a request.
 type TryRecord struct {
 	Server string `json:"server"`
-	Load   int    `json:"load"`   // estimated load of the server when it was chosen
+	Load   int    `json:"load"`   // estimated requests at the server, without this one, when the server was chosen
 	Result string `json:"result"` // "answered" or the error
 }
 
@@ -69,7 +69,7 @@
 	writer.Header().Set(HeaderRequest, call.id)
 }
 
-// recordRequest adds a completed call to the history.
+// recordRequest adds a call that has ended, with or without an answer, to the history.
 func (entry *Entry) recordRequest(call *call, err error) {
 	entry.history.add(RequestRecord{
 		ID: call.id, Account: call.caller.account.ID, Service: call.service.ID, Tries: call.tries,
@@ -85,7 +85,8 @@
 	return err.Error()
 }
 
-// serveRequest returns the history of one request to an operator.
+// serveRequest returns the history of one request to an operator. The status is 404 if
+// the request is no longer remembered.
 func (entry *Entry) serveRequest(writer http.ResponseWriter, request *http.Request) {
 	id := request.PathValue("id")
 	record, found := entry.history.find(id)
--- a/entry/http.go
+++ b/entry/http.go
@@ -20,8 +20,8 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// HeaderTimeout is the request header with the caller's time limit, such as
-// "700ms". The limit cannot exceed the service's timeout, which is the default.
+// HeaderTimeout is the request header with the caller's time limit, such as "700ms".
+// The default is the service's timeout, to which a longer limit is reduced.
 const HeaderTimeout = "Shedkeel-Timeout"
 
 // callerHandler returns the handler of the callers' HTTP interface.
@@ -38,8 +38,8 @@
 	return entry.limitAndRecover(mux)
 }
 
-// limitAndRecover limits the requests in flight and recovers from panics. After a
-// panic it aborts the connection.
+// limitAndRecover refuses requests above the limit on those in flight. After a panic,
+// it logs the panic, unless the handler aborted on purpose, and aborts the connection.
 func (entry *Entry) limitAndRecover(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		defer entry.activeCalls.Add(-1)
@@ -73,9 +73,10 @@
 	Zone    shedkeel.ZoneID `json:"zone"`
 }
 
-// serveEntries lists the entry boxes for callers. It refuses if the last sync
-// with the keeper is too old, because the list could contain an entry that is
-// stopping.
+// serveEntries lists the entry boxes for callers, without this one while it is
+// stopping. It refuses if the last sync with the keeper is older than the permit time,
+// because the list could contain an entry that is stopping. If it lists this entry, it
+// stores the time in lastAdvertised.
 func (entry *Entry) serveEntries(writer http.ResponseWriter, request *http.Request) {
 	snapshot := entry.snapshot.Load()
 	now := entry.Timers.Now()
@@ -138,7 +139,9 @@
 	snapshot *snapshot
 }
 
-// authenticate finds the client account of a request by its bearer key.
+// authenticate finds the client account of a request by its bearer key. It returns a
+// NotRunError if the entry has no configuration yet, and a refusal if no account has
+// the key.
 func (entry *Entry) authenticate(request *http.Request) (*caller, error) {
 	snapshot := entry.snapshot.Load()
 	if !snapshot.configured {
@@ -172,7 +175,8 @@
 	return service, nil
 }
 
-// callTimeout returns the time limit of a call, from its header or the service.
+// callTimeout returns the time limit of a call, from its HeaderTimeout or the service,
+// or a refusal if the header is not a positive duration.
 func callTimeout(request *http.Request, service *shedkeel.Service) (time.Duration, error) {
 	longest := time.Duration(service.Timeout)
 	text := request.Header.Get(HeaderTimeout)
@@ -186,7 +190,9 @@
 	return min(wanted, longest), nil
 }
 
-// readBody reads the request body within the limits on size and time.
+// readBody reads the request body. The error is an http.MaxBytesError if the body is
+// longer than the MaxBody setting, and a refusal if it does not arrive completely
+// within bodyTimeout.
 func (entry *Entry) readBody(writer http.ResponseWriter, request *http.Request) ([]byte, error) {
 	_ = http.NewResponseController(writer).SetReadDeadline(time.Now().Add(bodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, entry.Settings.Entry.MaxBody))
@@ -284,7 +290,9 @@
 	entry.writeJSON(writer, dump)
 }
 
-// Handle serves the keeper's calls, which ask for the results of attempts.
+// Handle serves the keeper's calls, which ask for the results of attempts. The state
+// of an attempt is UNKNOWN if another entry or an earlier incarnation of this one made
+// it.
 func (entry *Entry) Handle(_ context.Context, call *wire.Call) *wire.Reply {
 	question, ok := call.GetKind().(*wire.Call_Answer)
 	if !ok {
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -26,9 +26,9 @@
 	cancel     context.CancelCauseFunc
 }
 
-// begin adds a request. It returns a context that is canceled with cause
-// errGroupBroken when cancelExcept finds the assignment not intact, and a function
-// to call when the request has ended.
+// begin adds a request. It returns a context that cancelExcept cancels with cause
+// errGroupBroken when the assignment is no longer intact, and a function to call when
+// the request has ended.
 func (inFlightCalls *inFlightCalls) begin(ctx context.Context, assignment shedkeel.Assignment) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	inFlightCalls.mutex.Lock()
--- a/entry/model.go
+++ b/entry/model.go
@@ -11,8 +11,8 @@
 )
 
 // affinityBytes is how many bytes of a prompt the affinity hash covers. Requests whose
-// prompts have the same beginning go to groups that likely have it in their prefix
-// cache.
+// prompts begin with the same bytes go to groups that likely have these bytes in their
+// prefix cache.
 const affinityBytes = 512
 
 // completionRequest has the fields of a completion request that an entry uses.
@@ -23,8 +23,9 @@
 	Messages json.RawMessage    `json:"messages"`
 }
 
-// affinity returns a hash of the beginning of the prompt, or 0 if there is no prompt.
-// It sets the lowest bit of each hash, so that none is 0.
+// affinity returns a hash of the first affinityBytes of Messages or, if there are
+// none, of Prompt, both as JSON. It returns 0 if there is neither. It sets the lowest
+// bit of each hash, so that none is 0.
 func (request *completionRequest) affinity() uint64 {
 	text := request.Messages
 	if len(text) == 0 {
@@ -62,8 +63,8 @@
 	entry.writeAnswer(writer, complete)
 }
 
-// newModelCall validates a completion request and builds its call. It also
-// reports whether the caller asks for a stream.
+// newModelCall validates a completion request, charges it to the account's rate limit
+// and builds its call. It also reports whether the caller asks for a stream.
 func (entry *Entry) newModelCall(writer http.ResponseWriter, request *http.Request) (*call, bool, error) {
 	caller, err := entry.authenticate(request)
 	if err != nil {
@@ -96,9 +97,10 @@
 	}, wanted.Stream, nil
 }
 
-// stream forwards a call with a streamed answer, and reports whether the answer
-// was complete. It tries another server only as long as it has sent no part of an
-// answer to the caller.
+// stream forwards a call with a streamed answer, and reports whether the answer was
+// complete. It tries another server only as long as it has sent no part of an answer
+// to the caller. If the answer breaks off later and cannot be resumed, stream panics
+// with http.ErrAbortHandler, which aborts the connection.
 func (entry *Entry) stream(ctx context.Context, writer http.ResponseWriter, call *call) bool {
 	for {
 		try, err := entry.nextTry(ctx, call)
@@ -118,7 +120,8 @@
 		case streamed.started:
 			entry.recordRequest(call, err)
 			// The caller has received part of the answer. Aborting the
-			// connection lets every client library detect that it is incomplete.
+			// connection lets every client library detect that the answer is
+			// incomplete.
 			panic(http.ErrAbortHandler)
 		case !call.mayRetry(err) || ctx.Err() != nil:
 			entry.recordRequest(call, err)
--- a/entry/outcome.go
+++ b/entry/outcome.go
@@ -19,8 +19,8 @@
 // outcome is the value of HeaderOutcome and the type in an error body.
 type outcome string
 
-// The three outcomes, and outcomeRefused for invalid requests, which the entry does
-// not send to a backend server.
+// The outcomes. outcomeRefused is for invalid requests, which the entry does not send
+// to a backend server.
 const (
 	outcomeAnswered outcome = "answered"
 	outcomeNotRun   outcome = "not-run"
@@ -50,9 +50,11 @@
 // Error returns the message, which says how to correct the request.
 func (refusal *refusal) Error() string { return refusal.text }
 
-// writeError sends an error response with the outcome that follows from err. For an
-// error of a type that it does not list, the outcome is unknown. Call writeError as
-// soon as the error occurs, without waiting for the caller's time limit.
+// writeError sends an error response. The outcome is refused for a refusal and a body
+// that is too large; not-run for a NotRunError, with status 429 if the cause is
+// overload and 503 otherwise; and unknown for all other errors, with status 504 if the
+// call is still running and 502 otherwise. Call writeError as soon as the error
+// occurs, without waiting for the caller's time limit.
 func (entry *Entry) writeError(writer http.ResponseWriter, err error) {
 	var refused *refusal
 	var notRun *shedkeel.NotRunError
@@ -114,8 +116,8 @@
 	_, _ = writer.Write(answer.body)
 }
 
-// copyHeader copies the headers that are forwarded, except Content-Length: a
-// buffered answer gets its own length, and a stream has none.
+// copyHeader copies the end-to-end headers, except Content-Length: a buffered answer
+// gets its own length, and a stream has none.
 func copyHeader(to, from http.Header) {
 	maps.Copy(to, engine.EndToEndHeaders(from))
 	to.Del("Content-Length")
--- a/entry/plain.go
+++ b/entry/plain.go
@@ -23,7 +23,8 @@
 	// maxClaimTries limits how often a call is claimed. Each time but the first replaces
 	// the claim of an attempt that was never sent.
 	maxClaimTries = 3
-	// claimTimeout is the time limit of one claim or answer call to the keeper.
+	// claimTimeout is the time limit of one claim or answer call to the keeper. It is
+	// longer than the 3 s within which the keeper replies.
 	claimTimeout = 4 * time.Second
 	// digestBytes is how many bytes of a request's SHA-256 a claim stores.
 	digestBytes = 8
@@ -55,8 +56,9 @@
 	entry.writeAnswer(writer, complete)
 }
 
-// newPlainCall validates a request to a plain service and builds its call. It also
-// returns the idempotency key, which is empty if the call has none.
+// newPlainCall validates a request to a plain service, charges it to the account's
+// rate limit and builds its call. It also returns the idempotency key, which is empty
+// if the call has none. Only a call with a safe method and no key is repeatable.
 func (entry *Entry) newPlainCall(writer http.ResponseWriter, request *http.Request) (*call, string, error) {
 	caller, err := entry.authenticate(request)
 	if err != nil {
@@ -97,8 +99,9 @@
 	}, key, nil
 }
 
-// idempotencyKey returns the idempotency key of a request, or "". It refuses a
-// request without key whose path is listed in the service's OncePaths.
+// idempotencyKey returns the idempotency key of a request, or "". It refuses a key
+// longer than maxKeyBytes. It also refuses a request without a key, other than GET and
+// HEAD, whose path begins with one of the service's OncePaths.
 func idempotencyKey(request *http.Request, service *shedkeel.Service, path string) (string, error) {
 	key := request.Header.Get(headerIdempotencyKey)
 	if len(key) > maxKeyBytes {
@@ -115,9 +118,10 @@
 	return "", nil
 }
 
-// answerIdempotent runs a call with an idempotency key, or returns the answer of
-// the earlier attempt that ran it. It continues after the caller disconnects, so
-// that the answer is available for the caller's retry.
+// answerIdempotent runs a call with an idempotency key, or returns the answer of the
+// earlier attempt that ran it. It stores the result of its attempt, for later attempts
+// of the same call. It continues after the caller disconnects, so that the answer is
+// available for the caller's retry.
 func (entry *Entry) answerIdempotent(ctx context.Context, call *call, key string) (answer, error) {
 	ctx = context.WithoutCancel(ctx)
 	call.attemptID = entry.NewAttemptID()
@@ -145,9 +149,12 @@
 	return complete, err
 }
 
-// claim acquires the right to run the call under its idempotency key. It returns
-// nil if the claim is granted, and the stored answer if an earlier attempt has
-// run the call.
+// claim acquires the right to run the call under its idempotency key. It returns nil
+// if the claim is granted, and the stored answer if an earlier attempt has run the
+// call. The error is a NotRunError if the claim cannot be decided, a refusal if the
+// key was used for another request, a stillRunningError if an earlier attempt is
+// running or maxClaimTries were not enough, and an UnknownRunError if the result of
+// the earlier attempt is not known.
 func (entry *Entry) claim(ctx context.Context, call *call, key string) (*answer, error) {
 	request := &wire.ClaimCall{
 		Account: string(call.caller.account.ID), Key: string(call.service.ID) + "/" + key,
@@ -183,7 +190,8 @@
 	return nil, &stillRunningError{}
 }
 
-// errAnswerGone is the cause when an earlier attempt's answer cannot be fetched.
+// errAnswerGone is the cause when the state of an earlier attempt is UNKNOWN: its
+// outcome is unknown, it is no longer remembered, or its entry does not answer.
 var errAnswerGone = errors.New("the entry box that made it does not know or does not answer")
 
 // requestClaim sends a claim to the keeper on this box.
@@ -197,9 +205,9 @@
 	return reply.GetClaim(), nil
 }
 
-// earlierAnswer returns the state and answer of the attempt that holds a claim. It
-// asks the entry that made the attempt through the keeper, unless that is this one.
-// The state is UNKNOWN if the other entry does not answer.
+// earlierAnswer returns the state and answer of the attempt that holds a claim. Unless
+// this entry made that attempt, it asks the entry that did, through the keeper. The
+// state is UNKNOWN if the other entry does not answer or its answer cannot be decoded.
 func (entry *Entry) earlierAnswer(ctx context.Context, claimed *wire.ClaimReply) (wire.AnswerReply_State, answer) {
 	if claimed.GetHolder() == entry.claimHolder() {
 		state, kept := entry.attempts.find(claimed.GetAttempt())
@@ -223,8 +231,8 @@
 	return wire.AnswerReply_KEPT, kept
 }
 
-// digest returns a hash of method, path and body. It detects that an idempotency
-// key is reused for another request.
+// digest returns the first digestBytes of a hash of method, path and body, in
+// hexadecimal. It shows whether an idempotency key is reused for another request.
 func (call *call) digest() string {
 	hash := sha256.New()
 	_, _ = hash.Write([]byte(call.method + " " + call.path + "\n"))
--- a/entry/send.go
+++ b/entry/send.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// maxTries limits how often one call is sent.
+	// maxTries limits the tries of one call.
 	maxTries = 3
 	// maxAnswerBytes limits an answer that is buffered before it is forwarded.
 	maxAnswerBytes = 32 << 20
@@ -44,21 +44,24 @@
 	tries        []TryRecord
 	triedServers []string
 	mayHaveRun   error // error of the latest try that may have run; nil: none
-	admitted     bool
+	admitted     bool  // by the admission gate
 }
 
-// try sends a call once to one backend server or group.
+// try is one sending of a call to a backend server or group. If a stream breaks off
+// and is resumed, that belongs to the same try. The entry must call its end function
+// once.
 type try struct {
 	call      *call
 	choice    *route.Choice
 	attemptID string
-	end       func()
+	end       func()          // releases the context and the choice
 	context   context.Context //nolint:containedctx // a try lasts as long as its context
 	entry     *Entry
 }
 
 // finalError returns the error to report to the caller when the entry makes no more
-// tries. It replaces a NotRunError if an earlier try may have run.
+// tries. It replaces a NotRunError by an UnknownRunError if an earlier try may have
+// run.
 func (call *call) finalError(err error) error {
 	var notRun *shedkeel.NotRunError
 	if errors.As(err, &notRun) && call.mayHaveRun != nil {
@@ -67,10 +70,11 @@
 	return err
 }
 
-// nextTry chooses a server for the next try of a call, and admits the call if it
-// is the first. It fails if no server is usable, or if the time limit, the retry
-// limits or the admission gate do not allow another try. The caller must call end
-// on the try.
+// nextTry chooses a server for the next try of a call, one that has not been tried
+// yet, and passes the call through the admission gate if the gate has not admitted it.
+// It fails if no server is usable, or if the time limit, the limits on retries or the
+// gate do not allow another try. The error is a NotRunError, or an UnknownRunError if
+// an earlier try may have run. The caller must call end on the try.
 func (entry *Entry) nextTry(ctx context.Context, call *call) (*try, error) {
 	now := entry.Timers.Now()
 	remaining := call.timeout - (now - call.began)
@@ -105,7 +109,9 @@
 	return &try{call: call, choice: choice, attemptID: attempt, end: end, context: ctx, entry: entry}, nil
 }
 
-// admit passes the admission gate before the first try of a call.
+// admit passes a call through the admission gate, unless the gate has admitted it
+// already. The gate refuses a call that would wait for longer than the remaining time
+// or the service's MaxWait, or that exceeds the account's fair share.
 func (entry *Entry) admit(call *call, choice *route.Choice, remaining time.Duration) error {
 	if call.admitted {
 		return nil
@@ -136,8 +142,10 @@
 	entry.gate.Leave(call.service.ID, call.caller.account.ID, ran)
 }
 
-// send sends the request and checks the response. The error is a NotRunError if
-// the request did not run. The caller must close the response body.
+// send sends the request and checks the response. The error is a NotRunError if the
+// request did not run, a refusal if no valid request can be built, and an
+// UnknownRunError if the request may have run. The caller must close the response
+// body.
 func (try *try) send() (*http.Response, error) {
 	call := try.call
 	request, err := http.NewRequestWithContext(try.context, call.method, "http://"+try.choice.Address+call.path, bytes.NewReader(call.body))
@@ -169,8 +177,9 @@
 	return response, nil
 }
 
-// withGroupLoss returns an error that names the loss of a group member, if the request
-// was canceled because of it, and otherwise err. It returns a NotRunError unchanged.
+// withGroupLoss returns an UnknownRunError that names the loss of a group member if
+// the entry canceled the request because of that loss, and otherwise err. It returns a
+// NotRunError unchanged.
 func (try *try) withGroupLoss(err error) error {
 	var notRun *shedkeel.NotRunError
 	if !errors.As(err, &notRun) && errors.Is(context.Cause(try.context), errGroupBroken) {
@@ -179,8 +188,10 @@
 	return err
 }
 
-// checkResponse returns an error if the response belongs to another attempt, says
-// that the request did not run, or is a server error of a model group.
+// checkResponse returns an UnknownRunError if the response names another attempt,
+// lacks the attempt ID although a model group must repeat it, or is a server error of
+// a model group. It returns a NotRunError if the response says that the request did
+// not run.
 func (try *try) checkResponse(response *http.Response) error {
 	echoed := response.Header.Get(engine.HeaderAttempt)
 	if echoed != try.attemptID && (echoed != "" || try.call.mustEchoAttempt) {
@@ -204,8 +215,9 @@
 	errTooLong      = errors.New("the answer is too long to be held")
 )
 
-// readAnswer reads a response and returns it only if it is complete. It closes
-// the body.
+// readAnswer reads a response and returns it if it is complete. The error is an
+// UnknownRunError if the response breaks off, shows no end, or is longer than
+// maxAnswerBytes. readAnswer closes the body.
 func (try *try) readAnswer(response *http.Response) (answer, error) {
 	defer func() { _ = response.Body.Close() }()
 	// Without length or chunked encoding, a truncated answer looks complete.
@@ -223,8 +235,9 @@
 	return answer{status: response.StatusCode, header: response.Header, body: body}, nil
 }
 
-// mayRetry reports whether the call may be sent again after this error. It stores
-// the error in mayHaveRun if the call may have run.
+// mayRetry reports whether the call may be sent again after this error: always after a
+// NotRunError, after an UnknownRunError if the call is repeatable, and never after any
+// other error. It stores an UnknownRunError in mayHaveRun.
 func (call *call) mayRetry(err error) bool {
 	var notRun *shedkeel.NotRunError
 	if errors.As(err, &notRun) {
@@ -238,8 +251,9 @@
 	return call.repeatable
 }
 
-// completeAnswer sends a call, on several servers if needed, until it has a complete
-// answer or no more tries are allowed.
+// completeAnswer makes tries of a call, each on another server, until it has a
+// complete answer, an error after which the call may not be sent again, or no more
+// tries are allowed. It makes no further try once ctx has ended.
 func (entry *Entry) completeAnswer(ctx context.Context, call *call) (answer, error) {
 	for {
 		try, err := entry.nextTry(ctx, call)
@@ -257,7 +271,7 @@
 	}
 }
 
-// record adds the result of the try to the call's history.
+// record adds the result of the try to the tries of its call.
 func (try *try) record(err error) {
 	try.call.tries = append(try.call.tries, TryRecord{Server: try.choice.Name, Load: try.choice.Load, Result: resultText(err)})
 }
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -36,13 +36,13 @@
 
 	started bool // the response to the caller has begun
 	events  int  // number of events forwarded
-	resumes int
+	resumes int  // calls of resume so far
 	ended   bool // the end mark has been forwarded
 }
 
-// run forwards the stream up to its end mark. It resumes a stream that breaks off, at
-// the next event of the same attempt, and never mixes the events of different
-// attempts. If the response is not a stream, run forwards it as a complete answer.
+// run forwards the stream up to its end mark. If the stream breaks off, run resumes
+// the same attempt at the next event; it never mixes the events of different attempts.
+// If the response is not a stream, run forwards it as a complete answer.
 func (relay *relay) run() error {
 	response, err := relay.try.send() //nolint:bodyclose // relayEvents and readAnswer close it
 	if err != nil {
@@ -70,8 +70,10 @@
 	}
 }
 
-// resume asks the engine for the rest of a stream that broke off because of
-// cause. It fails if the stream cannot be resumed at the next event.
+// resume asks the engine for the rest of a stream that broke off because of cause. It
+// fails if no event was forwarded yet, after maxResumes, if the caller is gone or the
+// try's context has ended, and if the engine does not resume the stream at the next
+// event.
 func (relay *relay) resume(cause error) (*http.Response, error) {
 	try := relay.try
 	unknown := try.withGroupLoss(&shedkeel.UnknownRunError{Reason: "the stream of group " + try.choice.Name + " broke off", Cause: cause})
@@ -94,8 +96,9 @@
 	return response, nil
 }
 
-// relayEvents forwards the complete events of a response. It returns nil only if
-// the end mark was forwarded.
+// relayEvents forwards the complete events of a response and closes its body. It
+// returns nil only if the end mark was forwarded. If writing an event to the caller
+// fails, the error wraps errCallerGone.
 func (relay *relay) relayEvents(response *http.Response) error {
 	defer func() { _ = response.Body.Close() }()
 	reader := bufio.NewReaderSize(response.Body, readBufferBytes)
@@ -130,7 +133,8 @@
 // errCallerGone is the error when writing to the caller fails.
 var errCallerGone = errors.New("the caller is gone")
 
-// start sends the status and headers of the response to the caller.
+// start sends the status and headers of the response, without the attempt ID, to the
+// caller.
 func (relay *relay) start(response *http.Response) {
 	relay.started = true
 	copyHeader(relay.writer.Header(), response.Header)
--- a/entry/sync.go
+++ b/entry/sync.go
@@ -13,9 +13,10 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// sync fetches newer state from the keeper on this box and rebuilds the snapshot.
-// If the keeper does not reply, sync rebuilds the snapshot from the known state, so
-// that groups with expired permits no longer count in the router's capacity.
+// sync fetches newer state from the keeper on this box and rebuilds the snapshot. If
+// the keeper does not reply or is not settled, sync rebuilds the snapshot from the
+// known state, so that groups with expired permits no longer count in the router's
+// capacity.
 func (entry *Entry) sync(time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(entry.Settings.Timing.Permit)/2)
 	defer cancel()
@@ -56,8 +57,8 @@
 }
 
 // rebuildSnapshot replaces the snapshot by one built from the table, updates the
-// limiter and the router, and cancels requests to broken groups. synced is when the
-// entry sent its last successful sync call, or negative. The mutex must be held.
+// router, and the limiter if the configuration has changed, and cancels requests to
+// broken groups. synced becomes the lastSync of the snapshot. The mutex must be held.
 func (entry *Entry) rebuildSnapshot(synced, now time.Duration) {
 	before := entry.snapshot.Load()
 	next := &snapshot{lastSync: synced, accounts: map[string]*shedkeel.Account{}, weights: map[shedkeel.AccountID]int{}}
@@ -81,7 +82,8 @@
 	entry.cancelBroken(next)
 }
 
-// updateTargets sets the router's targets for all services.
+// updateTargets sets the router's targets for all configured services and drops all
+// other services.
 func (entry *Entry) updateTargets(next *snapshot, input member.PermitInput, now time.Duration) {
 	services := make([]shedkeel.ServiceID, 0, len(next.config.Services))
 	for _, service := range next.config.Services {
@@ -95,7 +97,8 @@
 	entry.router.RetainServices(services)
 }
 
-// groupTargets returns the groups of a model service with their permits.
+// groupTargets returns the groups of a model service that have members. A group
+// without a valid permit is a target too, but not usable.
 func groupTargets(service shedkeel.Service, permits []member.Permit) []route.Target {
 	var targets []route.Target
 	for _, permit := range permits {
@@ -110,9 +113,9 @@
 	return targets
 }
 
-// serverTargets returns the servers of a plain service that are not leaving. They
-// need no permit, but an entry may use them only for a limited time after a sync:
-// without its keeper it does not receive the notice that a server is leaving.
+// serverTargets returns the servers of a plain service that are not leaving. They need
+// no permit, but an entry may use them only for serverWindows after a sync: an entry
+// that does not reach its keeper receives no notice that a server is leaving.
 func serverTargets(service shedkeel.Service, input member.PermitInput, synced time.Duration) []route.Target {
 	leaving := input.Leaving()
 	var targets []route.Target
@@ -143,8 +146,9 @@
 	entry.inFlight.cancelExcept(intact)
 }
 
-// entryNodes returns the entry boxes that are not stopping: those in zone first,
-// then those in own, the zone of this entry, then the others, each sorted by ID.
+// entryNodes returns the live nodes whose entries have an address and are not
+// stopping: those in zone, which the caller names, first; then those in own, the zone
+// of this entry; then the others; each sorted by ID.
 func (snapshot *snapshot) entryNodes(zone, own shedkeel.ZoneID) []shedkeel.Node {
 	var nodes []shedkeel.Node
 	for _, node := range snapshot.nodes {
