--- a/claim/committer.go
+++ b/claim/committer.go
@@ -12,12 +12,14 @@
 )
 
 const (
-	// sealThreshold is the number of claims in a head above which all of them move
-	// to a segment. A head with 2000 claims takes about 400 KB; the key-value
-	// service's limit for a record is 1 MB.
+	// sealThreshold is the number of claims in a head above which all of them move to a
+	// segment. A claim takes about 200 bytes. A head with 2000 claims, and a segment
+	// with these and a batch of maxBatch more, thus stay below the key-value service's
+	// limit of 1 MB for a record.
 	sealThreshold = 2000
-	// maxTries limits how often a committer tries to write a batch while writes of
-	// other processes to the same head conflict with it.
+	// maxTries limits the tries of a batch. A try decides the requests of the batch and
+	// writes the head. The next try follows if writes of other processes to the same
+	// head conflict with that.
 	maxTries = 5
 	// maxBatch limits the requests in a batch.
 	maxBatch = 1000
@@ -26,9 +28,9 @@
 	queueLength = 4000
 )
 
-// Committer decides the requests for one shard in batches, and writes the head at
-// most once for each try of a batch. Its exported fields must be set before Run and
-// not changed afterwards.
+// Committer decides the requests for one shard in batches, and writes the head at most
+// once for each try of a batch. Run must be running for requests to be decided. The
+// exported fields must be set before Run and not changed afterwards.
 type Committer struct {
 	Store         shedkeel.Store
 	Prefix        string           // prefix of the keys of the shard's records
@@ -64,9 +66,10 @@
 }
 
 // Claim requests the right to run a call and waits until the request is decided and,
-// if it is granted, the claim is written. Every error is an UnavailableError. After
-// an error, the attempt must never run, although its claim may have been stored. Claim
-// may be called concurrently.
+// if it is granted, the claim is written. It returns an error if the queue is full,
+// ctx ends first, or the batch cannot be decided or written. Every error is an
+// UnavailableError. After an error, the attempt must never run, although its claim may
+// have been stored. Claim may be called concurrently.
 func (committer *Committer) Claim(ctx context.Context, request Request) (Result, error) {
 	pending := pendingRequest{request: request, answer: make(chan outcome, 1)}
 	select {
@@ -123,12 +126,14 @@
 	}
 }
 
-// commit decides a batch and answers its requests. After a conflict it reads the
-// head and decides again, up to maxTries times. A batch without new claims needs
-// no write, so commit answers it even if the key-value service is not available,
-// unless headStale is set. Its answers are safe even if another process has since
-// written the head: a claim is replaced only by a request whose InsteadOf names the
-// claim's attempt, and that attempt never runs.
+// commit decides a batch and answers its requests. After a conflict it reads the head
+// and decides again, up to maxTries times. If all tries conflict, or after another
+// error, it refuses all requests.
+//
+// A batch without new claims needs no write, so commit answers it even if the
+// key-value service is not available, unless headStale is set. Such answers are safe
+// even if another process has since written the head: a claim is replaced only by a
+// request whose InsteadOf names the claim's attempt, and that attempt never runs.
 func (committer *Committer) commit(ctx context.Context, batch []pendingRequest) {
 	var err error
 	for range maxTries {
@@ -174,9 +179,9 @@
 // headKey returns the key of the head's record.
 func (committer *Committer) headKey() string { return committer.Prefix + "head" }
 
-// loadHead reads the head and those of its segments that are not yet in memory. If
-// the stored head is older than the known one, loadHead adds the known claims that
-// it lacks (see recoverClaims).
+// loadHead reads the head and those of its segments that are not yet in memory. If the
+// stored head is older than the known one, loadHead adds the known claims that the
+// stored head lacks (see recoverClaims). After an error, headStale stays set.
 func (committer *Committer) loadHead(ctx context.Context) error {
 	record, err := committer.Store.Get(ctx, committer.headKey())
 	if err != nil {
@@ -201,7 +206,8 @@
 	return nil
 }
 
-// loadSegment reads the claims of a segment. Claims already in memory are kept.
+// loadSegment reads the claims of a segment. For a key that already has a claim in
+// memory, that claim stays.
 func (committer *Committer) loadSegment(ctx context.Context, segment Segment) error {
 	record, err := committer.Store.Get(ctx, segment.Key)
 	if err != nil {
@@ -221,9 +227,10 @@
 }
 
 // writeHead writes the head with the batch's claims, by compare-and-swap against the
-// known revision. It removes expired segments, and moves the head's claims to a
-// segment if there are more than sealThreshold. If writing a segment or the head
-// fails, it sets headStale.
+// known revision. Before that, it removes expired segments from the head, and moves
+// the head's claims to a segment if there are more than sealThreshold. After the
+// write, it adds the batch's claims to those in memory and clears the expired
+// segments. If writing a segment or the head fails, it sets headStale.
 func (committer *Committer) writeHead(ctx context.Context) error {
 	nonce := committer.Nonce()
 	next := committer.shard.nextHead(nonce)
@@ -284,9 +291,10 @@
 	return nil
 }
 
-// clearSegments removes the claims of dropped segments from memory and empties
-// their records to free space. It ignores errors: after an error, the claims only keep
-// occupying memory and space in the key-value service.
+// clearSegments removes the claims of dropped segments from memory, except those that
+// another attempt's claim has replaced, and empties the segments' records to free
+// space. It ignores errors: after an error, the claims only keep occupying memory and
+// space in the key-value service.
 func (committer *Committer) clearSegments(ctx context.Context, dropped []Segment) {
 	for _, segment := range dropped {
 		record, err := committer.Store.Get(ctx, segment.Key)
--- a/claim/head.go
+++ b/claim/head.go
@@ -1,8 +1,8 @@
-// Package claim records in the platform's key-value service which attempt has
-// claimed each call that must run at most once. Claims are spread over shards. The
-// head record of a shard changes only by compare-and-swap, so two processes can
-// never both grant the same key. Correctness does not depend on which processes
-// write a shard. If only one process writes each shard, fewer writes conflict.
+// Package claim records in the platform's key-value service which attempt has claimed
+// each call that must run at most once. Claims are spread over shards. The head record
+// of a shard changes only by compare-and-swap, so that two processes never grant the
+// same key to two attempts. Correctness does not depend on which processes write a
+// shard. If only one process writes each shard, fewer writes conflict.
 package claim
 
 import (
@@ -71,8 +71,8 @@
 	Claims     []Claim   `json:"claims"`
 }
 
-// keyBytes is the length of the SHA-256 prefix that identifies a key. It makes a
-// chance collision within the retention time practically impossible.
+// keyBytes is the length of the SHA-256 prefix that identifies a key. With 16 bytes, a
+// chance collision within the retention time is practically impossible.
 const keyBytes = 16
 
 // KeyOf returns the name under which records store a client account's idempotency
@@ -113,9 +113,10 @@
 func (shard *shard) beginBatch() { shard.pendingClaims = map[string]Claim{} }
 
 // decide decides one request, given the known claims and those that the batch has
-// granted so far, and adds a new claim to pendingClaims. A repeated request of the attempt
-// that holds the claim is granted again. nowMinute is the current time in minutes
-// since the Unix epoch.
+// granted so far, and adds a new claim to pendingClaims. A repeated request of the
+// attempt that holds the claim is granted again. A request whose InsteadOf names that
+// attempt replaces its claim. Neither is granted if the digests differ. nowMinute is
+// the current time in minutes since the Unix epoch.
 func (shard *shard) decide(request Request, nowMinute int64) Result {
 	current, found := shard.pendingClaims[request.Key]
 	if !found {
