--- a/member/exchange.go
+++ b/member/exchange.go
@@ -119,7 +119,8 @@
 	return versions
 }
 
-// recordsNewerThan returns the records with a higher generation than the peer's.
+// recordsNewerThan returns the records that the peer does not know or of which it has
+// a lower generation.
 func (table *Table) recordsNewerThan(theirs []*wire.Version) []*wire.Record {
 	peerHas := map[string]uint64{}
 	for _, version := range theirs {
@@ -186,8 +187,8 @@
 }
 
 // digestFromWire decodes a digest from the reply to a call that was sent at the local
-// time sent. A verdict that this version does not know is decoded as
-// VerdictDraining.
+// time sent. A verdict that this version does not know is decoded as VerdictDraining,
+// which grants no permit.
 func digestFromWire(message *wire.Digest, sent time.Duration) Digest {
 	digest := Digest{
 		Watcher: shedkeel.NodeID(message.GetWatcher()), Incarnation: message.GetIncarnation(), Sequence: message.GetSequence(),
--- a/member/permit.go
+++ b/member/permit.go
@@ -6,9 +6,9 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Permit says whether entries may send new requests to a group, and until when. Each
-// newer shedkeel.VerdictWhole on the group extends it. A whole finding is a watcher's
-// digest with that verdict.
+// Permit says whether entries may send new requests to a group, and until when. A
+// whole finding is a watcher's digest with shedkeel.VerdictWhole on the group. Each
+// newer one extends the permit.
 type Permit struct {
 	Group   shedkeel.Group
 	Until   time.Duration // local time from which on no new requests may be sent; 0: no permit
@@ -26,9 +26,9 @@
 	Digests []Digest
 }
 
-// leavingWindows is the age, in multiples of PermitInput.Window, up to which a digest's
-// list of leaving boxes is used. The permits from the verdicts in the same digest expire
-// after one Window.
+// leavingWindows is the age, in multiples of PermitInput.Window, up to which a
+// digest's list of leaving boxes is used. By then, the permits from the verdicts in
+// the same digest, which last for one Window, have long expired.
 const leavingWindows = 10
 
 // Permits returns the permit of every group of the placements. The permit of a group
@@ -36,8 +36,9 @@
 // newest such finding, so Until may be in the past. A newer finding that the group is
 // broken or draining revokes the permit at once. A silent finding only stops the
 // renewal, but a group that is found silent more than the Window after it was last
-// found whole counts as broken. A group that is draining or has a member on a box in
-// Leaving has no permit.
+// found whole counts as broken. For a group that was never found whole, that Window
+// counts from the start of the local clock. A group that is draining or has a member
+// on a box in Leaving has no permit.
 func (input *PermitInput) Permits(placements []shedkeel.Placement) []Permit {
 	findings := input.findings()
 	leaving := input.Leaving()
@@ -116,8 +117,8 @@
 	return leaving
 }
 
-// permit computes the permit of one group; finding is nil if no watcher has
-// reported on it under its epoch.
+// permit computes the permit of one group. finding is nil if no watcher has reported
+// on the group under its epoch.
 func (input *PermitInput) permit(group shedkeel.Group, finding *finding, leaving map[shedkeel.BoxID]bool) Permit {
 	permit := Permit{Group: group}
 	if group.Draining {
@@ -140,8 +141,7 @@
 		permit.Reason = "a member reports that it is leaving"
 	case finding.silentAt > finding.wholeAt+input.Window:
 		// The newest silent verdict came more than the window after the newest
-		// whole one. For a group that was never found whole, the window counts
-		// from the start of the local clock.
+		// whole one, or after the start of the local clock if there is none.
 		permit.Broken = true
 		permit.Reason = "a member does not answer"
 	case finding.wholeAt == never:
--- a/member/spread_test.go
+++ b/member/spread_test.go
@@ -33,8 +33,8 @@
 }
 
 const (
-	gossipTick      = 500 * time.Millisecond
-	maxFullExchange = 4 // a node with more peers than this asks only sampledPeers of them in each tick; as in package keeper
+	gossipTick      = 500 * time.Millisecond // the default of the tick setting
+	maxFullExchange = 4                      // a node with more peers than this asks only sampledPeers of them in each tick; as in package keeper
 	sampledPeers    = 3
 )
 
--- a/member/table.go
+++ b/member/table.go
@@ -1,8 +1,9 @@
-// Package member holds what one process knows of the fleet: the nodes, the agreed
-// records and the findings of the watchers, which are the nodes that probe groups.
-// Processes exchange this state by gossip. Which of two states is kept depends only
-// on their versions, so messages may arrive late, repeated or out of order, also
-// after a partition.
+// Package member holds what one process knows of the fleet: the nodes, the records
+// that were agreed by writing them to the key-value service, and the findings of the
+// watchers, which are the nodes that probe groups. The processes are the keepers and
+// the entries of the nodes, which exchange this state by gossip. Which of two states
+// is kept depends only on their versions, so messages may arrive late, repeated or out
+// of order, also after a partition.
 package member
 
 import (
@@ -48,7 +49,7 @@
 	Watcher     shedkeel.NodeID
 	Incarnation string
 	Sequence    uint64
-	AsOf        time.Duration // local time at which the probes were sent, or earlier if the digest came from another process
+	AsOf        time.Duration // local time at which the round of probes began, or earlier if the digest came from another process
 	Verdicts    []GroupVerdict
 	Leaving     []shedkeel.BoxID // boxes that the watcher's box list marks as leaving
 }
@@ -57,7 +58,7 @@
 // the node itself or through other nodes.
 type NodeState struct {
 	Node        shedkeel.Node
-	HeartbeatAt time.Duration // local time at which its heartbeat or incarnation last advanced
+	HeartbeatAt time.Duration // local time at which a newer heartbeat or incarnation was last stored
 }
 
 // Table is the state that one process knows. Its exported fields must be set before
@@ -82,11 +83,13 @@
 }
 
 // heartbeatInterval is how often a node advances its heartbeat while nothing else
-// about it changes. Each advance is sent to every node.
+// about it changes. Each advance is sent to every node, so a shorter interval would
+// cause more traffic.
 const heartbeatInterval = 1500 * time.Millisecond
 
-// AdvanceHeartbeat advances this node's own heartbeat if heartbeatInterval has passed since it
-// last advanced or if Self has changed. It is called on every tick.
+// AdvanceHeartbeat advances this node's own heartbeat if heartbeatInterval has passed
+// since it last advanced or if Self has changed. A keeper calls it on every tick and
+// when its entry begins to stop.
 func (table *Table) AdvanceHeartbeat(now time.Duration) {
 	known := table.nodes[table.Self.ID]
 	if known != nil && known.Node == table.Self && now-known.HeartbeatAt < heartbeatInterval {
@@ -96,9 +99,9 @@
 	table.MergeNode(table.Self, now)
 }
 
-// MergeNode stores a node if it is newer than the known one with its ID. It ignores
-// a node with the ID of Self and another incarnation, which is an earlier process of
-// this node.
+// MergeNode stores a node if no node with its ID is known or if it is newer than the
+// known one. It ignores a node with the ID of Self and another incarnation, which is
+// an earlier process of this node.
 func (table *Table) MergeNode(node shedkeel.Node, now time.Duration) {
 	if table.nodes == nil {
 		table.nodes = map[shedkeel.NodeID]*NodeState{}
@@ -147,8 +150,8 @@
 	return true
 }
 
-// MergeDigest stores a watcher's digest if it is newer than the known one of the same
-// watcher.
+// MergeDigest stores a watcher's digest if none of this watcher is known or if it is
+// newer than the known one.
 func (table *Table) MergeDigest(digest Digest) {
 	if table.digests == nil {
 		table.digests = map[shedkeel.NodeID]Digest{}
@@ -237,7 +240,7 @@
 const evictAfter = 60
 
 // EvictDead evicts nodes that have been dead for evictAfter times DefaultLiveTime,
-// and their digests.
+// with their digests.
 func (table *Table) EvictDead(now time.Duration) {
 	for id, state := range table.nodes {
 		if !table.isLive(*state, now-evictAfter*DefaultLiveTime) {
