--- a/claim/committer.go
+++ b/claim/committer.go
@@ -18,8 +18,8 @@
 	// limit of 1 MB for a record.
 	sealThreshold = 2000
 	// maxTries limits the tries of a batch. A try decides the requests of the batch and
-	// writes the head. The next try follows if writes of other processes to the same
-	// head conflict with that.
+	// writes the head. The next try follows if that write conflicts with a write of
+	// another process.
 	maxTries = 5
 	// maxBatch limits the requests in a batch.
 	maxBatch = 1000
--- a/claim/head.go
+++ b/claim/head.go
@@ -1,8 +1,9 @@
 // Package claim records in the platform's key-value service which attempt has claimed
 // each call that must run at most once. Claims are spread over shards. The head record
-// of a shard changes only by compare-and-swap, so that two processes never grant the
-// same key to two attempts. Correctness does not depend on which processes write a
-// shard. If only one process writes each shard, fewer writes conflict.
+// of a shard changes only by compare-and-swap, so that of two processes that grant the
+// same key to different attempts at once, only one succeeds. Correctness does not
+// depend on which processes write a shard. If only one process writes each shard,
+// fewer writes conflict.
 package claim
 
 import (
--- a/entry/plain.go
+++ b/entry/plain.go
@@ -24,7 +24,7 @@
 	// the claim of an attempt that was never sent.
 	maxClaimTries = 3
 	// claimTimeout is the time limit of one claim or answer call to the keeper. It is
-	// longer than the 3 s within which the keeper replies.
+	// longer than claimTimeout in package keeper, within which the keeper replies.
 	claimTimeout = 4 * time.Second
 	// digestBytes is how many bytes of a request's SHA-256 a claim stores.
 	digestBytes = 8
--- a/keeper/calls.go
+++ b/keeper/calls.go
@@ -13,7 +13,8 @@
 )
 
 // claimTimeout is the time limit for one claim or answer call, including the forwarded
-// call. It is shorter than the 4 s for which an entry waits for the reply.
+// call. It is shorter than claimTimeout in package entry, for which the entry waits
+// for the reply.
 const claimTimeout = 3 * time.Second
 
 // Handle serves calls from other keepers and from the entry on this box. Its reply to
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -58,7 +58,7 @@
 	downSince        map[shedkeel.GroupID]time.Duration    // when status first saw each group that is not whole
 	digestSequence   uint64                                // Sequence of this keeper's last digest
 	peers            map[string]*wire.Peer
-	unreachable      map[string]bool // by wire address of a keeper, or "box list": whether the last call to it failed
+	unreachable      map[string]bool // by wire address of a keeper: whether the last exchange failed; by "box list": whether the last read failed
 	storeUnavailable bool            // whether the last call that recordStoreState was told of failed
 
 	committers []*claim.Committer
