--- a/node/follow.go
+++ b/node/follow.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// followBackoff is how long a node is not followed after peer.Relay found the node unfit:
-	// the request failed, the node gets no response from the service that it follows, or its
-	// copy is too old (see maxCopyAge).
+	// followBackoff is how long choose passes over a node after peer.Relay found the node
+	// unfit: the request to the node failed, the node follows the key-value service and gets
+	// no response from it, or the node's copy is too old (see maxCopyAge).
 	followBackoff = 2 * time.Second
 	// maxSourceAge is the maximum age of a source's copy for the source to be followed.
-	// Normally the copy is at most as old as two watches of the service last (0.7 s) plus
-	// about 0.1 s for which the source collects changes before its next watch. For what a
-	// source is, see sourceIndexes.
+	// Normally the copy is at most as old as two watches of the key-value service last
+	// (0.7 s) plus about 0.1 s for which the source collects changes before its next watch.
+	// For what a source is, see sourceIndexes.
 	maxSourceAge = 1200 * time.Millisecond
 	// maxRelayAge is the maximum age of a relay's copy for the relay to be followed. A
-	// relay follows a source by long polls that last up to mirror.RelayWait, so its copy
-	// may be older than the source's by that time.
+	// relay follows a source by long polls that last up to mirror.RelayWait, so the relay's
+	// copy may be older than the source's copy by up to mirror.RelayWait.
 	maxRelayAge = maxSourceAge + mirror.RelayWait
 	// maxDirectFollowers is the size of the largest fleet in which all other nodes follow
 	// a source directly. In larger fleets some nodes, the relays, follow a source, and most
 	// other nodes follow the relays. If the records of all servers of a fleet of 295 boxes
-	// change at once (0.1 MB), the source then sends them to 13 nodes instead of to 294,
-	// which takes 0.05 s instead of 1.2 s over its link of 200 Mbit/s.
+	// change at once (0.1 MB), the source then sends the records to 13 nodes instead of to
+	// 294, which takes 0.05 s instead of 1.2 s over the source's link of 200 Mbit/s.
 	maxDirectFollowers = 96
 	// followersPerRelay is how many nodes an availability zone has at most for each of its
 	// relays, if enough of its nodes can be relays.
@@ -38,13 +38,13 @@
 	minRelayCapacity = 0.5
 )
 
-// sourceIndexes are the positions of the two sources among the live nodes in the order of
+// sourceIndexes are the positions of the two sources among the alive nodes in the order of
 // compareNodes, the preferred source first. In a small fleet all other nodes follow a source.
 // In a large fleet (see hasRelays) the relays and the first reservedNodes nodes follow a
 // source, and the remaining nodes follow a source only if no relay is available. The first
-// available source follows the service itself, so that the calls to the service don't grow
-// with the number of nodes. The node at index 0 comes last because it usually is the leader
-// as well.
+// available source follows the key-value service itself, so that the calls to the service
+// don't grow with the number of nodes. The node at index 0 comes last because it usually is
+// the leader as well.
 var sourceIndexes = [...]int{1, 0}
 
 // hasRelays reports whether a fleet of so many nodes has relays between the sources and
@@ -80,11 +80,11 @@
 }
 
 // followOrder returns the indexes of the nodes that the node at index own may follow, the
-// preferred ones first. The index own in the result means that the node follows the service
-// itself. Indexes may be beyond the end of a small fleet's nodes.
+// preferred ones first. The index own in the result means that the node follows the
+// key-value service itself. In a fleet of one node, index 1 is beyond the end of nodes.
 //
 // The first reservedNodes nodes and the relays follow a source. The other nodes prefer the
-// relays to the sources, and relays of their own availability zone to those of other zones.
+// relays to the sources, and relays of their own availability zone to relays of other zones.
 // The order of the relays differs from node to node, so that the followers of a lost relay
 // spread over the remaining relays.
 func followOrder(nodes []nodeRecord, own int) []int {
@@ -94,8 +94,9 @@
 // followOrderWithRelays is followOrder with the result of relayIndexes given.
 func followOrderWithRelays(nodes []nodeRecord, relays []int, own int) []int {
 	if relay := slices.Index(relays, own); own < reservedNodes || relay >= 0 {
-		// If neither source reaches the service, the first relay follows the service
-		// itself, and the other relays follow the first relay.
+		// If neither source is available, the first relay follows the key-value service
+		// itself. Each other relay follows the first available relay before it, or the
+		// key-value service if no relay before it is available.
 		return slices.Concat(sourceIndexes[:], relays[:relay+1])
 	}
 	far := func(index int) bool { return nodes[index].Zone != nodes[own].Zone }
@@ -106,9 +107,9 @@
 	return append(relays, sourceIndexes[:]...)
 }
 
-// compareRelays orders two relays, a and b, for the node own: a relay of the node's own
-// availability zone comes before a far one. Two near or two far relays are ordered by a hash
-// that differs from node to node.
+// compareRelays orders two relays, a and b, for the node own. farA and farB state whether a
+// and b are in another availability zone than own: a relay of own's zone comes before a relay
+// of another zone. Otherwise a hash that differs from node to node orders the two.
 func compareRelays(own shedkeel.NodeID, farA, farB bool, a, b shedkeel.NodeID) int {
 	switch {
 	case farA && !farB:
@@ -131,8 +132,10 @@
 	return mixed
 }
 
-// choose returns the node that this node follows, or nil if it follows the service itself.
-// It passes over nodes that have failed within the last followBackoff, if another is left.
+// choose returns the node that this node follows, or nil if this node follows the key-value
+// service itself. It returns the first node in followOrder that peer.Relay has not found unfit
+// within the last followBackoff, or the first of all if each was found unfit. If this node
+// would follow the key-value service itself, startupSeed may return a seed instead.
 func (peers *peers) choose() mirror.Peer {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
@@ -153,13 +156,14 @@
 			preferred = followed
 		}
 	}
-	return preferred // all have failed recently; when this node's copy is stale, its mirror.Follower asks other nodes or the service
+	return preferred // all have failed recently; when this node's copy is stale, its mirror.Follower asks other nodes or the key-value service
 }
 
-// startupSeed returns the seed to follow in place of the service while this node is not
-// settled, that is, while it is not listed or fewer than half of the expected nodes are
+// startupSeed returns the seed to follow in place of the key-value service while this node is
+// not settled, that is, while it is not listed or fewer than half of the expected nodes are
 // alive. This node's index among the nodes is then not reliable. startupSeed returns nil if
-// this node is settled or is a seed itself, or if all seeds have failed recently.
+// this node is settled or is a seed itself, if there are no seeds, or if all seeds have failed
+// within the last followBackoff.
 func (peers *peers) startupSeed(settled bool) mirror.Peer {
 	if settled || peers.isSeed() {
 		return nil
@@ -172,15 +176,16 @@
 	return nil
 }
 
-// isSeed reports whether this node is a seed: one of the nodes in Settings.Seeds, which
-// others ask when they start.
+// isSeed reports whether this node is a seed: whether Settings.Seeds, the addresses of the
+// nodes that other nodes ask when they start, contains this node's control address.
 func (peers *peers) isSeed() bool {
 	settings := &peers.node.Settings
 	return slices.Contains(settings.Seeds, settings.Listen.Control)
 }
 
-// hops returns the maximum number of other processes between the service and this
-// node's copy.
+// hops returns the maximum number of other nodes through which a change normally passes on
+// its way from the key-value service to this node: a source and, in a fleet with relays, a
+// relay.
 func (peers *peers) hops() int {
 	if hasRelays(peers.node.fleet.nodeCount()) {
 		return 2
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -79,8 +79,9 @@
 }
 
 // handleDatagram passes one datagram to the failure detector and sends the detector's
-// responses. A datagram that is not authentic, so that its sender is no node of this fleet,
-// or that can't be decoded is logged and dropped.
+// responses. It logs and drops a datagram that can't be decoded or is not authentic; a
+// datagram that is not authentic comes from no node of this fleet. If the datagram changes the
+// liveness of a node, handleDatagram updates the alive nodes.
 func (gossip *gossip) handleDatagram(datagram []byte, from net.Addr) {
 	message, err := wire.OpenGossip(gossip.node.Settings.Wire.Key, datagram)
 	if err != nil {
@@ -103,9 +104,9 @@
 	}
 }
 
-// tick calls the failure detector and sends the detector's datagrams, if there is a socket.
-// An answer of the key-value service shows the detector that this node is not cut off, even
-// if no node answers.
+// tick calls the failure detector and sends the detector's datagrams, if there is a socket. If
+// the liveness of a node changes, tick updates the alive nodes. An answer of the key-value
+// service shows the detector that this node is not cut off, even if no node answers.
 func (gossip *gossip) tick(now time.Duration) {
 	if gossip.conn == nil {
 		return
@@ -159,8 +160,8 @@
 	}
 }
 
-// send sends a datagram. An error is only logged, because the failure detector tolerates
-// loss, and not even logged once the socket is closed.
+// send sends a datagram. It logs an error but does not return the error, because the failure
+// detector tolerates loss. Once the socket is closed, it does not log errors either.
 func (gossip *gossip) send(message shedkeel.GossipMessage, to net.Addr) {
 	sealed, err := wire.SealGossip(gossip.node.Settings.Wire.Key, message)
 	if err == nil {
@@ -178,7 +179,7 @@
 	return gossip.detector.Liveness(id)
 }
 
-// filterAlive returns the nodes that are alive and not suspected.
+// filterAlive returns the nodes whose liveness is shedkeel.Alive.
 func (gossip *gossip) filterAlive(nodes []nodeRecord) []nodeRecord {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
@@ -204,8 +205,8 @@
 
 // logExclusions logs which listed nodes callers may not be sent to any more since the last
 // call (see mayServe), and which nodes have ceased to be excluded since: because callers may
-// be sent to them again, or because they are no longer listed. It logs nothing if there are
-// no such nodes.
+// be sent to them again, or because they are no longer listed. It names at most
+// maxLoggedNodes of each kind, and logs nothing if there are no such nodes.
 func (gossip *gossip) logExclusions(nodes []nodeRecord) {
 	gossip.mutex.Lock()
 	excluded := map[shedkeel.NodeID]shedkeel.Liveness{}
--- a/node/peers.go
+++ b/node/peers.go
@@ -48,7 +48,7 @@
 	wire          *wire.Peer
 	priorityWire  *wire.Peer // connection for calls that must not wait while wire connects
 	followFailure failure    // when Relay last found that the peer should not be followed for followBackoff
-	spreadFailure failure    // when the peer last failed to answer as a spreader; it is not asked for spreaderBackoff then
+	spreadFailure failure    // when the peer last failed to answer as a spreader; it is not asked again for spreaderBackoff
 }
 
 // prepare creates the clients of the seeds. A seed's address serves as its ID, because its
@@ -71,7 +71,8 @@
 
 // update replaces the listed nodes, which are in the order of compareNodes. It closes the
 // connections to nodes that are no longer listed or have another address, passes the nodes to
-// the failure detector, and logs which nodes joined and which were lost.
+// the failure detector, and logs which other nodes joined and which were lost, at most
+// maxLoggedNodes of each.
 func (peers *peers) update(nodes []nodeRecord) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
@@ -102,7 +103,7 @@
 	peers.node.Log.Write(event.NodesChanged, slog.Int("nodes", len(nodes)), slog.Any("came", joined), slog.Any("went", lost), slog.Duration("age", peers.node.fleet.mirrorAge()))
 }
 
-// changedKeys returns the nodes that are only in after (joined) and those that are only in
+// changedKeys returns the nodes that are only in after (joined) and the nodes that are only in
 // before (lost), at most maxLoggedNodes of each.
 func changedKeys[Value any](before, after map[shedkeel.NodeID]Value) (joined, lost []shedkeel.NodeID) {
 	return missingKeys(after, before), missingKeys(before, after)
@@ -178,8 +179,8 @@
 }
 
 // aliveWithSelf returns the alive nodes in the order of compareNodes, this node's index among
-// them, and whether this node is listed. If it is not, it is inserted, because an unlisted
-// node follows others as well. The caller holds the mutex.
+// them, and whether this node is listed. An unlisted node is inserted at its place in the
+// order, because it follows other nodes as well. The caller holds the mutex.
 //
 // Suspected nodes are left out, so a duty that one node has for the whole fleet passes to
 // the next node in the order as soon as the node with the duty is suspected.
--- a/node/relay.go
+++ b/node/relay.go
@@ -12,19 +12,21 @@
 )
 
 const (
-	// relayTimeoutMargin is how much longer than its wait a long poll of another node's
-	// mirror may take.
+	// relayTimeoutMargin is added to the wait of a long poll of another node's mirror; the
+	// sum is the time-out of the call.
 	relayTimeoutMargin = 400 * time.Millisecond
-	// copyTimeoutMargin is how much longer than its wait a request for a complete copy may
-	// take. It exceeds relayTimeoutMargin because many nodes that start together request
-	// complete copies from a few nodes.
+	// copyTimeoutMargin takes the place of relayTimeoutMargin in a request for a complete
+	// copy. It is longer because many nodes that start together request complete copies
+	// from a few nodes.
 	copyTimeoutMargin = 3 * time.Second
 )
 
 // Relay requests the changes since a revision from the peer's mirror, or a complete copy if
 // the revision is zero. The peer answers once there are changes, or after the wait. The peer
 // is not followed for followBackoff if the call fails before ctx ends, if the peer follows
-// the service and gets no response from it, or if the peer's copy is older than maxCopyAge.
+// the key-value service and gets no response from it, or if the peer's copy is older than
+// maxCopyAge. The update's AsOf is minus the age of the peer's copy; mirror.Follower adds the
+// time at which it sent the request.
 func (peer *peer) Relay(ctx context.Context, since shedkeel.Revision, wait time.Duration) (mirror.Update, error) {
 	update, err := peer.fetchUpdate(ctx, since, wait)
 	if err != nil && ctx.Err() == nil || err == nil && (update.SourceUnreachable || -update.AsOf > peer.maxCopyAge()) {
@@ -44,8 +46,8 @@
 
 // fetchUpdate requests changed records as differences from their former values. A
 // difference can't be applied if this node has another former value, for example because
-// the service itself has sent this node a value meanwhile. fetchUpdate then requests complete
-// records, without a wait.
+// the key-value service itself has sent this node a value meanwhile. fetchUpdate then requests
+// complete records, without a wait.
 func (peer *peer) fetchUpdate(ctx context.Context, since shedkeel.Revision, wait time.Duration) (mirror.Update, error) {
 	margin := relayTimeoutMargin
 	if !since.Exists() {
@@ -122,11 +124,12 @@
 }
 
 // handleRelay answers a relay call. It waits until the mirror has changes that the calling
-// node lacks, or any copy if the call asks only for that (OnlyKnown), but at most for the
-// time that the call states. It answers at once if this node has a copy, follows the service
-// and gets no response from it. The reply to OnlyKnown, or of a node without a copy, states
-// only whether there is a copy and how many nodes this node knows. handleRelay also records
-// the calling node as a subscriber, and fetches that node's configuration if it is newer.
+// node lacks, or has any copy if the call only asks whether there is one (OnlyKnown), but at
+// most for the time that the call states. It answers at once if this node has a copy, follows
+// the key-value service and gets no response from it. The reply to OnlyKnown, or of a node
+// without a copy, states only whether there is a copy and how many nodes this node knows.
+// handleRelay also records the calling node as a subscriber, and fetches that node's
+// configuration if it is newer than this node's.
 func (peers *peers) handleRelay(ctx context.Context, call *wire.RelayCall) *wire.Reply {
 	own := &peers.node.mirror
 	peers.node.subscribers.note(shedkeel.NodeID(call.GetNode()), peers.node.Timers.Now())
@@ -175,8 +178,8 @@
 	return encoded
 }
 
-// knownNodeCount returns the larger of the number of listed nodes, which counts as 0 while
-// this node has no copy, and the number of subscribers plus 1 for this node.
+// knownNodeCount returns the larger of fleet.nodeCount, which is replaced by 0 while this node
+// has no copy, and the number of subscribers plus 1 for this node.
 func (peers *peers) knownNodeCount() uint32 {
 	listed := 0
 	if peers.node.mirror.State().Known {
@@ -186,9 +189,10 @@
 }
 
 // encodeRecord encodes a record for a node that asks for the changes after since: as the
-// difference from the former value, if the node accepts differences, has the former value,
-// and the two values have enough in common, else complete. A difference saves most of the
-// bytes of a server's heartbeat, which changes only one number.
+// difference from the former value, if the node accepts differences and has the former value,
+// and transfer.EncodeDifference returns a difference, else complete. A deleted record is always
+// sent complete. A difference saves most of the bytes of a server's heartbeat, which changes
+// only one number.
 func (peers *peers) encodeRecord(record shedkeel.Record, since shedkeel.Revision, differences bool) *wire.StoreRecord {
 	former := peers.node.mirror.Previous(record.Key)
 	usable := former.Revision.Exists() && !former.Revision.After(since) && record.Revision.After(former.Revision)
@@ -200,8 +204,9 @@
 	return peers.encoder.Encode(record)
 }
 
-// mirrorUpdate returns a mirror update of records that this node wrote itself. Its AsOf is 0,
-// because the update does not prove that the mirror's other records are current.
+// mirrorUpdate returns a mirror update of records that this node wrote itself. The update does
+// not prove that the mirror's other records are current. Its AsOf is therefore 0, which leaves
+// the mirror's AsOf unchanged, because Mirror.Apply keeps the later of the two.
 func mirrorUpdate(records ...shedkeel.Record) mirror.Update {
 	return mirror.Update{Records: records}
 }
