--- a/node/lease.go
+++ b/node/lease.go
@@ -11,23 +11,23 @@
 	"shedkeel.org/shedkeel/event"
 )
 
-// leaseSafetyMargin covers the drift between this node's and the service's clock over a
-// lease, and the time from the check of the lease until an order has been sent.
+// leaseSafetyMargin covers the drift between this node's clock and the clock of the key-value
+// service over a lease, and the time from the check of the lease until an order has been sent.
 const leaseSafetyMargin = 300 * time.Millisecond
 
 // lease is a lease of the key-value service that a node renews. When the lease expires, the
-// service deletes the records that were written with it.
+// key-value service deletes the records that were written with the lease.
 type lease struct {
 	node *Node
-	ttl  time.Duration // lease time to ask for; the service may grant less
+	ttl  time.Duration // lease time to ask for; the key-value service may grant less
 
 	id         atomic.Pointer[shedkeel.LeaseID] // nil: none
 	validUntil atomic.Int64                     // lower bound of the lease's expiry, on this node's clock
 }
 
-// valid reports whether the lease is certainly still in force. From leaseSafetyMargin before
-// its expiry on it does not count as valid. Neither does a lease of an earlier era of the
-// service: the service was then restored from a snapshot, which may lack the lease.
+// valid reports whether the lease is certainly still in force. The lease does not count as
+// valid from leaseSafetyMargin before its expiry on, nor if it is from an earlier era of the
+// key-value service: that service was then restored from a snapshot, which may lack the lease.
 func (lease *lease) valid(now time.Duration) bool {
 	if !lease.held() || lease.ID().Era < lease.node.mirror.State().At.Era {
 		return false
@@ -35,7 +35,8 @@
 	return now < time.Duration(lease.validUntil.Load())-leaseSafetyMargin
 }
 
-// ID returns the ID that the service gave the lease, or the zero value if there is no lease.
+// ID returns the ID that the key-value service gave the lease, or the zero value if there is
+// no lease.
 func (lease *lease) ID() shedkeel.LeaseID {
 	if id := lease.id.Load(); id != nil {
 		return *id
@@ -47,7 +48,7 @@
 func (lease *lease) held() bool { return lease.id.Load() != nil }
 
 // renew renews the lease and reports whether that succeeded. It logs an error. If the
-// service reports that the lease has expired, the lease is no longer held.
+// key-value service reports that the lease has expired, the lease is no longer held.
 func (lease *lease) renew(ctx context.Context) bool {
 	sent := lease.node.Timers.Now()
 	err := lease.node.Store.Renew(ctx, lease.ID())
@@ -63,8 +64,8 @@
 	return false
 }
 
-// grant requests a new lease from the service and reports whether that succeeded. It logs
-// an error.
+// grant requests a new lease from the key-value service and reports whether that succeeded.
+// It logs an error.
 func (lease *lease) grant(ctx context.Context) bool {
 	sent := lease.node.Timers.Now()
 	granted, ttl, err := lease.node.Store.Grant(ctx, lease.ttl)
@@ -77,7 +78,7 @@
 	return true
 }
 
-// release releases the lease, if there is one. It waits for the service for at most
+// release releases the lease, if there is one. It waits for the key-value service for at most
 // leaseSafetyMargin.
 func (lease *lease) release() {
 	if !lease.held() {
--- a/node/member.go
+++ b/node/member.go
@@ -15,8 +15,8 @@
 const (
 	// largeFleetTTL is the lease time of a node's record in a fleet of more than
 	// maxSmallFleet nodes, as long as its records have leases (see unleasedFrom). A long
-	// lease saves renewals, each of which is a call to the service. A dead node that is
-	// still listed gets only few of the callers, as there are many nodes.
+	// lease saves renewals, each of which is a call to the key-value service. A dead node
+	// that is still listed gets only few of the callers, as there are many nodes.
 	largeFleetTTL = 4 * time.Second
 	// smallFleetTTL is the lease time in a small fleet, where a dead node gets a large share of
 	// the callers. A lease of this time outlasts two failed renewals (see renewalsPerTTL).
@@ -25,18 +25,18 @@
 	maxSmallFleet = 12
 	// unleasedFrom is the smallest number of nodes at which the nodes' records have no
 	// lease, except in a shrinking fleet (see returnToLeasesAt). The failure detector then
-	// finds dead nodes; renewals would be most of the calls to the service.
+	// finds dead nodes; renewals would be most of the calls to the key-value service.
 	unleasedFrom = 48
 	// returnToLeasesAt is the number of nodes at which a shrinking fleet uses leases
 	// again.
 	returnToLeasesAt = unleasedFrom * 3 / 4
 	// renewalsPerTTL is how many times a lease is renewed within its lease time.
 	renewalsPerTTL = 3
-	// registrationRetry is the delay after a failed call to the service if the service has
-	// answered any node since; maxRegistrationRetry is the delay if it has not. A failed
-	// call costs ten times as much as a renewal, and retries during an outage are useless.
-	// registrationRetry is also the minimum time between attempts to write a record
-	// without a lease that this node's copy lacks.
+	// registrationRetry is the delay after a failed call to the key-value service if that
+	// service has answered any node since; maxRegistrationRetry is the delay if it has not.
+	// A failed call costs ten times as much as a renewal, and retries during an outage are
+	// useless. registrationRetry is also the minimum time between attempts to write a
+	// record without a lease that this node's copy lacks.
 	registrationRetry    = 500 * time.Millisecond
 	maxRegistrationRetry = 4 * time.Second
 	// nodeCountHintTTL is how long after its start a node uses the number of nodes that a
@@ -55,7 +55,7 @@
 	lease         lease
 	dirty         atomic.Bool  // the record must be written again
 	nodeCountHint atomic.Int64 // number of nodes, as reported by a seed or the size record at the start
-	listed        atomic.Bool  // the last call of step succeeded: the service has the record
+	listed        atomic.Bool  // the last call of step succeeded: the key-value service has the record
 	unleased      atomic.Bool  // the record needs no lease: other nodes remove it if this node is dead
 
 	startedAt atomic.Int64 // when the node started, as a time.Duration; 0: not set yet
@@ -104,8 +104,9 @@
 	return sinceAttempt >= membership.lease.ttl/renewalsPerTTL
 }
 
-// retryDelay returns the delay after a failed call. The argument is the latest time at which
-// the service is known to have answered any node.
+// retryDelay returns the delay after a failed call of step. The argument is the latest time
+// as of which the mirror's copy is known to be current: the key-value service has answered
+// some node then or later.
 func (membership *membership) retryDelay(lastAnswer time.Duration) time.Duration {
 	if lastAnswer > membership.lastAttempt {
 		return registrationRetry
@@ -149,18 +150,18 @@
 	return listed
 }
 
-// keepUnleased writes the record without a lease and reports whether the service has the
-// record. It writes nothing if the service already has the record, for example from before
-// this node restarted. The node forgets its former lease. The record is written without
-// that lease, so the record stays when the lease expires.
+// keepUnleased writes the record without a lease and reports whether the key-value service
+// has the record. It writes nothing if that service already has the record, for example from
+// before this node restarted. The node forgets its former lease. The record is written
+// without that lease, so the record stays when the lease expires.
 func (membership *membership) keepUnleased(ctx context.Context) bool {
 	membership.lease.id.Store(nil)
 	membership.dirty.Store(false)
 	return membership.isRecordCurrent() || membership.writeRecord(ctx)
 }
 
-// isRecordCurrent reports whether the service has the current record, as far as this
-// node's copy shows. The incarnation may differ.
+// isRecordCurrent reports whether the key-value service has the current record, as far as
+// this node's copy shows. The incarnation may differ.
 func (membership *membership) isRecordCurrent() bool {
 	record := membership.node.mirror.Get(membership.key())
 	if !record.Revision.Exists() {
@@ -176,7 +177,7 @@
 }
 
 // keepLeased renews the lease, or acquires a new one, and writes the record if needed. It
-// reports whether the service has the record with a lease in force.
+// reports whether the key-value service has the record with a lease in force.
 func (membership *membership) keepLeased(ctx context.Context) bool {
 	lease := &membership.lease
 	if lease.held() && !lease.renew(ctx) && lease.held() {
@@ -201,7 +202,7 @@
 	return largeFleetTTL
 }
 
-// ownRecord returns this node's record.
+// ownRecord returns the record that this node publishes, in its present state.
 func (node *Node) ownRecord() nodeRecord {
 	return nodeRecord{
 		ID: node.Settings.Node, Incarnation: node.Incarnation, Zone: node.Settings.Zone, Capacity: node.Settings.Capacity,
@@ -212,8 +213,8 @@
 // commitRecord writes the record and returns the revision of the write. If the record needs
 // no lease, commitRecord asks the node that this node follows to write the record, together
 // with the records of other nodes. If there is no such node, or the write by that node fails,
-// this node writes the record to the service itself. A stopping node always writes its record
-// itself, because it can't wait for others.
+// this node writes the record to the key-value service itself. A stopping node always writes
+// its record itself, because it can't wait for other nodes.
 func (membership *membership) commitRecord(ctx context.Context, put shedkeel.Put) (shedkeel.Revision, error) {
 	node := membership.node
 	if membership.unleased.Load() && !node.stopping.Load() {
--- a/node/removal.go
+++ b/node/removal.go
@@ -9,8 +9,9 @@
 const (
 	// restoredServerHold is how long a server gets no requests after its removed record has
 	// reappeared because the key-value service was restored from an older snapshot. If the
-	// server has terminated, its record is removed again within three heartbeats, at most
-	// 1.2 s apart (see unreadableRecordHold), so before the hold ends.
+	// server has terminated, its record is removed again within the time of three heartbeats
+	// (see unreadableRecordHold). Heartbeats are at most 1.2 s apart, so the record is
+	// removed before the hold ends.
 	restoredServerHold = 5 * time.Second
 	// removalRetention is how long the removal of a server's record is remembered.
 	removalRetention = time.Minute
@@ -19,7 +20,7 @@
 // removal describes the removal of a server's record.
 type removal struct {
 	era      int64         // the era of the key-value service in which the record was removed, or reappeared if withheld
-	until    time.Duration // when the removal is forgotten
+	until    time.Duration // when the removal is forgotten, and a withheld server gets requests again
 	withheld bool          // the record reappeared in a restored snapshot; the server gets no requests until the removal is forgotten
 }
 
@@ -39,8 +40,8 @@
 // recordReturn handles the arrival of a server's record that was written or restored in the
 // given era. If the record was removed in an earlier era, it may come from the restored
 // snapshot: the server is withheld for restoredServerHold. If the record was removed in the
-// same era, the server has written it again, and the removal is forgotten. A server that is
-// already withheld stays so until that time ends.
+// same era, the server has written the record again, and the removal is forgotten. Nothing
+// changes if no removal of the record is remembered, or if the server is withheld already.
 func (removals removals) recordReturn(server shedkeel.InstanceID, era int64, now time.Duration) {
 	known, removed := removals[server]
 	switch {
--- a/node/remover.go
+++ b/node/remover.go
@@ -17,9 +17,9 @@
 	// removalStagger is the time between the turns of two nodes to remove the same record.
 	// It is several times as long as a removal takes to reach all nodes.
 	removalStagger = time.Second
-	// removalRetryInterval is how long after a removal this node removes the same record
-	// again, if the removal failed, or if the record was written again while this node
-	// still considers the record's owner dead.
+	// removalRetryInterval is how long after its removal of a record this node removes the
+	// same record again, if the removal failed, or if the record was written again while
+	// this node still considers the record's owner dead.
 	removalRetryInterval = 10 * time.Second
 )
 
@@ -53,7 +53,8 @@
 }
 
 // dueRecords returns the records of dead nodes that this node removes now, and schedules
-// the removal of the other dead nodes' records. It leaves out records with a lease, which the
+// the removal of the other dead nodes' records: at this node's turn, which counts from the call
+// that first finds the record's owner dead. It leaves out records with a lease, which the
 // key-value service removes when the lease expires.
 func (remover *remover) dueRecords(nodes []nodeRecord, now time.Duration) []nodeRecord {
 	remover.mutex.Lock()
@@ -94,8 +95,8 @@
 
 // runRemoval removes the record of a dead node, unless the record has changed since this
 // node's mirror received it, and logs the outcome. It does nothing if the mirror lacks the
-// record. If the dead node is alive after all, that node notices that its record is missing
-// and writes it again.
+// record. If the node that counts as dead is alive after all, it notices that its record is
+// missing and writes the record again.
 func (remover *remover) runRemoval(record nodeRecord) {
 	node := remover.node
 	key := nodePrefix + string(record.ID)
--- a/node/report.go
+++ b/node/report.go
@@ -9,9 +9,10 @@
 	"shedkeel.org/shedkeel/formation"
 )
 
-// report logs how many log lines were dropped, and to which nodes callers may no longer, or
-// may again, be sent. If the node has metrics, report exports the current values of its
-// gauges. It is called once per second.
+// report logs how many log lines were dropped, and which nodes have been excluded from
+// receiving callers, or are no longer excluded, since the last call (see logExclusions). If the
+// node has metrics, report exports the current values of the node's gauges. It is called once
+// per second.
 func (node *Node) report(now time.Duration) {
 	node.Log.Report()
 	node.gossip.logExclusions(node.peers.listed())
@@ -61,11 +62,12 @@
 	scope.Gauge("permits_refused").Update(float64(refused))
 }
 
-// headlessState is the reported state of a group whose head is not listed.
+// headlessState is the reported state of a group whose head is not listed, or whose head
+// states none of the states that groupStates knows.
 const headlessState = "headless"
 
-// groupStates counts the replica groups by the state of their heads. Every state has an
-// entry, also if its count is 0.
+// groupStates counts the replica groups by the state of their heads, or as headlessState.
+// Every state that it knows has an entry, also if the count is 0.
 func (fleet *fleet) groupStates() map[string]int {
 	counts := map[string]int{headlessState: 0}
 	for _, state := range []shedkeel.MemberState{shedkeel.MemberJoining, shedkeel.MemberReady, shedkeel.MemberOpen, shedkeel.MemberClosing, shedkeel.MemberBroken} {
--- a/node/restore.go
+++ b/node/restore.go
@@ -8,10 +8,10 @@
 )
 
 // handleRestore handles a restore of the key-value service from an older snapshot. Records
-// that this node wrote after the snapshot was taken, and leases that it acquired since, may
-// be lost. This node writes its record again, checks which blames of requests to write again,
-// and makes the fleet retain lost records. The mirror calls handleRestore before it reports
-// the changed records.
+// that this node wrote after the snapshot was taken, and leases that this node has acquired
+// since then, may be lost. handleRestore makes the fleet retain lost records, requests another
+// write of this node's record, and schedules all blames of requests for a check whether they
+// must be written again. The mirror calls handleRestore before it reports the changed records.
 func (node *Node) handleRestore(restore mirror.Restore) {
 	node.Log.Write(event.StoreRestored, slog.String("from", restore.From.String()), slog.String("to", restore.To.String()), slog.Int("lost", restore.Lost))
 	node.fleet.retainLostRecords()
@@ -20,8 +20,9 @@
 }
 
 // retainLostRecords makes the fleet retain the records that the restored snapshot lacks for
-// deletedRecordHold, in which time their owners write them again. It also makes the fleet
-// skip servers' records of the snapshot that are older than the known ones (see isOutdated).
+// deletedRecordHold, in which time the owners write their records again. It also makes the
+// fleet skip servers' records of the snapshot that are older than the known records of these
+// servers (see isOutdated).
 func (fleet *fleet) retainLostRecords() {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
--- a/node/waits.go
+++ b/node/waits.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// logOverdueWaits logs the waits that have exceeded their bounds, each at every call.
+// logOverdueWaits logs all waits that have exceeded their bounds, including the waits that
+// earlier calls have logged.
 func (controller *controller) logOverdueWaits(now time.Duration) {
 	for _, wait := range controller.waits() {
 		if !wait.Overdue(now) {
