--- a/node/node.go
+++ b/node/node.go
@@ -33,8 +33,8 @@
 const (
 	// DirectoryKeep is how long callers may cache an answer of the directory, which tells
 	// them the addresses of the nodes (see Addresses). Some callers cache it for
-	// maxDirectoryKeepFactor times as long. A stopping node accepts requests until these
-	// longest-lived caches expire, but for at most 3/8 of the grace time. A request that is
+	// maxDirectoryKeepFactor times as long. A stopping node accepts requests until all
+	// cached answers have expired, but for at most 3/8 of the grace time. A request that is
 	// accepted later might not finish within the grace time.
 	DirectoryKeep = time.Second
 	// maxDirectoryKeepFactor is how many times DirectoryKeep some callers cache an answer.
@@ -50,9 +50,9 @@
 	// proofAgeFraction is the fraction of the bound Bounds.Revoke for which a proof that
 	// the configuration is current stays valid. With a bound of 5 s a proof is valid for
 	// 3.8 s. The remainder covers the time of up to 1 s for which a watch may miss changes.
-	// A proof may already be 1.1 s old when the connection to the service is lost, so with
-	// a smaller fraction a node would refuse requests while the platform still counts the
-	// node as connected.
+	// A proof may already be 1.1 s old when the connection to the key-value service is
+	// lost, so with a smaller fraction a node would refuse requests while the platform
+	// still counts the node as connected.
 	proofAgeFraction = 0.76
 	// silenceTick is how often backend servers with running requests are checked for
 	// silence.
@@ -243,12 +243,12 @@
 	return server
 }
 
-// stop announces that this node stops, so that the directory leaves the node out, resigns
+// stop announces that this node stops, so that the directory leaves the node out. It resigns
 // as leader, and from then on asks callers to close their connections. It keeps serving while
 // callers may still have the node's address cached, but for at most 3/8 of the grace time. It
-// then refuses new requests and waits for the running ones until stopMargin before the end of
-// the grace time, when it aborts them. It returns an error only if the server for callers
-// failed to close.
+// then refuses new requests and waits for the running requests. It aborts the requests that
+// still run stopMargin before the end of the grace time. It returns an error only if the server
+// for callers failed to close.
 func (node *Node) stop(callers *http.Server) error {
 	stopStarted := node.Timers.Now()
 	node.Log.Write(event.Stopping)
@@ -277,9 +277,9 @@
 	return serve.ConfigState{View: node.fleet.view.Load(), ProvenAt: node.mirror.State().AsOf}
 }
 
-// Ready reports whether callers should be sent to this node. They should not while the node
-// is stopping or has no configuration. If the settings refuse stale keys, callers should also
-// not be sent to it unless the configuration was proven current within MaxConfigAge.
+// Ready reports whether callers should be sent to this node. It returns false while the node is
+// stopping or has no configuration. If Bounds.RefuseStaleKeys is set, it also returns false
+// unless the configuration was proven current less than handler.MaxConfigAge ago.
 func (node *Node) Ready() bool {
 	if node.stopping.Load() || node.fleet.view.Load() == nil {
 		return false
@@ -302,7 +302,7 @@
 }
 
 // Reload applies the retry bounds of the new settings, the only settings that may change
-// while the node runs. It logs whether the new settings also differ in one that needs a
+// while the node runs. It logs whether the new settings also differ in a setting that needs a
 // restart: Listen, Store, Node, Bounds.Revoke or Bounds.RefuseStaleKeys. It ignores
 // differences in other settings.
 func (node *Node) Reload(settings config.NodeSettings) {
--- a/node/prober.go
+++ b/node/prober.go
@@ -78,8 +78,9 @@
 }
 
 // query asks a server for its report. If there is neither an answer nor an error within
-// secondQueryDelay, query asks a second time and returns the report that arrives first. It
-// returns an error once all queries that it has started have failed.
+// secondQueryDelay, query asks a second time and returns the report that arrives first. Once
+// all queries that it has started have failed, it returns the error of the last of them. All
+// queries share the time limit probeTimeout.
 func (prober *prober) query(ctx context.Context, address string) (shedkeel.EngineReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -115,7 +116,7 @@
 }
 
 // reachesAny asks up to witnessCount of the witnesses, chosen at random, and reports
-// whether any of them answers.
+// whether any of them answers without an error within probeTimeout.
 func (prober *prober) reachesAny(ctx context.Context, witnesses []string) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/node/probes.go
+++ b/node/probes.go
@@ -15,9 +15,9 @@
 const (
 	// reprobeInterval is how often a dead server is probed again.
 	reprobeInterval = time.Second
-	// noticeCooldown is the time after an accepted report that a group does not respond in
-	// which further reports about the group are ignored. The reports of all nodes about the
-	// same failure arrive within this time.
+	// noticeCooldown is how long further reports about a group are ignored after a report
+	// that the group does not respond was accepted. The reports of all nodes about the same
+	// failure arrive within this time.
 	noticeCooldown = 400 * time.Millisecond
 	// stallWindow is how long a group counts as stalled after an accepted report that the
 	// group does not respond.
@@ -55,9 +55,9 @@
 }
 
 // probeSuspects starts probes of the members of suspected groups, of the free servers in
-// the domains of these groups, and of dead servers whose next probe is due. Servers whose
-// probe is in progress are left out, and dead servers whose next probe is not due. It forgets
-// all suspicions, and dead servers that are not among the instances.
+// the domains of these groups, and of dead servers whose next probe is due. It leaves out
+// servers whose probe is in progress and dead servers whose next probe is not due. Afterwards
+// it forgets all suspicions, and the dead servers that are not among the instances.
 func (controller *controller) probeSuspects(ctx context.Context, instances []shedkeel.Instance, now time.Duration) {
 	controller.mutex.Lock()
 	defer controller.mutex.Unlock()
@@ -87,9 +87,9 @@
 
 // suspectedDomains returns the domains of the suspected groups. The free servers of these
 // domains are probed together with the members, because a free server replaces a lost
-// member, and servers that share a fault fail together. Without these probes, with 38
-// servers cut off and six groups short of members, three of the groups are formed with a
-// substitute that is cut off too, and are ready 0.9 s later than the others.
+// member, and servers that share a fault fail together. Without these probes, if 38 servers
+// are cut off and six groups are short of members, three of these groups are formed with a
+// substitute that is cut off too, and are ready 0.9 s later than the other three.
 func suspectedDomains(suspects map[shedkeel.Assignment]time.Duration, instances []shedkeel.Instance) map[shedkeel.DomainID]bool {
 	found := map[shedkeel.DomainID]bool{}
 	for _, instance := range instances {
@@ -141,7 +141,8 @@
 
 // recordProbe processes the result of a probe: it marks a server as dead or as alive
 // again, and at each failed probe makes all nodes avoid the group of which the dead server is
-// a member. An inconclusive probe is only logged.
+// a member. A dead server is probed again after reprobeInterval. An inconclusive probe is only
+// logged.
 func (controller *controller) recordProbe(instance shedkeel.Instance, err error) {
 	controller.mutex.Lock()
 	defer controller.mutex.Unlock()
--- a/node/registrar.go
+++ b/node/registrar.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// registerBatchDelay is how long a batch collects records of nodes that start together.
-	// Each write costs one call to the service, however many records it has.
+	// registerBatchDelay is how long a batch that does not become full collects records of
+	// nodes that start together. Each write costs one call to the key-value service, however
+	// many records the write has.
 	registerBatchDelay = 100 * time.Millisecond
 	// registerWriteTimeout limits the time of the write of a batch.
 	registerWriteTimeout = time.Second
-	// registerTimeout limits the time that a node waits for another node to write its
-	// record: the time of a batch, and 200 ms for the call. After this time the waiting
-	// node writes the record itself.
+	// registerTimeout limits the time for which a node waits until another node has written
+	// the waiting node's record: the time of a batch, and 200 ms for the call. After this
+	// time the waiting node writes the record itself.
 	registerTimeout = registerBatchDelay + registerWriteTimeout + 200*time.Millisecond
 )
 
@@ -62,7 +63,8 @@
 	return &wire.Reply{Kind: &wire.Reply_Register{Register: &wire.RegisterReply{Written: true, Era: revision.Era, Revision: revision.Number}}}
 }
 
-// enqueue adds a record to the pending batch, or to a new batch, and returns that batch.
+// enqueue adds a record to the pending batch, or to a new batch if there is none, and returns
+// that batch. A record replaces an earlier record of the same node in the batch.
 func (registrar *registrar) enqueue(put shedkeel.Put) *registrationBatch {
 	registrar.mutex.Lock()
 	defer registrar.mutex.Unlock()
@@ -120,8 +122,8 @@
 }
 
 // register asks the peer to write this node's record, and returns the revision of the
-// write. It returns a shedkeel.UnknownOutcomeError if the peer's reply does not confirm the
-// write.
+// write. It returns the error of a failed call, or a shedkeel.UnknownOutcomeError if the peer's
+// reply does not confirm the write.
 func (peer *peer) register(ctx context.Context, record []byte) (shedkeel.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
--- a/node/subscribers.go
+++ b/node/subscribers.go
@@ -7,7 +7,7 @@
 	"shedkeel.org/shedkeel"
 )
 
-// subscriberTTL is how long a node counts as a subscriber after it last asked.
+// subscriberTTL is how long a node counts as a subscriber after its last relay call.
 const subscriberTTL = 5 * time.Second
 
 // subscribers are the nodes that asked this node for records, or whether it has a copy,
