--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -11,8 +11,8 @@
 )
 
 // fleetOf returns the records of a fleet of count nodes in five availability zones, in the
-// order of compareNodes. In each zone, large is the number of nodes on large boxes, which have
-// four times the capacity of the others.
+// order of compareNodes. In each zone, as many nodes as large states are on large boxes, which
+// have four times the capacity of the other boxes.
 func fleetOf(count, large int) []nodeRecord {
 	var nodes []nodeRecord
 	for index := range count {
@@ -27,9 +27,10 @@
 	return nodes
 }
 
-// followersOf returns how many nodes follow the node at each index, and at index -1 how many
-// follow the service itself. The nodes at the indexes in down are lost.
-func followersOf(nodes []nodeRecord, down ...int) map[int]int {
+// countFollowers returns how many nodes follow the node at each index, and at index -1 how many
+// follow the key-value service itself, if each node follows the first available node in
+// followOrder. The nodes at the indexes in down are lost.
+func countFollowers(nodes []nodeRecord, down ...int) map[int]int {
 	followers := map[int]int{}
 	for own := range nodes {
 		if slices.Contains(down, own) {
@@ -50,19 +51,19 @@
 }
 
 // TestFollowers makes each node of a fleet choose whom to follow. Exactly one node must
-// follow the service, and neither the source nor another node may have more followers than
-// the case allows, also after the loss of a source or of another large box.
+// follow the key-value service, and neither the source nor another node may have more
+// followers than the case allows, also after the loss of a source or of another large box.
 func TestFollowers(t *testing.T) {
 	cases := map[string]struct {
 		nodes              []nodeRecord
 		down               []int // indexes of lost nodes
-		maxSourceFollowers int   // most followers of the source
-		maxOtherFollowers  int   // most followers of any other node
+		maxSourceFollowers int   // most followers of the source; in large fleets these are the relays and the other source
+		maxOtherFollowers  int   // most followers of any other node; the relays of a zone do not all get the same number
 	}{
 		"a small fleet":                            {fleetOf(9, 3), nil, 8, 0},
 		"the largest without relays":               {fleetOf(maxDirectFollowers, 3), nil, maxDirectFollowers - 1, 0},
-		"300 boxes, 15 large":                      {fleetOf(300, 3), nil, 20, 60}, // in one zone two of the three large boxes have duties for the whole fleet, so they are no relays
-		"300 boxes, 15 large, one of them is lost": {fleetOf(300, 3), []int{4}, 20, 60},
+		"300 boxes, 15 large":                      {fleetOf(300, 3), nil, 20, 60},      // in one zone two of the three large boxes have duties for the whole fleet, so the zone's 60 nodes have one relay
+		"300 boxes, 15 large, one of them is lost": {fleetOf(300, 3), []int{4}, 20, 60}, // index 4 is that of a relay
 		"300 boxes, the source is lost":            {fleetOf(300, 3), []int{1}, 20, 60},
 		"300 boxes of one size":                    {fleetOf(300, 0), nil, 20, 2 * followersPerRelay},
 		"1000 boxes, 15 large":                     {fleetOf(1000, 3), nil, 20, 200},
@@ -70,8 +71,8 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			followers := followersOf(test.nodes, test.down...)
-			source := 1
+			followers := countFollowers(test.nodes, test.down...)
+			source := 1 // the first of sourceIndexes
 			if slices.Contains(test.down, 1) {
 				source = 0
 			}
@@ -81,7 +82,7 @@
 					maxFollowers = max(maxFollowers, count)
 				}
 			}
-			t.Logf("%d follow the source, at most %d another, %d the service", followers[source], maxFollowers, followers[-1])
+			t.Logf("%d follow the source, at most %d another, %d the key-value service", followers[source], maxFollowers, followers[-1])
 			assert.Equal(t, followers[-1], 1)
 			assert.Assert(t, followers[source] <= test.maxSourceFollowers)
 			assert.Assert(t, maxFollowers <= test.maxOtherFollowers)
@@ -92,7 +93,7 @@
 // TestRelaysAreNear checks that each node that prefers a relay to the first source prefers a
 // relay of its own availability zone.
 func TestRelaysAreNear(t *testing.T) {
-	nodes := fleetOf(300, 3)
+	nodes := fleetOf(300, 3) // large enough for relays; each zone has at least one relay
 	for own := range nodes {
 		first := followOrder(nodes, own)[0]
 		if first != sourceIndexes[0] {
@@ -101,21 +102,21 @@
 	}
 }
 
-// TestUnlistedFollowsSeed covers nodes that are not listed or know few other nodes. If such a
-// node's index would make it follow the service itself, the node must follow a seed instead,
-// unless it is a seed or has none. Otherwise all nodes that start together would follow the
-// service.
+// TestUnlistedFollowsSeed covers nodes that are not listed or know few other nodes. If the
+// index of such a node would make the node follow the key-value service itself, the node must
+// follow a seed instead, unless it is a seed or has none. Otherwise all nodes that start
+// together would follow the key-value service. The node is "d", with a capacity of 0.2.
 func TestUnlistedFollowsSeed(t *testing.T) {
 	cases := map[string]struct {
 		seeds        []string
 		listed       []nodeRecord
 		hint         int64  // number of nodes that a seed reported
-		wantFollowed string // ID or address of the followed node; "": the service
+		wantFollowed string // ID or address of the followed node; "": the key-value service
 	}{
 		"it knows no other node":              {[]string{"seed:1"}, nil, 0, "seed:1"},
 		"its index would be that of a source": {[]string{"seed:1"}, []nodeRecord{{ID: "a", Capacity: 0.8}}, 0, "seed:1"},
 		"it is listed":                        {[]string{"seed:1"}, []nodeRecord{{ID: "a", Capacity: 0.8}, {ID: "d", Capacity: 0.2}}, 2, ""},
-		"it is listed, few others are":        {[]string{"seed:1"}, []nodeRecord{{ID: "a", Capacity: 0.8}, {ID: "d", Capacity: 0.2}}, 140, "seed:1"},
+		"it is listed, few others are":        {[]string{"seed:1"}, []nodeRecord{{ID: "a", Capacity: 0.8}, {ID: "d", Capacity: 0.2}}, 140, "seed:1"}, // 2 of 140 nodes are listed; with 70 listed nodes the node would count as settled
 		"it is a seed":                        {[]string{"seed:1", "own:1"}, nil, 0, ""},
 		"there are no seeds":                  {nil, nil, 0, ""},
 		"it knows a source to follow":         {[]string{"seed:1"}, fourNodes[:3], 0, "b"},
@@ -156,8 +157,8 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			nodes := fleetOf(20, 0)
-			node, timers := newListedNode(t, nodes[12].ID, nodes)
+			nodes := fleetOf(20, 0)                               // 20 nodes of one size, so no relays
+			node, timers := newListedNode(t, nodes[12].ID, nodes) // any node without a duty
 			detector := &fakeDetector{liveness: map[shedkeel.NodeID]shedkeel.Liveness{}}
 			for _, index := range test.suspected {
 				detector.liveness[nodes[index].ID] = shedkeel.Suspected
@@ -165,7 +166,7 @@
 			node.gossip.detector = detector
 			node.peers.refreshAlive()
 			assert.Equal(t, node.peers.choose().Name(), string(nodes[test.wantFollowed].ID))
-			asked, own := node.peers.spreader(0, timers.Now())
+			asked, own := node.peers.spreader(0, timers.Now()) // of the first partition
 			assert.Assert(t, !own)
 			assert.Equal(t, asked.Name(), string(nodes[test.wantSpreader].ID))
 			for _, other := range node.peers.others() {
@@ -175,13 +176,13 @@
 	}
 }
 
-// TestSuspectedRelayIsReplaced marks the node that a node follows as suspected, as many times
-// as there are relays. The node must follow another node each time.
+// TestSuspectedRelayIsReplaced marks the followed node as suspected, as many times as there
+// are relays. Each time, the node that follows must choose a node that is not suspected.
 func TestSuspectedRelayIsReplaced(t *testing.T) {
-	nodes := fleetOf(300, 9)
+	nodes := fleetOf(300, 9) // nine large boxes in each zone, so that each zone has all its relays
 	relays := relayIndexes(nodes)
 	assert.Assert(t, len(relays) > 3)
-	own := nodes[250]
+	own := nodes[250] // on a small box, so no relay
 	node, _ := newListedNode(t, own.ID, nodes)
 	detector := &fakeDetector{liveness: map[shedkeel.NodeID]shedkeel.Liveness{}}
 	node.gossip.detector = detector
--- a/node/heartbeat_test.go
+++ b/node/heartbeat_test.go
@@ -22,8 +22,8 @@
 	return instance, err
 }
 
-// heartbeats returns the records of the given number of servers, all with the given sequence
-// number.
+// heartbeats returns the records of the given number of servers of the service s, 37 in each
+// domain, all with the given sequence number.
 func heartbeats(t testing.TB, servers int, sequence int64) []shedkeel.Record {
 	t.Helper()
 	var records []shedkeel.Record
@@ -36,7 +36,8 @@
 	return records
 }
 
-// newHeartbeatNode returns a node that knows the given number of servers.
+// newHeartbeatNode returns a node that has a configuration with the service s and knows the
+// records that heartbeats returns for the given number of servers and sequence number 1.
 func newHeartbeatNode(t testing.TB, servers int) *Node {
 	t.Helper()
 	node, _ := newTestNode(t)
@@ -46,9 +47,9 @@
 	return node
 }
 
-// TestHeartbeatsChangeNoTable checks that a heartbeat does not rebuild the table of servers,
-// and that a record that changes which servers may get requests does. Thousands of
-// heartbeats arrive per second in a large fleet.
+// TestHeartbeatsChangeNoTable checks that applyInstance does not ask for a new table of
+// servers after a heartbeat, and that it does after a record that changes which servers may
+// get requests. Thousands of heartbeats arrive per second in a large fleet.
 func TestHeartbeatsChangeNoTable(t *testing.T) {
 	const servers = 100
 	node := newHeartbeatNode(t, servers)
@@ -59,17 +60,17 @@
 	}
 	assert.Equal(t, fleet.instances["servers/7"].Sequence, int64(2), "the heartbeat is applied")
 
-	draining := heartbeats(t, 1, 3)[0]
+	draining := heartbeats(t, 1, 3)[0] // of server 0; each further record has a later sequence number
 	draining.Value = []byte(strings.Replace(string(draining.Value), `"Draining":false`, `"Draining":true`, 1))
 	assert.Assert(t, fleet.applyInstance(draining, now))
 	fleet.markUnreadable("servers/1", now)
 	assert.Assert(t, fleet.applyInstance(heartbeats(t, 2, 4)[1], now), "a server whose record can be read again may get requests")
-	fleet.removeInstance("servers/2", 0, now)
+	fleet.removeInstance("servers/2", 0, now) // in era 0
 	assert.Assert(t, fleet.applyInstance(heartbeats(t, 3, 5)[2], now), "the server is listed again")
 }
 
-// BenchmarkHeartbeats applies the heartbeats that the 2,793 servers of a large fleet write in
-// 0.25 s if each writes one every 1.2 s.
+// BenchmarkHeartbeats applies about as many heartbeats as the 2,793 servers of a large fleet
+// write in 0.25 s, if each server writes a heartbeat every 1.2 s.
 func BenchmarkHeartbeats(b *testing.B) {
 	const servers, heartbeatsPerRound = 2793, 580
 	node := newHeartbeatNode(b, servers)
--- a/node/member_test.go
+++ b/node/member_test.go
@@ -12,8 +12,8 @@
 )
 
 // TestListedByFleetSize checks that the lease of a node's record depends on the size of the
-// fleet once the node knows the size: records have short leases in a small fleet, and no
-// leases from unleasedFrom nodes on.
+// fleet once the node knows the size: records have short leases in a small fleet, long leases
+// in a larger fleet, and no leases from unleasedFrom nodes on.
 func TestListedByFleetSize(t *testing.T) {
 	cases := map[string]struct {
 		nodes      int
@@ -21,7 +21,7 @@
 		wantLease  int64         // number of the record's lease in the end; 0: no lease
 		wantGrants int64         // number of leases that the node acquires
 	}{
-		"no node is listed":                 {0, largeFleetTTL, 1, 1},
+		"no node is listed":                 {0, largeFleetTTL, 1, 1}, // the node then assumes assumedNodes (16), more than maxSmallFleet
 		"a small fleet":                     {9, smallFleetTTL, 2, 2},
 		"the largest fleet with leases":     {unleasedFrom - 1, largeFleetTTL, 1, 1},
 		"the smallest fleet without leases": {unleasedFrom, largeFleetTTL, 0, 1},
@@ -32,7 +32,7 @@
 			var lease shedkeel.LeaseID
 			store := &leaseStore{renewed: map[shedkeel.LeaseID]int{}, commit: func(change shedkeel.Transaction) (int64, error) {
 				lease = change.Put[0].Lease
-				return 2, nil
+				return 2, nil // the revision of the write
 			}}
 			node.Store = store
 			assert.Assert(t, node.member.step(t.Context()))
@@ -41,7 +41,7 @@
 			for number := range test.nodes {
 				node.fleet.nodes[fmt.Sprint(number)] = nodeRecord{}
 			}
-			for range 3 {
+			for range 3 { // more steps than the move to another lease, or to none, takes
 				assert.Assert(t, node.member.step(t.Context()))
 			}
 			assert.Equal(t, node.member.lease.ttl, test.wantTTL)
@@ -51,17 +51,18 @@
 	}
 }
 
-// TestRenewalsInAnOutage makes renewals fail. A node must retry rarely while the service
-// answers no node, and soon after the service has answered any node.
+// TestRenewalsInAnOutage makes renewals fail. A node must retry after maxRegistrationRetry while
+// the key-value service answers no node. Once that service has answered any node, the node must
+// retry at once, but not earlier than registrationRetry after the failure.
 func TestRenewalsInAnOutage(t *testing.T) {
 	cases := map[string]struct {
 		answeredAfter  time.Duration // time from the failure until another node got an answer; 0: never
 		wantRetryAfter time.Duration // time from the failure until the retry
 	}{
-		"the service answers no node":            {0, maxRegistrationRetry},
-		"the service answers other nodes":        {10 * time.Millisecond, registrationRetry},
-		"it answers another node after a second": {time.Second, time.Second},
-		"it answers another node after 200 ms":   {200 * time.Millisecond, registrationRetry},
+		"the key-value service answers no node":                     {0, maxRegistrationRetry},
+		"the key-value service answers another node after 10 ms":    {10 * time.Millisecond, registrationRetry},
+		"the key-value service answers another node after a second": {time.Second, time.Second},
+		"the key-value service answers another node after 200 ms":   {200 * time.Millisecond, registrationRetry},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -69,13 +70,13 @@
 			store := &leaseStore{renewed: map[shedkeel.LeaseID]int{}, commit: func(shedkeel.Transaction) (int64, error) { return 2, nil }}
 			node.Store = store
 			node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
-			node.member.tick(t.Context())
+			node.member.tick(t.Context()) // lists the node
 			timers.Advance(largeFleetTTL / renewalsPerTTL)
 			store.unavailable = true
 			node.member.tick(t.Context())
 			failed := timers.Now()
 			calls := store.renewCalls
-			for store.renewCalls == calls && timers.Now() < failed+time.Minute {
+			for store.renewCalls == calls && timers.Now() < failed+time.Minute { // far longer than any retry delay
 				timers.Advance(memberTick)
 				if answered := failed + test.answeredAfter; test.answeredAfter > 0 && timers.Now() >= answered {
 					node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 1}, AsOf: answered})
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -34,11 +34,11 @@
 // each at an address of its own.
 type testCluster struct {
 	t      *testing.T
-	data   *standin.Store
-	store  *httptest.Server
-	fleet  *platformstandin.Fleet
+	data   *standin.Store         // content and faults of the store
+	store  *httptest.Server       // serves data to the nodes
+	fleet  *platformstandin.Fleet // the backend servers
 	nodes  []*runningNode
-	client *http.Client
+	client *http.Client // of the callers
 }
 
 // runningNode is a node that serves, with the addresses of its endpoints.
@@ -49,8 +49,8 @@
 	directory string
 	readiness string
 	admin     string
-	stop      context.CancelFunc
-	ended     sync.WaitGroup
+	stop      context.CancelFunc // makes the node stop gracefully
+	ended     sync.WaitGroup     // done once the node's method Run has returned
 }
 
 // testConfig is the format of the tests' configuration. Its arguments are the version and
@@ -78,7 +78,7 @@
 	}
 	cluster.configure(1, `"key-1","key-2"`)
 	for index := range 8 {
-		cluster.serve(&platformstandin.Server{ID: fmt.Sprint("engine-", index), Service: "llm", Domain: fmt.Sprint("rack-", index/4), Born: 1000})
+		cluster.serve(&platformstandin.Server{ID: fmt.Sprint("engine-", index), Service: "llm", Domain: fmt.Sprint("rack-", index/4), Born: 1000}) // four servers in each domain
 	}
 	for index := range 2 {
 		cluster.serve(&platformstandin.Server{ID: fmt.Sprint("plain-", index), Service: "plain"})
@@ -142,7 +142,8 @@
 	return conn
 }
 
-// start starts a node with the given seeds. The index gives the node its ID.
+// start starts a node with the given seeds, and stops it when the test ends. The index gives
+// the node its ID and seeds its random numbers.
 func (cluster *testCluster) start(index int, seeds ...string) {
 	t := cluster.t
 	listeners := node.Listeners{Callers: listen(t), Directory: listen(t), Readiness: listen(t), Control: listen(t), Gossip: listenDatagrams(t), Metrics: listen(t)}
@@ -190,19 +191,19 @@
 	})
 }
 
-// send sends one request for the given number of answer tokens, and returns the status and
-// body of the answer. If there is no complete answer, the status is 0 and the body states the
-// error.
+// send sends one request to the node at the address, with an attempt ID, an API key, and the
+// given number of answer tokens. It returns the status and body of the answer. If there is no
+// complete answer, the status is 0 and the body states the error.
 func (cluster *testCluster) send(address, id, path, key string, tokens int) (int, string) {
 	return cluster.sendBody(address, id, path, key, "x", tokens)
 }
 
-// sendBody is send with the request body sent.
+// sendBody is send with a given request body, sent.
 func (cluster *testCluster) sendBody(address, id, path, key, sent string, tokens int) (int, string) {
 	request, err := http.NewRequestWithContext(cluster.t.Context(), http.MethodPost, "http://"+address+path, strings.NewReader(sent))
 	assert.NilError(cluster.t, err)
 	request.Host = "h.example"
-	for name, value := range map[string]string{"X-Shedkeel-Attempt-Id": id, "X-Shedkeel-Key": key, "X-Shedkeel-Deadline-Ms": "8000", "X-Shedkeel-Model": "m0", "X-Shedkeel-Token-Usage": fmt.Sprint("100,", tokens)} {
+	for name, value := range map[string]string{"X-Shedkeel-Attempt-Id": id, "X-Shedkeel-Key": key, "X-Shedkeel-Deadline-Ms": "8000", "X-Shedkeel-Model": "m0", "X-Shedkeel-Token-Usage": fmt.Sprint("100,", tokens)} { // 100 prompt tokens
 		request.Header.Set(name, value)
 	}
 	response, err := cluster.client.Do(request)
@@ -238,8 +239,8 @@
 	return text.String()
 }
 
-// addresses returns the addresses that the directory of a node lists, or nil if the node does
-// not answer.
+// addresses returns the addresses that the directory of a node lists, or nil if the node gives
+// no valid answer.
 func (cluster *testCluster) addresses(index int) []string {
 	response, err := cluster.client.Get("http://" + cluster.nodes[index].directory + "/shedkeel/resolve?name=h.example&zone=z")
 	if err != nil {
@@ -264,17 +265,17 @@
 	cluster.eventually("two groups serve", func() bool { return len(cluster.fleet.OpenHeads()["m0"]) >= 2 })
 	cluster.eventually("a stream is complete", func() bool {
 		status, body := cluster.send(cluster.nodes[0].callers, shedkeel.NewNonce(), "/copy/a", "key-1", 50)
-		return status == 200 && body == completeStream(10)
+		return status == 200 && body == completeStream(10) // 50 tokens
 	})
 	for _, node := range cluster.nodes {
 		cluster.eventually("a plain request is answered", func() bool {
 			status, body := cluster.send(node.callers, shedkeel.NewNonce(), "/look/a%2Fb?x=1", "key-2", 0)
-			return status == 200 && body == "POST /look/a%2Fb?x=1 for shop"
+			return status == 200 && body == "POST /look/a%2Fb?x=1 for shop" // a plain server states the path and the tenant
 		})
 	}
-	status, _ := cluster.send(cluster.nodes[1].callers, "a1", "/look/x", "key-9", 0)
+	status, _ := cluster.send(cluster.nodes[1].callers, "a1", "/look/x", "key-9", 0) // unknown key
 	assert.Equal(t, status, 401)
-	status, _ = cluster.send(cluster.nodes[1].callers, "a2", "/none/x", "key-1", 0)
+	status, _ = cluster.send(cluster.nodes[1].callers, "a2", "/none/x", "key-1", 0) // no route
 	assert.Equal(t, status, 404)
 
 	cluster.killMembers()
@@ -305,8 +306,9 @@
 	assert.Assert(t, cluster.nodes[2].Ready())
 }
 
-// killMembers kills a member of each group but one while streams run. Each stream must be
-// complete and run at most twice, and as many groups must serve again afterwards.
+// killMembers kills one member, not the head, of each group but one while streams run. Each
+// stream must be complete and run at most twice (max_attempts in testConfig). As many groups as
+// before must serve again once the records of the killed servers are removed.
 func (cluster *testCluster) killMembers() {
 	heads := cluster.fleet.OpenHeads()["m0"]
 	victims := map[string]bool{}
@@ -330,8 +332,8 @@
 // interruptedStreams is how many streams run during a fault.
 const interruptedStreams = 12
 
-// interruptStreams injects a fault while streams run, and checks that all streams are
-// complete. The streams' attempt IDs begin with the prefix.
+// interruptStreams injects a fault while streams of 200 answer tokens (40 events) run, and
+// checks that all streams are complete. The streams' attempt IDs begin with the prefix.
 func (cluster *testCluster) interruptStreams(prefix string, fault func()) {
 	var calls sync.WaitGroup
 	results := make([]string, interruptedStreams)
@@ -341,7 +343,7 @@
 			results[index] = fmt.Sprint(status, " ", body)
 		})
 	}
-	time.Sleep(150 * time.Millisecond)
+	time.Sleep(150 * time.Millisecond) // until the streams run
 	fault()
 	calls.Wait()
 	for index, result := range results {
@@ -349,9 +351,10 @@
 	}
 }
 
-// restartMembers restarts a member of each group but one under its former ID while
-// streams run. The restarted member is in no group. A stream that the restart broke off must
-// not count as complete, and another group must complete it.
+// restartMembers restarts one member, not the head, of each group but one under its former ID
+// while streams run. The restarted member is in no group. A stream that the restart broke off
+// must not count as complete, and another group must complete that stream. No order and no
+// request of the test so far may have broken a rule of the stand-in servers (see Violations).
 func (cluster *testCluster) restartMembers() {
 	heads := cluster.fleet.OpenHeads()["m0"]
 	cluster.interruptStreams("again-", func() {
@@ -363,8 +366,8 @@
 	assert.Equal(cluster.t, len(cluster.fleet.Violations()), 0, "%v", cluster.fleet.Violations())
 }
 
-// addInvalidRecords has another writer add invalid server records. The other servers must
-// stay in use.
+// addInvalidRecords has another writer add invalid records of servers; the last value has an
+// unknown state. All requests must still get an answer from the other servers.
 func (cluster *testCluster) addInvalidRecords() {
 	for index, value := range []string{"", "\x00\x01", "null", "[]", `{"service":"plain"}`, `{"service":"plain","address":"127.0.0.1:1","zone":"z","version":"v1","slots":8,"state":"resting","cold_remaining_ms":0,"seq":1}`} {
 		_, err := cluster.data.Commit(shedkeel.Transaction{Put: []shedkeel.Put{{Key: fmt.Sprint("servers/odd-", index), Value: []byte(value)}}})
@@ -376,7 +379,7 @@
 	}
 }
 
-// removeKey removes an API key. No node may accept it afterwards.
+// removeKey removes an API key. Every node must refuse requests with this key soon afterwards.
 func (cluster *testCluster) removeKey() {
 	cluster.configure(2, `"key-2"`)
 	for _, node := range cluster.nodes {
@@ -408,7 +411,8 @@
 }
 
 // stopNode stops a node gracefully. The node must report that it is not ready, serve callers
-// that still have its address, leave the directory, and complete its running stream.
+// that still have its address, leave the directory, and complete its running stream, which has
+// 200 answer tokens (40 events).
 func (cluster *testCluster) stopNode() {
 	stopping := cluster.nodes[2]
 	cluster.eventually("the directory names all nodes", func() bool { return len(cluster.addresses(0)) == 3 })
@@ -418,12 +422,12 @@
 		assert.Equal(cluster.t, status, 200, "%s", body)
 		assert.Equal(cluster.t, body, completeStream(40))
 	})
-	time.Sleep(50 * time.Millisecond)
+	time.Sleep(50 * time.Millisecond) // until the stream runs
 	stopping.stop()
 	cluster.eventually("the stopping node is not ready", func() bool {
 		response, err := cluster.client.Get("http://" + stopping.readiness + "/shedkeel/ready")
 		if err != nil {
-			return true
+			return true // a node that no longer answers is not ready either
 		}
 		_ = response.Body.Close()
 		return response.StatusCode == http.StatusServiceUnavailable
--- a/node/prober_test.go
+++ b/node/prober_test.go
@@ -34,24 +34,24 @@
 }
 
 // TestProbe checks when a server counts as alive or as dead, and when a probe is
-// inconclusive. A server that answers must be asked only once.
+// inconclusive. A server that counts as alive must be asked only once, and no witness.
 func TestProbe(t *testing.T) {
 	cases := map[string]struct {
-		up           []string            // addresses that answer; "a" is probed, "b" and "c" are witnesses
-		id           shedkeel.InstanceID // of the probed server; may contain its recorded start time
-		born         int64               // the start time that the probed server reports; 0: none
-		delay        time.Duration       // see fakeEngines
-		fails        bool                // the probe returns an error
-		inconclusive bool                // the error is errInconclusive
+		up               []string            // addresses that answer; "a" is probed, "b" and "c" are witnesses
+		id               shedkeel.InstanceID // of the probed server; may contain its recorded start time
+		born             int64               // the start time that the probed server reports; 0: none
+		delay            time.Duration       // see fakeEngines
+		wantErr          bool                // the probe must return an error
+		wantInconclusive bool                // the error must wrap errInconclusive
 	}{
 		"it answers, no start time is known":          {up: []string{"a", "b"}},
-		"only a witness answers":                      {up: []string{"b"}, fails: true},
-		"no server answers: this node may be cut off": {fails: true, inconclusive: true},
+		"only a witness answers":                      {up: []string{"b"}, wantErr: true},
+		"no server answers: this node may be cut off": {wantErr: true, wantInconclusive: true},
 		"it answers with its recorded start time":     {up: []string{"a", "b"}, id: shedkeel.NewInstanceID("s", 7), born: 7},
-		"it answers with another start time":          {up: []string{"a"}, id: shedkeel.NewInstanceID("s", 7), born: 8, fails: true},
+		"it answers with another start time":          {up: []string{"a"}, id: shedkeel.NewInstanceID("s", 7), born: 8, wantErr: true},
 		"only its record has a start time":            {up: []string{"a"}, id: shedkeel.NewInstanceID("s", 7)},
 		"only its answer has a start time":            {up: []string{"a"}, id: "s", born: 8},
-		"this node is too slow":                       {up: []string{"b"}, delay: 2 * maxProbeOverrun, fails: true, inconclusive: true},
+		"this node is too slow":                       {up: []string{"b"}, delay: 2 * maxProbeOverrun, wantErr: true, wantInconclusive: true}, // the probe ends maxProbeOverrun too late
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -61,9 +61,9 @@
 			}
 			prober := &prober{Engines: engines, Timers: &timer.System{}}
 			err := prober.probe(t.Context(), shedkeel.Instance{ID: test.id, Address: "a"}, []string{"b", "c"})
-			assert.Equal(t, err != nil, test.fails)
-			assert.Equal(t, errors.Is(err, errInconclusive), test.inconclusive)
-			if !test.fails {
+			assert.Equal(t, err != nil, test.wantErr)
+			assert.Equal(t, errors.Is(err, errInconclusive), test.wantInconclusive)
+			if !test.wantErr {
 				assert.Equal(t, engines.asked.Load(), int64(1), "a server that answers was asked more than once")
 			}
 		})
--- a/node/registrar_test.go
+++ b/node/registrar_test.go
@@ -14,8 +14,8 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// newRegisteredRecord returns the valid record of a node with this ID, encoded as JSON.
-func newRegisteredRecord(t *testing.T, id shedkeel.NodeID) []byte {
+// encodeNodeRecord returns the valid record of a node with this ID, encoded as JSON.
+func encodeNodeRecord(t *testing.T, id shedkeel.NodeID) []byte {
 	t.Helper()
 	value, err := json.Marshal(nodeRecord{ID: id, Zone: "z", Callers: "10.0.0.1:1", Control: "10.0.0.1:2", Watched: true})
 	assert.NilError(t, err)
@@ -23,27 +23,27 @@
 }
 
 // TestRegistrationsAreWrittenTogether makes many nodes ask one node at the same time to write
-// their records. The node must write them in as few calls as possible. Separate writes would
-// be most of the calls to the service when a fleet starts.
+// their records. The node must write the records in as few calls as possible. Separate writes
+// would be most of the calls to the key-value service when a fleet starts.
 func TestRegistrationsAreWrittenTogether(t *testing.T) {
 	cases := map[string]struct {
 		nodes      int
-		mismatched int // nodes that send the record of another node, which is refused
-		fails      bool
-		wantWrites int // calls to the service, each with at most shedkeel.MaxTransactionEntries (32) records
+		mismatched int  // nodes that send the record of another node, which is refused
+		fails      bool // the key-value service fails
+		wantWrites int  // calls to the key-value service, each with at most shedkeel.MaxTransactionEntries (32) records
 	}{
 		"one node":                    {1, 0, false, 1},
 		"as many as fit in one write": {32, 0, false, 1},
 		"more than fit in two writes": {70, 0, false, 3},
-		"some send another's record":  {33, 3, false, 1},
-		"the service fails":           {40, 0, true, 2},
+		"some send another's record":  {33, 3, false, 1}, // 30 valid records
+		"the key-value service fails": {40, 0, true, 2},
 		"all send another's record":   {5, 5, false, 0},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			node, _ := newTestNode(t)
 			var mutex sync.Mutex
-			writes, listed := 0, map[string]int{}
+			writes, writesByKey := 0, map[string]int{}
 			node.Store = &leaseStore{commit: func(change shedkeel.Transaction) (int64, error) {
 				mutex.Lock()
 				defer mutex.Unlock()
@@ -53,18 +53,18 @@
 					return 0, &shedkeel.UnavailableError{What: "key-value service"}
 				}
 				for _, put := range change.Put {
-					listed[put.Key]++
+					writesByKey[put.Key]++
 				}
-				return 7, nil
+				return 7, nil // the revision of the write
 			}}
 			node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}})
 			var asking sync.WaitGroup
 			written := make([]bool, test.nodes)
 			for index := range test.nodes {
 				id := shedkeel.NodeID(fmt.Sprint("n-", index))
-				record := newRegisteredRecord(t, id)
+				record := encodeNodeRecord(t, id)
 				if index < test.mismatched {
-					record = newRegisteredRecord(t, "n-other")
+					record = encodeNodeRecord(t, "n-other")
 				}
 				asking.Go(func() {
 					reply := node.registrar.handle(t.Context(), &wire.RegisterCall{Node: string(id), Record: record})
@@ -76,15 +76,15 @@
 			for index, confirmed := range written {
 				key := nodePrefix + fmt.Sprint("n-", index)
 				assert.Equal(t, confirmed, !test.fails && index >= test.mismatched, key)
-				assert.Equal(t, listed[key] == 1, confirmed, "a write is confirmed if and only if the record was written: %s", key)
+				assert.Equal(t, writesByKey[key] == 1, confirmed, "a write is confirmed if and only if the record was written: %s", key)
 			}
 		})
 	}
 }
 
-// TestNodeIsListedWithoutRegistrar makes the followed node write a node's record, or fail to
-// do so in different ways. If it fails, and while the node stops, the node must write its
-// record itself.
+// TestNodeIsListedWithoutRegistrar asks the followed node to write a node's record, or makes
+// the followed node fail in different ways. If the followed node fails, or the node itself is
+// stopping, the node must write its record itself, and within registerTimeout.
 func TestNodeIsListedWithoutRegistrar(t *testing.T) {
 	cases := map[string]struct {
 		handler       func(*Node) wire.Handler // of the followed node; nil: it is down
@@ -113,7 +113,7 @@
 			}
 
 			node, timers := newTestNode(t)
-			node.Settings.Wire.Key = "k"
+			node.Settings.Wire.Key = "k" // the key of serveWire
 			node.Settings.Zone = "z"
 			node.Settings.Listen.Callers, node.Settings.Listen.Control = "10.0.0.1:1", "10.0.0.1:2"
 			node.Settings.Seeds = []string{address}
@@ -126,7 +126,7 @@
 			}}
 			node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 			node.member.startedAt.Store(int64(timers.Now()))
-			node.member.nodeCountHint.Store(unleasedFrom)
+			node.member.nodeCountHint.Store(unleasedFrom) // a followed node writes only records without a lease
 			started := time.Now()
 			assert.Assert(t, node.member.step(t.Context()))
 			assert.Equal(t, ownWrites, test.wantOwnWrites)
--- a/node/remover_test.go
+++ b/node/remover_test.go
@@ -12,7 +12,8 @@
 	"shedkeel.org/shedkeel/mirror"
 )
 
-// fakeDetector is a failure detector with fixed results.
+// fakeDetector is a failure detector with fixed results. Nodes without an entry in liveness
+// are alive.
 type fakeDetector struct {
 	shedkeel.FailureDetector
 	liveness map[shedkeel.NodeID]shedkeel.Liveness
@@ -50,16 +51,16 @@
 	}
 }
 
-// TestRemoverTakes checks which records a node removes: those of dead nodes without a lease,
-// also if all other nodes are dead, and none while the node itself is cut off or its mirror
-// is outdated.
+// TestRemoverTakes checks which records a node removes: the records without a lease of dead
+// nodes, also if all other nodes are dead, and none while the node itself is cut off or its
+// mirror is outdated. The node must remove each of these records once.
 func TestRemoverTakes(t *testing.T) {
 	cases := map[string]struct {
 		liveness    shedkeel.Liveness
 		count       int           // how many of the five other nodes have this liveness
 		watched     bool          // the records have no lease
 		isolated    bool          // this node is cut off
-		age         time.Duration // of the mirror
+		age         time.Duration // of the mirror's copy
 		wantRemoved int           // number of records removed once this node has had every possible turn
 	}{
 		"all are alive":                    {shedkeel.Alive, 5, true, false, 0, 0},
@@ -73,7 +74,7 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			nodes := fleetOf(6, 0)
+			nodes := fleetOf(6, 0) // this node and five others
 			for index := range nodes {
 				nodes[index].Watched = test.watched
 			}
@@ -89,13 +90,13 @@
 				mutex.Lock()
 				defer mutex.Unlock()
 				removed[change.Remove[0]]++
-				return 9, nil
+				return 9, nil // the revision of the write
 			}}
 			var records []shedkeel.Record
 			for _, record := range nodes {
-				records = append(records, shedkeel.Record{Key: nodePrefix + string(record.ID), Value: []byte("{}"), Revision: shedkeel.Revision{Number: 5}})
+				records = append(records, shedkeel.Record{Key: nodePrefix + string(record.ID), Value: []byte("{}"), Revision: shedkeel.Revision{Number: 5}}) // a removal uses only the key and the revision
 			}
-			for range len(nodes) {
+			for range len(nodes) { // as many turns as there can be live nodes
 				node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 5}, AsOf: timers.Now() - test.age, Records: records})
 				node.remover.tick(timers.Now())
 				timers.Advance(removalStagger)
@@ -111,9 +112,10 @@
 	}
 }
 
-// newWatchedNode returns a node whose seed reported the given number of nodes, and the
-// node's key-value service. Unlike elsewhere, the service's renewCalls counts commits.
-func newWatchedNode(t *testing.T, nodes int64) (*Node, *leaseStore) {
+// newNodeWithCountHint returns a node whose seed reported the given number of nodes, and the
+// node's key-value service, in which renewCalls counts commits instead of renewals. The
+// revisions of the commits are 1010, 1020 and so on.
+func newNodeWithCountHint(t *testing.T, nodes int64) (*Node, *leaseStore) {
 	t.Helper()
 	node, timers := newTestNode(t)
 	store := &leaseStore{renewed: map[shedkeel.LeaseID]int{}}
@@ -129,11 +131,12 @@
 	return node, store
 }
 
-// TestWatchedMembership checks the record of a node in a fleet so large that records
-// have no lease. The node must write its record once without a lease, write it again after
-// another node has removed it, and not write it after a restart if the record is unchanged.
+// TestWatchedMembership checks the record of a node in a fleet so large that records have no
+// lease. The node must write its record once without a lease, write the record again after
+// another node has removed it, and write nothing after a restart if only the incarnation has
+// changed.
 func TestWatchedMembership(t *testing.T) {
-	node, store := newWatchedNode(t, 295)
+	node, store := newNodeWithCountHint(t, 295) // more than unleasedFrom
 	timers := node.Timers.(interface{ Advance(time.Duration) })
 	advance := func(span time.Duration) {
 		for range span / memberTick {
@@ -141,17 +144,18 @@
 			node.member.tick(t.Context())
 		}
 	}
-	advance(nodeCountHintTTL / 2)
+	advance(nodeCountHintTTL / 2) // the node still uses the reported number
 	assert.Equal(t, store.renewCalls, 1, "the record is written once")
 	assert.Equal(t, store.granted, shedkeel.LeaseID{})
 	assert.Assert(t, node.member.listed.Load())
 	written := node.mirror.Get(node.member.key())
 
+	// Another node removes the record in revision 1015, between this node's commits.
 	node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 1015}, AsOf: node.Timers.Now(), Records: []shedkeel.Record{{Key: written.Key, Revision: shedkeel.Revision{Number: 1015}, Removed: true}}})
 	advance(2 * registrationRetry)
 	assert.Equal(t, store.renewCalls, 2, "the node is alive and writes its removed record again")
 
-	restarted, restartedStore := newWatchedNode(t, 295)
+	restarted, restartedStore := newNodeWithCountHint(t, 295)
 	restarted.Incarnation = "second"
 	restarted.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 1030}, AsOf: restarted.Timers.Now(), Records: []shedkeel.Record{{Key: written.Key, Value: written.Value, Revision: shedkeel.Revision{Number: 1030}}}})
 	restarted.member.tick(t.Context())
@@ -159,10 +163,10 @@
 	assert.Assert(t, restarted.member.listed.Load())
 }
 
-// TestSmallFleetIsLeased checks that a node of a small fleet writes its record with a
-// lease.
+// TestSmallFleetIsLeased checks that a node acquires one lease for its record in the largest
+// fleet whose records have leases.
 func TestSmallFleetIsLeased(t *testing.T) {
-	node, store := newWatchedNode(t, unleasedFrom-1)
+	node, store := newNodeWithCountHint(t, unleasedFrom-1)
 	node.member.tick(t.Context())
 	assert.Equal(t, store.granted, shedkeel.LeaseID{Number: 1})
 	assert.Assert(t, !node.member.unleased.Load())
--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -14,13 +14,14 @@
 	"shedkeel.org/shedkeel/serve"
 )
 
-// plainServerRecord returns the record of a plain server as the platform's servers write it.
+// plainServerRecord returns the record of a server of the service p, which has no replica
+// groups, as the platform's servers write it.
 func plainServerRecord(revision shedkeel.Revision, state string, sequence int) shedkeel.Record {
 	value := fmt.Sprintf(`{"service":"p","address":"10.0.0.9:1","zone":"z","version":"v1","slots":8,"state":%q,"cold_remaining_ms":0,"seq":%d,"born":7}`, state, sequence)
 	return shedkeel.Record{Key: "servers/i-9", Value: []byte(value), Revision: revision}
 }
 
-// newServiceView returns the view of a configuration that has only the given service.
+// newServiceView returns the view of a configuration whose only service is the given one.
 func newServiceView(service shedkeel.RoutedService) *serve.View {
 	return serve.NewView(&shedkeel.ServingConfig{Services: []shedkeel.RoutedService{service}})
 }
@@ -35,7 +36,7 @@
 		before     []shedkeel.Record // written one after the other before the restore
 		restored   []shedkeel.Record // content of the snapshot
 		after      []shedkeel.Record // written after the restore
-		wantUsable [3]int            // number of usable servers after the restore, after the later write, and after the holds have expired
+		wantUsable [3]int            // number of servers that may get requests: after the restore, after the later write, and after the holds have expired
 	}{
 		"nothing was lost":                                {[]shedkeel.Record{plainServerRecord(old, "ready", 1)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{1, 1, 1}},
 		"its drain was lost":                              {[]shedkeel.Record{plainServerRecord(old, "ready", 1), plainServerRecord(lost, "draining", 1)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{0, 0, 0}},
@@ -54,7 +55,7 @@
 				node.mirror.Apply(mirror.Update{At: record.Revision, AsOf: timers.Now(), Records: []shedkeel.Record{record}})
 				node.fleet.tick(timers.Now())
 			}
-			usable := func() int { return node.table.Load("p", "", timers.Now()).Usable }
+			usable := func() int { return node.table.Load("p", "", timers.Now()).Usable } // a service without groups has no models
 			node.mirror.Apply(mirror.Update{Full: true, At: restored, AsOf: timers.Now(), Records: test.restored})
 			node.fleet.tick(timers.Now())
 			assert.Equal(t, usable(), test.wantUsable[0])
@@ -70,13 +71,13 @@
 }
 
 // TestOrdersAreKnownAfterARestore checks that the planner does not use a server's older group
-// membership from the restored snapshot if the node knows that the server has carried out
-// later orders.
+// membership from the restored snapshot if the node knows that the server has accepted later
+// orders. The node must use all later records, also one that states fewer orders.
 func TestOrdersAreKnownAfterARestore(t *testing.T) {
 	node, timers := newTestNode(t)
 	node.Decoder = platform.Decoder{}
 	node.fleet.view.Store(newServiceView(shedkeel.RoutedService{ID: "s", Engine: &shedkeel.Engine{}}))
-	member := func(revision shedkeel.Revision, epoch, orders int) shedkeel.Record {
+	member := func(revision shedkeel.Revision, epoch, orders int) shedkeel.Record { // orders is the number of orders that the server has accepted
 		value := fmt.Sprintf(`{"service":"s","address":"10.0.0.1:1","zone":"z","version":"v1","slots":8,"state":"ready","cold_remaining_ms":0,"seq":%d,"born":7,"domain":"d",`+
 			`"group":{"name":"m/d/1","epoch":%d,"rank":0,"state":"open"}}`, orders, epoch)
 		return shedkeel.Record{Key: "servers/i-1", Value: []byte(value), Revision: revision}
@@ -101,26 +102,27 @@
 	store.commit = func(change shedkeel.Transaction) (int64, error) { last = change; return 2, nil }
 	elect(t, node, timers)
 	assert.Assert(t, node.controller.leading(timers.Now()))
-	lead := node.mirror.Get(leaderKey)
+	lead := node.mirror.Get(leaderKey) // the snapshot contains this record
 	lead.Revision = shedkeel.Revision{Era: 1, Number: 2}
 	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: 1, Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{lead}})
 	assert.Assert(t, !node.controller.leading(timers.Now()))
 	assert.Equal(t, node.controller.leader(), shedkeel.NodeID(""))
 	assert.Assert(t, !node.member.lease.valid(timers.Now()))
 
-	store.granted.Era = 1
+	store.granted.Era = 1 // later leases are of the new era
 	elect(t, node, timers)
 	assert.DeepEqual(t, last.If[0], shedkeel.Condition{Key: leaderKey, Revision: lead.Revision})
 	assert.Equal(t, last.Put[0].Lease.Era, int64(1))
-	assert.Assert(t, node.controller.nextTerm(shedkeel.Record{}) > termsPerEra, "servers may have stored terms of the first era")
+	assert.Assert(t, node.controller.nextTerm(shedkeel.Record{}) > termsPerEra, "no term is stored, but servers may have stored terms of the first era")
 }
 
 // TestNodeIsListedAgain checks that a node writes its record again after a restore of the
-// service.
+// key-value service.
 func TestNodeIsListedAgain(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
 	writes := 0
 	store.commit = func(shedkeel.Transaction) (int64, error) { writes++; return 3, nil }
+	// newListedCandidate has listed the node; the next renewal is not due at this time.
 	node.member.lastAttempt = timers.Now()
 	node.member.dirty.Store(false)
 	node.member.tick(t.Context())
@@ -131,18 +133,18 @@
 }
 
 // TestBlamesOutliveARestore checks that the blame of a request is written again after the
-// service has lost it, and that the request stays contained although the restored snapshot
-// lacks the blame.
+// key-value service has lost the blame in a restore, and that the request stays contained
+// although the restored snapshot lacks the blame.
 func TestBlamesOutliveARestore(t *testing.T) {
 	node, timers := newTestNode(t)
 	store := &blameStore{}
 	node.Store = store
 	node.peers.update([]nodeRecord{node.ownRecord()})
-	for _, server := range []shedkeel.InstanceID{"a", "b", "c"} {
+	for _, server := range []shedkeel.InstanceID{"a", "b", "c"} { // three servers terminate, so the request is contained
 		node.guard.ServerEnded("r", server)
 	}
 	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
-	writeBlames := func() {
+	writeBlames := func() { // the second call of writePending must not write the blame once more
 		timers.Advance(writeStagger)
 		node.mirror.Apply(mirror.Update{At: node.mirror.State().At, AsOf: timers.Now()})
 		node.guard.writePending(context.Background(), timers.Now())
@@ -157,8 +159,8 @@
 	assert.Equal(t, len(store.changes), 2, "the blame is written again")
 }
 
-// TestLoadsAreKeptAgain checks that a planner writes its running model loads again after a
-// restore of the service, and otherwise only if they change.
+// TestLoadsAreKeptAgain checks that the leader stores running model loads again after a restore
+// of the key-value service, and otherwise does not store the same loads twice.
 func TestLoadsAreKeptAgain(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
 	writes := 0
@@ -176,7 +178,8 @@
 	assert.Equal(t, writes, 2)
 }
 
-// TestRemovals checks how long a removed server is remembered and withheld from requests.
+// TestRemovals checks in which cases a server is withheld from requests after its removed record
+// has reappeared, and that the server is no longer withheld after restoredServerHold.
 func TestRemovals(t *testing.T) {
 	cases := map[string]struct {
 		era      int64         // era of the record with which the server returns; the record was removed in era 0
@@ -190,7 +193,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			var removals removals
-			removals.recordRemoval("a", 0, 0)
+			removals.recordRemoval("a", 0, 0) // in era 0, at time 0
 			removals.expire(test.at)
 			removals.recordReturn("a", test.era, test.at)
 			assert.Equal(t, removals.withheld("a"), test.withheld)
@@ -202,13 +205,13 @@
 	}
 }
 
-// TestPlannerWaitsForRecordsAfterARestore restores the service while a node plans, or before
-// the node starts. recordsRewritten, without which the node does not plan, must be false until
-// servers have had time to write their records again. On the basis of an older record the
-// planner could order a member of a serving group to become a standby.
+// TestPlannerWaitsForRecordsAfterARestore restores the key-value service while a node follows
+// it, or before the node starts. recordsRewritten must return false, so that the node does not
+// plan, until servers have had time to write their records again. On the basis of an older
+// record the planner could order a member of a serving group to become a standby.
 func TestPlannerWaitsForRecordsAfterARestore(t *testing.T) {
 	cases := map[string]struct {
-		before, after int64 // era of the service before and after the restore
+		before, after int64 // era of the key-value service at the node's start and at the end; they differ if it is restored meanwhile
 		wantWaits     bool  // the planner waits for deletedRecordHold
 	}{
 		"no restore":                        {0, 0, false},
@@ -219,14 +222,14 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			node, timers, _ := newListedCandidate(t)
-			node.controller.eraSince = 0
+			node.controller.eraSince = 0 // the node has not followed any era yet
 			apply := func(era int64) {
 				node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: era, Number: 9}, AsOf: timers.Now()})
 				node.controller.trackEra(timers.Now())
 			}
 			apply(test.before)
 			if test.after != test.before {
-				timers.Advance(time.Minute)
+				timers.Advance(time.Minute) // the node follows the first era for longer than deletedRecordHold
 				apply(test.after)
 			}
 			assert.Equal(t, node.controller.recordsRewritten(timers.Now()), !test.wantWaits)
--- a/node/restored_service_test.go
+++ b/node/restored_service_test.go
@@ -14,7 +14,8 @@
 const (
 	// maxApplyDelay is the time within which a change must take effect at all nodes.
 	maxApplyDelay = 2 * time.Second
-	// lostChanges is how many changes the restore of the service loses.
+	// lostChanges is how many changes of unused records the restore of the key-value service
+	// loses, in addition to one configuration.
 	lostChanges = 300
 )
 
@@ -25,8 +26,9 @@
 func TestRestoredServiceIsFollowed(t *testing.T) {
 	cases := map[string]struct {
 		restores int
-		// overtaken states that the restored service makes so many changes before any node
-		// reaches it that its revisions exceed those that the nodes know.
+		// overtaken states that the restored key-value service makes so many changes before
+		// any node reaches it that its revision numbers exceed the numbers that the nodes
+		// know.
 		overtaken bool
 	}{
 		"revisions below those known": {1, false},
@@ -42,11 +44,11 @@
 			cluster.eventually("the lost configuration is active", func() bool { return cluster.acceptingNodes("key-lost") == len(cluster.nodes) })
 			for range test.restores {
 				cluster.data.SetFaults(standin.Faults{Outage: true})
-				time.Sleep(time.Second)
+				time.Sleep(time.Second) // the length of the outage
 				cluster.data.Restore()
 				if !test.overtaken {
 					cluster.data.SetFaults(standin.Faults{})
-					time.Sleep(500 * time.Millisecond)
+					time.Sleep(500 * time.Millisecond) // in this time the nodes can reach the restored key-value service
 				}
 			}
 			cluster.configure(3, `"key-3"`)
@@ -60,7 +62,7 @@
 			assert.Assert(t, time.Since(began) < maxApplyDelay, "it took %s", time.Since(began))
 			time.Sleep(maxApplyDelay - time.Since(began))
 			requests := cluster.fleet.RequestCount("plain-0")
-			for range 20 {
+			for range 20 { // a server that is not draining would get some of the requests
 				for _, node := range cluster.nodes {
 					status, body := cluster.send(node.callers, shedkeel.NewNonce(), "/look/x", "key-3", 0)
 					assert.Equal(t, status, 200, body)
@@ -75,7 +77,7 @@
 	}
 }
 
-// changeUnusedRecords makes count changes of records that no node uses.
+// changeUnusedRecords makes count changes of seven records that no node uses.
 func (cluster *testCluster) changeUnusedRecords(count int) {
 	for index := range count {
 		_, err := cluster.data.Commit(shedkeel.Transaction{Put: []shedkeel.Put{{Key: fmt.Sprint("other/", index%7), Value: fmt.Append(nil, index)}}})
@@ -83,7 +85,7 @@
 	}
 }
 
-// acceptingNodes returns how many nodes serve a request with the key.
+// acceptingNodes returns how many nodes answer a request with the API key with status 200.
 func (cluster *testCluster) acceptingNodes(key string) int {
 	count := 0
 	for _, node := range cluster.nodes {
--- a/node/services_test.go
+++ b/node/services_test.go
@@ -11,9 +11,9 @@
 	"shedkeel.org/shedkeel/serve"
 )
 
-// TestSuspectsOfEachService suspects groups of two services at once and checks that the
-// members of both are probed. The planning of one service must not drop the suspicions
-// and dead servers of the other.
+// TestSuspectsOfEachService suspects one group of each of two services at once and checks that
+// the members of both groups are probed. The planning of one service must not drop the
+// suspicions and dead servers of the other service.
 func TestSuspectsOfEachService(t *testing.T) {
 	node, timers := newTestNode(t)
 	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
--- a/node/testnode_test.go
+++ b/node/testnode_test.go
@@ -29,8 +29,8 @@
 	return shedkeel.Instance{ID: shedkeel.InstanceID(key)}, nil
 }
 
-// newTestNode returns a node that does not run. Its manual clock shows one minute. None of
-// its backend servers answers.
+// newTestNode returns a node that does not run. Its manual clock shows one minute. None of the
+// node's backend servers answers.
 func newTestNode(t testing.TB) (*Node, *timer.Manual) {
 	t.Helper()
 	log, err := event.NewLog(io.Discard, "info")
@@ -44,8 +44,8 @@
 	return node, timers
 }
 
-// newListedNode returns a test node with the given ID that knows the listed nodes. If they
-// include a record with this ID, the node has the capacity that the record states.
+// newListedNode returns a test node with the ID own that knows the listed nodes. If one of
+// their records has this ID, the node has the capacity that this record states.
 func newListedNode(t *testing.T, own shedkeel.NodeID, listed []nodeRecord) (*Node, *timer.Manual) {
 	t.Helper()
 	node, timers := newTestNode(t)
@@ -68,8 +68,8 @@
 	return listener
 }
 
-// serveWire answers other nodes' calls at the listener, with the key "k", until stop is
-// called.
+// serveWire answers other nodes' calls at the listener until stop is called. The calls must be
+// authenticated with the key "k".
 func serveWire(t *testing.T, listener net.Listener, handler wire.Handler) (stop func()) {
 	t.Helper()
 	server := &wire.Server{Key: "k", Handler: handler}
--- a/node/waits_test.go
+++ b/node/waits_test.go
@@ -14,16 +14,16 @@
 	"shedkeel.org/shedkeel/formation"
 )
 
-// TestWaitsAreExplainedAndLogged makes a planner wait for the head of a group that can't be
-// reached. The wait must be among the waits of the group, and must be logged only once it
-// lasts longer than its bound of 20 s.
+// TestWaitsAreExplainedAndLogged makes a planner wait for the unreachable head of a group whose
+// other member is listed. The wait must be among the waits of the group, and must be logged
+// only when the wait has lasted longer than its bound of 20 s.
 func TestWaitsAreExplainedAndLogged(t *testing.T) {
 	node, timers := newTestNode(t)
 	var lines bytes.Buffer
 	node.Log = &event.Log{Logger: slog.New(slog.NewJSONHandler(&lines, nil))}
 	controller := &node.controller
 	controller.leads = true
-	planner := &formation.Planner{NextEpoch: func() uint64 { return 9 }}
+	planner := &formation.Planner{NextEpoch: func() uint64 { return 9 }} // above the group's epoch
 	controller.planners["s"] = planner
 	member := shedkeel.Instance{ID: "b", Domain: "d", Member: &shedkeel.Membership{Group: "m/d/1", Epoch: 7, Rank: 1, State: shedkeel.MemberReady}}
 	engine := &shedkeel.Engine{Models: []shedkeel.Model{{ID: "m", Size: 2, Share: 1}}}
@@ -46,5 +46,5 @@
 	controller.logOverdueWaits(timers.Now())
 	assert.Assert(t, strings.Contains(lines.String(), string(formation.WaitHeadUnreachable)), lines.String())
 	controller.leads = false
-	assert.Equal(t, len(controller.waits()), 0, "another node plans")
+	assert.Equal(t, len(controller.waits()), 0, "a node that does not lead has no waits")
 }
