--- a/node/config.go
+++ b/node/config.go
@@ -59,8 +59,10 @@
 }
 
 // applyConfigRecord applies the key-value service's configuration record and reports
-// whether its configuration became active. If the record was removed or is invalid, it is
-// skipped and the active configuration stays in use. The caller holds the mutex.
+// whether its configuration became active. If the record was removed, is invalid or is not
+// newer (see activateConfig), it is skipped and the active configuration stays in use. A valid
+// record also shows whether the key-value service has an older configuration than this node.
+// The caller holds the mutex.
 func (fleet *fleet) applyConfigRecord(record shedkeel.Record) bool {
 	if record.Removed {
 		fleet.skipRecord(record, &shedkeel.InvalidError{Where: record.Key, What: "it was removed", Remedy: "write a configuration"})
@@ -99,9 +101,9 @@
 	return fleet.activeConfig.compress()
 }
 
-// receiveConfig makes a configuration that another node sent active if it is valid and newer
-// than the active one. Nodes send only configurations that are newer than the key-value
-// service's (see newerConfig).
+// receiveConfig activates a configuration that another node has sent. It skips one that is
+// invalid or not newer than the active configuration. Nodes send only configurations that are
+// newer than the key-value service's (see newerConfig).
 func (fleet *fleet) receiveConfig(packed []byte, from shedkeel.NodeID) {
 	record := shedkeel.Record{Key: fleet.node.Decoder.ConfigKey()}
 	value, err := transfer.Inflate(packed, transfer.MaxValueSize)
@@ -119,13 +121,14 @@
 	defer fleet.mutex.Unlock()
 	if fleet.activateConfig(config, record) {
 		fleet.activeConfig.newerThanStore.Store(true)
-		fleet.propagate(true, false)
+		fleet.propagate(true, false) // the dispatch table depends on the configuration; the nodes have not changed
 	}
 }
 
-// fetchConfig starts fetching the configuration of the node with the ID, which has stated its
-// configuration's version, if that version is newer than this node's. It does nothing if this
-// node has no configuration yet, a fetch is running, or the other node is not listed.
+// fetchConfig starts a request for the configuration of the node with the ID, which has stated
+// that its configuration has the given version, if that version is newer than this node's. It
+// does nothing if this node has no configuration yet, a fetch is running, or the other node is
+// not listed.
 func (peers *peers) fetchConfig(id shedkeel.NodeID, version int64) {
 	fleet := &peers.node.fleet
 	own := fleet.configVersion()
@@ -140,8 +143,8 @@
 	go peer.runFetchConfig()
 }
 
-// runFetchConfig asks the peer for an update. The peer's newer configuration comes with the
-// reply, and requestUpdate applies it.
+// runFetchConfig asks the peer for an update. If the peer's configuration is newer than the
+// key-value service's, it comes with the reply, and requestUpdate applies it.
 func (peer *peer) runFetchConfig() {
 	defer peer.node.fleet.activeConfig.fetching.Store(false)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
--- a/node/evacuation.go
+++ b/node/evacuation.go
@@ -14,8 +14,8 @@
 // that names no zone. It reports whether the set of evacuated zones has changed. The caller
 // holds the mutex.
 //
-// An evacuation stays in force if the key-value service has lost its record in a restore,
-// because no operator has ended it.
+// An evacuation stays in force if the key-value service has lost the zone's record in a
+// restore, because no operator has ended the evacuation.
 func (fleet *fleet) applyEvacuation(record shedkeel.Record, zone shedkeel.ZoneID) bool {
 	fields := []slog.Attr{slog.String("zone", string(zone)), slog.Int("servers", fleet.serversIn(zone))}
 	wasEvacuated := fleet.evacuated[zone]
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -19,12 +19,14 @@
 
 const (
 	// fleetTick is the interval of fleet.tick, which detects outages of the key-value service
-	// and ends the holds of records (see deletedRecordHold and unreadableRecordHold).
+	// and ends the holds of records and servers (see deletedRecordHold, unreadableRecordHold
+	// and restoredServerHold).
 	fleetTick = 100 * time.Millisecond
 	// outageAge is the age of the mirror's copy above which the key-value service counts
 	// as unavailable. In a healthy fleet a copy is up to 1.5 s old; renewing a stale copy
-	// takes some tenths of a second more. With a limit below that sum, a healthy service
-	// would count as unavailable, and servers that have left would stay in use 2 s longer.
+	// takes some tenths of a second more. With a limit below that sum, a healthy key-value
+	// service would count as unavailable, and servers that have left would stay in use 2 s
+	// longer.
 	outageAge = 2300 * time.Millisecond
 	// deletedRecordHold is for how long after an outage of the key-value service, or after
 	// its restore from a snapshot, a record that was deleted in the outage or lost in the
@@ -62,8 +64,8 @@
 	loggedCounts      map[string]int                    // number of servers or groups that may get requests, as last logged, by service and model
 }
 
-// applyChanges applies changed records. The mirror never calls it concurrently. The mirror is
-// locked meanwhile, so applyChanges must not call it.
+// applyChanges applies changed records. The mirror calls applyChanges with its lock held, so
+// calls are never concurrent, and applyChanges must not call the mirror.
 func (fleet *fleet) applyChanges(records []shedkeel.Record) {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
@@ -184,8 +186,8 @@
 
 // removeOrRetain handles a deleted record: it calls remove or retains the record, and reports
 // whether it called remove. In an outage of the key-value service, leases of live owners may
-// have expired. Until outageUntil, it therefore retains the record if its owner may write it
-// again; tick removes it later. The caller holds the mutex.
+// have expired. Until outageUntil, removeOrRetain therefore retains the record if its owner may
+// write it again; tick removes it later. The caller holds the mutex.
 func (fleet *fleet) removeOrRetain(key string, now time.Duration, remove func()) bool {
 	if now >= fleet.outageUntil || !fleet.ownerMayRewrite(key) {
 		remove()
@@ -207,9 +209,10 @@
 }
 
 // tick checks whether the key-value service is unavailable, and removes retained and
-// unreadable records whose hold has ended. It removes a retained record at once if the record's
-// owner may no longer write it again. It also ends the hold of servers that get no requests
-// after a restore (see removals).
+// unreadable records whose hold has ended. The hold of a retained record does not end while the
+// key-value service is unavailable, but tick removes the record at once if its owner may no
+// longer write it again. It also ends the hold of servers that get no requests after a restore
+// (see removals), and passes the changes on (see propagate).
 func (fleet *fleet) tick(now time.Duration) {
 	state := fleet.node.mirror.State()
 	fleet.verifiedAt.Store(int64(state.AsOf))
@@ -250,7 +253,8 @@
 }
 
 // propagate passes changed servers on to the dispatch table and the limits, and changed
-// nodes to the peers. The caller holds the mutex.
+// nodes to the peers. A changed configuration or evacuation counts as changed servers. The
+// caller holds the mutex.
 func (fleet *fleet) propagate(serversChanged, nodesChanged bool) {
 	if serversChanged {
 		fleet.rebuildTable()
@@ -262,8 +266,10 @@
 
 // rebuildTable replaces the table of servers that may get requests: the servers of services
 // without replica groups, and the open heads of groups. It leaves out servers that drain, have
-// an unreadable record, are withheld after a restore, or are in an evacuated zone. It does
-// nothing while there is no configuration. The caller holds the mutex.
+// an unreadable record, are withheld after a restore, are in an evacuated zone, or belong to a
+// service that the configuration lacks. It also drops what the limits and the dispatch table
+// know of unlisted servers, and reports cold servers to the limits. It does nothing while there
+// is no configuration. The caller holds the mutex.
 func (fleet *fleet) rebuildTable() {
 	view := fleet.view.Load()
 	if view == nil {
--- a/node/fleetsize.go
+++ b/node/fleetsize.go
@@ -97,8 +97,9 @@
 // node lists the records from the key-value service if this node is a relay or a source, if the
 // fleet has no relays, or if the size record is invalid. At the fleet's first start, when there
 // is no size record, only a seed and a node without seeds list the records. In all other cases
-// this node gets the records from other nodes. advise also records the number of nodes that the size record states. It
-// returns the error of the service if that does not answer.
+// this node gets the records from other nodes. advise also records the number of nodes that a
+// valid size record states. It returns the error of the key-value service if that does not
+// answer.
 func (peers *peers) advise(ctx context.Context) (mirror.Advice, error) {
 	node := peers.node
 	record, err := node.Store.GetStale(ctx, sizeKey)
@@ -120,8 +121,9 @@
 	return mirror.Advice{Peers: peers.dialStartupRelays(size.Relays)}, nil
 }
 
-// dialStartupRelays returns at most maxStartupRelays of the relays, the preferred ones first.
-// Their connections are kept until the node stops, like those of seeds.
+// dialStartupRelays returns at most maxStartupRelays of the relays: those of this node's
+// availability zone first, otherwise in the order of compareRelays. Their connections are kept
+// until the node stops, like those of seeds.
 func (peers *peers) dialStartupRelays(relays []startupRelay) []mirror.Peer {
 	own := peers.node.Settings
 	slices.SortFunc(relays, func(a, b startupRelay) int {
