--- a/node/guard.go
+++ b/node/guard.go
@@ -45,11 +45,11 @@
 
 // guard keeps requests that terminate backend servers from terminating more of them. A
 // blame names a request, by its digest, and the instances of servers that have terminated
-// while running it. Requests with the same digest are copies of each other and share a blame.
+// while running it. All requests with the same digest share a blame.
 //
 // A trial is an attempt to send a quarantined request to a server. Each request has up to
 // deciderCount deciders (see deciders), nodes that allow or refuse trials of it; the first one
-// that answers counts. A blame with one server is sent only to the first decider that answers.
+// that answers decides. A blame with one server is sent only to the first decider that answers.
 // A blame with two or more servers is sent to all nodes and written to the key-value service,
 // so that the blame survives the loss of all nodes.
 type guard struct {
@@ -115,9 +115,9 @@
 }
 
 // blameChanged handles a changed blame: it marks the blame as unwritten and logs the judgment.
-// If the request is quarantined or contained, it cancels those of the request's copies on this
-// node that serve.Handler.CancelCopies selects. It ignores a blame that names at most one
-// server and has never been cleared.
+// If the request is quarantined or contained, it cancels those active requests of the same
+// digest on this node that serve.Handler.CancelCopies selects. It ignores a blame that names at
+// most one server and has never been cleared.
 func (guard *guard) blameChanged(blame shedkeel.Blame) {
 	judgment := contain.Judge(blame)
 	if judgment == shedkeel.Unblamed && blame.Round == 0 {
@@ -146,7 +146,7 @@
 }
 
 // runSendToDecider sends a blame to the deciders of the request in turn, until one of them
-// answers or the next one is this node itself.
+// answers or the next one is this node itself, which knows the blame already.
 func (guard *guard) runSendToDecider(blame shedkeel.Blame) {
 	for _, id := range guard.node.peers.deciders(blame.Request) {
 		if id == guard.node.Settings.Node {
@@ -313,7 +313,7 @@
 }
 
 // recheckAll schedules all blames for comparison with the key-value service. It is called
-// after a restore, in which the service may have lost some of them.
+// after a restore, in which the key-value service may have lost some of them.
 func (guard *guard) recheckAll() {
 	now := guard.node.Timers.Now()
 	guard.mutex.Lock()
@@ -345,7 +345,8 @@
 // change is needed. Only quarantined and contained requests have a record. Their record is
 // written unless its round and its number of servers are at least those of the blame. The
 // record of an unblamed request is removed unless its round is later. A record that is
-// unreadable or names another request is replaced or removed.
+// unreadable or names another request is replaced or removed. The change takes effect only if
+// the stored record still has the revision of the given one.
 func recordChange(blame shedkeel.Blame, record shedkeel.Record) (shedkeel.Transaction, bool) {
 	key := blamePrefix + string(blame.Request)
 	exists := record.Revision.Exists()
--- a/node/limits.go
+++ b/node/limits.go
@@ -40,7 +40,7 @@
 // node, the granter, gives all nodes the permits to send the server requests, so that the sum
 // of their requests keeps the rate. A node that sees a stated limit change reports the change
 // to the granter, which reports it to all other nodes. All nodes learn from a server's record
-// that the server is cold.
+// that the server is cold; calls for permits and their answers state this too.
 type limits struct {
 	node    *Node
 	known   ratelimit.Limits
@@ -205,7 +205,7 @@
 // handlePermit answers another node's request for a permit, after it has merged the limit that
 // the request states. If this node is not the server's granter, it refuses the permit with a
 // wait of permitRetryDelay. If the server's rate is not limited, it grants the permit only if
-// the server has lifted an earlier limit.
+// the server has lifted an earlier limit, and otherwise refuses the permit with no wait.
 func (limits *limits) handlePermit(call *wire.PermitCall) *wire.Reply {
 	limits.merge(call.GetLimit(), shedkeel.NodeID(call.GetNode()))
 	server := shedkeel.InstanceID(call.GetLimit().GetServer())
