--- a/node/admin.go
+++ b/node/admin.go
@@ -50,7 +50,7 @@
 	For     string              `json:"for"`     // how long the server has stated a limit without a break; empty: the dump is of the cold state
 	Cold    string              `json:"cold"`    // how much longer the server stays cold; empty: the dump is of a stated limit
 	Granter shedkeel.NodeID     `json:"granter"` // the node that grants the permits to send the server requests; empty: no node is known
-	Granted int64               `json:"granted"` // permits granted by this node since it became the granter; 0 if it is not
+	Granted int64               `json:"granted"` // permits granted by this node since it became the granter; 0 if this node is not the granter
 	Refused int64               `json:"refused"` // requests for permits refused by this node in the same time
 }
 
@@ -79,7 +79,7 @@
 	Group   shedkeel.GroupID      `json:"group"`
 	Epoch   uint64                `json:"epoch"` // the highest epoch that a listed server reports for the group
 	Model   shedkeel.ModelID      `json:"model"`
-	State   shedkeel.MemberState  `json:"state"`   // state of the group's head; empty: the head is not listed
+	State   shedkeel.MemberState  `json:"state"`   // state of the group's head; empty: no listed head reports that epoch
 	Members []shedkeel.InstanceID `json:"members"` // the listed servers that report the group with that epoch
 }
 
@@ -115,8 +115,8 @@
 }
 
 // excludedNodes returns the listed nodes that the directory leaves out because they stop, are
-// dead or have not been heard yet. The directory also leaves out this node while it is not
-// ready; excludedNodes does not return it for that reason.
+// dead or have not been heard yet. The directory also leaves out this node while this node is
+// not ready; excludedNodes does not return a node for that reason.
 func (node *Node) excludedNodes() []ExcludedNodeDump {
 	found := []ExcludedNodeDump{}
 	for _, record := range node.peers.listed() {
--- a/node/controller.go
+++ b/node/controller.go
@@ -33,7 +33,7 @@
 	prober prober
 	paces  paces
 	demand demands
-	lease  lease // the leader's lease; when it ends, this node stops leading
+	lease  lease // the leader's lease; while it is not valid, this node gives no orders
 
 	mutex         sync.Mutex
 	resigned      bool
@@ -115,8 +115,9 @@
 	return controller.term*epochsPerTerm + controller.epochs
 }
 
-// plan runs one planning round: it probes suspected servers, sends the orders that the
-// planner of each service returns, and stores the loads in progress. It does nothing while no
+// plan runs one planning round: it starts the probes that are due (see probeSuspects), sends
+// the orders that the planner of each service returns, and stores the loads in progress. Every
+// usageLogInterval it also logs the use of servers and overdue waits. It does nothing while no
 // configuration is known, the mirror's copy is older than maxMirrorAge, or recordsRewritten
 // returns false.
 func (controller *controller) plan(ctx context.Context, now time.Duration) {
--- a/node/demand.go
+++ b/node/demand.go
@@ -22,8 +22,9 @@
 	demandLogPolls = 5
 )
 
-// demands holds the demand for the models of each service: the requests of callers that all
-// nodes have spread recently, as dispatch.Table.Demand counts them.
+// demands holds the demand for the models of each service: the requests that all nodes have
+// recently spread, that is, assigned to groups (see peers.spreader), as dispatch.Table.Demand
+// counts them.
 type demands struct {
 	controller *controller
 	pollMutex  sync.Mutex // held during a poll
@@ -99,7 +100,7 @@
 	return total
 }
 
-// spreaders returns the other nodes that may have spread requests for a service: the
+// spreaders returns the other live nodes that may have spread requests for a service: the
 // spreader of each partition of a model's groups, and the first nodes (see reservedNodes),
 // which replace spreaders that do not answer.
 func (peers *peers) spreaders(service shedkeel.ServiceID) []*peer {
--- a/node/election.go
+++ b/node/election.go
@@ -139,7 +139,8 @@
 	return lead, lead.Era >= mirror.State().At.Era
 }
 
-// leader returns the node that leads, as far as this node knows, or "".
+// leader returns the node that leads, as far as this node knows, or "" if there is no leader
+// record or it can't be decoded.
 func (controller *controller) leader() shedkeel.NodeID {
 	lead, exists := controller.leaderRecord()
 	if !exists {
@@ -250,9 +251,9 @@
 		Put: []shedkeel.Put{{Key: leaderKey, Value: lead, Lease: lease}, {Key: termKey, Value: next}},
 	})
 	if err != nil {
-		// Another node was faster, the service is unavailable, or the outcome is unknown. If
-		// the write takes effect later, the mirror shows the record and elect makes this
-		// node lead.
+		// Another node was faster, the key-value service is unavailable, or the outcome is
+		// unknown. If the write takes effect later, the mirror shows the record and elect
+		// makes this node lead.
 		controller.vacantSince = 0
 		return
 	}
--- a/node/explain.go
+++ b/node/explain.go
@@ -16,7 +16,7 @@
 type Explanation struct {
 	Process string            `json:"process"`
 	Node    shedkeel.NodeID   `json:"node"`
-	Leader  shedkeel.NodeID   `json:"leader"` // the node that plans the group and sends its orders
+	Leader  shedkeel.NodeID   `json:"leader"` // the node that plans the group and sends its orders; empty: no leader is known
 	Group   shedkeel.GroupID  `json:"group"`
 	Members []MemberDump      `json:"members"` // listed members, also those of former formations of the group
 	Waits   []WaitDump        `json:"waits"`   // what the planner waits for; empty at nodes that don't lead
--- a/node/loads.go
+++ b/node/loads.go
@@ -14,8 +14,8 @@
 const loadsPrefix = "shedkeel/loads/"
 
 // storeLoads stores which servers of a service load which models, for the planner of the
-// next leader, unless the stored record contains all these loads. It logs an error; the next
-// planning round tries again.
+// next leader, unless the record that this node has last read or written contains all these
+// loads. It logs an error; the next planning round tries again.
 func (controller *controller) storeLoads(ctx context.Context, id shedkeel.ServiceID, loading map[shedkeel.InstanceID]shedkeel.ModelID) {
 	node := controller.node
 	isIncomplete := false
--- a/node/paces.go
+++ b/node/paces.go
@@ -38,7 +38,8 @@
 	slow       map[shedkeel.InstanceID]float64 // slow servers and the paces at which they became slow; guarded by the controller's mutex
 }
 
-// tick asks the next batch of members for their pace if this node leads.
+// tick asks the next batch of members for their pace and forgets slow servers that are no longer
+// listed. It does nothing if this node does not lead.
 func (paces *paces) tick(now time.Duration) {
 	controller := paces.controller
 	if !controller.leading(now) {
@@ -97,7 +98,8 @@
 }
 
 // update processes the pace that a server reports: the server counts as slow from
-// slowThreshold on, until a pace of at most recoveredThreshold.
+// slowThreshold on, until a pace of at most recoveredThreshold. A report without a pace has the
+// pace 0, which counts as normal.
 func (paces *paces) update(id shedkeel.InstanceID, pace float64) {
 	wasSlow := paces.isSlow(id)
 	slow := pace >= slowThreshold || wasSlow && pace > recoveredThreshold
--- a/node/spread.go
+++ b/node/spread.go
@@ -37,7 +37,7 @@
 	return at != 0 && now-at < span
 }
 
-// recommendGroup returns a recommendation to which group a request is best sent. The groups of
+// recommendGroup recommends the group to which a request is best sent. The groups of
 // a model are split into partitions; recommendGroup picks a partition at random and asks its
 // spreader, or decides itself if this node is the spreader. It returns false if there is no
 // spreader to ask or the spreader does not answer within spreadTimeout. A spreader that fails to
@@ -92,9 +92,10 @@
 // spreader returns the spreader of a partition of a model's groups, or nil and true if the
 // spreader is this node. A spreader spreads requests: it assigns the requests of all nodes to
 // the groups of the partition. Each partition has a spreader of its own if there are enough
-// nodes. If that node does not exist or a call to it has failed within the last
-// spreaderBackoff, one of the first live nodes (see reservedNodes) replaces it. If calls to
-// these nodes have failed too, spreader returns nil and false.
+// live nodes after the first reservedNodes ones. If there are no such nodes, or a call to the
+// partition's spreader has failed within the last spreaderBackoff, one of the first
+// reservedNodes live nodes replaces the spreader. If calls to these nodes have failed too,
+// spreader returns nil and false.
 func (peers *peers) spreader(partition int, now time.Duration) (asked *peer, own bool) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
