--- a/node/backoff_test.go
+++ b/node/backoff_test.go
@@ -12,8 +12,10 @@
 const backoffLength = 2 * time.Second
 
 // TestBackoffIsHeeded has servers refuse requests and ask for a backoff while three nodes
-// receive requests. A node that a server has asked for a backoff may send it no further
-// requests until the backoff is over. The fault that the test guards against is, for example,
+// receive requests. A node that a server has asked for a backoff must send that server no
+// further requests until the backoff is over. The stand-in servers do not count requests that
+// arrive within 0.5 s of the answer, which may have been in flight, and allow two later ones (see
+// checkArrival in platform/standin). The fault that the test guards against is, for example,
 // five requests from one node during a backoff of 3 s.
 func TestBackoffIsHeeded(t *testing.T) {
 	const rate, length = 40, 3*backoffLength + time.Second // requests a second, and for how long
@@ -33,7 +35,8 @@
 			for _, server := range servers {
 				cluster.fleet.SetBackoff(server, backoffLength)
 			}
-			// The servers accept requests again while nodes still remember the last backoff.
+			// From the middle of the load on, the servers accept requests again, while nodes
+			// still remember the last backoff.
 			time.AfterFunc(length/2, func() {
 				for _, server := range servers {
 					cluster.fleet.SetBackoff(server, 0)
@@ -41,7 +44,7 @@
 			})
 			statuses := cluster.sendLoad(cluster.nodes, test.path, rate, length)
 			t.Logf("statuses %v", statuses)
-			assert.DeepEqual(t, cluster.fleet.Violations(), []string(nil))
+			assert.DeepEqual(t, cluster.fleet.Violations(), []string(nil)) // requests during a backoff
 			assert.Equal(t, statuses[0], 0, "every request gets a complete answer")
 			// If all servers ask for backoffs, they do so for half of the time, and the nodes
 			// remember the last backoffs for up to backoffLength more.
@@ -54,16 +57,18 @@
 }
 
 // TestDrainInAnswersIsHeeded has a server state in its answers that it drains, while its
-// record still says that it is ready. The nodes must not send it further requests.
+// record still says that it is ready. The nodes must not send that server further requests. The
+// stand-in server counts a request as a violation if it arrives more than 2 s after the node got
+// the first such answer (drainTime in platform/standin).
 func TestDrainInAnswersIsHeeded(t *testing.T) {
 	const rate, length = 40, 4 * time.Second // requests a second, and for how long
 	for name, path := range map[string]string{"replica group": "/copy/a", "plain server": "/look/a"} {
 		t.Run(name, func(t *testing.T) {
 			cluster := newServingCluster(t)
-			cluster.fleet.AnnounceDraining(cluster.serversFor(path, false)[0])
+			cluster.fleet.AnnounceDraining(cluster.serversFor(path, false)[0]) // false: only the first server
 			statuses := cluster.sendLoad(cluster.nodes, path, rate, length)
 			t.Logf("statuses %v", statuses)
-			assert.DeepEqual(t, cluster.fleet.Violations(), []string(nil))
+			assert.DeepEqual(t, cluster.fleet.Violations(), []string(nil)) // late requests to the draining server
 			assert.Equal(t, statuses[http.StatusServiceUnavailable]+statuses[0], 0, "the other servers serve meanwhile")
 		})
 	}
@@ -73,7 +78,7 @@
 func newServingCluster(t *testing.T) *testCluster {
 	t.Helper()
 	cluster := newTestCluster(t, 3)
-	cluster.fleet.Answer = 80 * time.Millisecond // about the answer time that dispatch expects
+	cluster.fleet.Answer = 80 * time.Millisecond // the answer time that dispatch expects of plain servers (plainResponseTime)
 	cluster.eventually("all nodes are in the directory", func() bool { return len(cluster.addresses(0)) == 3 })
 	for index := range cluster.nodes {
 		cluster.waitServing(index)
--- a/node/cold_test.go
+++ b/node/cold_test.go
@@ -25,9 +25,11 @@
 func TestColdServersGetLittle(t *testing.T) {
 	const rate, coldFor = 100, 3 * time.Second // requests a second, and for how long the server is cold
 	cases := map[string]struct {
-		path     string
-		server   func(*testCluster) string
-		makeCold func(*testCluster, string) // makes the server cold for coldFor, which is also the configured cold_start_s
+		path   string
+		server func(*testCluster) string
+		// makeCold makes the server cold for coldFor. After an evacuation the server is cold for
+		// the configured cold_start_s, which is therefore the same.
+		makeCold func(*testCluster, string)
 	}{
 		"replica group, by its record": {"/copy/a", func(cluster *testCluster) string { return cluster.fleet.OpenHeads()["m0"][0].ID }, func(cluster *testCluster, server string) {
 			cluster.fleet.SetCold(server, coldFor)
@@ -49,7 +51,10 @@
 			server := test.server(cluster)
 			test.makeCold(cluster, server)
 			since := time.Now()
-			time.Sleep(evacuationSpreadTime / 2) // all nodes know by then that the server is cold
+			// The nodes must learn in this time that the server is cold: those that have not learned
+			// it would send the server too many requests. The load ends half a second before the
+			// server is warm.
+			time.Sleep(evacuationSpreadTime / 2)
 			statuses := cluster.sendLoad(cluster.nodes, test.path, rate, coldFor-time.Second)
 			arrivals := cluster.fleet.Arrivals(server)
 			most := platformstandin.MaxArrivals(arrivals, time.Second)
--- a/node/config_test.go
+++ b/node/config_test.go
@@ -13,7 +13,8 @@
 	"shedkeel.org/shedkeel/transfer"
 )
 
-// configRecord returns the record of a configuration as operators write it.
+// configRecord returns the record of a configuration with the version, as operators write it,
+// at the revision of the key-value service that has the era and the number.
 func configRecord(version, era, number int64) shedkeel.Record {
 	value := fmt.Appendf(nil, `{"version":%d,"routes":[],"services":[],"limits":{}}`, version)
 	return shedkeel.Record{Key: platform.ConfigKey, Value: value, Revision: shedkeel.Revision{Era: era, Number: number}}
@@ -26,7 +27,10 @@
 // longer passes it on.
 func TestNodeThatStartsAfterARestore(t *testing.T) {
 	cases := map[string]struct {
-		newNodeAsks bool // the new node asks the old one, and not the other way round
+		// newNodeAsks says that the new node asks the old one for records. Otherwise the old node
+		// asks the new one: the call states the old node's version, which makes the new node ask
+		// for the configuration.
+		newNodeAsks bool
 	}{
 		"the new node asks the old one": {true},
 		"the old node asks the new one": {false},
@@ -34,10 +38,12 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			nodes, peers := map[string]*Node{}, map[string]*peer{}
+			// The old node has read version 7 in era 0. Then the key-value service is restored
+			// with version 6, in era 1, which both nodes read.
 			for _, id := range []string{"old", "new"} {
 				node, timers := newTestNode(t)
 				node.Decoder = platform.Decoder{}
-				node.Settings.Node, node.Settings.Wire.Key = shedkeel.NodeID(id), "k"
+				node.Settings.Node, node.Settings.Wire.Key = shedkeel.NodeID(id), "k" // the key of serveWire
 				listener := listenHere(t)
 				t.Cleanup(serveWire(t, listener, &node.peers))
 				nodes[id] = node
@@ -58,18 +64,18 @@
 			if test.newNodeAsks {
 				from = "new"
 			}
-			_, err := peers[from].Relay(t.Context(), nodes[from].mirror.State().At, 0)
+			_, err := peers[from].Relay(t.Context(), nodes[from].mirror.State().At, 0) // 0: without a wait for changes
 			assert.NilError(t, err)
 			for end := time.Now().Add(5 * time.Second); nodes["new"].fleet.configVersion() != 7 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 			assert.Equal(t, nodes["new"].fleet.configVersion(), int64(7))
 			assert.Equal(t, nodes["old"].fleet.configVersion(), int64(7))
-			assert.Assert(t, nodes["new"].fleet.newerConfig(6) != nil, "it passes the newer configuration on")
+			assert.Assert(t, nodes["new"].fleet.newerConfig(6) != nil, "the new node passes the newer configuration on")
 
 			rewritten := configRecord(7, 1, 8)
 			nodes["old"].mirror.Apply(mirror.Update{At: rewritten.Revision, Records: []shedkeel.Record{rewritten}})
-			assert.Assert(t, nodes["old"].fleet.newerConfig(6) == nil, "the service has the newer configuration")
+			assert.Assert(t, nodes["old"].fleet.newerConfig(6) == nil, "the key-value service has the newer configuration, but the old node passes it on")
 		})
 	}
 }
--- a/node/contain_test.go
+++ b/node/contain_test.go
@@ -21,7 +21,7 @@
 // newDeadlyCluster returns a test cluster in which requests with the body "deadly"
 // terminate the servers that run them.
 //
-// Such a request may arrive repeatedly, with a new ID and at another node each time. If
+// A deadly request may arrive repeatedly, with a new ID and at another node each time. If
 // each node sends the request to two servers and nobody counts the servers that terminate, the
 // request is sent to servers 11 more times after it has terminated three, and terminates 18 in
 // all. For ten seconds, only 0 to 4 of some 50 other requests a second for the same groups are
@@ -37,12 +37,13 @@
 // terminated returns how many servers the deadly request has terminated.
 func (cluster *testCluster) terminated() int { return cluster.fleet.CrashCounts()["deadly"] }
 
-// waitServing waits until the node answers a harmless request for the model and two
-// groups serve the model.
+// waitServing waits until the node answers a harmless request for the model m0 and two groups
+// serve the model.
 func (cluster *testCluster) waitServing(index int) {
 	cluster.t.Helper()
 	cluster.eventually("the node serves", func() bool {
 		status, body := cluster.send(cluster.nodes[index].callers, shedkeel.NewNonce(), "/copy/a", "key-1", 50)
+		// 10 events stand for the 50 tokens that the request asks for.
 		return status == 200 && body == completeStream(10) && len(cluster.fleet.OpenHeads()["m0"]) >= 2
 	})
 }
@@ -113,7 +114,7 @@
 	}
 	before := cluster.terminated()
 	for index := range 2 {
-		cluster.start(2 + index)
+		cluster.start(2 + index) // nodes 0 and 1 have stopped
 	}
 	for try := range 4 {
 		cluster.sendDeadly(2 + try%2)
@@ -122,11 +123,13 @@
 	assert.Assert(t, cluster.terminated() <= maxTerminated, "%d servers terminated", cluster.terminated())
 }
 
-// TestBurstIsContained sends the deadly request 20 times a second to all nodes, so that
-// many copies of it are in progress whenever a server terminates.
+// TestBurstIsContained sends the deadly request 20 times a second, to all nodes in turn, so that
+// many requests with the same digest are in progress whenever a server terminates. None of them
+// may be answered with status 200, and they must terminate at most maxOfBurst servers.
 func TestBurstIsContained(t *testing.T) {
+	// 80 requests are sent, one every 50 ms.
 	const copies, pause = 80, 50 * time.Millisecond
-	const maxOfBurst = 5 // more than maxTerminated: several servers may run a copy before the first one terminates
+	const maxOfBurst = 5 // servers; more than maxTerminated, as several may run the request before the first one terminates
 	cluster := newDeadlyCluster(t, 3)
 	for index := range 3 {
 		cluster.waitServing(index)
--- a/node/copies_test.go
+++ b/node/copies_test.go
@@ -41,19 +41,19 @@
 
 // TestWholeCopyIsSmall transfers a complete copy of the records over a TCP connection to a
 // node that has none. The copy must be so small that three boxes can each send it to a hundred
-// other nodes in about half a second over links of 200 Mbit/s: a copy of 160 kB, the test's
-// limit, takes 0.64 s. The copy must also take less than a fifth of the records' size.
+// other nodes in about half a second over links of 200 Mbit/s: at the test's limit of 160 kB, a
+// hundred copies take 0.64 s. The copy must also take less than a fifth of the records' size.
 func TestWholeCopyIsSmall(t *testing.T) {
 	listener := listenHere(t)
 	source, timers := newTestNode(t)
 	stop := serveWire(t, listener, &source.peers)
 	defer stop()
-	records := fleetRecords(925, 295, 1520)
+	records := fleetRecords(925, 295, 1520) // servers, nodes and routes
 	own, _ := newTestNode(t)
-	own.Settings.Wire.Key = "k"
+	own.Settings.Wire.Key = "k" // the key of serveWire
 	peer := own.peers.dial("source", listener.Addr().String())
 	defer peer.close()
-	known, err := peer.HasCopy(t.Context(), 0)
+	known, err := peer.HasCopy(t.Context(), 0) // 0: without a wait
 	assert.NilError(t, err)
 	assert.Assert(t, !known, "the source has no copy yet")
 	time.AfterFunc(20*time.Millisecond, func() {
@@ -62,7 +62,7 @@
 	known, err = peer.HasCopy(t.Context(), 5*time.Second)
 	assert.NilError(t, err)
 	assert.Assert(t, known, "the wait ends when the source has a copy")
-	update, err := peer.Relay(t.Context(), shedkeel.Revision{}, 0)
+	update, err := peer.Relay(t.Context(), shedkeel.Revision{}, 0) // the zero revision asks for a complete copy
 	assert.NilError(t, err)
 	assert.Equal(t, len(update.Records), len(records))
 	assert.Assert(t, update.Full && update.At.Number == 5000 && update.AsOf < 0, "%v", update.AsOf) // AsOf is minus the age of the sender's copy
--- a/node/corrupt_test.go
+++ b/node/corrupt_test.go
@@ -14,8 +14,9 @@
 	"shedkeel.org/shedkeel/serve"
 )
 
-// serverRecord returns the record of a group member as the platform's servers write it;
-// rank 0 is the head.
+// serverRecord returns the record of a group member as the platform's servers write it. The
+// number is that of its revision, born is when the instance of the server started, and rank 0
+// is the head.
 func serverRecord(number, born int64, rank int, state shedkeel.MemberState) shedkeel.Record {
 	value := fmt.Sprintf(`{"service":"s","address":"10.0.0.%d:1","zone":"z","version":"v1","slots":8,"state":"ready","cold_remaining_ms":0,"seq":1,"born":%d,"domain":"d",`+
 		`"group":{"name":"m/d/1","epoch":5,"rank":%d,"state":%q}}`, rank+1, born, rank, state)
@@ -23,7 +24,8 @@
 }
 
 // newGroupNode returns a node that knows a group of two members and may send requests to
-// its head, and a function that advances the clock and applies records.
+// its head, and a function that advances the clock, applies records and runs the fleet's tick.
+// The records have the revisions 2 and 3, and the instances are born at 7.
 func newGroupNode(t *testing.T) (*Node, func(time.Duration, ...shedkeel.Record)) {
 	t.Helper()
 	node, timers := newTestNode(t)
@@ -44,7 +46,8 @@
 
 // TestRecordThatBecomesUnreadable corrupts the record of a server. The server gets no
 // requests itself, and keeps its place in its group until its next heartbeat or, if none
-// arrives, for unreadableRecordHold.
+// arrives, for unreadableRecordHold. Valid records that arrive together with an unreadable one
+// are applied.
 func TestRecordThatBecomesUnreadable(t *testing.T) {
 	corrupt := shedkeel.Record{Key: "servers/i-0", Value: []byte(`{"service":7}`), Revision: shedkeel.Revision{Number: 4}}
 	t.Run("the next heartbeat comes", func(t *testing.T) {
@@ -53,7 +56,7 @@
 		apply(0, corrupt)
 		assert.Equal(t, node.usable(), 0, "a server with an unreadable record got requests")
 		assert.Equal(t, len(node.fleet.instances), 2, "a corrupt write removed a member of the group")
-		apply(1200*time.Millisecond, serverRecord(5, 7, 0, shedkeel.MemberOpen))
+		apply(1200*time.Millisecond, serverRecord(5, 7, 0, shedkeel.MemberOpen)) // the latest time of the next heartbeat (see unreadableRecordHold)
 		assert.Equal(t, node.usable(), 1)
 		apply(2 * unreadableRecordHold)
 		assert.Equal(t, len(node.fleet.instances), 2)
@@ -83,7 +86,7 @@
 // instance of the server wrote and that arrives after the restart is ignored.
 func TestServerThatStartsAgain(t *testing.T) {
 	node, apply := newGroupNode(t)
-	apply(0, serverRecord(4, 9, 0, shedkeel.MemberJoining))
+	apply(0, serverRecord(4, 9, 0, shedkeel.MemberJoining)) // the new instance, born at 9
 	assert.Equal(t, node.usable(), 0)
 	apply(0, serverRecord(5, 7, 0, shedkeel.MemberOpen))
 	assert.Equal(t, node.usable(), 0, "a record from before the restart was applied")
@@ -91,8 +94,9 @@
 	assert.Equal(t, node.usable(), 1)
 }
 
-// TestCorruptNodeRecords checks that invalid records of nodes are ignored. Otherwise the
-// directory would send callers to invalid addresses.
+// TestCorruptNodeRecords checks that invalid records of nodes are ignored, and that a later
+// valid record is used. With the invalid records, the directory would send callers to invalid
+// addresses.
 func TestCorruptNodeRecords(t *testing.T) {
 	valid := nodeRecord{ID: "b", Zone: "z", Callers: "10.0.0.2:1", Control: "10.0.0.2:2", Capacity: 0.5}
 	for name, corrupt := range map[string]func(*nodeRecord){
@@ -120,10 +124,10 @@
 }
 
 // TestCorruptLeaderRecords corrupts the records of the leader and the term. A node still
-// becomes the leader, in a term whose epochs engines accept.
+// becomes the leader, in a term above those of the epochs that servers report.
 func TestCorruptLeaderRecords(t *testing.T) {
 	member := serverRecord(2, 7, 0, shedkeel.MemberOpen)
-	member.Value = []byte(fmt.Sprintf(`{"service":"s","address":"10.0.0.1:1","zone":"z","version":"v1","slots":8,"state":"ready","cold_remaining_ms":0,"seq":1,"group":{"name":"m/d/1","epoch":%d,"rank":0,"state":"open"}}`, 3*epochsPerTerm+8))
+	member.Value = []byte(fmt.Sprintf(`{"service":"s","address":"10.0.0.1:1","zone":"z","version":"v1","slots":8,"state":"ready","cold_remaining_ms":0,"seq":1,"group":{"name":"m/d/1","epoch":%d,"rank":0,"state":"open"}}`, 3*epochsPerTerm+8)) // an epoch of term 3
 	for name, test := range map[string]struct {
 		lead, term string
 		next       uint64 // the term in which the node must lead; servers report epochs of term 3
@@ -134,7 +138,7 @@
 		"lead names this node's former incarnation": {`{"node":"node-1","incarnation":"x","lease":99}`, `{"term":3}`, 4},
 		"term can't be read":                        {"", `7`, 4},
 		"term is too low":                           {"", `{"term":0}`, 4},
-		"term is above maxTerm":                     {"", `{"term":4611686018427387904}`, 4},
+		"term is above maxTerm":                     {"", `{"term":4611686018427387904}`, 4}, // 1<<62
 		"term is above those of the epochs":         {"", `{"term":9}`, 10},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/node/demand_test.go
+++ b/node/demand_test.go
@@ -11,8 +11,9 @@
 )
 
 // TestDemandOfAllNodes checks that the demand is the sum over the requests that two nodes
-// have spread. A third node is asked too, since it may have replaced a spreader, and does not
-// answer.
+// have spread, that is, assigned to groups (see peers.spreader). The third node, b, is asked too,
+// because it is one of the first nodes, which replace spreaders that do not answer (see
+// peers.spreaders). It does not answer itself.
 func TestDemandOfAllNodes(t *testing.T) {
 	listener := listenHere(t)
 	spreaderNode, _ := newTestNode(t)
@@ -20,7 +21,7 @@
 	stop := serveWire(t, listener, &spreaderNode.peers)
 	defer stop()
 	leaderNode, timers := newTestNode(t)
-	leaderNode.Settings.Wire.Key = "k"
+	leaderNode.Settings.Wire.Key = "k" // the key of serveWire
 	leaderNode.Settings.Node = "a"
 	down := listenHere(t)
 	assert.NilError(t, down.Close())
@@ -49,6 +50,6 @@
 		node.table.Recommend(dispatch.Query{Service: "s", Model: "m", Now: timers.Now()}, dispatch.Reporter{})
 	}
 	assert.Equal(t, node.peers.handleDemand(call).GetDemand().GetModels()[0].GetRequests(), 100.0)
-	timers.Advance(4 * demandInterval * 5)
+	timers.Advance(4 * demandInterval * 5) // 20 s: four time constants of 5 s each (demandTimeConstant of package dispatch)
 	assert.Assert(t, node.peers.handleDemand(call).GetDemand().GetModels()[0].GetRequests() < 2)
 }
--- a/node/directory_test.go
+++ b/node/directory_test.go
@@ -16,20 +16,21 @@
 	"shedkeel.org/shedkeel/node"
 )
 
-// deadPrefix is the prefix of the IDs of the nodes that lose power.
+// deadPrefix is the prefix of the IDs of the nodes that do not run (see listDeadNodes).
 const deadPrefix = "off-"
 
 // exclusionDelay is how long after a node's loss the directory may still name it.
 const exclusionDelay = 5 * time.Second
 
-// TestDirectoryLeavesOutDeadNodes has nodes lose power and checks that exclusionDelay later
-// the directory names none of them. Their records may stay listed: while the store is
-// unavailable, while nodes retain records that were deleted during an outage, and while a
-// live node considers itself isolated and therefore removes no records.
+// TestDirectoryLeavesOutDeadNodes lists nodes that do not run, as if they had just lost power,
+// and checks that exclusionDelay later and for a second more the directory of each live node
+// names none of them and still names the other live node. The dead nodes' records may stay
+// listed: while the store is unavailable, while nodes retain records that were deleted during
+// an outage, and while a live node considers itself isolated and therefore removes no records.
 func TestDirectoryLeavesOutDeadNodes(t *testing.T) {
 	cases := map[string]struct {
 		deadNodes int
-		fault     func(cluster *testCluster, keys []string) // called when the nodes are lost
+		fault     func(cluster *testCluster, keys []string) // called once the dead nodes are listed
 	}{
 		"their records stay, and the store is unavailable": {2, func(cluster *testCluster, _ []string) {
 			cluster.data.SetFaults(standin.Faults{Outage: true})
@@ -68,8 +69,9 @@
 	}
 }
 
-// listDeadNodes adds the records of nodes that do not run. It returns the keys of the
-// records and the callers' addresses once all nodes know them.
+// listDeadNodes adds the records of nodes that do not run, all in one transaction. It returns
+// the keys of the records and the nodes' addresses for callers once all running nodes know the
+// first record.
 func (cluster *testCluster) listDeadNodes(count int) (keys, callers []string) {
 	var change shedkeel.Transaction
 	for index := range count {
@@ -90,7 +92,7 @@
 	return keys, callers
 }
 
-// checkExcluded checks that a node's status has a reason for each dead node that is still
+// checkExcluded checks that the status of node 0 has a reason for each dead node that is still
 // listed, and for no other node.
 func (cluster *testCluster) checkExcluded() {
 	status := cluster.status(0)
--- a/node/election_test.go
+++ b/node/election_test.go
@@ -49,7 +49,8 @@
 	return shedkeel.Revision{Number: number}, err
 }
 
-// newListedCandidate returns a node that is listed and knows that there is no leader.
+// newListedCandidate returns a node that is listed and knows that there is no leader. Its
+// membership lease has the number 1 in the returned store.
 func newListedCandidate(t *testing.T) (*Node, *timer.Manual, *leaseStore) {
 	node, timers := newTestNode(t)
 	store := &leaseStore{renewed: map[shedkeel.LeaseID]int{}, commit: func(shedkeel.Transaction) (int64, error) { return 2, nil }}
@@ -59,8 +60,9 @@
 	return node, timers, store
 }
 
-// elect has the node stand for election: the first call of elect notices that there is no
-// leader, and the second follows when the node's delay is over.
+// elect has a node that knows no other nodes stand for election: the first call of
+// controller.elect notices that there is no leader, and the second follows when the node's
+// electionDelay is over.
 func elect(t *testing.T, node *Node, timers *timer.Manual) {
 	for _, wait := range []time.Duration{initialSettleTime, electionStagger} {
 		node.controller.elect(t.Context(), timers.Now())
@@ -68,7 +70,7 @@
 	}
 }
 
-// changeUpdate returns the mirror update that a change causes.
+// changeUpdate returns the mirror update that a change causes at the revision with the number.
 func changeUpdate(change shedkeel.Transaction, number int64, asOf time.Duration) mirror.Update {
 	revision := shedkeel.Revision{Number: number}
 	update := mirror.Update{At: revision, AsOf: asOf}
@@ -100,7 +102,7 @@
 				return 0, &shedkeel.UnknownOutcomeError{What: "write"}
 			}
 			elect(t, node, timers)
-			assert.Assert(t, !node.controller.leading(timers.Now()), "no record names it")
+			assert.Assert(t, !node.controller.leading(timers.Now()), "the node leads although no record names it")
 
 			timers.Advance(test.delay)
 			node.mirror.Apply(changeUpdate(pending, 2, timers.Now()))
@@ -121,13 +123,13 @@
 		return 0, &shedkeel.UnknownOutcomeError{What: "write"}
 	}
 	elect(t, node, timers)
-	timers.Advance(2 * leaderTTL)
+	timers.Advance(2 * leaderTTL) // the first lease expires
 	node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 	store.commit = func(shedkeel.Transaction) (int64, error) { return 0, &shedkeel.ConflictError{What: "lead"} }
 	elect(t, node, timers)
 	node.mirror.Apply(changeUpdate(first, 2, timers.Now()))
 	elect(t, node, timers)
-	assert.Assert(t, !node.controller.leading(timers.Now()), "the record has another lease than the node")
+	assert.Assert(t, !node.controller.leading(timers.Now()), "the node leads by a record with another lease than its own")
 }
 
 // TestTermsEpochsAreUsedOnce has the leader record disappear from the leader's mirror
@@ -159,13 +161,13 @@
 	assert.Assert(t, node.controller.leading(timers.Now()))
 	assert.Assert(t, node.controller.lease.ID() != node.member.lease.ID())
 	timers.Advance(leaderTTL)
-	assert.Assert(t, node.member.lease.valid(timers.Now()), "it is listed")
-	assert.Assert(t, !node.controller.leading(timers.Now()), "its lease was not renewed")
+	assert.Assert(t, node.member.lease.valid(timers.Now()), "the node is no longer listed")
+	assert.Assert(t, !node.controller.leading(timers.Now()), "the node leads although its leader's lease was not renewed")
 	assert.Assert(t, node.controller.lease.renew(t.Context()))
-	assert.Assert(t, node.controller.leading(timers.Now()), "it has the lease again")
+	assert.Assert(t, node.controller.leading(timers.Now()), "the node does not lead although it has renewed the lease")
 
 	node.controller.resign()
-	assert.DeepEqual(t, store.released, []shedkeel.LeaseID{{Number: 2}})
+	assert.DeepEqual(t, store.released, []shedkeel.LeaseID{{Number: 2}}) // the membership lease has number 1
 	assert.Assert(t, !node.controller.leading(timers.Now()))
 }
 
@@ -180,7 +182,7 @@
 		tick  = 50 * time.Millisecond
 		batch = 10 // nodes that are listed per tick
 	)
-	all := fleetOf(100, 3)
+	all := fleetOf(100, 3) // 100 nodes, in each zone 3 of them on large boxes
 	var nodes []*Node
 	var clocks []*timer.Manual
 	campaigns, elected := 0, shedkeel.NodeID("")
@@ -205,6 +207,7 @@
 	order := slices.Clone(all)
 	slices.Reverse(order)
 	wonAt := time.Duration(0)
+	// The loop ends when the other nodes would see the leader's record.
 	for now := time.Duration(0); now < 3*time.Second && (elected == "" || now < wonAt+lag); now += tick {
 		known := slices.Clone(order[:min(len(order), batch*(1+int(now/tick)))])
 		slices.SortFunc(known, compareNodes)
@@ -221,6 +224,6 @@
 		}
 	}
 	assert.Assert(t, len(update.Records) > 0)
-	assert.Equal(t, elected, all[0].ID, "the largest box leads")
+	assert.Equal(t, elected, all[0].ID, "the first node in the order of compareNodes must lead")
 	assert.Equal(t, campaigns, 1)
 }
--- a/node/evacuated_test.go
+++ b/node/evacuated_test.go
@@ -12,6 +12,8 @@
 // were written, removed, or lost when the key-value service was restored from a snapshot. A
 // record that names no zone has no effect.
 func TestEvacuationsFollowRecords(t *testing.T) {
+	// record returns the record of an evacuation. gone returns its removal: lost in a restore of
+	// the key-value service, or else by an operator, who ends the evacuation.
 	record := func(zone string) shedkeel.Record { return shedkeel.Record{Key: "evacuated/" + zone} }
 	gone := func(zone string, lost bool) shedkeel.Record {
 		return shedkeel.Record{Key: "evacuated/" + zone, Removed: true, LostInRestore: lost}
@@ -35,7 +37,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			node, _ := newTestNode(t)
-			node.fleet.applyChanges(nil)
+			node.fleet.applyChanges(nil) // creates the maps
 			node.fleet.instances["servers/1"] = shedkeel.Instance{ID: "1", Zone: "a"}
 			for _, record := range test.records {
 				node.fleet.applyChanges([]shedkeel.Record{record})
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -20,7 +20,7 @@
 // domains of engines or one of two plain servers is there.
 const evacuatedZone = "y"
 
-// evacuate has an operator evacuate a zone, or end its evacuation.
+// evacuate has an operator begin the evacuation of a zone, or end it if begin is false.
 func (cluster *testCluster) evacuate(zone string, begin bool) {
 	_, err := cluster.data.Commit(platform.EvacuationChange(shedkeel.ZoneID(zone), begin))
 	assert.NilError(cluster.t, err)
@@ -44,7 +44,7 @@
 		path    string
 		servers []string
 	}{
-		"replica groups": {"/copy/a", []string{"engine-4", "engine-5", "engine-6", "engine-7"}},
+		"replica groups": {"/copy/a", []string{"engine-4", "engine-5", "engine-6", "engine-7"}}, // the domain rack-1
 		"plain servers":  {"/look/a", []string{"plain-1"}},
 	}
 	for name, test := range cases {
@@ -54,23 +54,23 @@
 				cluster.fleet.SetZone(server, evacuatedZone)
 			}
 			cluster.sendLoad(cluster.nodes, test.path, rate, time.Second)
-			assert.Assert(t, cluster.countArrivals(test.servers) > 0, "the zone serves before the evacuation")
+			assert.Assert(t, cluster.countArrivals(test.servers) > 0, "the zone got no requests before the evacuation")
 
 			cluster.evacuate(evacuatedZone, true)
 			time.Sleep(evacuationSpreadTime)
 			before := cluster.countArrivals(test.servers)
 			statuses := cluster.sendLoad(cluster.nodes, test.path, rate, time.Second)
-			assert.Equal(t, cluster.countArrivals(test.servers), before, "the zone gets no requests")
+			assert.Equal(t, cluster.countArrivals(test.servers), before, "the evacuated zone got requests")
 			assert.Assert(t, statuses[http.StatusOK] > 0)
 			delete(statuses, http.StatusOK)
-			assert.Equal(t, len(statuses), 0, "the other zone serves all: also got %v", statuses)
+			assert.Equal(t, len(statuses), 0, "the other zone must serve all requests: also got %v", statuses)
 
 			cluster.start(3)
 			cluster.eventually("a node that starts serves", func() bool {
 				status, _ := cluster.send(cluster.nodes[3].callers, shedkeel.NewNonce(), test.path, "key-1", 50)
 				return status == http.StatusOK
 			})
-			assert.Equal(t, cluster.countArrivals(test.servers), before, "a node that starts sends the evacuated zone no requests")
+			assert.Equal(t, cluster.countArrivals(test.servers), before, "a node that started sent the evacuated zone requests")
 
 			cluster.evacuate(evacuatedZone, false)
 			cluster.eventually("the zone serves again", func() bool {
@@ -85,7 +85,7 @@
 // request while the zone of all servers is evacuated.
 func TestAllZonesEvacuated(t *testing.T) {
 	cluster := newServingCluster(t)
-	cluster.evacuate("z", true)
+	cluster.evacuate("z", true) // the zone of stand-in servers that name none
 	time.Sleep(evacuationSpreadTime)
 	for index, node := range cluster.nodes {
 		status, body := cluster.send(node.callers, fmt.Sprint("none-", index), "/look/a", "key-1", 0)
--- a/node/fleetsize_test.go
+++ b/node/fleetsize_test.go
@@ -32,6 +32,8 @@
 
 // TestAdvice checks how a starting node gets its first copy of the records.
 func TestAdvice(t *testing.T) {
+	// A fleet of 300 nodes has relays, and a fleet of 9 has none (see hasRelays). In each zone, 3
+	// nodes have large boxes.
 	large, err := json.Marshal(newSizeRecord(withControlAddresses(fleetOf(300, 3))))
 	assert.NilError(t, err)
 	small, err := json.Marshal(newSizeRecord(withControlAddresses(fleetOf(9, 3))))
@@ -40,7 +42,7 @@
 		own       string   // control address of the node
 		seeds     []string // control addresses
 		value     []byte   // of the size record; nil: there is no record
-		wantList  bool     // the node lists the service's records itself
+		wantList  bool     // the node lists the key-value service's records itself
 		wantPeers int      // number of relays to ask for a copy
 		wantHint  int64    // number of nodes that the node learns from the record; 0: none
 	}{
@@ -99,12 +101,12 @@
 	check(withControlAddresses(fleetOf(300, 3)))
 	check(withControlAddresses(fleetOf(295, 3)))
 	assert.Equal(t, len(written), 1, "the size changed too little")
-	assert.Equal(t, len(written[0].Relays), 15) // 13 relays and the two sources
-	check(withControlAddresses(fleetOf(295, 2)))
+	assert.Equal(t, len(written[0].Relays), 15)  // 13 relays and the two sources
+	check(withControlAddresses(fleetOf(295, 2))) // one large box fewer in each zone
 	assert.Equal(t, len(written), 2, "the relays changed")
 	check(withControlAddresses(fleetOf(9, 2)))
 	assert.Equal(t, len(written), 3)
-	assert.Equal(t, len(written[2].Relays), 0)
+	assert.Equal(t, len(written[2].Relays), 0) // a fleet of 9 has no relays
 	timers.Advance(sizeCheckInterval - time.Millisecond)
 	node.controller.maintainFleetSize(t.Context(), timers.Now())
 	assert.Equal(t, len(written), 3)
--- a/node/guard_test.go
+++ b/node/guard_test.go
@@ -19,7 +19,7 @@
 	Store
 	unavailable bool
 	changes     []shedkeel.Transaction
-	era         int64
+	era         int64 // of the revisions that Commit returns
 }
 
 func (store *blameStore) Commit(_ context.Context, change shedkeel.Transaction) (shedkeel.Revision, error) {
@@ -45,7 +45,8 @@
 
 // TestRecordChange checks when a blame is written to the key-value service: when the
 // request is quarantined or contained and the record does not say so. A blame with one
-// server is not written, since tens of requests run on a server that terminates.
+// server is not written, since tens of requests run on a server that terminates. The record of
+// a blame that was cleared since is removed, unless it is of a later round.
 func TestRecordChange(t *testing.T) {
 	missing := shedkeel.Record{}
 	cases := map[string]struct {
@@ -100,13 +101,13 @@
 	assert.Equal(t, len(store.changes), 1)
 	assert.Equal(t, node.guard.Judge("r"), shedkeel.Contained)
 
-	node.mirror.Apply(mirrorUpdate(shedkeel.Record{Key: blamePrefix + "r", Removed: true, Revision: shedkeel.Revision{Number: 2000}}))
-	assert.Equal(t, node.guard.Judge("r"), shedkeel.Unblamed, "an operator has released it")
+	node.mirror.Apply(mirrorUpdate(shedkeel.Record{Key: blamePrefix + "r", Removed: true, Revision: shedkeel.Revision{Number: 2000}})) // later than the revisions of blameStore, from 1001 on
+	assert.Equal(t, node.guard.Judge("r"), shedkeel.Unblamed, "the request is judged although an operator has released it")
 	for range 5 {
 		timers.Advance(writeInterval)
 		node.guard.writePending(t.Context(), timers.Now())
 	}
-	assert.Equal(t, len(store.changes), 1, "it is not written again")
+	assert.Equal(t, len(store.changes), 1, "the blame of a released request was written again")
 }
 
 // TestBlameChangedDuringWriteIsWritten has a third server terminate after the record of
@@ -134,7 +135,7 @@
 func TestBlameRecords(t *testing.T) {
 	three := `{"request":"r","round":0,"servers":["a","b","c"]}`
 	cases := map[string]struct {
-		key      string
+		key      string // the request that the record's key names
 		value    string
 		judgment shedkeel.Judgment
 		skipped  int64 // records that were skipped as invalid
@@ -162,6 +163,7 @@
 // request.
 func TestOneTrialAtATime(t *testing.T) {
 	node, timers := newTestNode(t)
+	// ask has another node send a blame call, and returns whether a trial is allowed.
 	ask := func(kind wire.BlameCall_Kind, servers ...string) bool {
 		return node.guard.handle(&wire.BlameCall{Kind: kind, Request: "r", Servers: servers}).GetBlame().GetAllowed()
 	}
--- a/node/lapse_test.go
+++ b/node/lapse_test.go
@@ -43,7 +43,7 @@
 
 // TestGoneNodes deletes the records of nodes while the key-value service seems unavailable.
 // Leases may have expired, so live nodes are retained until they have written their records
-// again. A node that the failure detector finds dead or stopped must not be retained: it does
+// again. A node that the failure detector finds dead or to have left must not be retained: it does
 // not write its record again, and would stay listed for deletedRecordHold more.
 func TestGoneNodes(t *testing.T) {
 	cases := map[string]struct {
@@ -66,7 +66,7 @@
 			assert.NilError(t, err)
 			key := nodePrefix + "b"
 			node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: key, Value: value, Revision: shedkeel.Revision{Number: 1}}}})
-			timers.Advance(4 * time.Second)
+			timers.Advance(4 * time.Second) // longer than outageAge
 			node.fleet.tick(timers.Now())
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: key, Revision: shedkeel.Revision{Number: 2}, Removed: true}}})
 			detector.liveness["b"] = test.after
--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -27,8 +27,9 @@
 // limitSpreadTime is the time within which all nodes must know a limit.
 const limitSpreadTime = 3 * time.Second
 
-// sendLoad sends rate requests a second to the nodes in turn and returns the number of
-// requests by status; 0 stands for an incomplete answer.
+// sendLoad sends rate requests a second to the nodes in turn, for the duration length, and
+// returns the number of requests by status; 0 stands for an incomplete answer. The IDs of the
+// requests tell stand-in servers from which node a request comes.
 func (cluster *testCluster) sendLoad(nodes []*runningNode, path string, rate int, length time.Duration) map[int]int {
 	statuses := make(chan int)
 	ticker := time.NewTicker(time.Second / time.Duration(rate))
@@ -55,6 +56,7 @@
 // against are, for example, 5 requests a second from eight nodes at a stated limit of 2, and
 // 19 requests in 4 s from nodes that know the limit, where 17 are allowed.
 func TestServerLimitHoldsOverAllNodes(t *testing.T) {
+	// The stated limit and the load, both in requests a second, and the duration of the load.
 	const limit, rate, length = 2, 40, limitSpreadTime + limitWindow + time.Second
 	cases := map[string]struct {
 		path string
@@ -86,7 +88,7 @@
 				most := platformstandin.MaxArrivals(arrivals, limitWindow)
 				t.Logf("statuses %v; %s got %d after all nodes knew its limit, %d of them in %s, allowed %d", statuses, server, len(arrivals), most, limitWindow, allowed)
 				assert.Assert(t, most <= allowed, "%d requests in %s, allowed %d", most, limitWindow, allowed)
-				assert.Assert(t, most > 0, "a limited server still gets requests")
+				assert.Assert(t, most > 0, "a limited server got no requests")
 			}
 			cluster.checkOperatorLimits(servers)
 			assert.Assert(t, statuses[http.StatusOK] > 0)
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -42,7 +42,7 @@
 	timers.Advance(time.Second)
 	node.peers.setAlive(fourNodes)
 	_, settled = node.peers.aliveFraction()
-	assert.Equal(t, settled, timers.Now()-time.Second, "nothing has changed")
+	assert.Equal(t, settled, timers.Now()-time.Second, "the time of the last change moved although the alive nodes are the same")
 	node.peers.setAlive(fourNodes[:2])
 	fraction, settled = node.peers.aliveFraction()
 	assert.Equal(t, fraction, 0.5)
@@ -94,7 +94,7 @@
 			}
 			if test.lifted {
 				node.limits.merge(reported, "b")
-				node.limits.merge(&wire.ServerLimit{Server: reported.GetServer(), Lifted: true}, "b")
+				node.limits.merge(&wire.ServerLimit{Server: reported.GetServer(), Lifted: true}, "b") // of age 0, so newer than the reported limit
 			}
 			assert.Equal(t, ask(), test.granted)
 		})
@@ -107,10 +107,11 @@
 func TestLimitsAreAnnounced(t *testing.T) {
 	node, _ := newListedNode(t, "a", fourNodes)
 	own, other := newServerID(node, true), newServerID(node, false)
+	// A limit without a server and a nil limit are ignored.
 	node.limits.handleLimits(&wire.LimitCall{Node: "b", Limits: []*wire.ServerLimit{{Server: own, Rate: 2}, {Server: other, Rate: 2}, {Rate: 2}, nil}})
 	assert.Equal(t, len(node.limits.pending), 1)
 	assert.Assert(t, node.limits.pending[shedkeel.InstanceID(own)].Rate == 2)
-	node.limits.Observe("seen", shedkeel.StatedLimit{Stated: true, Rate: 3}, 0)
+	node.limits.Observe("seen", shedkeel.StatedLimit{Stated: true, Rate: 3}, 0) // 0: when the request was sent
 	assert.Equal(t, len(node.limits.pending), 2)
 	node.limits.handleLimits(&wire.LimitCall{Node: "c", Limits: []*wire.ServerLimit{{Server: own, Rate: 2}}})
 	assert.Equal(t, len(node.limits.pending), 2, "a limit that was known already is sent again")
@@ -121,8 +122,8 @@
 // that does not answer, and refuses them with a wait of permitRetryDelay.
 func TestNoPermitWithoutGranter(t *testing.T) {
 	node, timers := newListedNode(t, "a", fourNodes)
-	server := shedkeel.InstanceID(newServerID(node, false))
-	assert.Assert(t, node.limits.Acquire(t.Context(), server, 0).Granted, "it states no limit")
+	server := shedkeel.InstanceID(newServerID(node, false)) // its granter is another node, which does not run
+	assert.Assert(t, node.limits.Acquire(t.Context(), server, 0).Granted, "no permit for a server that states no limit")
 	node.limits.Observe(server, shedkeel.StatedLimit{Stated: true, Rate: 2}, timers.Now())
 	permit := node.limits.Acquire(t.Context(), server, time.Second)
 	assert.Equal(t, permit, shedkeel.Permit{Wait: permitRetryDelay})
--- a/node/notice_test.go
+++ b/node/notice_test.go
@@ -46,7 +46,7 @@
 func TestDrainIsReportedToLeader(t *testing.T) {
 	leader, apply := newGroupNode(t)
 	apply(0)
-	leader.Settings.Wire.Key = "k"
+	leader.Settings.Wire.Key = "k" // the key of serveWire
 	listener := listenHere(t)
 	defer serveWire(t, listener, &leader.peers)()
 	node, timers := newTestNode(t)
--- a/node/operator_test.go
+++ b/node/operator_test.go
@@ -13,8 +13,9 @@
 	"shedkeel.org/shedkeel/operator"
 )
 
-// TestOperatorsClient queries running nodes with the operators' client: the status, a group,
-// a failed request, and IDs that the nodes don't know.
+// TestOperatorsClient queries running nodes with the operators' client: the status, a group at
+// the leader, a refused request and its trace, and IDs that the nodes don't know. It also checks
+// that the metrics page counts groups.
 func TestOperatorsClient(t *testing.T) {
 	cluster := newTestCluster(t, 2)
 	cluster.eventually("two groups serve", func() bool { return len(cluster.fleet.OpenHeads()["m0"]) >= 2 })
@@ -45,7 +46,7 @@
 	var printed bytes.Buffer
 	operator.PrintExplanation(&printed, explanation)
 	assert.Assert(t, strings.Contains(printed.String(), "order to an engine"), printed.String())
-	assert.Equal(t, len(explanation.Node.Members), 2)
+	assert.Equal(t, len(explanation.Node.Members), 2) // the size of the model m0's groups
 
 	id := shedkeel.NewNonce()
 	cluster.eventually("a node that has its configuration refuses an unknown key", func() bool {
--- a/node/paces_test.go
+++ b/node/paces_test.go
@@ -15,7 +15,7 @@
 func TestSlowAndRecoveredPaces(t *testing.T) {
 	cases := map[string]struct {
 		reported []float64 // paces in the order in which they are reported
-		slow     bool
+		slow     bool      // the server counts as slow after the last report
 	}{
 		"normal":                   {[]float64{1}, false},
 		"report without a pace":    {[]float64{0}, false},
--- a/node/spread_test.go
+++ b/node/spread_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestSpreadWithoutAnswer has a spreader that accepts calls and never answers. One request
+// TestSpreadWithoutAnswer has a spreader that accepts connections and never answers. One request
 // waits for its answer, for spreadTimeout. The next request is spread by the asking node, which
 // replaces the spreader until spreaderBackoff is over. The test allows 50 times spreadTimeout,
 // since the machine may be busy.
@@ -71,7 +71,7 @@
 	assert.Assert(t, known)
 	assert.DeepEqual(t, recommendation, dispatch.Recommendation{Head: "i", Running: dispatch.RunningRequests{OnTime: 2}})
 	_, own := node.peers.spreader(0, timers.Now()+spreaderBackoff)
-	assert.Assert(t, !own, "the first spreader must be asked again")
+	assert.Assert(t, !own, "the spreader that gave no answer is not asked again")
 }
 
 // TestSpreadIsAnswered asks a spreader over a network connection. The spreader recommends
@@ -82,7 +82,7 @@
 	spreaderNode.table.Replace([]dispatch.Server{{Service: "s", Model: "m", Instance: "busy"}, {Service: "s", Model: "m", Instance: "idle"}})
 	stop := serveWire(t, listener, &spreaderNode.peers)
 	node, timers := newTestNode(t)
-	node.Settings.Wire.Key = "k"
+	node.Settings.Wire.Key = "k" // the key of serveWire
 	node.Settings.Node = "a"
 	node.peers.update([]nodeRecord{{ID: "a"}, {ID: "b"}, {ID: "c", Control: listener.Addr().String()}})
 	load := dispatch.Load{RunningRequests: dispatch.RunningRequests{OnTime: 3, Late: 1}, Groups: map[shedkeel.InstanceID]int{"busy": 4}}
