--- a/node/contain_test.go
+++ b/node/contain_test.go
@@ -23,9 +23,9 @@
 //
 // A deadly request may arrive repeatedly, with a new ID and at another node each time. If
 // each node sends the request to two servers and nobody counts the servers that terminate, the
-// request is sent to servers 11 more times after it has terminated three, and terminates 18 in
-// all. For ten seconds, only 0 to 4 of some 50 other requests a second for the same groups are
-// answered on time.
+// request does far more harm: for example, it is sent to servers 11 more times after it has
+// terminated three, and terminates 18 in all. For ten seconds, only 0 to 4 of some 50 other
+// requests a second for the same groups are answered on time.
 func newDeadlyCluster(t *testing.T, nodes int) *testCluster {
 	t.Helper()
 	cluster := newTestCluster(t, nodes)
--- a/node/copies_test.go
+++ b/node/copies_test.go
@@ -56,7 +56,7 @@
 	known, err := peer.HasCopy(t.Context(), 0) // 0: without a wait
 	assert.NilError(t, err)
 	assert.Assert(t, !known, "the source has no copy yet")
-	time.AfterFunc(20*time.Millisecond, func() {
+	time.AfterFunc(20*time.Millisecond, func() { // during the next call of HasCopy
 		source.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 5000}, AsOf: timers.Now() - time.Second, Records: records})
 	})
 	known, err = peer.HasCopy(t.Context(), 5*time.Second)
--- a/node/election_test.go
+++ b/node/election_test.go
@@ -22,7 +22,8 @@
 	released    []shedkeel.LeaseID
 	unavailable bool // renewals fail
 	renewCalls  int  // calls of Renew
-	commit      func(shedkeel.Transaction) (int64, error)
+	// commit returns the number of the revision that the commit creates.
+	commit func(shedkeel.Transaction) (int64, error)
 }
 
 func (store *leaseStore) Grant(_ context.Context, ttl time.Duration) (shedkeel.LeaseID, time.Duration, error) {
--- a/node/fleetsize_test.go
+++ b/node/fleetsize_test.go
@@ -33,7 +33,8 @@
 // TestAdvice checks how a starting node gets its first copy of the records.
 func TestAdvice(t *testing.T) {
 	// A fleet of 300 nodes has relays, and a fleet of 9 has none (see hasRelays). In each zone, 3
-	// nodes have large boxes.
+	// nodes have large boxes. In the large fleet the node z3-000 is a relay, and z3-050 is
+	// neither a relay nor a source.
 	large, err := json.Marshal(newSizeRecord(withControlAddresses(fleetOf(300, 3))))
 	assert.NilError(t, err)
 	small, err := json.Marshal(newSizeRecord(withControlAddresses(fleetOf(9, 3))))
--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -40,7 +40,7 @@
 		index := sent % len(nodes)
 		go func() {
 			id := platformstandin.RequestID(index, shedkeel.NewNonce())
-			status, _ := cluster.send(nodes[index].callers, id, path, "key-1", 50)
+			status, _ := cluster.send(nodes[index].callers, id, path, "key-1", 50) // for 50 answer tokens
 			statuses <- status
 		}()
 	}
--- a/node/spread_test.go
+++ b/node/spread_test.go
@@ -70,7 +70,7 @@
 	recommendation, known := node.peers.recommendGroup(t.Context(), query, dispatch.Load{RunningRequests: dispatch.RunningRequests{OnTime: 2}})
 	assert.Assert(t, known)
 	assert.DeepEqual(t, recommendation, dispatch.Recommendation{Head: "i", Running: dispatch.RunningRequests{OnTime: 2}})
-	_, own := node.peers.spreader(0, timers.Now()+spreaderBackoff)
+	_, own := node.peers.spreader(0, timers.Now()+spreaderBackoff) // 0: the only partition
 	assert.Assert(t, !own, "the spreader that gave no answer is not asked again")
 }
 
