--- a/node/fleet.go
+++ b/node/fleet.go
@@ -267,9 +267,10 @@
 // rebuildTable replaces the table of servers that may get requests: the servers of services
 // without replica groups, and the open heads of groups. It leaves out servers that drain, have
 // an unreadable record, are withheld after a restore, are in an evacuated zone, or belong to a
-// service that the configuration lacks. It also drops what the limits and the dispatch table
-// know of unlisted servers, and reports cold servers to the limits. It does nothing while there
-// is no configuration. The caller holds the mutex.
+// service that the configuration lacks. It also reports cold servers to the limits, and has the
+// limits and the dispatch table drop what they know of unlisted servers (see limits.retain and
+// dispatch.Table.RetainConditions). It does nothing while there is no configuration. The caller
+// holds the mutex.
 func (fleet *fleet) rebuildTable() {
 	view := fleet.view.Load()
 	if view == nil {
