--- a/call.go
+++ b/call.go
@@ -7,7 +7,7 @@
 
 // Call is the head of a caller's request, independent of the protocol.
 type Call struct {
-	ID           string        // the caller's ID of this request; a copy of the request may have another ID
+	ID           string        // the caller's ID of this request; another request with the same RequestDigest may have another ID
 	Host         string        // lower case, without port
 	Path         string        // decoded path, for matching routes
 	Target       string        // path and query as received
@@ -17,7 +17,7 @@
 	Model        ModelID       // "" if none
 	PromptTokens int           // as stated by the caller; 0: not stated
 	AnswerTokens int           // maximum that the caller states; 0: not stated
-	LastEventID  string        // the caller resumes a stream after the event with this ID
+	LastEventID  string        // the caller resumes a stream after the event with this ID; "": none
 }
 
 // Attempt is a call as it is sent to one backend server.
@@ -40,12 +40,12 @@
 	// stated.
 	Backoff     time.Duration
 	Draining    bool  // the server is about to stop
-	HeaderError error // names the header fields that cannot be parsed, which are ignored, except that of Limit (see StatedLimit.Err); nil: none
+	HeaderError error // names those header fields of Backoff and Draining that cannot be parsed and are ignored; nil: none. For the field of Limit see StatedLimit.Err
 }
 
 // RequestDigest is a digest of the content of a request: its method, host, target,
-// client account and body. Requests with the same digest are copies of each other,
-// whatever their IDs and whichever process receives them.
+// client account and body. A RequestGuard treats requests with the same digest as one
+// request, whatever their IDs and whichever process receives them.
 type RequestDigest string
 
 // CallerProtocol translates between the HTTP headers of callers and backend
--- a/errors.go
+++ b/errors.go
@@ -6,7 +6,7 @@
 )
 
 // ConflictError reports that another write came first, or that a request
-// contradicts another one or the current state.
+// contradicts another request or the current state.
 type ConflictError struct {
 	What string // the conflict
 }
@@ -95,7 +95,7 @@
 	return fmt.Sprintf("the changes since revision %s are forgotten; list the records anew", err.Since)
 }
 
-// LeaseEndedError reports that a lease has ended.
+// LeaseEndedError reports that a lease of the key-value service has ended.
 type LeaseEndedError struct{}
 
 // Error returns the message, which ends with what the caller can do.
--- a/instance_test.go
+++ b/instance_test.go
@@ -36,7 +36,8 @@
 // TestEqualExceptSequence changes each field of a record in turn, and the Epoch in
 // Member, and checks that EqualExceptSequence notices every change except that of
 // Sequence. The test finds the fields by reflection, so that it also covers fields that
-// are added later.
+// are added later. It changes a field by setting it to its zero value, except Draining,
+// which already has the zero value in the record.
 func TestEqualExceptSequence(t *testing.T) {
 	record := func() shedkeel.Instance {
 		return shedkeel.Instance{
@@ -60,5 +61,5 @@
 	}
 	other := record()
 	other.Member.Epoch++
-	assert.Assert(t, !known.EqualExceptSequence(&other))
+	assert.Assert(t, !known.EqualExceptSequence(&other), "another Epoch in Member must count as a difference")
 }
--- a/interfaces.go
+++ b/interfaces.go
@@ -12,7 +12,7 @@
 	Value         []byte
 	Revision      Revision // of the key's last change, including its removal; zero: the key does not exist
 	Removed       bool     // in a change: the key was removed at Revision
-	LostInRestore bool     // with Removed: the key is missing because the service was restored from an older backup
+	LostInRestore bool     // with Removed: the key is missing because the key-value service was restored from an older backup
 }
 
 // Condition holds if the key has the revision. With the zero revision, it holds if
@@ -22,8 +22,8 @@
 	Revision Revision
 }
 
-// Put is a value to write. The service removes the key when the lease ends. With
-// the zero lease, the key stays until it is removed.
+// Put is a value to write. The key-value service removes the key when the lease ends.
+// With the zero lease, the key stays until a Transaction removes it.
 type Put struct {
 	Key   string
 	Value []byte
@@ -46,40 +46,41 @@
 type Changes struct {
 	Records  []Record
 	Revision Revision // revision from which to read further changes
-	// More is set if the answer was about as large as an answer of the service can be.
-	// The service may then already have changes later than Revision.
+	// More is set if the answer was about as large as an answer of the key-value service
+	// can be. The key-value service may then already have changes later than Revision.
 	More bool
 }
 
 // RecordSource reads records of the key-value service and follows their changes. Its
-// methods return an UnavailableError if the service does not reply.
+// methods return an UnavailableError if the key-value service does not reply.
 type RecordSource interface {
 	// List returns all records whose keys have the prefix, and the revision from which
 	// to follow changes. Some records may be newer than this revision.
 	List(ctx context.Context, prefix string) ([]Record, Revision, error)
 	// Changes returns the changes after a revision. If there are none, Changes waits
-	// for them up to the given time. It returns a CompactedError if the service no longer
-	// has these changes, for example because the service is in a later era.
+	// for them up to the given time. It returns a CompactedError if the key-value
+	// service no longer has these changes, for example because the key-value service
+	// is in a later era.
 	Changes(ctx context.Context, prefix string, since Revision, wait time.Duration) (Changes, error)
 	// GetStale reads a key. The result may be some seconds old. The call costs the
-	// service a tenth of what Store.Get costs.
+	// key-value service a tenth of what Store.Get costs.
 	GetStale(ctx context.Context, key string) (Record, error)
 }
 
 // LeasedStore writes records that are removed when their lease ends. Leases of
 // an earlier era have ended: for such a lease, Commit and Renew return a
 // LeaseEndedError and Release does nothing. All methods return an UnavailableError
-// if the service was not available and nothing was changed, and an
+// if the key-value service was not available and nothing was changed, and an
 // UnknownOutcomeError if the reply was lost.
 type LeasedStore interface {
 	// Commit applies all changes or none, and returns the new revision. It returns a
 	// ConflictError if a condition does not hold, and a LeaseEndedError if the lease of
 	// a put has ended. A condition with a revision of an earlier era does not hold.
 	Commit(ctx context.Context, change Transaction) (Revision, error)
-	// Grant returns a new lease and the time to live that the service gave it.
+	// Grant returns a new lease and the time to live that the key-value service gave it.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, time.Duration, error)
-	// Renew restarts the lease's time to live when the service receives the call. It
-	// returns a LeaseEndedError if the lease has ended.
+	// Renew restarts the lease's time to live when the key-value service receives the
+	// call. It returns a LeaseEndedError if the lease has ended.
 	Renew(ctx context.Context, lease LeaseID) error
 	// Release ends the lease and removes its records.
 	Release(ctx context.Context, lease LeaseID) error
@@ -124,16 +125,16 @@
 // LeasedStore instead.
 type Store interface {
 	// Get reads a key. It returns a record with the zero revision if the key does not
-	// exist, and an UnavailableError if the service does not reply.
+	// exist, and an UnavailableError if the key-value service does not reply.
 	Get(ctx context.Context, key string) (Record, error)
 	// Swap writes the value if the key still has the revision (zero: does not
 	// exist) and returns the new revision. It returns a ConflictError if the key
-	// has another revision, an UnavailableError if the service was not available and
-	// nothing was written, and an UnknownOutcomeError if the reply was lost.
+	// has another revision, an UnavailableError if the key-value service was not
+	// available and nothing was written, and an UnknownOutcomeError if the reply was lost.
 	Swap(ctx context.Context, key string, revision Revision, value []byte) (Revision, error)
 	// Watch calls seen for the current records with the prefix and for each later
-	// change, until the context ends or the service fails. A removed record has the
-	// zero revision. The error is an UnavailableError.
+	// change, until the context ends or the key-value service fails. A removed record has
+	// the zero revision. The error is an UnavailableError.
 	Watch(ctx context.Context, prefix string, seen func(Record)) error
 }
 
--- a/names.go
+++ b/names.go
@@ -20,8 +20,9 @@
 }
 
 // NewIncarnation returns an incarnation: the ID of a process that starts at the given
-// time. The ID sorts after those of processes that started on the same box at least a
-// millisecond earlier, unless the box's clock was set back in between.
+// time. The ID consists of the time in milliseconds and four random hex digits. It sorts
+// after the IDs of processes that started on the same box at least a millisecond earlier,
+// unless the box's clock was set back in between.
 func NewIncarnation(now time.Time) string {
 	return strconv.FormatInt(now.UnixMilli(), 36) + "-" + NewNonce()[:4]
 }
--- a/revision.go
+++ b/revision.go
@@ -5,9 +5,9 @@
 // Revision is a point in the history of the key-value service. A record with the
 // zero revision does not exist.
 type Revision struct {
-	// Era is the number of times that the service was restored from an older
-	// backup. A restored service assigns the same numbers again, so numbers can
-	// only be compared within an era.
+	// Era is the number of times that the key-value service was restored from an
+	// older backup. A restored key-value service assigns the same numbers again, so
+	// numbers can only be compared within an era.
 	Era    int64
 	Number int64 // increases with each change
 }
@@ -41,7 +41,7 @@
 }
 
 // LeaseID identifies a lease of the key-value service; the zero value is no lease.
-// The service assigns the same lease numbers again in another era.
+// The key-value service assigns the same lease numbers again in another era.
 type LeaseID struct {
 	Era    int64
 	Number int64
--- a/serving.go
+++ b/serving.go
@@ -256,7 +256,7 @@
 	Members []InstanceID // for OrderJoin: all members, the head first
 }
 
-// EngineReport is an engine's report of its load. It lags behind the load by some
+// EngineReport is an engine's report of its load. The report lags behind the load by some
 // hundred milliseconds.
 type EngineReport struct {
 	Queued   int     // queued requests
@@ -265,7 +265,7 @@
 	Born     int64   // time of the engine's start in Unix milliseconds; 0: not reported
 }
 
-// From reports whether the report can be from this instance, rather than from
+// From reports whether the report can be from the instance with the ID, rather than from
 // another instance of the same server. It returns true if the report or the ID does
 // not state the time of the start.
 func (report EngineReport) From(id InstanceID) bool {
--- a/shedkeel.go
+++ b/shedkeel.go
@@ -8,9 +8,10 @@
 // two kinds, control replica groups and serve callers:
 //
 //   - An entry box runs an entry, the proxy for callers, and a keeper, the control
-//     process. Both use Config, Placement and Group; keepers send an Order to a box.
+//     process. Both use Config, Placement and Group; keepers send an Order to a Box. An
+//     entry box is not itself a Box: it runs no engine and is in no replica group.
 //   - A process of the program shedkeel-node does the work of an entry and a keeper. It
-//     uses ServingConfig, Instance and Membership, and sends a GroupOrder to a box.
+//     uses ServingConfig, Instance and Membership, and sends a GroupOrder to a Box.
 package shedkeel
 
 import (
@@ -102,9 +103,9 @@
 	Reserve  *Reserve  `json:"reserve,omitempty"`
 }
 
-// Reserve is a box that was committed in advance as the substitute for one lost
-// member while the key-value service is not available, and the epoch that the
-// group has after the substitution. The box is reserved for this group alone.
+// Reserve is a box that a committed placement names in advance. While the key-value
+// service is not available, the box may replace one lost member of the group. Epoch is
+// the group's epoch after that. The box is reserved for this group alone.
 type Reserve struct {
 	Member Member `json:"member"`
 	Epoch  uint64 `json:"epoch"`
@@ -129,12 +130,12 @@
 }
 
 // Fallback lists the reserves of a committed placement that are in use while the
-// key-value service is not available. Keepers send it to each other and never
-// write it to the service; the next committed placement includes its effect.
+// key-value service is not available. Keepers send the fallback to each other and never
+// write it to the key-value service; the next committed placement includes its effect.
 type Fallback struct {
 	Generation uint64            `json:"generation"` // increases with each change of the fallback and with Base
 	Zone       ZoneID            `json:"zone"`
-	Base       uint64            `json:"base"` // generation of the placement that it applies to
+	Base       uint64            `json:"base"` // generation of the placement that the fallback applies to
 	Lost       map[GroupID]BoxID `json:"lost"` // the member that each group's reserve replaces
 }
 
@@ -169,7 +170,7 @@
 type Placement struct {
 	Generation   uint64  `json:"generation"` // increases by one with each write
 	Zone         ZoneID  `json:"zone"`
-	PlannerEpoch uint64  `json:"planner_epoch"` // epoch of the planner lease under which it was written; increases with each change of the lease's holder
+	PlannerEpoch uint64  `json:"planner_epoch"` // epoch of the planner lease under which the placement was written; increases with each change of the lease's holder
 	Nonce        string  `json:"nonce"`         // random ID of the write; shows whether a write took effect whose reply was lost
 	NextEpoch    uint64  `json:"next_epoch"`    // next unused epoch of a Group or Reserve of the placement; 0 counts as 1
 	Groups       []Group `json:"groups"`
@@ -215,7 +216,7 @@
 
 // BackendServer is a server of a plain service.
 type BackendServer struct {
-	ID      BoxID  `json:"id" toml:"id"`
+	ID      BoxID  `json:"id" toml:"id"` // operators choose it; need not be in the platform's box list
 	Address string `json:"address" toml:"address"`
 	Zone    ZoneID `json:"zone" toml:"zone"`
 }
@@ -239,7 +240,7 @@
 type Account struct {
 	ID       AccountID   `json:"id" toml:"id"`
 	KeyHash  string      `json:"key_sha256" toml:"key_sha256"` // hex SHA-256 of the account's bearer key
-	Services []ServiceID `json:"services" toml:"services"`     // services that it may call; empty: all
+	Services []ServiceID `json:"services" toml:"services"`     // services that the account may call; empty: all
 	Rate     float64     `json:"rate" toml:"rate"`             // requests per second on all entry boxes together; 0: no limit
 	Weight   int         `json:"weight" toml:"weight"`         // relative share under overload; 0 counts as 1
 }
@@ -255,7 +256,7 @@
 type Config struct {
 	Generation uint64    `json:"generation"`  // increases by one with each accepted change
 	Nonce      string    `json:"nonce"`       // random ID of the write; shows whether a write took effect whose reply was lost
-	EntryBoxes int       `json:"entry_boxes"` // maximum number of entry boxes that run at once; each admits its part of an account's rate
+	EntryBoxes int       `json:"entry_boxes"` // maximum number of entry boxes that run at once; each admits an equal part of an account's rate
 	Services   []Service `json:"services"`
 	Accounts   []Account `json:"accounts"`
 	Policy     Policy    `json:"policy"`
@@ -279,7 +280,7 @@
 	Zone        ZoneID `json:"zone"`
 	Wire        string `json:"wire"`      // host:port for other keepers
 	Entry       string `json:"entry"`     // host:port for callers
-	Stopping    bool   `json:"stopping"`  // its entry accepts no new callers
+	Stopping    bool   `json:"stopping"`  // callers must not use its entry: the entry is stopping, or is not in contact with the keeper
 	Heartbeat   uint64 `json:"heartbeat"` // increases with each update; of two records of an incarnation, the newer has the higher value
 	Config      uint64 `json:"config"`    // generation of the configuration that the node applies
 }
