--- a/capacity_test.go
+++ b/capacity_test.go
@@ -26,7 +26,9 @@
 var capacity = flag.Bool("capacity", false, "measure keeper processes in fleets of several sizes")
 
 // keeperFleet is a fleet of keeper processes. The stand-ins of the other parts run in
-// the test process, so that the measured processes are keepers only.
+// the test process, so that the measured processes are keepers only. Keeper N has the
+// address N of the loopback network host, the engines share the addresses from 200 on,
+// and the key-value service and the box list have 250 and 251.
 type keeperFleet struct {
 	host    string // first three bytes of its loopback addresses
 	store   *standin.Store
@@ -36,8 +38,11 @@
 
 const (
 	capacityMembers = 8                // boxes per group
+	rackBoxes       = 36               // boxes per rack, which is a fabric domain
+	spareBoxes      = 4                // boxes that the groups do not need
 	capacityTime    = 15 * time.Second // duration of a measurement
 	clockTicks      = 100              // ticks per second of the times in /proc/PID/stat
+	pageSize        = 4096             // bytes per page of the sizes in /proc/PID/statm
 )
 
 // TestCapacity prints the CPU time, memory, and bytes sent and read of keepers, and
@@ -54,21 +59,24 @@
 	_ = table.Flush()
 }
 
-// measureKeepers starts a fleet, waits until all groups are whole, and adds a line
-// with the mean and worst usage of its keepers to the table. The index gives each
-// fleet its own loopback addresses.
+// measureKeepers starts a fleet, waits until all groups are whole, and adds a line to the
+// table: the mean and worst usage of its keepers, the calls of the fleet to the key-value
+// service, and the fraction of notWholeFraction. The index gives each fleet its own
+// loopback addresses. Their second byte depends on the process, and their third byte is at
+// least 200: the fleets of the scripts (see fleetCount) use the numbers from 1 on.
 func measureKeepers(t *testing.T, table *tabwriter.Writer, index, keepers, groups int) {
 	t.Helper()
 	fleet := &keeperFleet{host: fmt.Sprintf("127.%d.%d", 10+os.Getpid()%200, 200+index), store: standin.NewStore(), dir: t.TempDir()}
 	defer fleet.stop()
 	fleet.serve(t, fleet.host+".250:2379", (&platformstandin.Store{Data: fleet.store}).Handler())
 	var boxes []shedkeel.Box
-	for number := range groups*capacityMembers + 4 {
+	for number := range groups*capacityMembers + spareBoxes {
+		// One loopback address has the engines of 100 boxes, on different ports.
 		address := fmt.Sprintf("%s.%d:%d", fleet.host, 200+number/100, 9000+number%100)
-		model := &standin.Engine{JoinTime: time.Millisecond, LoadTime: time.Millisecond, Slots: 4, BootPrefix: "b"}
-		model.Init()
-		fleet.serve(t, address, model.Handler())
-		boxes = append(boxes, shedkeel.Box{ID: shedkeel.BoxID(fmt.Sprintf("box-%04d", number)), Address: address, Zone: "z1", Domain: shedkeel.DomainID(fmt.Sprintf("rack-%d", number/36)), Accelerators: 1})
+		fakeEngine := &standin.Engine{JoinTime: time.Millisecond, LoadTime: time.Millisecond, Slots: 4, BootPrefix: "b"}
+		fakeEngine.Init()
+		fleet.serve(t, address, fakeEngine.Handler())
+		boxes = append(boxes, shedkeel.Box{ID: shedkeel.BoxID(fmt.Sprintf("box-%04d", number)), Address: address, Zone: "z1", Domain: shedkeel.DomainID(fmt.Sprintf("rack-%d", number/rackBoxes)), Accelerators: 1})
 	}
 	fleet.serve(t, fleet.host+".251:8500", (&standin.BoxList{Boxes: boxes}).Handler())
 	for keeper := 1; keeper <= keepers; keeper++ {
@@ -77,7 +85,7 @@
 	client := &operator.Client{Address: fleet.host + ".1:7400", Key: "operator-key"}
 	fleet.apply(t, client, groups)
 	fleet.awaitWhole(t, client, groups)
-	time.Sleep(3 * time.Second)
+	time.Sleep(3 * time.Second) // the measurement starts 3 s after all groups are whole
 	usageBefore, countsBefore := fleet.usage(t), fleet.store.Counts()
 	notWhole := fleet.notWholeFraction(t, client, groups)
 	usageAfter, countsAfter := fleet.usage(t), fleet.store.Counts()
@@ -165,10 +173,14 @@
 }
 
 // apply applies a configuration with the given number of groups. It retries for about
-// 20 s, since the keepers may still be starting. Groups may span racks: of the 36
-// boxes of a rack 4 are left over, and the groups need all but 4 boxes of the fleet.
+// 20 s, since the keepers may still be starting. A full rack has the boxes for four
+// groups, with 4 boxes left over. The fleet has only spareBoxes more boxes than its
+// groups need, so some groups must consist of boxes of several racks: the policy allows
+// this (cross_domain).
 func (fleet *keeperFleet) apply(t *testing.T, client *operator.Client, groups int) {
 	t.Helper()
+	// EntryBoxes must be positive. It has no effect here: only rates of accounts are divided
+	// by it, and the configuration has no accounts.
 	wanted := shedkeel.Config{EntryBoxes: 9, Services: []shedkeel.Service{{
 		ID: "model", Kind: shedkeel.KindModel, Groups: groups, Members: capacityMembers, Zones: []shedkeel.ZoneID{"z1"}, Capacity: 4, Timeout: shedkeel.Duration(time.Minute),
 	}}}
@@ -199,9 +211,9 @@
 	t.Fatalf("%d of %d groups are whole after about 60 s", whole, groups)
 }
 
-// usage is the CPU time and bytes that a process has used since its start, and the
-// memory that it uses now. The bytes are those of all its write and read calls, not
-// only those on the network.
+// usage is the CPU time that a process has used and the bytes that it has sent and read
+// since its start, and its current resident memory. The bytes are those of all its write
+// and read calls, not only those on the network.
 type usage struct {
 	cpu, memory, sent, read float64 // seconds, megabytes, bytes, bytes
 }
@@ -219,10 +231,10 @@
 			io[name], _ = strconv.ParseFloat(value, 64)
 		}
 		statm := strings.Fields(readFile(t, dir+"statm"))
-		user, _ := strconv.ParseFloat(stat[13], 64)
-		system, _ := strconv.ParseFloat(stat[14], 64)
-		pages, _ := strconv.ParseFloat(statm[1], 64)
-		usages = append(usages, usage{cpu: (user + system) / clockTicks, memory: pages * 4096 / 1e6, sent: io["wchar"], read: io["rchar"]})
+		user, _ := strconv.ParseFloat(stat[13], 64)   // utime
+		system, _ := strconv.ParseFloat(stat[14], 64) // stime
+		pages, _ := strconv.ParseFloat(statm[1], 64)  // resident
+		usages = append(usages, usage{cpu: (user + system) / clockTicks, memory: pages * pageSize / 1e6, sent: io["wchar"], read: io["rchar"]})
 	}
 	return usages
 }
@@ -234,8 +246,15 @@
 	return string(text)
 }
 
-// TestStateSizes prints the size of the placement record of a zone with 86 groups of
-// 8 boxes, and checks that it fits into one value of the key-value service.
+// maxValueBytes is the limit of TestStateSizes for one value of the key-value service.
+// Package keeper limits another record, the configuration, to the same size
+// (maxConfigBytes).
+const maxValueBytes = 1 << 20
+
+// TestStateSizes prints the size of one kind of record, the placement of a zone with 86
+// groups of 8 boxes, and checks that the record is smaller than maxValueBytes. The
+// generation, the epochs, the names and the addresses have many digits, which makes the
+// record larger.
 func TestStateSizes(t *testing.T) {
 	placement := shedkeel.Placement{Generation: 1 << 20, Zone: "zone-1", Nonce: "0123456789abcdef"}
 	for group := range 86 {
@@ -248,5 +267,5 @@
 	text, err := json.Marshal(placement)
 	assert.NilError(t, err)
 	t.Logf("placement of 86 groups of 8: %d bytes", len(text))
-	assert.Assert(t, len(text) < 1<<20, "the placement of a zone must fit into one value of the key-value service")
+	assert.Assert(t, len(text) < maxValueBytes, "the placement of a zone has %d bytes and does not fit into one value of the key-value service", len(text))
 }
--- a/overhead_test.go
+++ b/overhead_test.go
@@ -36,6 +36,9 @@
 
 var overhead = flag.Bool("overhead", false, "measure the overhead of an entry over direct calls")
 
+// overheadCalls is the number of calls of one measurement of TestOverhead.
+const overheadCalls = 20000
+
 // staticKeeper answers an entry's polls like a keeper whose records and verdicts never
 // change.
 type staticKeeper struct {
@@ -54,7 +57,8 @@
 }
 
 // TestOverhead prints the latency and CPU time of calls through an entry and of
-// direct calls to the engine, measured in the same process.
+// direct calls to the engine, and the difference of the latencies. The engine, the entry
+// and the callers run in the process of the test.
 func TestOverhead(t *testing.T) {
 	if !*overhead {
 		t.Skip("run with -overhead; it measures and asserts nothing")
@@ -64,9 +68,9 @@
 	_, _ = fmt.Fprintln(table, "kind\tcallers\tdirect p50\tp99\tthrough p50\tp99\tadded p50\tp99\tCPU direct\tthrough")
 	for _, stream := range []bool{false, true} {
 		for _, callers := range []int{1, 64, 512} {
-			_, _ = measureCalls(t, through, callers, stream, 500) // warm up
-			directLatency, directCPU := measureCalls(t, direct, callers, stream, 20000)
-			throughLatency, throughCPU := measureCalls(t, through, callers, stream, 20000)
+			_, _ = measureCalls(t, through, callers, stream, 500) // warm up; not measured
+			directLatency, directCPU := measureCalls(t, direct, callers, stream, overheadCalls)
+			throughLatency, throughCPU := measureCalls(t, through, callers, stream, overheadCalls)
 			quantile := func(histogram *hdrhistogram.Histogram, percent float64) time.Duration {
 				return time.Duration(histogram.ValueAtQuantile(percent)) * time.Microsecond
 			}
@@ -83,13 +87,15 @@
 // serves.
 func startEngineAndEntry(t *testing.T) (direct, through string) {
 	t.Helper()
-	model := &standin.Engine{Slots: 4096, BootPrefix: "b"}
-	model.Init()
+	// More slots than callers of TestOverhead, so that no request waits for a slot.
+	fakeEngine := &standin.Engine{Slots: 4096, BootPrefix: "b"}
+	fakeEngine.Init()
 	engineListener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	engineServer := &http.Server{Handler: model.Handler(), ReadHeaderTimeout: time.Second}
+	engineServer := &http.Server{Handler: fakeEngine.Handler(), ReadHeaderTimeout: time.Second}
 	go func() { _ = engineServer.Serve(engineListener) }()
 	t.Cleanup(func() { _ = engineServer.Close() })
+	// The engine reports the boot b-1: BootPrefix and the number of its starts.
 	group := shedkeel.Group{ID: "g", Service: "model", Epoch: 1, Members: []shedkeel.Member{{Box: "b", Address: engineListener.Addr().String(), Boot: "b-1"}}}
 	order, err := json.Marshal(shedkeel.Order{Kind: shedkeel.OrderLoad, Service: "model", Assignment: group.Assignment(), PlannerEpoch: 1})
 	assert.NilError(t, err)
@@ -111,20 +117,20 @@
 	settings.Wire.Listen = wireListener.Addr().String()
 	settings.Wire.Key = "k"
 	settings.Entry.DirectoryTTL = 1 // in nanoseconds: a stop does not wait until cached addresses have expired
-	process := &entry.Entry{
+	measuredEntry := &entry.Entry{
 		Settings: settings, Incarnation: "1", Backend: &engine.Transport{}, Timers: &timer.System{},
 		Random: rand.NewPCG(1, 1), NewAttemptID: shedkeel.NewNonce,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { _ = process.Run(ctx, entry.Listeners{Callers: callers, Admin: admin}) })
+	running.Go(func() { _ = measuredEntry.Run(ctx, entry.Listeners{Callers: callers, Admin: admin}) })
 	t.Cleanup(func() {
 		cancel()
 		running.Wait()
 	})
 	through = "http://" + callers.Addr().String()
 	for range 200 {
-		if callModel(ctx, through, "warm", false) == http.StatusOK {
+		if callModel(ctx, through, "warm", false) == http.StatusOK { // not streamed
 			return "http://" + engineListener.Addr().String(), through
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -133,7 +139,8 @@
 	return "", ""
 }
 
-// staticRecords returns the configuration and the placement for one group.
+// staticRecords returns a configuration with the account of testerKey and the service
+// model, and a placement with the group.
 func staticRecords(t *testing.T, group shedkeel.Group) []*wire.Record {
 	t.Helper()
 	sum := sha256.Sum256([]byte(testerKey))
@@ -148,15 +155,15 @@
 	return []*wire.Record{{Key: member.KeyConfig, Version: 1, Value: configuration}, {Key: member.KeyPlacements + "z", Version: 1, Value: placement}}
 }
 
-// measureCalls makes the given number of calls from concurrent callers. It returns the
-// latencies to the first byte of the body, in microseconds, and the CPU time of the
-// whole process per call.
+// measureCalls makes about the given number of calls: each concurrent caller makes an
+// equal number, rounded down, and at least one. It returns the latencies to the first byte
+// of the body, in microseconds, and the CPU time of the whole process per call.
 func measureCalls(t *testing.T, url string, callers int, stream bool, calls int) (*hdrhistogram.Histogram, time.Duration) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
 	defer client.CloseIdleConnections()
 	body := fmt.Sprintf(`{"model":"model","prompt":"p","stream":%t}`, stream)
-	latencies := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
+	latencies := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3) // 1 µs to 1 min, with 3 significant digits
 	var mutex sync.Mutex
 	var running sync.WaitGroup
 	before := cpuTime()
