--- a/mutants_test.go
+++ b/mutants_test.go
@@ -340,7 +340,8 @@
 }
 
 // TestMutants applies each mutant in turn to a copy of the project and checks that
-// its test fails. A test that still passes does not cover the mechanism.
+// its test fails and that the mutant builds. A test that still passes does not cover the
+// mechanism.
 func TestMutants(t *testing.T) {
 	listed, err := exec.Command("git", "ls-files").Output()
 	assert.NilError(t, err)
--- a/scenario_load_test.go
+++ b/scenario_load_test.go
@@ -15,7 +15,8 @@
 )
 
 // load sends model calls, alternately streamed and not, through entry boxes until
-// it is ended. It checks each answer and counts the outcomes.
+// stopCallers is called. It counts the outcomes, and checks each answer with the outcome
+// answered.
 type load struct {
 	fleet   *fleet
 	stop    chan struct{}  // closed to end the load
@@ -26,13 +27,14 @@
 	answered int
 	notRun   int
 	unknown  int
-	cut      int      // calls whose connection failed or broke, or whose outcome is none of these
+	cut      int      // calls whose connection failed or broke, or whose outcome is neither answered, not-run nor unknown
 	cutTexts []string // for each cut call, the last 200 bytes of the error or of the answer
-	wrong    []string // answers that are incomplete or belong to another request
+	wrong    []string // prompts and answers of calls with the outcome answered whose answer is incomplete or has the prompt of another request
 }
 
-// cmdLoad starts a load: load CALLERS URL... The callers get the list of entry boxes
-// from the first URL that answers, and get a new list when the list has expired.
+// cmdLoad starts a load and does not wait for its end: load CALLERS URL... The callers get
+// the list of entry boxes from the first URL that answers, and get a new list when the
+// list has expired.
 func cmdLoad(script *testscript.TestScript, _ bool, args []string) {
 	fleet := fleetOf(script)
 	callers, err := strconv.Atoi(args[0])
@@ -58,6 +60,7 @@
 	addresses := urls
 	until := time.Time{}
 	client := &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{}}
+	// Callers start at different boxes of the list, since the caller's number is the first try.
 	for try := caller; ; try++ {
 		select {
 		case <-load.stop:
@@ -76,8 +79,9 @@
 	}
 }
 
-// fetchEntries returns the URLs of the entry boxes and how long they may be used. It
-// asks the given URLs in turn until one answers, and returns no URLs if none does.
+// fetchEntries returns the URLs of the entry boxes and how long the caller may use them.
+// It asks the given URLs in turn until one answers with a list that is not empty, and
+// returns no URLs if none does.
 func fetchEntries(client *http.Client, urls []string) ([]string, time.Duration) {
 	for _, url := range urls {
 		response, err := client.Get(url + "/v1/entries")
@@ -104,7 +108,8 @@
 	return nil, 0
 }
 
-// callOnce makes one call and records its outcome.
+// callOnce makes one call and records its outcome. If the call did not run, callOnce then
+// waits 50 ms.
 func (load *load) callOnce(client *http.Client, url string, stream bool) {
 	prompt := fmt.Sprintf("load-%d", load.calls.Add(1))
 	body := fmt.Sprintf(`{"model":"model","prompt":%q,"stream":%t,"max_tokens":20}`, prompt, stream)
@@ -133,7 +138,7 @@
 // record counts an outcome. A complete answer contains the prompt and the last of its
 // 20 words, and a stream has 21 events, of which the last is the end marker. An answer
 // repeats its prompt twice, as text and as message content, so a third prompt in it
-// belongs to another request.
+// belongs to another request. text is the answer, or the error if the call failed.
 func (load *load) record(outcome, prompt, text string) {
 	load.mutex.Lock()
 	defer load.mutex.Unlock()
@@ -158,7 +163,8 @@
 }
 
 // cmdLoaded ends the load and checks the counts of its outcomes: loaded MIN-ANSWERED
-// MAX-CUT MAX-UNKNOWN. No answer may be incomplete or belong to another request.
+// MAX-CUT MAX-UNKNOWN. The number of calls that did not run is not limited. No answer may
+// be incomplete or belong to another request.
 func cmdLoaded(script *testscript.TestScript, _ bool, args []string) {
 	fleet := fleetOf(script)
 	fleet.load.stopCallers()
@@ -183,9 +189,9 @@
 
 // cmdCharges sends charges, which must run at most once: charges COUNT PREFIX URL...
 // It sends each charge concurrently through all the given entry boxes, under the same
-// idempotency key. Then it checks with the counts of the plain services that no charge
+// idempotency key. Then it checks with the counts of plain-1 and plain-2 that no charge
 // ran twice, that a charge did not run if all its outcomes are not-run, and that it ran
-// if one of them is answered.
+// once if one of its outcomes is answered.
 func cmdCharges(script *testscript.TestScript, _ bool, args []string) {
 	fleet := fleetOf(script)
 	count, err := strconv.Atoi(args[0])
@@ -226,7 +232,8 @@
 	script.Logf("%d charges over %d entry boxes: %v", count, len(args)-2, tally)
 }
 
-// cmdCharging starts to send charges like cmdCharges, and does not wait for them.
+// cmdCharging starts to send charges like cmdCharges, and does not wait for them:
+// charging COUNT PREFIX URL... It does not check their outcomes.
 func cmdCharging(script *testscript.TestScript, _ bool, args []string) {
 	count, err := strconv.Atoi(args[0])
 	script.Check(err)
@@ -247,7 +254,8 @@
 }
 
 // runLongCall makes the call of cmdLongCall. It sends the result to fleet.longCall: the
-// status, the read error and whether the stream ended with its end marker.
+// status, the read error and whether the stream ended with its end marker, or the error
+// if no response arrived.
 func (fleet *fleet) runLongCall(url, tokens string) {
 	body := fmt.Sprintf(`{"model":"model","prompt":"long","stream":true,"max_tokens":%s}`, tokens)
 	request, err := http.NewRequest(http.MethodPost, url+"/v1/completions", strings.NewReader(body))
@@ -266,11 +274,12 @@
 	fleet.longCall <- fmt.Sprintf("%d %v %t", response.StatusCode, err, strings.HasSuffix(string(text), "data: [DONE]\n\n"))
 }
 
-// cmdLongCalled waits for the call of cmdLongCall and checks that its answer was
-// complete.
+// cmdLongCalled waits up to 20 s for the call of cmdLongCall and checks that its answer
+// was complete.
 func cmdLongCalled(script *testscript.TestScript, _ bool, _ []string) {
 	select {
 	case ended := <-fleetOf(script).longCall:
+		// Status 200, no read error, and the stream has its end marker.
 		if ended != "200 <nil> true" {
 			script.Fatalf("the long call ended with %s", ended)
 		}
@@ -282,8 +291,9 @@
 // cmdCharged waits until the charges of cmdCharging have ended.
 func cmdCharged(script *testscript.TestScript, _ bool, _ []string) { fleetOf(script).charging.Wait() }
 
-// charge sends a charge under the idempotency key name and returns its outcome: cut
-// if the call failed, bad if the request cannot be made.
+// charge sends a charge to a once path of the plain service, with name as the body and the
+// idempotency key. It returns the outcome that the answer states, cut if no response
+// arrived, or bad if the request cannot be made.
 func charge(url, name string) string {
 	client := &http.Client{Timeout: 15 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	request, err := http.NewRequest(http.MethodPost, url+"/services/permits/fees", strings.NewReader(name))
--- a/scenario_test.go
+++ b/scenario_test.go
@@ -40,11 +40,12 @@
 }
 
 // fleetSlots limits the number of fleets that run at the same time, so that the
-// load on the machine does not cause failures that the script did not inject.
+// load on the machine does not cause failures that the script did not inject. A running
+// fleet holds one slot.
 var fleetSlots = make(chan struct{}, 3)
 
-// TestScenarios runs the scripts of testdata/script. Each runs against its own fleet
-// of processes, with its own loopback addresses.
+// TestScenarios runs the scripts of testdata/script. Each script starts its own fleet of
+// processes, with its own loopback addresses (see cmdFleet).
 func TestScenarios(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:                 "testdata/script",
@@ -71,21 +72,21 @@
 	host      string // first three bytes of its loopback addresses
 	processes map[string]*process
 	addresses map[string]string // of stand-ins that serve HTTP, by name
-	relays    map[string]*relay
-	load      *load
-	mark      time.Time      // set by the command within
-	charging  sync.WaitGroup // charges of cmdCharging
-	longCall  chan string    // result of the call of cmdLongCall
+	relays    map[string]*relay // by name
+	load      *load             // of the last cmdLoad; nil: none
+	mark      time.Time         // when the script last ran the command within mark
+	charging  sync.WaitGroup    // charges of cmdCharging
+	longCall  chan string       // result of the call of cmdLongCall
 }
 
-// process is a running program of the fleet.
+// process is a program of the fleet, which may have exited.
 type process struct {
 	command *exec.Cmd
 	args    []string      // the program and its arguments, to start it again
 	exited  chan struct{} // closed when the process has exited
 }
 
-// relay is a TCP relay whose connections can be made to hang.
+// relay is a TCP relay whose connections cmdCut can make hang.
 type relay struct {
 	link     *standin.Relay
 	listener net.Listener
@@ -99,7 +100,10 @@
 func fleetOf(script *testscript.TestScript) *fleet { return script.Value(fleetKey{}).(*fleet) }
 
 // address returns the address for a port of the host with the number in the fleet's
-// loopback network.
+// loopback network. Node N is host N, and the relays to its keeper and from it to the
+// key-value service are host 100+N. The key-value service is host 10, the box list 11,
+// plain server N host 11+N, and the engine of box N host 20+N. settings and startBackends
+// have the ports.
 func (fleet *fleet) address(node, port int) string {
 	return fmt.Sprintf("%s.%d:%d", fleet.host, node, port)
 }
@@ -108,7 +112,7 @@
 type fleetOptions struct {
 	nodes, boxes, groups, members, domains int
 	unfenced                               bool
-	token, lag, run                        string // durations: per token, lag of an engine's report, run time of a plain call
+	token, lag, run                        string // durations: an engine's time per token, minimum interval between updates of its reported load, run time of a plain call
 	timeout                                string // of requests of the model service
 	policy                                 string // name of a file in policies, without .star
 }
@@ -138,7 +142,9 @@
 }
 
 // cmdFleet starts the stand-ins, keepers and entries, and writes the configuration
-// document fleet.toml, which cmdReady applies: fleet [NAME=VALUE...] [unfenced]
+// document fleet.toml, which cmdReady applies: fleet [NAME=VALUE...] [unfenced]. It sets
+// ENTRYn, KEEPERn and ADMINn to the addresses of node n, and has the operator's program
+// use the keeper of node 1.
 func cmdFleet(script *testscript.TestScript, _ bool, args []string) {
 	fleet := fleetOf(script)
 	options := parseFleetOptions(script, args)
@@ -146,7 +152,7 @@
 	script.Defer(func() { <-fleetSlots })
 	script.Defer(fleet.stop)
 	number := fleetCount.Add(1)
-	fleet.host = fmt.Sprintf("127.%d.%d", 10+os.Getpid()%200, number)
+	fleet.host = fmt.Sprintf("127.%d.%d", 10+os.Getpid()%200, number) // the second byte differs between most test processes
 	fleet.begin(script, "store", "shedkeel-standin", "store", "--listen", fleet.address(10, 2379))
 	fleet.addresses["store"] = fleet.address(10, 2379)
 	fleet.startBackends(script, options)
@@ -271,8 +277,8 @@
 	testerHash = "15a90d3572ea9b973fbc4d4b0f54935cf23b94c3552b4413b8dbd0b8e83e608f"
 )
 
-// relay starts a relay from the address listen to the address to. cmdCut can make its
-// connections hang.
+// relay starts a relay from the address listen to the address to. cmdCut can make the
+// relay's connections hang.
 func (fleet *fleet) relay(script *testscript.TestScript, name, listen, to string) {
 	listener, err := net.Listen("tcp", listen)
 	script.Check(err)
@@ -281,8 +287,9 @@
 	go opened.link.Run(listener)
 }
 
-// begin starts a process whose output is appended to the file NAME.log of the script. It
-// looks up the program, args[0], in the PATH of the script.
+// begin starts a process and appends its output to the file NAME.log of the script. It
+// looks up the program, args[0], in the PATH of the script. The process is killed if the
+// test process exits without stopping the fleet.
 func (fleet *fleet) begin(script *testscript.TestScript, name string, args ...string) {
 	path := ""
 	for _, dir := range filepath.SplitList(script.Getenv("PATH")) {
@@ -336,7 +343,8 @@
 	}
 }
 
-// cmdEnded waits until a process has exited: ended DURATION NAME.
+// cmdEnded waits until a process has exited, and fails the script if it does not within
+// the duration: ended DURATION NAME.
 func cmdEnded(script *testscript.TestScript, _ bool, args []string) {
 	longest, err := time.ParseDuration(args[0])
 	script.Check(err)
@@ -347,14 +355,15 @@
 	}
 }
 
-// cmdFault sets the faults that stand-ins inject: fault JSON NAME...
+// cmdFault sets the faults that stand-ins inject, in place of all earlier ones: fault JSON
+// NAME... The JSON is an object with fields of standin.Faults.
 func cmdFault(script *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args[1:] {
 		fleetOf(script).post(script, name, "/fault", args[0])
 	}
 }
 
-// cmdPost sends a POST request to a stand-in: post NAME PATH [BODY].
+// cmdPost sends a POST request to a stand-in, which must answer 200: post NAME PATH [BODY].
 func cmdPost(script *testscript.TestScript, _ bool, args []string) {
 	body := ""
 	if len(args) > 2 {
@@ -373,8 +382,9 @@
 	}
 }
 
-// cmdCut returns a command that makes relays hang, or forward again: cut NAME...,
-// join NAME...
+// cmdCut returns the command cut NAME... if hang is true, and join NAME... otherwise. cut
+// makes the connections of relays hang, and join lets them forward again, with the data
+// held meanwhile.
 func cmdCut(hang bool) func(*testscript.TestScript, bool, []string) {
 	return func(script *testscript.TestScript, _ bool, args []string) {
 		for _, name := range args {
@@ -391,8 +401,8 @@
 	time.Sleep(duration)
 }
 
-// cmdAwait waits until a condition holds: await DURATION CONDITION... See holds for
-// the conditions.
+// cmdAwait waits until a condition holds, and fails the script if it does not within the
+// duration: await DURATION CONDITION... See holds for the conditions.
 func cmdAwait(script *testscript.TestScript, _ bool, args []string) {
 	fleet := fleetOf(script)
 	longest, err := time.ParseDuration(args[0])
@@ -411,8 +421,8 @@
 	}
 }
 
-// cmdNever checks that a condition does not hold at any time during the duration:
-// never DURATION CONDITION...
+// cmdNever checks about every 50 ms during the duration that a condition does not hold:
+// never DURATION CONDITION... See holds for the conditions.
 func cmdNever(script *testscript.TestScript, _ bool, args []string) {
 	duration, err := time.ParseDuration(args[0])
 	script.Check(err)
@@ -423,9 +433,10 @@
 	}
 }
 
-// cmdReady applies fleet.toml and waits until all entries serve and all groups are
-// whole: ready
+// cmdReady applies fleet.toml, waits until all entries serve, and then until all groups
+// that the keeper of node 1 reports are whole: ready
 func cmdReady(script *testscript.TestScript, _ bool, _ []string) {
+	// The keeper of node 1 answers, and applies no configuration yet.
 	cmdAwait(script, false, []string{"20s", "generation", "1", "0"})
 	script.Check(script.Exec("shedkeel", "apply", "fleet.toml"))
 	for node := 1; script.Getenv(fmt.Sprintf("ENTRY%d", node)) != ""; node++ {
@@ -436,8 +447,9 @@
 	cmdAwait(script, false, []string{"30s", "whole", "1", strconv.Itoa(len(status.Keeper.Groups))})
 }
 
-// cmdPlanner sets PLANNER to the number of the node that holds the planner lease,
-// OTHER to that of a node that does not, and SHEDKEEL_KEEPER to OTHER's keeper.
+// cmdPlanner sets PLANNER to the number of the node that holds the planner lease, OTHER to
+// the number of a node that does not, and SHEDKEEL_KEEPER to OTHER's keeper. If no node
+// holds the lease, PLANNER is empty.
 func cmdPlanner(script *testscript.TestScript, _ bool, _ []string) {
 	holder := fleetOf(script).holder(context.Background())
 	number := strings.TrimPrefix(holder, "node-")
@@ -450,7 +462,7 @@
 	script.Setenv("SHEDKEEL_KEEPER", script.Getenv("KEEPER"+other))
 }
 
-// cmdQuiet checks that stand-ins run no new requests during the duration: quiet
+// cmdQuiet checks that no requests start to run on stand-ins during the duration: quiet
 // DURATION NAME...
 func cmdQuiet(script *testscript.TestScript, _ bool, args []string) {
 	duration, err := time.ParseDuration(args[0])
@@ -472,8 +484,8 @@
 }
 
 // cmdMonotone checks in the logs of all processes that the generation of the
-// configuration in force (event 301) only increases between two starts of a process
-// (event 100).
+// configuration in force only increases between two starts of a process. The events are
+// 100 (Started of package event) and 301 (ConfigInForce).
 func cmdMonotone(script *testscript.TestScript, _ bool, _ []string) {
 	for name := range fleetOf(script).processes {
 		text, err := os.ReadFile(script.MkAbs(name + ".log"))
@@ -520,12 +532,12 @@
 // messages. The conditions are:
 //
 //	whole NODE COUNT       the node's keeper reports that many groups as whole
-//	without NODE BOX       no group that the keeper reports has the box as a member
-//	generation NODE COUNT  the keeper applies the configuration of that generation
-//	status URL CODE        a model call to the URL returns that status code
+//	without NODE BOX       the node's keeper reports at least one group, none with the box as a member
+//	generation NODE NUMBER the node's keeper applies the configuration of that generation
+//	status URL CODE        a model call to the URL returns that status code, 0 if it fails
 //	listens NAME           the stand-in accepts connections
-//	reserved NODE COUNT    the keeper reports that many groups with a reserve
-//	obeyed NODE            the engine of each member reports the assignment of its group
+//	reserved NODE COUNT    the node's keeper reports that many groups with a reserve
+//	obeyed NODE            the node's keeper reports at least one group, and the engine of each member reports the assignment of its group
 //	planner NODE           the node holds the planner lease of zone z1
 //	notplanner NODE        another node holds the planner lease of zone z1
 func (fleet *fleet) holds(condition []string) (string, bool) {
@@ -533,7 +545,7 @@
 	defer cancel()
 	switch condition[0] {
 	case "status":
-		code := callModel(ctx, condition[1], "probe", false)
+		code := callModel(ctx, condition[1], "probe", false) // not streamed
 		return strconv.Itoa(code), strconv.Itoa(code) == condition[2]
 	case "listens":
 		connection, err := (&net.Dialer{}).DialContext(ctx, "tcp", fleet.addresses[condition[1]])
@@ -591,7 +603,7 @@
 	return "unknown condition", false
 }
 
-// countWhole returns the number of groups that are whole.
+// countWhole returns the number of groups that a keeper reports as whole.
 func countWhole(status keeper.Status) int {
 	count := 0
 	for _, group := range status.Groups {
@@ -602,8 +614,8 @@
 	return count
 }
 
-// holder returns the holder of the planner lease of zone z1, or "" if there is none.
-// It reads the lease from the key-value service.
+// holder returns the node that holds the planner lease of zone z1. It reads the lease from
+// the key-value service, and returns "" if there is no lease or the read fails.
 func (fleet *fleet) holder(ctx context.Context) string {
 	store := &platform.Store{Address: fleet.addresses["store"], Timeout: time.Second}
 	record, err := store.Get(ctx, "shedkeel/lease/z1")
@@ -620,7 +632,7 @@
 }
 
 // callModel makes a model call and returns the status code, or 0 if the call failed or
-// the answer was incomplete.
+// the connection broke during the answer.
 func callModel(ctx context.Context, url, prompt string, stream bool) int {
 	body := fmt.Sprintf(`{"model":"model","prompt":%q,"stream":%t}`, prompt, stream)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/completions", strings.NewReader(body))
@@ -641,9 +653,10 @@
 
 // cmdCall makes a call and checks its status and outcome: call STATUS OUTCOME METHOD
 // URL [BODY [KEY]]. KEY is the idempotency key. An answer whose connection breaks has
-// the outcome cut. The body goes to the file answer, the request's ID to REQUEST.
+// the outcome cut. An answer with the outcome not-run must have a Retry-After header. The
+// body goes to the file answer, the request's ID to REQUEST.
 func cmdCall(script *testscript.TestScript, _ bool, args []string) {
-	args = append(args, "", "")
+	args = append(args, "", "") // BODY and KEY may be left out
 	request, err := http.NewRequest(args[2], args[3], strings.NewReader(args[4]))
 	script.Check(err)
 	request.Header.Set("Authorization", "Bearer "+testerKey)
@@ -672,7 +685,7 @@
 }
 
 // cmdRuns checks how often a request ran on stand-ins in total: runs COUNT REQUEST
-// NAME...
+// NAME... See fleet.runs for what REQUEST is.
 func cmdRuns(script *testscript.TestScript, _ bool, args []string) {
 	want, err := strconv.Atoi(args[0])
 	script.Check(err)
@@ -686,7 +699,7 @@
 }
 
 // runs returns how often each request ran on a stand-in, by prompt for an engine and by
-// body (by path if there is none) for a plain service.
+// body (by path if the body is empty) for a plain service.
 func (fleet *fleet) runs(script *testscript.TestScript, name string) map[string]int {
 	response, err := http.Get("http://" + fleet.addresses[name] + "/runs")
 	script.Check(err)
