--- a/policy/policy.go
+++ b/policy/policy.go
@@ -30,7 +30,7 @@
 	maxPatience = time.Hour
 )
 
-// Facts is the input of plan. Except for GroupSize it describes an availability zone.
+// Facts is the input of plan. All fields except GroupSize describe an availability zone.
 // Keepers do not measure the two times: they pass those of SampleFacts.
 type Facts struct {
 	Zone           shedkeel.ZoneID
@@ -56,15 +56,17 @@
 // go.starlark.net disables by default.
 var fileOptions = &syntax.FileOptions{Set: true}
 
-// Check returns an InvalidError if the policy does not compile or returns no valid table for
-// SampleFacts. The error has the line and column if the fault has a position.
+// Check runs a policy with SampleFacts and returns the InvalidError of Run, or nil. The
+// error has the line and column if the fault has a position in the program.
 func Check(policy shedkeel.Policy) error {
 	_, err := Run(policy, SampleFacts())
 	return err
 }
 
 // Run runs a policy and returns the table that its plan function returns, or DefaultTable
-// if the program is empty. Its error is an InvalidError.
+// if the program is empty. It returns an InvalidError if the program is longer than MaxSize,
+// does not compile, has no function plan, fails or exceeds MaxSteps, or if plan does not
+// return a table.
 func Run(policy shedkeel.Policy, facts Facts) (shedkeel.PlannerParameters, error) {
 	if policy.Program == "" {
 		return DefaultTable(), nil
@@ -117,8 +119,9 @@
 // builder implements the built-in function table(...).
 type builder struct{}
 
-// table builds a table from the arguments of table(...) and validates it. The arguments that
-// are left out have the values of DefaultTable.
+// table builds a table from the arguments of table(...), and returns an error if an argument
+// is unknown, has the wrong type or is out of range. The arguments that are left out have
+// the values of DefaultTable.
 func (*builder) table(_ *starlark.Thread, function *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	table := DefaultTable()
 	patience := starlark.Value(starlark.Float(table.ReplaceAfter.Seconds()))
@@ -183,7 +186,7 @@
 }
 
 // errorPosition returns the position of the innermost call frame that lies in the program, or
-// the policy's name if there is none.
+// the policy's name if there is no such frame.
 func errorPosition(policy shedkeel.Policy, err *starlark.EvalError) string {
 	for index := range err.CallStack {
 		frame := err.CallStack.At(index)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -12,13 +12,13 @@
 	"shedkeel.org/shedkeel"
 )
 
-// run runs a program with the sample facts.
+// run runs a program with SampleFacts.
 func run(program string) (shedkeel.PlannerParameters, error) {
 	return Run(shedkeel.Policy{Name: "p.star", Program: program}, SampleFacts())
 }
 
-// TestRefusals checks that invalid programs are refused with an InvalidError that names the
-// position or cause; want is a part of the error's text.
+// TestRefusals checks that Run refuses invalid programs with an InvalidError that names the
+// position (p.star:LINE:COLUMN) or the cause; want is a part of the error's text.
 func TestRefusals(t *testing.T) {
 	cases := map[string]struct{ program, want string }{
 		"syntax":                 {"def plan(facts)\n  return 1", "p.star:2:1: got newline, want ':'"},
@@ -42,15 +42,15 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := run(test.program)
 			var invalid *shedkeel.InvalidError
-			assert.Assert(t, errors.As(err, &invalid), "%v", err)
+			assert.Assert(t, errors.As(err, &invalid), "the error is not an InvalidError: %v", err)
 			assert.ErrorContains(t, err, test.want)
 		})
 	}
 }
 
-// TestShippedPoliciesDiffer checks that the two policies in the folder policies are valid,
-// that karadere keeps more spares than nafha, and that only nafha allows groups across
-// domains.
+// TestShippedPoliciesDiffer checks that the two policies in the folder policies are valid
+// and that, with SampleFacts, karadere keeps more spares than nafha, and only nafha allows
+// groups across domains.
 func TestShippedPoliciesDiffer(t *testing.T) {
 	tables := map[string]shedkeel.PlannerParameters{}
 	for _, name := range []string{"karadere", "nafha"} {
@@ -59,8 +59,8 @@
 		tables[name], err = run(string(program))
 		assert.NilError(t, err)
 	}
-	assert.Assert(t, tables["karadere"].Spares > tables["nafha"].Spares)
-	assert.Assert(t, tables["nafha"].CrossDomain && !tables["karadere"].CrossDomain)
+	assert.Assert(t, tables["karadere"].Spares > tables["nafha"].Spares, "karadere keeps %d spares, nafha %d", tables["karadere"].Spares, tables["nafha"].Spares)
+	assert.Assert(t, tables["nafha"].CrossDomain && !tables["karadere"].CrossDomain, "only nafha must allow groups across domains")
 }
 
 // TestEmptyPolicyIsTheDefault checks that a policy without a program gives DefaultTable,
@@ -79,6 +79,6 @@
 	f.Fuzz(func(t *testing.T, program string) {
 		_, err := run(program)
 		var invalid *shedkeel.InvalidError
-		assert.Assert(t, err == nil || errors.As(err, &invalid))
+		assert.Assert(t, err == nil || errors.As(err, &invalid), "the error is not an InvalidError: %v", err)
 	})
 }
