--- a/admit/admit.go
+++ b/admit/admit.go
@@ -32,7 +32,7 @@
 // Limiter enforces the rate limits of client accounts on one entry box with token
 // buckets. Each entry box enforces the rate divided by the configured number of entry
 // boxes, so that all entry boxes together stay within the rate even if they cannot
-// communicate. The zero value admits everything.
+// communicate. The zero value admits every request.
 type Limiter struct {
 	mutex   sync.Mutex
 	buckets map[shedkeel.AccountID]*bucket
@@ -45,10 +45,10 @@
 	updated time.Duration // when tokens was last computed
 }
 
-// Configure sets the accounts and the number of entry boxes. The rate of an account
-// applies to all entry boxes together; a rate of 0 or less is no limit. An account
-// that already had a rate limit keeps its tokens; the bucket of any other one starts
-// full.
+// Configure sets the accounts and the number of entry boxes, which counts as 1 if it
+// is lower. The rate of an account applies to all entry boxes together; a rate of 0 or
+// less is no limit. An account that already had a rate limit keeps its tokens; the
+// bucket of any other account starts full.
 func (limiter *Limiter) Configure(accounts []shedkeel.Account, boxes int, now time.Duration) {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
@@ -101,8 +101,8 @@
 }
 
 // Gate refuses requests that are not expected to begin before their deadline, and
-// limits accounts to their fair shares while a service is busy. The zero value is
-// ready to use.
+// limits accounts to their fair shares while a service is busy (see busyFraction). The
+// zero value is ready to use.
 type Gate struct {
 	mutex    sync.Mutex
 	services map[shedkeel.ServiceID]*usage
@@ -128,9 +128,9 @@
 
 // Enter admits a request, or returns a NotRunError with the time after which to retry
 // (from minRetryAfter to maxRetryAfter). It refuses a request whose estimated wait
-// exceeds the request's deadline. While the service is busy (see busyFraction), it also
-// refuses requests of accounts that have their fair share in flight. The caller must call
-// Leave for each admitted request.
+// exceeds the request's deadline. While the service is busy (see busyFraction), Enter
+// also refuses requests of accounts that have their fair share in flight. The caller must
+// call Leave for each admitted request.
 func (gate *Gate) Enter(request Request) error {
 	gate.mutex.Lock()
 	defer gate.mutex.Unlock()
@@ -221,7 +221,7 @@
 
 // RetryBudget limits retries to the fraction retryRatio of first attempts, so that
 // retries do not multiply the load on a failing zone. The zero value is a full budget:
-// it allows initialRetries retries before the first attempt is recorded.
+// it allows initialRetries retries before any first attempt is recorded.
 type RetryBudget struct {
 	mutex   sync.Mutex
 	charged float64 // retries made, less what first attempts have restored; at least 0, at most initialRetries
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -57,13 +57,14 @@
 		assert.NilError(t, limiter.Take("unlimited", 0))
 	}
 	limiter.Configure([]shedkeel.Account{{ID: "slow", Rate: 0.2}}, 1, 6*time.Second)
+	// 1 s after the last token was taken, the bucket has 0.2 tokens.
 	assert.Assert(t, limiter.Take("slow", 6*time.Second) != nil, "a new configuration must not refill a bucket")
 }
 
 // enter offers a request with a deadline of 1 s to a gate, for a service whose
 // targets together run 40 requests concurrently. load is the number of requests at
-// the chosen target, which can run 10 concurrently. The account heavy has weight 3
-// and all others weight 1.
+// the chosen target, which can run 10 concurrently: with a load of 10 or more the
+// service counts as busy. The account heavy has weight 3 and all others weight 1.
 func enter(gate *Gate, account shedkeel.AccountID, load int) error {
 	weights := map[shedkeel.AccountID]int{"heavy": 3}
 	return gate.Enter(Request{
@@ -74,8 +75,9 @@
 
 // TestFlood sends far more requests of one account than a busy service can run, and
 // checks that the other accounts get their weighted shares. The weights 1 (light),
-// 3 (heavy) and 1 (flood) divide 40 slots into 8, 24 and 8. Each bound allows one
-// request more or less for each account with weight 1, and three for heavy.
+// 3 (heavy) and 1 (flood) divide 40 slots into 8, 24 and 8. The test allows flood one
+// request more than its share and light one less, and requires for heavy at least
+// three times the requests of light, less 3.
 func TestFlood(t *testing.T) {
 	gate := &Gate{}
 	running := map[shedkeel.AccountID]int{}
@@ -94,7 +96,8 @@
 	assert.Assert(t, running["flood"] <= 40/5+1, "the account flood has %d requests in flight", running["flood"])
 	assert.Assert(t, running["light"] >= 7, "the account light has %d requests in flight", running["light"])
 	assert.Assert(t, running["heavy"] >= 3*running["light"]-3, "the account heavy has %d requests in flight, the account light %d", running["heavy"], running["light"])
-	// After its requests have ended, the account is admitted again.
+	// After the requests of flood have ended, the account is admitted again. They end
+	// without a run time (0), as requests do that do not complete.
 	for range running["flood"] {
 		gate.Leave("s", "flood", 0)
 	}
@@ -105,6 +108,7 @@
 // service while no other account uses it.
 func TestOnlyAccountMayUseWholeService(t *testing.T) {
 	gate := &Gate{}
+	// Five times the service's capacity of 40, at a target that is full.
 	for range 200 {
 		assert.NilError(t, enter(gate, "alone", 10))
 	}
@@ -133,18 +137,19 @@
 			err := enter(gate, "a", test.load)
 			if test.retryAfter == 0 {
 				assert.NilError(t, err)
-				gate.Leave("s", "a", 0)
+				gate.Leave("s", "a", 0) // 0: does not change the mean run time
 				return
 			}
 			var notRun *shedkeel.NotRunError
-			assert.Assert(t, errors.As(err, &notRun), "%v", err)
+			assert.Assert(t, errors.As(err, &notRun), "the error is not a NotRunError: %v", err)
 			assert.Equal(t, notRun.RetryAfter, test.retryAfter)
 		})
 	}
 }
 
 // TestBudget checks that, if every attempt fails and each request asks for two
-// retries, the retries stay within the budget and use at least 90% of it.
+// retries, the retries stay within the budget and are at least 90% of the fraction
+// retryRatio of first attempts.
 func TestBudget(t *testing.T) {
 	budget := &RetryBudget{}
 	retries := 0
@@ -157,6 +162,6 @@
 			}
 		}
 	}
-	assert.Assert(t, retries <= firstAttempts*retryRatio+initialRetries, "%d retries", retries)
-	assert.Assert(t, retries >= firstAttempts*retryRatio*9/10, "%d retries", retries)
+	assert.Assert(t, retries <= firstAttempts*retryRatio+initialRetries, "%d retries, more than the budget allows", retries)
+	assert.Assert(t, retries >= firstAttempts*retryRatio*9/10, "%d retries, less than 90%% of what the first attempts restore", retries)
 }
