--- a/event/event.go
+++ b/event/event.go
@@ -1,5 +1,5 @@
-// Package event defines the numbered log events of the processes, and a logger for
-// them. docs/EVENTS.md says what each event means and what operators should do; a
+// Package event defines the numbered log events of the project's processes, and a logger
+// for them. docs/EVENTS.md says what each event means and what operators should do; a
 // test checks that the page and the code list the same events.
 package event
 
@@ -184,7 +184,8 @@
 	return &Log{Logger: slog.New(slog.NewJSONHandler(writer, &slog.HandlerOptions{Level: minLevel}))}, nil
 }
 
-// Write logs an event with the given fields, unless the event's rate limit is exceeded.
+// Write logs an event with the given fields, unless the event is below the level of the
+// log or exceeds its rate limit.
 func (log *Log) Write(event Event, fields ...slog.Attr) {
 	if log == nil || log.Logger == nil || log.limits != nil && !log.limits.allow(event) {
 		return
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -54,7 +54,7 @@
 	log.Write(StoreUnavailable, slog.String("error", "x"))
 	var line map[string]any
 	assert.NilError(t, json.Unmarshal(buffer.Bytes(), &line))
-	assert.Equal(t, line["event"], 200.0)
+	assert.Equal(t, line["event"], 200.0) // the number of StoreUnavailable
 	_, err = NewLog(&buffer, "loud")
 	assert.ErrorContains(t, err, "debug, info, warn or error")
 	(*Log)(nil).Write(Started)
@@ -86,7 +86,7 @@
 		t.Fatal("a write to the queue blocked")
 	}
 	// The queue holds queueLines lines, and the blocked writer one more.
-	assert.Assert(t, queue.Dropped() >= queueLines-1)
+	assert.Assert(t, queue.Dropped() >= queueLines-1, "the queue did not count the lines that it dropped")
 	close(writer.release)
 	queue.Close()
 }
@@ -106,9 +106,10 @@
 	count := func(number int) int {
 		return bytes.Count(buffer.Bytes(), fmt.Appendf(nil, `"event":%d`, number))
 	}
-	assert.Assert(t, count(Answered.Number) < routineRate*3/2)
+	// A burst of routineRate lines, and some more that the limit allows while the loop runs.
+	assert.Assert(t, count(Answered.Number) < routineRate*3/2, "%d lines of an info event were written", count(Answered.Number))
 	assert.Equal(t, count(Refused.Number), 3*routineRate, "a warning was dropped at a rate that is within its limit")
-	assert.Equal(t, count(LinesDropped.Number), 1)
+	assert.Equal(t, count(LinesDropped.Number), 1, "want one report, for the event Answered")
 }
 
 // TestRecent queries the recent lines of a log after more lines were written than the
@@ -120,14 +121,15 @@
 	defer log.Close()
 	log.Write(Refused, slog.String("request", "forgotten"))
 	for range recentLines {
-		log.write(Answered, slog.String("request", "r"))
+		log.write(Answered, slog.String("request", "r")) // write has no rate limit
 	}
 	log.Write(Refused, slog.String("request", "a <\"> b"), slog.Int("number", 1))
 	log.Write(Refused, slog.String("request", "a <\"> b"), slog.Int("number", 2))
 	found := log.Recent("request", "a <\"> b")
 	assert.Equal(t, len(found), 2)
 	assert.Assert(t, bytes.Contains(found[0], []byte(`"number":1`)), "the oldest line must come first")
-	assert.Equal(t, len(log.Recent("request", "forgotten")), 0)
+	assert.Equal(t, len(log.Recent("request", "forgotten")), 0, "the oldest line must be gone")
+	// The last two lines took the place of two lines of the request r.
 	assert.Equal(t, len(log.Recent("request", "r")), recentLines-2)
 	assert.Equal(t, len((*Log)(nil).Recent("request", "r")), 0)
 }
--- a/event/queue.go
+++ b/event/queue.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// queueLines is how many lines may be queued while the writer is slow. At about 300
-	// bytes each the lines take 0.6 MB.
+	// queueLines is how many lines may be queued while the writer is slow or blocked. At
+	// about 300 bytes each the lines take 0.6 MB.
 	queueLines = 2048
 	// recentLines is how many lines are kept in memory for operators who query a
 	// running process. At about 300 bytes each the lines take 0.6 MB.
@@ -23,8 +23,9 @@
 	// event below the level warn. A node serves about 20 requests per second, so the
 	// limit drops no line that is written once per request up to five times that load.
 	routineRate = 100
-	// warningRate is the same maximum for each event of the level warn or above. It is
-	// higher than routineRate, so that failures are not dropped before successes.
+	// warningRate is the maximum number of lines per second, and in one burst, for each
+	// event of the level warn or above. It is higher than routineRate, so that failures
+	// are not dropped before successes.
 	warningRate = 400
 )
 
@@ -83,8 +84,8 @@
 }
 
 // Recent returns those of the last recentLines lines in which the field is a string with
-// the value, oldest first. They include lines that were dropped because the queue was
-// full.
+// the value, oldest first. The result includes lines that were dropped because the queue
+// was full.
 func (queue *Queue) Recent(field, value string) [][]byte {
 	pattern := fmt.Appendf(nil, "%s:%s", jsonString(field), jsonString(value))
 	queue.mutex.Lock()
