--- a/config/config_test.go
+++ b/config/config_test.go
@@ -12,6 +12,7 @@
 	"shedkeel.org/shedkeel"
 )
 
+// goodSettings is a valid settings file of 15 lines.
 const goodSettings = `node = "n1"
 zone = "z"
 [entry]
@@ -29,6 +30,9 @@
 box_list = "127.0.0.1:6"
 `
 
+// TestSettings checks that ParseSettings accepts goodSettings and rejects each faulty
+// change of it with an InvalidError that says what is wrong and has a remedy. The times
+// that a case does not set have the values of DefaultSettings.
 func TestSettings(t *testing.T) {
 	cases := map[string]struct {
 		change func(string) string
@@ -42,7 +46,7 @@
 		"no node":           {func(text string) string { return strings.Replace(text, `node = "n1"`, ``, 1) }, "node is missing"},
 		"no wire key":       {func(text string) string { return strings.Replace(text, `key = "w"`, ``, 1) }, "wire.key is missing"},
 		"store has no port": {func(text string) string { return strings.Replace(text, "127.0.0.1:5", "127.0.0.1", 1) }, "platform.store is no address"},
-		"bad peer":          {func(text string) string { return strings.Replace(text, `["127.0.0.1:4"]`, `["x"]`, 1) }, "keeper.peers is no address"},
+		"peer has no port":  {func(text string) string { return strings.Replace(text, `["127.0.0.1:4"]`, `["x"]`, 1) }, "keeper.peers is no address"},
 		"permit too short":  {func(text string) string { return text + "[timing]\npermit = \"1s\"\n" }, "timing.permit is shorter"},
 		"lease too short":   {func(text string) string { return text + "[timing]\nlease = \"2s\"\n" }, "timing.lease is too short"},
 		"negative time":     {func(text string) string { return text + "[timing]\ntick = \"-1s\"\n" }, "timing.tick is not positive"},
@@ -58,9 +62,9 @@
 				return
 			}
 			var invalid *shedkeel.InvalidError
-			assert.Assert(t, errors.As(err, &invalid), "%v", err)
+			assert.Assert(t, errors.As(err, &invalid), "the error is not an InvalidError: %v", err)
 			assert.ErrorContains(t, err, test.want)
-			assert.Assert(t, invalid.Remedy != "")
+			assert.Assert(t, invalid.Remedy != "", "the error names no remedy: %v", err)
 		})
 	}
 }
@@ -72,8 +76,8 @@
 	assertDocumented(t, string(page), "", reflect.TypeFor[Settings]())
 }
 
-// assertDocumented checks the keys of one table and, with its name as a prefix, of each
-// subtable.
+// assertDocumented checks that the page lists the keys of one table, each with the prefix,
+// and the keys of each subtable, whose prefix also has the subtable's name.
 func assertDocumented(t *testing.T, page, prefix string, kind reflect.Type) {
 	t.Helper()
 	for field := range kind.Fields() {
@@ -86,8 +90,10 @@
 	}
 }
 
+// keyHash is the SHA-256 of "hello" in hex.
 const keyHash = "2cf24dba5fb0a30e26e83b2ac5b9e29e1b161e5c1fa7425e73043362938b9824"
 
+// goodDocument is a valid document with a service of each kind and an account.
 const goodDocument = `entry_boxes = 3
 [[service]]
 id = "m"
@@ -109,6 +115,8 @@
 services = ["p"]
 `
 
+// TestDocument checks that goodDocument is valid and that each faulty change of it is
+// rejected with an error that says what is wrong.
 func TestDocument(t *testing.T) {
 	replace := func(from, to string) string { return strings.Replace(goodDocument, from, to, 1) }
 	cases := map[string]struct {
@@ -159,7 +167,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		_, err := ParseSettings("s.toml", []byte(text))
 		var invalid *shedkeel.InvalidError
-		assert.Assert(t, err == nil || errors.As(err, &invalid))
+		assert.Assert(t, err == nil || errors.As(err, &invalid), "the error is not an InvalidError: %v", err)
 	})
 }
 
@@ -171,6 +179,6 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		err := checkText(text)
 		var invalid *shedkeel.InvalidError
-		assert.Assert(t, err == nil || errors.As(err, &invalid))
+		assert.Assert(t, err == nil || errors.As(err, &invalid), "the error is not an InvalidError: %v", err)
 	})
 }
--- a/config/document.go
+++ b/config/document.go
@@ -16,13 +16,13 @@
 	maxAccounts = 100_000
 	maxGroups   = 100_000   // replica groups of one service
 	maxMembers  = 64        // boxes in one replica group
-	maxTimeout  = time.Hour // of a service's requests
+	maxTimeout  = time.Hour // longest Timeout of a service
 )
 
 // Document is the complete desired configuration of keepers and entries, as operators
 // write and apply it.
 type Document struct {
-	EntryBoxes int                `toml:"entry_boxes"` // largest number of entry boxes that run at once; rate limits are divided by it
+	EntryBoxes int                `toml:"entry_boxes"` // largest number of entry boxes that run at once; each enforces the rates of accounts divided by this number
 	Policy     DocumentPolicy     `toml:"policy"`
 	Services   []shedkeel.Service `toml:"service"`
 	Accounts   []shedkeel.Account `toml:"account"`
@@ -88,7 +88,8 @@
 	return policy.Check(config.Policy)
 }
 
-// checkServices validates all services.
+// checkServices validates the services: their IDs, which must be unique, their times and
+// capacities, and the fields that depend on the kind.
 func checkServices(name string, services []shedkeel.Service) error {
 	seen := map[shedkeel.ServiceID]bool{}
 	for index := range services {
@@ -134,8 +135,9 @@
 	return nil
 }
 
-// checkAccounts validates the client accounts. Among other things, key hashes must be
-// unique and the services that accounts may call must exist.
+// checkAccounts validates the client accounts: IDs and key hashes must be unique, each key
+// hash must be a SHA-256, rates and weights must not be negative, and the services that
+// accounts may call must exist.
 func checkAccounts(name string, config *shedkeel.Config) error {
 	seen := map[shedkeel.AccountID]bool{}
 	keys := map[string]bool{}
--- a/config/node.go
+++ b/config/node.go
@@ -30,10 +30,10 @@
 
 // NodeListen are the addresses on which a node listens, each IP:PORT.
 type NodeListen struct {
-	Callers   string `toml:"callers"`
+	Callers   string `toml:"callers"`   // serves the requests of callers
 	Directory string `toml:"directory"` // answers callers that ask which node addresses to use
 	Readiness string `toml:"readiness"` // answers the platform's readiness checks
-	Control   string `toml:"control"`   // for other nodes
+	Control   string `toml:"control"`   // answers other nodes
 	// Gossip receives the failure detector's datagrams from other nodes.
 	// Empty: the address of Control.
 	Gossip  string `toml:"gossip"`
@@ -97,8 +97,8 @@
 	return settings, nil
 }
 
-// check returns an InvalidError if a value is invalid. If several values are, the error
-// may be about any of them.
+// check returns an InvalidError if a value is invalid. If several values are invalid, the
+// error may be about any of them.
 func (settings *NodeSettings) check(name string) error {
 	for key, value := range map[string]string{"node": string(settings.Node), "zone": string(settings.Zone), "wire.key": settings.Wire.Key} {
 		if value == "" {
--- a/config/node_test.go
+++ b/config/node_test.go
@@ -12,6 +12,7 @@
 	"shedkeel.org/shedkeel"
 )
 
+// nodeText is a valid settings file of a node. Its last table is bounds.
 const nodeText = `node = "n1"
 zone = "z"
 store = "127.0.0.1:1"
@@ -26,6 +27,9 @@
 grace = "9s"
 `
 
+// TestNodeSettings checks that ReadNodeSettings accepts nodeText and valid changes of it,
+// with the default of RetryRatio, which they omit, and rejects each faulty change with an
+// error that says what is wrong.
 func TestNodeSettings(t *testing.T) {
 	cases := map[string]struct {
 		change func(string) string
@@ -44,7 +48,7 @@
 		"wrong type of a flag":  {func(text string) string { return text + "refuse_stale_keys = \"no\"\n" }, "refuse_stale_keys"},
 		"seeds":                 {func(text string) string { return "seeds = [\"127.0.0.1:5\", \"127.0.0.2:5\"]\n" + text }, ""},
 		"a seed without a port": {func(text string) string { return "seeds = [\"127.0.0.1:5\", \"127.0.0.2\"]\n" + text }, "seeds[1] is no address"},
-		"truncated file":        {func(text string) string { return text[:40] }, "correct that line"},
+		"truncated file":        {func(text string) string { return text[:40] }, "correct that line"}, // ends within the value of store
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -56,7 +60,7 @@
 				return
 			}
 			assert.NilError(t, err)
-			assert.Equal(t, settings.Bounds.Grace, shedkeel.Duration(9*time.Second))
+			assert.Equal(t, settings.Bounds.Grace, shedkeel.Duration(9*time.Second)) // from nodeText
 			assert.Equal(t, settings.Bounds.RetryRatio, DefaultNodeSettings().Bounds.RetryRatio)
 		})
 	}
--- a/config/settings.go
+++ b/config/settings.go
@@ -60,7 +60,7 @@
 // claim is the right to run a call under its idempotency key. Claims are divided into
 // shards, each of which one keeper writes.
 type Timing struct {
-	Tick        shedkeel.Duration `toml:"tick"`         // interval at which a keeper exchanges state with other keepers and plans; a keeper probes engines at every second tick
+	Tick        shedkeel.Duration `toml:"tick"`         // interval at which a keeper exchanges state with other keepers and plans; keepers probe engines at every second tick
 	Sync        shedkeel.Duration `toml:"sync"`         // interval at which an entry polls its keeper
 	Permit      shedkeel.Duration `toml:"permit"`       // maximum age of the proof that all members of a group are healthy
 	Lease       shedkeel.Duration `toml:"lease"`        // TTL of the planner's lease
@@ -119,8 +119,9 @@
 	return ParseSettings(path, text)
 }
 
-// ParseSettings decodes and validates the text of a settings file. The name stands
-// for the file in the error, which is an InvalidError.
+// ParseSettings decodes and validates the text of a settings file. An empty Advertise is
+// set to Listen of the same table. The name stands for the file in the error, which is an
+// InvalidError.
 func ParseSettings(name string, text []byte) (Settings, error) {
 	settings := DefaultSettings()
 	if err := decode(name, text, &settings); err != nil {
@@ -186,14 +187,14 @@
 			return &shedkeel.InvalidError{Where: name, What: setting.key + " is not positive", Remedy: `write it as "500ms" or "3s"`}
 		}
 	}
-	// A permit must outlast the time between two rounds of probes (two ticks), that
-	// between two exchanges of a keeper (one tick) and two polls by the entry.
+	// A permit must outlast the sum of three times: two ticks between two rounds of probes,
+	// one tick between two exchanges of a keeper, and two polls by the entry.
 	if timing.Permit < 3*timing.Tick+2*timing.Sync {
 		return &shedkeel.InvalidError{Where: name, What: "timing.permit is shorter than three times timing.tick plus twice timing.sync", Remedy: "lengthen it, or permits run out between renewals"}
 	}
 	// A keeper with a lease plans once per tick, and sends no orders in the last LeaseMargin
-	// plus OrderLife of the lease's TTL. A TTL of twice the sum leaves at least half of it
-	// for orders.
+	// plus OrderLife of the lease's TTL. A TTL of twice LeaseMargin, OrderLife and Tick
+	// together leaves at least half of the TTL for orders.
 	if timing.Lease < 2*(timing.LeaseMargin+timing.OrderLife+timing.Tick) {
 		return &shedkeel.InvalidError{Where: name, What: "timing.lease is too short for timing.lease_margin, timing.order_life and timing.tick", Remedy: "make it at least twice their sum"}
 	}
--- a/config/toml.go
+++ b/config/toml.go
@@ -40,7 +40,7 @@
 }
 
 // lineOf returns the number of the first line that sets the last part of the key or
-// has that part as a table's name, or 1 if there is none. The result is approximate:
+// has that part as a table's name, or 1 if there is no such line. The result is approximate:
 // another table may have a key of the same name.
 func lineOf(text string, key toml.Key) int {
 	lastPart := key[len(key)-1]
