--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -46,7 +46,7 @@
 // does not refill a bucket.
 func TestTakeRetryAfter(t *testing.T) {
 	limiter := &Limiter{}
-	limiter.Configure([]shedkeel.Account{{ID: "slow", Rate: 0.2}, {ID: "unlimited"}}, 1, 0)
+	limiter.Configure([]shedkeel.Account{{ID: "slow", Rate: 0.2}, {ID: "unlimited"}}, 1, 0) // one entry box, at time 0
 	assert.NilError(t, limiter.Take("slow", 0))
 	var notRun *shedkeel.NotRunError
 	assert.Assert(t, errors.As(limiter.Take("slow", 0), &notRun))
@@ -56,7 +56,7 @@
 	for range 1000 {
 		assert.NilError(t, limiter.Take("unlimited", 0))
 	}
-	limiter.Configure([]shedkeel.Account{{ID: "slow", Rate: 0.2}}, 1, 6*time.Second)
+	limiter.Configure([]shedkeel.Account{{ID: "slow", Rate: 0.2}}, 1, 6*time.Second) // at time 6 s
 	// 1 s after the last token was taken, the bucket has 0.2 tokens.
 	assert.Assert(t, limiter.Take("slow", 6*time.Second) != nil, "a new configuration must not refill a bucket")
 }
