--- a/admit/admit.go
+++ b/admit/admit.go
@@ -111,8 +111,8 @@
 // usage counts the requests of a service that this box has in flight.
 type usage struct {
 	inFlightByAccount map[shedkeel.AccountID]int // requests in flight of each account; accounts with none are not listed
-	inFlight          int
-	meanRunTime       time.Duration // moving average of the run times of completed requests; 0: none has completed
+	inFlight          int                        // requests in flight of all accounts
+	meanRunTime       time.Duration              // moving average of the run times of completed requests; 0: none has completed
 }
 
 // Request is the input for Enter's decision.
--- a/event/queue.go
+++ b/event/queue.go
@@ -34,7 +34,7 @@
 type Queue struct {
 	lines     chan []byte
 	dropped   atomic.Int64
-	closed    chan struct{}
+	closed    chan struct{} // closed once Close was called and all queued lines are written
 	out       io.Writer
 	closeOnce sync.Once
 
--- a/scenario_test.go
+++ b/scenario_test.go
@@ -110,7 +110,7 @@
 
 // fleetOptions are the options of the command fleet, given as NAME=VALUE.
 type fleetOptions struct {
-	nodes, boxes, groups, members, domains int
+	nodes, boxes, groups, members, domains int // numbers of entry boxes, boxes with engines, groups, boxes per group, fabric domains
 	unfenced                               bool
 	token, lag, run                        string // durations: an engine's time per token, minimum interval between updates of its reported load, run time of a plain call
 	timeout                                string // of requests of the model service
