--- a/serve/budget.go
+++ b/serve/budget.go
@@ -26,7 +26,7 @@
 	StartedAt time.Duration
 	// RandomOffset is a random number from 0 to 1, drawn once per process. It is added to
 	// the bound, so that a process allows one retry more than the whole number of its bound
-	// with a probability equal to the bound's fraction. Without the offset, no process could
+	// with a probability equal to the bound's fractional part. Without the offset, no process could
 	// retry where there are more processes than allowed retries.
 	RandomOffset float64
 
@@ -49,7 +49,7 @@
 // to and including the new one. It does nothing if slot is not later.
 func (serviceUsage *serviceUsage) advance(slot int64) {
 	if slot-serviceUsage.slot >= budgetSlots {
-		*serviceUsage = serviceUsage.reset(slot)
+		*serviceUsage = serviceUsage.empty(slot)
 		return
 	}
 	for serviceUsage.slot < slot {
@@ -59,8 +59,8 @@
 	}
 }
 
-// reset returns empty counts with slot as the current slot.
-func (*serviceUsage) reset(slot int64) serviceUsage { return serviceUsage{slot: slot} }
+// empty returns empty counts with slot as the current slot.
+func (*serviceUsage) empty(slot int64) serviceUsage { return serviceUsage{slot: slot} }
 
 // sum returns the total of all slots.
 func sum(counts [budgetSlots]float64) float64 {
@@ -124,8 +124,8 @@
 	return true
 }
 
-// Refund takes back a retry that AllowRetry has just counted, because no server was found to
-// send it to.
+// Refund takes back a retry of the service that AllowRetry has just counted, because no server
+// was found for the retry.
 func (budget *Budget) Refund(service shedkeel.ServiceID, now time.Duration) {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
--- a/serve/budget_test.go
+++ b/serve/budget_test.go
@@ -11,22 +11,22 @@
 
 // TestRetryBudgetAcrossRestarts simulates a fleet whose nodes restart while every request
 // fails and is retried if the budget allows it. In each sliding window, the retries of all
-// nodes together must stay within the bound.
+// nodes together must stay within the bound: ratio times the requests, plus fixedRetries.
 func TestRetryBudgetAcrossRestarts(t *testing.T) {
 	const (
 		window       = 10 * time.Second
-		length       = 60 * time.Second
+		simLength    = 60 * time.Second
 		ratio        = 0.2
-		fixedRetries = 134.0
+		fixedRetries = 134.0 // of all nodes together, per window
 		safetyFactor = 0.7
-		step         = 10 * time.Millisecond
+		step         = 10 * time.Millisecond // by which virtual time advances
 	)
 	cases := map[string]struct {
 		nodes        int
 		requests     float64 // per second, over all nodes
 		fixedRetries float64
 		restarts     func(node, second int) bool // whether the node restarts at the start of the second
-		least        float64                     // fraction of the bound that must be used in some window
+		minUsed      float64                     // fraction of the bound that must be used in some window
 	}{
 		"no restart":                                  {9, 40, fixedRetries, func(int, int) bool { return false }, 0.5},
 		"all restart twice":                           {9, 40, fixedRetries, func(_, second int) bool { return second == 25 || second == 30 }, 0.1},
@@ -49,10 +49,10 @@
 				nodes[index] = newBudget(0)
 			}
 			var requests, retries []time.Duration
-			for now := time.Duration(0); now < length; now += step {
+			for now := time.Duration(0); now < simLength; now += step {
 				for index := range nodes {
 					if now%time.Second == 0 && test.restarts(index, int(now/time.Second)) {
-						nodes[index] = newBudget(now)
+						nodes[index] = newBudget(now) // the counts are lost
 					}
 				}
 				for range int(test.requests*step.Seconds() + random.Float64()) {
@@ -63,8 +63,8 @@
 						retries = append(retries, now)
 					}
 				}
-				// Each node also uses up its budget once a second, as if further
-				// requests failed.
+				// Once a second, each node also sends all retries that its budget still
+				// allows, as if further requests failed.
 				if now%time.Second == 0 {
 					for _, node := range nodes {
 						for node.AllowRetry("s", len(nodes), now) {
@@ -73,14 +73,14 @@
 					}
 				}
 			}
-			worst := 0.0
-			for end := window; end < length; end += step {
+			maxUsed := 0.0 // highest fraction of the bound that was used in a window
+			for end := window; end < simLength; end += step {
 				bound := ratio*float64(countWithin(requests, end-window, end)) + test.fixedRetries
-				worst = max(worst, float64(countWithin(retries, end-window, end))/bound)
+				maxUsed = max(maxUsed, float64(countWithin(retries, end-window, end))/bound)
 			}
-			t.Logf("%.2f of the bound used", worst)
-			assert.Assert(t, worst <= 1, fmt.Sprintf("%.2f of the bound used", worst))
-			assert.Assert(t, worst >= test.least, "%.2f of the bound used", worst)
+			t.Logf("%.2f of the bound used", maxUsed)
+			assert.Assert(t, maxUsed <= 1, fmt.Sprintf("%.2f of the bound used", maxUsed))
+			assert.Assert(t, maxUsed >= test.minUsed, "only %.2f of the bound used", maxUsed)
 		})
 	}
 }
--- a/serve/digest.go
+++ b/serve/digest.go
@@ -36,9 +36,8 @@
 }
 
 // computeDigest returns the digest of the request's content: method, host, target, client
-// account and body. The request's ID and other headers are left out: a request that a caller
-// sends again is a copy of the first and has the same digest, at all processes with the same
-// DigestKey.
+// account and body. The request's ID and other headers are left out, so that a request that a
+// caller sends again has the same digest as before, at all processes with the same DigestKey.
 func (exchange *exchange) computeDigest() shedkeel.RequestDigest {
 	digester := exchange.handler.digesters.get(exchange.handler.DigestKey)
 	defer exchange.handler.digesters.pool.Put(digester)
--- a/serve/digest_test.go
+++ b/serve/digest_test.go
@@ -25,18 +25,19 @@
 func TestDigest(t *testing.T) {
 	cases := map[string]struct {
 		change func(exchange *exchange)
-		same   bool
+		same   bool // the digest stays the same
 	}{
-		"another ID":         {func(exchange *exchange) { exchange.call.ID = "r2" }, true},
-		"resumed":            {func(exchange *exchange) { exchange.call.LastEventID = "7" }, true},
-		"another key":        {func(exchange *exchange) { exchange.call.Key = "k2" }, true},
-		"another account":    {func(exchange *exchange) { exchange.account = &shedkeel.KeyedAccount{ID: "office"} }, false},
-		"no account":         {func(exchange *exchange) { exchange.account = nil }, false},
-		"another path":       {func(exchange *exchange) { exchange.call.Target = "/s/y?a=1" }, false},
-		"another query":      {func(exchange *exchange) { exchange.call.Target = "/s/x?a=2" }, false},
-		"another host":       {func(exchange *exchange) { exchange.call.Host = "g" }, false},
-		"another body":       {func(exchange *exchange) { exchange.body = []byte("bodz") }, false},
-		"another method":     {func(exchange *exchange) { exchange.request = httptest.NewRequest(http.MethodPut, "/s/x", nil) }, false},
+		"another ID":      {func(exchange *exchange) { exchange.call.ID = "r2" }, true},
+		"resumed":         {func(exchange *exchange) { exchange.call.LastEventID = "7" }, true},
+		"another key":     {func(exchange *exchange) { exchange.call.Key = "k2" }, true},
+		"another account": {func(exchange *exchange) { exchange.account = &shedkeel.KeyedAccount{ID: "office"} }, false},
+		"no account":      {func(exchange *exchange) { exchange.account = nil }, false},
+		"another path":    {func(exchange *exchange) { exchange.call.Target = "/s/y?a=1" }, false},
+		"another query":   {func(exchange *exchange) { exchange.call.Target = "/s/x?a=2" }, false},
+		"another host":    {func(exchange *exchange) { exchange.call.Host = "g" }, false},
+		"another body":    {func(exchange *exchange) { exchange.body = []byte("bodz") }, false},
+		"another method":  {func(exchange *exchange) { exchange.request = httptest.NewRequest(http.MethodPut, "/s/x", nil) }, false},
+		// Target and account together have the same text as before, without the separator.
 		"parts concatenated": {func(exchange *exchange) { exchange.call.Target, exchange.account = "/s/x?a=1clerk", nil }, false},
 		"another digest key": {func(exchange *exchange) { exchange.handler = &Handler{DigestKey: []byte("other")} }, false},
 	}
@@ -51,7 +52,8 @@
 }
 
 // BenchmarkDigest measures the digest of a request with a body of 2 KiB. The handler computes
-// digests only while the guard has records or after a server has terminated.
+// digests only while the guard has records of servers that terminated while they ran requests,
+// and when a server terminates while it runs a request.
 func BenchmarkDigest(b *testing.B) {
 	exchange := newExchange()
 	exchange.body = make([]byte, 2<<10)
--- a/serve/ended.go
+++ b/serve/ended.go
@@ -36,8 +36,9 @@
 }
 
 // endedSince reports whether the server has terminated, and when the failure that led to the
-// check was reported. It calls probe to find out, once for all concurrent callers. Only a
-// positive result is cached: after a negative result, the next call probes again.
+// check was reported. If no positive result is cached, it calls probe to find out, once for all
+// concurrent callers. Only a positive result is cached: after a negative result, the next call
+// probes again.
 func (endedServers *endedServers) endedSince(server shedkeel.InstanceID, now time.Duration, probe func() bool) (at time.Duration, ended bool) {
 	check := endedServers.entry(server, now)
 	check.once.Do(func() { check.ended = probe() })
@@ -70,12 +71,12 @@
 	}
 }
 
-// reportServerEnd checks, after an attempt has failed by a disconnect, whether the server has
-// terminated. If so, it makes later attempts use new connections, and logs the termination
-// and reports it to the guard. It reports nothing if the server was chosen for the attempt
-// after the first failure at the server, because the server had already terminated then. It
-// checks no server that is no longer listed or that stated that it drains, because the
-// termination of such a server is planned.
+// reportServerEnd checks, after an attempt has failed by a disconnect (isDisconnect), whether
+// the server has terminated. If so, it makes later attempts of the request use new connections,
+// and logs the termination and reports it to the guard. It neither logs nor reports if the
+// server was chosen for the attempt after the first failure at the server, because the server
+// had already terminated then. It does not check a server that is no longer listed or has
+// stated that it drains, because the termination of such a server is planned.
 func (exchange *exchange) reportServerEnd(choice *dispatch.Choice, failure error) {
 	now := exchange.handler.Timers.Now()
 	if exchange.handler.ServerCheck == nil || !isDisconnect(failure) || !choice.Listed() {
--- a/serve/guard.go
+++ b/serve/guard.go
@@ -9,12 +9,12 @@
 )
 
 // errServersEnded is the cancellation cause of a request if servers have terminated while
-// they ran copies of the request. Its text is part of refusals.
+// they ran requests with the same digest. Its text is part of refusals.
 var errServersEnded = errors.New("backend servers have ended under this very request")
 
 // guardActive reports whether there is a guard that has records of servers that terminated
-// while they ran requests. While there is none, the handler computes no digests to ask the
-// guard.
+// while they ran requests. Otherwise the handler does not ask the guard about requests, and so
+// computes no digests for that.
 func (handler *Handler) guardActive() bool { return handler.Guard != nil && !handler.Guard.Idle() }
 
 // checkGuard asks the guard whether the request may be sent. If so, the caller must call done
@@ -39,8 +39,9 @@
 	return func() {}, nil
 }
 
-// guardAllows reports whether the guard still allows another attempt. Servers may have
-// terminated while they ran the request or its copies since checkGuard was called.
+// guardAllows reports whether the guard still allows another attempt. Since checkGuard was
+// called, servers may have terminated while they ran this request or others with the same
+// digest.
 func (exchange *exchange) guardAllows() bool {
 	if !exchange.handler.guardActive() {
 		return true
@@ -50,7 +51,7 @@
 }
 
 // reportAnswer reports to the guard that a server has answered the request completely, which
-// clears the request and its copies.
+// clears all requests with the same digest. It reports nothing while the guard has no records.
 func (exchange *exchange) reportAnswer() {
 	if exchange.handler.guardActive() {
 		exchange.handler.Guard.RequestAnswered(exchange.digest())
@@ -75,9 +76,9 @@
 	delete(handler.exchanges, exchange)
 }
 
-// CancelCopies cancels the active requests with the given digest: copies that are queued at
-// servers would crash these servers too when they run. It spares a stream of which the caller
-// has received an event, because the complete answer clears the request, and a request with
+// CancelCopies cancels the active requests with the given digest: requests that are queued at
+// servers would crash these servers too when they run. It spares a stream whose answer has
+// started, because a complete answer clears the digest, and a request with
 // exchange.quarantined set, because the guard has allowed its attempt.
 func (handler *Handler) CancelCopies(request shedkeel.RequestDigest) {
 	for _, exchange := range handler.activeExchanges() {
--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -80,10 +80,10 @@
 
 // TestGuardedRequests checks requests with each judgment of the guard, and requests that servers
 // ran when they terminated: the status must say correctly whether the request may have run, a
-// quarantined request must run on one server only, and terminated servers must be reported to
-// the guard.
+// quarantined request must run on one server only, and servers must be reported to the guard if
+// the connection to them broke and they have terminated.
 func TestGuardedRequests(t *testing.T) {
-	cut := step{events: 3, cutAfter: 1}
+	cut := step{events: 3, cutAfter: 1} // the connection breaks after the first of three events
 	cases := map[string]struct {
 		path         string
 		guard        *fixedGuard
@@ -166,22 +166,23 @@
 		timers.Advance(time.Second)
 		return harness.Table.Choose(dispatch.Query{Service: "plain", Now: timers.Now()})
 	}
-	asked := newExchange()
-	asked.handler, asked.digest = harness.Handler, asked.computeDigest
-	before, another := choose(), choose()
-	asked.reportServerEnd(before, errAnswerLost)
-	late := choose()
-	asked.reportServerEnd(late, errAnswerLost)
-	assert.Equal(t, len(guard.ended), 1)
-	asked.reportServerEnd(another, errAnswerLost)
-	assert.Equal(t, len(guard.ended), 2, "the attempt began before the first failure")
+	exchange := newExchange()
+	exchange.handler, exchange.digest = harness.Handler, exchange.computeDigest
+	first, second := choose(), choose() // both before an attempt fails
+	exchange.reportServerEnd(first, errAnswerLost)
+	afterFailure := choose()
+	exchange.reportServerEnd(afterFailure, errAnswerLost)
+	assert.Equal(t, len(guard.ended), 1, "the attempt that began after the first failure was reported")
+	exchange.reportServerEnd(second, errAnswerLost)
+	assert.Equal(t, len(guard.ended), 2, "the second attempt, which began before the first failure, was not reported")
 	harness.Table.Replace(nil)
-	asked.reportServerEnd(before, errAnswerLost)
-	assert.Equal(t, len(guard.ended), 2, "the end of a server that is no longer listed was reported")
+	exchange.reportServerEnd(first, errAnswerLost)
+	assert.Equal(t, len(guard.ended), 2, "the termination of a server that is no longer listed was reported")
 }
 
-// TestAnswerReportedToGuard checks that answers are reported to the guard while it has
-// records, and not otherwise, because computing digests costs time.
+// TestAnswerReportedToGuard checks that the answers to a stream and to a plain request are both
+// reported to the guard while it has records. While it has none, they must not both be reported,
+// because a report needs the digest, which costs time to compute.
 func TestAnswerReportedToGuard(t *testing.T) {
 	for name, idle := range map[string]bool{"guard has records": false, "guard is idle": true} {
 		runFakeTime(t, name, func(t *testing.T) {
@@ -195,9 +196,9 @@
 	}
 }
 
-// TestCallBackCancelsWaitingCopies checks that CancelCopies cancels a copy of the request that
-// waits for its answer, and that a stream whose answer has started and a request with another
-// digest go on.
+// TestCallBackCancelsWaitingCopies checks that CancelCopies cancels a request with the given digest
+// that waits for its answer, and that a stream whose answer has started and a request with
+// another digest go on. A canceled request gets 502, because it may have run.
 func TestCallBackCancelsWaitingCopies(t *testing.T) {
 	cases := map[string]struct {
 		path   string
@@ -212,34 +213,35 @@
 	for name, test := range cases {
 		runFakeTime(t, name, func(t *testing.T) {
 			harness := newHarness(t, test.step)
-			named := newExchange()
-			named.handler = harness.Handler
-			named.call.Target, named.account, named.body = test.path, &shedkeel.KeyedAccount{ID: "clerk"}, []byte("body")
+			canceled := newExchange() // has the digest that is passed to CancelCopies
+			canceled.handler = harness.Handler
+			canceled.call.Target, canceled.account, canceled.body = test.path, &shedkeel.KeyedAccount{ID: "clerk"}, []byte("body")
 			if name == "another request" {
-				named.call.Target = "/s/x"
+				canceled.call.Target = "/s/x"
 			}
 			go func() {
-				time.Sleep(60 * time.Millisecond)
-				harness.CancelCopies(named.computeDigest())
+				time.Sleep(60 * time.Millisecond) // until the request waits for its answer, or part of the stream has been forwarded
+				harness.CancelCopies(canceled.computeDigest())
 			}()
 			if name == "stream started" {
-				harness.Backend = slowBackend{harness.backend}
+				harness.Backend = slowBackend{harness.backend} // otherwise the stream would end before CancelCopies is called
 			}
 			got := harness.post(test.path, "body", "Model", modelOf(test.path))
 			assert.Equal(t, got.Code, test.status, got.Body.String())
-			assert.Equal(t, got.Header().Get("Retry-After"), "")
+			assert.Equal(t, got.Header().Get("Retry-After"), "", "a request that may have run must not be retried")
 			assert.Equal(t, len(harness.activeExchanges()), 0)
 		})
 	}
 }
 
 // TestExpireAfterBoxSuspension advances the handler's clock but not the timers of contexts, as
-// after a suspension of the box. Requests whose deadline has passed must end at once, and
-// other requests go on.
+// after a suspension of the box, and calls CancelOverdue. Requests whose deadline has passed must
+// end at once, and other requests go on until their answer after 400 ms. The timeouts of the
+// routes are 1 and 2 s.
 func TestExpireAfterBoxSuspension(t *testing.T) {
 	cases := map[string]struct {
 		path      string
-		suspended time.Duration
+		suspended time.Duration // by which the handler's clock advances while the request waits
 		status    int
 	}{
 		"past deadline, plain":  {"/safe/x", 5 * time.Second, 504},
@@ -254,14 +256,14 @@
 			timers.Advance(harness.clock.Now())
 			harness.Timers = timers
 			go func() {
-				time.Sleep(50 * time.Millisecond)
+				time.Sleep(50 * time.Millisecond) // until the request waits for its answer
 				timers.Advance(test.suspended)
 				harness.CancelOverdue(timers.Now())
 			}()
 			began := time.Now()
 			got := harness.post(test.path, "body", "Model", modelOf(test.path))
 			assert.Equal(t, got.Code, test.status, got.Body.String())
-			assert.Assert(t, test.status == 200 || time.Since(began) < 300*time.Millisecond)
+			assert.Assert(t, test.status == 200 || time.Since(began) < 300*time.Millisecond, "the overdue request did not end before its answer came")
 		})
 	}
 }
@@ -277,6 +279,7 @@
 	return response, err
 }
 
+// slowBody is a response body that delays each read by a millisecond.
 type slowBody struct{ io.ReadCloser }
 
 func (body *slowBody) Read(buffer []byte) (int, error) {
--- a/serve/handler.go
+++ b/serve/handler.go
@@ -8,8 +8,8 @@
 // answer that has started cannot be completed, the connection to the caller is aborted.
 //
 // A server is a backend server, or a replica group that is addressed by its head. An
-// attempt is one sending of a request to one server. Requests with the same digest (see
-// computeDigest) are copies of each other.
+// attempt is one sending of a request to one server. Copies of a request are the requests
+// with the same digest (see computeDigest).
 package serve
 
 import (
@@ -93,12 +93,12 @@
 	DigestKey []byte
 	// StoreOutage reports whether the key-value service is unavailable to all processes,
 	// as far as this process can tell, and since when. nil: this is not known, and the
-	// service counts as available.
+	// key-value service counts as available.
 	StoreOutage func() (since time.Duration, unavailable bool)
 
-	stopping     atomic.Bool // answers to new requests ask the callers to close their connections
-	refusing     atomic.Bool // new requests are refused
-	received     atomic.Int64
+	stopping     atomic.Bool  // answers to requests received from now on ask the callers to close their connections
+	refusing     atomic.Bool  // new requests are refused
+	received     atomic.Int64 // requests received, including refused ones
 	endedServers endedServers
 	digesters    digesterPool
 
@@ -218,10 +218,11 @@
 
 // setWriteDeadline sets the write deadline of the caller's connection to unreadTimeout after
 // the remaining time, for which the caller still waits for its answer. The write deadline
-// bounds how long the caller may leave the answer unread.
+// bounds how long the caller may leave the answer unread. Writers that support no write
+// deadline, such as the response recorders in tests, get none.
 func (exchange *exchange) setWriteDeadline(remaining time.Duration) {
 	controller := http.NewResponseController(exchange.writer)
-	_ = controller.SetWriteDeadline(time.Now().Add(remaining + unreadTimeout)) // response recorders in tests do not support it
+	_ = controller.SetWriteDeadline(time.Now().Add(remaining + unreadTimeout))
 }
 
 // outOfDate reports whether the configuration may have been replaced by one that this
@@ -259,8 +260,8 @@
 }
 
 // readBody reads the request's body, within bodyTimeout and up to the configured size, or
-// maxAnswerBytes if none is configured. It refuses requests whose body is longer or
-// incomplete.
+// maxAnswerBytes if none is configured. Its error is a refusal: 413 if the body is longer, 400
+// if the body is not received completely within bodyTimeout.
 func (exchange *exchange) readBody() error {
 	limit := exchange.view.Config.Limits.BodyBytes
 	if limit <= 0 {
@@ -297,9 +298,10 @@
 	defer exchange.abort(nil)
 	exchange.handler.track(exchange)
 	defer exchange.handler.untrack(exchange)
-	// Callers send copies of a request that crashed servers, under other IDs and to other
-	// nodes. A bound on the attempts of each request does not suffice: each copy crashed
-	// two more servers. The guard recognizes the copies by their digest.
+	// A caller whose request has crashed servers sends the same request again, under other
+	// IDs and to other nodes. A bound on the attempts of each request does not suffice: with
+	// a bound of two, each request that is sent again crashes two more servers. The guard
+	// recognizes such requests by their digest.
 	done, err := exchange.checkGuard(ctx)
 	if err != nil {
 		return err
@@ -372,7 +374,7 @@
 // failure returns the error for a request that has no answer of a server to forward:
 // errAborted if the caller has disconnected; a refusal with 502, or 504 at the deadline, if
 // the request may have run; otherwise a refusal with 503. ctx is the context of the
-// request's attempts.
+// request's attempts, and reason is why the latest attempt failed or could not be made.
 func (exchange *exchange) failure(ctx context.Context, reason error) error {
 	switch {
 	case exchange.request.Context().Err() != nil:
--- a/serve/meter.go
+++ b/serve/meter.go
@@ -24,7 +24,7 @@
 }
 
 // NewMeter returns a meter that reports to the scope. Its histogram buckets are densest around
-// the latency objectives of the users' sites, 150 to 500 ms, and end at their deadlines.
+// the latency objectives of the users' sites, 150 to 500 ms, and end at the sites' deadlines.
 func NewMeter(scope tally.Scope) *Meter {
 	buckets := tally.DurationBuckets{}
 	for _, millis := range []int{20, 50, 100, 150, 200, 250, 300, 400, 500, 700, 1000, 1500, 2500, 4000, 8000} {
--- a/serve/permit.go
+++ b/serve/permit.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// maxPermitRequests is the number of servers for which a request asks for a permit
-	// before it considers only servers without a rate limit.
+	// maxPermitRequests is the number of servers for which an attempt asks for a permit that
+	// is valid at once, before it considers only servers without a rate limit.
 	maxPermitRequests = 3
 	// permitWaitFraction is the longest wait for a permit, as a fraction of the route's
 	// latency objective. The rest of the objective is enough for a server with free slots
@@ -48,8 +48,9 @@
 
 // awaitPermit acquires a permit for the server that is likely to have the next permit, and
 // waits until the permit is valid. The wait is at most permitWaitFraction of the route's
-// objective, and ends by the request's deadline. If no permit is granted for that time, it
-// returns errLimited and sets exchange.retryIn. It returns the error of noServerError if no
+// objective, and ends by the request's deadline. If no permit is granted that is
+// valid within that time, it returns errLimited and sets exchange.retryIn to the Wait of the
+// refusal. It returns the error of noServerError if no
 // usable server limits its rate or Limits is nil, and errNoServer if the server is no longer
 // usable after the wait or the context has ended.
 func (exchange *exchange) awaitPermit(ctx context.Context, query dispatch.Query) (*dispatch.Choice, error) {
--- a/serve/permit_test.go
+++ b/serve/permit_test.go
@@ -38,14 +38,18 @@
 // a server that has no limit or a free permit, waits for a permit that becomes valid in
 // time, or is refused at once with a Retry-After.
 func TestPermits(t *testing.T) {
+	// A request waits for a permit for at most permitWaitFraction of the objective of 100 ms, that
+	// is 50 ms: soon is within that time, late is not.
 	const soon, late = 20 * time.Millisecond, 300 * time.Millisecond
 	cases := map[string]struct {
-		waits  map[shedkeel.InstanceID]time.Duration // of servers that limit their rate
-		status int
-		sent   int           // attempts that reach the backend
-		took   time.Duration // shortest time until the answer
-		wait   time.Duration // shortest Retry-After; 0: not stated
+		waits         map[shedkeel.InstanceID]time.Duration // scriptedLimits.waits, for the servers that limit their rate
+		status        int
+		sent          int           // attempts that reach the backend
+		minTime       time.Duration // shortest time until the answer
+		minRetryAfter time.Duration // shortest Retry-After; 0: not stated
 	}{
+		// The shortest Retry-After of 200 ms is below 225 ms: maxWaitFraction of the timeout of 1 s,
+		// less the largest jitter.
 		"a permit is free":         {map[shedkeel.InstanceID]time.Duration{"p0": 0, "p1": 0, "p2": 0}, 200, 1, 0, 0},
 		"one server without limit": {map[shedkeel.InstanceID]time.Duration{"p0": late, "p1": late}, 200, 1, 0, 0},
 		"a permit comes in time":   {map[shedkeel.InstanceID]time.Duration{"p0": soon, "p1": soon, "p2": soon}, 200, 1, soon, 0},
@@ -60,27 +64,27 @@
 			view.route("h", "/safe/x").Objective = 100 * time.Millisecond
 			harness.CurrentConfig = func() ConfigState { return ConfigState{View: view, ProvenAt: harness.clock.Now()} }
 			for server := range test.waits {
-				harness.Table.SetLimit(server, 2, true)
+				harness.Table.SetLimit(server, 2, true) // 2 requests per second; scriptedLimits ignores the rate
 			}
 			began := time.Now()
 			got := harness.post("/safe/x", "")
 			assert.Equal(t, got.Code, test.status, got.Body.String())
 			assert.Equal(t, len(harness.backend.requests), test.sent)
 			took := time.Since(began)
-			assert.Assert(t, took >= test.took && took < 200*time.Millisecond, "took %s", took)
+			assert.Assert(t, took >= test.minTime && took < 200*time.Millisecond, "took %s", took)
 			wait, _ := strconv.ParseFloat(got.Header().Get("Retry-After"), 64)
-			assert.Assert(t, wait >= test.wait.Seconds() && (test.wait > 0) == (wait > 0), "Retry-After is %v s", wait)
+			assert.Assert(t, wait >= test.minRetryAfter.Seconds() && (test.minRetryAfter > 0) == (wait > 0), "Retry-After is %v s", wait)
 		})
 	}
 }
 
 // TestEveryAttemptNeedsPermit checks that retries, hedges and failovers ask for permits as
-// first attempts do.
+// first attempts do, while all servers limit their rate.
 func TestEveryAttemptNeedsPermit(t *testing.T) {
 	cases := map[string]struct {
 		path  string
 		steps []step
-		asked int // permits that are requested
+		asked int // calls of Acquire
 	}{
 		"answered":        {"/safe/x", []step{{body: "ok"}}, 1},
 		"safe, retried":   {"/safe/x", []step{{status: 500}, {body: "ok"}}, 2},
@@ -95,7 +99,7 @@
 			permits := &scriptedLimits{}
 			harness.Limits = permits
 			for _, server := range []shedkeel.InstanceID{"p0", "p1", "p2", "g0", "g1", "g2"} {
-				harness.Table.SetLimit(server, 100, true)
+				harness.Table.SetLimit(server, 100, true) // 100 requests per second; scriptedLimits grants all permits
 			}
 			got := harness.post(test.path, "", "Model", "m")
 			assert.Equal(t, got.Code, 200, got.Body.String())
@@ -105,11 +109,11 @@
 }
 
 // TestLimitsAreObserved checks which answers are evidence of a server's rate limit or of
-// its absence.
+// its absence, and so are passed to ServerLimits.Observe.
 func TestLimitsAreObserved(t *testing.T) {
 	cases := map[string]struct {
 		step step
-		want []shedkeel.StatedLimit
+		want []shedkeel.StatedLimit // limits passed to Observe; {}: none is stated
 	}{
 		"no limit":          {step{body: "ok"}, []shedkeel.StatedLimit{{}}},
 		"a limit":           {step{body: "ok", limit: 2}, []shedkeel.StatedLimit{{Stated: true, Rate: 2}}},
@@ -121,6 +125,7 @@
 	}
 	for name, test := range cases {
 		runFakeTime(t, name, func(t *testing.T) {
+			// Further attempts get answers to other requests, which are not observed.
 			harness := newHarness(t, test.step, step{wrongID: true}, step{wrongID: true}, step{wrongID: true})
 			permits := &scriptedLimits{}
 			harness.Limits = permits
--- a/serve/plain.go
+++ b/serve/plain.go
@@ -24,8 +24,8 @@
 
 // servePlain serves a request that has a single answer. After a failed attempt it tries another
 // server, if the deadline, the guard, maxServersTried and, unless the attempt did not run,
-// mayRetry allow it. It forwards the first answer with a status below 500. If there is none, it
-// forwards the latest answer with a 5xx status, or returns an error if there is none either.
+// mayRetry allow that. It forwards the first answer with a status below 500. If there is none,
+// it forwards the latest answer with a 5xx status; without such an answer it returns an error.
 func (exchange *exchange) servePlain(ctx context.Context) error {
 	var serverFailure bufferedAnswer // the latest answer with a 5xx status
 	var reason error
--- a/serve/reader_test.go
+++ b/serve/reader_test.go
@@ -14,17 +14,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSlowReadersAreDisconnected lets callers send requests and read nothing of the answers.
-// Without a write deadline, the state of each request would be kept until the operating
-// system closes the connection.
+// TestSlowReadersAreDisconnected lets callers send requests and read nothing of the answers. It
+// checks that each request ends soon after its write deadline. Without the write deadline,
+// the state of each request would be kept until the operating system closes the connection.
 func TestSlowReadersAreDisconnected(t *testing.T) {
-	const callers, deadline = 20, 300 * time.Millisecond
+	const callers, deadline = 20, 300 * time.Millisecond // the deadline is that of each request
 	cases := map[string]struct {
 		path string
 		step step
 	}{
 		"a long answer": {"/safe/x", step{body: strings.Repeat("x", 512<<10)}},
-		"a long stream": {"/s/x", step{events: 1 << 20}},
+		"a long stream": {"/s/x", step{events: 1 << 20}}, // about a million events
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -34,8 +34,9 @@
 			}
 			harness := newHarness(t, steps...)
 			began := time.Now()
-			// open and ended count requests. latest is the time from began to the latest
-			// arrival of a request, longest the longest duration of a request, in nanoseconds.
+			// open and ended count the requests that are being served and that have ended.
+			// latest is the time from began to the latest arrival of a request, and longest the
+			// longest time for which a request was served, in nanoseconds.
 			var open, ended, latest, longest atomic.Int64
 			server := httptest.NewUnstartedServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 				arrived := time.Now()
@@ -62,14 +63,17 @@
 				_, err = fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: h\r\nId: r%d\r\nKey: k1\r\nModel: m\r\nDeadline: %s\r\nContent-Length: 1\r\n\r\nx", test.path, index, deadline)
 				assert.NilError(t, err)
 			}
-			time.Sleep(deadline / 2)
+			time.Sleep(deadline / 2) // the requests have not reached their deadline
 			assert.Assert(t, open.Load() > 0, "no request is being served")
+			// Wait until all requests have ended, but no longer than ten times the time that
+			// the handler gives a caller to read.
 			for end := time.Now().Add(10 * unreadTimeout); ended.Load() < callers && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			}
 			t.Logf("the last request arrived after %s, the longest took %s", time.Duration(latest.Load()), time.Duration(longest.Load()))
 			assert.Equal(t, ended.Load(), int64(callers), "all requests must have ended")
+			// The second unreadTimeout allows for delays of the machine.
 			assert.Assert(t, time.Duration(longest.Load()) <= deadline+2*unreadTimeout, "a request was held for %s", time.Duration(longest.Load()))
-			assert.Equal(t, len(harness.activeExchanges()), 0)
+			assert.Equal(t, len(harness.activeExchanges()), 0, "requests are still tracked")
 		})
 	}
 }
@@ -80,7 +84,7 @@
 	harness := newHarness(t)
 	server := httptest.NewServer(harness)
 	defer server.Close()
-	for _, path := range []string{"/safe/x", "/none/x", "/safe/x"} {
+	for _, path := range []string{"/safe/x", "/none/x", "/safe/x"} { // no route matches /none/x
 		request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, server.URL+path, nil)
 		assert.NilError(t, err)
 		request.Host = "h"
@@ -90,6 +94,7 @@
 		response, err := server.Client().Do(request)
 		assert.NilError(t, err, "the connection must stay usable")
 		assert.NilError(t, response.Body.Close())
+		// The write deadline is the request's deadline plus unreadTimeout; 100 ms later it has passed.
 		time.Sleep(100*time.Millisecond + unreadTimeout + 100*time.Millisecond)
 	}
 }
--- a/serve/retryafter.go
+++ b/serve/retryafter.go
@@ -15,15 +15,14 @@
 	// retryOutage is the shortest wait, before the jitter and the bound by
 	// maxWaitFraction, in an outage of the key-value service in which no process can
 	// serve the caller. An outage that has lasted longer than retryOutage is assumed to
-	// last as long again.
+	// last as long again (see retryStaleConfig).
 	retryOutage = 1200 * time.Millisecond
 	// maxWaitFraction is the longest Retry-After, as a fraction of the time that the
-	// caller still waits. It is below a third, which is the most that callers honor;
-	// they need the rest of the time for the answer.
+	// caller still waits. Callers honor a Retry-After of at most a third of that time,
+	// because they need the rest for the answer.
 	maxWaitFraction = 0.3
-	// retryJitter is the largest fraction of Retry-After by which it varies with the
-	// request's ID, so that callers that were refused together do not retry at the same
-	// time.
+	// retryJitter is the largest fraction by which Retry-After varies with the request's
+	// ID, so that callers that were refused together do not retry at the same time.
 	retryJitter = 0.25
 )
 
@@ -34,9 +33,9 @@
 	causeStopping    cause = iota // this process is stopping; other processes serve
 	causeStaleConfig              // this process has no configuration, or one that is out of date
 	causeNoCapacity               // no server is available, or too many late requests wait for the model (errFull)
-	causeNotRun                   // any other reason why no attempt ran, such as refusals of all servers tried
+	causeNotRun                   // any other reason why no attempt ran, such as that all servers tried refused the request
 	causeQuarantined              // servers terminated while they ran the request, and the guard allows no attempt now
-	causeLimited                  // the servers limit their rate, and no permit is available in time
+	causeLimited                  // the servers limit their rate, and no permit is available in time (errLimited)
 	causeBackoff                  // all available servers have asked for a backoff (see noServerError)
 	causeContained                // too many servers terminated while they ran the request; it is not sent again
 )
--- a/serve/retryafter_test.go
+++ b/serve/retryafter_test.go
@@ -12,15 +12,17 @@
 )
 
 // TestRetryAfter checks the range and the jitter of Retry-After for the causes that do not
-// depend on when a server accepts requests again.
+// depend on when a server accepts requests again. A range of several times begins at three
+// quarters of its upper end, because of retryJitter. Where the upper end is not a constant of this package, it is
+// maxWaitFraction of the deadline, or the length of the outage if that is shorter.
 func TestRetryAfter(t *testing.T) {
 	const longOutage = 30 * time.Second
 	cases := map[string]struct {
 		cause    cause
-		deadline time.Duration
+		deadline time.Duration // the caller's; 0: defaultTimeout applies
 		outage   time.Duration // its length so far; 0: there is none
-		least    time.Duration
-		most     time.Duration
+		least    time.Duration // shortest Retry-After
+		most     time.Duration // longest Retry-After
 	}{
 		"process is stopping":                      {causeStopping, 8 * time.Second, 0, retrySoon, retrySoon},
 		"process is stopping, in an outage":        {causeStopping, 8 * time.Second, time.Second, retrySoon, retrySoon},
@@ -37,7 +39,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			timers := &timer.Manual{}
-			timers.Advance(time.Minute)
+			timers.Advance(time.Minute) // so that the outages began after time 0
 			handler := &Handler{Timers: timers, StoreOutage: func() (time.Duration, bool) { return timers.Now() - test.outage, test.outage > 0 }}
 			got := map[time.Duration]bool{}
 			for index := range 100 {
@@ -46,19 +48,20 @@
 				assert.Assert(t, wait >= test.least && wait <= test.most, "%s", wait)
 				got[wait] = true
 			}
+			// Over half of the 100 times must differ, unless the range is a single time.
 			assert.Equal(t, len(got) > 50, test.most-test.least > 50*time.Millisecond, "%d different times", len(got))
 		})
 	}
 }
 
 // TestRetryAfterInStoreOutage checks the Retry-After of a process that has no configuration, as
-// after a start in an outage of the key-value service. In an outage, a Retry-After of 50 ms
-// would make every caller retry only to be refused again.
+// after it was started in an outage of the key-value service. In an outage, a Retry-After of
+// retrySoon (50 ms) would make every caller retry only to be refused again.
 func TestRetryAfterInStoreOutage(t *testing.T) {
 	harness := newHarness(t)
 	harness.CurrentConfig = func() ConfigState { return ConfigState{} }
 	assert.Equal(t, harness.post("/safe/x", "", "Deadline", "8s").Header().Get("Retry-After"), "0.050")
-	harness.StoreOutage = func() (time.Duration, bool) { return harness.clock.Now(), true }
+	harness.StoreOutage = func() (time.Duration, bool) { return harness.clock.Now(), true } // an outage that begins now
 	wait, err := time.ParseDuration(harness.post("/safe/x", "", "Deadline", "8s").Header().Get("Retry-After") + "s")
 	assert.NilError(t, err)
 	assert.Assert(t, wait >= retryOutage*3/4 && wait <= retryOutage, "%s", wait)
--- a/serve/send.go
+++ b/serve/send.go
@@ -18,16 +18,17 @@
 	"shedkeel.org/shedkeel/event"
 )
 
-// Reasons why no attempt can be made, or why one fails.
+// Reasons why no attempt can be made, or why one fails. Their texts are part of answers to
+// callers.
 var (
-	errNoServer      = errors.New("no server may be sent to")
-	errLimited       = errors.New("all servers that may be sent to limit their rate, and no permit is free in time")
-	errBackoff       = errors.New("all servers that may be sent to want no requests for a while")
-	errFull          = errors.New("all servers have more requests than they can answer in time")
-	errNoBudget      = errors.New("no more repeats are allowed now")
-	errForeignAnswer = errors.New("the answer belongs to another request or is not the server's own")
-	errIncomplete    = errors.New("the answer did not come whole")
-	errServerFailed  = errors.New("the server failed")
+	errNoServer      = errors.New("no server may be sent to")                                                        // see noServerError and awaitPermit
+	errLimited       = errors.New("all servers that may be sent to limit their rate, and no permit is free in time") // see awaitPermit
+	errBackoff       = errors.New("all servers that may be sent to want no requests for a while")                    // see noServerError
+	errFull          = errors.New("all servers have more requests than they can answer in time")                     // see admitToModel
+	errNoBudget      = errors.New("no more repeats are allowed now")                                                 // the retry budget is used up
+	errForeignAnswer = errors.New("the answer belongs to another request or is not the server's own")                // see checkAnswer
+	errIncomplete    = errors.New("the answer did not come whole")                                                   // it may be incomplete (source.read), or is longer than maxAnswerBytes (readWhole)
+	errServerFailed  = errors.New("the server failed")                                                               // its answer has a 5xx status
 )
 
 // choose picks the server for the next attempt. If an earlier attempt may have reached a
@@ -67,8 +68,9 @@
 
 // Limits on how far requests may fill a model's slots (see admitToModel).
 const (
-	// onTimeFraction is the fraction of the slots up to which requests are on time.
-	// Further requests would wait for a slot and be late.
+	// onTimeFraction is the fraction of the slots that requests on time may use. Further
+	// requests are late: they share the remaining slots, and wait while none of these is
+	// free.
 	onTimeFraction = 0.9
 	// lateFraction is how many late requests may wait in addition, as a fraction of the
 	// slots. Late requests only get the slots that requests on time leave free, and
@@ -82,9 +84,10 @@
 
 // admitToModel is the admission control of a model. A request is on time if the requests on
 // time that run on the model use less than onTimeFraction of the model's slots; otherwise it
-// is late. admitToModel sets exchange.late, and query.Preferred to the recommended group. It
-// returns errFull if lateFraction is reached as well, and the error of noServerError if no
-// group is usable. However few the slots are, it admits one request on time and one late one.
+// is late. admitToModel sets exchange.late, and query.Preferred if Recommend answers. It
+// returns errFull for a late request if the late requests that run reach lateFraction, and the
+// error of noServerError if no group is usable. However few the slots are, it admits one
+// request on time and one late request.
 //
 // Engines serve late requests after those on time. Under overload, some requests are thus
 // served on time: if all waited in one queue, all would be late.
@@ -136,7 +139,7 @@
 }
 
 // send sends the request to the chosen server once and checks the head of the answer. The
-// caller must close the response's body. The error is a NotRunError if the request did not
+// caller of send must close the response's body. The error is a NotRunError if the request did not
 // run at the server, and an UnknownRunError if it may have run.
 func (exchange *exchange) send(ctx context.Context, choice *dispatch.Choice, lastEvent string) (*http.Response, error) {
 	remaining := exchange.callerDeadline - exchange.handler.Timers.Now()
@@ -199,9 +202,11 @@
 	return &target
 }
 
-// checkAnswer records what the answer states about the server. It returns a NotRunError if the
-// answer is a refusal. It returns an UnknownRunError with errForeignAnswer if the answer has
-// the ID of another request or a Content-Encoding, or is a success without an ID or signature.
+// checkAnswer records what the answer states about the server. It returns an UnknownRunError
+// with errForeignAnswer if the answer has the ID of another request or is a success (a status
+// below 300) without an ID. Otherwise it returns a NotRunError if the answer is a refusal. For
+// an answer that is not a refusal, it returns errForeignAnswer, too, if the answer has a
+// Content-Encoding or is a success without a signature.
 func (exchange *exchange) checkAnswer(response *http.Response, choice *dispatch.Choice) error {
 	answer := exchange.handler.Protocol.Answer(response)
 	exchange.observeLimit(answer, response.StatusCode, choice)
@@ -218,7 +223,8 @@
 }
 
 // observeLimit records what the answer states about the server's rate limit, if the
-// answer belongs to this request. Only a signed success proves that there is no limit.
+// answer belongs to this request. It always records a stated limit, also one that cannot be
+// parsed, but the absence of a limit only for a signed success, which proves the absence.
 func (exchange *exchange) observeLimit(answer shedkeel.BackendAnswer, status int, choice *dispatch.Choice) {
 	if exchange.handler.Limits == nil || answer.ID != exchange.call.ID {
 		return
@@ -252,8 +258,8 @@
 }
 
 // applyBackoff keeps this process from sending requests to the server for the backoff that
-// the server asked for, but at most for MaxBackoff if that is set. It logs the backoff if the
-// server accepted requests until now.
+// the server asked for, but at most for MaxBackoff if MaxBackoff is set. It logs the backoff if
+// the server accepted requests until now.
 func (exchange *exchange) applyBackoff(server shedkeel.InstanceID, length time.Duration) {
 	handler := exchange.handler
 	count(handler.meter().backoffs)
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -56,18 +56,19 @@
 	return answer
 }
 
-// step is how a fake server handles one request.
+// step is how a fake server handles one request. The zero value is a signed answer with status
+// 200 and no body.
 type step struct {
-	err        error
-	status     int
+	err        error // the request fails with this error, without an answer
+	status     int   // below 200: 200
 	body       string
 	events     int           // number of the stream's last event; 0: no stream
-	cutAfter   int           // fail the connection after this event; 0: never
-	stallAfter int           // send nothing more after this event; 0: never
+	cutAfter   int           // the connection fails inside the event after this one; 0: never
+	stallAfter int           // nothing more is sent after this event; 0: never
 	unframed   bool          // the answer has neither length nor chunks
 	delay      time.Duration // before the answer
 	wrongID    bool          // the answer has the ID of another request
-	unsigned   bool
+	unsigned   bool          // the answer has no signature of the server
 	notRun     bool          // the answer states that the request did not run
 	limit      float64       // stated rate limit, in requests per second; 0: none
 	backoff    time.Duration // stated backoff; 0: none
@@ -144,8 +145,8 @@
 	return response
 }
 
-// runStream writes the events of the stream that follow the event that the request names in
-// After, or all events if it names none.
+// runStream writes the events of the stream that follow the event whose number the request's
+// header After states, or all events if After is empty. It stops as cutAfter and stallAfter say.
 func (step *step) runStream(request *http.Request, writer *io.PipeWriter) {
 	first := 1
 	_, _ = fmt.Sscanf(request.Header.Get("After"), "%d", &first)
@@ -158,7 +159,7 @@
 		}
 		switch number {
 		case step.cutAfter:
-			_, _ = io.WriteString(writer, "id: 9")
+			_, _ = io.WriteString(writer, "id: 9") // the beginning of another event
 			_ = writer.CloseWithError(io.ErrUnexpectedEOF)
 			return
 		case step.stallAfter:
@@ -170,7 +171,8 @@
 	_ = writer.Close()
 }
 
-// harness is a Handler with a scripted backend, three plain servers and three groups.
+// harness is a Handler with a scripted backend, three servers of the service plain (p0 to p2) and
+// three groups of the service llm (g0 to g2).
 type harness struct {
 	*Handler
 	backend  *backend
@@ -190,8 +192,10 @@
 	t.Run(name, func(t *testing.T) { synctest.Test(t, test) })
 }
 
+// testConfig returns a configuration with a route of each kind, all on host h, and a public route
+// with a longer prefix. The other routes need a key, k1 or k2.
 func testConfig() *shedkeel.ServingConfig {
-	one := 1
+	one := 1 // the priority of the client account
 	return &shedkeel.ServingConfig{
 		Version: 3, Limits: shedkeel.Limits{BodyBytes: 100},
 		Routes: []shedkeel.Route{
@@ -205,9 +209,12 @@
 	}
 }
 
+// newHarness returns a harness whose backend handles the requests by the steps. Its
+// configuration is proven current at the present time.
 func newHarness(t *testing.T, steps ...step) *harness {
 	t.Helper()
 	harness := &harness{backend: &backend{steps: steps}}
+	// The backend is a fake: no connection is made to the addresses.
 	table := &dispatch.Table{Random: rand.NewPCG(1, 2)}
 	servers := []dispatch.Server{}
 	for index := range 3 {
@@ -225,6 +232,7 @@
 		CurrentConfig:    func() ConfigState { return ConfigState{View: view, ProvenAt: time.Duration(harness.provenAt.Load())} },
 		RetryBudgetNodes: func() int { return 1 }, ServingNodes: func() int { return 1 }, MaxConfigAge: time.Second,
 	}
+	// The table looks for stalled servers every 10 ms.
 	cancel := harness.clock.Subscribe(10*time.Millisecond, func(time.Duration) { table.FindStalled(harness.clock.Now()) })
 	t.Cleanup(cancel)
 	return harness
@@ -233,10 +241,11 @@
 // result is the answer that a caller receives.
 type result struct {
 	*httptest.ResponseRecorder
-	broken bool // the connection was aborted
+	broken bool // the handler has panicked, which aborts the connection
 }
 
-// post serves one request. The header is a list of names and values.
+// post serves one request with ID r1 and key k1. The header is a list of names and values, which
+// may replace these.
 func (harness *harness) post(path, body string, header ...string) result {
 	request := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
 	request.Host = "h"
@@ -253,7 +262,7 @@
 	return recorder
 }
 
-// events returns the text of the events with these numbers.
+// events returns the text of the events whose numbers are at least from and at most to.
 func events(from, to int) string {
 	var text strings.Builder
 	for number := from; number <= to; number++ {
@@ -263,12 +272,15 @@
 }
 
 var (
+	// errConnRefused is the error of an attempt that did not reach the server.
 	errConnRefused = &shedkeel.NotRunError{Reason: "connection refused"}
-	errAnswerLost  = &shedkeel.UnknownRunError{Reason: "no answer", Cause: io.EOF}
+	// errAnswerLost is the error of an attempt that may have run.
+	errAnswerLost = &shedkeel.UnknownRunError{Reason: "no answer", Cause: io.EOF}
 )
 
 // TestPlainOutcomes checks the status that a caller gets for each sequence of attempts, and the
-// number of attempts. The status is 503 only if no attempt ran or may have run.
+// number of attempts. The status is 503 only if no attempt ran or may have run. A step {} at the
+// end of a sequence is not reached.
 func TestPlainOutcomes(t *testing.T) {
 	cases := map[string]struct {
 		path   string
@@ -281,16 +293,16 @@
 		"safe, failed twice":                      {"/safe/x", []step{{status: 500}, {status: 500}, {}}, 500, 2},
 		"safe, answer lost":                       {"/safe/x", []step{{err: errAnswerLost}, {body: "ok"}}, 200, 2},
 		"safe, answer lost twice":                 {"/safe/x", []step{{err: errAnswerLost}, {err: errAnswerLost}, {}}, 502, 2},
-		"safe, another's answer":                  {"/safe/x", []step{{wrongID: true}, {body: "ok"}}, 200, 2},
-		"safe, unsigned":                          {"/safe/x", []step{{unsigned: true}, {body: "ok"}}, 200, 2},
+		"safe, answer to another request":         {"/safe/x", []step{{wrongID: true}, {body: "ok"}}, 200, 2},
+		"safe, answer without signature":          {"/safe/x", []step{{unsigned: true}, {body: "ok"}}, 200, 2},
 		"once, answered":                          {"/once/x", []step{{body: "ok"}}, 200, 1},
 		"once, the server's failure is forwarded": {"/once/x", []step{{status: 500}, {}}, 500, 1},
 		"once, answer lost":                       {"/once/x", []step{{err: errAnswerLost}, {}}, 502, 1},
-		"once, not sent":                          {"/once/x", []step{{err: errConnRefused}, {body: "ok"}}, 200, 2},
+		"once, connection refused":                {"/once/x", []step{{err: errConnRefused}, {body: "ok"}}, 200, 2},
 		"once, refused":                           {"/once/x", []step{{status: 503, notRun: true}, {body: "ok"}}, 200, 2},
 		"once, refused, then lost":                {"/once/x", []step{{status: 503, notRun: true}, {err: errAnswerLost}, {}}, 502, 2},
 		"once, refused by all":                    {"/once/x", []step{{status: 503, notRun: true}, {status: 503, notRun: true}, {status: 503, notRun: true}}, 503, 3},
-		"once, another's answer":                  {"/once/x", []step{{wrongID: true}, {}}, 502, 1},
+		"once, answer to another request":         {"/once/x", []step{{wrongID: true}, {}}, 502, 1},
 	}
 	for name, test := range cases {
 		runFakeTime(t, name, func(t *testing.T) {
@@ -298,7 +310,7 @@
 			got := harness.post(test.path, "body")
 			assert.Equal(t, got.Code, test.status, got.Body.String())
 			assert.Equal(t, len(harness.backend.requests), test.sent)
-			assert.Equal(t, got.Code == 503, got.Header().Get("Retry-After") != "", "a refusal has a Retry-After")
+			assert.Equal(t, got.Code == 503, got.Header().Get("Retry-After") != "", "503 answers must have a Retry-After, and no others")
 		})
 	}
 }
@@ -316,7 +328,7 @@
 		"unknown key":           {"/safe/x", []string{"Key", "k9"}, "", 401},
 		"second key of account": {"/safe/x", []string{"Key", "k2"}, "", 200},
 		"public needs no key":   {"/safe/open/x", []string{"Key", "k9"}, "", 200},
-		"body too large":        {"/safe/x", nil, strings.Repeat("x", 101), 413},
+		"body too large":        {"/safe/x", nil, strings.Repeat("x", 101), 413}, // one byte above Limits.BodyBytes
 		"invalid deadline":      {"/safe/x", []string{"Deadline", "soon"}, "", 400},
 	}
 	for name, test := range cases {
@@ -334,8 +346,8 @@
 // or route may be newer than the configuration.
 func TestStaleConfiguration(t *testing.T) {
 	cases := map[string]struct {
-		refuse bool // Handler.RefuseStaleKeys
-		age    time.Duration
+		refuse bool          // Handler.RefuseStaleKeys; "strict" in the names of the cases
+		age    time.Duration // time since the configuration was proven; MaxConfigAge is 1 s
 		path   string
 		key    string
 		status int
@@ -362,7 +374,7 @@
 }
 
 // TestPlannedStop checks that a stopping process first asks callers to close their
-// connections, and then refuses requests without sending them.
+// connections (CloseConnections), and then refuses requests without sending them (RefuseNew).
 func TestPlannedStop(t *testing.T) {
 	harness := newHarness(t)
 	harness.CloseConnections()
@@ -372,7 +384,7 @@
 	harness.RefuseNew()
 	got = harness.post("/safe/x", "")
 	assert.Equal(t, got.Code, 503)
-	assert.Equal(t, len(harness.backend.requests), 1)
+	assert.Equal(t, len(harness.backend.requests), 1, "the refused request was sent")
 }
 
 // TestRequestForwardedUnchanged checks that target, body and end-to-end headers are
@@ -390,8 +402,8 @@
 	assert.Equal(t, sent.Header.Get("Account"), "clerk")
 }
 
-// TestRouteTimeout checks that a request ends with 504 at its route's timeout of 200 ms
-// if the server does not answer.
+// TestRouteTimeout checks that a request ends with 504 within its route's timeout of 200 ms if
+// the server does not answer in that time.
 func TestRouteTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		harness := newHarness(t, step{delay: time.Minute})
@@ -402,16 +414,17 @@
 	})
 }
 
-// TestStreams checks that a caller gets each event once and in order, and that the
-// connection is aborted unless the stream is complete.
+// TestStreams checks that a caller gets each event once and in order, that the connection is
+// aborted if a stream that has started cannot be completed, and the status and the number of
+// attempts. The route allows two runs (MaxRuns).
 func TestStreams(t *testing.T) {
 	cases := map[string]struct {
 		steps  []step
-		after  string
-		want   string
+		after  string // ID of the event after which the caller resumes; "": it starts at the beginning
+		want   string // body of the answer; checked if the status is 200
 		status int
-		broken bool
-		sent   int
+		broken bool // the connection to the caller is aborted
+		sent   int  // attempts that reach the backend
 	}{
 		"complete":                            {[]step{{events: 5}}, "", events(1, 5), 200, false, 1},
 		"resumed by the caller":               {[]step{{events: 5}}, "3", events(4, 5), 200, false, 1},
@@ -426,7 +439,7 @@
 		"refused by all":                      {[]step{{status: 503, notRun: true}, {status: 503, notRun: true}, {status: 503, notRun: true}}, "", "", 503, false, 3},
 		"the servers' failure is forwarded":   {[]step{{status: 500}, {status: 500}}, "", "", 500, false, 2},
 		"answer lost twice":                   {[]step{{err: errAnswerLost}, {err: errAnswerLost}}, "", "", 502, false, 2},
-		"another's answer":                    {[]step{{wrongID: true}, {events: 3}}, "", events(1, 3), 200, false, 2},
+		"answer to another request":           {[]step{{wrongID: true}, {events: 3}}, "", events(1, 3), 200, false, 2},
 		"refused connections are not retries": {[]step{{err: errConnRefused}, {err: errConnRefused}, {events: 2}}, "", events(1, 2), 200, false, 3},
 	}
 	for name, test := range cases {
@@ -446,8 +459,9 @@
 }
 
 // TestStalledStreamRetriesHedge lets a stream stall while all other groups are avoided for
-// half a second. If the hedge were not tried again at later stall signals, the stream would
-// not resume at another group and would end at the caller's deadline.
+// half a second, so that the first hedge finds no server. If the hedge were not tried again at
+// later stall signals, the stream would not resume at another group and would end at the
+// caller's deadline.
 func TestStalledStreamRetriesHedge(t *testing.T) {
 	harness := newHarness(t, step{events: 5, stallAfter: 2}, step{events: 5})
 	for _, other := range []shedkeel.GroupID{"g1", "g2"} {
@@ -474,29 +488,30 @@
 // of a window, and after a call of Set.
 func TestBudget(t *testing.T) {
 	budget := &Budget{Ratio: 0.5, Window: 10 * time.Second, FixedRetries: 4, SafetyFactor: 1}
-	now := time.Minute
-	count := func(nodes int) int {
+	now := time.Minute // after StartedAt by more than a window: the share of FixedRetries has its full size
+	// exhaust uses up the budget of one of that many nodes, and returns how many retries that took.
+	exhaust := func(nodes int) int {
 		allowed := 0
 		for budget.AllowRetry("s", nodes, now) {
 			allowed++
 		}
 		return allowed
 	}
-	assert.Equal(t, count(2), 2, "half of FixedRetries")
+	assert.Equal(t, exhaust(2), 2, "the share of FixedRetries of one of two nodes")
 	budget.Refund("s", now)
-	assert.Equal(t, count(2), 1, "the refunded retry is allowed again")
+	assert.Equal(t, exhaust(2), 1, "the refunded retry is allowed again")
 	budget.Refund("other", now)
-	assert.Equal(t, count(2), 0, "a refund to another service has no effect")
+	assert.Equal(t, exhaust(2), 0, "a refund to another service has no effect")
 	for range 10 {
 		budget.CountRequest("s", now)
 	}
-	assert.Equal(t, count(2), 5, "Ratio times the requests")
+	assert.Equal(t, exhaust(2), 5, "Ratio times the requests")
 	now += 9 * time.Second
-	assert.Equal(t, count(2), 0, "retries count for a whole window")
+	assert.Equal(t, exhaust(2), 0, "retries count for a whole window")
 	now += 2 * time.Second
-	assert.Equal(t, count(2), 2, "then the retries no longer count")
+	assert.Equal(t, exhaust(2), 2, "then the retries no longer count")
 	budget.Set(0, 5*time.Second, 8)
-	assert.Equal(t, count(2), 4)
+	assert.Equal(t, exhaust(2), 4, "half of the new FixedRetries")
 }
 
 // TestUnsentRetryIsRefunded lets all three servers refuse a request. Two retries are sent; the
@@ -509,11 +524,11 @@
 	for harness.Budget.AllowRetry("plain", 1, harness.clock.Now()) {
 		left++
 	}
-	assert.Equal(t, left, 10-2)
+	assert.Equal(t, left, 10-2, "FixedRetries less the two retries that were sent")
 }
 
 // TestModelAdmission checks how many requests for a model are admitted on time, how many are
-// admitted as late, and that the others are refused.
+// admitted as late, and that the others are refused with errFull, while no request ends.
 func TestModelAdmission(t *testing.T) {
 	harness := newHarness(t)
 	capacity := 3 * 8                                  // three groups of eight slots
@@ -532,7 +547,7 @@
 			onTime++
 		}
 	}
-	assert.Equal(t, onTime, 22, "slots within onTimeFraction")
+	assert.Equal(t, onTime, 22, "onTimeFraction of 24 slots, rounded up")
 	assert.Equal(t, late, int(lateFraction*float64(capacity)))
 	assert.Equal(t, onTime+late+refused, 2*capacity)
 }
--- a/serve/source.go
+++ b/serve/source.go
@@ -54,9 +54,10 @@
 	}
 }
 
-// read sends the request, and delivers the events until the stream ends or the source is
-// canceled. It returns errStreamEnd if the stream was received completely, errIncomplete if
-// that cannot be told, and a statusError if the status is not 200.
+// read sends the request, and delivers the events until the stream ends, fails or the source
+// is canceled. It returns errStreamEnd if the stream was received completely, errIncomplete if
+// the end of the answer does not show whether it was, and a statusError if the status is not
+// 200.
 func (source *source) read() error {
 	stream := source.stream
 	response, err := stream.send(source.context, source.choice, source.resumeAfter)
@@ -73,8 +74,8 @@
 	for {
 		message, err := engine.ReadEvent(reader)
 		if errors.Is(err, io.EOF) && unframed {
-			// Without a length or chunks, a lost connection looks like the end
-			// of the stream.
+			// In an answer without a length or chunks, a lost connection looks like
+			// the end of the stream.
 			return errIncomplete
 		}
 		if errors.Is(err, io.EOF) {
--- a/serve/stream.go
+++ b/serve/stream.go
@@ -12,14 +12,15 @@
 	"shedkeel.org/shedkeel/event"
 )
 
-// updateBuffer is the number of events that are buffered for a caller that reads slowly.
+// updateBuffer is the number of updates, one for each event, that are buffered for a caller
+// that reads slowly.
 const updateBuffer = 4
 
 // stream forwards a stream of events to its caller. Each attempt of the stream is a source.
 // When a source fails, another source replaces it, which resumes after the last forwarded
 // event. When a source stalls, a second source is started beside it, which is a hedge; the
 // source that delivers the next event first is kept and the other is canceled. mayFailOver and
-// the retry budget limit how often either happens.
+// the retry budget limit how often sources are replaced or hedged.
 type stream struct {
 	*exchange
 	updates    chan update
@@ -87,9 +88,10 @@
 	return stream.sources[0].choice.Stalled
 }
 
-// mayFailOver reports whether the stream may run on another server too. Every source counts
-// towards MaxRuns unless its server refused the stream or was not reached: a server whose
-// source was canceled may already have started to run the stream.
+// mayFailOver reports whether the stream may run on another server too, by the route, MaxRuns
+// and the guard. Every source counts towards MaxRuns unless its server refused the stream or
+// was not reached: a server whose source was canceled may already have started to run the
+// stream.
 func (stream *stream) mayFailOver() bool {
 	return stream.route.Repeatable() && stream.runs < stream.route.MaxRuns && !stream.quarantined && stream.guardAllows()
 }
@@ -134,7 +136,7 @@
 		return stream.sourceEnded(ctx, update)
 	}
 	if update.number <= stream.lastNumber && update.number > 0 {
-		return false, nil // already forwarded from another source
+		return false, nil // the event has been forwarded already, or the caller resumes after it
 	}
 	update.source.lastNumber = update.number
 	stream.cancelOthers(update.source)
@@ -160,8 +162,8 @@
 	return http.NewResponseController(stream.writer).Flush()
 }
 
-// cancelOthers cancels all sources except kept, which has delivered an event. If kept stalls
-// again, it may be hedged again.
+// cancelOthers cancels all sources except kept, which has delivered an event. It clears
+// kept.hedged, so that kept may be hedged again if it stalls again.
 func (stream *stream) cancelOthers(kept *source) {
 	for _, source := range stream.sources {
 		if source != kept {
@@ -235,7 +237,7 @@
 // finish ends a stream that cannot be completed. If events were forwarded, it returns
 // errAborted, so that the connection is aborted. If the reason is a statusError, it forwards
 // the server's status and header, without the body, and returns nil. Otherwise it returns the
-// error of failure.
+// error of the method failure.
 func (stream *stream) finish(ctx context.Context, reason error) error {
 	if stream.answerStarted.Load() {
 		return errors.Join(errAborted, reason)
--- a/serve/view.go
+++ b/serve/view.go
@@ -61,8 +61,8 @@
 
 // targetService returns the service for a request of the route, or "" if the route has
 // no targets. It hashes the request ID and picks a target in proportion to the
-// weights, so that the same ID always gets the same service. If no weight is above 0, it
-// returns the service of the first target.
+// weights, so that the same ID always gets the same service. A weight below 0 counts as 0. If
+// no weight is above 0, it returns the service of the first target.
 func targetService(route *shedkeel.Route, requestID string) shedkeel.ServiceID {
 	total := 0
 	for _, target := range route.Targets {
