--- a/contain/bench_test.go
+++ b/contain/bench_test.go
@@ -12,7 +12,7 @@
 func BenchmarkJudgment(b *testing.B) {
 	ledger := &Ledger{}
 	for index := range 1000 {
-		for _, server := range []shedkeel.InstanceID{"a", "b", "c"} {
+		for _, server := range []shedkeel.InstanceID{"a", "b", "c"} { // containThreshold servers
 			ledger.RecordFailure(shedkeel.RequestDigest(fmt.Sprint(index)), server)
 		}
 	}
--- a/contain/ledger.go
+++ b/contain/ledger.go
@@ -84,7 +84,7 @@
 	return blames
 }
 
-// RecordFailure records that a server terminated while it ran a request, unless
+// RecordFailure records that a server terminated while it ran a request, unless that server or
 // containThreshold servers are recorded already. It returns the record of the request and
 // whether the record changed.
 func (ledger *Ledger) RecordFailure(request shedkeel.RequestDigest, server shedkeel.InstanceID) (shedkeel.Blame, bool) {
@@ -97,7 +97,8 @@
 
 // Clear drops the servers recorded for a request and starts a new round, so that records
 // of earlier rounds that arrive late have no effect. It returns the record before and after
-// the change. If no servers are recorded, it changes nothing and returns empty records.
+// the change. If no servers are recorded, it changes nothing and returns empty records of
+// round 0, whatever the round of the request is.
 func (ledger *Ledger) Clear(request shedkeel.RequestDigest) (before, after shedkeel.Blame) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
@@ -111,9 +112,9 @@
 }
 
 // Merge adds a record of another ledger. A record of a later round replaces the existing
-// one, and a record of an earlier round is ignored. The servers of two records of the same
+// record, and a record of an earlier round is ignored. The servers of two records of the same
 // round are combined, up to containThreshold. Merge returns the resulting record and whether
-// it changed. It does not store a record without servers of round 0 for an unknown request.
+// the record changed. For an unknown request, it stores no record of round 0 without servers.
 func (ledger *Ledger) Merge(other shedkeel.Blame) (shedkeel.Blame, bool) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
--- a/contain/ledger_test.go
+++ b/contain/ledger_test.go
@@ -15,12 +15,12 @@
 // server counts separately.
 func TestJudge(t *testing.T) {
 	cases := map[string]struct {
-		failed   []shedkeel.InstanceID
+		failures []shedkeel.InstanceID // servers passed to RecordFailure, in this order
 		judgment shedkeel.Judgment
 	}{
 		"no server":                 {nil, shedkeel.Unblamed},
 		"one server":                {[]shedkeel.InstanceID{"a"}, shedkeel.Unblamed},
-		"one, reported by several":  {[]shedkeel.InstanceID{"a", "a", "a"}, shedkeel.Unblamed},
+		"one, reported three times": {[]shedkeel.InstanceID{"a", "a", "a"}, shedkeel.Unblamed},
 		"two servers":               {[]shedkeel.InstanceID{"a", "b"}, shedkeel.Quarantined},
 		"one that restarted":        {[]shedkeel.InstanceID{"a@1", "a@2"}, shedkeel.Quarantined},
 		"three servers":             {[]shedkeel.InstanceID{"a", "b", "c"}, shedkeel.Contained},
@@ -30,12 +30,12 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			ledger := &Ledger{}
-			for _, server := range test.failed {
+			for _, server := range test.failures {
 				ledger.RecordFailure("r", server)
 			}
 			assert.Equal(t, Judge(ledger.Blame("r")), test.judgment)
 			assert.Equal(t, Judge(ledger.Blame("other")), shedkeel.Unblamed)
-			assert.Equal(t, ledger.Idle(), len(test.failed) == 0)
+			assert.Equal(t, ledger.Idle(), len(test.failures) == 0)
 		})
 	}
 }
@@ -65,19 +65,19 @@
 // records, in any order and some of them twice.
 func TestLedgersAgree(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	for range 200 {
+	for range 200 { // sequences of records
 		messages := []shedkeel.Blame{}
 		source := &Ledger{}
 		for step := range 8 {
-			if random.IntN(4) == 0 {
-				_, now := source.Clear("r")
-				messages = append(messages, now)
+			if random.IntN(4) == 0 { // a quarter of the steps clear the request
+				_, record := source.Clear("r")
+				messages = append(messages, record)
 				continue
 			}
-			now, _ := source.RecordFailure("r", shedkeel.InstanceID(fmt.Sprint("s", step)))
-			messages = append(messages, now)
+			record, _ := source.RecordFailure("r", shedkeel.InstanceID(fmt.Sprint("s", step)))
+			messages = append(messages, record)
 		}
-		for range 5 {
+		for range 5 { // orders in which the records arrive
 			random.Shuffle(len(messages), func(a, b int) { messages[a], messages[b] = messages[b], messages[a] })
 			other := &Ledger{}
 			for _, blame := range slices.Concat(messages, messages[:3]) {
@@ -98,10 +98,10 @@
 	}
 	for index := range 3 * maxRequests {
 		ledger.RecordFailure(shedkeel.RequestDigest(fmt.Sprint(index)), "a")
-		ledger.Blame("0")
+		ledger.Blame("0") // counts as a use
 	}
 	assert.Equal(t, len(ledger.All()), maxRequests)
 	assert.Equal(t, Judge(ledger.Blame("deadly")), shedkeel.Contained)
-	assert.Equal(t, len(ledger.Blame("0").Servers), 1)
-	assert.Equal(t, ledger.blamed.Load(), int64(maxRequests))
+	assert.Equal(t, len(ledger.Blame("0").Servers), 1, "the entry that is read often was evicted")
+	assert.Equal(t, ledger.blamed.Load(), int64(maxRequests), "all remaining entries have servers")
 }
--- a/contain/simulation_test.go
+++ b/contain/simulation_test.go
@@ -16,7 +16,8 @@
 var allSizes = flag.Bool("sizes", false, "compare strategies at all sizes and rates")
 
 // strategy says how nodes share records of failed servers, and what they do about a request
-// for which servers are recorded.
+// for which servers are recorded. "The first failure" and "the second failure" mean that one or
+// two servers are recorded.
 type strategy struct {
 	keepsLedger      bool // nodes record failed servers in their ledgers
 	coordinator      bool // after the first failure, a node sends the record to the coordinator of the request, which is node 0 here
@@ -27,7 +28,8 @@
 	fromFirstFailure bool // what applies from the second failure on applies from the first
 }
 
-// current is the strategy that the product uses.
+// current is the strategy that the product uses. A request is then quarantined from the second
+// failure on and contained from the third on (see Judge).
 var current = strategy{keepsLedger: true, coordinator: true, broadcast: true, persisted: true, withdrawsQueued: true, oneAtATime: true}
 
 // fault is what happens to the fleet of nodes during the simulation, beside the failures of
@@ -36,16 +38,16 @@
 
 const (
 	noFault          fault = iota
-	nodesKilled            // one after another
-	allNodesKilled         // at the same time
+	nodesKilled            // one after another, over faultDuration; they restart at once
+	allNodesKilled         // at the same time, a second after faultStart; they restart at once
 	partitioned            // two halves that do not reach each other, for faultDuration; partition 1 does not reach the store either
 	storeUnavailable       // for faultDuration
 	nodesFrozen            // a third of them, for faultDuration
 	faultCount             // number of the values above
 )
 
-// simulation simulates, in virtual time, a fleet that gets copies of one request. Each server
-// that runs a copy fails, that is, terminates.
+// simulation simulates, in virtual time, a fleet that gets copies of one request, that is,
+// requests with the same digest. Each server that runs a copy fails, that is, terminates.
 type simulation struct {
 	strategy   strategy
 	fault      fault
@@ -54,12 +56,12 @@
 	events     queue
 	nodes      []*simNode
 	heads      []*head
-	stored     shedkeel.Blame
-	trialUntil time.Duration // no further exclusive copy is sent before this time
+	stored     shedkeel.Blame // the record in the store
+	trialUntil time.Duration  // no further exclusive copy is sent before this time
 
 	failedServers int           // servers that failed
 	thirdFailure  time.Duration // when the third server failed; 0: not yet
-	lateCopies    int           // copies that connected nodes sent to servers more than convergenceTime after thirdFailure
+	lateCopies    int           // attempts that connected nodes made more than convergenceTime after thirdFailure
 }
 
 const (
@@ -74,8 +76,10 @@
 	recoveryTime = 3 * time.Second
 	// messageDelay is the delay of a message between nodes. storeDelay is the time from a
 	// write to the store until all nodes have read it.
-	messageDelay  = 4 * time.Millisecond
-	storeDelay    = 250 * time.Millisecond
+	messageDelay = 4 * time.Millisecond
+	storeDelay   = 250 * time.Millisecond
+	// The fault is in effect from faultStart for faultDuration, unless its own comment says
+	// otherwise.
 	faultStart    = 300 * time.Millisecond
 	faultDuration = 4 * time.Second
 )
@@ -84,7 +88,7 @@
 type simNode struct {
 	ledger    *Ledger
 	partition int
-	frozen    bool
+	frozen    bool // suspended: it receives neither requests nor records
 }
 
 // head is the server that heads a replica group, and to which requests for the group are
@@ -127,7 +131,7 @@
 	return last
 }
 
-// after schedules run for a time that is pause after now, in virtual time.
+// after schedules run for the virtual time simulation.now plus pause.
 func (simulation *simulation) after(pause time.Duration, run func()) {
 	heap.Push(&simulation.events, simEvent{at: simulation.now + pause, order: simulation.events.Len() + int(simulation.random.Uint32()>>1), run: run})
 }
@@ -137,8 +141,8 @@
 	return low + time.Duration(simulation.random.Int64N(int64(high-low)))
 }
 
-// simulate runs a simulation in which copies of the request arrive as a Poisson process with
-// a rate of perSecond.
+// simulate runs a simulation with that many nodes and heads of replica groups, in which copies of
+// the request arrive as a Poisson process with a rate of perSecond.
 func simulate(strategy strategy, nodes, heads int, perSecond float64, fault fault, seed uint64) *simulation {
 	simulation := &simulation{strategy: strategy, fault: fault, random: rand.New(rand.NewPCG(seed, uint64(nodes)))}
 	simulation.stored.Request = request
@@ -150,7 +154,7 @@
 	}
 	for at := time.Duration(0); at < requestDuration; at += time.Duration(simulation.random.ExpFloat64() / perSecond * float64(time.Second)) {
 		simulation.now = at
-		simulation.after(0, func() { simulation.arrive(true) })
+		simulation.after(0, func() { simulation.arrive(true) }) // the caller may send it once more
 	}
 	simulation.now = faultStart
 	simulation.after(0, simulation.startFault)
@@ -166,7 +170,7 @@
 }
 
 // startFault starts the fault. The faults partitioned and storeUnavailable need no action
-// here, because the method during derives them from the time.
+// here, because the method during finds out from the time whether they are in effect.
 func (simulation *simulation) startFault() {
 	switch simulation.fault {
 	case nodesKilled:
@@ -255,8 +259,9 @@
 	return Judge(blame)
 }
 
-// send sends a copy to a random available head. The head queues the copy for 150 to 350 ms,
-// then runs it and fails 40 to 100 ms later.
+// send sends a copy to a random available head; if no head is available, the copy is dropped. The
+// head queues the copy for 150 to 350 ms, then runs it and fails 40 to 100 ms later. A copy that
+// is withdrawn while it is queued does not run.
 func (simulation *simulation) send(sent *requestCopy) {
 	var available []*head
 	for _, head := range simulation.heads {
@@ -352,7 +357,7 @@
 		return
 	}
 	if simulation.strategy.coordinator && !blamed {
-		simulation.notify(index, 0, blame)
+		simulation.notify(index, 0, blame) // node 0 is the coordinator
 	}
 	if blamed && simulation.strategy.broadcast {
 		for other := range simulation.nodes {
@@ -376,7 +381,8 @@
 	}
 }
 
-// notify sends a record from one node to another, unless they are partitioned.
+// notify sends a record from one node to another. The record is lost if the nodes are partitioned
+// or the receiver is frozen.
 func (simulation *simulation) notify(from, to int, blame shedkeel.Blame) {
 	if from == to || simulation.during(partitioned) && simulation.nodes[from].partition != simulation.nodes[to].partition {
 		return
@@ -395,7 +401,9 @@
 	simulation.recordUpdated(index, blame, changed, len(blame.Servers) > len(received.Servers))
 }
 
-// writeStore writes the record of a node to the store, and retries until the store is reachable.
+// writeStore writes the record of a node to the store. After storeDelay, all nodes that are not
+// frozen and reach the store read it. While the node does not reach the store, it tries again
+// every 500 ms, with the record that it has by then.
 func (simulation *simulation) writeStore(index int, blame shedkeel.Blame) {
 	if !simulation.storeReachable(index) {
 		simulation.after(500*time.Millisecond, func() { simulation.writeStore(index, simulation.nodes[index].ledger.Blame(request)) })
@@ -415,8 +423,8 @@
 
 // TestContainmentStrategies runs the same simulations with each strategy and logs their
 // outcomes. It checks the bound of the strategy in use: from convergenceTime after the third
-// failure on, connected nodes send at most three more copies of the request to servers,
-// whatever the fault.
+// failure on, connected nodes make at most containThreshold (three) more attempts to send a copy
+// of the request to a server, whatever the fault.
 func TestContainmentStrategies(t *testing.T) {
 	strategies := map[string]strategy{
 		"1 bounded by attempts":          {},
@@ -428,6 +436,7 @@
 		"7 and one at a time, current":   current,
 		"8 all from the first failure":   {keepsLedger: true, coordinator: true, broadcast: true, persisted: true, withdrawsQueued: true, oneAtATime: true, fromFirstFailure: true},
 	}
+	// sizes maps the number of nodes to that of heads. rates are copies of the request per second.
 	sizes, rates := map[int]int{9: 12}, []float64{1, 10}
 	if *allSizes {
 		sizes, rates = map[int]int{9: 12, 66: 36, 300: 100}, []float64{1, 10, 50}
@@ -435,7 +444,7 @@
 	for nodes, heads := range sizes {
 		for _, perSecond := range rates {
 			for name, strategy := range strategies {
-				lateCopies := compare(t, fmt.Sprintf("%3d nodes, %2.0f per second, %-30s", nodes, perSecond, name), func(seed uint64) *simulation {
+				lateCopies := simulateAllFaults(t, fmt.Sprintf("%3d nodes, %2.0f per second, %-30s", nodes, perSecond, name), func(seed uint64) *simulation {
 					return simulate(strategy, nodes, heads, perSecond, fault(seed%uint64(faultCount)), seed)
 				})
 				assert.Assert(t, strategy != current || lateCopies <= containThreshold, "%d nodes, %.0f per second: %d late copies", nodes, perSecond, lateCopies)
@@ -444,11 +453,14 @@
 	}
 }
 
-// compare runs simulations, in equal numbers for each fault, and logs their outcomes. It
-// returns the maximum of lateCopies over all of them.
-func compare(t *testing.T, label string, simulate func(seed uint64) *simulation) int {
+// simulateAllFaults runs simulations, in equal numbers for each fault, and logs their outcomes. It
+// returns the maximum of lateCopies over all of them. The fault of a simulation is its seed modulo
+// faultCount.
+func simulateAllFaults(t *testing.T, label string, simulate func(seed uint64) *simulation) int {
 	t.Helper()
-	const seeds = 20 * uint64(faultCount)
+	const seeds = 20 * uint64(faultCount) // 20 simulations of each fault
+	// contained counts the simulations in which at most containThreshold servers failed. The others
+	// are maxima over the simulations without a fault, and over all.
 	contained, maxWithoutFault, maxWithFault, lateCopies := 0, 0, 0, 0
 	for seed := range seeds {
 		simulation := simulate(seed)
