--- a/ratelimit/cold_test.go
+++ b/ratelimit/cold_test.go
@@ -11,11 +11,12 @@
 )
 
 // TestColdServersAreKnownUntilWarm records a server as cold once or twice, and checks that
-// the server is cold until the latest recorded time, and that Add reports changes.
+// the server is cold until the latest recorded time, that Add reports changes, and that Expire
+// removes the record from that time on.
 func TestColdServersAreKnownUntilWarm(t *testing.T) {
 	type call struct {
-		until   time.Duration
-		changed bool // what Add returns
+		until   time.Duration // ColdServer.Until, in nanoseconds
+		changed bool          // what Add returns
 	}
 	cases := map[string]struct {
 		calls []call
@@ -42,7 +43,7 @@
 			assert.Equal(t, len(cold.All(test.until)), 0)
 			assert.Equal(t, len(cold.Expire(test.until-1)), 0)
 			assert.Equal(t, len(cold.Expire(test.until)), 1)
-			assert.Equal(t, len(cold.All(-10)), 0)
+			assert.Equal(t, len(cold.All(-10)), 0, "a record that would be cold at -10 is left")
 		})
 	}
 }
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -11,15 +11,15 @@
 
 const (
 	// handoverDelay is how long after the last change of the set of live processes a process
-	// grants no permits of a server that it takes over: the previous granter may still be
-	// granting them.
+	// grants no permits of a server for which it has become the granter: the previous granter
+	// may still be granting them.
 	handoverDelay = time.Second
 	// probeRate is the lowest rate at which permits are granted, in requests per second,
 	// even if the server states a rate of zero: only the answers to requests show that
 	// the limit has been lifted.
 	probeRate = 0.1
-	// The capacity of a bucket is the number of permits that accumulate in burstDuration,
-	// but at least minBurst.
+	// The capacity of a bucket is the number of permits that accumulate in burstDuration at
+	// the server's rate, but at least minBurst (see burst).
 	minBurst      = 2
 	burstDuration = 50 * time.Millisecond
 	// maxRetryWait bounds the Wait of a refusal, so that refused processes ask again
@@ -28,18 +28,19 @@
 )
 
 // Granter grants permits of servers that limit their rate, with a token bucket for each
-// server. Its users must see to it that only one process at a time grants the permits of a
+// server. Its callers must ensure that only one process at a time grants the permits of a
 // server. The zero value is ready to use. It is safe for concurrent use.
 type Granter struct {
 	mutex   sync.Mutex
 	buckets map[shedkeel.InstanceID]*bucket
 }
 
-// bucket is the token bucket of one server. It is empty until grantsFrom.
+// bucket is the token bucket of one server. It is empty until grantsFrom, and fills at the rate of
+// the latest PermitRequest for the server.
 type bucket struct {
 	tokens     *rate.Limiter
 	grantsFrom time.Duration // no permits are granted before this time
-	nextRetry  time.Duration // earliest time at which the next process to be refused may ask again
+	nextRetry  time.Duration // earliest time at which the process that is refused next should ask again
 	usage      Usage
 }
 
--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -9,8 +9,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// requestPermits asks for a permit at each interval of every, in the time of the given length
-// that begins at from. It returns the times at which permits were granted.
+// requestPermits asks for a permit at the time from, and then each time that the interval every
+// has passed, for the given length of time. It returns the times at which permits were granted.
 func requestPermits(granter *Granter, request PermitRequest, from, every, length time.Duration) (granted []time.Duration) {
 	for now := from; now < from+length; now += every {
 		if granter.Grant(request, now).Granted {
@@ -36,7 +36,7 @@
 				for granted[last]-granted[first] > window {
 					first++
 				}
-				assert.Assert(t, float64(last-first+1) <= rate*window.Seconds()+max(minBurst, rate*burstDuration.Seconds())+1)
+				assert.Assert(t, float64(last-first+1) <= rate*window.Seconds()+max(minBurst, rate*burstDuration.Seconds())+1, "%d permits in the window that ends at %s", last-first+1, granted[last])
 			}
 		})
 	}
@@ -47,7 +47,7 @@
 // and that the process does not wait if the last change was long ago.
 func TestGranterHandover(t *testing.T) {
 	cases := map[string]struct {
-		settled time.Duration // since when the set of live processes has not changed
+		settled time.Duration // PermitRequest.SettledSince; the permits are requested from time.Minute on
 		first   time.Duration // when the bucket, which is empty at first, begins to fill
 	}{
 		"changed long ago": {0, time.Minute},
@@ -56,8 +56,8 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			request := PermitRequest{Server: "s", Rate: 10, SettledSince: test.settled}
-			granted := requestPermits(&Granter{}, request, time.Minute, 10*time.Millisecond, 3*time.Second)
-			interval := 100 * time.Millisecond
+			granted := requestPermits(&Granter{}, request, time.Minute, 10*time.Millisecond, 3*time.Second) // every 10 ms for 3 s
+			interval := 100 * time.Millisecond                                                              // between two permits at the rate of 10 per second
 			assert.Assert(t, granted[0] >= test.first+interval && granted[0] <= test.first+2*interval, "first at %s", granted[0])
 		})
 	}
@@ -71,28 +71,31 @@
 	granter := &Granter{}
 	for index, want := range []shedkeel.Permit{
 		{Granted: true, Wait: 500 * time.Millisecond},
-		{Granted: true, Wait: time.Second},
+		{Granted: true, Wait: time.Second}, // as long as MaxWait allows
 		{Wait: 1500 * time.Millisecond},
-		{Wait: 2 * time.Second},
-		{Wait: maxRetryWait},
+		{Wait: 2 * time.Second}, // 500 ms after the refusal before, at a rate of 2 per second
+		{Wait: maxRetryWait},    // 2.5 s without this bound
 	} {
 		assert.Equal(t, granter.Grant(request, now), want, "request %d", index)
 	}
 }
 
 // TestGranterFollowsTheLimit checks that a changed limit applies immediately, and that a
-// server with a limit of zero gets requests at probeRate, six in a minute. A full bucket adds
-// up to minBurst permits. Last, it checks that Retain removes the bucket.
+// server with a limit of zero gets requests at probeRate, six in a minute. A bucket that has
+// filled since the last permit adds up to minBurst permits. Last, the test checks that Retain
+// removes the bucket. Permits are requested every 10 ms.
 func TestGranterFollowsTheLimit(t *testing.T) {
 	granter := &Granter{}
 	request := PermitRequest{Server: "s", Rate: 5}
+	// 5 permits per second in 10 s are 50, of which the last becomes valid at the end of the 10 s,
+	// when no permit is requested any more: the bucket is empty at first.
 	assert.Equal(t, len(requestPermits(granter, request, time.Minute, 10*time.Millisecond, 10*time.Second)), 49)
 	request.Rate = 1
 	reduced := len(requestPermits(granter, request, 2*time.Minute, 10*time.Millisecond, 10*time.Second))
-	assert.Assert(t, reduced >= 10 && reduced <= 10+minBurst, "%d", reduced)
+	assert.Assert(t, reduced >= 10 && reduced <= 10+minBurst, "%d permits in 10 s at 1 per second", reduced)
 	request.Rate = 0
 	probes := len(requestPermits(granter, request, 3*time.Minute, 10*time.Millisecond, time.Minute))
-	assert.Assert(t, probes >= 6 && probes <= 6+minBurst, "%d", probes)
+	assert.Assert(t, probes >= 6 && probes <= 6+minBurst, "%d permits in a minute at probeRate", probes)
 	granter.Retain(func(shedkeel.InstanceID) bool { return false })
 	assert.Equal(t, len(granter.buckets), 0)
 }
--- a/ratelimit/limits_test.go
+++ b/ratelimit/limits_test.go
@@ -13,20 +13,20 @@
 // order in which they arrive.
 func TestLimits(t *testing.T) {
 	type answer struct {
-		limit     float64 // the stated limit; below 0: the answer states none
-		sent, now time.Duration
+		limit     float64       // the stated limit; below 0: the answer states none
+		sent, now time.Duration // when the request was sent and the answer was received, in nanoseconds
 	}
 	cases := map[string]struct {
 		answers []answer
-		limited bool
-		rate    float64
-		changes int // number of answers that change the known limit
+		limited bool    // a limit is in use after the answers
+		rate    float64 // Rate that Limit returns after the answers
+		changes int     // number of answers that change the known limit
 	}{
 		"never stated":                 {[]answer{{-1, 0, 1}}, false, 0, 0},
 		"stated":                       {[]answer{{2, 0, 1}}, true, 2, 1},
 		"stated again":                 {[]answer{{2, 0, 1}, {2, 1, 2}}, true, 2, 1},
 		"changed":                      {[]answer{{2, 0, 1}, {5, 1, 2}}, true, 5, 2},
-		"accepts no requests":          {[]answer{{0, 0, 1}}, true, 0, 1},
+		"limit of zero":                {[]answer{{0, 0, 1}}, true, 0, 1},
 		"lifted":                       {[]answer{{2, 0, 1}, {-1, 2, 3}}, false, 0, 2},
 		"an older answer arrives late": {[]answer{{2, 0, 3}, {-1, 1, 4}}, true, 2, 1},
 		"stated after lift":            {[]answer{{2, 0, 1}, {-1, 2, 3}, {4, 4, 5}}, true, 4, 3},
@@ -71,8 +71,8 @@
 // limits its rate and while 1,000 do.
 func BenchmarkObserve(b *testing.B) {
 	cases := map[string]struct {
-		limited int
-		answer  shedkeel.StatedLimit
+		limited int                  // servers that limit their rate; b is one of them
+		answer  shedkeel.StatedLimit // what the answers of b state
 	}{
 		"none limited":                   {0, shedkeel.StatedLimit{}},
 		"1,000 limited, no limit stated": {1000, shedkeel.StatedLimit{}},
@@ -88,6 +88,8 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				now++
+				// The time 1 of the request is the AsOf of the limits, so that an answer without
+				// a limit lifts none of them.
 				limits.Observe("b", test.answer, 1, now)
 			}
 		})
--- a/ratelimit/sharing_test.go
+++ b/ratelimit/sharing_test.go
@@ -31,12 +31,12 @@
 // Parameters of the simulated fleet.
 const (
 	simDuration     = 24 * time.Second
-	simWindow       = 4 * time.Second // in which requests to the server are counted
-	propagationTime = 3 * time.Second // within which all nodes should have received a limit
-	simBurst        = 5               // requests allowed in a window in addition to one and a half times the limit (see allowed)
-	linkDelay       = 2 * time.Millisecond
-	callTimeout     = 30 * time.Millisecond
-	retryPause      = 200 * time.Millisecond
+	simWindow       = 4 * time.Second        // in which requests to the server are counted
+	propagationTime = 3 * time.Second        // within which all nodes should have received a limit
+	simBurst        = 5                      // requests allowed in a window in addition to one and a half times the limit (see allowed)
+	linkDelay       = 2 * time.Millisecond   // of a message between two nodes
+	callTimeout     = 30 * time.Millisecond  // after which a call to an unreachable node fails
+	retryPause      = 200 * time.Millisecond // the Wait of a refusal that does not come from a token bucket
 	answerDelay     = 100 * time.Millisecond // after which the server's answer states its limit
 	// gossipDelay is how long a limit takes to reach all other nodes.
 	gossipDelay = 60 * time.Millisecond
@@ -59,11 +59,12 @@
 type scenario struct {
 	kill      func(fleet *simFleet)                  // takes nodes down; they restart without state
 	freeze    func(fleet *simFleet)                  // suspends nodes; they keep their state
-	partition interval                               // the two halves of the fleet cannot reach each other
+	partition interval                               // the nodes with an even and those with an odd index cannot reach each other
 	limit     func(at time.Duration) (float64, bool) // the server's limit as a fraction of simFleet.rate, and whether it states one; nil: always 1
 }
 
-// killInTurn takes each node down for 1.5 s, one node every 2 s.
+// killInTurn takes a node down every 2 s from 3 s on, each for 1.5 s, as long as the simulation
+// lasts.
 func killInTurn(fleet *simFleet) {
 	for index, node := range fleet.ranked {
 		from := 3*time.Second + time.Duration(index)*2*time.Second
@@ -73,14 +74,14 @@
 	}
 }
 
-// killAll takes all nodes down at the same time, for up to a second.
+// killAll takes all nodes down at 6 s, each for 200 ms to a second.
 func killAll(fleet *simFleet) {
 	for _, node := range fleet.nodes {
 		node.killed = append(node.killed, interval{6 * time.Second, 6*time.Second + fleet.randomBetween(200*time.Millisecond, time.Second)})
 	}
 }
 
-// freezeThird suspends every third node for some seconds.
+// freezeThird suspends every third node from 5 s until a random time of 6 to 15 s.
 func freezeThird(fleet *simFleet) {
 	for index, node := range fleet.ranked {
 		if index%3 == 0 {
@@ -89,8 +90,8 @@
 	}
 }
 
-// changingLimit is the limit of a server that states its full rate, then a fifth of it, then
-// no limit, then the full rate again.
+// changingLimit is the limit of a server that states its full rate, then a fifth of that rate,
+// then no limit, then the full rate again.
 func changingLimit(at time.Duration) (float64, bool) {
 	switch {
 	case at < 6*time.Second, at > 16*time.Second:
@@ -114,6 +115,8 @@
 // demand returns the fraction of all requests that arrives at a node now.
 type demand func(fleet *simFleet, node *simNode, now time.Duration) float64
 
+// demands are the ways in which the requests are distributed over the nodes: evenly, all to node 0,
+// or all to one node, which changes every 5 s.
 var demands = map[string]demand{
 	"even": func(fleet *simFleet, _ *simNode, _ time.Duration) float64 { return 1 / float64(len(fleet.nodes)) },
 	"one node": func(_ *simFleet, node *simNode, _ time.Duration) float64 {
@@ -149,22 +152,22 @@
 // attempt is one request that was sent to the server.
 type attempt struct {
 	at       time.Duration
-	informed bool // the node had known the limit for at least half a second
+	informed bool // the node had known for at least half a second that the server has a limit
 }
 
 // simNode is one node of the fleet.
 type simNode struct {
 	index          int
-	hash           uint64
+	hash           uint64 // order of the node in simFleet.ranked
 	killed, frozen []interval
 	blockedUntil   time.Duration // until when the node asks for no permit, after a refusal
 	knownSince     time.Duration // when the node learned that the server has a limit; below 0: it does not know of one
 
-	granter       Granter
-	bucket        *rate.Limiter
+	granter       Granter       // for singleGranter
+	bucket        *rate.Limiter // for take; for leasedBlocks, of the permits that the node grants in blocks
 	leasedPermits int           // for leasedBlocks: permits of its block that it has not used
 	leaseEnd      time.Duration // for leasedBlocks: when the permits of the block expire
-	recent        float64       // demand: number of requests that arrived at the node, halved each second
+	recentDemand  float64       // demand: number of requests that arrived at the node, halved each second
 }
 
 // randomBetween returns a random duration of at least least and less than most.
@@ -191,12 +194,13 @@
 	return last
 }
 
-// schedule schedules do for a time that is after from now, in virtual time.
+// schedule schedules do for the virtual time fleet.now plus after.
 func (fleet *simFleet) schedule(after time.Duration, do func()) {
 	heap.Push(&fleet.events, event{fleet.now + after, do})
 }
 
-// newSimFleet returns a fleet with the scenario's faults and the requests scheduled.
+// newSimFleet returns a fleet of that many nodes in which the scenario's faults, the restarts of
+// killed nodes and the first request are scheduled. rate is the server's full rate.
 func newSimFleet(scheme scheme, scenario scenario, size int, rate float64, demand demand, seed uint64) *simFleet {
 	fleet := &simFleet{scheme: scheme, scenario: scenario, rate: rate, random: rand.New(rand.NewPCG(seed, 1))}
 	for index := range size {
@@ -244,16 +248,16 @@
 // decayDemand halves the recent demand of all nodes, each second.
 func (fleet *simFleet) decayDemand() {
 	for _, node := range fleet.nodes {
-		node.recent /= 2
+		node.recentDemand /= 2
 	}
 	fleet.schedule(time.Second, fleet.decayDemand)
 }
 
-// restart clears the state of a node.
+// restart clears the state that a node loses when it is killed.
 func (fleet *simFleet) restart(node *simNode) {
 	node.knownSince, node.blockedUntil = -1, 0
 	node.granter = Granter{}
-	node.bucket, node.leasedPermits, node.recent = nil, 0, 0
+	node.bucket, node.leasedPermits, node.recentDemand = nil, 0, 0
 	fleet.scheme.restart(node)
 }
 
@@ -285,7 +289,7 @@
 		return
 	}
 	fleet.offered++
-	node.recent++
+	node.recentDemand++
 	_, limited := fleet.limit()
 	if !limited {
 		node.knownSince = -1
@@ -304,8 +308,8 @@
 	}
 }
 
-// send sends a request to the server. If the node does not know the limit, it learns the limit
-// from the answer.
+// send sends a request to the server. If the node does not know that the server has a limit, it
+// learns so from the answer, after answerDelay.
 func (fleet *simFleet) send(node *simNode) {
 	informed := node.knownSince >= 0 && fleet.now-node.knownSince >= 500*time.Millisecond
 	fleet.attempts = append(fleet.attempts, attempt{fleet.now, informed})
@@ -314,8 +318,8 @@
 	}
 }
 
-// learn makes the limit known to a node, and after gossipDelay to all nodes that this node
-// reaches.
+// learn makes the limit known to a node, unless it is known there, and after gossipDelay to all
+// nodes that this node then reaches.
 func (fleet *simFleet) learn(node *simNode) {
 	if node.knownSince >= 0 {
 		return
@@ -330,14 +334,16 @@
 	})
 }
 
-// reaches reports whether a message from a to b arrives.
+// reaches reports whether a message that a sends to b now arrives: b is running, and no partition
+// separates the two.
 func (fleet *simFleet) reaches(a, b *simNode) bool {
 	partitioned := fleet.scenario.partition.contains(fleet.now) && a.index%2 != b.index%2
 	return b.running(fleet.now) && !partitioned
 }
 
-// call runs serve at the node to and passes its result to answer at the node from, after the
-// delay of the links. If to cannot be reached, answer gets a refusal after callTimeout.
+// call runs serve at the node to, after linkDelay, and passes the result to answer at the node
+// from, after another linkDelay. If to cannot be reached, answer gets a refusal after callTimeout.
+// If both are the same node, there is no delay and the call is not counted.
 func (fleet *simFleet) call(from, to *simNode, serve func() shedkeel.Permit, answer func(shedkeel.Permit)) {
 	if from == to {
 		answer(serve())
@@ -357,7 +363,8 @@
 // suspected returns the intervals in which node a believes that node b is dead: those in which
 // b is down or partitioned from a, with a delay of detection that depends on the two nodes.
 func (fleet *simFleet) suspected(a, b *simNode) []interval {
-	lag := func(least, most time.Duration) time.Duration {
+	// detectionDelay returns a delay between least and most, always the same for the two nodes.
+	detectionDelay := func(least, most time.Duration) time.Duration {
 		return least + time.Duration((a.hash^b.hash*31)%uint64(most-least))
 	}
 	down := append(slices.Clone(b.killed), b.frozen...)
@@ -365,8 +372,8 @@
 		down = append(down, fleet.scenario.partition)
 	}
 	for index := range down {
-		down[index].from += lag(suspectMin, suspectMax)
-		down[index].until += lag(recoverMin, recoverMax)
+		down[index].from += detectionDelay(suspectMin, suspectMax)
+		down[index].until += detectionDelay(recoverMin, recoverMax)
 	}
 	return down
 }
@@ -382,7 +389,7 @@
 }
 
 // stableSince returns since when the set of nodes that a node believes alive has not
-// changed.
+// changed. The last restart of the node itself counts as a change.
 func (fleet *simFleet) stableSince(node *simNode) time.Duration {
 	last := time.Duration(0)
 	for _, killed := range node.killed {
@@ -402,8 +409,8 @@
 	return last
 }
 
-// listed reports whether a node has a record in the key-value service. The service removes
-// the record delistDelay after the node goes down, until the node is up again.
+// listed reports whether a node has a record in the key-value service. The record is missing from
+// delistDelay after the node goes down or is frozen until the node runs again.
 func (fleet *simFleet) listed(node *simNode) bool {
 	for _, down := range append(slices.Clone(node.killed), node.frozen...) {
 		if (interval{down.from + delistDelay, down.until}).contains(fleet.now) {
@@ -428,8 +435,8 @@
 	return float64(alive) / float64(max(listed, 1))
 }
 
-// firstAlive returns the first nodes in the server's rendezvous order that a node believes
-// alive.
+// firstAlive returns up to count nodes, the first in the server's rendezvous order that a node
+// believes alive. The node always believes itself alive.
 func (fleet *simFleet) firstAlive(node *simNode, count int) []*simNode {
 	var found []*simNode
 	for _, other := range fleet.ranked {
@@ -479,10 +486,10 @@
 		result.worst = max(result.worst, float64(last-first+1)/fleet.allowed(at))
 	}
 	available := 0.0
-	for at := propagationTime; at < simDuration; at += 100 * time.Millisecond {
+	for at := propagationTime; at < simDuration; at += 100 * time.Millisecond { // in steps of a tenth of a second
 		fleet.now = at
 		if limit, limited := fleet.limit(); limited {
-			available += limit / 10
+			available += limit / 10 // requests in a tenth of a second
 		}
 	}
 	used := 0
@@ -514,7 +521,7 @@
 }
 
 // singleGranter is the scheme that the product uses: one node grants permits to all nodes. It
-// reduces the rate to the fraction of the nodes that it believes alive, so that two
+// reduces the rate to the fraction of the listed nodes that it believes alive, so that two
 // granters in a partitioned fleet together keep the limit. With fullRate, it does not reduce
 // the rate.
 type singleGranter struct{ fullRate bool }
@@ -543,7 +550,8 @@
 
 func (singleGranter) restart(*simNode) {}
 
-// evenShares gives each listed node an equal share of the limit, which the node grants itself.
+// evenShares gives each listed node an equal share of the limit, which the node uses without
+// asking another node.
 type evenShares struct{}
 
 func (evenShares) ask(fleet *simFleet, node *simNode, answer func(shedkeel.Permit)) {
@@ -559,7 +567,8 @@
 
 func (evenShares) restart(*simNode) {}
 
-// take takes a permit from the node's own token bucket, after it has set the bucket's rate.
+// take takes a permit from the node's own token bucket, which holds one permit at most, after it
+// has set the bucket's rate.
 func (node *simNode) take(perSecond float64, now time.Duration) shedkeel.Permit {
 	if node.bucket == nil {
 		node.bucket = rate.NewLimiter(rate.Limit(perSecond), 1)
@@ -577,15 +586,16 @@
 	total := 0.0
 	for _, other := range fleet.nodes {
 		if fleet.believesAlive(node, other) {
-			total += other.recent
+			total += other.recentDemand
 		}
 	}
-	answer(node.take(limit*node.recent/max(total, 1), fleet.now))
+	answer(node.take(limit*node.recentDemand/max(total, 1), fleet.now))
 }
 
 func (demandShares) restart(*simNode) {}
 
-// leasedBlocks lets one node grant blocks of permits, which expire after leaseDuration.
+// leasedBlocks lets one node grant blocks of permits, which expire after leaseDuration. A block
+// has as many permits as the limit allows in that time, but at least one.
 type leasedBlocks struct{}
 
 const leaseDuration = 500 * time.Millisecond
@@ -617,7 +627,8 @@
 
 func (leasedBlocks) restart(*simNode) {}
 
-// twoSenders lets only two nodes send to the server, each at half its rate.
+// twoSenders lets only the first two nodes that are alive send to the server, and divides the limit
+// equally between the two.
 type twoSenders struct{}
 
 func (twoSenders) ask(fleet *simFleet, node *simNode, answer func(shedkeel.Permit)) {
@@ -640,6 +651,8 @@
 // scheme that the product uses must keep the limit in all scenarios, and without faults must
 // use at least minUtilization of it.
 func TestSharingSchemes(t *testing.T) {
+	// sizes are numbers of nodes, rates are full rates of the server in requests per second, and
+	// seeds is how many simulations are run for each combination.
 	sizes, rates, seeds := []int{9, 66}, []float64{0.5, 2, 20}, uint64(2)
 	if *allSizes {
 		sizes, rates, seeds = []int{9, 66, 300}, []float64{0.5, 2, 20, 200}, 5
@@ -674,9 +687,9 @@
 
 // summary adds up the outcomes of several simulations.
 type summary struct {
-	count, violated    int // number of outcomes, and of those over the limit
-	worst              float64
-	utilization, calls float64
+	count, violated    int     // number of outcomes, and of those whose worst is above 1
+	worst              float64 // the highest of all outcomes
+	utilization, calls float64 // sums over all outcomes
 }
 
 func (summary *summary) add(result outcome) {
