--- a/route/router.go
+++ b/route/router.go
@@ -44,7 +44,7 @@
 // before use. Its methods may be called concurrently.
 type Router struct {
 	Random shedkeel.Random
-	Bound  float64 // used instead of DefaultBound; zero: DefaultBound; negative: no prefix affinity
+	Bound  float64 // replaces DefaultBound; zero: DefaultBound applies; negative: no prefix affinity
 
 	mutex sync.Mutex
 	pools map[shedkeel.ServiceID]*targetPool
@@ -56,8 +56,8 @@
 	usable   []*target // targets that were usable at the last update
 	slots    [prefixSlots][targetsPerSlot]*target
 	inFlight int // requests of this process in flight
-	load     int // sum over the usable targets, as of the last update
-	capacity int // sum over the usable targets
+	load     int // sum of the loads of the usable targets, as of the last update
+	capacity int // sum of the capacities of the usable targets
 }
 
 // target is a Target with the changes that this process made to its load.
@@ -68,10 +68,11 @@
 	changeSum int      // sum of the changes' deltas
 }
 
-// change is a request that was sent or has ended, which the last report may not include.
+// change is a change of a target's load that the target's last report may not include: a request
+// was sent or has ended.
 type change struct {
 	at    time.Duration
-	delta int
+	delta int // 1: a request was sent; -1: a request has ended
 }
 
 // Choice is the target chosen for a request. The caller must call End once.
@@ -111,8 +112,8 @@
 	}
 }
 
-// update replaces the targets and finds those that are usable now. It reassigns the slots if
-// any target was added or removed.
+// update replaces the targets, and computes the usable targets and their total load and capacity.
+// It reassigns the slots if any target was added or removed.
 func (targetPool *targetPool) update(targets []Target, now time.Duration) {
 	previous := map[string]*target{}
 	for _, target := range targetPool.targets {
@@ -227,19 +228,21 @@
 	return choice, nil
 }
 
-// retryAfterNoTarget is the time after which callers should retry if no target is usable. A
+// retryAfterNoTarget is the time after which callers should retry if Choose finds no target. A
 // group is rarely formed again sooner.
 const retryAfterNoTarget = 2 * time.Second
 
-// allows reports whether there is a target, which may be nil, that is usable at Now and that
-// the request does not exclude.
+// allows reports whether the target is usable at Now and not excluded by the request. It returns
+// false for a nil target.
 func (request *Request) allows(target *target) bool {
 	return target != nil && target.UsableUntil > request.Now && !slices.Contains(request.Exclude, target.Name)
 }
 
 // chooseByPrefix returns the first target of the prefix's slot that the request allows and
-// whose load is at most one request above the bound times the mean load. It returns nil if
-// there is no such target, the request has no affinity or the router's Bound is negative.
+// whose load is at most one request above the bound times the mean load. The mean load is the
+// load of the pool at the last update plus its requests in flight, divided by the number of
+// usable targets. chooseByPrefix returns nil if there is no such target, the request has no
+// affinity or the router's Bound is negative.
 func (router *Router) chooseByPrefix(pool *targetPool, request Request) *target {
 	bound := router.Bound
 	if bound == 0 {
@@ -286,7 +289,7 @@
 	return nil
 }
 
-// End records that the request is no longer in flight.
+// End records that the request has ended and is no longer in flight.
 func (choice *Choice) End(now time.Duration) {
 	choice.router.mutex.Lock()
 	defer choice.router.mutex.Unlock()
--- a/route/router_test.go
+++ b/route/router_test.go
@@ -18,20 +18,21 @@
 	return targets
 }
 
-// newRouter returns a router with that many targets of the service s.
+// newRouter returns a router with that many targets of the service s, which stay usable in all
+// tests.
 func newRouter(count int) *Router {
 	router := &Router{Random: rand.NewPCG(1, 2)}
 	router.Update("s", targetsOf(count, time.Hour), 0)
 	return router
 }
 
-// TestChoose checks whether a target is chosen or an error returned, with and without
-// affinity, and that the first excluded target is not chosen.
+// TestChoose checks whether a target is chosen or an error returned, without affinity (0) and with
+// affinity (77), and that the target g000 is not chosen if it is excluded.
 func TestChoose(t *testing.T) {
 	cases := map[string]struct {
-		count   int
-		until   time.Duration
-		now     time.Duration
+		count   int           // number of targets
+		until   time.Duration // UsableUntil of the targets
+		now     time.Duration // time of the choice
 		exclude []string
 		want    bool // a target is chosen
 	}{
@@ -66,9 +67,10 @@
 		assert.NilError(t, err)
 		return choice
 	}
+	// The requests are sent at 1, 2 and 3 s. The report of 2 s includes the first two of them.
 	first := choose(time.Second)
 	choose(2 * time.Second)
-	assert.Equal(t, choose(3*time.Second).Load, 2)
+	assert.Equal(t, choose(3*time.Second).Load, 2, "without a report, two requests in flight")
 	report := targetsOf(1, time.Hour)
 	report[0].ReportedLoad, report[0].ReportedAt = 10, 2*time.Second
 	router.Update("s", report, 3*time.Second)
@@ -83,7 +85,7 @@
 	chooseAll := func(router *Router) map[int]string {
 		targets := map[int]string{}
 		for prefix := range prefixes {
-			choice, err := router.Choose(Request{Service: "s", Affinity: uint64(prefix)*2654435761 | 1})
+			choice, err := router.Choose(Request{Service: "s", Affinity: uint64(prefix)*2654435761 | 1}) // distributes the prefixes over the slots; never 0, which is no affinity
 			assert.NilError(t, err)
 			targets[prefix] = choice.Name
 			choice.End(0)
@@ -92,7 +94,7 @@
 	}
 	router := newRouter(20)
 	before := chooseAll(router)
-	router.Update("s", targetsOf(20, time.Hour)[1:], 0)
+	router.Update("s", targetsOf(20, time.Hour)[1:], 0) // without g000
 	moved := 0
 	for prefix, name := range chooseAll(router) {
 		if before[prefix] != name {
@@ -105,7 +107,7 @@
 }
 
 // TestHotPrefixSpills checks that a prefix shared by all requests does not overload the group
-// that has it cached: with a mean of 100 requests, no group gets more than 180.
+// that has it cached: of 1000 requests in flight at 10 groups, no group gets more than 180.
 func TestHotPrefixSpills(t *testing.T) {
 	router := newRouter(10)
 	counts := map[string]int{}
@@ -119,6 +121,8 @@
 	}
 }
 
+// BenchmarkChoose measures Choose and End without and with affinity. After every 1000 choices, it
+// updates the targets outside the measured time, which keeps the lists of changes short.
 func BenchmarkChoose(b *testing.B) {
 	for _, groups := range []int{75, 600} {
 		for _, affinity := range []uint64{0, 1} {
@@ -147,6 +151,7 @@
 	}
 }
 
+// BenchmarkUpdate measures an update in which no target is added or removed.
 func BenchmarkUpdate(b *testing.B) {
 	for _, groups := range []int{75, 600} {
 		b.Run(fmt.Sprintf("groups=%d", groups), func(b *testing.B) {
--- a/route/simulation_test.go
+++ b/route/simulation_test.go
@@ -17,22 +17,22 @@
 	"shedkeel.org/shedkeel/admit"
 )
 
-var loads = flag.Bool("loads", false, "measure all routing rules at all loads")
+var allLoads = flag.Bool("loads", false, "measure all routing rules at all loads")
 
 const (
-	simTick          = 10 * time.Millisecond
-	simGroups        = 30 // each with simSlots slots
-	simSlots         = 16
-	simEntries       = 9 // processes that receive requests and route them
+	simTick          = 10 * time.Millisecond // by which virtual time advances
+	simGroups        = 30                    // each with simSlots slots
+	simSlots         = 16                    // requests that a group runs concurrently
+	simEntries       = 9                     // processes that receive requests and route them
 	simLength        = 40 * time.Second
-	meanRunTime      = time.Second // mean time from the first token to the end of the answer
-	cacheMissPrefill = 400 * time.Millisecond
-	cacheHitPrefill  = 80 * time.Millisecond
-	cacheSize        = 40          // prefixes that a group keeps cached
-	prefixes         = 900         // number of different prefixes
-	reportLag        = time.Second // age of the load reports that entries receive
-	simDeadline      = 5 * time.Second
-	firstTokenTarget = 700 * time.Millisecond // objective for the time to the first token
+	meanRunTime      = time.Second            // mean time from the first token to the end of the answer
+	cacheMissPrefill = 400 * time.Millisecond // from the start of a request to its first token, if its prefix is not cached
+	cacheHitPrefill  = 80 * time.Millisecond  // the same, if its prefix is cached
+	cacheSize        = 40                     // prefixes that a group keeps cached
+	prefixes         = 900                    // number of different prefixes
+	reportLag        = time.Second            // age of the load reports that entries receive
+	simDeadline      = 5 * time.Second        // from the arrival of a request to the end of its answer
+	firstTokenTarget = 700 * time.Millisecond // objective for the time from the arrival to the first token
 )
 
 // routingRule chooses a group for each request that arrives at an entry.
@@ -40,6 +40,7 @@
 	// choose returns the index of a group and a function to call when the request has
 	// ended, or false if the request is refused.
 	choose(entry int, affinity uint64, now time.Duration) (int, func(time.Duration), bool)
+	// update passes load reports to an entry.
 	update(entry int, targets []Target, now time.Duration)
 }
 
@@ -48,13 +49,13 @@
 type packageRule struct {
 	routers []*Router
 	gates   []*admit.Gate // nil: no admission control
-	maxWait time.Duration
+	maxWait time.Duration // admit.Request.Deadline, if there are gates
 }
 
-// gated returns the rule with admission control, which refuses requests that would wait longer
-// than maxWait.
-func gated(maxWait time.Duration) *packageRule {
-	packageRule := newPackageRule(0)
+// newGatedRule returns the rule with DefaultBound and admission control, which refuses requests
+// that would wait longer than maxWait.
+func newGatedRule(maxWait time.Duration) *packageRule {
+	packageRule := newPackageRule(0) // DefaultBound
 	packageRule.maxWait = maxWait
 	for range simEntries {
 		packageRule.gates = append(packageRule.gates, &admit.Gate{})
@@ -106,7 +107,7 @@
 	rule    string     // "random", "in turn" or "least reported"
 	random  *rand.Rand // for the rule "random"
 	turn    int        // number of choices so far
-	targets []Target
+	targets []Target   // as of the latest update of any entry: all entries share them
 }
 
 func (baseline *baseline) choose(_ int, _ uint64, now time.Duration) (int, func(time.Duration), bool) {
@@ -136,7 +137,7 @@
 // server simulates a replica group: a queue, slots and a cache of prefixes.
 type server struct {
 	up      bool
-	running []*job
+	running []*job // at most simSlots
 	queue   []*job
 	cache   []uint64 // cached prefixes, the most recently used last
 }
@@ -148,12 +149,12 @@
 	first   time.Duration       // when the first token is sent
 	ends    time.Duration       // when the answer ends
 	run     time.Duration       // time from the first token to the end of the answer
-	end     func(time.Duration) // informs the routing rule that the request has ended
+	onEnd   func(time.Duration) // informs the routing rule that the request has ended
 }
 
-// hit reports whether the prefix is cached, and makes it the most recently used prefix of the
+// touch reports whether the prefix is cached, and makes it the most recently used prefix of the
 // cache.
-func (server *server) hit(prefix uint64) bool {
+func (server *server) touch(prefix uint64) bool {
 	place := slices.Index(server.cache, prefix)
 	if place >= 0 {
 		server.cache = slices.Delete(server.cache, place, place+1)
@@ -167,7 +168,7 @@
 
 // outcome counts what callers observed.
 type outcome struct {
-	offered, inTime, hits, started int // numbers of requests; hits: started with the prefix cached
+	offered, inTime, hits, started int // numbers of requests; inTime: see simulate; hits: started with the prefix cached
 	firstTokenTimes                []time.Duration
 }
 
@@ -199,7 +200,7 @@
 			server.up = !outage || index%3 != 0 || now < simLength/3 || now > simLength*2/3
 			server.step(now, random, &result)
 		}
-		reports = append(reports, report(servers, now))
+		reports = append(reports, loadReports(servers, now))
 		if int(now/simTick)%25 == 0 { // entries receive reports every 250 ms
 			for entry := range simEntries {
 				rule.update(entry, laggedReports(reports, lag, now), now)
@@ -213,9 +214,9 @@
 	return result
 }
 
-// report returns the load reports of all servers.
-func report(servers []*server, now time.Duration) []Target {
-	targets := targetsOf(len(servers), 0)
+// loadReports returns the load reports of all servers.
+func loadReports(servers []*server, now time.Duration) []Target {
+	targets := targetsOf(len(servers), 0) // laggedReports sets UsableUntil
 	for index, server := range servers {
 		targets[index].ReportedAt = now
 		targets[index].Capacity = simSlots
@@ -244,36 +245,36 @@
 	return count
 }
 
-// arrive routes one request and queues it at its group. The request is lost if the group
-// has failed.
+// arrive routes one request and queues it at its group. The request is lost if the rule refuses it
+// or the group has failed.
 func arrive(rule routingRule, servers []*server, random *rand.Rand, now time.Duration, result *outcome) {
 	result.offered++
-	// A tenth of the prefixes gets an additional half of the requests.
+	// Half of the requests are for a tenth of the prefixes. The other half is for all prefixes.
 	prefix := uint64(random.IntN(prefixes))
 	if random.IntN(2) == 0 {
 		prefix /= 10
 	}
-	affinity := (prefix+1)*0x9e3779b97f4a7c15 | 1
+	affinity := (prefix+1)*0x9e3779b97f4a7c15 | 1 // distributes the prefixes over the slots; never 0, which is no affinity
 	group, end, found := rule.choose(random.IntN(simEntries), affinity, now)
 	if !found {
 		return
 	}
 	run := time.Duration(random.ExpFloat64() * float64(meanRunTime))
-	arrived := &job{arrived: now, prefix: prefix, run: run, end: end}
+	arrived := &job{arrived: now, prefix: prefix, run: run, onEnd: end}
 	if !servers[group].up {
-		arrived.end(now)
+		arrived.onEnd(now)
 		return
 	}
 	servers[group].queue = append(servers[group].queue, arrived)
 }
 
-// step ends the requests that are due and starts queued requests in free slots. It drops queued
-// requests that have waited longer than simDeadline. A server that is down loses its requests
-// and its cache.
+// step ends the requests whose answers end by now and starts queued requests in free slots. It
+// drops queued requests that have waited longer than simDeadline. A server that is down loses its
+// requests and its cache.
 func (server *server) step(now time.Duration, _ *rand.Rand, result *outcome) {
 	if !server.up {
 		for _, lost := range slices.Concat(server.running, server.queue) {
-			lost.end(now)
+			lost.onEnd(now)
 		}
 		server.running, server.queue, server.cache = nil, nil, nil
 		return
@@ -282,7 +283,7 @@
 		if job.ends > now {
 			return false
 		}
-		job.end(now)
+		job.onEnd(now)
 		if job.ends-job.arrived <= simDeadline && job.first-job.arrived <= firstTokenTarget {
 			result.inTime++
 		}
@@ -292,12 +293,12 @@
 		next := server.queue[0]
 		server.queue = server.queue[1:]
 		if now-next.arrived > simDeadline {
-			next.end(now)
+			next.onEnd(now)
 			continue
 		}
 		prefill := cacheMissPrefill
 		result.started++
-		if server.hit(next.prefix) {
+		if server.touch(next.prefix) {
 			prefill = cacheHitPrefill
 			result.hits++
 		}
@@ -309,26 +310,27 @@
 }
 
 // TestRoutingRules compares routing rules when load reports lag. The rule "ours", with
-// admission control, must answer at least as many requests in time as each baseline. The
-// test prints a table with -v, and measures further loads with -loads.
+// admission control and without an outage, must answer at least as many requests in time as each
+// baseline. The test prints a table with -v. With -loads, it also measures a further load and an
+// outage, for which it checks nothing.
 func TestRoutingRules(t *testing.T) {
 	rules := map[string]func() routingRule{
 		"random":             func() routingRule { return &baseline{rule: "random", random: rand.New(rand.NewPCG(5, 5))} },
 		"in turn":            func() routingRule { return &baseline{rule: "in turn"} },
 		"least reported":     func() routingRule { return &baseline{rule: "least reported"} },
-		"ours":               func() routingRule { return gated(300 * time.Millisecond) },
-		"ours, no gate":      func() routingRule { return newPackageRule(0) },
-		"ours, wait of 0":    func() routingRule { return gated(0) },
-		"ours, wait of 1s":   func() routingRule { return gated(time.Second) },
-		"ours, no affinity":  func() routingRule { return newPackageRule(-1) }, // without admission control
-		"ours, bound of 3":   func() routingRule { return newPackageRule(3) },
-		"ours, bound of 1.5": func() routingRule { return newPackageRule(1.5) },
+		"ours":               func() routingRule { return newGatedRule(300 * time.Millisecond) },
+		"ours, no gate":      func() routingRule { return newPackageRule(0) }, // DefaultBound, without admission control
+		"ours, wait of 0":    func() routingRule { return newGatedRule(0) },
+		"ours, wait of 1s":   func() routingRule { return newGatedRule(time.Second) },
+		"ours, no affinity":  func() routingRule { return newPackageRule(-1) },  // without admission control
+		"ours, bound of 3":   func() routingRule { return newPackageRule(3) },   // also without admission control
+		"ours, bound of 1.5": func() routingRule { return newPackageRule(1.5) }, // also without admission control
 	}
 	points := []struct {
-		load   float64
-		outage bool
+		load   float64 // as a multiple of the capacity (see simulate)
+		outage bool    // a third of the groups fails
 	}{{0.7, false}, {1.0, false}, {3, false}}
-	if *loads {
+	if *allLoads {
 		points = append(points, []struct {
 			load   float64
 			outage bool
@@ -348,10 +350,11 @@
 	if testing.Verbose() {
 		_ = table.Flush()
 	}
-	for _, point := range points[:3] {
-		key := func(name string) int { return inTime[fmt.Sprint(point.load, point.outage, name)] }
+	for _, point := range points[:3] { // the points that are measured without -loads too
+		// countInTime returns how many requests the rule answered in time at this point.
+		countInTime := func(name string) int { return inTime[fmt.Sprint(point.load, point.outage, name)] }
 		for _, other := range []string{"random", "in turn", "least reported"} {
-			assert.Assert(t, key("ours") >= key(other), "at load %.1f, rule %q answered %d requests in time, ours %d", point.load, other, key(other), key("ours"))
+			assert.Assert(t, countInTime("ours") >= countInTime(other), "at load %.1f, rule %q answered %d requests in time, ours %d", point.load, other, countInTime(other), countInTime("ours"))
 		}
 	}
 }
