--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -16,8 +16,8 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// fixedGuard is a fake shedkeel.RequestGuard that returns the same judgment for all requests
-// and counts its calls.
+// fixedGuard is a fake shedkeel.RequestGuard that returns the same judgment for all requests,
+// which changes only if worsens is set, and records its calls.
 type fixedGuard struct {
 	judgment shedkeel.Judgment
 	refuses  bool // AcquireAttempt allows no attempt
--- a/serve/permit.go
+++ b/serve/permit.go
@@ -48,11 +48,10 @@
 
 // awaitPermit acquires a permit for the server that is likely to have the next permit, and
 // waits until the permit is valid. The wait is at most permitWaitFraction of the route's
-// objective, and ends by the request's deadline. If no permit is granted that is
-// valid within that time, it returns errLimited and sets exchange.retryIn to the Wait of the
-// refusal. It returns the error of noServerError if no
-// usable server limits its rate or Limits is nil, and errNoServer if the server is no longer
-// usable after the wait or the context has ended.
+// objective, and ends by the request's deadline. If no permit is granted that is valid within
+// that time, it returns errLimited and sets exchange.retryIn to the Wait of the refusal. It
+// returns the error of noServerError if no usable server limits its rate or Limits is nil, and
+// errNoServer if the server is no longer usable after the wait or the context has ended.
 func (exchange *exchange) awaitPermit(ctx context.Context, query dispatch.Query) (*dispatch.Choice, error) {
 	server, found := exchange.handler.Table.NextPermit(query)
 	if !found || exchange.handler.Limits == nil {
--- a/serve/permit_test.go
+++ b/serve/permit_test.go
@@ -48,13 +48,12 @@
 		minTime       time.Duration // shortest time until the answer
 		minRetryAfter time.Duration // shortest Retry-After; 0: not stated
 	}{
-		// The shortest Retry-After of 200 ms is below 225 ms: maxWaitFraction of the timeout of 1 s,
-		// less the largest jitter.
 		"a permit is free":         {map[shedkeel.InstanceID]time.Duration{"p0": 0, "p1": 0, "p2": 0}, 200, 1, 0, 0},
 		"one server without limit": {map[shedkeel.InstanceID]time.Duration{"p0": late, "p1": late}, 200, 1, 0, 0},
 		"a permit comes in time":   {map[shedkeel.InstanceID]time.Duration{"p0": soon, "p1": soon, "p2": soon}, 200, 1, soon, 0},
-		"no permit comes in time":  {map[shedkeel.InstanceID]time.Duration{"p0": late, "p1": late, "p2": late}, 503, 0, 0, 200 * time.Millisecond},
-		"no permit for a minute":   {map[shedkeel.InstanceID]time.Duration{"p0": time.Minute, "p1": time.Minute, "p2": time.Minute}, 503, 0, 0, 200 * time.Millisecond},
+		// 200 ms is below 225 ms: maxWaitFraction of the timeout of 1 s, less the largest jitter.
+		"no permit comes in time": {map[shedkeel.InstanceID]time.Duration{"p0": late, "p1": late, "p2": late}, 503, 0, 0, 200 * time.Millisecond},
+		"no permit for a minute":  {map[shedkeel.InstanceID]time.Duration{"p0": time.Minute, "p1": time.Minute, "p2": time.Minute}, 503, 0, 0, 200 * time.Millisecond},
 	}
 	for name, test := range cases {
 		runFakeTime(t, name, func(t *testing.T) {
@@ -115,13 +114,13 @@
 		step step
 		want []shedkeel.StatedLimit // limits passed to Observe; {}: none is stated
 	}{
-		"no limit":          {step{body: "ok"}, []shedkeel.StatedLimit{{}}},
-		"a limit":           {step{body: "ok", limit: 2}, []shedkeel.StatedLimit{{Stated: true, Rate: 2}}},
-		"in a refusal":      {step{status: 429, notRun: true, limit: 2}, []shedkeel.StatedLimit{{Stated: true, Rate: 2}}},
-		"in a failure":      {step{status: 500, limit: 2}, []shedkeel.StatedLimit{{Stated: true, Rate: 2}}},
-		"failure, no limit": {step{status: 500}, nil},
-		"unsigned answer":   {step{unsigned: true}, nil},
-		"another's answer":  {step{wrongID: true, limit: 2}, nil},
+		"no limit":                  {step{body: "ok"}, []shedkeel.StatedLimit{{}}},
+		"a limit":                   {step{body: "ok", limit: 2}, []shedkeel.StatedLimit{{Stated: true, Rate: 2}}},
+		"in a refusal":              {step{status: 429, notRun: true, limit: 2}, []shedkeel.StatedLimit{{Stated: true, Rate: 2}}},
+		"in a failure":              {step{status: 500, limit: 2}, []shedkeel.StatedLimit{{Stated: true, Rate: 2}}},
+		"failure, no limit":         {step{status: 500}, nil},
+		"unsigned answer":           {step{unsigned: true}, nil},
+		"answer to another request": {step{wrongID: true, limit: 2}, nil},
 	}
 	for name, test := range cases {
 		runFakeTime(t, name, func(t *testing.T) {
--- a/serve/send.go
+++ b/serve/send.go
@@ -69,8 +69,8 @@
 // Limits on how far requests may fill a model's slots (see admitToModel).
 const (
 	// onTimeFraction is the fraction of the slots that requests on time may use. Further
-	// requests are late: they share the remaining slots, and wait while none of these is
-	// free.
+	// requests are late: they get only slots that requests on time leave free, and wait
+	// while there is none.
 	onTimeFraction = 0.9
 	// lateFraction is how many late requests may wait in addition, as a fraction of the
 	// slots. Late requests only get the slots that requests on time leave free, and
--- a/serve/stream.go
+++ b/serve/stream.go
@@ -20,7 +20,8 @@
 // When a source fails, another source replaces it, which resumes after the last forwarded
 // event. When a source stalls, a second source is started beside it, which is a hedge; the
 // source that delivers the next event first is kept and the other is canceled. mayFailOver and
-// the retry budget limit how often sources are replaced or hedged.
+// the retry budget limit how often sources are replaced or hedged. The replacement of a source
+// that did not run has other limits (see failOver).
 type stream struct {
 	*exchange
 	updates    chan update
