--- a/contain/ledger_test.go
+++ b/contain/ledger_test.go
@@ -80,7 +80,7 @@
 		for range 5 { // orders in which the records arrive
 			random.Shuffle(len(messages), func(a, b int) { messages[a], messages[b] = messages[b], messages[a] })
 			other := &Ledger{}
-			for _, blame := range slices.Concat(messages, messages[:3]) {
+			for _, blame := range slices.Concat(messages, messages[:3]) { // three records arrive twice
 				other.Merge(blame)
 			}
 			assert.DeepEqual(t, other.Blame("r"), source.Blame("r"))
--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -56,8 +56,9 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			request := PermitRequest{Server: "s", Rate: 10, SettledSince: test.settled}
-			granted := requestPermits(&Granter{}, request, time.Minute, 10*time.Millisecond, 3*time.Second) // every 10 ms for 3 s
-			interval := 100 * time.Millisecond                                                              // between two permits at the rate of 10 per second
+			// Permits are requested every 10 ms for 3 s.
+			granted := requestPermits(&Granter{}, request, time.Minute, 10*time.Millisecond, 3*time.Second)
+			interval := 100 * time.Millisecond // between two permits at the rate of 10 per second
 			assert.Assert(t, granted[0] >= test.first+interval && granted[0] <= test.first+2*interval, "first at %s", granted[0])
 		})
 	}
--- a/ratelimit/sharing_test.go
+++ b/ratelimit/sharing_test.go
@@ -158,7 +158,7 @@
 // simNode is one node of the fleet.
 type simNode struct {
 	index          int
-	hash           uint64 // order of the node in simFleet.ranked
+	hash           uint64 // order of the node in simFleet.ranked; detection delays depend on it too
 	killed, frozen []interval
 	blockedUntil   time.Duration // until when the node asks for no permit, after a refusal
 	knownSince     time.Duration // when the node learned that the server has a limit; below 0: it does not know of one
