--- a/formation/correlated_loss_test.go
+++ b/formation/correlated_loss_test.go
@@ -10,15 +10,15 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestServersLostTogether kills two members of a group at the same moment, as a fault of
-// their domain does. The probe of the second member fails 50 ms after that of the first.
+// TestServersLostTogether kills two members of a group, not its head, at the same moment, as a
+// fault of their domain does. The probe of the second member fails 50 ms after that of the first.
 // Between the two, the planner must not form the group again with the second member, which
 // would never answer the order to join.
 func TestServersLostTogether(t *testing.T) {
 	t.Parallel()
-	fleet := newFakeFleet(3, 2, 16)
-	planner := newPlanner(1)
-	fleet.run(planner, time.Minute, false)
+	fleet := newFakeFleet(3, 2, 16) // seed 3; two domains of 16 servers
+	planner := plannerOfTerm(1)
+	fleet.run(planner, time.Minute, beforeTraffic)
 	before := fleet.serving()
 	var lost []shedkeel.InstanceID
 	for _, server := range fleet.listed() {
@@ -44,20 +44,20 @@
 	assert.Equal(t, len(actions), 1, "%v", actions)
 	assert.Assert(t, !slices.Contains(actions[0].Order.Members, lost[1]))
 	fleet.deliver(planner, actions)
-	fleet.run(planner, 2*time.Second, true)
+	fleet.run(planner, 2*time.Second, underTraffic)
 	assert.DeepEqual(t, fleet.serving(), before)
 	assert.Equal(t, len(fleet.violations), 0, "%v", fleet.violations)
 }
 
 // TestRepairWaitsForProbesOfSubstitutes has a group lose a member while the free servers of
 // its domain are being probed too. The planner must wait for the results, then form the group
-// with a live server. A planner that did not wait formed the group with a lost server, which
-// took 0.9 s longer, or released the group for lack of a substitute.
+// with a live server. A planner that does not wait may form the group with a lost server, which
+// takes 0.9 s longer, or release the group for lack of a substitute.
 func TestRepairWaitsForProbesOfSubstitutes(t *testing.T) {
 	t.Parallel()
-	fleet := newFakeFleet(3, 2, 16)
-	planner := newPlanner(1)
-	fleet.run(planner, time.Minute, false)
+	fleet := newFakeFleet(3, 2, 16) // seed 3; two domains of 16 servers
+	planner := plannerOfTerm(1)
+	fleet.run(planner, time.Minute, beforeTraffic)
 	probed, dead := map[shedkeel.InstanceID]bool{}, map[shedkeel.InstanceID]bool{}
 	var free []shedkeel.InstanceID
 	for _, server := range fleet.listed() {
--- a/formation/demand_test.go
+++ b/formation/demand_test.go
@@ -64,9 +64,9 @@
 // their domains have spares for. No group may be ordered to close for that, since the lost
 // servers are replaced 20 s later, and a minute after that all groups must serve again.
 func TestLossesMoveNoGroups(t *testing.T) {
-	fleet := newFakeFleet(3, 6, 8)
-	planner := newPlanner(1)
-	fleet.run(planner, time.Minute, false)
+	fleet := newFakeFleet(3, 6, 8) // seed 3; six domains of eight servers
+	planner := plannerOfTerm(1)
+	fleet.run(planner, time.Minute, beforeTraffic)
 	fleet.demand = demandOf(largeRate, smallRate)
 	clear(fleet.orderCounts)
 	domains := []shedkeel.DomainID{"d0", "d1", "d2"}
@@ -75,13 +75,13 @@
 			fleet.killMember(domain, "large")
 		}
 	}
-	fleet.run(planner, 20*time.Second, true)
+	fleet.run(planner, 20*time.Second, underTraffic)
 	for _, domain := range domains {
 		for range 3 {
 			fleet.addServer(domain)
 		}
 	}
-	fleet.run(planner, time.Minute, true)
+	fleet.run(planner, time.Minute, underTraffic)
 	serving := fleet.serving()
 	assert.Assert(t, serving["large"] >= 6 && serving["small"] >= 6, "%v", serving)
 	assert.Equal(t, fleet.orderCounts[shedkeel.OrderClose], 0)
@@ -103,7 +103,7 @@
 		"as configured":  {func(time.Duration) map[shedkeel.ModelID]shedkeel.ModelDemand { return demandOf(largeRate, smallRate) }, 6, 6, 0, 0},
 		"no measurement": {func(time.Duration) map[shedkeel.ModelID]shedkeel.ModelDemand { return nil }, 6, 6, 0, 0},
 		"a sine wave": {func(since time.Duration) map[shedkeel.ModelID]shedkeel.ModelDemand {
-			swing := 1 + 0.25*math.Sin(2*math.Pi*since.Seconds()/11)
+			swing := 1 + 0.25*math.Sin(2*math.Pi*since.Seconds()/11) // a quarter up and down, every 11 s
 			return demandOf(largeRate*swing, smallRate/swing)
 		}, 6, 6, 0, 0},
 		"a burst of two seconds": {func(since time.Duration) map[shedkeel.ModelID]shedkeel.ModelDemand {
@@ -112,7 +112,7 @@
 			}
 			return demandOf(largeRate, smallRate)
 		}, 6, 6, 0, 0},
-		"the shares are swapped": {func(time.Duration) map[shedkeel.ModelID]shedkeel.ModelDemand {
+		"a lasting shift to the small model": {func(time.Duration) map[shedkeel.ModelID]shedkeel.ModelDemand {
 			return demandOf(largeRate/3, 3*smallRate)
 		}, 3, 10, 16, 4},
 		"a shift and its reversal": {func(since time.Duration) map[shedkeel.ModelID]shedkeel.ModelDemand {
@@ -124,13 +124,13 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			fleet := newFakeFleet(3, 6, 8)
-			planner := newPlanner(1)
-			fleet.run(planner, time.Minute, false)
+			fleet := newFakeFleet(3, 6, 8) // seed 3; six domains of eight servers
+			planner := plannerOfTerm(1)
+			fleet.run(planner, time.Minute, beforeTraffic)
 			clear(fleet.orderCounts)
 			for began := fleet.now; fleet.now < began+3*time.Minute; {
 				fleet.demand = test.demand(fleet.now - began)
-				fleet.run(planner, testStep, true)
+				fleet.run(planner, testStep, underTraffic)
 			}
 			serving := fleet.serving()
 			t.Logf("serving %v, orders %v", serving, fleet.orderCounts)
@@ -139,20 +139,20 @@
 			assert.Assert(t, fleet.orderCounts[shedkeel.OrderClose] <= test.maxClosed, "%v", fleet.orderCounts)
 			assert.Equal(t, len(fleet.violations), 0, "%v", fleet.violations)
 			before := maps.Clone(fleet.orderCounts)
-			fleet.run(planner, time.Minute, true)
+			fleet.run(planner, time.Minute, underTraffic)
 			assert.DeepEqual(t, fleet.orderCounts, before) // no more orders are sent
 		})
 	}
 }
 
 // TestHostsOfSmallGroupsStageLargeModel checks that, before traffic starts, hosts of small
-// groups load the large model, and that more of its groups then serve sooner after a shift
-// of demand than a load takes.
+// groups load the large model, except those of one group per domain. After a shift of demand
+// to the large model, at least two more of its groups must then serve sooner than a load takes.
 func TestHostsOfSmallGroupsStageLargeModel(t *testing.T) {
-	fleet := newFakeFleet(3, 6, 8)
+	fleet := newFakeFleet(3, 6, 8)                                          // seed 3; six domains of eight servers
 	fleet.engine.Models[0].Share, fleet.engine.Models[1].Share = 0.33, 0.67 // swapped
-	planner := newPlanner(1)
-	fleet.run(planner, time.Minute, false)
+	planner := plannerOfTerm(1)
+	fleet.run(planner, time.Minute, beforeTraffic)
 	before := fleet.serving()["large"]
 	hosted := map[shedkeel.DomainID]map[shedkeel.ModelID]int{} // number of members of small groups, by the model on their hosts
 	for _, server := range fleet.servers {
@@ -169,35 +169,37 @@
 	}
 	clear(fleet.orderCounts)
 	fleet.demand = demandOf(largeRate, smallRate)
-	fleet.run(planner, imbalanceTime+fleet.engine.Models[0].Warmup+2*time.Second, true)
+	fleet.run(planner, imbalanceTime+fleet.engine.Models[0].Warmup+2*time.Second, underTraffic) // 6.6 s; a load takes 16 s
 	t.Logf("%d large groups before, %v now, orders %v", before, fleet.serving(), fleet.orderCounts)
 	assert.Assert(t, fleet.serving()["large"] >= before+2, "%v", fleet.serving())
 	assert.Equal(t, len(fleet.violations), 0, "%v", fleet.violations)
 }
 
-// histories is the number of random histories that a test simulates. A history is a sequence
-// of faults.
+// histories is the number of random histories that each test with such histories simulates. A
+// history is a sequence of faults.
 var histories = flag.Int("histories", 12, "random histories to simulate")
 
 // TestRulesHoldWhileGroupsAreReleased shifts the demand between models while members are lost
-// or unreachable, orders are lost or carried out late, and planners change. It also checks
-// that some groups are closed in these histories.
+// or unreachable, orders are lost or carried out late, and planners change. It makes the checks
+// of runReleaseHistory, and checks that the histories contain orders to close a group.
 func TestRulesHoldWhileGroupsAreReleased(t *testing.T) {
 	t.Parallel()
-	var closed atomic.Int64
+	var closeOrders atomic.Int64
 	t.Run("histories", func(t *testing.T) {
 		for seed := range *histories {
 			t.Run(strconv.Itoa(seed), func(t *testing.T) {
 				t.Parallel()
-				closed.Add(int64(runHistory(t, seed)))
+				closeOrders.Add(int64(runReleaseHistory(t, seed)))
 			})
 		}
 	})
-	t.Logf("%d groups were closed in %d histories", closed.Load(), *histories)
-	assert.Assert(t, closed.Load() > 0)
+	t.Logf("%d orders to close a group in %d histories", closeOrders.Load(), *histories)
+	assert.Assert(t, closeOrders.Load() > 0)
 }
 
-// TestHistoriesThatFailed repeats the histories in which a rule was once violated.
+// TestHistoriesThatFailed repeats histories of TestRulesHoldWhileGroupsAreReleased in which a
+// rule of the package comment has been violated before. Each name states what happens in the
+// history.
 func TestHistoriesThatFailed(t *testing.T) {
 	t.Parallel()
 	seeds := map[string]int{
@@ -206,40 +208,42 @@
 		"a head opens late, after its group was formed again without some members": 296,
 	}
 	for name, seed := range seeds {
-		t.Run(name, func(t *testing.T) { runHistory(t, seed) })
+		t.Run(name, func(t *testing.T) { runReleaseHistory(t, seed) })
 	}
 }
 
-// runHistory simulates one random history and returns how many groups were closed in it.
-func runHistory(t *testing.T, seed int) int {
+// runReleaseHistory simulates one random history, and two minutes without faults after it. It
+// checks that no rule of the package comment is violated and that at least four groups of each
+// model serve at the end. It returns the number of orders to close a group in the history.
+func runReleaseHistory(t *testing.T, seed int) int {
 	t.Helper()
-	fleet := newFakeFleet(uint64(seed), 6, 8)
+	fleet := newFakeFleet(uint64(seed), 6, 8) // six domains of eight servers
 	term := uint64(1)
-	planner := newPlanner(term)
-	fleet.lagSteps = seed % 4
-	fleet.run(planner, time.Minute, false)
+	planner := plannerOfTerm(term)
+	fleet.lagSteps = seed % 4 // the list is 0 to 150 ms late
+	fleet.run(planner, time.Minute, beforeTraffic)
 	clear(fleet.orderCounts)
 	for round := range 24 {
 		if round%6 == 0 {
 			fleet.demand = demandOf(2*largeRate*fleet.random.Float64(), 4*smallRate*fleet.random.Float64())
 		}
-		fleet.answerLoss = []float64{0, 0, 0.3}[round%3]
-		fleet.run(planner, time.Duration(fleet.random.Int64N(int64(10*time.Second))), true)
+		fleet.answerLoss = []float64{0, 0, 0.3}[round%3] // 30% of answers are lost in every third round
+		fleet.run(planner, time.Duration(fleet.random.Int64N(int64(10*time.Second))), underTraffic)
 		fleet.killRandom()
 		fleet.addServer(shedkeel.DomainID(fmt.Sprintf("d%d", fleet.random.IntN(6))))
 		ids := slices.Sorted(maps.Keys(fleet.servers))
 		fleet.servers[ids[fleet.random.IntN(len(ids))]].unreachableUntil = fleet.now + time.Duration(fleet.random.Int64N(int64(8*time.Second)))
-		if fleet.random.IntN(6) == 0 {
+		if fleet.random.IntN(6) == 0 { // a takeover in a sixth of the rounds on average
 			term++
-			planner = newPlanner(term)
+			planner = plannerOfTerm(term)
 		}
 	}
-	closed := fleet.orderCounts[shedkeel.OrderClose]
+	closeOrders := fleet.orderCounts[shedkeel.OrderClose]
 	fleet.answerLoss = 0
 	fleet.demand = demandOf(largeRate, smallRate)
-	fleet.run(planner, 2*time.Minute, true)
+	fleet.run(planner, 2*time.Minute, underTraffic)
 	assert.Equal(t, len(fleet.violations), 0, "seed %d: %v", seed, fleet.violations)
 	serving := fleet.serving()
 	assert.Assert(t, serving["large"] >= 4 && serving["small"] >= 4, "seed %d: %v", seed, serving)
-	return closed
+	return closeOrders
 }
--- a/formation/fake_test.go
+++ b/formation/fake_test.go
@@ -41,7 +41,7 @@
 	restarted        bool // a later instance of its server exists; diedAt is set too
 }
 
-// isPartitioned reports whether the server is partitioned from the planner.
+// isPartitioned reports whether the server is partitioned from the planner and the list.
 func (server *fakeServer) isPartitioned(now time.Duration) bool { return now < server.partitionedUntil }
 
 // unlisted reports whether the list lacks the server because of a partition. The server's
@@ -62,8 +62,8 @@
 	lateOrders  []lateOrder
 	answerLoss  float64 // probability that the answer to an order is lost
 	violations  []string
-	lastServer  int
-	laterTerms  uint64 // number of terms (newPlanner) after the first one
+	lastServer  int    // number in the name of the server that was added last
+	laterTerms  uint64 // number of terms (plannerOfTerm) after the first one
 	demand      map[shedkeel.ModelID]shedkeel.ModelDemand
 	orderCounts map[shedkeel.GroupOrderKind]int // orders sent
 	lagSteps    int                             // by how many steps of testStep the list lags
@@ -76,10 +76,12 @@
 	at    time.Duration
 }
 
-func newFakeFleet(seed uint64, domains, boxes int) *fakeFleet {
+// newFakeFleet returns a fleet of empty servers in the domains d0, d1 and so on. Fleets with
+// the same seed make the same random choices.
+func newFakeFleet(seed uint64, domains, serversPerDomain int) *fakeFleet {
 	fleet := &fakeFleet{engine: testEngine(), random: rand.New(rand.NewPCG(seed, 7)), servers: map[shedkeel.InstanceID]*fakeServer{}, orderCounts: map[shedkeel.GroupOrderKind]int{}}
 	for domain := range domains {
-		for range boxes {
+		for range serversPerDomain {
 			fleet.addServer(shedkeel.DomainID(fmt.Sprintf("d%d", domain)))
 		}
 	}
@@ -132,7 +134,7 @@
 }
 
 // listed returns the list of servers as the platform's store has it. Dead servers stay listed
-// for three heartbeats, unless they have restarted.
+// for three heartbeats (3.6 s), unless they have restarted.
 func (fleet *fakeFleet) listed() []shedkeel.Instance {
 	var listed []shedkeel.Instance
 	for _, server := range fleet.servers {
@@ -241,7 +243,7 @@
 	server.cold = server.lastModel != order.Model && !server.HasStaged(order.Model)
 	switch {
 	case server.lastModel == order.Model:
-		server.readyAt = fleet.now + 200*time.Millisecond
+		server.readyAt = fleet.now + 200*time.Millisecond // neither a load nor a warm-up
 	case server.HasStaged(order.Model):
 		server.readyAt = fleet.now + model.Warmup
 	default:
@@ -252,7 +254,8 @@
 	return true
 }
 
-// rankOf returns the rank of a server among members, by its name.
+// rankOf returns the rank of a server among members, by its name, or -1 if it is not one of
+// them.
 func rankOf(members []shedkeel.InstanceID, id shedkeel.InstanceID) int {
 	return slices.IndexFunc(members, func(member shedkeel.InstanceID) bool { return member.Server() == id.Server() })
 }
@@ -291,7 +294,8 @@
 	}
 }
 
-// tick advances the engines by testStep.
+// tick advances the time by testStep. Live servers carry out the late orders that are due,
+// finish the loads and joins that are due, and apply checkStalled.
 func (fleet *fakeFleet) tick() {
 	fleet.now += testStep
 	for _, late := range fleet.lateOrders {
@@ -379,8 +383,14 @@
 // testStep is the simulated time between two plans.
 const testStep = 50 * time.Millisecond
 
-// run alternates plans and steps of the fleet for a simulated time. Without traffic, loads
-// are not limited.
+// Values of Input.Traffic, for run. Before callers are served, loads are not limited: all groups
+// of the fleets in these tests serve within 30 s, and spares finish their loads within a minute.
+const (
+	beforeTraffic = false
+	underTraffic  = true
+)
+
+// run alternates plans and steps of the fleet for a simulated time.
 func (fleet *fakeFleet) run(planner *Planner, length time.Duration, traffic bool) {
 	for end := fleet.now + length; fleet.now < end; {
 		fleet.deliver(planner, planner.Plan(Input{Now: fleet.now, Engine: fleet.engine, Instances: fleet.instances(), Dead: fleet.dead(), Demand: fleet.demand, Traffic: traffic}))
@@ -388,9 +398,9 @@
 	}
 }
 
-// newPlanner returns the planner of a term, the period in which one planner is in charge. Its
-// epochs are higher than those of all lower terms.
-func newPlanner(term uint64) *Planner {
+// plannerOfTerm returns a planner without state for a term, the period in which one planner is
+// in charge. Its epochs are higher than those of all lower terms.
+func plannerOfTerm(term uint64) *Planner {
 	epochs := uint64(0)
 	return &Planner{NextEpoch: func() uint64 {
 		epochs++
@@ -398,7 +408,8 @@
 	}}
 }
 
-// killRandom kills a random live server that has a membership, if there is one.
+// killRandom kills a random live server that has a membership, which may be that of a spare on
+// standby, if there is such a server.
 func (fleet *fakeFleet) killRandom() {
 	members := slices.DeleteFunc(fleet.living(), func(id shedkeel.InstanceID) bool { return fleet.servers[id].Member == nil })
 	if len(members) > 0 {
@@ -406,15 +417,15 @@
 	}
 }
 
-// injectLoss kills a member and adds an empty server to a random domain of six, which the
-// fleet must have. With probability 1/oneIn it returns the planner of the next term, which
-// has no state, and otherwise the given planner.
-func (fleet *fakeFleet) injectLoss(planner *Planner, oneIn int) *Planner {
+// injectLossAndTakeover kills a random server (killRandom) and adds an empty server to a random
+// domain of six, which the fleet must have. With probability 1/takeoverOneIn the planner of the
+// next term takes over: it has no state and is returned instead of the given planner.
+func (fleet *fakeFleet) injectLossAndTakeover(planner *Planner, takeoverOneIn int) *Planner {
 	fleet.killRandom()
 	fleet.addServer(shedkeel.DomainID(fmt.Sprintf("d%d", fleet.random.IntN(6))))
-	if fleet.random.IntN(oneIn) != 0 {
+	if fleet.random.IntN(takeoverOneIn) != 0 {
 		return planner
 	}
 	fleet.laterTerms++
-	return newPlanner(1 + fleet.laterTerms)
+	return plannerOfTerm(1 + fleet.laterTerms)
 }
--- a/formation/fleet_test.go
+++ b/formation/fleet_test.go
@@ -14,15 +14,17 @@
 // TestFormsEveryGroupThatHasRoom checks that each of six domains of eight servers gets a
 // group of four and one of two, for which there is room beside its spares.
 func TestFormsEveryGroupThatHasRoom(t *testing.T) {
-	fleet := newFakeFleet(1, 6, 8)
-	fleet.run(newPlanner(1), 30*time.Second, false)
+	fleet := newFakeFleet(1, 6, 8) // seed 1; six domains of eight servers
+	fleet.run(plannerOfTerm(1), 30*time.Second, beforeTraffic)
 	assert.DeepEqual(t, fleet.serving(), map[shedkeel.ModelID]int{"large": 6, "small": 6})
 	assert.Equal(t, len(fleet.violations), 0, "%v", fleet.violations)
 }
 
-// TestRulesHoldUnderFaults kills members and replaces planners while answers to orders are
-// lost and these orders are carried out late. It checks that no protocol rule is violated and
-// that, a minute after the last fault, at least four groups of each model serve.
+// TestRulesHoldUnderFaults kills servers and replaces planners while answers to orders are
+// lost and these orders are carried out late. It checks that no rule of the package comment is
+// violated and that, a minute after the last fault, at least four groups of each model serve.
+// With all servers, six groups of each would serve; here servers are lost in random domains and
+// added to other random domains, so a domain may lack servers for a group of each model.
 func TestRulesHoldUnderFaults(t *testing.T) {
 	t.Parallel()
 	seeds := 40
@@ -30,14 +32,14 @@
 		seeds = 5
 	}
 	for seed := range seeds {
-		fleet := newFakeFleet(uint64(seed), 6, 8)
-		planner := newPlanner(1)
+		fleet := newFakeFleet(uint64(seed), 6, 8) // six domains of eight servers
+		planner := plannerOfTerm(1)
 		fleet.lagSteps = seed % 4 // the list is 0 to 150 ms late
-		fleet.run(planner, 30*time.Second, false)
+		fleet.run(planner, 30*time.Second, beforeTraffic)
 		for round := range 12 {
-			fleet.answerLoss = []float64{0, 0.3}[round%2]
-			fleet.run(planner, time.Duration(fleet.random.Int64N(int64(4*time.Second))), true)
-			planner = fleet.injectLoss(planner, 3)
+			fleet.answerLoss = []float64{0, 0.3}[round%2] // 30% of answers are lost in every other round
+			fleet.run(planner, time.Duration(fleet.random.Int64N(int64(4*time.Second))), underTraffic)
+			planner = fleet.injectLossAndTakeover(planner, 3) // a takeover in a third of the rounds on average
 		}
 		fleet.answerLoss = 0
 		fleet.checkRecovery(t, planner, seed, 4)
@@ -48,7 +50,7 @@
 // and that at least minServing groups of each model serve.
 func (fleet *fakeFleet) checkRecovery(t *testing.T, planner *Planner, seed, minServing int) {
 	t.Helper()
-	fleet.run(planner, time.Minute, true)
+	fleet.run(planner, time.Minute, underTraffic)
 	assert.Equal(t, len(fleet.violations), 0, "seed %d: %v", seed, fleet.violations)
 	serving := fleet.serving()
 	assert.Assert(t, serving["large"] >= minServing && serving["small"] >= minServing, "seed %d: %v", seed, serving)
@@ -56,36 +58,38 @@
 
 // TestRulesHoldWhileServersAreUnreachable has random servers fail probes and leave orders
 // unanswered for up to 8 s while they go on serving. Their groups may be formed again without
-// them before they are reachable again.
+// them before they are reachable again. Servers are also killed and planners replaced. It makes
+// the same checks as TestRulesHoldUnderFaults.
 func TestRulesHoldWhileServersAreUnreachable(t *testing.T) {
 	t.Parallel()
 	for seed := range 40 {
-		fleet := newFakeFleet(uint64(seed), 6, 8)
-		planner := newPlanner(1)
-		fleet.run(planner, 30*time.Second, false)
+		fleet := newFakeFleet(uint64(seed), 6, 8) // six domains of eight servers
+		planner := plannerOfTerm(1)
+		fleet.run(planner, 30*time.Second, beforeTraffic)
 		for range 12 {
 			for range 3 {
 				ids := slices.Sorted(maps.Keys(fleet.servers))
 				server := fleet.servers[ids[fleet.random.IntN(len(ids))]]
 				server.unreachableUntil = fleet.now + time.Duration(fleet.random.Int64N(int64(8*time.Second)))
 			}
-			fleet.run(planner, time.Duration(fleet.random.Int64N(int64(4*time.Second))), true)
-			planner = fleet.injectLoss(planner, 4)
+			fleet.run(planner, time.Duration(fleet.random.Int64N(int64(4*time.Second))), underTraffic)
+			planner = fleet.injectLossAndTakeover(planner, 4) // a takeover in a quarter of the rounds on average
 		}
 		fleet.checkRecovery(t, planner, seed, 4)
 	}
 }
 
-// TestRulesHoldWhileServersArePartitioned partitions a third of all servers from the planner
-// and the list for up to ten seconds, while they go on serving. There are not enough
-// substitutes, and the remaining members of their groups must not be used in other groups.
+// TestRulesHoldWhileServersArePartitioned partitions each server with probability 1/3 from the
+// planner and the list for 2 to 10 s, while the server goes on serving. Planners change
+// meanwhile. There are not enough substitutes, and the remaining members of a group must not
+// be used in other groups while its head serves.
 func TestRulesHoldWhileServersArePartitioned(t *testing.T) {
 	t.Parallel()
 	for seed := range 40 {
-		fleet := newFakeFleet(uint64(seed), 6, 8)
+		fleet := newFakeFleet(uint64(seed), 6, 8) // six domains of eight servers
 		term := uint64(1)
-		planner := newPlanner(term)
-		fleet.run(planner, 30*time.Second, false)
+		planner := plannerOfTerm(term)
+		fleet.run(planner, 30*time.Second, beforeTraffic)
 		for range 6 {
 			length := 2*time.Second + time.Duration(fleet.random.Int64N(int64(8*time.Second)))
 			for _, id := range slices.Sorted(maps.Keys(fleet.servers)) {
@@ -93,37 +97,38 @@
 					fleet.servers[id].partitionedAt, fleet.servers[id].partitionedUntil = fleet.now, fleet.now+length
 				}
 			}
-			fleet.run(planner, time.Duration(fleet.random.Int64N(int64(4*time.Second))), true)
+			fleet.run(planner, time.Duration(fleet.random.Int64N(int64(4*time.Second))), underTraffic)
 			if fleet.random.IntN(2) == 0 {
 				term++
-				planner = newPlanner(term)
+				planner = plannerOfTerm(term)
 			}
-			fleet.run(planner, 15*time.Second, true)
+			fleet.run(planner, 15*time.Second, underTraffic) // until all servers are listed again
 		}
 		fleet.checkRecovery(t, planner, seed, 5)
 	}
 }
 
-// TestRulesHoldWhileServersRestart restarts servers while planners change and orders are
-// carried out late without an answer. The current instance of a server carries out late
-// orders to earlier instances.
+// TestRulesHoldWhileServersRestart restarts three random servers per round while orders are
+// carried out late without an answer. In every fourth round it also kills a server and may
+// replace the planner. The current instance of a server carries out late orders to earlier
+// instances. It makes the same checks as TestRulesHoldUnderFaults.
 func TestRulesHoldWhileServersRestart(t *testing.T) {
 	t.Parallel()
 	for seed := range 60 {
-		fleet := newFakeFleet(uint64(seed), 6, 8)
-		planner := newPlanner(1)
-		fleet.lagSteps = seed % 4
-		fleet.run(planner, 30*time.Second, false)
+		fleet := newFakeFleet(uint64(seed), 6, 8) // six domains of eight servers
+		planner := plannerOfTerm(1)
+		fleet.lagSteps = seed % 4 // the list is 0 to 150 ms late
+		fleet.run(planner, 30*time.Second, beforeTraffic)
 		for round := range 12 {
-			fleet.answerLoss = []float64{0, 0.3}[round%2]
-			fleet.run(planner, time.Duration(fleet.random.Int64N(int64(4*time.Second))), true)
+			fleet.answerLoss = []float64{0, 0.3}[round%2] // 30% of answers are lost in every other round
+			fleet.run(planner, time.Duration(fleet.random.Int64N(int64(4*time.Second))), underTraffic)
 			for range 3 {
 				if living := fleet.living(); len(living) > 0 {
 					fleet.restart(living[fleet.random.IntN(len(living))])
 				}
 			}
 			if round%4 == 3 {
-				planner = fleet.injectLoss(planner, 3)
+				planner = fleet.injectLossAndTakeover(planner, 3) // a takeover in a third of the calls on average
 			}
 		}
 		fleet.answerLoss = 0
@@ -136,69 +141,72 @@
 	return slices.DeleteFunc(slices.Sorted(maps.Keys(fleet.servers)), func(id shedkeel.InstanceID) bool { return fleet.servers[id].diedAt != 0 })
 }
 
-// TestMemberThatRestarts checks that a group recovers within 3 s when a member of the open
-// group restarts. A planner that did not recognize the restart left the group unchanged for
-// unlistedGrace, as if the member were only unlisted. If the member was the head, the planner
-// reserved the other members for headTimeout, because an unreachable head may serve; a head
-// that has restarted can't.
+// TestMemberThatRestarts checks that the group of the model large recovers within 3 s when its
+// head or its member of rank 1 restarts. A planner that took a restarted member for one that is
+// only unlisted would leave the group unchanged for unlistedGrace. In a domain without
+// substitutes, unlike that of this test, a planner that took a restarted head for an unreachable
+// one would also keep the other members from other groups for headTimeout, although only an
+// unreachable head may still serve.
 func TestMemberThatRestarts(t *testing.T) {
 	t.Parallel()
 	for name, rank := range map[string]int{"head": 0, "member": 1} {
 		t.Run(name, func(t *testing.T) {
-			fleet := newFakeFleet(3, 1, 8)
-			planner := newPlanner(1)
-			fleet.run(planner, time.Minute, false)
+			fleet := newFakeFleet(3, 1, 8) // seed 3; one domain of eight servers
+			planner := plannerOfTerm(1)
+			fleet.run(planner, time.Minute, beforeTraffic)
 			before := fleet.serving()
 			for _, id := range fleet.living() {
 				if member := fleet.servers[id].Member; member != nil && member.Rank == rank && ModelOf(member.Group) == "large" {
 					fleet.restart(id)
 				}
 			}
-			fleet.run(planner, 3*time.Second, true)
+			fleet.run(planner, 3*time.Second, underTraffic)
 			assert.DeepEqual(t, fleet.serving(), before)
 			assert.Equal(t, len(fleet.violations), 0, "%v", fleet.violations)
 		})
 	}
 }
 
-// TestWarmSparesJoinFast kills four members, one after the other, and checks that each group
-// recovers with a spare on standby within 1 s of the detection. A spare that is not on
-// standby takes 1.1 s or 1.6 s to warm up.
+// TestWarmSparesJoinFast kills four servers (killRandom), one after the other, and checks that
+// as many groups of each model as before serve within 1 s of the detection, because spares on
+// standby replace lost members. A spare that is not on standby takes 1.1 s or 1.6 s to warm up.
 func TestWarmSparesJoinFast(t *testing.T) {
 	t.Parallel()
-	fleet := newFakeFleet(3, 6, 8)
-	planner := newPlanner(1)
-	fleet.run(planner, 30*time.Second, false)
+	fleet := newFakeFleet(3, 6, 8) // seed 3; six domains of eight servers
+	planner := plannerOfTerm(1)
+	fleet.run(planner, 30*time.Second, beforeTraffic)
 	initial := fleet.serving()
 	for range 4 {
 		before := fleet.serving() // spares may have formed another group
 		assert.Assert(t, before["large"] >= initial["large"] && before["small"] >= initial["small"], "%v", before)
 		fleet.killRandom()
-		fleet.run(planner, 600*time.Millisecond, true) // until probes detect the loss
-		fleet.run(planner, time.Second, true)
+		fleet.run(planner, 600*time.Millisecond, underTraffic) // until probes detect the loss
+		fleet.run(planner, time.Second, underTraffic)
 		assert.DeepEqual(t, fleet.serving(), before)
+		// Keeps the number of servers. The added server need not be in the domain of the loss,
+		// because the next loss is repaired with a spare of its own domain.
 		fleet.addServer("d0")
-		fleet.run(planner, 30*time.Second, true) // until the added server is a spare on standby
+		fleet.run(planner, 30*time.Second, underTraffic) // until the added server is a spare on standby
 	}
 	assert.Equal(t, len(fleet.violations), 0, "%v", fleet.violations)
 }
 
 // TestSparesReplaceMembersOfEitherModel kills two members of one model in a domain with two
-// spares, and checks that each is replaced within a warm-up and 1 s. When each spare had only
-// the weights of a different model, the second group waited 16 s for a load although the
-// other model's spare was free.
+// spares, and checks that each is replaced within a warm-up and 1 s. If each spare had only the
+// weights of a different model, the second loss would wait up to 16 s for a load although the
+// other model's spare is free.
 func TestSparesReplaceMembersOfEitherModel(t *testing.T) {
 	t.Parallel()
 	for _, model := range []shedkeel.ModelID{"large", "small"} {
 		t.Run(string(model), func(t *testing.T) {
-			fleet := newFakeFleet(3, 6, 8)
-			planner := newPlanner(1)
-			fleet.run(planner, time.Minute, false)
+			fleet := newFakeFleet(3, 6, 8) // seed 3; six domains of eight servers
+			planner := plannerOfTerm(1)
+			fleet.run(planner, time.Minute, beforeTraffic)
 			before := fleet.serving()
 			for range 2 {
 				fleet.killMember("d0", model)
-				fleet.run(planner, 600*time.Millisecond, true) // until probes detect the loss
-				fleet.run(planner, fleet.engine.Model(model).Warmup+time.Second, true)
+				fleet.run(planner, 600*time.Millisecond, underTraffic) // until probes detect the loss
+				fleet.run(planner, fleet.engine.Model(model).Warmup+time.Second, underTraffic)
 				assert.DeepEqual(t, fleet.serving(), before)
 			}
 			assert.Equal(t, len(fleet.violations), 0, "%v", fleet.violations)
@@ -217,15 +225,15 @@
 	}
 }
 
-// TestHostsKeepWhatTheyLoaded checks that spares load no more weights once the fleet has
-// settled. There are three models, and each host keeps the weights of only one, so a spare
-// could go on loading one model after the other.
+// TestHostsKeepWhatTheyLoaded checks that the planner sends no orders, and thus no orders to
+// load weights, in the minute after the fleet has settled. There are three models, and each
+// host keeps the weights of only one, so a spare could go on loading one model after the other.
 func TestHostsKeepWhatTheyLoaded(t *testing.T) {
 	t.Parallel()
-	fleet := newFakeFleet(3, 6, 8)
+	fleet := newFakeFleet(3, 6, 8) // seed 3; six domains of eight servers
 	fleet.engine.Models = append(fleet.engine.Models, shedkeel.Model{ID: "third", Size: 2, Share: 0.2, Load: 12 * time.Second, Warmup: time.Second})
-	planner := newPlanner(1)
-	fleet.run(planner, 2*time.Minute, false)
+	planner := plannerOfTerm(1)
+	fleet.run(planner, 2*time.Minute, beforeTraffic)
 	for end := fleet.now + time.Minute; fleet.now < end; {
 		actions := planner.Plan(Input{Now: fleet.now, Engine: fleet.engine, Instances: fleet.instances(), Traffic: true})
 		assert.Equal(t, len(actions), 0, "%v", actions)
@@ -234,41 +242,41 @@
 }
 
 // TestHeadDoesNotReplaceLostMember checks that a group that lost a member is formed again
-// only once, with two different servers. When the head was chosen as the substitute for the
-// lost member, the group was ordered to form again every 250 ms and never opened.
+// only once, with two different servers. If the head were chosen as the substitute for the
+// lost member, the group would be ordered to form again every 250 ms and never open.
 func TestHeadDoesNotReplaceLostMember(t *testing.T) {
-	fleet := newFakeFleet(3, 1, 4)
+	fleet := newFakeFleet(3, 1, 4)                // seed 3; one domain of four servers
 	fleet.engine.Models = fleet.engine.Models[1:] // groups of two
-	planner := newPlanner(1)
-	fleet.run(planner, 30*time.Second, false)
+	planner := plannerOfTerm(1)
+	fleet.run(planner, 30*time.Second, beforeTraffic)
 	for _, server := range fleet.servers {
 		if server.Member != nil && server.Member.Rank == 1 {
 			server.diedAt = fleet.now
 			break
 		}
 	}
-	formed := 0
+	joins := 0
 	for end := fleet.now + 4*time.Second; fleet.now < end; {
 		actions := planner.Plan(Input{Now: fleet.now, Engine: fleet.engine, Instances: fleet.instances(), Dead: fleet.dead(), Traffic: true})
 		for _, action := range actions {
 			if action.Order.Kind == shedkeel.OrderJoin {
 				assert.Equal(t, len(slices.Compact(slices.Sorted(slices.Values(action.Order.Members)))), 2, "duplicate member: %v", action.Order.Members)
-				formed++
+				joins++
 			}
 		}
 		fleet.deliver(planner, actions)
 		fleet.tick()
 	}
-	assert.Equal(t, formed, 2, "one join for each member")
+	assert.Equal(t, joins, 2, "the group is formed again once: one join order for each of its two members")
 	assert.Equal(t, fleet.serving()["small"], 1)
 }
 
 // TestUnresponsiveServerIsSkipped checks that a server that leaves maxUnanswered orders
 // unanswered is not usable for unreachableBackoff.
 func TestUnresponsiveServerIsSkipped(t *testing.T) {
-	planner := newPlanner(1)
-	fleet := newFakeFleet(4, 1, 8)
-	fleet.run(planner, 30*time.Second, false)
+	planner := plannerOfTerm(1)
+	fleet := newFakeFleet(4, 1, 8) // seed 4; one domain of eight servers
+	fleet.run(planner, 30*time.Second, beforeTraffic)
 	order := shedkeel.GroupOrder{Kind: shedkeel.OrderJoin, To: "s001"}
 	for range maxUnanswered {
 		planner.Unanswered(order, fleet.now)
@@ -283,9 +291,9 @@
 // must not be formed again immediately: after unlistedGrace its head is ordered to close. Once
 // the requests of the group receive no events, it is formed again immediately.
 func TestMemberThatIsNoLongerListed(t *testing.T) {
-	fleet := newFakeFleet(6, 1, 8)
-	planner := newPlanner(1)
-	fleet.run(planner, 30*time.Second, false)
+	fleet := newFakeFleet(6, 1, 8) // seed 6; one domain of eight servers
+	planner := plannerOfTerm(1)
+	fleet.run(planner, 30*time.Second, beforeTraffic)
 	input := func(stalled map[shedkeel.Assignment]bool) Input {
 		listed := slices.DeleteFunc(fleet.instances(), func(instance shedkeel.Instance) bool {
 			return instance.Member != nil && instance.Member.Rank == 1 && ModelOf(instance.Member.Group) == "large"
@@ -313,17 +321,17 @@
 // again. That would restart them: with a new planner every few seconds, no spare would ever
 // have its weights.
 func TestLoadsAreAdopted(t *testing.T) {
-	fleet := newFakeFleet(7, 1, 8)
-	former := newPlanner(1)
-	fleet.run(former, 30*time.Second, false)
+	fleet := newFakeFleet(7, 1, 8) // seed 7; one domain of eight servers
+	former := plannerOfTerm(1)
+	fleet.run(former, 30*time.Second, beforeTraffic)
 	fleet.addServer("d0")
 	fleet.addServer("d0")
-	fleet.run(former, 2*time.Second, true)
+	fleet.run(former, 2*time.Second, underTraffic) // until both servers load
 	loading := former.Loading()
 	assert.Equal(t, len(loading), 2)
-	next := newPlanner(2)
+	next := plannerOfTerm(2)
 	next.AdoptLoads(loading, fleet.engine, fleet.now)
-	for end := fleet.now + 10*time.Second; fleet.now < end; {
+	for end := fleet.now + 10*time.Second; fleet.now < end; { // the loads are not complete by then
 		actions := next.Plan(Input{Now: fleet.now, Engine: fleet.engine, Instances: fleet.instances(), Dead: fleet.dead(), Traffic: true})
 		assert.Equal(t, len(actions), 0, "%v", actions)
 		fleet.tick()
@@ -331,27 +339,27 @@
 }
 
 // TestLostLoadIsOrderedAgain checks that an order to load weights is sent again if the order
-// was lost. When it was not sent again, the planner counted the server as loading for half a
-// minute. The servers must have their weights after unreachableBackoff and the longest load,
-// 16 s, plus a second.
+// was lost. Otherwise the planner would count the server as loading until the load's deadline,
+// after twice the load time of 12 or 16 s. The servers must have their weights after
+// unreachableBackoff and the longest load, 16 s, plus a second.
 func TestLostLoadIsOrderedAgain(t *testing.T) {
-	fleet := newFakeFleet(8, 1, 8)
-	planner := newPlanner(1)
-	fleet.run(planner, 30*time.Second, false)
+	fleet := newFakeFleet(8, 1, 8) // seed 8; one domain of eight servers
+	planner := plannerOfTerm(1)
+	fleet.run(planner, 30*time.Second, beforeTraffic)
 	fleet.addServer("d0")
 	fleet.answerLoss = 1
-	fleet.run(planner, 1500*time.Millisecond, true)
-	fleet.answerLoss, fleet.lateOrders = 0, nil
-	fleet.run(planner, unreachableBackoff+17*time.Second, true)
+	fleet.run(planner, 1500*time.Millisecond, underTraffic) // settleTime, and then maxUnanswered orders
+	fleet.answerLoss, fleet.lateOrders = 0, nil             // the orders are not carried out late either
+	fleet.run(planner, unreachableBackoff+17*time.Second, underTraffic)
 	for _, server := range fleet.servers {
 		assert.Assert(t, len(server.Staged) == 1, "%s has no weights on its host", server.ID)
 	}
 }
 
 // TestReadyHeadMayBeOpening has two groups lose a member each. One head is open; the other was
-// ordered to open and is still listed as ready. No server may be ordered to join a group
-// before both heads have confirmed that they left. Without that rule, the head that was listed
-// as ready was used as a substitute while it served.
+// ordered to open and is still listed as ready. The planner must first order heads to leave,
+// and may order a server to join a group only once they have confirmed that they left.
+// Otherwise the head that is listed as ready could become a substitute while it serves.
 func TestReadyHeadMayBeOpening(t *testing.T) {
 	member := func(id string, group shedkeel.GroupID, rank int, state shedkeel.MemberState) shedkeel.Instance {
 		return shedkeel.Instance{
@@ -363,7 +371,7 @@
 		member("a0", "small/d/1", 0, shedkeel.MemberReady), member("a1", "small/d/1", 1, shedkeel.MemberReady),
 		member("b0", "small/d/2", 0, shedkeel.MemberOpen), member("b1", "small/d/2", 1, shedkeel.MemberReady),
 	}
-	planner := newPlanner(1)
+	planner := plannerOfTerm(1)
 	input := Input{Now: time.Minute, Engine: testEngine(), Instances: listed, Traffic: true}
 	actions := planner.Plan(input)
 	assert.Equal(t, len(actions), 1)
@@ -387,8 +395,8 @@
 // within loadWindow, and that no more than LoadsAtOnce run concurrently.
 func TestLoadsAreBoundedUnderTraffic(t *testing.T) {
 	t.Parallel()
-	fleet := newFakeFleet(5, 10, 8)
-	planner := newPlanner(1)
+	fleet := newFakeFleet(5, 10, 8) // seed 5; ten domains of eight servers
+	planner := plannerOfTerm(1)
 	loads := []time.Duration{}
 	for end := 80 * time.Second; fleet.now < end; {
 		actions := planner.Plan(Input{Now: fleet.now, Engine: fleet.engine, Instances: fleet.instances(), Dead: fleet.dead(), Traffic: true})
@@ -413,37 +421,38 @@
 
 // TestLateJoinOfRestartedServer restarts a member while an order to join its group, which the
 // previous instance did not answer, may still be carried out. It checks that the new instance
-// is not ordered into another formation before lateOrderTime has passed. A planner once
-// ordered a new instance to go on standby just after that instance had carried out the late
-// order, and so took it out of a group whose head served.
+// is not ordered to join another group, its own standby formation included, before
+// lateOrderTime has passed. Such an order could reach the new instance just after it has carried
+// out the late order, and take it out of a group whose head serves.
 func TestLateJoinOfRestartedServer(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
-		unanswered bool
+		unanswered bool          // the order to join was not answered
 		wait       time.Duration // from the order to the restart
-		free       bool          // the new instance is ordered into another formation
+		reassigned bool          // the new instance is ordered to join another group
 	}{
-		"all orders are answered":                          {false, 0, true},
-		"an order is pending":                              {true, 0, false},
-		"an order is pending near the end of its lifetime": {true, lateOrderTime - time.Second, false},
-		"an order is no longer pending":                    {true, lateOrderTime, true},
+		"no order is unanswered":                           {false, 0, true},
+		"restart right after the unanswered order":         {true, 0, false},
+		"restart a second before lateOrderTime has passed": {true, lateOrderTime - time.Second, false},
+		"restart after lateOrderTime":                      {true, lateOrderTime, true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			fleet := newFakeFleet(3, 6, 8)
-			planner := newPlanner(1)
-			fleet.run(planner, time.Minute, false)
-			member := fleet.servers["s002"]
+			fleet := newFakeFleet(3, 6, 8) // seed 3; six domains of eight servers
+			planner := plannerOfTerm(1)
+			fleet.run(planner, time.Minute, beforeTraffic)
+			member := fleet.servers["s002"] // a member of a group of the model large
 			order := shedkeel.GroupOrder{Kind: shedkeel.OrderJoin, To: member.ID, Group: member.Member.Group, Epoch: member.Member.Epoch, Model: "large", Members: member.members}
 			if test.unanswered {
 				planner.Unanswered(order, fleet.now)
 			}
-			fleet.run(planner, test.wait, true)
+			fleet.run(planner, test.wait, underTraffic)
 			fleet.restart(member.ID)
 			ordered := slices.ContainsFunc(planner.Plan(Input{Now: fleet.now, Engine: fleet.engine, Instances: fleet.instances(), Traffic: true}), func(action Action) bool {
+				// s002@1 is the new instance of s002.
 				return action.Order.Kind == shedkeel.OrderJoin && action.Order.To == "s002@1" && action.Order.Group != order.Group
 			})
-			assert.Equal(t, ordered, test.free)
+			assert.Equal(t, ordered, test.reassigned)
 		})
 	}
 }
--- a/formation/forget_test.go
+++ b/formation/forget_test.go
@@ -14,9 +14,10 @@
 // not grow with time.
 func TestFormerFormationsAreForgotten(t *testing.T) {
 	engine := &shedkeel.Engine{Models: []shedkeel.Model{{ID: "m", Size: 2, Share: 1}}}
-	planner := &Planner{NextEpoch: func() uint64 { return 1 << 40 }}
+	planner := &Planner{NextEpoch: func() uint64 { return 1 << 40 }} // higher than the epochs in the list
 	for second := range 3600 {
 		now := time.Hour + time.Duration(second)*time.Second
+		// Another formation every 10 s, with epochs from 1 on.
 		listed := []shedkeel.Instance{{ID: "b", Domain: "d", Staged: []shedkeel.ModelID{"m"}, Member: &shedkeel.Membership{
 			Group: "m/d/1", Epoch: uint64(second/10 + 1), Rank: 1, State: shedkeel.MemberReady,
 		}}}
--- a/formation/form_test.go
+++ b/formation/form_test.go
@@ -15,7 +15,7 @@
 // groups, and otherwise keeps them.
 func TestLastSparesServeTheModelThatLacksGroups(t *testing.T) {
 	cases := map[string]struct {
-		large  int  // groups of the large model that serve in other domains
+		large  int  // groups of the large model that serve in other domains, beside six of the small model
 		formed bool // a group of the large model is formed from the spares
 	}{
 		"enough groups":  {6, false},
@@ -24,6 +24,8 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			var listed []shedkeel.Instance
+			// add lists servers of a domain: the members of an open group, or spares if group is
+			// "". Otherwise group only makes the IDs unique.
 			add := func(model shedkeel.ModelID, domain string, group string, size int) {
 				for rank := range size {
 					instance := shedkeel.Instance{
@@ -48,10 +50,10 @@
 			}
 			add("small", "d", "s", 2)
 			add("large", "d", "", 4)
-			planner := newPlanner(1)
+			planner := plannerOfTerm(1)
 			input := Input{Now: time.Minute, Engine: testEngine(), Instances: listed, Traffic: true}
 			planner.Plan(input)
-			input.Now += settleTime
+			input.Now += settleTime // the first plan recorded the arrival of all servers
 			joins := 0
 			for _, action := range planner.Plan(input) {
 				if action.Order.Kind == shedkeel.OrderJoin && action.Order.Model == "large" {
--- a/formation/loads_test.go
+++ b/formation/loads_test.go
@@ -22,14 +22,14 @@
 
 // TestLoadsOfLostServersBlockNoOthers checks that a planner forms a group from eight empty
 // servers although it has adopted as many loads as may run at once, all on servers that are
-// not listed. When such loads counted, the planner waited for them forever and formed no
-// group.
+// not listed. If such loads counted, the planner would order no load until they expire, 20 s
+// later (AdoptLoads), and no group would serve in time.
 func TestLoadsOfLostServersBlockNoOthers(t *testing.T) {
 	t.Parallel()
-	fleet := newFakeFleet(7, 1, 8)
-	planner := newPlanner(2)
+	fleet := newFakeFleet(7, 1, 8) // seed 7; one domain of eight servers
+	planner := plannerOfTerm(2)
 	planner.AdoptLoads(loadsOfLostServers(fleet.engine.LoadsAtOnce), fleet.engine, fleet.now)
-	fleet.run(planner, settleTime+25*time.Second, true)
+	fleet.run(planner, settleTime+25*time.Second, underTraffic) // a load takes 12 or 16 s
 	serving := fleet.serving()
 	assert.Assert(t, serving["large"]+serving["small"] >= 1, "%v", serving)
 	assert.Equal(t, len(fleet.violations), 0, "%v", fleet.violations)
@@ -39,15 +39,15 @@
 // stop reporting their loads, because the next planner adopts all reported loads.
 func TestLoadsOfLostServersAreForgotten(t *testing.T) {
 	t.Parallel()
-	fleet := newFakeFleet(7, 1, 8)
-	planner := newPlanner(2)
-	fleet.run(planner, settleTime+time.Second, true)
+	fleet := newFakeFleet(7, 1, 8) // seed 7; one domain of eight servers
+	planner := plannerOfTerm(2)
+	fleet.run(planner, settleTime+time.Second, underTraffic)
 	ordered := slices.Collect(maps.Keys(planner.Loading()))
 	assert.Assert(t, len(ordered) > 0)
 	for _, id := range ordered {
 		fleet.servers[id].diedAt = fleet.now
 	}
-	fleet.run(planner, 40*time.Second, true)
+	fleet.run(planner, 40*time.Second, underTraffic) // longer than twice a load, after which its deadline passes
 	for _, id := range ordered {
 		_, known := planner.Loading()[id]
 		assert.Assert(t, !known, "%s is still reported as loading", id)
--- a/formation/slow_test.go
+++ b/formation/slow_test.go
@@ -21,7 +21,7 @@
 		return instance
 	}
 	group := []shedkeel.Instance{member("a0", 0, shedkeel.MemberOpen), member("a1", 1, shedkeel.MemberReady)}
-	spare := member("s", -1, "")
+	spare := member("s", -1, "") // without a membership
 	cases := map[string]struct {
 		instances []shedkeel.Instance
 		slow      shedkeel.InstanceID
@@ -37,7 +37,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			slow := map[shedkeel.InstanceID]float64{test.slow: 5}
-			actions := newPlanner(1).Plan(Input{Now: time.Minute, Engine: testEngine(), Instances: test.instances, Slow: slow, Traffic: true})
+			actions := plannerOfTerm(1).Plan(Input{Now: time.Minute, Engine: testEngine(), Instances: test.instances, Slow: slow, Traffic: true})
 			if test.kind == "" {
 				assert.Equal(t, len(actions), 0, "%v", actions)
 				return
--- a/formation/wait_test.go
+++ b/formation/wait_test.go
@@ -26,7 +26,7 @@
 	}
 	id := living[fleet.random.IntN(len(living))]
 	switch fleet.random.IntN(7) {
-	case 0, 1:
+	case 0, 1: // twice as likely as each of the others
 		fleet.servers[id].diedAt = fleet.now
 	case 2:
 		fleet.restart(id)
@@ -38,7 +38,7 @@
 		fleet.addServer(shedkeel.DomainID([]string{"d0", "d1", "d2", "d3", "d4", "d5"}[fleet.random.IntN(6)]))
 	default:
 		fleet.laterTerms++
-		next := newPlanner(1 + fleet.laterTerms)
+		next := plannerOfTerm(1 + fleet.laterTerms)
 		next.AdoptLoads(planner.Loading(), fleet.engine, fleet.now) // as read from the stored record of loads
 		return next
 	}
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestWaitsThatFailed repeats the histories of TestGroupServesWhereverServersSuffice that once
-// failed.
+// TestWaitsThatFailed repeats histories of TestGroupServesWhereverServersSuffice that have
+// failed before. Each name states what happens in the history.
 func TestWaitsThatFailed(t *testing.T) {
 	t.Parallel()
 	for name, seed := range map[string]int{
@@ -83,22 +83,22 @@
 // the checks of TestGroupServesWhereverServersSuffice.
 func runWaitHistory(t *testing.T, seed int) {
 	t.Helper()
-	fleet := newFakeFleet(uint64(seed), 6, 8)
-	planner := newPlanner(1)
-	fleet.lagSteps = seed % 4
-	fleet.run(planner, 30*time.Second, false)
+	fleet := newFakeFleet(uint64(seed), 6, 8) // six domains of eight servers
+	planner := plannerOfTerm(1)
+	fleet.lagSteps = seed % 4 // the list is 0 to 150 ms late
+	fleet.run(planner, 30*time.Second, beforeTraffic)
 	for round := range 30 {
-		fleet.answerLoss = []float64{0, 0.35}[round%2]
-		fleet.run(planner, time.Duration(fleet.random.Int64N(int64(2*time.Second))), true)
+		fleet.answerLoss = []float64{0, 0.35}[round%2] // 35% of answers are lost in every other round
+		fleet.run(planner, time.Duration(fleet.random.Int64N(int64(2*time.Second))), underTraffic)
 		for range 2 {
 			planner = fleet.injectFault(planner)
 		}
 	}
 	fleet.answerLoss = 0
-	fleet.run(planner, recoveryTime, true)
+	fleet.run(planner, recoveryTime, underTraffic)
 	served := map[shedkeel.DomainID]bool{}
 	for range 20 {
-		fleet.run(planner, time.Second, true)
+		fleet.run(planner, time.Second, underTraffic)
 		for domain := range fleet.livingPerDomain() {
 			served[domain] = served[domain] || fleet.openGroups(domain) > 0
 		}
@@ -125,7 +125,7 @@
 	return found
 }
 
-// openGroups returns how many groups of a domain serve.
+// openGroups returns how many groups of a domain have a live open head that does not stall.
 func (fleet *fakeFleet) openGroups(domain shedkeel.DomainID) int {
 	count := 0
 	for _, server := range fleet.servers {
@@ -137,11 +137,12 @@
 }
 
 // TestWaits has a planner wait for a head that is partitioned from it, in a domain without
-// substitutes, and checks that the wait ends within headTimeout, its bound.
+// substitutes, and checks that the wait has ended headTimeout (its bound) and 6 s after the start
+// of the partition. It also checks Overdue for a wait with a bound and for one without.
 func TestWaits(t *testing.T) {
-	fleet := newFakeFleet(3, 1, 8)
-	planner := newPlanner(1)
-	fleet.run(planner, time.Minute, false)
+	fleet := newFakeFleet(3, 1, 8) // seed 3; one domain of eight servers
+	planner := plannerOfTerm(1)
+	fleet.run(planner, time.Minute, beforeTraffic)
 	assert.Equal(t, len(planner.Waits()), 0, "%+v", planner.Waits())
 	var lost shedkeel.InstanceID
 	for _, server := range fleet.listed() {
@@ -154,9 +155,10 @@
 			fleet.servers[id].diedAt = fleet.now // leaves no substitute
 		}
 	}
-	fleet.run(planner, 6*time.Second, true)
+	fleet.run(planner, 6*time.Second, underTraffic) // until the dead servers are no longer listed
+	// The partition outlasts the test.
 	fleet.servers[lost].partitionedAt, fleet.servers[lost].partitionedUntil = fleet.now, fleet.now+time.Hour
-	fleet.run(planner, 6*time.Second, true)
+	fleet.run(planner, 6*time.Second, underTraffic) // until the head is no longer listed
 	reasons := func() []WaitReason {
 		var found []WaitReason
 		for _, wait := range planner.Waits() {
@@ -165,7 +167,7 @@
 		return found
 	}
 	assert.Assert(t, slices.Contains(reasons(), WaitHeadUnreachable), "%+v", planner.Waits())
-	fleet.run(planner, headTimeout, true)
+	fleet.run(planner, headTimeout, underTraffic)
 	assert.Assert(t, !slices.Contains(reasons(), WaitHeadUnreachable), "the wait for the head does not end: %+v", planner.Waits())
 	assert.Assert(t, Wait{Since: time.Second, Bound: time.Second}.Overdue(2100*time.Millisecond))
 	assert.Assert(t, !Wait{Since: time.Second}.Overdue(time.Hour), "no bound")
