--- a/formation/demand.go
+++ b/formation/demand.go
@@ -13,9 +13,9 @@
 	// sameDemandRatio is the ratio of a model's averaged share (workShares) to the
 	// configured one, or of the configured to the averaged one, up to which the two count
 	// as equal. At a steady 130 requests per second, measured shares vary by a tenth. A
-	// ratio of 1.25 was too low: a burst of 14 s, with 1.6 times the requests of one model
-	// and 0.7 times those of the other, moved a group between models and ended before the
-	// move paid off.
+	// ratio of 1.25 is too low: at that ratio, a burst of 14 s, with 1.6 times the requests
+	// of one model and 0.7 times those of the other, moves a group between models and ends
+	// before the move pays off.
 	sameDemandRatio = 1.5
 )
 
@@ -56,8 +56,9 @@
 
 // boxWork returns the box time that the demand for a model takes: the seconds for which a
 // group works, times its boxes. A group takes time to prefill the prompts, and each request
-// adds time to the decoding steps. The result leaves out the base time of a step, which all
-// running requests share. It is 0 if the engine's times are not known.
+// adds time to the decoding steps; both times are multiplied by the model's EffectiveSlowdown.
+// The result leaves out the base time of a step, which all running requests share. It is 0 if
+// the engine's times are not known.
 func boxWork(engine *shedkeel.Engine, model *shedkeel.Model, demand shedkeel.ModelDemand) float64 {
 	if engine.ReadPerSecond <= 0 {
 		return 0
--- a/formation/form.go
+++ b/formation/form.go
@@ -28,9 +28,8 @@
 	return round.input.ProbePending[instance.ID] && !round.input.Dead[instance.ID]
 }
 
-// awaitsProbeResults reports whether liveness probes of usable servers of a domain are
-// pending that are in no group and not reserved. Results arrive within some tenths of a
-// second.
+// awaitsProbeResults reports whether a liveness probe is pending for any usable server of the
+// domain that is in no group and not reserved. Results arrive within some tenths of a second.
 func (round *round) awaitsProbeResults(domain shedkeel.DomainID) bool {
 	return slices.ContainsFunc(round.byDomain[domain], func(instance *shedkeel.Instance) bool {
 		return round.isBeingProbed(instance) && IsFree(instance) && !round.reserved[instance.ID] && round.usable(instance)
@@ -271,10 +270,11 @@
 // minSpares returns the minimum number of servers to keep free in a domain with the given
 // number of servers. More stay free if the rest is too small for another group.
 //
-// An eighth is rounded up as far as pairLossSpares, because servers are lost in
+// An eighth (spareShare) is rounded up as far as pairLossSpares, because servers are lost in
 // pairs: with one spare among ten servers, the second loss has no substitute. Above
-// that number, an eighth is rounded down: rounded up, an eighth of 27 servers in groups
-// of 12 and 6 left nine servers free, because there was no room for the fourth group.
+// pairLossSpares, an eighth is rounded down: rounded up, an eighth of 27 servers is four, and
+// with groups of 12 and 6 nine servers then stay free, because there is no room beside the four
+// spares for another group of 6.
 func minSpares(servers int) int {
 	part := float64(servers) * spareShare
 	return max(int(part), min(int(math.Ceil(part)), pairLossSpares))
--- a/formation/groups.go
+++ b/formation/groups.go
@@ -31,7 +31,8 @@
 }
 
 // Groups returns the replica groups that the backend servers report, sorted by
-// ID, each with the members of its highest epoch.
+// ID, each with the members of its highest epoch. The standby formations of spares count as
+// groups, with an empty Model.
 func Groups(instances []shedkeel.Instance) []Group {
 	epochs := LatestEpochs(slices.Values(instances))
 	byID := map[shedkeel.GroupID]*Group{}
--- a/formation/planner.go
+++ b/formation/planner.go
@@ -45,7 +45,7 @@
 	// headTimeout is how long a head must be unreachable before the members of its
 	// group may be used in other groups. Only time distinguishes a lost head from
 	// one that is partitioned from the planner and the list and still serves.
-	// Partitions of 10 s were seen, and the head is listed again up to 2 s later, so
+	// Partitions of 10 s occur, and the head is listed again up to 2 s after their end, so
 	// the timeout is well above 12 s. The group itself may be formed again immediately,
 	// under a new epoch.
 	headTimeout = 20 * time.Second
@@ -188,8 +188,9 @@
 	return round.actions
 }
 
-// Confirmed records that an engine accepted the order. When the head of a group that a
-// reallocation releases has confirmed that it left, the group's members are free.
+// Confirmed records that an engine accepted the order. For an order to leave it records that
+// the head has left, and if a reallocation releases the group, the group's members are free
+// from then on.
 func (planner *Planner) Confirmed(order shedkeel.GroupOrder) {
 	delete(planner.unanswered, order.To)
 	planner.confirmLoad(order)
@@ -232,8 +233,9 @@
 }
 
 // AdoptLoads takes over the loads that a previous planner ordered, except those of models
-// that the engine does not have. A second order would restart a load. Call AdoptLoads before
-// the first call of Plan.
+// that the engine does not have. A second order would restart a load. Each load is tracked for
+// 1.25 times its duration at full speed (Model.Load) from now. Call AdoptLoads before the first
+// call of Plan.
 func (planner *Planner) AdoptLoads(models map[shedkeel.InstanceID]shedkeel.ModelID, engine *shedkeel.Engine, now time.Duration) {
 	planner.loading = map[shedkeel.InstanceID]loading{}
 	for id, model := range models {
--- a/formation/reallocate.go
+++ b/formation/reallocate.go
@@ -203,8 +203,8 @@
 // head has left, nextRelease selects the next group. It returns false when the reallocation
 // is complete, is no longer possible, or has taken releaseTimeout for the current group.
 //
-// The reason of the orders is the same if the donor has no excess and releases the group
-// because the recipient's demand is raised.
+// The reason given in the orders is that the donor has more groups than its work needs, even if
+// the donor releases the group only because the recipient's demand is raised (imbalance).
 func (round *round) continueReallocation(reallocation *reallocation) bool {
 	if round.hasLeft(reallocation.group) && !round.nextRelease(reallocation) {
 		return false
--- a/formation/round.go
+++ b/formation/round.go
@@ -19,7 +19,7 @@
 	byDomain        map[shedkeel.DomainID][]*shedkeel.Instance
 	domains         []shedkeel.DomainID                 // sorted
 	groups          []*observedGroup                    // sorted by name
-	groupsByName    map[shedkeel.GroupID]*observedGroup // groups by name
+	groupsByName    map[shedkeel.GroupID]*observedGroup // the same groups, by name
 	// reserved holds the instances that are not free in this round: those in a group or in a
 	// formation in progress, those that may be in a formation without being listed in it, and
 	// those chosen for a new group.
--- a/formation/stage.go
+++ b/formation/stage.go
@@ -9,7 +9,7 @@
 
 // stageSpares orders free backend servers of settled domains (settleTime) to load weights
 // ahead of need, so that each domain has spares for the models that its groups serve. It also
-// repeats load orders that were not confirmed.
+// repeats load orders that usable servers have not confirmed.
 func (round *round) stageSpares() {
 	for id, loading := range round.planner.loading {
 		if !loading.confirmed && round.usable(round.byID[id]) {
@@ -23,8 +23,8 @@
 	}
 }
 
-// stageDomain orders the free servers of a domain to load weights ahead of need: first those
-// without weights on their hosts, then those for which hostCopyIsRedundant.
+// stageDomain orders servers of a domain to load weights ahead of need: first the free servers
+// without weights on their hosts, then the servers that stageSecondModel selects.
 func (round *round) stageDomain(domain shedkeel.DomainID) {
 	staged := map[shedkeel.ModelID]int{}
 	var empty []*shedkeel.Instance
@@ -174,7 +174,7 @@
 
 // orderStage orders a server to load a model's weights onto its host, unless a load onto the
 // host was ordered and is not complete, or mayLoad allows none. In the latter case it records
-// a wait.
+// a wait. The load is tracked for twice its duration at full speed (Model.Load).
 func (round *round) orderStage(instance *shedkeel.Instance, model shedkeel.ModelID, reason string) {
 	if _, busy := round.planner.loading[instance.ID]; busy {
 		return
--- a/formation/usage.go
+++ b/formation/usage.go
@@ -6,7 +6,7 @@
 // are logged to show why some servers take no requests.
 type DomainUsage struct {
 	Domain      shedkeel.DomainID
-	Serving     map[shedkeel.ModelID]int // members of active or forming groups, by the group's model
+	Serving     map[shedkeel.ModelID]int // listed members of active or forming groups, by the group's model
 	Spare       map[shedkeel.ModelID]int // free, by the first model on their hosts
 	Loading     int                      // free, loading weights
 	Empty       int                      // free, without weights
