--- a/dispatch/backoff_simulation_test.go
+++ b/dispatch/backoff_simulation_test.go
@@ -46,7 +46,7 @@
 	events   events
 	now      time.Duration
 
-	sent, served, rejected, violations int
+	sent, served, rejected, violations int // violations: see arrive
 	retried                            int // served after more than one attempt
 }
 
@@ -56,7 +56,7 @@
 	id       shedkeel.InstanceID
 	running  int
 	from, to time.Duration           // period of the overload
-	stated   map[int][]statedBackoff // by node
+	stated   map[int][]statedBackoff // the backoffs that the server has asked for, by node
 }
 
 // statedBackoff is a backoff that a server asked a node for.
@@ -101,8 +101,8 @@
 	heap.Push(&simulation.events, simEvent{simulation.now + wait, run})
 }
 
-// newSimulation returns a simulation with that many nodes and servers, some of them
-// overloaded.
+// newSimulation returns a simulation with that many nodes and servers. The first servers, as
+// many as overloaded says, each have an overload of 2 to 9 s that begins between 4 and 5 s.
 func newSimulation(strategy strategy, seed uint64, nodes, servers, overloaded int) *simulation {
 	simulation := &simulation{strategy: strategy, random: rand.New(rand.NewPCG(seed, 11))}
 	var listed []Server
@@ -123,7 +123,8 @@
 	return simulation
 }
 
-// run sends requests as a Poisson process of that rate per second, until all have ended.
+// run sends requests for simDuration as a Poisson process of that rate per second, and returns
+// when each request was served or lost.
 func (simulation *simulation) run(rate float64) {
 	for at := time.Duration(0); at < simDuration; at += time.Duration(simulation.random.ExpFloat64() / rate * float64(time.Second)) {
 		heap.Push(&simulation.events, simEvent{at, func() { simulation.send(simulation.random.IntN(len(simulation.nodes)), nil) }})
@@ -143,12 +144,14 @@
 	if choice == nil || len(excluded) == simMaxAttempts {
 		return
 	}
-	link := time.Millisecond + time.Duration(simulation.random.Int64N(int64(time.Millisecond)))
+	link := time.Millisecond + time.Duration(simulation.random.Int64N(int64(time.Millisecond))) // one-way delay
 	simulation.after(link, func() { simulation.arrive(node, choice, excluded, link) })
 }
 
 // arrive delivers a request to its server, which runs or rejects it. A node violates a
-// backoff if three of its requests arrive during the backoff, after its first 500 ms.
+// backoff if three of its requests arrive during the backoff, after its first 500 ms. An
+// overloaded server asks for a backoff of 3 s, a server whose slots are taken for 500 ms. link is
+// the delay after which the rejection reaches the node.
 func (simulation *simulation) arrive(node int, choice *Choice, excluded []shedkeel.InstanceID, link time.Duration) {
 	server := simulation.servers[0]
 	for _, other := range simulation.servers {
@@ -187,8 +190,8 @@
 	})
 }
 
-// handleRejection applies the backoff of a server that rejected a request, and sends the
-// request to another server.
+// handleRejection applies the backoff of a server that rejected a request, at the nodes that the
+// strategy says, and sends the request to another server. A broadcast takes 5 ms.
 func (simulation *simulation) handleRejection(node int, choice *Choice, length time.Duration, excluded []shedkeel.InstanceID) {
 	choice.End(true, simulation.now)
 	until := simulation.now + length
@@ -212,10 +215,9 @@
 	}
 }
 
-// TestBackoffStrategies compares strategies for backoffs: some or all of the servers reject
-// requests for 2 to 9 s and ask for a backoff of 3 s, and a server whose slots are taken
-// asks for 500 ms. The last strategy must violate no backoff, and serve as many requests as
-// any other strategy that violates none, within 2 percentage points.
+// TestBackoffStrategies compares the strategies while some or all of the servers are
+// overloaded. The last strategy must violate no backoff, and serve as large a share of the
+// requests as any other strategy that violates none, within 2 percentage points.
 func TestBackoffStrategies(t *testing.T) {
 	nodes, seeds := []int{9}, 3
 	if *sizes {
@@ -224,7 +226,7 @@
 	const servers = 12
 	for _, count := range nodes {
 		for _, overloaded := range []int{2, 6, servers} {
-			for _, load := range []float64{0.5, 0.9} {
+			for _, load := range []float64{0.5, 0.9} { // share of the capacity of all servers
 				best, current, violations := 0.0, 0.0, 0
 				for _, candidate := range strategies {
 					var sum simulation
--- a/dispatch/condition_test.go
+++ b/dispatch/condition_test.go
@@ -41,8 +41,9 @@
 	return found
 }
 
-// TestConditions checks which servers are chosen after servers have asked for a backoff
-// or said that they drain.
+// TestConditions checks which servers are chosen, and how many Load counts as usable, after
+// servers have asked for a backoff or said that they drain. NextPermit finds none, because no
+// server is rate-limited.
 func TestConditions(t *testing.T) {
 	const backoff = 3 * time.Second
 	servers := []shedkeel.InstanceID{"a@1", "b@1"}
@@ -51,11 +52,11 @@
 		at    time.Duration // time of the choices
 		want  []shedkeel.InstanceID
 	}{
-		"nothing":                         {func(*Table) {}, 0, servers},
+		"no condition":                    {func(*Table) {}, 0, servers},
 		"a backs off":                     {func(table *Table) { table.BackOff("a@1", backoff, 0) }, backoff - 1, servers[1:]},
 		"a's backoff is over":             {func(table *Table) { table.BackOff("a@1", backoff, 0) }, backoff, servers},
 		"a later end is kept":             {func(table *Table) { table.BackOff("a@1", backoff, 0); table.BackOff("a@1", time.Second, 0) }, backoff - 1, servers[1:]},
-		"both back off":                   {func(table *Table) { table.BackOff("a@1", backoff, 0); table.BackOff("b@1", backoff, 0) }, 1, nil},
+		"both back off":                   {func(table *Table) { table.BackOff("a@1", backoff, 0); table.BackOff("b@1", backoff, 0) }, 1, nil}, // 1 ns after the calls
 		"a drains":                        {func(table *Table) { table.Drain("a@1") }, time.Hour, servers[1:]},
 		"an earlier instance of a drains": {func(table *Table) { table.Drain("a@0") }, 0, servers},
 		"a drains, relisted":              {func(table *Table) { table.Drain("a@1"); table.relist(servers, 0) }, time.Hour, servers[1:]},
@@ -79,7 +80,7 @@
 func (table *Table) relist(servers []shedkeel.InstanceID, missing time.Duration) {
 	unlisted := func(shedkeel.InstanceID) bool { return false }
 	table.Replace(nil)
-	table.RetainConditions(unlisted, 1)
+	table.RetainConditions(unlisted, 1) // at 1 ns, since 0 means listed (condition.unlistedSince)
 	table.RetainConditions(unlisted, 1+missing)
 	var relisted []Server
 	for _, server := range servers {
@@ -97,7 +98,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := plainTable("a")
-			table.SetLimit("a", 2, true)
+			table.SetLimit("a", 2, true) // two requests per second
 			query := Query{Service: "s"}
 			next, found := table.NextPermit(query)
 			assert.Assert(t, found && next == "a")
@@ -120,10 +121,10 @@
 		outcome func(*Choice)
 		more    bool // whether the server gets further requests after the outcome
 	}{
-		"under way": {func(*Choice) {}, false},
-		"answered":  {func(choice *Choice) { choice.RecordResponse(end) }, true},
-		"failed":    {func(choice *Choice) { choice.End(true, end) }, true},
-		"canceled":  {func(choice *Choice) { choice.Cancel() }, true},
+		"unanswered": {func(*Choice) {}, false},
+		"answered":   {func(choice *Choice) { choice.RecordResponse(end) }, true},
+		"failed":     {func(choice *Choice) { choice.End(true, end) }, true},
+		"canceled":   {func(choice *Choice) { choice.Cancel() }, true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -142,13 +143,13 @@
 	}
 }
 
-// TestBackoffEnd checks when the first server accepts requests again, and that there is no
-// such time while a server accepts requests or all servers drain.
+// TestBackoffEnd checks when the first server accepts requests again after a backoff, and that
+// there is no such time while a server accepts requests or all servers drain.
 func TestBackoffEnd(t *testing.T) {
 	cases := map[string]struct {
 		apply func(*Table)
 		end   time.Duration
-		want  bool // whether BackoffEnd reports a backoff
+		want  bool // whether BackoffEnd returns an end
 	}{
 		"none backs off":                  {func(*Table) {}, 0, false},
 		"one backs off":                   {func(table *Table) { table.BackOff("a", time.Second, 0) }, 0, false},
--- a/dispatch/limit_test.go
+++ b/dispatch/limit_test.go
@@ -27,7 +27,7 @@
 // has no permit available, and once its limit is removed.
 func TestLimitedServerIsHeld(t *testing.T) {
 	query := Query{Service: "s", Model: "m", Now: time.Second}
-	tried := Query{Service: "s", Model: "m", Now: time.Second, Exclude: []shedkeel.InstanceID{"b"}}
+	tried := Query{Service: "s", Model: "m", Now: time.Second, Exclude: []shedkeel.InstanceID{"b"}} // only a is left
 	cases := map[string]struct {
 		prepare func(*Table)
 		query   Query
@@ -72,7 +72,8 @@
 
 // TestSpreadHeedsLimits checks that Recommend recommends a rate-limited server no more often
 // than its rate and permitIntervalShare admit, although the server appears idle: in 10 s, a
-// server with a rate of 2 per second at most 26 times, and at least 15 times.
+// server with a rate of 2 per second at most 26 times (at once, and then every 0.4 s), and at
+// least 15 times.
 func TestSpreadHeedsLimits(t *testing.T) {
 	table := limitTable()
 	recommended := map[shedkeel.InstanceID]int{}
@@ -81,7 +82,7 @@
 		recommended[recommendation.Head]++
 	}
 	assert.Assert(t, recommended["a"] >= 15 && recommended["a"] <= 26, "%v", recommended)
-	assert.Equal(t, recommended["a"]+recommended["b"], 200)
+	assert.Equal(t, recommended["a"]+recommended["b"], 200) // every call has recommended a or b
 }
 
 // TestNextPermit checks that NextPermit returns the server that HoldUntil holds for the
@@ -89,7 +90,7 @@
 func TestNextPermit(t *testing.T) {
 	table := limitTable()
 	query := Query{Service: "s", Model: "m", Now: time.Second}
-	table.SetLimit("b", 1, true)
+	table.SetLimit("b", 1, true) // one request per second
 	table.HoldUntil("a", 3*time.Second)
 	table.HoldUntil("b", 2*time.Second)
 	server, found := table.NextPermit(query)
@@ -103,12 +104,12 @@
 // BenchmarkChooseAmongLimited measures a choice among 1,000 groups that all limit their
 // rate.
 func BenchmarkChooseAmongLimited(b *testing.B) {
-	benchmarkChoose(b, true)
+	benchmarkChoose(b, true) // with rate limits
 }
 
 // BenchmarkChooseAmongFree measures a choice among 1,000 groups without limits.
 func BenchmarkChooseAmongFree(b *testing.B) {
-	benchmarkChoose(b, false)
+	benchmarkChoose(b, false) // without rate limits
 }
 
 // benchmarkChoose measures a choice among 1,000 groups with or without rate limits.
--- a/dispatch/spread_test.go
+++ b/dispatch/spread_test.go
@@ -24,7 +24,8 @@
 // group that had received two or more others within prefillWindow before. The group prefills
 // the prompts of all these requests at the same time.
 func (spreadSimulation *spreadSimulation) countConcurrentPrefills(seed uint64) int {
-	// A group prefills one prompt and runs a step in this time.
+	// A group prefills one prompt of 1,400 tokens, in 61 ms at 23,000 tokens per second, and
+	// runs a step in this time.
 	const prefillWindow = 80 * time.Millisecond
 	random := rand.New(rand.NewPCG(seed, 1))
 	var servers []Server
@@ -40,16 +41,16 @@
 	for number := range running {
 		running[number] = map[shedkeel.InstanceID]int{}
 	}
-	owner := map[time.Duration]int{}
+	owner := map[time.Duration]int{} // the process that sent the request, by the time of the request
 	sent := map[shedkeel.InstanceID][]time.Duration{}
-	choices := map[time.Duration]*Choice{}
+	choices := map[time.Duration]*Choice{} // of the running requests, by the time of the request
 	count := 0
 	for now := time.Minute; now < 2*time.Minute; now += time.Duration(random.ExpFloat64() / spreadSimulation.rate * float64(time.Second)) {
 		for began, choice := range choices {
 			if now-began > choice.expectedResponseTime() {
 				choice.RecordResponse(now)
 			}
-			if now-began > time.Second {
+			if now-began > time.Second { // the stream ends after a second
 				choice.End(false, now)
 				delete(choices, began)
 				running[owner[began]][choice.Instance]--
@@ -102,6 +103,8 @@
 		servers = append(servers, Server{Service: "s", Model: "m", Instance: name, Zone: "z", Slots: 26, PrefillRate: 46_000})
 	}
 	table.Replace(servers)
+	// By process. In total, 26 requests fill the slots of the group full, and 13 half of the
+	// slots of the group half.
 	running := []map[shedkeel.InstanceID]int{{"full": 9, "half": 4}, {"full": 9, "half": 5}, {"full": 8, "half": 4}}
 	now := time.Minute
 	ask := func(process int) shedkeel.InstanceID {
@@ -129,8 +132,9 @@
 	assert.Equal(t, ask(0), shedkeel.InstanceID("full"), "the requests of the full group have ended")
 }
 
-// TestSpread checks how ten requests are divided between two groups of which the second
-// may be slower, failing, avoided or in another zone.
+// TestSpread checks how Recommend divides ten requests between two groups in different zones,
+// of which the second may be slower, failing or avoided. A table without groups recommends
+// none.
 func TestSpread(t *testing.T) {
 	const now = time.Minute
 	cases := map[string]struct {
@@ -195,7 +199,9 @@
 	assert.DeepEqual(t, ask("a", 1, 0, "m", time.Second+reportExpiry+time.Millisecond), RunningRequests{OnTime: 1})
 }
 
-// TestPreferredServer checks when a process follows the recommendation of another.
+// TestPreferredServer checks in which states of the recommended group Choose follows the
+// recommendation (Query.Preferred). The recommended group b is in another zone; the other group
+// is idle and in the zone of the process.
 func TestPreferredServer(t *testing.T) {
 	const now = time.Minute
 	cases := map[string]struct {
@@ -203,9 +209,9 @@
 		alter       func(*serverState)  // changes the state of the recommended group
 		followed    bool
 	}{
-		"equal":                       {"b", func(*serverState) {}, true},
+		"equal but for the zone":      {"b", func(*serverState) {}, true},
 		"one request of this process": {"b", func(state *serverState) { state.running[&Choice{}] = struct{}{}; state.lastActivity = now }, true},
-		"stalled here":                {"b", func(state *serverState) { state.avoidUntil = now + time.Second }, false},
+		"avoided here":                {"b", func(state *serverState) { state.avoidUntil = now + time.Second }, false},
 		"slow here":                   {"b", func(state *serverState) { state.latencyRatio = 5; state.scoresUpdated = now }, false},
 		"some failures here":          {"b", func(state *serverState) { state.failureRate = 0.3; state.scoresUpdated = now }, true},
 		"mostly failures here":        {"b", func(state *serverState) { state.failureRate = 0.9; state.scoresUpdated = now }, false},
@@ -248,7 +254,7 @@
 			assert.Equal(t, table.Partitions("s", "m"), test.partitions)
 			partitionOf := map[shedkeel.InstanceID]int{}
 			for part := range test.partitions {
-				for range 3 * test.groups {
+				for range 3 * test.groups { // often enough for each group of the partition to be recommended
 					head := table.Recommend(Query{Service: "s", Model: "m", PromptTokens: 100, Partition: part, Partitions: test.partitions, Now: time.Minute}, Reporter{}).Head
 					before, found := partitionOf[head]
 					assert.Assert(t, !found || before == part, "%s is in two partitions", head)
--- a/dispatch/stall.go
+++ b/dispatch/stall.go
@@ -21,8 +21,8 @@
 	stallReportInterval = 500 * time.Millisecond
 	// maxFirstEventTime is the longest expected time to the first event of a short prompt.
 	// Requests queue in the engine under load: with 400 to 600 ms, half of the stalls
-	// reported in a traffic burst were false alarms, and each of these caused a prompt to be
-	// prefilled twice. Callers wait 2 s for the first event.
+	// reported in a traffic burst are false alarms, and each false alarm causes a prompt to
+	// be prefilled twice. Callers wait 2 s for the first event.
 	maxFirstEventTime = 800 * time.Millisecond
 	// stallMargin is added to the longest expected time without events or answers before a
 	// server counts as stalled. The margin covers delays of the links and of this process's timers.
--- a/dispatch/table_test.go
+++ b/dispatch/table_test.go
@@ -78,14 +78,14 @@
 func TestFailingServerIsAvoidedAndRetried(t *testing.T) {
 	table := testTable("a", "b")
 	for range 10 {
-		choice := table.Choose(Query{Service: "llm", Model: "m", Exclude: []shedkeel.InstanceID{"b"}})
-		choice.End(true, 0)
+		choice := table.Choose(Query{Service: "llm", Model: "m", Exclude: []shedkeel.InstanceID{"b"}}) // only a is left
+		choice.End(true, 0)                                                                            // the request has failed
 	}
 	for range 5 {
 		assert.Equal(t, table.Choose(query).Instance, shedkeel.InstanceID("b"))
 	}
 	now := time.Duration(0)
-	for range 20 {
+	for range 20 { // until the penalty is negligible compared with the five requests that run on b
 		now += penaltyHalfLife
 		table.mutex.Lock()
 		for _, state := range table.servers {
@@ -101,6 +101,7 @@
 // a request is notified again of the next stall.
 func TestStalledServer(t *testing.T) {
 	table := testTable("a", "b")
+	// Both requests run on a.
 	choice := table.Choose(Query{Service: "llm", Model: "m", Exclude: []shedkeel.InstanceID{"b"}})
 	waiting := table.Choose(Query{Service: "llm", Model: "m", Exclude: []shedkeel.InstanceID{"b"}})
 	choice.RecordResponse(100 * time.Millisecond)
@@ -145,7 +146,7 @@
 			return false
 		}
 	}
-	const start = time.Minute
+	const start = time.Minute // long enough after the choice, at time 0, for a stall
 	table.FindStalled(start)
 	assert.Assert(t, notified())
 	table.FindStalled(start + stallReportInterval - 1)
@@ -158,9 +159,9 @@
 }
 
 // TestLongEventGapIsNoStall checks that a group counts as stalled only after its stated
-// maximum time between events. An engine may spend a step on prefill for other processes and
-// send no event meanwhile; when that counted as a stall, two of three streams of a large
-// model were started a second time at another group.
+// maximum time between events (MaxEventGap). An engine may spend a step on prefill for other
+// processes and send no event meanwhile. If that counted as a stall, two of three streams of a
+// large model would be started a second time at another group.
 func TestLongEventGapIsNoStall(t *testing.T) {
 	table := &Table{Zone: "z", Random: rand.NewPCG(1, 2)}
 	servers := groups("a")
@@ -187,7 +188,7 @@
 func TestAvoidNoticeOfAnotherNode(t *testing.T) {
 	table := testTable("a", "b")
 	group := shedkeel.Assignment{Group: "a", Epoch: 1}
-	table.AvoidGroup(group, time.Second, time.Second)
+	table.AvoidGroup(group, time.Second, time.Second) // from 1 s to 2 s
 	assert.Equal(t, table.Choose(at(time.Second)).Instance, shedkeel.InstanceID("b"))
 	assert.Assert(t, table.Choose(Query{Service: "llm", Model: "m", Exclude: []shedkeel.InstanceID{"b"}, Now: 2 * time.Second}) != nil)
 
@@ -199,7 +200,8 @@
 }
 
 // TestReplaceKeepsState checks that a server that stays listed keeps its running requests,
-// and that a group of another epoch starts without running requests.
+// that a group of another epoch starts without running requests, and that the end of a request
+// in the former epoch leaves the group usable.
 func TestReplaceKeepsState(t *testing.T) {
 	table := testTable("a", "b")
 	running := table.Choose(Query{Service: "llm", Model: "m", Exclude: []shedkeel.InstanceID{"b"}})
