--- a/node/directory_test.go
+++ b/node/directory_test.go
@@ -25,8 +25,9 @@
 // TestDirectoryLeavesOutDeadNodes lists nodes that do not run, as if they had just lost power,
 // and checks that exclusionDelay later and for a second more the directory of each live node
 // names none of them and still names the other live node. The dead nodes' records may stay
-// listed: while the store is unavailable, while nodes retain records that were deleted during
-// an outage, and while a live node considers itself isolated and therefore removes no records.
+// listed for that long: while the key-value service (the store) is unavailable, while nodes
+// retain records that were deleted during an outage, and while a live node considers itself
+// isolated and therefore removes no records.
 func TestDirectoryLeavesOutDeadNodes(t *testing.T) {
 	cases := map[string]struct {
 		deadNodes int
@@ -36,10 +37,13 @@
 			cluster.data.SetFaults(standin.Faults{Outage: true})
 		}},
 		"most nodes are dead, so that a live one may consider itself isolated": {8, func(*testCluster, []string) {}},
-		"their records are deleted while the store seems unavailable": {2, func(cluster *testCluster, keys []string) {
+		"their records are deleted while nodes cannot reach the store": {2, func(cluster *testCluster, keys []string) {
 			cluster.data.SetFaults(standin.Faults{Outage: true})
 			go func() {
-				time.Sleep(4 * time.Second) // until copies are older than outageAge, so that deleted records are retained
+				// After 4 s, the nodes' copies of the records are older than outageAge (2.3 s), so the
+				// nodes retain the records that are deleted now. Commit works in an outage, unlike calls
+				// over HTTP.
+				time.Sleep(4 * time.Second)
 				_, err := cluster.data.Commit(shedkeel.Transaction{Remove: keys})
 				assert.Check(cluster.t, err)
 				cluster.data.SetFaults(standin.Faults{})
@@ -50,13 +54,13 @@
 		t.Run(name, func(t *testing.T) {
 			cluster := newTestCluster(t, 2)
 			cluster.eventually("both nodes are named", func() bool { return len(cluster.addresses(0)) == 2 && len(cluster.addresses(1)) == 2 })
-			keys, callers := cluster.listDeadNodes(test.deadNodes)
+			keys, callerAddresses := cluster.listDeadNodes(test.deadNodes)
 			test.fault(cluster, keys)
 			time.Sleep(exclusionDelay)
 			for range 10 {
 				for index, running := range cluster.nodes {
 					named := cluster.addresses(index)
-					for _, address := range callers {
+					for _, address := range callerAddresses {
 						assert.Assert(t, !slices.Contains(named, address), "%s names a dead node", running.Settings.Node)
 					}
 					other := cluster.nodes[1-index].callers
@@ -72,7 +76,7 @@
 // listDeadNodes adds the records of nodes that do not run, all in one transaction. It returns
 // the keys of the records and the nodes' addresses for callers once all running nodes know the
 // first record.
-func (cluster *testCluster) listDeadNodes(count int) (keys, callers []string) {
+func (cluster *testCluster) listDeadNodes(count int) (keys, callerAddresses []string) {
 	var change shedkeel.Transaction
 	for index := range count {
 		id := fmt.Sprint(deadPrefix, index)
@@ -82,14 +86,14 @@
 		assert.NilError(cluster.t, err)
 		key := "shedkeel/nodes/" + id
 		change.Put = append(change.Put, shedkeel.Put{Key: key, Value: value})
-		keys, callers = append(keys, key), append(callers, address)
+		keys, callerAddresses = append(keys, key), append(callerAddresses, address)
 	}
 	_, err := cluster.data.Commit(change)
 	assert.NilError(cluster.t, err)
 	for index := range cluster.nodes {
 		cluster.eventually("the dead nodes are listed", func() bool { return slices.Contains(cluster.status(index).Nodes, shedkeel.NodeID(deadPrefix+"0")) })
 	}
-	return keys, callers
+	return keys, callerAddresses
 }
 
 // checkExcluded checks that the status of node 0 has a reason for each dead node that is still
--- a/node/election_test.go
+++ b/node/election_test.go
@@ -51,7 +51,8 @@
 }
 
 // newListedCandidate returns a node that is listed and knows that there is no leader. Its
-// membership lease has the number 1 in the returned store.
+// membership lease has the number 1 in the returned store, whose commits succeed at revision 2
+// unless a test replaces the function commit.
 func newListedCandidate(t *testing.T) (*Node, *timer.Manual, *leaseStore) {
 	node, timers := newTestNode(t)
 	store := &leaseStore{renewed: map[shedkeel.LeaseID]int{}, commit: func(shedkeel.Transaction) (int64, error) { return 2, nil }}
@@ -61,9 +62,9 @@
 	return node, timers, store
 }
 
-// elect has a node that knows no other nodes stand for election: the first call of
-// controller.elect notices that there is no leader, and the second follows when the node's
-// electionDelay is over.
+// elect has a node that knows no other nodes stand for election. It calls controller.elect twice,
+// initialSettleTime apart: in the first election of a fleet, the node's electionDelay is over
+// only at the second call. The clock then advances by electionStagger.
 func elect(t *testing.T, node *Node, timers *timer.Manual) {
 	for _, wait := range []time.Duration{initialSettleTime, electionStagger} {
 		node.controller.elect(t.Context(), timers.Now())
@@ -127,7 +128,7 @@
 	timers.Advance(2 * leaderTTL) // the first lease expires
 	node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 	store.commit = func(shedkeel.Transaction) (int64, error) { return 0, &shedkeel.ConflictError{What: "lead"} }
-	elect(t, node, timers)
+	elect(t, node, timers) // the node gets another lease, but its second write fails
 	node.mirror.Apply(changeUpdate(first, 2, timers.Now()))
 	elect(t, node, timers)
 	assert.Assert(t, !node.controller.leading(timers.Now()), "the node leads by a record with another lease than its own")
@@ -173,10 +174,10 @@
 }
 
 // TestFirstElectionIsOfFew has the nodes of a new fleet learn of each other within half a
-// second, and of a record that one of them writes a quarter of a second after the write. Only
-// the first node in the order of compareNodes may stand for election, and it must win. Without
-// the wait of the first election, each node knows few of the nodes that precede it, and in a
-// fleet of 142 nodes, 88 stand for election.
+// second. A record that a node writes reaches the others a quarter of a second later. Only the
+// first node in the order of compareNodes may stand for election, and it must win. If nodes do
+// not wait until the list of nodes has settled (see initialSettleTime), each node knows few of
+// the nodes that precede it, and in a fleet of 142 nodes, 88 stand for election.
 func TestFirstElectionIsOfFew(t *testing.T) {
 	const (
 		lag   = 250 * time.Millisecond // until other nodes see a write
@@ -187,9 +188,9 @@
 	var nodes []*Node
 	var clocks []*timer.Manual
 	campaigns, elected := 0, shedkeel.NodeID("")
-	var update mirror.Update
+	var update mirror.Update // with the records that the winner has written
 	for _, record := range all {
-		node, timers := newListedNode(t, record.ID, nil)
+		node, timers := newListedNode(t, record.ID, nil) // nil: the node knows no nodes yet
 		store := &leaseStore{renewed: map[shedkeel.LeaseID]int{}}
 		store.commit = func(change shedkeel.Transaction) (int64, error) {
 			campaigns++
@@ -204,16 +205,17 @@
 		node.member.listed.Store(true)
 		nodes, clocks = append(nodes, node), append(clocks, timers)
 	}
-	// The largest boxes are listed last.
-	order := slices.Clone(all)
-	slices.Reverse(order)
+	// The nodes with the most capacity, which come first in the order of compareNodes, are listed
+	// last.
+	joinOrder := slices.Clone(all)
+	slices.Reverse(joinOrder)
 	wonAt := time.Duration(0)
 	// The loop ends when the other nodes would see the leader's record.
 	for now := time.Duration(0); now < 3*time.Second && (elected == "" || now < wonAt+lag); now += tick {
-		known := slices.Clone(order[:min(len(order), batch*(1+int(now/tick)))])
+		known := slices.Clone(joinOrder[:min(len(joinOrder), batch*(1+int(now/tick)))])
 		slices.SortFunc(known, compareNodes)
 		for index, node := range nodes {
-			if now < time.Duration(len(order)/batch)*tick {
+			if now < time.Duration(len(joinOrder)/batch)*tick {
 				node.peers.update(known)
 			}
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 1}, AsOf: clocks[index].Now()})
