--- a/node/controller.go
+++ b/node/controller.go
@@ -89,8 +89,8 @@
 }
 
 // trackEra records when this node began to follow the current era of the key-value
-// service. A new era begins when the service is restored from a snapshot. The snapshot may
-// lack recent writes, so trackEra then also forgets which loads are stored, and the next
+// service. A new era begins when the key-value service is restored from a snapshot, which may
+// lack recent writes. trackEra therefore also forgets which loads are stored, and the next
 // planning round writes them again.
 func (controller *controller) trackEra(now time.Duration) {
 	state := controller.node.mirror.State()
@@ -103,7 +103,7 @@
 // recordsRewritten reports whether the backend servers have had the time, deletedRecordHold,
 // to write their records again since the key-value service was restored from a snapshot. Until
 // then, an outdated record may show a member of a group as a free server. The time counts from
-// when this node began to follow the era. In era 0 the service was never restored.
+// when this node began to follow the era. In era 0 the key-value service was never restored.
 func (controller *controller) recordsRewritten(now time.Duration) bool {
 	return controller.era == 0 || now-controller.eraSince >= deletedRecordHold
 }
--- a/node/election.go
+++ b/node/election.go
@@ -183,8 +183,8 @@
 
 // electionDelay returns how long there must have been no leader before this node stands
 // for election. Nodes with more capacity come first. If there is no term record, this is the
-// first election of the fleet: the nodes then also wait until the list of nodes has settled,
-// and stand initialStagger apart.
+// first election of the fleet: the nodes then also wait until the list of nodes has settled, for
+// at most maxInitialSettle, and stand initialStagger apart.
 func (controller *controller) electionDelay(term shedkeel.Record) time.Duration {
 	peers := &controller.node.peers
 	place := time.Duration(peers.ownIndex())
@@ -195,11 +195,12 @@
 	return settled + place*initialStagger
 }
 
-// isOrphaned reports whether the leader record has been invalid for orphanTimeout: it names
-// a node that is not listed, or it names this node with a lease that this node does not
-// hold. Nodes then elect a leader in spite of the record. Otherwise a record that a foreign
-// client has overwritten would leave the fleet without a leader for good: such a record has
-// no lease, so the key-value service never removes it.
+// isOrphaned reports whether the leader record has been invalid for orphanTimeout. A record is
+// invalid if it can't be decoded, if it names a node that is not listed, or if it names this node
+// with another incarnation or with a lease that this node does not hold. Nodes then elect a
+// leader in spite of the record. Otherwise a record that a foreign client has overwritten would
+// leave the fleet without a leader for good: such a record has no lease, so the key-value service
+// never removes it.
 func (controller *controller) isOrphaned(lead leadRecord, now time.Duration) bool {
 	valid := controller.node.peers.peer(lead.Node) != nil
 	if lead.Node == controller.node.Settings.Node {
--- a/node/fleetsize.go
+++ b/node/fleetsize.go
@@ -121,9 +121,9 @@
 	return mirror.Advice{Peers: peers.dialStartupRelays(size.Relays)}, nil
 }
 
-// dialStartupRelays returns at most maxStartupRelays of the relays: those of this node's
-// availability zone first, otherwise in the order of compareRelays. Their connections are kept
-// until the node stops, like those of seeds.
+// dialStartupRelays returns peers for at most maxStartupRelays of the relays: those of this
+// node's availability zone first, otherwise in the order of compareRelays. The connections to
+// these peers are kept until the node stops, like those to seeds.
 func (peers *peers) dialStartupRelays(relays []startupRelay) []mirror.Peer {
 	own := peers.node.Settings
 	slices.SortFunc(relays, func(a, b startupRelay) int {
--- a/node/guard.go
+++ b/node/guard.go
@@ -199,7 +199,8 @@
 
 // AcquireAttempt reports whether a trial of a quarantined request is allowed now. One node, the
 // first decider that answers, decides for all nodes and allows one trial of the request
-// at a time. If the trial is allowed, the caller must call done when the trial has ended. If no
+// at a time. If the trial is allowed, the caller must call done when the trial has ended. If the
+// trial is refused, the caller must not call done, which would end the trial in progress. If no
 // decider answers, the trial is not allowed and done is nil.
 func (guard *guard) AcquireAttempt(ctx context.Context, request shedkeel.RequestDigest) (done func(), allowed bool) {
 	blame := guard.ledger.Blame(request)
--- a/node/limits.go
+++ b/node/limits.go
@@ -345,7 +345,8 @@
 	}
 }
 
-// parseLimit parses a limit that another node has sent, and reports whether it is valid.
+// parseLimit parses a limit that another node has sent, and reports whether it is valid: it
+// names a server, and its rate is finite and not negative.
 func parseLimit(reported *wire.ServerLimit, now time.Duration) (shedkeel.ServerLimit, bool) {
 	limit := shedkeel.ServerLimit{
 		Server: shedkeel.InstanceID(reported.GetServer()), Rate: reported.GetRate(), Lifted: reported.GetLifted(),
@@ -354,8 +355,8 @@
 	return limit, limit.Server != "" && limit.Rate >= 0 && !math.IsInf(limit.Rate, 0)
 }
 
-// parseCold parses the cold state of a server that another node has sent, and reports
-// whether the server is cold.
+// parseCold parses the cold state of a server that another node has sent, and reports whether
+// the server is cold: the state names the server, a remaining time and a finite rate above 0.
 func parseCold(reported *wire.ServerLimit, now time.Duration) (shedkeel.ColdServer, bool) {
 	cold := shedkeel.ColdServer{
 		Server: shedkeel.InstanceID(reported.GetServer()), Rate: reported.GetColdRate(), Until: now + time.Duration(reported.GetColdMs())*time.Millisecond,
--- a/node/notices.go
+++ b/node/notices.go
@@ -57,8 +57,8 @@
 	peer.runSendNotice(&wire.NoticeCall{Group: string(group.Group), Epoch: group.Epoch, ForMs: uint32(avoid.Milliseconds())})
 }
 
-// runSendNotice sends the peer a notice. If the call fails, the peer detects the failure
-// or the draining itself, but later.
+// runSendNotice sends the peer a notice and does not repeat a failed call. The peer may still
+// learn later that the group does not respond or that the server drains.
 func (peer *peer) runSendNotice(notice *wire.NoticeCall) {
 	ctx, cancel := context.WithTimeout(context.Background(), noticeTimeout)
 	defer cancel()
