--- a/node/config_test.go
+++ b/node/config_test.go
@@ -23,8 +23,8 @@
 // TestNodeThatStartsAfterARestore starts a node after the key-value service was restored from
 // a snapshot with an older configuration than other nodes have. The new node must get the
 // newer configuration from another node, because with the older one it would accept API keys
-// that were removed since. Once the service has the newer configuration, the other node no
-// longer passes it on.
+// that were removed since. Once the key-value service has the newer configuration, the other
+// node no longer passes it on.
 func TestNodeThatStartsAfterARestore(t *testing.T) {
 	cases := map[string]struct {
 		// newNodeAsks says that the new node asks the old one for records. Otherwise the old node
@@ -71,9 +71,9 @@
 			}
 			assert.Equal(t, nodes["new"].fleet.configVersion(), int64(7))
 			assert.Equal(t, nodes["old"].fleet.configVersion(), int64(7))
-			assert.Assert(t, nodes["new"].fleet.newerConfig(6) != nil, "the new node passes the newer configuration on")
+			assert.Assert(t, nodes["new"].fleet.newerConfig(6) != nil, "the new node does not pass the newer configuration on to nodes with version 6")
 
-			rewritten := configRecord(7, 1, 8)
+			rewritten := configRecord(7, 1, 8) // operators write version 7 again, in era 1
 			nodes["old"].mirror.Apply(mirror.Update{At: rewritten.Revision, Records: []shedkeel.Record{rewritten}})
 			assert.Assert(t, nodes["old"].fleet.newerConfig(6) == nil, "the key-value service has the newer configuration, but the old node passes it on")
 		})
--- a/node/copies_test.go
+++ b/node/copies_test.go
@@ -55,13 +55,13 @@
 	defer peer.close()
 	known, err := peer.HasCopy(t.Context(), 0) // 0: without a wait
 	assert.NilError(t, err)
-	assert.Assert(t, !known, "the source has no copy yet")
+	assert.Assert(t, !known, "the source reports a copy before it has one")
 	time.AfterFunc(20*time.Millisecond, func() { // during the next call of HasCopy
 		source.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 5000}, AsOf: timers.Now() - time.Second, Records: records})
 	})
 	known, err = peer.HasCopy(t.Context(), 5*time.Second)
 	assert.NilError(t, err)
-	assert.Assert(t, known, "the wait ends when the source has a copy")
+	assert.Assert(t, known, "the wait for the copy ended without one")
 	update, err := peer.Relay(t.Context(), shedkeel.Revision{}, 0) // the zero revision asks for a complete copy
 	assert.NilError(t, err)
 	assert.Equal(t, len(update.Records), len(records))
--- a/node/corrupt_test.go
+++ b/node/corrupt_test.go
@@ -15,8 +15,8 @@
 )
 
 // serverRecord returns the record of a group member as the platform's servers write it. The
-// number is that of its revision, born is when the instance of the server started, and rank 0
-// is the head.
+// number is that of its revision, born is when the instance of the server started, in Unix
+// milliseconds, and rank 0 is the head.
 func serverRecord(number, born int64, rank int, state shedkeel.MemberState) shedkeel.Record {
 	value := fmt.Sprintf(`{"service":"s","address":"10.0.0.%d:1","zone":"z","version":"v1","slots":8,"state":"ready","cold_remaining_ms":0,"seq":1,"born":%d,"domain":"d",`+
 		`"group":{"name":"m/d/1","epoch":5,"rank":%d,"state":%q}}`, rank+1, born, rank, state)
@@ -25,7 +25,7 @@
 
 // newGroupNode returns a node that knows a group of two members and may send requests to
 // its head, and a function that advances the clock, applies records and runs the fleet's tick.
-// The records have the revisions 2 and 3, and the instances are born at 7.
+// The records have the revisions 2 and 3, and the instances have started at 7 (see serverRecord).
 func newGroupNode(t *testing.T) (*Node, func(time.Duration, ...shedkeel.Record)) {
 	t.Helper()
 	node, timers := newTestNode(t)
@@ -41,25 +41,25 @@
 	return node, apply
 }
 
-// usable returns the number of groups that may get requests.
-func (node *Node) usable() int { return node.table.Load("s", "m", node.Timers.Now()).Usable }
+// usableGroups returns the number of groups of the model m that may get requests.
+func (node *Node) usableGroups() int { return node.table.Load("s", "m", node.Timers.Now()).Usable }
 
 // TestRecordThatBecomesUnreadable corrupts the record of a server. The server gets no
 // requests itself, and keeps its place in its group until its next heartbeat or, if none
 // arrives, for unreadableRecordHold. Valid records that arrive together with an unreadable one
 // are applied.
 func TestRecordThatBecomesUnreadable(t *testing.T) {
-	corrupt := shedkeel.Record{Key: "servers/i-0", Value: []byte(`{"service":7}`), Revision: shedkeel.Revision{Number: 4}}
+	corrupt := shedkeel.Record{Key: "servers/i-0", Value: []byte(`{"service":7}`), Revision: shedkeel.Revision{Number: 4}} // a number in place of a string
 	t.Run("the next heartbeat comes", func(t *testing.T) {
 		node, apply := newGroupNode(t)
-		assert.Equal(t, node.usable(), 1)
+		assert.Equal(t, node.usableGroups(), 1)
 		apply(0, corrupt)
-		assert.Equal(t, node.usable(), 0, "a server with an unreadable record got requests")
+		assert.Equal(t, node.usableGroups(), 0, "a server with an unreadable record got requests")
 		assert.Equal(t, len(node.fleet.instances), 2, "a corrupt write removed a member of the group")
 		apply(1200*time.Millisecond, serverRecord(5, 7, 0, shedkeel.MemberOpen)) // the latest time of the next heartbeat (see unreadableRecordHold)
-		assert.Equal(t, node.usable(), 1)
+		assert.Equal(t, node.usableGroups(), 1)
 		apply(2 * unreadableRecordHold)
-		assert.Equal(t, len(node.fleet.instances), 2)
+		assert.Equal(t, len(node.fleet.instances), 2) // the hold has ended with the heartbeat
 	})
 	t.Run("no heartbeat comes", func(t *testing.T) {
 		node, apply := newGroupNode(t)
@@ -72,13 +72,13 @@
 	t.Run("the record of a member that is not the head", func(t *testing.T) {
 		node, apply := newGroupNode(t)
 		apply(0, shedkeel.Record{Key: "servers/i-1", Value: []byte("\x00"), Revision: shedkeel.Revision{Number: 4}})
-		assert.Equal(t, node.usable(), 1, "the head's record is valid")
+		assert.Equal(t, node.usableGroups(), 1, "an unreadable record of another member kept requests from the head")
 	})
 	t.Run("together with valid records", func(t *testing.T) {
 		node, apply := newGroupNode(t)
 		apply(0, shedkeel.Record{Key: "servers/odd", Value: []byte(`null`), Revision: shedkeel.Revision{Number: 4}}, serverRecord(5, 7, 0, shedkeel.MemberClosing))
 		assert.Equal(t, len(node.fleet.instances), 2)
-		assert.Equal(t, node.usable(), 0, "the valid record was not applied")
+		assert.Equal(t, node.usableGroups(), 0, "the valid record was not applied")
 	})
 }
 
@@ -86,12 +86,12 @@
 // instance of the server wrote and that arrives after the restart is ignored.
 func TestServerThatStartsAgain(t *testing.T) {
 	node, apply := newGroupNode(t)
-	apply(0, serverRecord(4, 9, 0, shedkeel.MemberJoining)) // the new instance, born at 9
-	assert.Equal(t, node.usable(), 0)
-	apply(0, serverRecord(5, 7, 0, shedkeel.MemberOpen))
-	assert.Equal(t, node.usable(), 0, "a record from before the restart was applied")
+	apply(0, serverRecord(4, 9, 0, shedkeel.MemberJoining)) // the new instance, started at 9
+	assert.Equal(t, node.usableGroups(), 0)
+	apply(0, serverRecord(5, 7, 0, shedkeel.MemberOpen)) // of the former instance, started at 7
+	assert.Equal(t, node.usableGroups(), 0, "a record from before the restart was applied")
 	apply(0, serverRecord(6, 9, 0, shedkeel.MemberOpen))
-	assert.Equal(t, node.usable(), 1)
+	assert.Equal(t, node.usableGroups(), 1)
 }
 
 // TestCorruptNodeRecords checks that invalid records of nodes are ignored, and that a later
@@ -153,7 +153,7 @@
 				for _, condition := range change.If {
 					assert.Equal(t, condition.Revision, node.mirror.Get(condition.Key).Revision, condition.Key)
 				}
-				return 5, nil
+				return 5, nil // the revision that the commit creates
 			}
 			for range 3 { // for longer than orphanTimeout, in which the mirror stays up to date
 				node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 4}, AsOf: timers.Now()})
--- a/node/evacuated_test.go
+++ b/node/evacuated_test.go
@@ -20,7 +20,7 @@
 	}
 	cases := map[string]struct {
 		records []shedkeel.Record
-		want    []EvacuationDump
+		want    []EvacuationDump // the only server is in zone a
 	}{
 		"begun":                     {[]shedkeel.Record{record("a")}, []EvacuationDump{{Zone: "a", Servers: 1}}},
 		"begun twice":               {[]shedkeel.Record{record("a"), record("a")}, []EvacuationDump{{Zone: "a", Servers: 1}}},
--- a/node/fleetsize_test.go
+++ b/node/fleetsize_test.go
@@ -22,7 +22,8 @@
 	return store.record, nil
 }
 
-// withControlAddresses sets a control address for each node.
+// withControlAddresses sets the control address of each of the nodes to its ID with port 1, and
+// returns the nodes.
 func withControlAddresses(nodes []nodeRecord) []nodeRecord {
 	for index := range nodes {
 		nodes[index].Control = string(nodes[index].ID) + ":1"
@@ -78,8 +79,8 @@
 	}
 }
 
-// TestSizeIsKept checks that the leader writes the fleet's size when the number of nodes or
-// the relays have changed enough, and not at its first check.
+// TestSizeIsKept checks that the leader writes the fleet's size when the number of nodes has
+// changed by more than sizeTolerance or the relays have changed, but not at its first check.
 func TestSizeIsKept(t *testing.T) {
 	node, timers := newTestNode(t)
 	var written []sizeRecord
@@ -98,13 +99,13 @@
 		node.controller.maintainFleetSize(t.Context(), timers.Now())
 	}
 	check(fleetOf(200, 3))
-	assert.Equal(t, len(written), 0, "no write at the first check: other nodes may not be listed yet")
+	assert.Equal(t, len(written), 0, "the size was written at the first check, when other nodes may not be listed yet")
 	check(withControlAddresses(fleetOf(300, 3)))
 	check(withControlAddresses(fleetOf(295, 3)))
-	assert.Equal(t, len(written), 1, "the size changed too little")
+	assert.Equal(t, len(written), 1, "not one write: 300 nodes are the first size to write, and 295 differ too little")
 	assert.Equal(t, len(written[0].Relays), 15)  // 13 relays and the two sources
 	check(withControlAddresses(fleetOf(295, 2))) // one large box fewer in each zone
-	assert.Equal(t, len(written), 2, "the relays changed")
+	assert.Equal(t, len(written), 2, "the change of the relays was not written")
 	check(withControlAddresses(fleetOf(9, 2)))
 	assert.Equal(t, len(written), 3)
 	assert.Equal(t, len(written[2].Relays), 0) // a fleet of 9 has no relays
--- a/node/guard_test.go
+++ b/node/guard_test.go
@@ -35,7 +35,7 @@
 	return shedkeel.Blame{Request: "r", Round: round, Servers: servers}
 }
 
-// blameRecord returns the record of a blame in the key-value service.
+// blameRecord returns the record of a blame in the key-value service, at revision 5.
 func blameRecord(t *testing.T, blame shedkeel.Blame) shedkeel.Record {
 	t.Helper()
 	value, err := json.Marshal(blame)
@@ -43,10 +43,11 @@
 	return shedkeel.Record{Key: blamePrefix + string(blame.Request), Value: value, Revision: shedkeel.Revision{Number: 5}}
 }
 
-// TestRecordChange checks when a blame is written to the key-value service: when the
-// request is quarantined or contained and the record does not say so. A blame with one
-// server is not written, since tens of requests run on a server that terminates. The record of
-// a blame that was cleared since is removed, unless it is of a later round.
+// TestRecordChange checks when a blame is written to the key-value service: when the request is
+// quarantined or contained, and its record is missing, names fewer servers, is of an earlier
+// round, is unreadable or names another request. A blame with one server is not written, since
+// tens of requests run on a server that terminates. The record of a blame that was cleared since
+// is removed, unless the record is of a later round.
 func TestRecordChange(t *testing.T) {
 	missing := shedkeel.Record{}
 	cases := map[string]struct {
@@ -110,9 +111,9 @@
 	assert.Equal(t, len(store.changes), 1, "the blame of a released request was written again")
 }
 
-// TestBlameChangedDuringWriteIsWritten has a third server terminate after the record of
-// the first two was found in the key-value service and before the blame is marked as
-// written. The next write must contain all three.
+// TestBlameChangedDuringWriteIsWritten has a third server terminate before the guard marks the
+// blame with the first two as written, as if the guard had just found their record in the
+// key-value service. The next write must contain all three.
 func TestBlameChangedDuringWriteIsWritten(t *testing.T) {
 	node, timers := newTestNode(t)
 	store := &blameStore{}
@@ -133,7 +134,7 @@
 
 // TestBlameRecords checks which records of blames are applied, and which are skipped.
 func TestBlameRecords(t *testing.T) {
-	three := `{"request":"r","round":0,"servers":["a","b","c"]}`
+	three := `{"request":"r","round":0,"servers":["a","b","c"]}` // three servers: the request is contained
 	cases := map[string]struct {
 		key      string // the request that the record's key names
 		value    string
@@ -168,18 +169,18 @@
 		return node.guard.handle(&wire.BlameCall{Kind: kind, Request: "r", Servers: servers}).GetBlame().GetAllowed()
 	}
 	assert.Assert(t, ask(wire.BlameCall_TRY, "a", "b"))
-	assert.Equal(t, node.guard.Judge("r"), shedkeel.Quarantined, "the call carries the sender's blame")
+	assert.Equal(t, node.guard.Judge("r"), shedkeel.Quarantined, "the blame that the call carries was not merged")
 	assert.Assert(t, !ask(wire.BlameCall_TRY, "a", "b"))
 	ask(wire.BlameCall_DONE)
-	done, allowed := node.guard.AcquireAttempt(t.Context(), "r")
+	done, allowed := node.guard.AcquireAttempt(t.Context(), "r") // this node is the only decider
 	assert.Assert(t, allowed)
 	assert.Assert(t, !ask(wire.BlameCall_TRY, "a", "b"))
 	done()
 	assert.Assert(t, ask(wire.BlameCall_TRY, "a", "b"))
 	timers.Advance(trialExpiry + time.Millisecond)
-	assert.Assert(t, ask(wire.BlameCall_TRY, "a", "b"), "the trial has expired")
+	assert.Assert(t, ask(wire.BlameCall_TRY, "a", "b"), "no trial is allowed although the last one has expired")
 	ask(wire.BlameCall_DONE)
-	assert.Assert(t, !ask(wire.BlameCall_TRY, "a", "b", "c"))
+	assert.Assert(t, !ask(wire.BlameCall_TRY, "a", "b", "c")) // three servers: the request is contained
 }
 
 // TestDecidersAgree checks that nodes which see the same nodes alive agree on the deciders of
--- a/node/lapse_test.go
+++ b/node/lapse_test.go
@@ -12,9 +12,10 @@
 )
 
 // TestGoneServers deletes a server's record after the node's copy of the records has reached
-// some age. The server may stay in use only if the copy was older than outageAge, which
-// counts as an outage of the key-value service. In a healthy fleet copies may be 1.7 s old,
-// which must not count as an outage.
+// some age. If the copy was older than outageAge, which counts as an outage of the key-value
+// service, the server must stay in use for deletedRecordHold; otherwise the server must be
+// removed at once. Copies of 1.7 s occur in a healthy fleet, so even one of 2 s must not count as
+// an outage.
 func TestGoneServers(t *testing.T) {
 	cases := map[string]struct {
 		age          time.Duration // of the copy when the record is deleted
@@ -22,7 +23,7 @@
 	}{
 		"a fresh copy":                   {300 * time.Millisecond, false},
 		"an old copy in a healthy fleet": {2 * time.Second, false},
-		"the service was unavailable":    {4 * time.Second, true},
+		"the key-value service was down": {4 * time.Second, true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -36,15 +37,16 @@
 			timers.Advance(deletedRecordHold)
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now()})
 			node.fleet.tick(timers.Now())
-			assert.Equal(t, len(node.fleet.instances), 0, "a record that is not written again is removed after the hold")
+			assert.Equal(t, len(node.fleet.instances), 0, "a record that is not written again stays after the hold")
 		})
 	}
 }
 
-// TestGoneNodes deletes the records of nodes while the key-value service seems unavailable.
-// Leases may have expired, so live nodes are retained until they have written their records
-// again. A node that the failure detector finds dead or to have left must not be retained: it does
-// not write its record again, and would stay listed for deletedRecordHold more.
+// TestGoneNodes deletes the record of a node when the copy of the records is older than
+// outageAge, as in an outage of the key-value service. The node's lease may have expired in the
+// outage, so a node that is alive or suspected is retained for deletedRecordHold, in which it can
+// write its record again. A node that the failure detector finds dead or to have left must not be
+// retained: it does not write its record again, and would stay listed for that time.
 func TestGoneNodes(t *testing.T) {
 	cases := map[string]struct {
 		before       shedkeel.Liveness // of the node when its record is deleted
@@ -76,7 +78,7 @@
 			timers.Advance(deletedRecordHold)
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 2}, AsOf: timers.Now()})
 			node.fleet.tick(timers.Now())
-			assert.Equal(t, len(node.peers.listed()), 0, "a record that is not written again is removed after the hold")
+			assert.Equal(t, len(node.peers.listed()), 0, "a record that is not written again stays after the hold")
 		})
 	}
 }
--- a/node/notice_test.go
+++ b/node/notice_test.go
@@ -41,8 +41,8 @@
 }
 
 // TestDrainIsReportedToLeader has a head tell a node in an answer that it drains, while the
-// head's record does not say so. The node reports the draining to the leader, which sends the
-// head no more requests.
+// head's record does not say so. The node must report the draining to the leader, which must
+// count the head as draining and send it no more requests.
 func TestDrainIsReportedToLeader(t *testing.T) {
 	leader, apply := newGroupNode(t)
 	apply(0)
@@ -63,5 +63,5 @@
 		time.Sleep(time.Millisecond)
 	}
 	assert.Assert(t, leader.fleet.groupServices()["s"][0].Draining)
-	assert.Equal(t, leader.usable(), 0)
+	assert.Equal(t, leader.usableGroups(), 0)
 }
--- a/node/operator_test.go
+++ b/node/operator_test.go
@@ -24,13 +24,13 @@
 	cluster.eventually("the node shows open groups", func() bool {
 		answer, err := client.Status(t.Context())
 		assert.NilError(t, err)
-		assert.Assert(t, answer.Keeper == nil)
+		assert.Assert(t, answer.Keeper == nil) // the process that answers is a node, not a keeper
 		status.Reset()
 		operator.PrintStatus(&status, answer)
 		return strings.Contains(status.String(), "groups: ") && !strings.Contains(status.String(), "groups: 0 open")
 	})
 	assert.Assert(t, strings.Contains(status.String(), "2 nodes, planned by node-"), status.String())
-	assert.Assert(t, strings.Contains(status.String(), "plain-0"), "the status lists the plain server plain-0")
+	assert.Assert(t, strings.Contains(status.String(), "plain-0"), "the status does not list the plain server plain-0")
 
 	leader := client
 	view, err := client.Status(t.Context())
@@ -75,5 +75,5 @@
 	defer func() { _ = response.Body.Close() }()
 	page, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
-	assert.Assert(t, strings.Contains(string(page), `groups{state="open"}`), "the metrics count groups by state")
+	assert.Assert(t, strings.Contains(string(page), `groups{state="open"}`), "the metrics page has no count of open groups")
 }
