--- a/node/backoff_test.go
+++ b/node/backoff_test.go
@@ -45,12 +45,12 @@
 			statuses := cluster.sendLoad(cluster.nodes, test.path, rate, length)
 			t.Logf("statuses %v", statuses)
 			assert.DeepEqual(t, cluster.fleet.Violations(), []string(nil)) // requests during a backoff
-			assert.Equal(t, statuses[0], 0, "every request gets a complete answer")
+			assert.Equal(t, statuses[0], 0, "requests got no complete answer")
 			// If all servers ask for backoffs, they do so for half of the time, and the nodes
 			// remember the last backoffs for up to backoffLength more.
 			assert.Assert(t, statuses[http.StatusOK] > statuses[http.StatusServiceUnavailable]/3, "too few requests were served after the backoff")
 			if !test.all {
-				assert.Equal(t, statuses[http.StatusServiceUnavailable], 0, "the other servers serve meanwhile")
+				assert.Equal(t, statuses[http.StatusServiceUnavailable], 0, "requests failed although other servers accept them")
 			}
 		})
 	}
@@ -69,7 +69,7 @@
 			statuses := cluster.sendLoad(cluster.nodes, path, rate, length)
 			t.Logf("statuses %v", statuses)
 			assert.DeepEqual(t, cluster.fleet.Violations(), []string(nil)) // late requests to the draining server
-			assert.Equal(t, statuses[http.StatusServiceUnavailable]+statuses[0], 0, "the other servers serve meanwhile")
+			assert.Equal(t, statuses[http.StatusServiceUnavailable]+statuses[0], 0, "requests failed although other servers accept them")
 		})
 	}
 }
--- a/node/cold_test.go
+++ b/node/cold_test.go
@@ -60,8 +60,8 @@
 			most := platformstandin.MaxArrivals(arrivals, time.Second)
 			t.Logf("statuses %v; %d arrivals in %s, most in a second %d, allowed %d", statuses, len(arrivals), time.Since(since), most, maxColdRate)
 			assert.Assert(t, most <= maxColdRate, "%d requests in a second, allowed %d", most, maxColdRate)
-			assert.Assert(t, most > 0, "a cold server still gets requests")
-			assert.Equal(t, statuses[0], 0, "every request gets a complete answer")
+			assert.Assert(t, most > 0, "the cold server got no requests")
+			assert.Equal(t, statuses[0], 0, "requests got no complete answer")
 			assert.Assert(t, statuses[http.StatusOK] > 0)
 			cluster.eventually("the server gets more requests once it is warm", func() bool {
 				cluster.sendLoad(cluster.nodes, test.path, rate, time.Second)
--- a/node/contain_test.go
+++ b/node/contain_test.go
@@ -48,7 +48,8 @@
 	})
 }
 
-// sendDeadly waits until the node serves, then sends it the deadly request with a new ID.
+// sendDeadly waits until the node serves, then sends it the deadly request with a new ID. It
+// returns the status and body of the answer.
 func (cluster *testCluster) sendDeadly(index int) (int, string) {
 	cluster.t.Helper()
 	cluster.waitServing(index)
@@ -63,7 +64,7 @@
 	cluster := newDeadlyCluster(t, 3)
 	for try := range 12 {
 		status, body := cluster.sendDeadly(try % 3)
-		assert.Assert(t, status != 200, "%s", body)
+		assert.Assert(t, status != 200, "the deadly request was answered: %s", body)
 	}
 	assert.Assert(t, cluster.terminated() <= maxTerminated, "%d servers terminated", cluster.terminated())
 	cluster.waitServing(1)
@@ -107,7 +108,7 @@
 	for try := range 4 {
 		cluster.sendDeadly(try % 2)
 	}
-	time.Sleep(time.Second) // blames are written within this time
+	time.Sleep(time.Second) // until the blame is written to the key-value service
 	for _, node := range cluster.nodes {
 		node.stop()
 		node.ended.Wait()
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -88,7 +88,7 @@
 	cluster.evacuate("z", true) // the zone of stand-in servers that name none
 	time.Sleep(evacuationSpreadTime)
 	for index, node := range cluster.nodes {
-		status, body := cluster.send(node.callers, fmt.Sprint("none-", index), "/look/a", "key-1", 0)
+		status, body := cluster.send(node.callers, fmt.Sprint("none-", index), "/look/a", "key-1", 0) // 0: no answer tokens
 		assert.Equal(t, status, http.StatusServiceUnavailable, body)
 		assert.Equal(t, cluster.fleet.RunCount(fmt.Sprint("none-", index)), 0)
 	}
--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -27,8 +27,8 @@
 // limitSpreadTime is the time within which all nodes must know a limit.
 const limitSpreadTime = 3 * time.Second
 
-// sendLoad sends rate requests a second to the nodes in turn, for the duration length, and
-// returns the number of requests by status; 0 stands for an incomplete answer. The IDs of the
+// sendLoad sends rate requests a second to the nodes in turn, for the duration length. It returns
+// the number of requests by status; 0 stands for no complete answer. The IDs of the
 // requests tell stand-in servers from which node a request comes.
 func (cluster *testCluster) sendLoad(nodes []*runningNode, path string, rate int, length time.Duration) map[int]int {
 	statuses := make(chan int)
@@ -79,7 +79,7 @@
 			targets := cluster.nodes
 			if test.stop {
 				targets = cluster.nodes[1:]
-				time.AfterFunc(length/3, cluster.nodes[0].stop)
+				time.AfterFunc(length/3, cluster.nodes[0].stop) // before limitSpreadTime is over
 			}
 			statuses := cluster.sendLoad(targets, test.path, rate, length)
 			allowed := limit*3/2*int(limitWindow/time.Second) + limitBurst
@@ -92,13 +92,14 @@
 			}
 			cluster.checkOperatorLimits(servers)
 			assert.Assert(t, statuses[http.StatusOK] > 0)
-			assert.Equal(t, statuses[0], 0, "every request gets a complete answer")
+			assert.Equal(t, statuses[0], 0, "requests got no complete answer")
 		})
 	}
 }
 
-// serversFor returns the servers that serve requests to the path: all of them, or only
-// the first.
+// serversFor returns the servers that serve requests to the path: for /copy/a the heads of the
+// open groups of the model m0, otherwise the plain servers. If all is false, it returns only the
+// first of them.
 func (cluster *testCluster) serversFor(path string, all bool) []string {
 	servers := []string{"plain-0", "plain-1"}
 	if path == "/copy/a" {
@@ -116,7 +117,7 @@
 // checkOperatorLimits checks that an operator's client shows the limited servers.
 func (cluster *testCluster) checkOperatorLimits(limited []string) {
 	t := cluster.t
-	client := &operator.Client{Address: cluster.nodes[1].admin}
+	client := &operator.Client{Address: cluster.nodes[1].admin} // node 0 may have stopped
 	status, err := client.Status(t.Context())
 	assert.NilError(t, err)
 	var printed bytes.Buffer
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -115,7 +115,7 @@
 	assert.Equal(t, len(node.limits.pending), 2)
 	node.limits.handleLimits(&wire.LimitCall{Node: "c", Limits: []*wire.ServerLimit{{Server: own, Rate: 2}}})
 	assert.Equal(t, len(node.limits.pending), 2, "a limit that was known already is sent again")
-	assert.Equal(t, len(node.limits.known.All()), 3)
+	assert.Equal(t, len(node.limits.known.All()), 3) // of own, other and "seen"
 }
 
 // TestNoPermitWithoutGranter checks that a node grants no permits in place of a granter
@@ -125,7 +125,7 @@
 	server := shedkeel.InstanceID(newServerID(node, false)) // its granter is another node, which does not run
 	assert.Assert(t, node.limits.Acquire(t.Context(), server, 0).Granted, "no permit for a server that states no limit")
 	node.limits.Observe(server, shedkeel.StatedLimit{Stated: true, Rate: 2}, timers.Now())
-	permit := node.limits.Acquire(t.Context(), server, time.Second)
+	permit := node.limits.Acquire(t.Context(), server, time.Second) // the request can wait for a second
 	assert.Equal(t, permit, shedkeel.Permit{Wait: permitRetryDelay})
 }
 
@@ -150,7 +150,7 @@
 			granted := 0
 			for range 1000 { // 10 s
 				timers.Advance(10 * time.Millisecond)
-				if node.limits.Acquire(t.Context(), shedkeel.InstanceID(server), 0).Granted {
+				if node.limits.Acquire(t.Context(), shedkeel.InstanceID(server), 0).Granted { // 0: the request does not wait
 					granted++
 				}
 			}
--- a/node/paces_test.go
+++ b/node/paces_test.go
@@ -11,7 +11,8 @@
 )
 
 // TestSlowAndRecoveredPaces checks from which reported pace a server counts as slow or normal
-// again, and that a server that is no longer listed does not count as slow.
+// again (see slowThreshold and recoveredThreshold), and that a server that is no longer listed
+// does not count as slow.
 func TestSlowAndRecoveredPaces(t *testing.T) {
 	cases := map[string]struct {
 		reported []float64 // paces in the order in which they are reported
--- a/node/spread_test.go
+++ b/node/spread_test.go
@@ -10,7 +10,9 @@
 	"shedkeel.org/shedkeel/dispatch"
 )
 
-// TestSpreader checks which node is the spreader that a node asks where to send a request.
+// TestSpreader checks which node is the spreader that a node asks where to send a request. The
+// order of fourNodes is a, b, c, d. The first two (see reservedNodes) spread requests only if no
+// other node does.
 func TestSpreader(t *testing.T) {
 	cases := map[string]struct {
 		own       shedkeel.NodeID
@@ -71,7 +73,7 @@
 	assert.Assert(t, known)
 	assert.DeepEqual(t, recommendation, dispatch.Recommendation{Head: "i", Running: dispatch.RunningRequests{OnTime: 2}})
 	_, own := node.peers.spreader(0, timers.Now()+spreaderBackoff) // 0: the only partition
-	assert.Assert(t, !own, "the spreader that gave no answer is not asked again")
+	assert.Assert(t, !own, "the spreader that gave no answer is not asked again after spreaderBackoff")
 }
 
 // TestSpreadIsAnswered asks a spreader over a network connection. The spreader recommends
