--- a/node/cold_test.go
+++ b/node/cold_test.go
@@ -10,12 +10,13 @@
 	platformstandin "shedkeel.org/shedkeel/platform/standin"
 )
 
-// coldRate is the rate that a cold server accepts in the tests' configuration, in
-// requests a second. maxColdRate is how many requests it may get in a second from all
-// nodes together: one and a half times that rate, and a burst of 5.
 const (
+	// maxColdRate is how many requests a cold server may get in a second from all nodes
+	// together: one and a half times coldRate, and a burst of 5.
 	maxColdRate = coldRate*3/2 + 5
-	coldRate    = 4
+	// coldRate is the rate that a cold server accepts in the tests' configuration, in requests a
+	// second.
+	coldRate = 4
 )
 
 // TestColdServersGetLittle sends far more requests to three nodes than a cold server
--- a/node/contain_test.go
+++ b/node/contain_test.go
@@ -21,11 +21,11 @@
 // newDeadlyCluster returns a test cluster in which requests with the body "deadly"
 // terminate the servers that run them.
 //
-// A deadly request may arrive repeatedly, with a new ID and at another node each time. If
-// each node sends the request to two servers and nobody counts the servers that terminate, the
-// request does far more harm: for example, it is sent to servers 11 more times after it has
-// terminated three, and terminates 18 in all. For ten seconds, only 0 to 4 of some 50 other
-// requests a second for the same groups are answered on time.
+// A deadly request may arrive repeatedly, with a new ID and at another node each time. Suppose
+// that each node sends the request to two servers and nobody counts the servers that terminate.
+// Then the request is, for example, sent to servers 11 more times after it has terminated three,
+// and terminates 18 in all. For ten seconds, only 0 to 4 of some 50 other requests a second for
+// the same groups are answered on time.
 func newDeadlyCluster(t *testing.T, nodes int) *testCluster {
 	t.Helper()
 	cluster := newTestCluster(t, nodes)
--- a/node/copies_test.go
+++ b/node/copies_test.go
@@ -16,7 +16,7 @@
 // fleetRecords returns the records of a fleet with the given numbers of servers, all in
 // groups, of nodes, and of routes in the configuration.
 func fleetRecords(servers, nodes, routes int) []shedkeel.Record {
-	random := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2)) // the same records in each run
 	var records []shedkeel.Record
 	add := func(key string, value []byte) {
 		records = append(records, shedkeel.Record{Key: key, Value: value, Revision: shedkeel.Revision{Number: int64(len(records) + 1)}})
--- a/node/demand_test.go
+++ b/node/demand_test.go
@@ -11,9 +11,9 @@
 )
 
 // TestDemandOfAllNodes checks that the demand is the sum over the requests that two nodes
-// have spread, that is, assigned to groups (see peers.spreader). The third node, b, is asked too,
-// because it is one of the first nodes, which replace spreaders that do not answer (see
-// peers.spreaders). It does not answer itself.
+// have spread, that is, assigned to groups (see peers.spreader): the leader, a, and the spreader,
+// c. The leader also asks b, which is one of the first nodes and so replaces spreaders that do not
+// answer (see peers.spreaders). In this test b does not answer the leader.
 func TestDemandOfAllNodes(t *testing.T) {
 	listener := listenHere(t)
 	spreaderNode, _ := newTestNode(t)
--- a/node/guard.go
+++ b/node/guard.go
@@ -45,7 +45,8 @@
 
 // guard keeps requests that terminate backend servers from terminating more of them. A
 // blame names a request, by its digest, and the instances of servers that have terminated
-// while running it. All requests with the same digest share a blame.
+// while running it. All requests with the same digest share a blame. When a blame is cleared, its
+// next round begins, and the servers of earlier rounds no longer count.
 //
 // A trial is an attempt to send a quarantined request to a server. Each request has up to
 // deciderCount deciders (see deciders), nodes that allow or refuse trials of it; the first one
--- a/node/guard_test.go
+++ b/node/guard_test.go
@@ -13,8 +13,8 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// blameStore is a key-value service that records the changes committed to it, or fails
-// all of them.
+// blameStore is a key-value service that records the changes committed to it, or fails all of
+// them. The first change has the revision 1001, the next one 1002.
 type blameStore struct {
 	Store
 	unavailable bool
@@ -102,7 +102,7 @@
 	assert.Equal(t, len(store.changes), 1)
 	assert.Equal(t, node.guard.Judge("r"), shedkeel.Contained)
 
-	node.mirror.Apply(mirrorUpdate(shedkeel.Record{Key: blamePrefix + "r", Removed: true, Revision: shedkeel.Revision{Number: 2000}})) // later than the revisions of blameStore, from 1001 on
+	node.mirror.Apply(mirrorUpdate(shedkeel.Record{Key: blamePrefix + "r", Removed: true, Revision: shedkeel.Revision{Number: 2000}})) // later than the revision of the blame's record (see blameStore)
 	assert.Equal(t, node.guard.Judge("r"), shedkeel.Unblamed, "the request is judged although an operator has released it")
 	for range 5 {
 		timers.Advance(writeInterval)
--- a/node/spread_test.go
+++ b/node/spread_test.go
@@ -62,6 +62,7 @@
 	node.peers.update([]nodeRecord{{ID: "a", Control: unresponsive.Addr().String()}, {ID: "b"}, {ID: "c", Control: unresponsive.Addr().String()}})
 	defer node.peers.close()
 	query := dispatch.Query{Service: "s", Model: "m", Now: timers.Now()}
+	// The spreader is c; this node, b, replaces c if c does not answer.
 	began := time.Now()
 	_, known := node.peers.recommendGroup(t.Context(), query, dispatch.Load{})
 	assert.Assert(t, !known)
@@ -76,8 +77,8 @@
 	assert.Assert(t, !own, "the spreader that gave no answer is not asked again after spreaderBackoff")
 }
 
-// TestSpreadIsAnswered asks a spreader over a network connection. The spreader recommends
-// the group on which the asking node has no requests running.
+// TestSpreadIsAnswered has node a ask the spreader, c, over a network connection. The spreader
+// recommends the group on which the asking node has no requests running.
 func TestSpreadIsAnswered(t *testing.T) {
 	listener := listenHere(t)
 	spreaderNode, _ := newTestNode(t)
