--- a/node/cold_test.go
+++ b/node/cold_test.go
@@ -10,12 +10,13 @@
 	platformstandin "shedkeel.org/shedkeel/platform/standin"
 )
 
-// coldRate is the rate that a cold server accepts in the tests' configuration, in
-// requests a second. maxColdRate is how many requests it may get in a second from all
-// nodes together: one and a half times that rate, and a burst of 5.
 const (
+	// maxColdRate is how many requests a cold server may get in a second from all nodes
+	// together: one and a half times coldRate, and a burst of 5.
 	maxColdRate = coldRate*3/2 + 5
-	coldRate    = 4
+	// coldRate is the rate that a cold server accepts in the tests' configuration, in requests a
+	// second.
+	coldRate = 4
 )
 
 // TestColdServersGetLittle sends far more requests to three nodes than a cold server
@@ -60,8 +61,8 @@
 			most := platformstandin.MaxArrivals(arrivals, time.Second)
 			t.Logf("statuses %v; %d arrivals in %s, most in a second %d, allowed %d", statuses, len(arrivals), time.Since(since), most, maxColdRate)
 			assert.Assert(t, most <= maxColdRate, "%d requests in a second, allowed %d", most, maxColdRate)
-			assert.Assert(t, most > 0, "a cold server still gets requests")
-			assert.Equal(t, statuses[0], 0, "every request gets a complete answer")
+			assert.Assert(t, most > 0, "the cold server got no requests")
+			assert.Equal(t, statuses[0], 0, "requests got no complete answer")
 			assert.Assert(t, statuses[http.StatusOK] > 0)
 			cluster.eventually("the server gets more requests once it is warm", func() bool {
 				cluster.sendLoad(cluster.nodes, test.path, rate, time.Second)
--- a/node/guard.go
+++ b/node/guard.go
@@ -45,7 +45,8 @@
 
 // guard keeps requests that terminate backend servers from terminating more of them. A
 // blame names a request, by its digest, and the instances of servers that have terminated
-// while running it. All requests with the same digest share a blame.
+// while running it. All requests with the same digest share a blame. When a blame is cleared, its
+// next round begins, and the servers of earlier rounds no longer count.
 //
 // A trial is an attempt to send a quarantined request to a server. Each request has up to
 // deciderCount deciders (see deciders), nodes that allow or refuse trials of it; the first one
@@ -199,7 +200,8 @@
 
 // AcquireAttempt reports whether a trial of a quarantined request is allowed now. One node, the
 // first decider that answers, decides for all nodes and allows one trial of the request
-// at a time. If the trial is allowed, the caller must call done when the trial has ended. If no
+// at a time. If the trial is allowed, the caller must call done when the trial has ended. If the
+// trial is refused, the caller must not call done, which would end the trial in progress. If no
 // decider answers, the trial is not allowed and done is nil.
 func (guard *guard) AcquireAttempt(ctx context.Context, request shedkeel.RequestDigest) (done func(), allowed bool) {
 	blame := guard.ledger.Blame(request)
--- a/node/spread_test.go
+++ b/node/spread_test.go
@@ -10,7 +10,9 @@
 	"shedkeel.org/shedkeel/dispatch"
 )
 
-// TestSpreader checks which node is the spreader that a node asks where to send a request.
+// TestSpreader checks which node is the spreader that a node asks where to send a request. The
+// order of fourNodes is a, b, c, d. The first two (see reservedNodes) spread requests only if no
+// other node does.
 func TestSpreader(t *testing.T) {
 	cases := map[string]struct {
 		own       shedkeel.NodeID
@@ -60,6 +62,7 @@
 	node.peers.update([]nodeRecord{{ID: "a", Control: unresponsive.Addr().String()}, {ID: "b"}, {ID: "c", Control: unresponsive.Addr().String()}})
 	defer node.peers.close()
 	query := dispatch.Query{Service: "s", Model: "m", Now: timers.Now()}
+	// The spreader is c; this node, b, replaces c if c does not answer.
 	began := time.Now()
 	_, known := node.peers.recommendGroup(t.Context(), query, dispatch.Load{})
 	assert.Assert(t, !known)
@@ -71,11 +74,11 @@
 	assert.Assert(t, known)
 	assert.DeepEqual(t, recommendation, dispatch.Recommendation{Head: "i", Running: dispatch.RunningRequests{OnTime: 2}})
 	_, own := node.peers.spreader(0, timers.Now()+spreaderBackoff) // 0: the only partition
-	assert.Assert(t, !own, "the spreader that gave no answer is not asked again")
+	assert.Assert(t, !own, "the spreader that gave no answer is not asked again after spreaderBackoff")
 }
 
-// TestSpreadIsAnswered asks a spreader over a network connection. The spreader recommends
-// the group on which the asking node has no requests running.
+// TestSpreadIsAnswered has node a ask the spreader, c, over a network connection. The spreader
+// recommends the group on which the asking node has no requests running.
 func TestSpreadIsAnswered(t *testing.T) {
 	listener := listenHere(t)
 	spreaderNode, _ := newTestNode(t)
