--- a/node/follow.go
+++ b/node/follow.go
@@ -16,9 +16,9 @@
 	// no response from it, or the node's copy is too old (see maxCopyAge).
 	followBackoff = 2 * time.Second
 	// maxSourceAge is the maximum age of a source's copy for the source to be followed.
-	// Normally the copy is at most as old as two watches of the key-value service last
-	// (0.7 s) plus about 0.1 s for which the source collects changes before its next watch.
-	// For what a source is, see sourceIndexes.
+	// Normally the copy is at most 0.8 s old: two watches of the key-value service last
+	// 0.7 s, and the source collects changes for about 0.1 s before its next watch. For
+	// what a source is, see sourceIndexes.
 	maxSourceAge = 1200 * time.Millisecond
 	// maxRelayAge is the maximum age of a relay's copy for the relay to be followed. A
 	// relay follows a source by long polls that last up to mirror.RelayWait, so the relay's
@@ -42,8 +42,8 @@
 // compareNodes, the preferred source first. In a small fleet all other nodes follow a source.
 // In a large fleet (see hasRelays) the relays and the first reservedNodes nodes follow a
 // source, and the remaining nodes follow a source only if no relay is available. The first
-// available source follows the key-value service itself, so that the calls to the service
-// don't grow with the number of nodes. The node at index 0 comes last because it usually is
+// available source follows the key-value service itself, so that the calls to the key-value
+// service don't grow with the number of nodes. The node at index 0 comes last because it usually is
 // the leader as well.
 var sourceIndexes = [...]int{1, 0}
 
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -79,9 +79,9 @@
 }
 
 // handleDatagram passes one datagram to the failure detector and sends the detector's
-// responses. It logs and drops a datagram that can't be decoded or is not authentic; a
-// datagram that is not authentic comes from no node of this fleet. If the datagram changes the
-// liveness of a node, handleDatagram updates the alive nodes.
+// responses. It logs and drops a datagram that can't be decoded or is not authentic, that is,
+// not sealed with the fleet's key. If the datagram changes the liveness of a node,
+// handleDatagram updates the alive nodes.
 func (gossip *gossip) handleDatagram(datagram []byte, from net.Addr) {
 	message, err := wire.OpenGossip(gossip.node.Settings.Wire.Key, datagram)
 	if err != nil {
@@ -161,7 +161,7 @@
 }
 
 // send sends a datagram. It logs an error but does not return the error, because the failure
-// detector tolerates loss. Once the socket is closed, it does not log errors either.
+// detector tolerates loss. It does not log the error that the socket is closed.
 func (gossip *gossip) send(message shedkeel.GossipMessage, to net.Addr) {
 	sealed, err := wire.SealGossip(gossip.node.Settings.Wire.Key, message)
 	if err == nil {
@@ -203,10 +203,11 @@
 	return gossip.detector.Isolated(gossip.node.Timers.Now())
 }
 
-// logExclusions logs which listed nodes callers may not be sent to any more since the last
-// call (see mayServe), and which nodes have ceased to be excluded since: because callers may
-// be sent to them again, or because they are no longer listed. It names at most
-// maxLoggedNodes of each kind, and logs nothing if there are no such nodes.
+// logExclusions logs which of the listed nodes are newly excluded since the last call, and which
+// nodes are no longer excluded. A node is excluded while it is listed but callers may not be
+// sent to it (see mayServe). The log line names at most maxLoggedNodes of each kind, and states
+// how many nodes are excluded now. If there is no node of either kind, logExclusions logs
+// nothing.
 func (gossip *gossip) logExclusions(nodes []nodeRecord) {
 	gossip.mutex.Lock()
 	excluded := map[shedkeel.NodeID]shedkeel.Liveness{}
--- a/node/lease.go
+++ b/node/lease.go
@@ -25,9 +25,10 @@
 	validUntil atomic.Int64                     // lower bound of the lease's expiry, on this node's clock
 }
 
-// valid reports whether the lease is certainly still in force. The lease does not count as
-// valid from leaseSafetyMargin before its expiry on, nor if it is from an earlier era of the
-// key-value service: that service was then restored from a snapshot, which may lack the lease.
+// valid reports whether the lease is certainly still in force. It returns false if no lease is
+// held, from leaseSafetyMargin before the lease's expiry on, and for a lease of an earlier era
+// of the key-value service: that service was then restored from a snapshot, which may lack the
+// lease.
 func (lease *lease) valid(now time.Duration) bool {
 	if !lease.held() || lease.ID().Era < lease.node.mirror.State().At.Era {
 		return false
@@ -79,7 +80,7 @@
 }
 
 // release releases the lease, if there is one. It waits for the key-value service for at most
-// leaseSafetyMargin.
+// leaseSafetyMargin. Afterwards no lease is held, even if the call failed.
 func (lease *lease) release() {
 	if !lease.held() {
 		return
--- a/node/member.go
+++ b/node/member.go
@@ -36,7 +36,7 @@
 	// service has answered any node since; maxRegistrationRetry is the delay if it has not.
 	// A failed call costs ten times as much as a renewal, and retries during an outage are
 	// useless. registrationRetry is also the minimum time between attempts to write a
-	// record without a lease that this node's copy lacks.
+	// record without a lease while this node's copy lacks the record or has another one.
 	registrationRetry    = 500 * time.Millisecond
 	maxRegistrationRetry = 4 * time.Second
 	// nodeCountHintTTL is how long after its start a node uses the number of nodes that a
@@ -135,8 +135,8 @@
 	return int(membership.nodeCountHint.Load())
 }
 
-// step makes one attempt to list the node, with or without a lease as the fleet's size
-// requires, and reports whether the node is listed.
+// step makes one attempt to list the node, or to keep it listed, with or without a lease as the
+// fleet's size requires. It reports whether the attempt succeeded.
 func (membership *membership) step(ctx context.Context) bool {
 	unleased := membership.needsNoLease()
 	membership.unleased.Store(unleased)
@@ -184,7 +184,7 @@
 		return false // the renewal failed, but the lease may still be in force
 	}
 	if ttl := membership.targetTTL(); !lease.held() || lease.ttl != ttl {
-		lease.ttl = ttl // the record moves to the new lease, and the former one expires
+		lease.ttl = ttl // the record moves to the new lease, and the former lease expires
 		if !lease.grant(ctx) {
 			return false
 		}
--- a/node/node.go
+++ b/node/node.go
@@ -243,12 +243,12 @@
 	return server
 }
 
-// stop announces that this node stops, so that the directory leaves the node out. It resigns
-// as leader, and from then on asks callers to close their connections. It keeps serving while
-// callers may still have the node's address cached, but for at most 3/8 of the grace time. It
-// then refuses new requests and waits for the running requests. It aborts the requests that
-// still run stopMargin before the end of the grace time. It returns an error only if the server
-// for callers failed to close.
+// stop announces in this node's record and by gossip that this node stops, so that the directory
+// leaves the node out. From then on the node asks callers to close their connections. If the
+// node is the leader, it resigns. It keeps serving while callers may still have its address
+// cached, but for at most 3/8 of the grace time. It then refuses new requests and waits for the
+// running requests. It aborts the requests that still run stopMargin before the end of the
+// grace time. stop returns an error only if the server for callers failed to close.
 func (node *Node) stop(callers *http.Server) error {
 	stopStarted := node.Timers.Now()
 	node.Log.Write(event.Stopping)
--- a/node/nodes.go
+++ b/node/nodes.go
@@ -16,13 +16,13 @@
 	ID          shedkeel.NodeID `json:"id"`
 	Incarnation string          `json:"incarnation"`
 	Zone        shedkeel.ZoneID `json:"zone"`
-	Callers     string          `json:"callers"`
-	Control     string          `json:"control"`
+	Callers     string          `json:"callers"`          // host:port for callers' requests
+	Control     string          `json:"control"`          // host:port for other nodes' calls
 	Gossip      string          `json:"gossip,omitempty"` // UDP address; empty: the node's version has no gossip
 	Capacity    float64         `json:"capacity"`         // in processor cores
 	Stopping    bool            `json:"stopping"`
-	// Watched states that the record has no lease: it stays until another node detects the
-	// death of this node and removes the record.
+	// Watched states that the record has no lease: the record stays until another node
+	// detects that the record's owner is dead and removes the record.
 	Watched bool `json:"watched"`
 }
 
@@ -135,8 +135,8 @@
 //
 // A record does not prove that its node is alive: a node that lost power stays listed
 // during an outage of the key-value service or until another node removes the record, and
-// callers would fail to connect to the lost node. Addresses therefore also leaves out nodes
-// that the failure detector considers neither alive nor suspected.
+// callers would fail to connect to the lost node. Addresses therefore also leaves out other
+// nodes that the failure detector considers neither alive nor suspected.
 func (node *Node) Addresses(zone string) []string {
 	fleet := &node.fleet
 	fleet.mutex.Lock()
--- a/node/peers.go
+++ b/node/peers.go
@@ -16,7 +16,7 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// maxLoggedNodes limits how many joined or lost nodes one log line names.
+// maxLoggedNodes limits how many joined nodes, and how many lost nodes, one log line names.
 const maxLoggedNodes = 8
 
 // peers are the nodes that this node knows, and the clients of the other nodes.
@@ -72,7 +72,7 @@
 // update replaces the listed nodes, which are in the order of compareNodes. It closes the
 // connections to nodes that are no longer listed or have another address, passes the nodes to
 // the failure detector, and logs which other nodes joined and which were lost, at most
-// maxLoggedNodes of each.
+// maxLoggedNodes of each. If a node joined, update sets lastJoin.
 func (peers *peers) update(nodes []nodeRecord) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
@@ -224,7 +224,7 @@
 	return peers.nodes
 }
 
-// peer returns the client of the node with this ID, or nil if it is not listed.
+// peer returns the client of the node with this ID, or nil if no other listed node has the ID.
 func (peers *peers) peer(id shedkeel.NodeID) *peer {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
--- a/node/prober.go
+++ b/node/prober.go
@@ -15,7 +15,7 @@
 	// in milliseconds.
 	probeTimeout = 200 * time.Millisecond
 	// secondQueryDelay is how long a probe waits for the answer to its query before it
-	// sends a second query. The first may have been lost.
+	// sends a second query. The first query may have been lost.
 	secondQueryDelay = 60 * time.Millisecond
 	// maxProbeOverrun is how far a probe may exceed its time-out before this process
 	// counts as too slow to judge others.
--- a/node/registrar.go
+++ b/node/registrar.go
@@ -19,8 +19,8 @@
 	// registerWriteTimeout limits the time of the write of a batch.
 	registerWriteTimeout = time.Second
 	// registerTimeout limits the time for which a node waits until another node has written
-	// the waiting node's record: the time of a batch, and 200 ms for the call. After this
-	// time the waiting node writes the record itself.
+	// the waiting node's record: the longest time of a batch, and 200 ms for the call. After
+	// this time the waiting node writes the record itself.
 	registerTimeout = registerBatchDelay + registerWriteTimeout + 200*time.Millisecond
 )
 
@@ -37,7 +37,7 @@
 type registrationBatch struct {
 	registrar *registrar
 	puts      map[string]shedkeel.Put // by key; guarded by the registrar's mutex
-	full      chan struct{}           // closed if the batch is full
+	full      chan struct{}           // closed when the batch becomes full
 	done      chan struct{}           // closed once the write has ended
 	revision  shedkeel.Revision       // of the write; set before done is closed
 	err       error                   // of the write; set before done is closed
--- a/node/remover.go
+++ b/node/remover.go
@@ -25,7 +25,7 @@
 
 // remover removes the records of dead nodes from the key-value service. In a large fleet (see
 // needsNoLease) records have no lease, so that an idle fleet makes no calls to stay listed.
-// Any live node, that is, one that is alive or suspected, may remove a dead node's record: a
+// Any live node, that is, any alive or suspected node, may remove a dead node's record: a
 // hash orders the live nodes, and each of them removes the record at its turn if the record
 // still exists. Callers are not sent to the dead node in the meantime.
 //
@@ -94,9 +94,9 @@
 }
 
 // runRemoval removes the record of a dead node, unless the record has changed since this
-// node's mirror received it, and logs the outcome. It does nothing if the mirror lacks the
-// record. If the node that counts as dead is alive after all, it notices that its record is
-// missing and writes the record again.
+// node's mirror received it, and logs the outcome. It waits for the key-value service for at
+// most a second, and does nothing if the mirror lacks the record. If the node that counts as
+// dead is alive after all, it notices that its record is missing and writes the record again.
 func (remover *remover) runRemoval(record nodeRecord) {
 	node := remover.node
 	key := nodePrefix + string(record.ID)
