--- a/node/node_test.go
+++ b/node/node_test.go
@@ -41,20 +41,22 @@
 	client *http.Client // of the callers
 }
 
-// runningNode is a node that serves, with the addresses of its endpoints.
+// runningNode is a node that serves, with the addresses of its endpoints as host:port.
 type runningNode struct {
 	*node.Node
-	callers   string
-	control   string
-	directory string
-	readiness string
-	admin     string
+	callers   string             // address to which callers send requests
+	control   string             // address of the endpoint for other nodes' calls
+	directory string             // address of the endpoint that lists the nodes' addresses
+	readiness string             // address of the endpoint that reports whether the node is ready
+	admin     string             // address of the endpoint for metrics and administration
 	stop      context.CancelFunc // makes the node stop gracefully
 	ended     sync.WaitGroup     // done once the node's method Run has returned
 }
 
 // testConfig is the format of the tests' configuration. Its arguments are the version and
-// the API keys, as JSON strings separated by commas.
+// the API keys of the only tenant, shop, as JSON strings separated by commas. Requests whose
+// paths begin with /copy/ are streams of the service llm; requests whose paths begin with
+// /look/ go to the service plain.
 const testConfig = `{"version":%d,
  "routes":[
   {"name":"r1","host":"h.example","path_prefix":"/copy/","kind":"streaming","timeout_ms":8000,"target_latency_ms":500,"gap_aim_ms":300,"max_attempts":2,"resume_streams":true,"service":"llm"},
@@ -74,11 +76,12 @@
 	t.Cleanup(cluster.store.Close)
 	cluster.fleet = &platformstandin.Fleet{
 		Data: cluster.data, Step: 10 * time.Millisecond,
+		// The size and the times of m0 are those in testConfig; Rejoin has no setting there.
 		Models: map[string]platformstandin.Timing{"m0": {Size: 2, Load: 300 * time.Millisecond, Warmup: 200 * time.Millisecond, Rejoin: 50 * time.Millisecond}},
 	}
 	cluster.configure(1, `"key-1","key-2"`)
 	for index := range 8 {
-		cluster.serve(&platformstandin.Server{ID: fmt.Sprint("engine-", index), Service: "llm", Domain: fmt.Sprint("rack-", index/4), Born: 1000}) // four servers in each domain
+		cluster.serve(&platformstandin.Server{ID: fmt.Sprint("engine-", index), Service: "llm", Domain: fmt.Sprint("rack-", index/4), Born: 1000}) // four servers in each domain; Born is the start time
 	}
 	for index := range 2 {
 		cluster.serve(&platformstandin.Server{ID: fmt.Sprint("plain-", index), Service: "plain"})
@@ -152,7 +155,7 @@
 	settings.Zone = "z"
 	settings.Wire.Key = "k"
 	settings.Seeds = seeds
-	settings.Bounds.Grace = shedkeel.Duration(3 * time.Second)
+	settings.Bounds.Grace = shedkeel.Duration(3 * time.Second) // a stopping node accepts requests for 3/8 of this time, 1.1 s
 	settings.Listen = config.NodeListen{Callers: listeners.Callers.Addr().String(), Control: listeners.Control.Addr().String(), Gossip: listeners.Gossip.LocalAddr().String()}
 	transport := &engine.Transport{DialTimeout: 250 * time.Millisecond, IdleTimeout: time.Second}
 	lines := &bytes.Buffer{}
@@ -191,14 +194,15 @@
 	})
 }
 
-// send sends one request to the node at the address, with an attempt ID, an API key, and the
-// given number of answer tokens. It returns the status and body of the answer. If there is no
-// complete answer, the status is 0 and the body states the error.
+// send sends one request for the path to the node at the address, with an attempt ID, an API
+// key, and the number of answer tokens that the request asks for. It returns the status and
+// body of the answer. If there is no complete answer, the status is 0 and the body states the
+// error.
 func (cluster *testCluster) send(address, id, path, key string, tokens int) (int, string) {
 	return cluster.sendBody(address, id, path, key, "x", tokens)
 }
 
-// sendBody is send with a given request body, sent.
+// sendBody does the same as send, with the argument sent as the request's body.
 func (cluster *testCluster) sendBody(address, id, path, key, sent string, tokens int) (int, string) {
 	request, err := http.NewRequestWithContext(cluster.t.Context(), http.MethodPost, "http://"+address+path, strings.NewReader(sent))
 	assert.NilError(cluster.t, err)
@@ -218,7 +222,8 @@
 	return response.StatusCode, string(body)
 }
 
-// eventually waits until the condition holds, and fails the test after 15 s.
+// eventually waits until holds returns true. After 15 s it fails the test with a message that
+// contains the description, what.
 func (cluster *testCluster) eventually(what string, holds func() bool) {
 	cluster.t.Helper()
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -265,12 +270,12 @@
 	cluster.eventually("two groups serve", func() bool { return len(cluster.fleet.OpenHeads()["m0"]) >= 2 })
 	cluster.eventually("a stream is complete", func() bool {
 		status, body := cluster.send(cluster.nodes[0].callers, shedkeel.NewNonce(), "/copy/a", "key-1", 50)
-		return status == 200 && body == completeStream(10) // 50 tokens
+		return status == 200 && body == completeStream(10) // ten events for 50 tokens
 	})
 	for _, node := range cluster.nodes {
-		cluster.eventually("a plain request is answered", func() bool {
+		cluster.eventually("a request for the service plain is answered", func() bool {
 			status, body := cluster.send(node.callers, shedkeel.NewNonce(), "/look/a%2Fb?x=1", "key-2", 0)
-			return status == 200 && body == "POST /look/a%2Fb?x=1 for shop" // a plain server states the path and the tenant
+			return status == 200 && body == "POST /look/a%2Fb?x=1 for shop" // a server of the service plain states the path and the tenant
 		})
 	}
 	status, _ := cluster.send(cluster.nodes[1].callers, "a1", "/look/x", "key-9", 0) // unknown key
@@ -287,8 +292,8 @@
 }
 
 // TestStartsWhileTheStoreIsAway starts a node during an outage of the store, with two
-// seeds of which one is down. The node must get a copy from the other seed and serve within
-// a second.
+// seeds of which the first is down. The node must get a copy from the other seed, serve within
+// a second, and then be ready.
 func TestStartsWhileTheStoreIsAway(t *testing.T) {
 	cluster := newTestCluster(t, 2)
 	serves := func(node *runningNode) bool {
@@ -298,22 +303,22 @@
 	cluster.eventually("both nodes serve", func() bool { return serves(cluster.nodes[0]) && serves(cluster.nodes[1]) })
 	cluster.data.SetFaults(standin.Faults{Outage: true})
 	down := listen(t)
-	assert.NilError(t, down.Close())
+	assert.NilError(t, down.Close()) // connections to its address are refused from now on
 	began := time.Now()
 	cluster.start(2, down.Addr().String(), cluster.nodes[1].control)
 	cluster.eventually("the third node serves", func() bool { return serves(cluster.nodes[2]) })
-	assert.Assert(t, time.Since(began) < time.Second, "it took %s", time.Since(began))
+	assert.Assert(t, time.Since(began) < time.Second, "the third node took %s to serve", time.Since(began))
 	assert.Assert(t, cluster.nodes[2].Ready())
 }
 
-// killMembers kills one member, not the head, of each group but one while streams run. Each
-// stream must be complete and run at most twice (max_attempts in testConfig). As many groups as
-// before must serve again once the records of the killed servers are removed.
+// killMembers kills the member after the head in each group but one while streams run. Each
+// stream must be complete and run at most twice (max_attempts in testConfig). At least as many
+// groups as before must serve again once the records of the killed servers are removed.
 func (cluster *testCluster) killMembers() {
 	heads := cluster.fleet.OpenHeads()["m0"]
 	victims := map[string]bool{}
 	for _, head := range heads[1:] {
-		victims[head.Members()[1]] = true
+		victims[head.Members()[1]] = true // Members begins with the head
 	}
 	cluster.interruptStreams("lost-", func() {
 		for victim := range victims {
@@ -332,8 +337,9 @@
 // interruptedStreams is how many streams run during a fault.
 const interruptedStreams = 12
 
-// interruptStreams injects a fault while streams of 200 answer tokens (40 events) run, and
-// checks that all streams are complete. The streams' attempt IDs begin with the prefix.
+// interruptStreams calls fault while streams of 200 answer tokens (40 events) run at the first
+// three nodes, and checks that all streams are complete. The streams' attempt IDs are the
+// prefix followed by a number.
 func (cluster *testCluster) interruptStreams(prefix string, fault func()) {
 	var calls sync.WaitGroup
 	results := make([]string, interruptedStreams)
@@ -343,7 +349,7 @@
 			results[index] = fmt.Sprint(status, " ", body)
 		})
 	}
-	time.Sleep(150 * time.Millisecond) // until the streams run
+	time.Sleep(150 * time.Millisecond) // gives the streams time to start; 40 events, 10 ms apart, take 0.4 s
 	fault()
 	calls.Wait()
 	for index, result := range results {
@@ -351,10 +357,11 @@
 	}
 }
 
-// restartMembers restarts one member, not the head, of each group but one under its former ID
-// while streams run. The restarted member is in no group. A stream that the restart broke off
-// must not count as complete, and another group must complete that stream. No order and no
-// request of the test so far may have broken a rule of the stand-in servers (see Violations).
+// restartMembers restarts the member after the head in each group but one under its former ID
+// while streams run. The restarted member is in no group. A stream that the restart breaks off
+// must not count as complete, and another group must complete that stream. At least as many
+// groups as before must serve again. No order and no request of the test so far may have broken
+// a rule of the stand-in servers (see platformstandin.Fleet.Violations).
 func (cluster *testCluster) restartMembers() {
 	heads := cluster.fleet.OpenHeads()["m0"]
 	cluster.interruptStreams("again-", func() {
@@ -366,8 +373,9 @@
 	assert.Equal(cluster.t, len(cluster.fleet.Violations()), 0, "%v", cluster.fleet.Violations())
 }
 
-// addInvalidRecords has another writer add invalid records of servers; the last value has an
-// unknown state. All requests must still get an answer from the other servers.
+// addInvalidRecords adds invalid records of servers, which another client of the store could
+// write. The last record is complete but has an unknown state. All requests to all nodes must
+// still be answered, by the servers with valid records.
 func (cluster *testCluster) addInvalidRecords() {
 	for index, value := range []string{"", "\x00\x01", "null", "[]", `{"service":"plain"}`, `{"service":"plain","address":"127.0.0.1:1","zone":"z","version":"v1","slots":8,"state":"resting","cold_remaining_ms":0,"seq":1}`} {
 		_, err := cluster.data.Commit(shedkeel.Transaction{Put: []shedkeel.Put{{Key: fmt.Sprint("servers/odd-", index), Value: []byte(value)}}})
@@ -379,11 +387,12 @@
 	}
 }
 
-// removeKey removes an API key. Every node must refuse requests with this key soon afterwards.
+// removeKey removes the API key key-1 from the configuration. Every node must then refuse
+// requests with this key within the time limit of eventually.
 func (cluster *testCluster) removeKey() {
 	cluster.configure(2, `"key-2"`)
 	for _, node := range cluster.nodes {
-		cluster.eventually("the key is refused", func() bool {
+		cluster.eventually("the removed key is refused", func() bool {
 			status, _ := cluster.send(node.callers, shedkeel.NewNonce(), "/look/x", "key-1", 0)
 			return status == 401
 		})
@@ -391,8 +400,9 @@
 }
 
 // interruptStore makes the store unavailable. The first node must serve at the start of the
-// outage, and refuse keys with status 503 once its proof that the configuration is current
-// has expired. Once the store is available again, all nodes must accept keys.
+// outage, and answer requests with status 503 once its proof that the configuration is current
+// has expired (see Bounds.RefuseStaleKeys). Once the store is available again, all nodes must
+// accept API keys.
 func (cluster *testCluster) interruptStore() {
 	cluster.data.SetFaults(standin.Faults{Outage: true})
 	status, _ := cluster.send(cluster.nodes[0].callers, "store-1", "/look/x", "key-2", 0)
@@ -410,11 +420,13 @@
 	}
 }
 
-// stopNode stops a node gracefully. The node must report that it is not ready, serve callers
-// that still have its address, leave the directory, and complete its running stream, which has
-// 200 answer tokens (40 events).
+// stopNode stops the third node gracefully. The node must report that it is not ready, or no
+// longer answer the question whether it is. It must still serve callers that have its address,
+// leave the directory, and complete its running stream, which has 200 answer tokens (40
+// events).
 func (cluster *testCluster) stopNode() {
 	stopping := cluster.nodes[2]
+	// addresses(0) asks the directory of the first node, which keeps running.
 	cluster.eventually("the directory names all nodes", func() bool { return len(cluster.addresses(0)) == 3 })
 	var calls sync.WaitGroup
 	calls.Go(func() {
@@ -422,7 +434,7 @@
 		assert.Equal(cluster.t, status, 200, "%s", body)
 		assert.Equal(cluster.t, body, completeStream(40))
 	})
-	time.Sleep(50 * time.Millisecond) // until the stream runs
+	time.Sleep(50 * time.Millisecond) // gives the stream time to start; 40 events, 10 ms apart, take 0.4 s
 	stopping.stop()
 	cluster.eventually("the stopping node is not ready", func() bool {
 		response, err := cluster.client.Get("http://" + stopping.readiness + "/shedkeel/ready")
@@ -433,7 +445,7 @@
 		return response.StatusCode == http.StatusServiceUnavailable
 	})
 	status, _ := cluster.send(stopping.callers, "stop-2", "/look/x", "key-2", 0)
-	assert.Equal(cluster.t, status, 200, "callers may still hold its address")
+	assert.Equal(cluster.t, status, 200, "a stopping node serves callers that still have its address")
 	cluster.eventually("the directory no longer names the stopping node", func() bool { return len(cluster.addresses(0)) == 2 })
 	calls.Wait()
 	stopping.ended.Wait()
--- a/node/restored_service_test.go
+++ b/node/restored_service_test.go
@@ -21,11 +21,12 @@
 
 // TestRestoredServiceIsFollowed restores the key-value service from a snapshot that lacks the
 // latest changes. Changes that are made after the restore must take effect at all nodes within
-// maxApplyDelay: a new configuration, which adds and removes API keys, and the drain of a
-// server, which must get no further requests.
+// maxApplyDelay of the end of the outage: a new configuration, which adds and removes API keys,
+// and the drain of a server, which must get no further requests. Afterwards at least two groups
+// must serve, and no order or request may have broken a rule of the stand-in servers.
 func TestRestoredServiceIsFollowed(t *testing.T) {
 	cases := map[string]struct {
-		restores int
+		restores int // number of restores from the same snapshot, each after an outage
 		// overtaken states that the restored key-value service makes so many changes before
 		// any node reaches it that its revision numbers exceed the numbers that the nodes
 		// know.
@@ -59,8 +60,8 @@
 			}
 			began := time.Now()
 			cluster.eventually("the new key is known", func() bool { return cluster.acceptingNodes("key-3") == len(cluster.nodes) })
-			assert.Assert(t, time.Since(began) < maxApplyDelay, "it took %s", time.Since(began))
-			time.Sleep(maxApplyDelay - time.Since(began))
+			assert.Assert(t, time.Since(began) < maxApplyDelay, "the new key took %s to be known at all nodes", time.Since(began))
+			time.Sleep(maxApplyDelay - time.Since(began)) // from now on the drain must be in effect
 			requests := cluster.fleet.RequestCount("plain-0")
 			for range 20 { // a server that is not draining would get some of the requests
 				for _, node := range cluster.nodes {
@@ -71,7 +72,7 @@
 				}
 			}
 			assert.Equal(t, cluster.fleet.RequestCount("plain-0"), requests, "a draining server got requests")
-			cluster.eventually("groups are planned", func() bool { return len(cluster.fleet.OpenHeads()["m0"]) >= 2 })
+			cluster.eventually("two groups serve", func() bool { return len(cluster.fleet.OpenHeads()["m0"]) >= 2 })
 			assert.DeepEqual(t, cluster.fleet.Violations(), []string(nil))
 		})
 	}
