--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -16,7 +16,7 @@
 func fleetOf(count, large int) []nodeRecord {
 	var nodes []nodeRecord
 	for index := range count {
-		zone, number := index%5, index/5
+		zone, number := index%5, index/5 // number: position within the zone
 		node := nodeRecord{ID: shedkeel.NodeID(fmt.Sprintf("z%d-%03d", zone, number)), Zone: shedkeel.ZoneID(fmt.Sprint("z", zone)), Capacity: 0.2}
 		if number < large {
 			node.Capacity = 0.8
@@ -66,15 +66,15 @@
 		"300 boxes, 15 large, one of them is lost": {fleetOf(300, 3), []int{4}, 20, 60}, // index 4 is that of a relay
 		"300 boxes, the source is lost":            {fleetOf(300, 3), []int{1}, 20, 60},
 		"300 boxes of one size":                    {fleetOf(300, 0), nil, 20, 2 * followersPerRelay},
-		"1000 boxes, 15 large":                     {fleetOf(1000, 3), nil, 20, 200},
-		"1000 boxes of one size":                   {fleetOf(1000, 0), nil, 50, 2 * followersPerRelay},
+		"1000 boxes, 15 large":                     {fleetOf(1000, 3), nil, 20, 200},                   // one zone has only one relay for its 200 nodes, as above
+		"1000 boxes of one size":                   {fleetOf(1000, 0), nil, 50, 2 * followersPerRelay}, // 9 relays for the 200 nodes of each zone, so the source has 46 followers
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			followers := countFollowers(test.nodes, test.down...)
 			source := 1 // the first of sourceIndexes
 			if slices.Contains(test.down, 1) {
-				source = 0
+				source = 0 // the second of sourceIndexes
 			}
 			maxFollowers := 0
 			for index, count := range followers {
@@ -83,9 +83,9 @@
 				}
 			}
 			t.Logf("%d follow the source, at most %d another, %d the key-value service", followers[source], maxFollowers, followers[-1])
-			assert.Equal(t, followers[-1], 1)
-			assert.Assert(t, followers[source] <= test.maxSourceFollowers)
-			assert.Assert(t, maxFollowers <= test.maxOtherFollowers)
+			assert.Equal(t, followers[-1], 1, "nodes that follow the key-value service")
+			assert.Assert(t, followers[source] <= test.maxSourceFollowers, "the source has %d followers", followers[source])
+			assert.Assert(t, maxFollowers <= test.maxOtherFollowers, "another node has %d followers", maxFollowers)
 		})
 	}
 }
@@ -104,8 +104,9 @@
 
 // TestUnlistedFollowsSeed covers nodes that are not listed or know few other nodes. If the
 // index of such a node would make the node follow the key-value service itself, the node must
-// follow a seed instead, unless it is a seed or has none. Otherwise all nodes that start
-// together would follow the key-value service. The node is "d", with a capacity of 0.2.
+// follow a seed instead, unless the node itself is a seed or its settings name no seeds.
+// Otherwise all nodes that start together would follow the key-value service. The node is "d",
+// with a capacity of 0.2 cores.
 func TestUnlistedFollowsSeed(t *testing.T) {
 	cases := map[string]struct {
 		seeds        []string
@@ -113,13 +114,13 @@
 		hint         int64  // number of nodes that a seed reported
 		wantFollowed string // ID or address of the followed node; "": the key-value service
 	}{
-		"it knows no other node":              {[]string{"seed:1"}, nil, 0, "seed:1"},
-		"its index would be that of a source": {[]string{"seed:1"}, []nodeRecord{{ID: "a", Capacity: 0.8}}, 0, "seed:1"},
-		"it is listed":                        {[]string{"seed:1"}, []nodeRecord{{ID: "a", Capacity: 0.8}, {ID: "d", Capacity: 0.2}}, 2, ""},
-		"it is listed, few others are":        {[]string{"seed:1"}, []nodeRecord{{ID: "a", Capacity: 0.8}, {ID: "d", Capacity: 0.2}}, 140, "seed:1"}, // 2 of 140 nodes are listed; with 70 listed nodes the node would count as settled
-		"it is a seed":                        {[]string{"seed:1", "own:1"}, nil, 0, ""},
-		"there are no seeds":                  {nil, nil, 0, ""},
-		"it knows a source to follow":         {[]string{"seed:1"}, fourNodes[:3], 0, "b"},
+		"the node knows no other node":               {[]string{"seed:1"}, nil, 0, "seed:1"},
+		"the node's index would be that of a source": {[]string{"seed:1"}, []nodeRecord{{ID: "a", Capacity: 0.8}}, 0, "seed:1"},
+		"the node is listed":                         {[]string{"seed:1"}, []nodeRecord{{ID: "a", Capacity: 0.8}, {ID: "d", Capacity: 0.2}}, 2, ""},
+		"the node is listed, few others are":         {[]string{"seed:1"}, []nodeRecord{{ID: "a", Capacity: 0.8}, {ID: "d", Capacity: 0.2}}, 140, "seed:1"}, // 2 of 140 nodes are listed; with 70 listed nodes the node would count as settled
+		"the node is a seed":                         {[]string{"seed:1", "own:1"}, nil, 0, ""},
+		"there are no seeds":                         {nil, nil, 0, ""},
+		"the node knows a source to follow":          {[]string{"seed:1"}, fourNodes[:3], 0, "b"}, // a, b and c; b is the first source
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -157,7 +158,7 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			nodes := fleetOf(20, 0)                               // 20 nodes of one size, so no relays
+			nodes := fleetOf(20, 0)                               // 20 nodes of one size; too few for relays
 			node, timers := newListedNode(t, nodes[12].ID, nodes) // any node without a duty
 			detector := &fakeDetector{liveness: map[shedkeel.NodeID]shedkeel.Liveness{}}
 			for _, index := range test.suspected {
--- a/node/heartbeat_test.go
+++ b/node/heartbeat_test.go
@@ -62,8 +62,8 @@
 
 	draining := heartbeats(t, 1, 3)[0] // of server 0; each further record has a later sequence number
 	draining.Value = []byte(strings.Replace(string(draining.Value), `"Draining":false`, `"Draining":true`, 1))
-	assert.Assert(t, fleet.applyInstance(draining, now))
-	fleet.markUnreadable("servers/1", now)
+	assert.Assert(t, fleet.applyInstance(draining, now), "a server that drains may get no new requests")
+	fleet.markUnreadable("servers/1", now) // the record of this server has index 1 in the result of heartbeats
 	assert.Assert(t, fleet.applyInstance(heartbeats(t, 2, 4)[1], now), "a server whose record can be read again may get requests")
 	fleet.removeInstance("servers/2", 0, now) // in era 0
 	assert.Assert(t, fleet.applyInstance(heartbeats(t, 3, 5)[2], now), "the server is listed again")
--- a/node/member_test.go
+++ b/node/member_test.go
@@ -67,23 +67,23 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			node, timers := newTestNode(t)
-			store := &leaseStore{renewed: map[shedkeel.LeaseID]int{}, commit: func(shedkeel.Transaction) (int64, error) { return 2, nil }}
+			store := &leaseStore{renewed: map[shedkeel.LeaseID]int{}, commit: func(shedkeel.Transaction) (int64, error) { return 2, nil }} // 2: the write's revision
 			node.Store = store
 			node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
-			node.member.tick(t.Context()) // lists the node
-			timers.Advance(largeFleetTTL / renewalsPerTTL)
+			node.member.tick(t.Context())                  // lists the node
+			timers.Advance(largeFleetTTL / renewalsPerTTL) // the next renewal is due
 			store.unavailable = true
 			node.member.tick(t.Context())
-			failed := timers.Now()
+			failedAt := timers.Now()
 			calls := store.renewCalls
-			for store.renewCalls == calls && timers.Now() < failed+time.Minute { // far longer than any retry delay
+			for store.renewCalls == calls && timers.Now() < failedAt+time.Minute { // far longer than any retry delay
 				timers.Advance(memberTick)
-				if answered := failed + test.answeredAfter; test.answeredAfter > 0 && timers.Now() >= answered {
-					node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 1}, AsOf: answered})
+				if answeredAt := failedAt + test.answeredAfter; test.answeredAfter > 0 && timers.Now() >= answeredAt {
+					node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 1}, AsOf: answeredAt})
 				}
 				node.member.tick(t.Context())
 			}
-			assert.Equal(t, timers.Now()-failed, test.wantRetryAfter)
+			assert.Equal(t, timers.Now()-failedAt, test.wantRetryAfter)
 		})
 	}
 }
--- a/node/peers_test.go
+++ b/node/peers_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestChoose checks which node a node follows, given its position in the order of nodes and
-// which nodes have failed. In the cases in which it follows another node, it must follow the
-// first source, "b", once followBackoff has passed.
+// which nodes have failed. In the cases in which the node follows another node, it must follow
+// the first source, "b", once followBackoff has passed.
 func TestChoose(t *testing.T) {
 	cases := map[string]struct {
 		own          shedkeel.NodeID
--- a/node/prober_test.go
+++ b/node/prober_test.go
@@ -34,7 +34,8 @@
 }
 
 // TestProbe checks when a server counts as alive or as dead, and when a probe is
-// inconclusive. A server that counts as alive must be asked only once, and no witness.
+// inconclusive. If the probed server counts as alive, the probe must have asked it only once and
+// must have asked no witness.
 func TestProbe(t *testing.T) {
 	cases := map[string]struct {
 		up               []string            // addresses that answer; "a" is probed, "b" and "c" are witnesses
@@ -44,14 +45,14 @@
 		wantErr          bool                // the probe must return an error
 		wantInconclusive bool                // the error must wrap errInconclusive
 	}{
-		"it answers, no start time is known":          {up: []string{"a", "b"}},
-		"only a witness answers":                      {up: []string{"b"}, wantErr: true},
-		"no server answers: this node may be cut off": {wantErr: true, wantInconclusive: true},
-		"it answers with its recorded start time":     {up: []string{"a", "b"}, id: shedkeel.NewInstanceID("s", 7), born: 7},
-		"it answers with another start time":          {up: []string{"a"}, id: shedkeel.NewInstanceID("s", 7), born: 8, wantErr: true},
-		"only its record has a start time":            {up: []string{"a"}, id: shedkeel.NewInstanceID("s", 7)},
-		"only its answer has a start time":            {up: []string{"a"}, id: "s", born: 8},
-		"this node is too slow":                       {up: []string{"b"}, delay: 2 * maxProbeOverrun, wantErr: true, wantInconclusive: true}, // the probe ends maxProbeOverrun too late
+		"the server answers, no start time is known":      {up: []string{"a", "b"}},
+		"only a witness answers":                          {up: []string{"b"}, wantErr: true},
+		"no server answers: this node may be cut off":     {wantErr: true, wantInconclusive: true},
+		"the server answers with its recorded start time": {up: []string{"a", "b"}, id: shedkeel.NewInstanceID("s", 7), born: 7},
+		"the server answers with another start time":      {up: []string{"a"}, id: shedkeel.NewInstanceID("s", 7), born: 8, wantErr: true},
+		"only the record has a start time":                {up: []string{"a"}, id: shedkeel.NewInstanceID("s", 7)},
+		"only the answer has a start time":                {up: []string{"a"}, id: "s", born: 8},
+		"this node is too slow":                           {up: []string{"b"}, delay: 2 * maxProbeOverrun, wantErr: true, wantInconclusive: true}, // the probe exceeds its time-out by twice maxProbeOverrun
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -64,7 +65,7 @@
 			assert.Equal(t, err != nil, test.wantErr)
 			assert.Equal(t, errors.Is(err, errInconclusive), test.wantInconclusive)
 			if !test.wantErr {
-				assert.Equal(t, engines.asked.Load(), int64(1), "a server that answers was asked more than once")
+				assert.Equal(t, engines.asked.Load(), int64(1), "queries to a server that answers and to its witnesses")
 			}
 		})
 	}
--- a/node/registrar_test.go
+++ b/node/registrar_test.go
@@ -32,12 +32,12 @@
 		fails      bool // the key-value service fails
 		wantWrites int  // calls to the key-value service, each with at most shedkeel.MaxTransactionEntries (32) records
 	}{
-		"one node":                    {1, 0, false, 1},
-		"as many as fit in one write": {32, 0, false, 1},
-		"more than fit in two writes": {70, 0, false, 3},
-		"some send another's record":  {33, 3, false, 1}, // 30 valid records
-		"the key-value service fails": {40, 0, true, 2},
-		"all send another's record":   {5, 5, false, 0},
+		"one node":                             {1, 0, false, 1},
+		"as many as fit in one write":          {32, 0, false, 1},
+		"more than fit in two writes":          {70, 0, false, 3},
+		"some send the record of another node": {33, 3, false, 1}, // 30 valid records
+		"the key-value service fails":          {40, 0, true, 2},
+		"all send the record of another node":  {5, 5, false, 0},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -82,14 +82,15 @@
 	}
 }
 
-// TestNodeIsListedWithoutRegistrar asks the followed node to write a node's record, or makes
-// the followed node fail in different ways. If the followed node fails, or the node itself is
-// stopping, the node must write its record itself, and within registerTimeout.
+// TestNodeIsListedWithoutRegistrar makes a node list itself in a fleet whose records have no
+// leases, so that the followed node writes the node's record. If the followed node is down or
+// fails to write the record, or if the node itself is stopping, the node must write its record
+// itself. In each case the node must know within registerTimeout that it is listed.
 func TestNodeIsListedWithoutRegistrar(t *testing.T) {
 	cases := map[string]struct {
 		handler       func(*Node) wire.Handler // of the followed node; nil: it is down
-		stopping      bool
-		wantOwnWrites int // writes by the node itself
+		stopping      bool                     // the node that lists itself is stopping
+		wantOwnWrites int                      // writes by the node itself
 	}{
 		"the followed node writes":  {func(other *Node) wire.Handler { return &other.peers }, false, 0},
 		"this node stops":           {func(other *Node) wire.Handler { return &other.peers }, true, 1},
@@ -102,7 +103,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			other, _ := newTestNode(t)
-			other.Store = &leaseStore{commit: func(shedkeel.Transaction) (int64, error) { return 9, nil }}
+			other.Store = &leaseStore{commit: func(shedkeel.Transaction) (int64, error) { return 9, nil }} // 9: the write's revision
 			other.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}})
 			listener := listenHere(t)
 			address := listener.Addr().String()
--- a/node/relay_test.go
+++ b/node/relay_test.go
@@ -24,7 +24,7 @@
 	own.Settings.Wire.Key = "k" // the key of serveWire
 	peer := own.peers.dial("source", listener.Addr().String())
 	defer peer.close()
-	write := func(to *Node, number int64, full bool) { // number becomes the revision and part of the value
+	write := func(to *Node, number int64, full bool) { // number becomes the revision and part of the value; full: the update is a complete copy
 		value := fmt.Appendf(nil, "%s\"seq\":%d}", bytes.Repeat([]byte("server "), 60), number)
 		revision := shedkeel.Revision{Number: number}
 		to.mirror.Apply(mirror.Update{Full: full, At: revision, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: "servers/a", Value: value, Revision: revision}}})
@@ -42,9 +42,10 @@
 	since := shedkeel.Revision{Number: 2}
 	write(source, 9, false)
 	sent := source.peers.encodeRecord(source.mirror.Get("servers/a"), since, true)
-	// The base is the value of revision 2, from which only the number differs.
+	// The base is the value of revision 2, from which only the number differs. The difference
+	// is therefore shorter than 4 bytes, whereas the value has more than 400.
 	assert.Assert(t, sent.GetBase() == 2 && len(sent.GetValue()) < 4, "%v", sent)
-	write(own, 5, false) // the key-value service has sent this node a value that the source never had
+	write(own, 5, false) // the former value of the two nodes now differs: the key-value service has sent this node a value that the source never had
 	follow()
 	assert.Equal(t, source.peers.encodeRecord(source.mirror.Get("servers/a"), since, false).GetBase(), int64(0), "without differences the complete record is sent")
 }
--- a/node/remover_test.go
+++ b/node/remover_test.go
@@ -32,7 +32,7 @@
 func TestRemovalTurns(t *testing.T) {
 	for name, nodes := range map[string][]nodeRecord{"9 boxes": fleetOf(9, 3), "300 boxes": fleetOf(300, 3), "300 boxes of one size": fleetOf(300, 0)} {
 		t.Run(name, func(t *testing.T) {
-			for _, dead := range []int{0, 1, len(nodes) / 2, len(nodes) - 1} {
+			for _, dead := range []int{0, 1, len(nodes) / 2, len(nodes) - 1} { // both sources, a node in the middle, and the last node
 				deadID := nodes[dead].ID
 				nodesByRank := map[int]int{}
 				for index, record := range nodes {
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestRemoverTakes checks which records a node removes: the records without a lease of dead
-// nodes, also if all other nodes are dead, and none while the node itself is cut off or its
-// mirror is outdated. The node must remove each of these records once.
+// TestRemoverTakes checks which records a node removes: those records of dead nodes that have no
+// lease, even if all other nodes are dead. It must remove each of these records once. A node
+// that is cut off, or whose copy is older than outageAge, must remove none.
 func TestRemoverTakes(t *testing.T) {
 	cases := map[string]struct {
 		liveness    shedkeel.Liveness
@@ -101,7 +101,7 @@
 				node.remover.tick(timers.Now())
 				timers.Advance(removalStagger)
 			}
-			time.Sleep(50 * time.Millisecond) // removals run in goroutines of their own
+			time.Sleep(50 * time.Millisecond) // for the removals, which run in goroutines of their own
 			mutex.Lock()
 			defer mutex.Unlock()
 			assert.Equal(t, len(removed), test.wantRemoved, "%v", removed)
@@ -136,7 +136,7 @@
 // another node has removed it, and write nothing after a restart if only the incarnation has
 // changed.
 func TestWatchedMembership(t *testing.T) {
-	node, store := newNodeWithCountHint(t, 295) // more than unleasedFrom
+	node, store := newNodeWithCountHint(t, 295) // nodes; more than unleasedFrom
 	timers := node.Timers.(interface{ Advance(time.Duration) })
 	advance := func(span time.Duration) {
 		for range span / memberTick {
@@ -146,7 +146,7 @@
 	}
 	advance(nodeCountHintTTL / 2) // the node still uses the reported number
 	assert.Equal(t, store.renewCalls, 1, "the record is written once")
-	assert.Equal(t, store.granted, shedkeel.LeaseID{})
+	assert.Equal(t, store.granted, shedkeel.LeaseID{}, "no lease is acquired")
 	assert.Assert(t, node.member.listed.Load())
 	written := node.mirror.Get(node.member.key())
 
--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -14,8 +14,8 @@
 	"shedkeel.org/shedkeel/serve"
 )
 
-// plainServerRecord returns the record of a server of the service p, which has no replica
-// groups, as the platform's servers write it.
+// plainServerRecord returns the record of the server i-9 of the service p, which has no replica
+// groups, as the platform's servers write it. The sequence number grows with each heartbeat.
 func plainServerRecord(revision shedkeel.Revision, state string, sequence int) shedkeel.Record {
 	value := fmt.Sprintf(`{"service":"p","address":"10.0.0.9:1","zone":"z","version":"v1","slots":8,"state":%q,"cold_remaining_ms":0,"seq":%d,"born":7}`, state, sequence)
 	return shedkeel.Record{Key: "servers/i-9", Value: []byte(value), Revision: revision}
@@ -26,9 +26,12 @@
 	return serve.NewView(&shedkeel.ServingConfig{Services: []shedkeel.RoutedService{service}})
 }
 
-// TestServersAfterARestore checks whether a server gets requests after the key-value service
-// was restored from a snapshot that lacks the server's latest record.
+// TestServersAfterARestore restores the key-value service from a snapshot that may lack the
+// latest record of a server or the deletion of the record, and checks whether the server may
+// then get requests.
 func TestServersAfterARestore(t *testing.T) {
+	// The snapshot contains the write at revision old and lacks the write at lost. The restore
+	// begins era 1 at the revision restored; rewritten is that of a write after the restore.
 	old, lost := shedkeel.Revision{Number: 1}, shedkeel.Revision{Number: 5}
 	restored, rewritten := shedkeel.Revision{Era: 1, Number: 1}, shedkeel.Revision{Era: 1, Number: 3}
 	deleted := shedkeel.Record{Key: "servers/i-9", Revision: lost, Removed: true}
@@ -38,12 +41,12 @@
 		after      []shedkeel.Record // written after the restore
 		wantUsable [3]int            // number of servers that may get requests: after the restore, after the later write, and after the holds have expired
 	}{
-		"nothing was lost":                                {[]shedkeel.Record{plainServerRecord(old, "ready", 1)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{1, 1, 1}},
-		"its drain was lost":                              {[]shedkeel.Record{plainServerRecord(old, "ready", 1), plainServerRecord(lost, "draining", 1)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{0, 0, 0}},
-		"its deletion was lost":                           {[]shedkeel.Record{plainServerRecord(old, "ready", 1), deleted}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{0, 0, 1}},
-		"its only record was lost":                        {[]shedkeel.Record{plainServerRecord(lost, "ready", 1)}, nil, []shedkeel.Record{plainServerRecord(rewritten, "ready", 1)}, [3]int{1, 1, 1}},
-		"its only record was lost, and it has terminated": {[]shedkeel.Record{plainServerRecord(lost, "ready", 1)}, nil, nil, [3]int{1, 1, 0}},
-		"its latest heartbeat was lost":                   {[]shedkeel.Record{plainServerRecord(old, "ready", 1), plainServerRecord(lost, "ready", 2)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{1, 1, 1}},
+		"nothing was lost":                                        {[]shedkeel.Record{plainServerRecord(old, "ready", 1)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{1, 1, 1}},
+		"the server's drain was lost":                             {[]shedkeel.Record{plainServerRecord(old, "ready", 1), plainServerRecord(lost, "draining", 1)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{0, 0, 0}},
+		"the record's deletion was lost":                          {[]shedkeel.Record{plainServerRecord(old, "ready", 1), deleted}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{0, 0, 1}},
+		"the only record was lost":                                {[]shedkeel.Record{plainServerRecord(lost, "ready", 1)}, nil, []shedkeel.Record{plainServerRecord(rewritten, "ready", 1)}, [3]int{1, 1, 1}},
+		"the only record was lost, and the server has terminated": {[]shedkeel.Record{plainServerRecord(lost, "ready", 1)}, nil, nil, [3]int{1, 1, 0}},
+		"the latest heartbeat was lost":                           {[]shedkeel.Record{plainServerRecord(old, "ready", 1), plainServerRecord(lost, "ready", 2)}, []shedkeel.Record{plainServerRecord(restored, "ready", 1)}, nil, [3]int{1, 1, 1}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -58,26 +61,29 @@
 			usable := func() int { return node.table.Load("p", "", timers.Now()).Usable } // a service without groups has no models
 			node.mirror.Apply(mirror.Update{Full: true, At: restored, AsOf: timers.Now(), Records: test.restored})
 			node.fleet.tick(timers.Now())
-			assert.Equal(t, usable(), test.wantUsable[0])
+			assert.Equal(t, usable(), test.wantUsable[0], "after the restore")
 			node.mirror.Apply(mirror.Update{At: rewritten, AsOf: timers.Now(), Records: test.after})
 			node.fleet.tick(timers.Now())
-			assert.Equal(t, usable(), test.wantUsable[1])
+			assert.Equal(t, usable(), test.wantUsable[1], "after the later write")
 			timers.Advance(max(deletedRecordHold, restoredServerHold))
 			node.mirror.Apply(mirror.Update{At: rewritten, AsOf: timers.Now()})
 			node.fleet.tick(timers.Now())
-			assert.Equal(t, usable(), test.wantUsable[2])
+			assert.Equal(t, usable(), test.wantUsable[2], "after the holds have expired")
 		})
 	}
 }
 
 // TestOrdersAreKnownAfterARestore checks that the planner does not use a server's older group
 // membership from the restored snapshot if the node knows that the server has accepted later
-// orders. The node must use all later records, also one that states fewer orders.
+// orders. The node must use every record that arrives after the snapshot, even one that states
+// fewer orders.
 func TestOrdersAreKnownAfterARestore(t *testing.T) {
 	node, timers := newTestNode(t)
 	node.Decoder = platform.Decoder{}
 	node.fleet.view.Store(newServiceView(shedkeel.RoutedService{ID: "s", Engine: &shedkeel.Engine{}}))
-	member := func(revision shedkeel.Revision, epoch, orders int) shedkeel.Record { // orders is the number of orders that the server has accepted
+	// member returns the server's record after it joined its group in the epoch and accepted
+	// this number of orders in all, which is the record's sequence number.
+	member := func(revision shedkeel.Revision, epoch, orders int) shedkeel.Record {
 		value := fmt.Sprintf(`{"service":"s","address":"10.0.0.1:1","zone":"z","version":"v1","slots":8,"state":"ready","cold_remaining_ms":0,"seq":%d,"born":7,"domain":"d",`+
 			`"group":{"name":"m/d/1","epoch":%d,"rank":0,"state":"open"}}`, orders, epoch)
 		return shedkeel.Record{Key: "servers/i-1", Value: []byte(value), Revision: revision}
@@ -99,7 +105,7 @@
 func TestLeadEndsWithTheEra(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
 	var last shedkeel.Transaction
-	store.commit = func(change shedkeel.Transaction) (int64, error) { last = change; return 2, nil }
+	store.commit = func(change shedkeel.Transaction) (int64, error) { last = change; return 2, nil } // 2: the write's revision
 	elect(t, node, timers)
 	assert.Assert(t, node.controller.leading(timers.Now()))
 	lead := node.mirror.Get(leaderKey) // the snapshot contains this record
@@ -121,7 +127,7 @@
 func TestNodeIsListedAgain(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
 	writes := 0
-	store.commit = func(shedkeel.Transaction) (int64, error) { writes++; return 3, nil }
+	store.commit = func(shedkeel.Transaction) (int64, error) { writes++; return 3, nil } // 3: the write's revision
 	// newListedCandidate has listed the node; the next renewal is not due at this time.
 	node.member.lastAttempt = timers.Now()
 	node.member.dirty.Store(false)
@@ -129,7 +135,7 @@
 	assert.Equal(t, writes, 0, "no write is due while the node is listed")
 	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: 1, Number: 1}, AsOf: timers.Now()})
 	node.member.tick(t.Context())
-	assert.Equal(t, writes, 1)
+	assert.Equal(t, writes, 1, "writes after the restore")
 }
 
 // TestBlamesOutliveARestore checks that the blame of a request is written again after the
@@ -151,7 +157,7 @@
 		node.guard.writePending(context.Background(), timers.Now())
 	}
 	writeBlames()
-	assert.Equal(t, len(store.changes), 1)
+	assert.Equal(t, len(store.changes), 1, "writes before the restore")
 	store.era = 1
 	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: 1, Number: 1}, AsOf: timers.Now()})
 	assert.Equal(t, node.guard.Judge("r"), shedkeel.Contained)
@@ -164,7 +170,7 @@
 func TestLoadsAreKeptAgain(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
 	writes := 0
-	store.commit = func(shedkeel.Transaction) (int64, error) { writes++; return 3, nil }
+	store.commit = func(shedkeel.Transaction) (int64, error) { writes++; return 3, nil } // 3: the write's revision
 	loading := map[shedkeel.InstanceID]shedkeel.ModelID{"a": "m"}
 	storeLoads := func() {
 		node.controller.trackEra(timers.Now())
@@ -172,10 +178,10 @@
 	}
 	storeLoads()
 	storeLoads()
-	assert.Equal(t, writes, 1)
+	assert.Equal(t, writes, 1, "the second call stores nothing")
 	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: 1, Number: 1}, AsOf: timers.Now()})
 	storeLoads()
-	assert.Equal(t, writes, 2)
+	assert.Equal(t, writes, 2, "the loads are stored again after the restore")
 }
 
 // TestRemovals checks in which cases a server is withheld from requests after its removed record
@@ -233,7 +239,7 @@
 				apply(test.after)
 			}
 			assert.Equal(t, node.controller.recordsRewritten(timers.Now()), !test.wantWaits)
-			timers.Advance(deletedRecordHold - 1)
+			timers.Advance(deletedRecordHold - 1) // one nanosecond before the end
 			assert.Equal(t, node.controller.recordsRewritten(timers.Now()), !test.wantWaits)
 			timers.Advance(1)
 			assert.Assert(t, node.controller.recordsRewritten(timers.Now()))
--- a/node/testnode_test.go
+++ b/node/testnode_test.go
@@ -16,7 +16,8 @@
 	"shedkeel.org/shedkeel/wire"
 )
 
-// keyDecoder uses a record's key as the ID of the backend server.
+// keyDecoder uses a record's key as the ID of the backend server. The configuration has the
+// key "config", and a record under "evacuated/" and a zone requests the zone's evacuation.
 type keyDecoder struct{ Decoder }
 
 func (keyDecoder) ConfigKey() string      { return "config" }
@@ -29,8 +30,8 @@
 	return shedkeel.Instance{ID: shedkeel.InstanceID(key)}, nil
 }
 
-// newTestNode returns a node that does not run. Its manual clock shows one minute. None of the
-// node's backend servers answers.
+// newTestNode returns the node "node-1", which does not run, and its manual clock, which shows
+// one minute. None of the node's backend servers answers.
 func newTestNode(t testing.TB) (*Node, *timer.Manual) {
 	t.Helper()
 	log, err := event.NewLog(io.Discard, "info")
@@ -84,5 +85,6 @@
 	}
 }
 
-// fourNodes are in the order of compareNodes.
+// fourNodes are the records of four nodes in the order of compareNodes, so "b" is the first
+// source and "a" the second (see sourceIndexes).
 var fourNodes = []nodeRecord{{ID: "a", Capacity: 0.8}, {ID: "b", Capacity: 0.8}, {ID: "c", Capacity: 0.2}, {ID: "d", Capacity: 0.2}}
--- a/node/waits_test.go
+++ b/node/waits_test.go
@@ -16,7 +16,8 @@
 
 // TestWaitsAreExplainedAndLogged makes a planner wait for the unreachable head of a group whose
 // other member is listed. The wait must be among the waits of the group, and must be logged
-// only when the wait has lasted longer than its bound of 20 s.
+// only when the wait has lasted longer than its bound of 20 s (formation.headTimeout). A node that
+// does not lead must report no waits.
 func TestWaitsAreExplainedAndLogged(t *testing.T) {
 	node, timers := newTestNode(t)
 	var lines bytes.Buffer
@@ -28,6 +29,7 @@
 	member := shedkeel.Instance{ID: "b", Domain: "d", Member: &shedkeel.Membership{Group: "m/d/1", Epoch: 7, Rank: 1, State: shedkeel.MemberReady}}
 	engine := &shedkeel.Engine{Models: []shedkeel.Model{{ID: "m", Size: 2, Share: 1}}}
 	plan := func() {
+		// The head, of rank 0, is not among the instances.
 		planner.Plan(formation.Input{Now: timers.Now(), Engine: engine, Instances: []shedkeel.Instance{member}, Traffic: true})
 		controller.logOverdueWaits(timers.Now())
 	}
@@ -39,7 +41,7 @@
 	assert.Equal(t, waits[0].Reason, formation.WaitHeadUnreachable)
 	assert.Equal(t, waits[0].For, "3s")
 	assert.Equal(t, waits[0].Bound, "20s")
-	assert.Equal(t, len(controller.waitsForGroup("m/elsewhere/1", nil, timers.Now())), 0)
+	assert.Equal(t, len(controller.waitsForGroup("m/elsewhere/1", nil, timers.Now())), 0, "waits of a group of another domain")
 	assert.Equal(t, lines.Len(), 0, lines.String())
 
 	timers.Advance(18 * time.Second) // 21 s in all; without a planning round, the wait does not change
