--- a/scenario_load_test.go
+++ b/scenario_load_test.go
@@ -58,22 +58,24 @@
 // run makes the calls of one caller until the load ends.
 func (load *load) run(caller int, urls []string) {
 	addresses := urls
-	until := time.Time{}
+	validUntil := time.Time{}
+	// The timeout is longer than the default timeout of requests, 15 s (see parseFleetOptions).
 	client := &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{}}
-	// Callers start at different boxes of the list, since the caller's number is the first try.
+	// Tries take the boxes of the list in turn, and streamed and other calls alternate. The
+	// first try has the caller's number, so that callers start at different boxes.
 	for try := caller; ; try++ {
 		select {
 		case <-load.stop:
 			return
 		default:
 		}
-		if asked := time.Now(); asked.After(until) {
+		if asked := time.Now(); asked.After(validUntil) {
 			entries, validFor := fetchEntries(client, urls)
 			if len(entries) == 0 {
 				time.Sleep(50 * time.Millisecond)
 				continue // the list of entry boxes has expired, and no box answers with a new one
 			}
-			addresses, until = entries, asked.Add(validFor)
+			addresses, validUntil = entries, asked.Add(validFor)
 		}
 		load.callOnce(client, addresses[try%len(addresses)], try%2 == 0)
 	}
@@ -99,17 +101,17 @@
 		if err != nil || len(answer.Entries) == 0 {
 			continue
 		}
-		var named []string
+		var entryURLs []string
 		for _, entry := range answer.Entries {
-			named = append(named, "http://"+entry.Address)
+			entryURLs = append(entryURLs, "http://"+entry.Address)
 		}
-		return named, time.Duration(answer.KeepSeconds * float64(time.Second))
+		return entryURLs, time.Duration(answer.KeepSeconds * float64(time.Second))
 	}
 	return nil, 0
 }
 
-// callOnce makes one call and records its outcome. If the call did not run, callOnce then
-// waits 50 ms.
+// callOnce makes one call for 20 tokens and records its outcome. If the outcome is not-run,
+// callOnce then waits 50 ms.
 func (load *load) callOnce(client *http.Client, url string, stream bool) {
 	prompt := fmt.Sprintf("load-%d", load.calls.Add(1))
 	body := fmt.Sprintf(`{"model":"model","prompt":%q,"stream":%t,"max_tokens":20}`, prompt, stream)
@@ -135,10 +137,11 @@
 	}
 }
 
-// record counts an outcome. A complete answer contains the prompt and the last of its
-// 20 words, and a stream has 21 events, of which the last is the end marker. An answer
-// repeats its prompt twice, as text and as message content, so a third prompt in it
-// belongs to another request. text is the answer, or the error if the call failed.
+// record counts an outcome, and checks an answer with the outcome answered. A complete
+// answer contains the prompt and word19, the last of its 20 words. A stream has 21 events: one
+// for each word, and the end marker. An answer contains its prompt twice, as text and as
+// message or delta content, so a third prompt in it belongs to another request. text is the
+// answer, or the error if the call failed.
 func (load *load) record(outcome, prompt, text string) {
 	load.mutex.Lock()
 	defer load.mutex.Unlock()
@@ -163,8 +166,9 @@
 }
 
 // cmdLoaded ends the load and checks the counts of its outcomes: loaded MIN-ANSWERED
-// MAX-CUT MAX-UNKNOWN. The number of calls that did not run is not limited. No answer may
-// be incomplete or belong to another request.
+// MAX-CUT MAX-UNKNOWN. The number of calls that did not run is not limited. No call with the
+// outcome answered may have an answer that is incomplete or contains the prompt of another
+// request (see record).
 func cmdLoaded(script *testscript.TestScript, _ bool, args []string) {
 	fleet := fleetOf(script)
 	fleet.load.stopCallers()
@@ -187,11 +191,12 @@
 	}
 }
 
-// cmdCharges sends charges, which must run at most once: charges COUNT PREFIX URL...
-// It sends each charge concurrently through all the given entry boxes, under the same
-// idempotency key. Then it checks with the counts of plain-1 and plain-2 that no charge
-// ran twice, that a charge did not run if all its outcomes are not-run, and that it ran
-// once if one of its outcomes is answered.
+// cmdCharges sends charges, which are calls that must run at most once (see charge): charges
+// COUNT PREFIX URL... The name of a charge is PREFIX and its number. cmdCharges sends each
+// charge concurrently through all the given entry boxes, under the same idempotency key.
+// Then it checks with the counts of plain-1 and plain-2 that no charge ran twice, that a
+// charge did not run if all its outcomes are not-run, and that it ran once if one of its
+// outcomes is answered.
 func cmdCharges(script *testscript.TestScript, _ bool, args []string) {
 	fleet := fleetOf(script)
 	count, err := strconv.Atoi(args[0])
@@ -212,9 +217,9 @@
 	}
 	sending.Wait()
 	tally := map[string]int{}
-	first, second := fleet.runs(script, "plain-1"), fleet.runs(script, "plain-2")
+	runsOn1, runsOn2 := fleet.runs(script, "plain-1"), fleet.runs(script, "plain-2")
 	for name, results := range outcomes {
-		ran := first[name] + second[name]
+		ran := runsOn1[name] + runsOn2[name]
 		notRun := 0
 		for _, outcome := range results {
 			tally[outcome]++
@@ -246,16 +251,16 @@
 }
 
 // cmdLongCall starts a streamed call for a number of tokens, and does not wait for it:
-// longcall URL TOKENS.
+// longcall URL TOKENS. cmdLongCalled checks its result.
 func cmdLongCall(script *testscript.TestScript, _ bool, args []string) {
 	fleet := fleetOf(script)
-	fleet.longCall = make(chan string, 1)
+	fleet.longCall = make(chan string, 1) // buffered, so that runLongCall ends without a receiver
 	go fleet.runLongCall(args[0], args[1])
 }
 
 // runLongCall makes the call of cmdLongCall. It sends the result to fleet.longCall: the
-// status, the read error and whether the stream ended with its end marker, or the error
-// if no response arrived.
+// status, the error of reading the answer and whether the stream ended with its end marker,
+// or only the error if no response arrived.
 func (fleet *fleet) runLongCall(url, tokens string) {
 	body := fmt.Sprintf(`{"model":"model","prompt":"long","stream":true,"max_tokens":%s}`, tokens)
 	request, err := http.NewRequest(http.MethodPost, url+"/v1/completions", strings.NewReader(body))
@@ -278,10 +283,10 @@
 // was complete.
 func cmdLongCalled(script *testscript.TestScript, _ bool, _ []string) {
 	select {
-	case ended := <-fleetOf(script).longCall:
+	case result := <-fleetOf(script).longCall:
 		// Status 200, no read error, and the stream has its end marker.
-		if ended != "200 <nil> true" {
-			script.Fatalf("the long call ended with %s", ended)
+		if result != "200 <nil> true" {
+			script.Fatalf("the long call ended with %s", result)
 		}
 	case <-time.After(20 * time.Second):
 		script.Fatalf("the long call has not ended within 20 s")
@@ -291,10 +296,11 @@
 // cmdCharged waits until the charges of cmdCharging have ended.
 func cmdCharged(script *testscript.TestScript, _ bool, _ []string) { fleetOf(script).charging.Wait() }
 
-// charge sends a charge to a once path of the plain service, with name as the body and the
-// idempotency key. It returns the outcome that the answer states, cut if no response
-// arrived, or bad if the request cannot be made.
+// charge sends a charge: a call of the plain service at /fees, which is one of its once paths,
+// with name as the body and the idempotency key. It returns the outcome that the answer
+// states, cut if no response arrived, or bad if the request cannot be created.
 func charge(url, name string) string {
+	// The timeout is longer than that of requests to the plain service, 5 s (see document).
 	client := &http.Client{Timeout: 15 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	request, err := http.NewRequest(http.MethodPost, url+"/services/permits/fees", strings.NewReader(name))
 	if err != nil {
--- a/scenario_test.go
+++ b/scenario_test.go
@@ -28,8 +28,8 @@
 	"shedkeel.org/shedkeel/program"
 )
 
-// TestMain lets the scripts run the programs of the project, which are part of the
-// test binary.
+// TestMain makes the test binary act as the programs of the project when a script runs
+// them under these names.
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
 		"shedkeel":         program.Operator,
@@ -71,12 +71,12 @@
 	env       *testscript.Env
 	host      string // first three bytes of its loopback addresses
 	processes map[string]*process
-	addresses map[string]string // of stand-ins that serve HTTP, by name
+	addresses map[string]string // of the stand-ins, by name
 	relays    map[string]*relay // by name
 	load      *load             // of the last cmdLoad; nil: none
-	mark      time.Time         // when the script last ran the command within mark
-	charging  sync.WaitGroup    // charges of cmdCharging
-	longCall  chan string       // result of the call of cmdLongCall
+	mark      time.Time         // when the script last ran "within mark" (see cmdWithin)
+	charging  sync.WaitGroup    // the calls of cmdCharging
+	longCall  chan string       // receives the result of the call of cmdLongCall
 }
 
 // process is a program of the fleet, which may have exited.
@@ -99,26 +99,26 @@
 // fleetOf returns the fleet of a script.
 func fleetOf(script *testscript.TestScript) *fleet { return script.Value(fleetKey{}).(*fleet) }
 
-// address returns the address for a port of the host with the number in the fleet's
-// loopback network. Node N is host N, and the relays to its keeper and from it to the
-// key-value service are host 100+N. The key-value service is host 10, the box list 11,
-// plain server N host 11+N, and the engine of box N host 20+N. settings and startBackends
-// have the ports.
-func (fleet *fleet) address(node, port int) string {
-	return fmt.Sprintf("%s.%d:%d", fleet.host, node, port)
+// address returns the address for a port of a host, whose number is the last byte of its
+// loopback address. Node N is host N. Host 100+N has the relay to the keeper of node N and
+// the relay from node N to the key-value service. The key-value service is host 10, the box
+// list host 11, plain server N host 11+N, and the engine of box N host 20+N. cmdFleet,
+// startBackends and settings choose the ports.
+func (fleet *fleet) address(hostNumber, port int) string {
+	return fmt.Sprintf("%s.%d:%d", fleet.host, hostNumber, port)
 }
 
 // fleetOptions are the options of the command fleet, given as NAME=VALUE.
 type fleetOptions struct {
-	nodes, boxes, groups, members, domains int // numbers of entry boxes, boxes with engines, groups, boxes per group, fabric domains
-	unfenced                               bool
-	token, lag, run                        string // durations: an engine's time per token, minimum interval between updates of its reported load, run time of a plain call
-	timeout                                string // of requests of the model service
+	nodes, boxes, groups, members, domains int    // numbers of entry boxes, boxes with engines, groups, boxes per group, fabric domains
+	unfenced                               bool   // the engines do not check the planner epoch of their orders
+	token, lag, run                        string // durations: an engine's time per token, minimum interval between updates of its reported load, run time of a call to a plain server
+	timeout                                string // maximum duration of a request to the model service
 	policy                                 string // name of a file in policies, without .star
 }
 
-// parseFleetOptions returns the options of the arguments, with defaults for those not
-// given.
+// parseFleetOptions returns the options that the arguments set, with defaults for all
+// others. An unknown option or an invalid number fails the script.
 func parseFleetOptions(script *testscript.TestScript, args []string) fleetOptions {
 	options := fleetOptions{nodes: 3, boxes: 8, groups: 2, members: 3, domains: 1, token: "2ms", lag: "0s", run: "0s", timeout: "15s", policy: "karadere"}
 	numbers := map[string]*int{"nodes": &options.nodes, "boxes": &options.boxes, "groups": &options.groups, "members": &options.members, "domains": &options.domains}
@@ -141,14 +141,14 @@
 	return options
 }
 
-// cmdFleet starts the stand-ins, keepers and entries, and writes the configuration
-// document fleet.toml, which cmdReady applies: fleet [NAME=VALUE...] [unfenced]. It sets
-// ENTRYn, KEEPERn and ADMINn to the addresses of node n, and has the operator's program
-// use the keeper of node 1.
+// cmdFleet starts the stand-ins, relays, keepers and entries, and writes the configuration
+// document fleet.toml, which cmdReady applies: fleet [NAME=VALUE...] [unfenced]. See
+// fleetOptions for the names. cmdFleet sets ENTRYn, KEEPERn and ADMINn to the addresses of
+// node n, and has the operator's program use the keeper of node 1.
 func cmdFleet(script *testscript.TestScript, _ bool, args []string) {
 	fleet := fleetOf(script)
 	options := parseFleetOptions(script, args)
-	fleetSlots <- struct{}{}
+	fleetSlots <- struct{}{} // waits for a free slot
 	script.Defer(func() { <-fleetSlots })
 	script.Defer(fleet.stop)
 	number := fleetCount.Add(1)
@@ -186,8 +186,9 @@
 	return dir
 }()
 
-// startBackends starts the stand-ins of the engines, the box list and the plain
-// services.
+// startBackends starts the stand-ins of the engines, the box list and the two servers of
+// the plain service. An engine takes 300 ms to load weights, and the box list shows a change
+// after 1 s.
 func (fleet *fleet) startBackends(script *testscript.TestScript, options fleetOptions) {
 	var boxes []map[string]any
 	for box := 1; box <= options.boxes; box++ {
@@ -214,7 +215,8 @@
 }
 
 // settings returns the settings file of a node. The node's connections to the key-value
-// service, and the connections of other nodes to the node, go through relays.
+// service, and the connections of other keepers to the node's keeper, go through relays.
+// Callers may cache the addresses of entry boxes for 1 s (keep_for).
 func (fleet *fleet) settings(node int, options fleetOptions) string {
 	var peers []string
 	for peer := 1; peer <= options.nodes; peer++ {
@@ -241,7 +243,9 @@
 		fleet.address(node, 7401), fleet.address(100+node, 7401), fleet.address(100+node, 2379), fleet.address(11, 8500))
 }
 
-// document returns the configuration document of the fleet.
+// document returns the configuration document of the fleet: the model service model, the
+// plain service permits, whose calls below /fees must run at most once, and the client
+// account of testerKey.
 func (fleet *fleet) document(options fleetOptions) string {
 	return fmt.Sprintf(`entry_boxes = %d
 [policy]
@@ -277,8 +281,8 @@
 	testerHash = "15a90d3572ea9b973fbc4d4b0f54935cf23b94c3552b4413b8dbd0b8e83e608f"
 )
 
-// relay starts a relay from the address listen to the address to. cmdCut can make the
-// relay's connections hang.
+// relay starts a relay that forwards connections to the address listen to the address to.
+// The commands cut and join refer to the relay by its name (see cmdCut).
 func (fleet *fleet) relay(script *testscript.TestScript, name, listen, to string) {
 	listener, err := net.Listen("tcp", listen)
 	script.Check(err)
@@ -310,9 +314,9 @@
 	go started.run()
 }
 
-// cmdStart starts keepers and entries of nodes: start NAME... If a process of the name
-// was started before, the command waits until that process has exited and starts it
-// again with the same arguments. Such a process may also be a stand-in.
+// cmdStart starts keepers and entries of nodes, such as keeper-1: start NAME... If a process
+// of the name was started before, which may also be a stand-in, cmdStart waits until that
+// process has exited and starts it again with the same arguments.
 func cmdStart(script *testscript.TestScript, _ bool, args []string) {
 	fleet := fleetOf(script)
 	for _, name := range args {
@@ -321,7 +325,7 @@
 			fleet.begin(script, name, before.args...)
 			continue
 		}
-		kind, node, _ := strings.Cut(name, "-")
+		kind, node, _ := strings.Cut(name, "-") // such as keeper and 1
 		fleet.begin(script, name, "shedkeel-"+kind, "--settings", script.MkAbs("node-"+node+".toml"))
 	}
 }
@@ -343,8 +347,8 @@
 	}
 }
 
-// cmdEnded waits until a process has exited, and fails the script if it does not within
-// the duration: ended DURATION NAME.
+// cmdEnded waits until a process has exited, and fails the script if the process does not
+// exit within the duration: ended DURATION NAME.
 func cmdEnded(script *testscript.TestScript, _ bool, args []string) {
 	longest, err := time.ParseDuration(args[0])
 	script.Check(err)
@@ -356,7 +360,7 @@
 }
 
 // cmdFault sets the faults that stand-ins inject, in place of all earlier ones: fault JSON
-// NAME... The JSON is an object with fields of standin.Faults.
+// NAME... The JSON is a standin.Faults; fields that it leaves out are reset.
 func cmdFault(script *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args[1:] {
 		fleetOf(script).post(script, name, "/fault", args[0])
@@ -401,8 +405,8 @@
 	time.Sleep(duration)
 }
 
-// cmdAwait waits until a condition holds, and fails the script if it does not within the
-// duration: await DURATION CONDITION... See holds for the conditions.
+// cmdAwait checks a condition about every 50 ms until it holds, and fails the script if it does
+// not hold within the duration: await DURATION CONDITION... See holds for the conditions.
 func cmdAwait(script *testscript.TestScript, _ bool, args []string) {
 	fleet := fleetOf(script)
 	longest, err := time.ParseDuration(args[0])
@@ -433,10 +437,11 @@
 	}
 }
 
-// cmdReady applies fleet.toml, waits until all entries serve, and then until all groups
-// that the keeper of node 1 reports are whole: ready
+// cmdReady waits until the keeper of node 1 answers, applies fleet.toml, waits until all
+// entries serve, and then until all groups that the keeper of node 1 reports are whole:
+// ready
 func cmdReady(script *testscript.TestScript, _ bool, _ []string) {
-	// The keeper of node 1 answers, and applies no configuration yet.
+	// Generation 0: the keeper of node 1 answers and applies no configuration yet.
 	cmdAwait(script, false, []string{"20s", "generation", "1", "0"})
 	script.Check(script.Exec("shedkeel", "apply", "fleet.toml"))
 	for node := 1; script.Getenv(fmt.Sprintf("ENTRY%d", node)) != ""; node++ {
@@ -448,8 +453,8 @@
 }
 
 // cmdPlanner sets PLANNER to the number of the node that holds the planner lease, OTHER to
-// the number of a node that does not, and SHEDKEEL_KEEPER to OTHER's keeper. If no node
-// holds the lease, PLANNER is empty.
+// the number of a node that does not (1, or 2 if PLANNER is 1), and SHEDKEEL_KEEPER to the
+// keeper of node OTHER. If the lease has no holder or cannot be read, PLANNER is empty.
 func cmdPlanner(script *testscript.TestScript, _ bool, _ []string) {
 	holder := fleetOf(script).holder(context.Background())
 	number := strings.TrimPrefix(holder, "node-")
@@ -483,9 +488,9 @@
 	}
 }
 
-// cmdMonotone checks in the logs of all processes that the generation of the
-// configuration in force only increases between two starts of a process. The events are
-// 100 (Started of package event) and 301 (ConfigInForce).
+// cmdMonotone checks in the logs of all processes that each event ConfigInForce (301 in
+// package event) has a higher generation than the one before, from one event Started (100)
+// to the next: monotone
 func cmdMonotone(script *testscript.TestScript, _ bool, _ []string) {
 	for name := range fleetOf(script).processes {
 		text, err := os.ReadFile(script.MkAbs(name + ".log"))
@@ -534,14 +539,14 @@
 //	whole NODE COUNT       the node's keeper reports that many groups as whole
 //	without NODE BOX       the node's keeper reports at least one group, none with the box as a member
 //	generation NODE NUMBER the node's keeper applies the configuration of that generation
-//	status URL CODE        a model call to the URL returns that status code, 0 if it fails
-//	listens NAME           the stand-in accepts connections
+//	status URL CODE        a model call to the URL returns that status code; 0: the call fails
+//	listens NAME           the stand-in with that name accepts connections
 //	reserved NODE COUNT    the node's keeper reports that many groups with a reserve
 //	obeyed NODE            the node's keeper reports at least one group, and the engine of each member reports the assignment of its group
 //	planner NODE           the node holds the planner lease of zone z1
 //	notplanner NODE        another node holds the planner lease of zone z1
 func (fleet *fleet) holds(condition []string) (string, bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second) // for all calls of one check
 	defer cancel()
 	switch condition[0] {
 	case "status":
@@ -583,7 +588,7 @@
 	case "obeyed":
 		for _, group := range status.Groups {
 			for _, member := range group.Group.Members {
-				state, err := engine.NewControl(time.Second).Probe(ctx, member.Address)
+				state, err := engine.NewControl(time.Second).Probe(ctx, member.Address) // waits up to 1 s
 				if err != nil || state.Assigned != group.Group.Assignment() {
 					return fmt.Sprintf("%s has the assignment %v, want %v: %v", member.Box, state.Assigned, group.Group.Assignment(), err), false
 				}
@@ -631,8 +636,8 @@
 	return lease.Holder
 }
 
-// callModel makes a model call and returns the status code, or 0 if the call failed or
-// the connection broke during the answer.
+// callModel makes a call to the service model and returns the status code, or 0 if the call
+// failed or the connection broke during the answer.
 func callModel(ctx context.Context, url, prompt string, stream bool) int {
 	body := fmt.Sprintf(`{"model":"model","prompt":%q,"stream":%t}`, prompt, stream)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/completions", strings.NewReader(body))
@@ -652,9 +657,10 @@
 }
 
 // cmdCall makes a call and checks its status and outcome: call STATUS OUTCOME METHOD
-// URL [BODY [KEY]]. KEY is the idempotency key. An answer whose connection breaks has
-// the outcome cut. An answer with the outcome not-run must have a Retry-After header. The
-// body goes to the file answer, the request's ID to REQUEST.
+// URL [BODY [KEY]]. KEY is the idempotency key. The outcome is that of the header
+// Shedkeel-Outcome, or cut if the connection breaks during the answer. An answer with the
+// outcome not-run must have a Retry-After header. cmdCall writes the body to the file answer
+// and sets REQUEST to the request's ID.
 func cmdCall(script *testscript.TestScript, _ bool, args []string) {
 	args = append(args, "", "") // BODY and KEY may be left out
 	request, err := http.NewRequest(args[2], args[3], strings.NewReader(args[4]))
@@ -663,6 +669,7 @@
 	if args[5] != "" {
 		request.Header.Set("Idempotency-Key", args[5])
 	}
+	// The timeout is longer than the default timeout of requests, 15 s (see parseFleetOptions).
 	client := &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	began := time.Now()
 	response, err := client.Do(request)
@@ -684,8 +691,8 @@
 	}
 }
 
-// cmdRuns checks how often a request ran on stand-ins in total: runs COUNT REQUEST
-// NAME... See fleet.runs for what REQUEST is.
+// cmdRuns checks how often a request ran on all the named stand-ins together: runs COUNT
+// REQUEST NAME... REQUEST is the prompt, body or path by which fleet.runs counts.
 func cmdRuns(script *testscript.TestScript, _ bool, args []string) {
 	want, err := strconv.Atoi(args[0])
 	script.Check(err)
@@ -699,7 +706,7 @@
 }
 
 // runs returns how often each request ran on a stand-in, by prompt for an engine and by
-// body (by path if the body is empty) for a plain service.
+// body (by path if the body is empty) for a plain server.
 func (fleet *fleet) runs(script *testscript.TestScript, name string) map[string]int {
 	response, err := http.Get("http://" + fleet.addresses[name] + "/runs")
 	script.Check(err)
@@ -716,13 +723,13 @@
 	return runs
 }
 
-// run waits until the process has exited.
+// run waits until the process has exited, and then closes exited.
 func (process *process) run() {
 	_ = process.command.Wait()
 	close(process.exited)
 }
 
-// stop ends the load, kills all processes and closes the relays.
+// stop ends the load, kills all processes and closes the listeners of the relays.
 func (fleet *fleet) stop() {
 	if fleet.load != nil {
 		fleet.load.stopCallers()
