--- a/mutants_test.go
+++ b/mutants_test.go
@@ -12,13 +12,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// mutant replaces a piece of code to disable one mechanism, and names the test that
-// must then fail.
+// mutant replaces a piece of code to disable or impair one mechanism. At least one of the
+// tests that it names must then fail.
 type mutant struct {
 	file     string
-	old, new string // a text that must occur once in the file, and its replacement
-	test     string // pattern for go test -run
-	packages string // pattern of the packages to test
+	old, new string // a text that must occur exactly once in the file, and its replacement
+	test     string // pattern for go test -run, which selects the tests to run
+	packages string // package pattern of those tests, for go test
 }
 
 var mutants = map[string]mutant{
@@ -58,7 +58,7 @@
 	"cold servers: they count as warm after an evacuation": {
 		"node/fleet.go", "until = max(until, endedAt+service.ColdTime)", "until = max(until, 0*endedAt)", "TestColdServersGetLittle", "./node",
 	},
-	"fleet start: nodes do not wait longer before they list the records themselves": {
+	"fleet start: at the first start, nodes list the records after the same delay as at later starts": {
 		"mirror/bootstrap.go", "|| bootstrap.firstStart.Load()", "", "TestSimultaneousStart", "./mirror",
 	},
 	"fleet start: the first election does not wait until the list of nodes has settled": {
@@ -136,7 +136,7 @@
 	"retry budget: with more processes than permitted retries, no process may retry": {
 		"serve/budget.go", "bound+budget.RandomOffset {", "bound+0*budget.RandomOffset {", "TestRetryBudgetAcrossRestarts", "./serve",
 	},
-	"mirrors: a process that the service refuses does not ask its peers": {
+	"mirrors: a process that the key-value service refuses does not ask its peers": {
 		"mirror/follower.go", "!follower.fresh(state) || follower.SourceUnreachable()", "!follower.fresh(state)", "TestRefusedUpstreamAsksPeers", "./mirror",
 	},
 	"mirrors: requests to a random peer are repeated without delay": {
@@ -202,7 +202,7 @@
 	"fleet size: a transfer that still makes progress times out": {
 		"platform/store.go", "func() { stallTimer.Reset(store.Timeout) })", "func() {})", "TestTransfers", "./platform",
 	},
-	"fleet size: all nodes of a large fleet list the service's records": {
+	"fleet size: all nodes of a large fleet list the key-value service's records": {
 		"node/fleetsize.go", "return mirror.Advice{Peers: peers.dialStartupRelays(size.Relays)}, nil", "return mirror.Advice{ListSource: true}, nil", "TestAdvice", "./node",
 	},
 	"fleet size: a node that was not advised to list does so at once": {
@@ -244,7 +244,7 @@
 	"servers lost together: a group is formed again before all probes have ended": {
 		"formation/repair.go", "	case round.hasProbePending(group):\n", "	case false:\n", "TestServersLostTogether", "./formation",
 	},
-	"weight loading: concurrent loads are not bounded by what the store serves": {
+	"weight loading: concurrent loads are not limited to Engine.LoadsAtOnce": {
 		"formation/stage.go", "float64(round.activeLoads()) >= part*float64(engine.LoadsAtOnce) {", "false {", "TestLoadsAreBoundedUnderTraffic", "./formation",
 	},
 	"box list: a responding member counts as lost once the list omits it": {
@@ -259,7 +259,7 @@
 	"configuration: an older record replaces a newer one": {
 		"member/table.go", "if found && record.Generation <= known.Generation {", "if found && record.Generation == known.Generation {", "TestRecordGenerationNeverFalls", "./member",
 	},
-	"configuration: the newer configuration is not written back to a restored service": {
+	"configuration: the newer configuration is not written back to a restored key-value service": {
 		"keeper/spread.go", "keeper.writeBack(stored, known)\n\t\treturn", "return", "TestScenarios/configuration", ".",
 	},
 	"configuration: a write whose reply was lost counts as failed": {
@@ -301,7 +301,7 @@
 	"nodes: Retry-After stays short in an outage": {
 		"serve/retryafter.go", "return max(retryOutage, now-since)", "return min(retrySoon, now-since)", "TestRetryAfter", "./serve",
 	},
-	"nodes: an isolated node reports an outage of the service": {
+	"nodes: an isolated node reports an outage of the key-value service": {
 		"mirror/health.go", "if !noPeers && (", "if !noPeers && false && (", "TestOutage", "./mirror",
 	},
 	"nodes: seeds are not queried": {
@@ -339,9 +339,9 @@
 	},
 }
 
-// TestMutants applies each mutant in turn to a copy of the project and checks that
-// its test fails and that the mutant builds. A test that still passes does not cover the
-// mechanism.
+// TestMutants applies each mutant in turn to a copy of the files that git tracks, and checks
+// that go test fails for another reason than a failed build. If the tests still pass, they
+// do not cover the mechanism.
 func TestMutants(t *testing.T) {
 	listed, err := exec.Command("git", "ls-files").Output()
 	assert.NilError(t, err)
