--- a/capacity_test.go
+++ b/capacity_test.go
@@ -25,10 +25,11 @@
 
 var capacity = flag.Bool("capacity", false, "measure keeper processes in fleets of several sizes")
 
-// keeperFleet is a fleet of keeper processes. The stand-ins of the other parts run in
-// the test process, so that the measured processes are keepers only. Keeper N has the
-// address N of the loopback network host, the engines share the addresses from 200 on,
-// and the key-value service and the box list have 250 and 251.
+// keeperFleet is a fleet of keeper processes. The stand-ins of the engines, the key-value
+// service and the box list run in the test process, so that the measured processes are
+// keepers only. host gives the first three bytes of all addresses. The last byte is N for
+// keeper N, 200 and more for the engines, 250 for the key-value service and 251 for the box
+// list.
 type keeperFleet struct {
 	host    string // first three bytes of its loopback addresses
 	store   *standin.Store
@@ -45,8 +46,9 @@
 	pageSize        = 4096             // bytes per page of the sizes in /proc/PID/statm
 )
 
-// TestCapacity prints the CPU time, memory, and bytes sent and read of keepers, and
-// their calls to the key-value service, for several numbers of keepers and groups.
+// TestCapacity prints the CPU time, memory, and bytes sent and read of keepers, their calls
+// to the key-value service, and the fraction of groups that are not whole, for several
+// numbers of keepers and groups.
 func TestCapacity(t *testing.T) {
 	if !*capacity {
 		t.Skip("run with -capacity; it measures and asserts nothing")
@@ -61,7 +63,7 @@
 
 // measureKeepers starts a fleet, waits until all groups are whole, and adds a line to the
 // table: the mean and worst usage of its keepers, the calls of the fleet to the key-value
-// service, and the fraction of notWholeFraction. The index gives each fleet its own
+// service, and the result of notWholeFraction. The index gives each fleet its own
 // loopback addresses. Their second byte depends on the process, and their third byte is at
 // least 200: the fleets of the scripts (see fleetCount) use the numbers from 1 on.
 func measureKeepers(t *testing.T, table *tabwriter.Writer, index, keepers, groups int) {
@@ -71,7 +73,7 @@
 	fleet.serve(t, fleet.host+".250:2379", (&platformstandin.Store{Data: fleet.store}).Handler())
 	var boxes []shedkeel.Box
 	for number := range groups*capacityMembers + spareBoxes {
-		// One loopback address has the engines of 100 boxes, on different ports.
+		// One loopback address has the engines of 100 boxes, on the ports 9000 to 9099.
 		address := fmt.Sprintf("%s.%d:%d", fleet.host, 200+number/100, 9000+number%100)
 		fakeEngine := &standin.Engine{JoinTime: time.Millisecond, LoadTime: time.Millisecond, Slots: 4, BootPrefix: "b"}
 		fakeEngine.Init()
@@ -104,7 +106,8 @@
 }
 
 // notWholeFraction queries the status of one keeper every 0.5 s for capacityTime. It
-// returns the fraction of the group states seen that were not whole.
+// returns the fraction of groups that were not whole, over all queries. A group that the keeper does
+// not report counts as not whole.
 func (fleet *keeperFleet) notWholeFraction(t *testing.T, client *operator.Client, groups int) float64 {
 	t.Helper()
 	seen, whole := 0, 0
@@ -127,8 +130,8 @@
 	t.Cleanup(func() { _ = server.Close() })
 }
 
-// start starts the keeper with the number. The first nine keepers, or all if there are
-// fewer, are the peers of all keepers.
+// start starts the keeper with the number, of the given number of keepers. The settings of
+// every keeper list the first nine keepers, or all if there are fewer, as peers.
 func (fleet *keeperFleet) start(t *testing.T, number, keepers int) {
 	t.Helper()
 	var peers []string
@@ -173,10 +176,10 @@
 }
 
 // apply applies a configuration with the given number of groups. It retries for about
-// 20 s, since the keepers may still be starting. A full rack has the boxes for four
-// groups, with 4 boxes left over. The fleet has only spareBoxes more boxes than its
-// groups need, so some groups must consist of boxes of several racks: the policy allows
-// this (cross_domain).
+// 20 s, since the keepers may still be starting. A full rack (rackBoxes) has the boxes for
+// four groups (capacityMembers each), with 4 boxes left over. The fleet has only spareBoxes
+// more boxes than its groups need, so some groups must consist of boxes of several racks:
+// the policy allows this (cross_domain).
 func (fleet *keeperFleet) apply(t *testing.T, client *operator.Client, groups int) {
 	t.Helper()
 	// EntryBoxes must be positive. It has no effect here: only rates of accounts are divided
@@ -186,7 +189,7 @@
 	}}}
 	wanted.Policy = shedkeel.Policy{Name: "p", Program: "def plan(facts):\n    return table(cross_domain = True)\n"}
 	var err error
-	for range 100 {
+	for range 100 { // 100 tries, 200 ms apart
 		if _, err = client.Apply(t.Context(), wanted); err == nil {
 			return
 		}
@@ -199,7 +202,7 @@
 func (fleet *keeperFleet) awaitWhole(t *testing.T, client *operator.Client, groups int) {
 	t.Helper()
 	whole := 0
-	for range 300 {
+	for range 300 { // 300 tries, 200 ms apart
 		if status, err := client.Status(t.Context()); err == nil {
 			whole = countWhole(*status.Keeper)
 		}
@@ -215,7 +218,7 @@
 // since its start, and its current resident memory. The bytes are those of all its write
 // and read calls, not only those on the network.
 type usage struct {
-	cpu, memory, sent, read float64 // seconds, megabytes, bytes, bytes
+	cpu, memory, sent, read float64 // in seconds, megabytes, bytes and bytes
 }
 
 // usage returns the usage of each keeper.
@@ -251,10 +254,9 @@
 // (maxConfigBytes).
 const maxValueBytes = 1 << 20
 
-// TestStateSizes prints the size of one kind of record, the placement of a zone with 86
-// groups of 8 boxes, and checks that the record is smaller than maxValueBytes. The
-// generation, the epochs, the names and the addresses have many digits, which makes the
-// record larger.
+// TestStateSizes prints the size of the placement of a zone with 86 groups of 8 boxes, and
+// checks that the placement is smaller than maxValueBytes. Its generation, epochs, names and
+// addresses have many digits (1 << 20, 10000 and more), which makes the placement larger.
 func TestStateSizes(t *testing.T) {
 	placement := shedkeel.Placement{Generation: 1 << 20, Zone: "zone-1", Nonce: "0123456789abcdef"}
 	for group := range 86 {
--- a/instance_test.go
+++ b/instance_test.go
@@ -10,12 +10,13 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestInstanceID checks that an ID splits into the server's name and the time of the
-// start from which the ID was made, also if the name contains the separator.
+// TestInstanceID checks the ID that is made from a server's name and the time at which its
+// instance started, and that the ID splits into these two again, also if the name contains
+// the separator.
 func TestInstanceID(t *testing.T) {
 	for name, test := range map[string]struct {
 		server shedkeel.ServerID
-		born   int64
+		born   int64 // Unix milliseconds; 0: not reported
 		id     shedkeel.InstanceID
 	}{
 		"time reported":                           {"i-1", 1764720000000, "i-1@1764720000000"},
@@ -36,8 +37,8 @@
 // TestEqualExceptSequence changes each field of a record in turn, and the Epoch in
 // Member, and checks that EqualExceptSequence notices every change except that of
 // Sequence. The test finds the fields by reflection, so that it also covers fields that
-// are added later. It changes a field by setting it to its zero value, except Draining,
-// which already has the zero value in the record.
+// are added later. It sets a field to its zero value to change it, except Draining, which is
+// false in the record and is set to true.
 func TestEqualExceptSequence(t *testing.T) {
 	record := func() shedkeel.Instance {
 		return shedkeel.Instance{
--- a/overhead_test.go
+++ b/overhead_test.go
@@ -39,12 +39,12 @@
 // overheadCalls is the number of calls of one measurement of TestOverhead.
 const overheadCalls = 20000
 
-// staticKeeper answers an entry's polls like a keeper whose records and verdicts never
-// change.
+// staticKeeper answers an entry's polls like a keeper whose records never change and that
+// always finds the group whole.
 type staticKeeper struct {
 	records  []*wire.Record
 	group    shedkeel.Group
-	sequence uint64
+	sequence uint64 // of the last digest
 }
 
 // Handle returns the records and a new digest in which the group is whole.
@@ -68,7 +68,7 @@
 	_, _ = fmt.Fprintln(table, "kind\tcallers\tdirect p50\tp99\tthrough p50\tp99\tadded p50\tp99\tCPU direct\tthrough")
 	for _, stream := range []bool{false, true} {
 		for _, callers := range []int{1, 64, 512} {
-			_, _ = measureCalls(t, through, callers, stream, 500) // warm up; not measured
+			_, _ = measureCalls(t, through, callers, stream, 500) // about 500 calls to warm up; the result is discarded
 			directLatency, directCPU := measureCalls(t, direct, callers, stream, overheadCalls)
 			throughLatency, throughCPU := measureCalls(t, through, callers, stream, overheadCalls)
 			quantile := func(histogram *hdrhistogram.Histogram, percent float64) time.Duration {
@@ -87,7 +87,8 @@
 // serves.
 func startEngineAndEntry(t *testing.T) (direct, through string) {
 	t.Helper()
-	// More slots than callers of TestOverhead, so that no request waits for a slot.
+	// More slots than callers of TestOverhead, so that no request waits for a slot. The
+	// Capacity in staticRecords is the same.
 	fakeEngine := &standin.Engine{Slots: 4096, BootPrefix: "b"}
 	fakeEngine.Init()
 	engineListener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -129,7 +130,7 @@
 		running.Wait()
 	})
 	through = "http://" + callers.Addr().String()
-	for range 200 {
+	for range 200 { // 200 tries, 50 ms apart
 		if callModel(ctx, through, "warm", false) == http.StatusOK { // not streamed
 			return "http://" + engineListener.Addr().String(), through
 		}
@@ -180,7 +181,7 @@
 					return
 				}
 				reader := bufio.NewReader(response.Body)
-				_, _ = reader.ReadByte()
+				_, _ = reader.ReadByte() // blocks until the first byte of the body arrives
 				latency := time.Since(began)
 				_, _ = io.Copy(io.Discard, reader)
 				_ = response.Body.Close()
