--- a/blame.go
+++ b/blame.go
@@ -9,7 +9,7 @@
 	// Round increases each time that a complete answer clears the request (see
 	// RequestGuard). Instances recorded in an earlier round no longer count.
 	Round   uint32       `json:"round"`
-	Servers []InstanceID `json:"servers"` // two instances of a server count as two
+	Servers []InstanceID `json:"servers"` // two instances of a server count as two; at most containThreshold of package contain
 }
 
 // Judgment says whether a request may be sent to servers, given its Blame.
--- a/interfaces.go
+++ b/interfaces.go
@@ -11,7 +11,7 @@
 	Key           string
 	Value         []byte
 	Revision      Revision // of the key's last change, including its removal; zero: the key does not exist
-	Removed       bool     // in a change: the key was removed at Revision
+	Removed       bool     // the record stands for the removal of the key, at Revision or earlier
 	LostInRestore bool     // with Removed: the key is missing because the key-value service was restored from an older backup
 }
 
@@ -47,7 +47,8 @@
 	Records  []Record
 	Revision Revision // revision from which to read further changes
 	// More is set if the answer was about as large as an answer of the key-value service
-	// can be. The key-value service may then already have changes later than Revision.
+	// can be. The key-value service may then already have further changes, which a call
+	// of RecordSource.Changes from Revision on returns without waiting.
 	More bool
 }
 
@@ -71,7 +72,8 @@
 // an earlier era have ended: for such a lease, Commit and Renew return a
 // LeaseEndedError and Release does nothing. All methods return an UnavailableError
 // if the key-value service was not available and nothing was changed, and an
-// UnknownOutcomeError if the reply was lost.
+// UnknownOutcomeError if the change may or may not have taken effect, because the reply was
+// lost or, for Commit, because a later era became known during the call.
 type LeasedStore interface {
 	// Commit applies all changes or none, and returns the new revision. It returns a
 	// ConflictError if a condition does not hold, and a LeaseEndedError if the lease of
@@ -82,7 +84,8 @@
 	// Renew restarts the lease's time to live when the key-value service receives the
 	// call. It returns a LeaseEndedError if the lease has ended.
 	Renew(ctx context.Context, lease LeaseID) error
-	// Release ends the lease and removes its records.
+	// Release ends the lease and removes its records. It returns a LeaseEndedError if the
+	// key-value service does not know the lease.
 	Release(ctx context.Context, lease LeaseID) error
 }
 
@@ -133,8 +136,9 @@
 	// available and nothing was written, and an UnknownOutcomeError if the reply was lost.
 	Swap(ctx context.Context, key string, revision Revision, value []byte) (Revision, error)
 	// Watch calls seen for the current records with the prefix and for each later
-	// change, until the context ends or the key-value service fails. A removed record has
-	// the zero revision. The error is an UnavailableError.
+	// change, until the context ends, the key-value service fails or was restored from an
+	// older backup, or it no longer has the next changes. A removed record has the zero
+	// revision. The error is an UnavailableError.
 	Watch(ctx context.Context, prefix string, seen func(Record)) error
 }
 
@@ -152,8 +156,8 @@
 	// Probe requests the state of an engine.
 	Probe(ctx context.Context, address string) (BoxState, error)
 	// SendOrder sends an order. It returns a ConflictError if the engine rejects the
-	// order, as after one with a higher planner epoch, and an UnknownOutcomeError if no
-	// reply arrives.
+	// order, as it does after an order with a higher planner epoch, and an
+	// UnknownOutcomeError if no reply arrives.
 	SendOrder(ctx context.Context, order Order) error
 }
 
@@ -205,10 +209,10 @@
 
 // PlanInput is the complete input of a planner.
 type PlanInput struct {
-	Now       time.Duration // on the clock of BoxView.LastReply
+	Now       time.Duration // time of planning, on the clock of BoxView.LastReply
 	Zone      ZoneID
 	Config    Config
-	Table     PlannerParameters // result of the policy program in use
+	Table     PlannerParameters // result of the policy program
 	Boxes     map[BoxID]BoxView
 	Placement Placement // the current placement of the zone
 }
--- a/liveness.go
+++ b/liveness.go
@@ -8,21 +8,23 @@
 const (
 	// Alive is also the state of nodes that the detector does not monitor.
 	Alive Liveness = iota
-	// Suspected nodes answered neither a ping nor the indirect pings that followed.
-	// They become dead unless they refute the suspicion in time.
+	// Suspected nodes answered neither a ping of this or another node nor the indirect
+	// pings that followed. They become dead unless they refute the suspicion in time.
 	Suspected
 	// Dead nodes did not refute the suspicion in time.
 	Dead
 	// Left nodes announced that they stop.
 	Left
-	// Unconfirmed nodes were listed as peers after the first seconds of this node's
-	// run, and nothing has shown yet that they are alive: neither a message from them
-	// nor a report of another node.
+	// Unconfirmed nodes were first listed as peers after this node's startup period
+	// (startupTrustTime in package swim), and neither a message from them nor a report of
+	// another node has shown yet that they are alive. Nodes that are listed during the
+	// startup period are presumed alive, since the whole fleet may be starting.
 	Unconfirmed
 )
 
-// String returns the name of the state for logs and operators. It returns "unknown"
-// for a state that only another version of the program defines.
+// String returns the name of the state for logs and operators; that of Unconfirmed is
+// "unheard". It returns "unknown" for a state that only another version of the program
+// defines.
 func (liveness Liveness) String() string {
 	switch liveness {
 	case Alive:
@@ -90,7 +92,7 @@
 	Tick(now time.Duration) []GossipDatagram
 	// Receive processes a message and returns the datagrams to send in response.
 	Receive(now time.Duration, message GossipMessage) []GossipDatagram
-	// Leave returns the datagrams that announce that this node stops.
+	// Leave returns the datagrams that announce to some other nodes that this node stops.
 	Leave(now time.Duration) []GossipDatagram
 	// Liveness returns the state of a node. Nodes that are not monitored are alive.
 	Liveness(peer NodeID) Liveness
--- a/names.go
+++ b/names.go
@@ -15,14 +15,14 @@
 // NewNonce returns a new random ID in hex.
 func NewNonce() string {
 	var raw [nonceBytes]byte
-	_, _ = rand.Read(raw[:])
+	_, _ = rand.Read(raw[:]) // Read of crypto/rand never fails
 	return hex.EncodeToString(raw[:])
 }
 
 // NewIncarnation returns an incarnation: the ID of a process that starts at the given
-// time. The ID consists of the time in milliseconds and four random hex digits. It sorts
-// after the IDs of processes that started on the same box at least a millisecond earlier,
-// unless the box's clock was set back in between.
+// time. The ID consists of the Unix time in milliseconds in base 36, a hyphen and four
+// random hex digits. It sorts after the IDs of processes that started on the same box in
+// an earlier millisecond, unless the box's clock was set back in between.
 func NewIncarnation(now time.Time) string {
 	return strconv.FormatInt(now.UnixMilli(), 36) + "-" + NewNonce()[:4]
 }
--- a/serving.go
+++ b/serving.go
@@ -111,7 +111,7 @@
 	Slots          int           // requests that a group runs concurrently
 	StepsPerPass   int           // steps of one pass; a stream sends an event at least once per pass
 	Chunk          int           // maximum prompt tokens that one step reads
-	Step           time.Duration // duration of a step without StepPerRequest and without reading
+	Step           time.Duration // duration of a step, without the time that running requests add (StepPerRequest) and the time to read prompts
 	StepPerRequest time.Duration // time that each running request adds to a step
 	ReadPerSecond  float64       // prompt tokens read per second; 0: the times are not known
 	LoadsPerSecond float64       // maximum rate of load starts on all boxes together
@@ -249,7 +249,7 @@
 type GroupOrder struct {
 	Kind    GroupOrderKind
 	To      InstanceID
-	Address string
+	Address string // host:port of the engine of To
 	Group   GroupID
 	Epoch   uint64
 	Model   ModelID
--- a/shedkeel.go
+++ b/shedkeel.go
@@ -233,7 +233,7 @@
 	Timeout   Duration        `json:"timeout" toml:"timeout"`       // maximum duration of a request
 	MaxWait   Duration        `json:"max_wait" toml:"max_wait"`     // maximum time that a request waits in the queue; 0: up to Timeout
 	Backends  []BackendServer `json:"backends" toml:"backends"`     // plain: the servers of the service
-	OncePaths []string        `json:"once_paths" toml:"once_paths"` // plain: path prefixes of the calls that must not be retried
+	OncePaths []string        `json:"once_paths" toml:"once_paths"` // plain: path prefixes of the calls that must run at most once; other than GET and HEAD, they need an idempotency key
 }
 
 // Account is a client account.
@@ -326,7 +326,7 @@
 type Order struct {
 	Kind         OrderKind  `json:"kind"`
 	Box          BoxID      `json:"box"`
-	Address      string     `json:"-"`
+	Address      string     `json:"-"` // host:port of the box's engine
 	Service      ServiceID  `json:"service"`
 	Assignment   Assignment `json:"assignment"`
 	PlannerEpoch uint64     `json:"planner_epoch"` // fencing token: epoch of the planner lease under which the order is sent; in a fallback, that of the placement
@@ -337,7 +337,7 @@
 // PlannerParameters are the parameters of the planner, which a policy program returns
 // as a table (see package policy).
 type PlannerParameters struct {
-	Spares     int  `json:"spares"`      // boxes to keep free in each fabric domain
+	Spares     int  `json:"spares"`      // boxes to keep free in each fabric domain when a group is formed in it; for a group across domains, in all domains together
 	WarmSpares bool `json:"warm_spares"` // free boxes load weights in advance
 	// ReplaceAfter is how long the planner waits for a member that does not reply
 	// before it replaces the member. The substitute loads the weights meanwhile.
