--- a/admit/admit.go
+++ b/admit/admit.go
@@ -115,7 +115,7 @@
 	meanRunTime       time.Duration              // moving average of the run times of completed requests; 0: none has completed
 }
 
-// Request is the input for Enter's decision.
+// Request is a request that asks for admission, with the data for Enter's decision.
 type Request struct {
 	Service        shedkeel.ServiceID
 	Account        shedkeel.AccountID
@@ -156,8 +156,9 @@
 
 // wait estimates how long a request is queued at a target before it begins. load
 // is the number of requests at the target without this one, capacity the number of
-// requests that the target runs concurrently. The estimate is 0 if the target has a
-// free slot, the capacity is 0 or less, or no request has completed yet.
+// requests that the target runs concurrently. The estimate assumes that each request runs
+// for the mean run time. It is 0 if the target has a free slot, the capacity is 0 or less, or
+// no request has completed yet.
 func (usage *usage) wait(load, capacity int) time.Duration {
 	if capacity <= 0 || load < capacity {
 		return 0
@@ -229,7 +230,7 @@
 
 const (
 	retryRatio     = 0.1 // retries that each first attempt restores to the budget
-	initialRetries = 10  // size of the budget: retries allowed in a row without first attempts
+	initialRetries = 10  // size of the budget: retries allowed in a row without first attempts in between
 )
 
 // FirstAttempt records the first attempt of a request.
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -75,15 +75,15 @@
 
 // TestFlood sends far more requests of one account than a busy service can run, and
 // checks that the other accounts get their weighted shares. The weights 1 (light),
-// 3 (heavy) and 1 (flood) divide 40 slots into 8, 24 and 8. The test allows flood one
-// request more than its share and light one less, and requires for heavy at least
-// three times the requests of light, less 3.
+// 3 (heavy) and 1 (flood) divide 40 slots into 8, 24 and 8. In the end, flood may have one
+// request more than its share in flight, light may have one less, and heavy must have at
+// least three times as many as light, less 3.
 func TestFlood(t *testing.T) {
 	gate := &Gate{}
 	running := map[shedkeel.AccountID]int{}
 	offer := func(account shedkeel.AccountID, count int) {
 		for range count {
-			if enter(gate, account, 10) == nil {
+			if enter(gate, account, 10) == nil { // a load of 10: the service is busy
 				running[account]++
 			}
 		}
@@ -101,7 +101,7 @@
 	for range running["flood"] {
 		gate.Leave("s", "flood", 0)
 	}
-	assert.NilError(t, enter(gate, "flood", 0))
+	assert.NilError(t, enter(gate, "flood", 0)) // a load of 0: the chosen target is free
 }
 
 // TestOnlyAccountMayUseWholeService checks that an account is not limited to a share of a busy
@@ -147,9 +147,9 @@
 	}
 }
 
-// TestBudget checks that, if every attempt fails and each request asks for two
-// retries, the retries stay within the budget and are at least 90% of the fraction
-// retryRatio of first attempts.
+// TestBudget checks that, if each request asks for two retries, the retries allowed stay
+// within the budget and are at least 90% of those that the first attempts restore
+// (retryRatio).
 func TestBudget(t *testing.T) {
 	budget := &RetryBudget{}
 	retries := 0
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -49,9 +49,9 @@
 	var buffer bytes.Buffer
 	log, err := NewLog(&buffer, "warn")
 	assert.NilError(t, err)
-	log.Write(Started)
+	log.Write(Started) // of the level info
 	assert.Equal(t, buffer.Len(), 0, "an event below the level was written")
-	log.Write(StoreUnavailable, slog.String("error", "x"))
+	log.Write(StoreUnavailable, slog.String("error", "x")) // of the level warn
 	var line map[string]any
 	assert.NilError(t, json.Unmarshal(buffer.Bytes(), &line))
 	assert.Equal(t, line["event"], 200.0) // the number of StoreUnavailable
@@ -85,7 +85,7 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("a write to the queue blocked")
 	}
-	// The queue holds queueLines lines, and the blocked writer one more.
+	// Of the 2*queueLines lines, the queue holds queueLines and the blocked writer one more.
 	assert.Assert(t, queue.Dropped() >= queueLines-1, "the queue did not count the lines that it dropped")
 	close(writer.release)
 	queue.Close()
@@ -97,7 +97,7 @@
 	var buffer bytes.Buffer
 	log, err := NewBoundedLog(&buffer, "info")
 	assert.NilError(t, err)
-	for range 3 * routineRate {
+	for range 3 * routineRate { // fewer than warningRate
 		log.With("node", "n").Write(Answered)
 		log.Write(Refused)
 	}
@@ -106,7 +106,8 @@
 	count := func(number int) int {
 		return bytes.Count(buffer.Bytes(), fmt.Appendf(nil, `"event":%d`, number))
 	}
-	// A burst of routineRate lines, and some more that the limit allows while the loop runs.
+	// The limit allows a burst of routineRate lines, and routineRate lines per second while
+	// the loop runs, which must take less than 0.5 s.
 	assert.Assert(t, count(Answered.Number) < routineRate*3/2, "%d lines of an info event were written", count(Answered.Number))
 	assert.Equal(t, count(Refused.Number), 3*routineRate, "a warning was dropped at a rate that is within its limit")
 	assert.Equal(t, count(LinesDropped.Number), 1, "want one report, for the event Answered")
@@ -119,7 +120,7 @@
 	log, err := NewBoundedLog(io.Discard, "info")
 	assert.NilError(t, err)
 	defer log.Close()
-	log.Write(Refused, slog.String("request", "forgotten"))
+	log.Write(Refused, slog.String("request", "forgotten")) // later overwritten in the ring buffer
 	for range recentLines {
 		log.write(Answered, slog.String("request", "r")) // write has no rate limit
 	}
--- a/event/queue.go
+++ b/event/queue.go
@@ -17,7 +17,7 @@
 	// about 300 bytes each the lines take 0.6 MB.
 	queueLines = 2048
 	// recentLines is how many lines are kept in memory for operators who query a
-	// running process. At about 300 bytes each the lines take 0.6 MB.
+	// running process (see Recent). At about 300 bytes each the lines take 0.6 MB.
 	recentLines = 2048
 	// routineRate is the maximum number of lines per second, and in one burst, for each
 	// event below the level warn. A node serves about 20 requests per second, so the
@@ -29,8 +29,9 @@
 	warningRate = 400
 )
 
-// Queue is an io.Writer that writes lines in the background, so that callers never
-// block on a slow writer. It drops and counts lines while it is full.
+// Queue is an io.Writer that passes lines to another writer in the background, so that
+// callers never block on a slow writer. While it is full, it drops new lines and counts
+// them. It also keeps the latest lines in memory (see Recent).
 type Queue struct {
 	lines     chan []byte
 	dropped   atomic.Int64
@@ -122,9 +123,9 @@
 
 // rateLimits are the rate limits of the events, by event number.
 type rateLimits struct {
-	mutex   sync.Mutex
-	events  map[int]*rate.Limiter
-	dropped map[int]int64 // lines dropped since the last takeDropped
+	mutex    sync.Mutex
+	limiters map[int]*rate.Limiter
+	dropped  map[int]int64 // lines dropped since the last takeDropped
 }
 
 // allow reports whether a line of the event may be written now, and counts the
@@ -132,18 +133,18 @@
 func (limits *rateLimits) allow(event Event) bool {
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
-	if limits.events == nil {
-		limits.events = map[int]*rate.Limiter{}
+	if limits.limiters == nil {
+		limits.limiters = map[int]*rate.Limiter{}
 		limits.dropped = map[int]int64{}
 	}
-	limiter := limits.events[event.Number]
+	limiter := limits.limiters[event.Number]
 	if limiter == nil {
 		limit := routineRate
 		if event.Level >= slog.LevelWarn {
 			limit = warningRate
 		}
 		limiter = rate.NewLimiter(rate.Limit(limit), limit)
-		limits.events[event.Number] = limiter
+		limits.limiters[event.Number] = limiter
 	}
 	if limiter.Allow() {
 		return true
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -25,7 +25,8 @@
 	// MaxSize bounds the source of a policy, in bytes.
 	MaxSize = 64 << 10
 
-	// maxSpares and maxPatience bound the arguments of table(...).
+	// maxSpares bounds the argument spares of table(...), and maxPatience the arguments
+	// patience_seconds and warm_patience_seconds.
 	maxSpares   = 1000
 	maxPatience = time.Hour
 )
@@ -34,7 +35,7 @@
 // Keepers do not measure the two times: they pass those of SampleFacts.
 type Facts struct {
 	Zone           shedkeel.ZoneID
-	GroupSize      int           // most boxes per group of any service, in whatever zones
+	GroupSize      int           // boxes per group of the service with the largest groups, whatever its zones
 	DomainBoxes    int           // boxes in the zone's largest fabric domain
 	Domains        int           // fabric domains in the zone
 	RestartTime    time.Duration // typical time that a box does not respond while it restarts
@@ -110,7 +111,8 @@
 	})
 }
 
-// tableValue is the Starlark value that table(...) returns.
+// tableValue is the Starlark value that table(...) returns. Its Struct, which has no fields,
+// provides the methods of starlark.Value.
 type tableValue struct {
 	*starlarkstruct.Struct
 	table shedkeel.PlannerParameters
@@ -146,7 +148,7 @@
 		return nil, err
 	}
 	fraction, ok := starlark.AsFloat(stormFraction)
-	if !ok || !(fraction >= 0 && fraction <= 1) {
+	if !ok || !(fraction >= 0 && fraction <= 1) { // also true for NaN
 		return nil, errors.New("storm_fraction must be a number from 0 to 1")
 	}
 	if table.Spares < 0 || table.Spares > maxSpares {
@@ -160,7 +162,7 @@
 // returns an error if the value is not a number from 0 to maxPatience.
 func durationArgument(name string, value starlark.Value) (time.Duration, error) {
 	seconds, ok := starlark.AsFloat(value)
-	if !ok || !(seconds >= 0 && seconds <= maxPatience.Seconds()) {
+	if !ok || !(seconds >= 0 && seconds <= maxPatience.Seconds()) { // also true for NaN
 		return 0, fmt.Errorf("%s must be a number from 0 to %g", name, maxPatience.Seconds())
 	}
 	return time.Duration(seconds * float64(time.Second)), nil
@@ -197,7 +199,7 @@
 	return policy.Name
 }
 
-// invalid returns an InvalidError that names the policy instead of a position in it.
+// invalid returns an InvalidError whose Where is the policy's name, without a position.
 func invalid(policy shedkeel.Policy, what, remedy string) error {
 	return &shedkeel.InvalidError{Where: policy.Name, What: what, Remedy: remedy}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -64,7 +64,7 @@
 }
 
 // TestEmptyPolicyIsTheDefault checks that a policy without a program gives DefaultTable,
-// with its ReplaceAfter of 20 s.
+// and that the ReplaceAfter of DefaultTable is 20 s.
 func TestEmptyPolicyIsTheDefault(t *testing.T) {
 	table, err := Run(shedkeel.Policy{}, SampleFacts())
 	assert.NilError(t, err)
