--- a/instance_test.go
+++ b/instance_test.go
@@ -57,8 +57,8 @@
 		if fields.Field(index).Name == "Draining" {
 			field.SetBool(true)
 		}
-		assert.Equal(t, known.EqualExceptSequence(&other), fields.Field(index).Name == "Sequence", fields.Field(index).Name)
-		assert.Equal(t, other.EqualExceptSequence(&known), fields.Field(index).Name == "Sequence", fields.Field(index).Name)
+		assert.Equal(t, known.EqualExceptSequence(&other), fields.Field(index).Name == "Sequence", "changed field: %s", fields.Field(index).Name)
+		assert.Equal(t, other.EqualExceptSequence(&known), fields.Field(index).Name == "Sequence", "changed field: %s", fields.Field(index).Name)
 	}
 	other := record()
 	other.Member.Epoch++
--- a/mutants_test.go
+++ b/mutants_test.go
@@ -40,7 +40,7 @@
 	"server rate limits: retries need no permit": {
 		"serve/permit.go", "if !choice.Limited ||", "if !mayWait || !choice.Limited ||", "TestEveryAttemptNeedsPermit", "./serve",
 	},
-	"server rate limits: a new granter does not wait": {
+	"server rate limits: a new granter does not wait for handoverDelay": {
 		"ratelimit/granter.go", "grantsFrom: max(now, request.SettledSince+handoverDelay)", "grantsFrom: now", "TestGranterHandover", "./ratelimit",
 	},
 	"server rate limits: an answer that arrives late lifts a limit": {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -31,8 +31,8 @@
 	maxPatience = time.Hour
 )
 
-// Facts is the input of plan. All fields except GroupSize describe an availability zone.
-// Keepers do not measure the two times: they pass those of SampleFacts.
+// Facts is the input of plan. Zone, DomainBoxes and Domains describe one availability zone.
+// Keepers do not measure RestartTime and WeightLoadTime: they pass those of SampleFacts.
 type Facts struct {
 	Zone           shedkeel.ZoneID
 	GroupSize      int           // boxes per group of the service with the largest groups, whatever its zones
--- a/serving.go
+++ b/serving.go
@@ -195,8 +195,8 @@
 	return Assignment{Group: membership.Group, Epoch: membership.Epoch}
 }
 
-// Instance is the record that an instance of a backend server writes into the
-// platform's list.
+// Instance is the decoded record that an instance of a backend server writes to the
+// key-value service.
 type Instance struct {
 	ID       InstanceID
 	Service  ServiceID
--- a/shedkeel.go
+++ b/shedkeel.go
@@ -105,7 +105,7 @@
 
 // Reserve is a box that a committed placement names in advance. While the key-value
 // service is not available, the box may replace one lost member of the group. Epoch is
-// the group's epoch after that. The box is reserved for this group alone.
+// the group's epoch after this replacement. The box is reserved for this group alone.
 type Reserve struct {
 	Member Member `json:"member"`
 	Epoch  uint64 `json:"epoch"`
@@ -251,8 +251,8 @@
 	Program string `json:"program" toml:"program"` // Starlark source
 }
 
-// Config is the committed configuration record: the last change by operators that
-// was accepted.
+// Config is the committed configuration record: the configuration after the last change
+// by operators that was accepted.
 type Config struct {
 	Generation uint64    `json:"generation"`  // increases by one with each accepted change
 	Nonce      string    `json:"nonce"`       // random ID of the write; shows whether a write took effect whose reply was lost
