--- a/dispatch/backoff_simulation_test.go
+++ b/dispatch/backoff_simulation_test.go
@@ -13,7 +13,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// sizes makes TestBackoffStrategies simulate all sizes and seeds.
+// sizes makes TestBackoffStrategies simulate 9 and 66 nodes with ten seeds each, instead of 9
+// nodes with three seeds.
 var sizes = flag.Bool("sizes", false, "compare backoff strategies at all sizes")
 
 // strategy is how nodes act on a backoff that a server asks for. In all strategies, the
@@ -29,7 +30,7 @@
 	name     string
 	strategy strategy
 }{
-	{"ignored after the request", strategy{}},
+	{"ignored by later requests", strategy{}},
 	{"broadcast to all nodes", strategy{honors: true, broadcasts: true}},
 	{"each node for itself", strategy{honors: true}},
 	{"broadcast to all nodes, with a probe", strategy{honors: true, broadcasts: true, probes: true}},
@@ -123,8 +124,8 @@
 	return simulation
 }
 
-// run sends requests for simDuration as a Poisson process of that rate per second, and returns
-// when each request was served or lost.
+// run sends requests for simDuration as a Poisson process of that rate per second, and returns once
+// every request has been served or lost.
 func (simulation *simulation) run(rate float64) {
 	for at := time.Duration(0); at < simDuration; at += time.Duration(simulation.random.ExpFloat64() / rate * float64(time.Second)) {
 		heap.Push(&simulation.events, simEvent{at, func() { simulation.send(simulation.random.IntN(len(simulation.nodes)), nil) }})
@@ -148,10 +149,11 @@
 	simulation.after(link, func() { simulation.arrive(node, choice, excluded, link) })
 }
 
-// arrive delivers a request to its server, which runs or rejects it. A node violates a
-// backoff if three of its requests arrive during the backoff, after its first 500 ms. An
-// overloaded server asks for a backoff of 3 s, a server whose slots are taken for 500 ms. link is
-// the delay after which the rejection reaches the node.
+// arrive delivers a request to its server, which runs or rejects it. An overloaded server asks
+// for a backoff of 3 s, a server whose slots are taken for one of 500 ms. A node violates a backoff,
+// once, when the third of its requests arrives during the backoff; requests in the first 500 ms do
+// not count. A backoff of 500 ms can thus practically not be violated. link is the delay after
+// which the rejection reaches the node.
 func (simulation *simulation) arrive(node int, choice *Choice, excluded []shedkeel.InstanceID, link time.Duration) {
 	server := simulation.servers[0]
 	for _, other := range simulation.servers {
@@ -191,7 +193,8 @@
 }
 
 // handleRejection applies the backoff of a server that rejected a request, at the nodes that the
-// strategy says, and sends the request to another server. A broadcast takes 5 ms.
+// strategy says, and sends the request to another server. A broadcast reaches all nodes after
+// 5 ms.
 func (simulation *simulation) handleRejection(node int, choice *Choice, length time.Duration, excluded []shedkeel.InstanceID) {
 	choice.End(true, simulation.now)
 	until := simulation.now + length
@@ -219,19 +222,19 @@
 // overloaded. The last strategy must violate no backoff, and serve as large a share of the
 // requests as any other strategy that violates none, within 2 percentage points.
 func TestBackoffStrategies(t *testing.T) {
-	nodes, seeds := []int{9}, 3
+	nodeCounts, seeds := []int{9}, 3
 	if *sizes {
-		nodes, seeds = []int{9, 66}, 10
+		nodeCounts, seeds = []int{9, 66}, 10
 	}
 	const servers = 12
-	for _, count := range nodes {
+	for _, nodes := range nodeCounts {
 		for _, overloaded := range []int{2, 6, servers} {
 			for _, load := range []float64{0.5, 0.9} { // share of the capacity of all servers
 				best, current, violations := 0.0, 0.0, 0
 				for _, candidate := range strategies {
 					var sum simulation
 					for seed := range seeds {
-						simulation := newSimulation(candidate.strategy, uint64(seed), count, servers, overloaded)
+						simulation := newSimulation(candidate.strategy, uint64(seed), nodes, servers, overloaded)
 						simulation.run(load * servers * simSlots / simRequestTime.Seconds())
 						sum.sent += simulation.sent
 						sum.served += simulation.served
@@ -241,7 +244,7 @@
 					}
 					served := float64(sum.served) / float64(sum.sent)
 					t.Logf("%2d nodes, %2d of %d overloaded, load %.1f, %-38s served %.3f (%.3f at the first attempt), rejected %6.1f/s, violations %d",
-						count, overloaded, servers, load, candidate.name, served, float64(sum.served-sum.retried)/float64(sum.sent), float64(sum.rejected)/simDuration.Seconds()/float64(seeds), sum.violations)
+						nodes, overloaded, servers, load, candidate.name, served, float64(sum.served-sum.retried)/float64(sum.sent), float64(sum.rejected)/simDuration.Seconds()/float64(seeds), sum.violations)
 					if sum.violations == 0 {
 						best = max(best, served)
 					}
--- a/dispatch/condition_test.go
+++ b/dispatch/condition_test.go
@@ -12,7 +12,7 @@
 	"shedkeel.org/shedkeel"
 )
 
-// plainTable returns a table of plain servers.
+// plainTable returns a table of plain servers with four slots each.
 func plainTable(names ...shedkeel.InstanceID) *Table {
 	table := &Table{Random: rand.NewPCG(1, 2)}
 	var servers []Server
@@ -161,7 +161,7 @@
 		t.Run(name, func(t *testing.T) {
 			table := plainTable("a", "b")
 			test.apply(table)
-			end, backsOff := table.BackoffEnd(Query{Service: "s", Now: 1})
+			end, backsOff := table.BackoffEnd(Query{Service: "s", Now: 1}) // 1 ns after the calls
 			assert.Equal(t, backsOff, test.want)
 			assert.Equal(t, end, test.end)
 		})
--- a/dispatch/limit_test.go
+++ b/dispatch/limit_test.go
@@ -120,7 +120,7 @@
 		name := shedkeel.InstanceID(rune('a' + index))
 		servers = append(servers, Server{Service: "s", Model: "m", Instance: name, Slots: 8})
 		if limited {
-			table.SetLimit(name, 2, true)
+			table.SetLimit(name, 2, true) // two requests per second
 		}
 	}
 	table.Replace(servers)
--- a/dispatch/spread_test.go
+++ b/dispatch/spread_test.go
@@ -37,18 +37,18 @@
 		tables[number] = &Table{Zone: "z", Random: rand.NewPCG(seed, uint64(number))}
 		tables[number].Replace(servers)
 	}
-	running := make([]map[shedkeel.InstanceID]int, spreadSimulation.processes)
+	running := make([]map[shedkeel.InstanceID]int, spreadSimulation.processes) // requests of each process, by group
 	for number := range running {
 		running[number] = map[shedkeel.InstanceID]int{}
 	}
-	owner := map[time.Duration]int{} // the process that sent the request, by the time of the request
-	sent := map[shedkeel.InstanceID][]time.Duration{}
-	choices := map[time.Duration]*Choice{} // of the running requests, by the time of the request
+	owner := map[time.Duration]int{}                  // the process that sent the request, by the time of the request
+	sent := map[shedkeel.InstanceID][]time.Duration{} // times of all requests, by group
+	choices := map[time.Duration]*Choice{}            // of the running requests, by the time of the request
 	count := 0
 	for now := time.Minute; now < 2*time.Minute; now += time.Duration(random.ExpFloat64() / spreadSimulation.rate * float64(time.Second)) {
 		for began, choice := range choices {
 			if now-began > choice.expectedResponseTime() {
-				choice.RecordResponse(now)
+				choice.RecordResponse(now) // the group sends events from then on
 			}
 			if now-began > time.Second { // the stream ends after a second
 				choice.End(false, now)
@@ -139,8 +139,8 @@
 	const now = time.Minute
 	cases := map[string]struct {
 		alter    func(*Table, *Server) // changes the state of the second group
-		zone     shedkeel.ZoneID
-		maxCount int // bounds on the requests of ten that the second group gets
+		zone     shedkeel.ZoneID       // of the reporter
+		maxCount int                   // bounds on the requests of ten that the second group gets
 		minCount int
 	}{
 		"equal, and the reporter is in the first's zone": {func(*Table, *Server) {}, "z", 5, 5},
@@ -169,7 +169,7 @@
 			second := Server{Service: "s", Model: "m", Instance: "second", Zone: "far", Group: shedkeel.Assignment{Group: "m/d/2", Epoch: 1}, Slots: 26, PrefillRate: 23_000}
 			table.Replace([]Server{first, second})
 			for _, state := range table.servers {
-				state.scoresUpdated = now
+				state.scoresUpdated = now // so that decayPenalties leaves the altered ratios and rates as they are
 			}
 			test.alter(table, &second)
 			got := map[shedkeel.InstanceID]int{}
@@ -201,7 +201,7 @@
 
 // TestPreferredServer checks in which states of the recommended group Choose follows the
 // recommendation (Query.Preferred). The recommended group b is in another zone; the other group
-// is idle and in the zone of the process.
+// is idle and in the zone of the process. The group c is not in the table.
 func TestPreferredServer(t *testing.T) {
 	const now = time.Minute
 	cases := map[string]struct {
--- a/dispatch/stall.go
+++ b/dispatch/stall.go
@@ -34,7 +34,8 @@
 	// is expected to send no answer. The server counts as stalled stallMargin later.
 	plainStallTimeout = 500 * time.Millisecond
 	// avoidDuration is how long a stalled server is avoided after the last call of
-	// FindStalled that found the server stalled.
+	// FindStalled that found the server stalled, unless the server responds before
+	// (RecordResponse).
 	avoidDuration = 1500 * time.Millisecond
 	// defaultPrefillRate applies to servers that state no prefill rate, in tokens per second.
 	defaultPrefillRate = 40_000
@@ -158,11 +159,12 @@
 	}
 }
 
-// AvoidGroup keeps new requests from the group of that epoch for the duration, because a
-// liveness probe or another node has found that the group has lost a member or stalls. It
-// notifies the requests that run there and have no notice yet. It does nothing for a group
-// that has sent an event to this process within the last maxDecodeGap, or for which the first
-// request after an idle period was chosen within that time.
+// AvoidGroup keeps new requests from the group of that epoch for the duration, or until the
+// group responds to this process (RecordResponse), because a liveness probe or another node has
+// found that the group has lost a member or stalls. It notifies the requests that run there and
+// have no notice yet. It does nothing for a group that has sent an event to this process within
+// the last maxDecodeGap, or for which the first request after an idle period was chosen within
+// that time.
 func (table *Table) AvoidGroup(group shedkeel.Assignment, now, duration time.Duration) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
--- a/dispatch/table_test.go
+++ b/dispatch/table_test.go
@@ -106,7 +106,7 @@
 	waiting := table.Choose(Query{Service: "llm", Model: "m", Exclude: []shedkeel.InstanceID{"b"}})
 	choice.RecordResponse(100 * time.Millisecond)
 	const timeout = defaultMaxEventGap + stallMargin
-	assert.Equal(t, len(table.FindStalled(100*time.Millisecond+timeout-1)), 0, "too early")
+	assert.Equal(t, len(table.FindStalled(100*time.Millisecond+timeout-1)), 0, "a stall was reported too early")
 
 	now := 100*time.Millisecond + timeout
 	found := table.FindStalled(now)
