--- a/formation/demand_test.go
+++ b/formation/demand_test.go
@@ -16,9 +16,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// demandOf returns the demand for the large and the small model of five seconds at the given
-// rates, in requests per second, with the request sizes that the configured shares are based
-// on.
+// demandOf returns what callers ask of the two models in five seconds, at large and small
+// requests per second. The tokens per request are those that the configured shares are based on.
 func demandOf(large, small float64) map[shedkeel.ModelID]shedkeel.ModelDemand {
 	const seconds = 5
 	return map[shedkeel.ModelID]shedkeel.ModelDemand{
@@ -145,16 +144,17 @@
 	}
 }
 
-// TestHostsOfSmallGroupsStageLargeModel checks that, before traffic starts, hosts of small
-// groups load the large model, except those of one group per domain. After a shift of demand
-// to the large model, at least two more of its groups must then serve sooner than a load takes.
+// TestHostsOfSmallGroupsStageLargeModel checks that, before traffic starts, hosts of the small
+// model's groups load the large model, except the hosts of one group per domain. After a shift
+// of demand to the large model, at least two more groups of the large model must then serve
+// sooner than a load takes.
 func TestHostsOfSmallGroupsStageLargeModel(t *testing.T) {
 	fleet := newFakeFleet(3, 6, 8)                                          // seed 3; six domains of eight servers
 	fleet.engine.Models[0].Share, fleet.engine.Models[1].Share = 0.33, 0.67 // swapped
 	planner := plannerOfTerm(1)
 	fleet.run(planner, time.Minute, beforeTraffic)
 	before := fleet.serving()["large"]
-	hosted := map[shedkeel.DomainID]map[shedkeel.ModelID]int{} // number of members of small groups, by the model on their hosts
+	hosted := map[shedkeel.DomainID]map[shedkeel.ModelID]int{} // members of the small model's groups in each domain, by the model whose weights their host holds
 	for _, server := range fleet.servers {
 		if server.Member == nil || ModelOf(server.Member.Group) != "small" {
 			continue
@@ -168,7 +168,7 @@
 		assert.Equal(t, held["small"], 2, "%s: hosts of one group keep their own model's weights: %v", domain, held)
 	}
 	clear(fleet.orderCounts)
-	fleet.demand = demandOf(largeRate, smallRate)
+	fleet.demand = demandOf(largeRate, smallRate)                                               // most of the work is then for the large model, whose configured share is 0.33
 	fleet.run(planner, imbalanceTime+fleet.engine.Models[0].Warmup+2*time.Second, underTraffic) // 6.6 s; a load takes 16 s
 	t.Logf("%d large groups before, %v now, orders %v", before, fleet.serving(), fleet.orderCounts)
 	assert.Assert(t, fleet.serving()["large"] >= before+2, "%v", fleet.serving())
@@ -181,7 +181,7 @@
 
 // TestRulesHoldWhileGroupsAreReleased shifts the demand between models while members are lost
 // or unreachable, orders are lost or carried out late, and planners change. It makes the checks
-// of runReleaseHistory, and checks that the histories contain orders to close a group.
+// of runReleaseHistory, and checks that at least one history contains an order to close a group.
 func TestRulesHoldWhileGroupsAreReleased(t *testing.T) {
 	t.Parallel()
 	var closeOrders atomic.Int64
@@ -203,7 +203,7 @@
 func TestHistoriesThatFailed(t *testing.T) {
 	t.Parallel()
 	seeds := map[string]int{
-		"a late list shows members that were ordered elsewhere":                    227,
+		"the list lags and shows members that were ordered elsewhere":              227,
 		"a head that has left joins again through a late order":                    388,
 		"a head opens late, after its group was formed again without some members": 296,
 	}
@@ -212,22 +212,24 @@
 	}
 }
 
-// runReleaseHistory simulates one random history, and two minutes without faults after it. It
-// checks that no rule of the package comment is violated and that at least four groups of each
-// model serve at the end. It returns the number of orders to close a group in the history.
+// runReleaseHistory simulates one random history, which the seed determines, and two minutes
+// without faults after it. It checks that no rule of the package comment is violated and that at
+// least four groups of each model serve at the end. It returns the number of orders to close a
+// group in the history, without those of the two minutes.
 func runReleaseHistory(t *testing.T, seed int) int {
 	t.Helper()
 	fleet := newFakeFleet(uint64(seed), 6, 8) // six domains of eight servers
 	term := uint64(1)
 	planner := plannerOfTerm(term)
-	fleet.lagSteps = seed % 4 // the list is 0 to 150 ms late
+	fleet.lagSteps = seed % 4 // the planner sees the list of servers 0 to 150 ms late
 	fleet.run(planner, time.Minute, beforeTraffic)
 	clear(fleet.orderCounts)
 	for round := range 24 {
 		if round%6 == 0 {
+			// At most twice the large and four times the small model's rate.
 			fleet.demand = demandOf(2*largeRate*fleet.random.Float64(), 4*smallRate*fleet.random.Float64())
 		}
-		fleet.answerLoss = []float64{0, 0, 0.3}[round%3] // 30% of answers are lost in every third round
+		fleet.answerLoss = []float64{0, 0, 0.3}[round%3] // in every third round, 30% of the orders are not answered and are carried out late (deliver)
 		fleet.run(planner, time.Duration(fleet.random.Int64N(int64(10*time.Second))), underTraffic)
 		fleet.killRandom()
 		fleet.addServer(shedkeel.DomainID(fmt.Sprintf("d%d", fleet.random.IntN(6))))
--- a/formation/fake_test.go
+++ b/formation/fake_test.go
@@ -9,8 +9,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// testEngine returns an engine with a model whose groups have four members and one whose
-// groups have two.
+// testEngine returns an engine with the model large, whose groups have four members, and the
+// model small, whose groups have two.
 func testEngine() *shedkeel.Engine {
 	return &shedkeel.Engine{
 		Slots: 26, LoadsPerSecond: 4, LoadsAtOnce: 6, ReadPerSecond: 46_000, StepPerRequest: 241 * time.Microsecond,
@@ -60,7 +60,7 @@
 	now         time.Duration
 	servers     map[shedkeel.InstanceID]*fakeServer
 	lateOrders  []lateOrder
-	answerLoss  float64 // probability that the answer to an order is lost
+	answerLoss  float64 // probability that an order is not answered and is carried out late (deliver)
 	violations  []string
 	lastServer  int    // number in the name of the server that was added last
 	laterTerms  uint64 // number of terms (plannerOfTerm) after the first one
@@ -346,9 +346,11 @@
 	}
 }
 
-// deliver sends a plan's orders to the servers. With probability answerLoss, an order is not
-// answered and is carried out 2 to 12 s late, unless the server has died by then. Orders to
-// dead, unreachable and partitioned servers are lost.
+// deliver sends a plan's orders to the servers and reports to the planner whether each order was
+// confirmed, refused or not answered. Orders to dead, unreachable and partitioned servers are lost
+// and not answered. With probability answerLoss, an order to another server is not answered and
+// is carried out 2 to 12 s late, unless the server has died by then. deliver also counts each
+// order in orderCounts and applies checkOrder to it.
 func (fleet *fakeFleet) deliver(planner *Planner, actions []Action) {
 	for _, action := range actions {
 		fleet.orderCounts[action.Order.Kind]++
--- a/formation/fleet_test.go
+++ b/formation/fleet_test.go
@@ -20,8 +20,8 @@
 	assert.Equal(t, len(fleet.violations), 0, "%v", fleet.violations)
 }
 
-// TestRulesHoldUnderFaults kills servers and replaces planners while answers to orders are
-// lost and these orders are carried out late. It checks that no rule of the package comment is
+// TestRulesHoldUnderFaults kills servers and replaces planners while some orders are not
+// answered and are carried out late. It checks that no rule of the package comment is
 // violated and that, a minute after the last fault, at least four groups of each model serve.
 // With all servers, six groups of each would serve; here servers are lost in random domains and
 // added to other random domains, so a domain may lack servers for a group of each model.
@@ -34,10 +34,10 @@
 	for seed := range seeds {
 		fleet := newFakeFleet(uint64(seed), 6, 8) // six domains of eight servers
 		planner := plannerOfTerm(1)
-		fleet.lagSteps = seed % 4 // the list is 0 to 150 ms late
+		fleet.lagSteps = seed % 4 // the planner sees the list of servers 0 to 150 ms late
 		fleet.run(planner, 30*time.Second, beforeTraffic)
 		for round := range 12 {
-			fleet.answerLoss = []float64{0, 0.3}[round%2] // 30% of answers are lost in every other round
+			fleet.answerLoss = []float64{0, 0.3}[round%2] // in every other round, 30% of the orders are not answered and are carried out late (deliver)
 			fleet.run(planner, time.Duration(fleet.random.Int64N(int64(4*time.Second))), underTraffic)
 			planner = fleet.injectLossAndTakeover(planner, 3) // a takeover in a third of the rounds on average
 		}
@@ -82,7 +82,9 @@
 // TestRulesHoldWhileServersArePartitioned partitions each server with probability 1/3 from the
 // planner and the list for 2 to 10 s, while the server goes on serving. Planners change
 // meanwhile. There are not enough substitutes, and the remaining members of a group must not
-// be used in other groups while its head serves.
+// be used in other groups while its head serves. The test checks that no rule of the package
+// comment is violated and that, a minute after the last round, at least five groups of each model
+// serve.
 func TestRulesHoldWhileServersArePartitioned(t *testing.T) {
 	t.Parallel()
 	for seed := range 40 {
@@ -98,7 +100,7 @@
 				}
 			}
 			fleet.run(planner, time.Duration(fleet.random.Int64N(int64(4*time.Second))), underTraffic)
-			if fleet.random.IntN(2) == 0 {
+			if fleet.random.IntN(2) == 0 { // a takeover in half of the rounds on average
 				term++
 				planner = plannerOfTerm(term)
 			}
@@ -109,18 +111,18 @@
 }
 
 // TestRulesHoldWhileServersRestart restarts three random servers per round while orders are
-// carried out late without an answer. In every fourth round it also kills a server and may
-// replace the planner. The current instance of a server carries out late orders to earlier
+// carried out late without an answer. In every fourth round it also kills a server, adds one and
+// may replace the planner. The current instance of a server carries out late orders to earlier
 // instances. It makes the same checks as TestRulesHoldUnderFaults.
 func TestRulesHoldWhileServersRestart(t *testing.T) {
 	t.Parallel()
 	for seed := range 60 {
 		fleet := newFakeFleet(uint64(seed), 6, 8) // six domains of eight servers
 		planner := plannerOfTerm(1)
-		fleet.lagSteps = seed % 4 // the list is 0 to 150 ms late
+		fleet.lagSteps = seed % 4 // the planner sees the list of servers 0 to 150 ms late
 		fleet.run(planner, 30*time.Second, beforeTraffic)
 		for round := range 12 {
-			fleet.answerLoss = []float64{0, 0.3}[round%2] // 30% of answers are lost in every other round
+			fleet.answerLoss = []float64{0, 0.3}[round%2] // in every other round, 30% of the orders are not answered and are carried out late (deliver)
 			fleet.run(planner, time.Duration(fleet.random.Int64N(int64(4*time.Second))), underTraffic)
 			for range 3 {
 				if living := fleet.living(); len(living) > 0 {
@@ -214,7 +216,8 @@
 	}
 }
 
-// killMember kills a member, not the head, of a group of the model in the domain.
+// killMember kills a live member, not the head, of a group of the model in the domain: the first
+// by name, if there is any.
 func (fleet *fakeFleet) killMember(domain shedkeel.DomainID, model shedkeel.ModelID) {
 	for _, id := range slices.Sorted(maps.Keys(fleet.servers)) {
 		server := fleet.servers[id]
@@ -277,7 +280,7 @@
 	planner := plannerOfTerm(1)
 	fleet := newFakeFleet(4, 1, 8) // seed 4; one domain of eight servers
 	fleet.run(planner, 30*time.Second, beforeTraffic)
-	order := shedkeel.GroupOrder{Kind: shedkeel.OrderJoin, To: "s001"}
+	order := shedkeel.GroupOrder{Kind: shedkeel.OrderJoin, To: "s001"} // any server of the fleet
 	for range maxUnanswered {
 		planner.Unanswered(order, fleet.now)
 	}
@@ -416,7 +419,7 @@
 		assert.Assert(t, recent <= 20, "%d loads within %s", recent, loadWindow)
 		assert.Assert(t, len(planner.Loading()) <= fleet.engine.LoadsAtOnce, "%d loads at once", len(planner.Loading()))
 	}
-	assert.Assert(t, len(loads) > 20, "loads continue")
+	assert.Assert(t, len(loads) > 20, "no more loads were ordered than one loadWindow allows")
 }
 
 // TestLateJoinOfRestartedServer restarts a member while an order to join its group, which the
--- a/formation/form_test.go
+++ b/formation/form_test.go
@@ -24,8 +24,9 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			var listed []shedkeel.Instance
-			// add lists servers of a domain: the members of an open group, or spares if group is
-			// "". Otherwise group only makes the IDs unique.
+			// add lists servers of a domain that have loaded the model: the members of an open
+			// group, or spares if group is "". Otherwise group only makes the IDs unique. The number
+			// of servers listed before is the index in the name of the group.
 			add := func(model shedkeel.ModelID, domain string, group string, size int) {
 				for rank := range size {
 					instance := shedkeel.Instance{
@@ -49,7 +50,7 @@
 				add("small", fmt.Sprint("b", index), "s", 2)
 			}
 			add("small", "d", "s", 2)
-			add("large", "d", "", 4)
+			add("large", "d", "", 4) // four spares that have loaded the large model
 			planner := plannerOfTerm(1)
 			input := Input{Now: time.Minute, Engine: testEngine(), Instances: listed, Traffic: true}
 			planner.Plan(input)
--- a/formation/planner.go
+++ b/formation/planner.go
@@ -188,9 +188,11 @@
 	return round.actions
 }
 
-// Confirmed records that an engine accepted the order. For an order to leave it records that
-// the head has left, and if a reallocation releases the group, the group's members are free
-// from then on.
+// Confirmed records that an engine accepted the order. For an order to join a formation in
+// progress it records that the member has confirmed, and if that member is the head, the other
+// members may be ordered to join. For an order to stage it records that the load is confirmed. For
+// an order to leave it records that the head has left, and if a reallocation releases the group,
+// the group's members are free from then on.
 func (planner *Planner) Confirmed(order shedkeel.GroupOrder) {
 	delete(planner.unanswered, order.To)
 	planner.confirmLoad(order)
--- a/formation/repair.go
+++ b/formation/repair.go
@@ -280,8 +280,9 @@
 
 // repair forms the group again from its survivors and substitutes, under the same name and a
 // new epoch. Without enough substitutes, the members are free if the head can't be serving.
-// Otherwise repair waits while a free server of the domain is being probed. Then it orders a
-// usable head to leave, and waits for an unusable one until headTimeout has passed.
+// Otherwise repair waits while a free server of the domain is being probed. If none is being
+// probed, it orders a usable head to leave, or waits for an unusable head until headTimeout has
+// passed.
 func (round *round) repair(group *observedGroup) {
 	members := round.survivors(group)
 	round.reserve(members) // so that they are not chosen as substitutes
--- a/formation/round.go
+++ b/formation/round.go
@@ -20,9 +20,9 @@
 	domains         []shedkeel.DomainID                 // sorted
 	groups          []*observedGroup                    // sorted by name
 	groupsByName    map[shedkeel.GroupID]*observedGroup // the same groups, by name
-	// reserved holds the instances that are not free in this round: those in a group or in a
-	// formation in progress, those that may be in a formation without being listed in it, and
-	// those chosen for a new group.
+	// reserved holds the instances that are not free in this round: the members of a group that
+	// reconcile keeps, those of a formation in progress, those that may be in a formation without
+	// being listed in it, and those chosen for a new group.
 	reserved  map[shedkeel.InstanceID]bool
 	inForming map[shedkeel.InstanceID]bool // in a formation whose members are not all ready
 	actions   []Action
--- a/formation/slow_test.go
+++ b/formation/slow_test.go
@@ -11,22 +11,27 @@
 )
 
 // TestSlowMembersAreReplaced checks the order for an open group of two, with and without a
-// spare, when one of the servers is five times slower than normal.
+// spare, when one of the servers is five times slower than normal. A slow member is replaced by
+// a join order for the fast members and the spare. A slow head is first ordered to leave; its
+// group is repaired afterwards (replaceSlow). Without a spare, or if only the spare is slow, no
+// order is sent.
 func TestSlowMembersAreReplaced(t *testing.T) {
-	member := func(id string, rank int, state shedkeel.MemberState) shedkeel.Instance {
+	// server returns a member of the group small/d/1, or a server without a membership if rank
+	// is -1. Each server has loaded the model small.
+	server := func(id string, rank int, state shedkeel.MemberState) shedkeel.Instance {
 		instance := shedkeel.Instance{ID: shedkeel.InstanceID(id), Domain: "d", Staged: []shedkeel.ModelID{"small"}, Models: []shedkeel.ModelID{"small"}}
 		if rank >= 0 {
 			instance.Member = &shedkeel.Membership{Group: "small/d/1", Epoch: 7, Rank: rank, State: state}
 		}
 		return instance
 	}
-	group := []shedkeel.Instance{member("a0", 0, shedkeel.MemberOpen), member("a1", 1, shedkeel.MemberReady)}
-	spare := member("s", -1, "") // without a membership
+	group := []shedkeel.Instance{server("a0", 0, shedkeel.MemberOpen), server("a1", 1, shedkeel.MemberReady)}
+	spare := server("s", -1, "")
 	cases := map[string]struct {
 		instances []shedkeel.Instance
-		slow      shedkeel.InstanceID
+		slow      shedkeel.InstanceID     // "": none
 		kind      shedkeel.GroupOrderKind // of the only order; "": no order
-		members   []shedkeel.InstanceID
+		members   []shedkeel.InstanceID   // of the formation that the order is for; nil: the order states none
 	}{
 		"no slow server":  {append(slices.Clone(group), spare), "", "", nil},
 		"slow member":     {append(slices.Clone(group), spare), "a1", shedkeel.OrderJoin, []shedkeel.InstanceID{"a0", "s"}},
--- a/formation/wait_test.go
+++ b/formation/wait_test.go
@@ -11,9 +11,10 @@
 	"shedkeel.org/shedkeel"
 )
 
-// recoveryTime is the time without faults within which a group must serve in each domain with
-// enough servers for a group of the small model. The planner may have to wait headTimeout for
-// an unreachable head; then weights are loaded, on at most six servers at a time.
+// recoveryTime is the time without faults after which a group must serve in each domain with
+// enough servers for a group of the small model (TestGroupServesWhereverServersSuffice). The
+// planner may have to wait headTimeout for an unreachable head; then weights are loaded, on at
+// most six servers at a time.
 const recoveryTime = headTimeout + 80*time.Second
 
 // injectFault injects a random fault: a server dies, restarts, is unreachable or is
@@ -85,10 +86,10 @@
 	t.Helper()
 	fleet := newFakeFleet(uint64(seed), 6, 8) // six domains of eight servers
 	planner := plannerOfTerm(1)
-	fleet.lagSteps = seed % 4 // the list is 0 to 150 ms late
+	fleet.lagSteps = seed % 4 // the planner sees the list of servers 0 to 150 ms late
 	fleet.run(planner, 30*time.Second, beforeTraffic)
 	for round := range 30 {
-		fleet.answerLoss = []float64{0, 0.35}[round%2] // 35% of answers are lost in every other round
+		fleet.answerLoss = []float64{0, 0.35}[round%2] // in every other round, 35% of the orders are not answered and are carried out late (deliver)
 		fleet.run(planner, time.Duration(fleet.random.Int64N(int64(2*time.Second))), underTraffic)
 		for range 2 {
 			planner = fleet.injectFault(planner)
@@ -170,5 +171,5 @@
 	fleet.run(planner, headTimeout, underTraffic)
 	assert.Assert(t, !slices.Contains(reasons(), WaitHeadUnreachable), "the wait for the head does not end: %+v", planner.Waits())
 	assert.Assert(t, Wait{Since: time.Second, Bound: time.Second}.Overdue(2100*time.Millisecond))
-	assert.Assert(t, !Wait{Since: time.Second}.Overdue(time.Hour), "no bound")
+	assert.Assert(t, !Wait{Since: time.Second}.Overdue(time.Hour), "a wait without a bound is overdue")
 }
