--- a/contain/ledger.go
+++ b/contain/ledger.go
@@ -45,10 +45,10 @@
 // Ledger records for each request which servers terminated while they ran the request. The
 // zero value is empty. Its methods may be called concurrently.
 type Ledger struct {
-	mutex    sync.Mutex
-	entries  map[shedkeel.RequestDigest]*entry
-	useCount uint64       // incremented with each use of an entry; orders entries for eviction
-	blamed   atomic.Int64 // number of entries with at least one terminated server
+	mutex       sync.Mutex
+	entries     map[shedkeel.RequestDigest]*entry
+	useCount    uint64       // incremented with each use of an entry; orders entries for eviction
+	withServers atomic.Int64 // number of entries with at least one terminated server recorded
 }
 
 // entry is the record of one request.
@@ -58,7 +58,7 @@
 }
 
 // Idle reports whether no request has a terminated server recorded.
-func (ledger *Ledger) Idle() bool { return ledger.blamed.Load() == 0 }
+func (ledger *Ledger) Idle() bool { return ledger.withServers.Load() == 0 }
 
 // Blame returns the record of a request, or an empty record if there is none. It counts as a
 // use of the record, which delays the eviction of the record.
@@ -97,8 +97,8 @@
 
 // Clear drops the servers recorded for a request and starts a new round, so that records
 // of earlier rounds that arrive late have no effect. It returns the record before and after
-// the change. If no servers are recorded, it changes nothing and returns empty records of
-// round 0, whatever the round of the request is.
+// the change. If no servers are recorded, it changes nothing; both returned records then have no
+// servers and Round 0, even if the stored record has a later round.
 func (ledger *Ledger) Clear(request shedkeel.RequestDigest) (before, after shedkeel.Blame) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
@@ -144,7 +144,7 @@
 		}
 	}
 	if before == 0 && len(entry.blame.Servers) > 0 {
-		ledger.blamed.Add(1)
+		ledger.withServers.Add(1)
 	}
 	return len(entry.blame.Servers) != before
 }
@@ -153,7 +153,7 @@
 // ledger.mutex.
 func (ledger *Ledger) startRound(entry *entry, round uint32) {
 	if len(entry.blame.Servers) > 0 {
-		ledger.blamed.Add(-1)
+		ledger.withServers.Add(-1)
 	}
 	entry.blame.Round, entry.blame.Servers = round, nil
 }
--- a/contain/ledger_test.go
+++ b/contain/ledger_test.go
@@ -22,7 +22,7 @@
 		"one server":                {[]shedkeel.InstanceID{"a"}, shedkeel.Unblamed},
 		"one, reported three times": {[]shedkeel.InstanceID{"a", "a", "a"}, shedkeel.Unblamed},
 		"two servers":               {[]shedkeel.InstanceID{"a", "b"}, shedkeel.Quarantined},
-		"one that restarted":        {[]shedkeel.InstanceID{"a@1", "a@2"}, shedkeel.Quarantined},
+		"one that restarted":        {[]shedkeel.InstanceID{"a@1", "a@2"}, shedkeel.Quarantined}, // two instances of the server a
 		"three servers":             {[]shedkeel.InstanceID{"a", "b", "c"}, shedkeel.Contained},
 		"three, two reported twice": {[]shedkeel.InstanceID{"c", "b", "b", "a", "c"}, shedkeel.Contained},
 		"five servers":              {[]shedkeel.InstanceID{"a", "b", "c", "d", "e"}, shedkeel.Contained},
@@ -103,5 +103,5 @@
 	assert.Equal(t, len(ledger.All()), maxRequests)
 	assert.Equal(t, Judge(ledger.Blame("deadly")), shedkeel.Contained)
 	assert.Equal(t, len(ledger.Blame("0").Servers), 1, "the entry that is read often was evicted")
-	assert.Equal(t, ledger.blamed.Load(), int64(maxRequests), "all remaining entries have servers")
+	assert.Equal(t, ledger.withServers.Load(), int64(maxRequests), "not all remaining entries have servers, or withServers counts them wrong")
 }
--- a/contain/simulation_test.go
+++ b/contain/simulation_test.go
@@ -20,7 +20,7 @@
 // two servers are recorded.
 type strategy struct {
 	keepsLedger      bool // nodes record failed servers in their ledgers
-	coordinator      bool // after the first failure, a node sends the record to the coordinator of the request, which is node 0 here
+	decider          bool // after the first failure, a node sends the record to the decider: one node, the same for all senders, here node 0, which combines the failures that different nodes record
 	broadcast        bool // from the second failure on, a node sends the record to all nodes
 	persisted        bool // from the second failure on, a node writes the record to the store, from which all nodes read it
 	withdrawsQueued  bool // from the second failure on, a node withdraws the copies that it has sent
@@ -30,7 +30,7 @@
 
 // current is the strategy that the product uses. A request is then quarantined from the second
 // failure on and contained from the third on (see Judge).
-var current = strategy{keepsLedger: true, coordinator: true, broadcast: true, persisted: true, withdrawsQueued: true, oneAtATime: true}
+var current = strategy{keepsLedger: true, decider: true, broadcast: true, persisted: true, withdrawsQueued: true, oneAtATime: true}
 
 // fault is what happens to the fleet of nodes during the simulation, beside the failures of
 // servers.
@@ -38,8 +38,8 @@
 
 const (
 	noFault          fault = iota
-	nodesKilled            // one after another, over faultDuration; they restart at once
-	allNodesKilled         // at the same time, a second after faultStart; they restart at once
+	nodesKilled            // one after another, over faultDuration; each restarts immediately
+	allNodesKilled         // at the same time, a second after faultStart; each restarts immediately
 	partitioned            // two halves that do not reach each other, for faultDuration; partition 1 does not reach the store either
 	storeUnavailable       // for faultDuration
 	nodesFrozen            // a third of them, for faultDuration
@@ -49,19 +49,19 @@
 // simulation simulates, in virtual time, a fleet that gets copies of one request, that is,
 // requests with the same digest. Each server that runs a copy fails, that is, terminates.
 type simulation struct {
-	strategy   strategy
-	fault      fault
-	random     *rand.Rand
-	now        time.Duration
-	events     queue
-	nodes      []*simNode
-	heads      []*head
-	stored     shedkeel.Blame // the record in the store
-	trialUntil time.Duration  // no further exclusive copy is sent before this time
+	strategy       strategy
+	fault          fault
+	random         *rand.Rand
+	now            time.Duration
+	events         queue
+	nodes          []*simNode
+	heads          []*head
+	stored         shedkeel.Blame // the record in the store
+	exclusiveUntil time.Duration  // no node sends a further exclusive copy before this time; all nodes know the time without delay
 
 	failedServers int           // servers that failed
 	thirdFailure  time.Duration // when the third server failed; 0: not yet
-	lateCopies    int           // attempts that connected nodes made more than convergenceTime after thirdFailure
+	lateAttempts  int           // attempts that connected nodes made more than convergenceTime after thirdFailure
 }
 
 const (
@@ -88,7 +88,7 @@
 type simNode struct {
 	ledger    *Ledger
 	partition int
-	frozen    bool // suspended: it receives neither requests nor records
+	frozen    bool // suspended: it receives neither requests nor records, does not read the store and makes no second attempt
 }
 
 // head is the server that heads a replica group, and to which requests for the group are
@@ -104,12 +104,12 @@
 	node      int  // index of the node
 	attempts  int  // how often the node has sent it to a server
 	mayRetry  bool // its caller sends it once more if it fails
-	exclusive bool // sent while the request is quarantined: until it ends or trialUntil passes, nodes that know of the quarantine send no other copy
+	exclusive bool // sent while the request is quarantined: until it ends or exclusiveUntil passes, nodes that know of the quarantine send no other copy
 	done      bool // failed or withdrawn
 }
 
-// simEvent is an action at a point in virtual time. Events of the same time run in the
-// sequence of order, which is random.
+// simEvent is an action at a point in virtual time. Events of the same time run in ascending
+// order of the field order, which is practically random (see the method after).
 type simEvent struct {
 	at    time.Duration
 	order int
@@ -131,7 +131,8 @@
 	return last
 }
 
-// after schedules run for the virtual time simulation.now plus pause.
+// after schedules run for the virtual time simulation.now plus pause. The order of the event is a
+// random number of 31 bits plus the number of queued events, which is far smaller.
 func (simulation *simulation) after(pause time.Duration, run func()) {
 	heap.Push(&simulation.events, simEvent{at: simulation.now + pause, order: simulation.events.Len() + int(simulation.random.Uint32()>>1), run: run})
 }
@@ -233,11 +234,12 @@
 		return
 	case shedkeel.Quarantined:
 		if simulation.strategy.oneAtATime {
-			if simulation.now < simulation.trialUntil {
+			if simulation.now < simulation.exclusiveUntil {
 				return
 			}
 			sent.exclusive = true
-			simulation.trialUntil = simulation.now + convergenceTime
+			// An exclusive copy that has not ended by then no longer keeps other copies back.
+			simulation.exclusiveUntil = simulation.now + convergenceTime
 		}
 	}
 	simulation.send(sent)
@@ -261,7 +263,8 @@
 
 // send sends a copy to a random available head; if no head is available, the copy is dropped. The
 // head queues the copy for 150 to 350 ms, then runs it and fails 40 to 100 ms later. A copy that
-// is withdrawn while it is queued does not run.
+// is withdrawn while it is queued does not run. send counts in lateAttempts an attempt that
+// a connected node makes more than convergenceTime after thirdFailure.
 func (simulation *simulation) send(sent *requestCopy) {
 	var available []*head
 	for _, head := range simulation.heads {
@@ -276,7 +279,7 @@
 	incarnation := head.incarnation
 	sent.attempts++
 	if simulation.thirdFailure != 0 && simulation.now > simulation.thirdFailure+convergenceTime && simulation.connected(sent.node) {
-		simulation.lateCopies++
+		simulation.lateAttempts++
 	}
 	head.copies = append(head.copies, sent)
 	queueTime := simulation.between(150*time.Millisecond, 350*time.Millisecond)
@@ -318,9 +321,10 @@
 	}
 }
 
-// copyLost handles the loss of a copy at the node that sent it: the node records the failed
-// server and sends the copy again if the request is unblamed and this was the first attempt.
-// Otherwise the copy fails, and its caller may send it once more.
+// copyLost handles the loss of a copy at the node that sent it, unless the copy is done. With
+// keepsLedger, the node records the failed server. The node sends the copy again if this was the
+// first attempt, the copy is not exclusive, the request is unblamed and the node is not frozen.
+// Otherwise the copy fails, and its caller sends it once more if mayRetry is set.
 func (simulation *simulation) copyLost(sent *requestCopy, server shedkeel.InstanceID) {
 	if sent.done {
 		return
@@ -330,7 +334,7 @@
 		simulation.recordUpdated(sent.node, blame, changed, true)
 	}
 	if sent.exclusive {
-		simulation.trialUntil = simulation.now
+		simulation.exclusiveUntil = simulation.now
 	}
 	if sent.attempts < 2 && !sent.exclusive && simulation.judge(sent.node) == shedkeel.Unblamed && !simulation.nodes[sent.node].frozen {
 		simulation.send(sent)
@@ -338,14 +342,15 @@
 	}
 	sent.done = true
 	if sent.mayRetry {
-		simulation.after(2*messageDelay, func() { simulation.arrive(false) })
+		simulation.after(2*messageDelay, func() { simulation.arrive(false) }) // the caller retries only once
 	}
 }
 
 // recordUpdated handles the result of an update of a node's record; without a change it does
-// nothing. If local is set, other nodes may not have the record, and the node shares it as
-// the strategy says.
-func (simulation *simulation) recordUpdated(index int, blame shedkeel.Blame, changed, local bool) {
+// nothing. If the request is then quarantined or contained, the node withdraws its copies, with
+// withdrawsQueued. If unshared is set, there may be nodes without this record, and the node shares
+// the record as the strategy says.
+func (simulation *simulation) recordUpdated(index int, blame shedkeel.Blame, changed, unshared bool) {
 	if !changed {
 		return
 	}
@@ -353,11 +358,11 @@
 	if blamed && simulation.strategy.withdrawsQueued {
 		simulation.withdrawQueued(index)
 	}
-	if !local {
+	if !unshared {
 		return
 	}
-	if simulation.strategy.coordinator && !blamed {
-		simulation.notify(index, 0, blame) // node 0 is the coordinator
+	if simulation.strategy.decider && !blamed {
+		simulation.notify(index, 0, blame) // node 0 is the decider
 	}
 	if blamed && simulation.strategy.broadcast {
 		for other := range simulation.nodes {
@@ -402,8 +407,9 @@
 }
 
 // writeStore writes the record of a node to the store. After storeDelay, all nodes that are not
-// frozen and reach the store read it. While the node does not reach the store, it tries again
-// every 500 ms, with the record that it has by then.
+// frozen and reach the store read it. The written record replaces the stored one only if it has
+// more servers. While the node does not reach the store, it tries again every 500 ms, with the
+// record that it has by then.
 func (simulation *simulation) writeStore(index int, blame shedkeel.Blame) {
 	if !simulation.storeReachable(index) {
 		simulation.after(500*time.Millisecond, func() { simulation.writeStore(index, simulation.nodes[index].ledger.Blame(request)) })
@@ -423,18 +429,19 @@
 
 // TestContainmentStrategies runs the same simulations with each strategy and logs their
 // outcomes. It checks the bound of the strategy in use: from convergenceTime after the third
-// failure on, connected nodes make at most containThreshold (three) more attempts to send a copy
-// of the request to a server, whatever the fault.
+// failure on, connected nodes make at most three more attempts to send a copy of the request to a
+// server, whatever the fault. The test takes this bound from containThreshold, which otherwise
+// is a number of servers.
 func TestContainmentStrategies(t *testing.T) {
 	strategies := map[string]strategy{
-		"1 bounded by attempts":          {},
+		"1 nothing recorded":             {}, // each copy has two attempts at most (see copyLost)
 		"2 each node for itself":         {keepsLedger: true},
 		"3 the store only":               {keepsLedger: true, persisted: true},
-		"4 broadcast, no store":          {keepsLedger: true, coordinator: true, broadcast: true},
-		"5 broadcast and stored":         {keepsLedger: true, coordinator: true, broadcast: true, persisted: true},
-		"6 broadcast, stored, withdrawn": {keepsLedger: true, coordinator: true, broadcast: true, persisted: true, withdrawsQueued: true},
-		"7 and one at a time, current":   current,
-		"8 all from the first failure":   {keepsLedger: true, coordinator: true, broadcast: true, persisted: true, withdrawsQueued: true, oneAtATime: true, fromFirstFailure: true},
+		"4 broadcast, no store":          {keepsLedger: true, decider: true, broadcast: true},
+		"5 broadcast and stored":         {keepsLedger: true, decider: true, broadcast: true, persisted: true},
+		"6 broadcast, stored, withdrawn": {keepsLedger: true, decider: true, broadcast: true, persisted: true, withdrawsQueued: true},
+		"7 as 6, one at a time, current": current,
+		"8 as 7, from the first failure": {keepsLedger: true, decider: true, broadcast: true, persisted: true, withdrawsQueued: true, oneAtATime: true, fromFirstFailure: true},
 	}
 	// sizes maps the number of nodes to that of heads. rates are copies of the request per second.
 	sizes, rates := map[int]int{9: 12}, []float64{1, 10}
@@ -444,24 +451,25 @@
 	for nodes, heads := range sizes {
 		for _, perSecond := range rates {
 			for name, strategy := range strategies {
-				lateCopies := simulateAllFaults(t, fmt.Sprintf("%3d nodes, %2.0f per second, %-30s", nodes, perSecond, name), func(seed uint64) *simulation {
+				lateAttempts := simulateAllFaults(t, fmt.Sprintf("%3d nodes, %2.0f per second, %-30s", nodes, perSecond, name), func(seed uint64) *simulation {
 					return simulate(strategy, nodes, heads, perSecond, fault(seed%uint64(faultCount)), seed)
 				})
-				assert.Assert(t, strategy != current || lateCopies <= containThreshold, "%d nodes, %.0f per second: %d late copies", nodes, perSecond, lateCopies)
+				assert.Assert(t, strategy != current || lateAttempts <= containThreshold, "%d nodes, %.0f per second: %d late attempts", nodes, perSecond, lateAttempts)
 			}
 		}
 	}
 }
 
 // simulateAllFaults runs simulations, in equal numbers for each fault, and logs their outcomes. It
-// returns the maximum of lateCopies over all of them. The fault of a simulation is its seed modulo
+// returns the maximum of lateAttempts over all of them. The fault of a simulation is its seed modulo
 // faultCount.
 func simulateAllFaults(t *testing.T, label string, simulate func(seed uint64) *simulation) int {
 	t.Helper()
 	const seeds = 20 * uint64(faultCount) // 20 simulations of each fault
-	// contained counts the simulations in which at most containThreshold servers failed. The others
-	// are maxima over the simulations without a fault, and over all.
-	contained, maxWithoutFault, maxWithFault, lateCopies := 0, 0, 0, 0
+	// contained counts the simulations in which at most containThreshold servers failed.
+	// maxWithoutFault and maxFailed are the largest numbers of failed servers, over the simulations
+	// without a fault and over all simulations. lateAttempts is its maximum over all simulations.
+	contained, maxWithoutFault, maxFailed, lateAttempts := 0, 0, 0, 0
 	for seed := range seeds {
 		simulation := simulate(seed)
 		if simulation.failedServers <= containThreshold {
@@ -470,8 +478,8 @@
 		if simulation.fault == noFault {
 			maxWithoutFault = max(maxWithoutFault, simulation.failedServers)
 		}
-		maxWithFault, lateCopies = max(maxWithFault, simulation.failedServers), max(lateCopies, simulation.lateCopies)
+		maxFailed, lateAttempts = max(maxFailed, simulation.failedServers), max(lateAttempts, simulation.lateAttempts)
 	}
-	t.Logf("%s at most three servers failed in %3d of %d; at most %3d failed without a fault, %3d with; at most %3d late copies", label, contained, seeds, maxWithoutFault, maxWithFault, lateCopies)
-	return lateCopies
+	t.Logf("%s at most three servers failed in %3d of %d; at most %3d servers failed without a fault, %3d in any simulation; at most %3d late attempts", label, contained, seeds, maxWithoutFault, maxFailed, lateAttempts)
+	return lateAttempts
 }
