--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// handoverDelay is how long after the last change of the set of live processes a process
-	// grants no permits of a server for which it has become the granter: the previous granter
-	// may still be granting them.
+	// A process that becomes the granter of a server grants no permits of the server until
+	// handoverDelay after the last change of the set of live processes, because the previous
+	// granter may still be granting them.
 	handoverDelay = time.Second
 	// probeRate is the lowest rate at which permits are granted, in requests per second,
 	// even if the server states a rate of zero: only the answers to requests show that
--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -106,7 +106,7 @@
 	granter := &Granter{}
 	now := time.Minute
 	for index := range 1000 {
-		granter.Grant(PermitRequest{Server: shedkeel.InstanceID(rune('a' + index)), Rate: 2}, now)
+		granter.Grant(PermitRequest{Server: shedkeel.InstanceID(rune('a' + index)), Rate: 2}, now) // "b" is the server with index 1
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/ratelimit/sharing_test.go
+++ b/ratelimit/sharing_test.go
@@ -24,7 +24,8 @@
 	// ask requests a permit for the node. It calls answer once, either before it returns
 	// or later in virtual time.
 	ask(fleet *simFleet, node *simNode, answer func(permit shedkeel.Permit))
-	// restart clears the state that the scheme keeps for the node.
+	// restart clears state of the node that the scheme keeps outside simNode. None of the present
+	// schemes keeps any; simFleet.restart clears the state in simNode.
 	restart(node *simNode)
 }
 
@@ -40,11 +41,11 @@
 	answerDelay     = 100 * time.Millisecond // after which the server's answer states its limit
 	// gossipDelay is how long a limit takes to reach all other nodes.
 	gossipDelay = 60 * time.Millisecond
-	// Failure detection finds a node dead after suspectMin to suspectMax, and alive again
-	// after recoverMin to recoverMax.
+	// Failure detection finds a node dead suspectMin to suspectMax after the node becomes
+	// unreachable, and alive again recoverMin to recoverMax after the node is reachable again.
 	suspectMin, suspectMax = 400 * time.Millisecond, 1300 * time.Millisecond
 	recoverMin, recoverMax = 50 * time.Millisecond, 600 * time.Millisecond
-	// delistDelay is how long a node is down before its record is removed.
+	// delistDelay is how long a node is down or frozen before its record is removed.
 	delistDelay = 3 * time.Second
 )
 
@@ -63,8 +64,8 @@
 	limit     func(at time.Duration) (float64, bool) // the server's limit as a fraction of simFleet.rate, and whether it states one; nil: always 1
 }
 
-// killInTurn takes a node down every 2 s from 3 s on, each for 1.5 s, as long as the simulation
-// lasts.
+// killInTurn takes a node down every 2 s from 3 s on, each for 1.5 s, in the order of
+// simFleet.ranked, as long as the simulation lasts.
 func killInTurn(fleet *simFleet) {
 	for index, node := range fleet.ranked {
 		from := 3*time.Second + time.Duration(index)*2*time.Second
@@ -81,7 +82,8 @@
 	}
 }
 
-// freezeThird suspends every third node from 5 s until a random time of 6 to 15 s.
+// freezeThird suspends every third node of simFleet.ranked, from 5 s until a random time of 6 to
+// 15 s that differs between the nodes.
 func freezeThird(fleet *simFleet) {
 	for index, node := range fleet.ranked {
 		if index%3 == 0 {
@@ -90,8 +92,8 @@
 	}
 }
 
-// changingLimit is the limit of a server that states its full rate, then a fifth of that rate,
-// then no limit, then the full rate again.
+// changingLimit is the limit of a server that states its full rate until 6 s, a fifth of that rate
+// until 12 s, no limit until 16 s, and then the full rate again.
 func changingLimit(at time.Duration) (float64, bool) {
 	switch {
 	case at < 6*time.Second, at > 16*time.Second:
@@ -106,7 +108,7 @@
 	"no faults":             {},
 	"nodes killed in turn":  {kill: killInTurn},
 	"all killed":            {kill: killAll},
-	"partitioned":           {partition: interval{5 * time.Second, 14 * time.Second}},
+	"partitioned":           {partition: interval{5 * time.Second, 14 * time.Second}}, // from 5 to 14 s
 	"a third frozen":        {freeze: freezeThird},
 	"the limit changes":     {limit: changingLimit},
 	"killed, limit changes": {kill: killInTurn, limit: changingLimit},
@@ -152,7 +154,7 @@
 // attempt is one request that was sent to the server.
 type attempt struct {
 	at       time.Duration
-	informed bool // the node had known for at least half a second that the server has a limit
+	informed bool // the node had known for at least 500 ms that the server has a limit (see send)
 }
 
 // simNode is one node of the fleet.
@@ -164,10 +166,10 @@
 	knownSince     time.Duration // when the node learned that the server has a limit; below 0: it does not know of one
 
 	granter       Granter       // for singleGranter
-	bucket        *rate.Limiter // for take; for leasedBlocks, of the permits that the node grants in blocks
+	bucket        *rate.Limiter // token bucket: in leasedBlocks, the granter's, from which it grants blocks; in the other schemes, the one that take uses
 	leasedPermits int           // for leasedBlocks: permits of its block that it has not used
 	leaseEnd      time.Duration // for leasedBlocks: when the permits of the block expire
-	recentDemand  float64       // demand: number of requests that arrived at the node, halved each second
+	recentDemand  float64       // for demandShares: number of requests that arrived at the node, halved each second
 }
 
 // randomBetween returns a random duration of at least least and less than most.
@@ -199,8 +201,9 @@
 	heap.Push(&fleet.events, event{fleet.now + after, do})
 }
 
-// newSimFleet returns a fleet of that many nodes in which the scenario's faults, the restarts of
-// killed nodes and the first request are scheduled. rate is the server's full rate.
+// newSimFleet returns a fleet of size nodes in which the scenario's faults, the restarts of killed
+// nodes, the first request and the first call of decayDemand are scheduled. rate is the server's
+// full rate.
 func newSimFleet(scheme scheme, scenario scenario, size int, rate float64, demand demand, seed uint64) *simFleet {
 	fleet := &simFleet{scheme: scheme, scenario: scenario, rate: rate, random: rand.New(rand.NewPCG(seed, 1))}
 	for index := range size {
@@ -281,9 +284,10 @@
 	return fleet.rate * fraction, limited
 }
 
-// request handles a request that arrives at a node: the node sends it if it knows of no
-// limit or gets a permit. It drops a request without a permit. A node learns at once that
-// the server no longer has a limit.
+// request handles a request that arrives at a node: the node sends the request if the node knows
+// of no limit or gets a permit. The node drops the request without asking before blockedUntil, and
+// after a refusal. A request to a node that is not running is not counted as offered. A node learns
+// without delay that the server no longer has a limit.
 func (fleet *simFleet) request(node *simNode) {
 	if !node.running(fleet.now) {
 		return
@@ -341,16 +345,16 @@
 	return b.running(fleet.now) && !partitioned
 }
 
-// call runs serve at the node to, after linkDelay, and passes the result to answer at the node
-// from, after another linkDelay. If to cannot be reached, answer gets a refusal after callTimeout.
-// If both are the same node, there is no delay and the call is not counted.
-func (fleet *simFleet) call(from, to *simNode, serve func() shedkeel.Permit, answer func(shedkeel.Permit)) {
-	if from == to {
+// call runs serve at callee after linkDelay, and passes the result to answer at caller after
+// another linkDelay. If callee cannot be reached, answer gets a refusal after callTimeout. If
+// caller and callee are the same node, there is no delay and the call is not counted.
+func (fleet *simFleet) call(caller, callee *simNode, serve func() shedkeel.Permit, answer func(shedkeel.Permit)) {
+	if caller == callee {
 		answer(serve())
 		return
 	}
 	fleet.calls++
-	if !fleet.reaches(from, to) {
+	if !fleet.reaches(caller, callee) {
 		fleet.schedule(callTimeout, func() { answer(shedkeel.Permit{Wait: retryPause}) })
 		return
 	}
@@ -436,7 +440,8 @@
 }
 
 // firstAlive returns up to count nodes, the first in the server's rendezvous order that a node
-// believes alive. The node always believes itself alive.
+// believes alive. The node itself always counts as alive here, whatever believesAlive returns for
+// it: believesAlive(node, node) can be false for some time after the node was down or frozen.
 func (fleet *simFleet) firstAlive(node *simNode, count int) []*simNode {
 	var found []*simNode
 	for _, other := range fleet.ranked {
@@ -462,14 +467,15 @@
 
 // outcome is the result of one simulation.
 type outcome struct {
-	worst       float64 // highest ratio, over all windows, of the requests to those allowed
+	worst       float64 // highest ratio, over all windows, of the requests sent to the requests allowed
 	utilization float64 // fraction of the limit that was used
 	calls       float64 // calls between nodes, per second
 }
 
-// evaluate compares the requests that were sent with the limit. It counts only requests of
-// nodes that had been informed of the limit, in sliding windows of simWindow. The utilization
-// leaves out the time before propagationTime and the times without a limit.
+// evaluate compares the requests that were sent with the limit. It counts only requests of nodes
+// that had known of the limit for the time that send requires (see attempt.informed), in sliding
+// windows of simWindow. The utilization leaves out the time before propagationTime and the times
+// without a limit. evaluate changes fleet.now, at which the method limit looks the limit up.
 func (fleet *simFleet) evaluate() outcome {
 	var informed []time.Duration
 	for _, attempt := range fleet.attempts {
@@ -505,8 +511,8 @@
 
 // allowed returns how many requests the server may get in the window that ends at end. It
 // uses the highest limit stated in the window or within propagationTime before the window, or
-// infinity if the server stated none at some moment of that time. It changes fleet.now, by
-// which limit looks the limit up.
+// infinity if the server stated none at some moment of that time. It changes fleet.now, at
+// which the method limit looks the limit up.
 func (fleet *simFleet) allowed(end time.Duration) float64 {
 	most := 0.0
 	for at := max(end-simWindow-propagationTime, 0); at <= end; at += 100 * time.Millisecond {
@@ -520,10 +526,10 @@
 	return 1.5*most*simWindow.Seconds() + simBurst
 }
 
-// singleGranter is the scheme that the product uses: one node grants permits to all nodes. It
-// reduces the rate to the fraction of the listed nodes that it believes alive, so that two
-// granters in a partitioned fleet together keep the limit. With fullRate, it does not reduce
-// the rate.
+// singleGranter is the scheme that the product uses: one node, the granter, grants permits to all
+// nodes. The granter multiplies the limit by the fraction of the listed nodes that it believes
+// alive, so that two granters in a partitioned fleet together keep the limit. With fullRate, the
+// granter does not reduce the limit.
 type singleGranter struct{ fullRate bool }
 
 func (singleGranter singleGranter) ask(fleet *simFleet, node *simNode, answer func(shedkeel.Permit)) {
@@ -567,8 +573,8 @@
 
 func (evenShares) restart(*simNode) {}
 
-// take takes a permit from the node's own token bucket, which holds one permit at most, after it
-// has set the bucket's rate.
+// take sets the rate of the node's own token bucket, which holds at most one permit, and takes a
+// permit from the bucket. A refusal has no Wait.
 func (node *simNode) take(perSecond float64, now time.Duration) shedkeel.Permit {
 	if node.bucket == nil {
 		node.bucket = rate.NewLimiter(rate.Limit(perSecond), 1)
@@ -577,8 +583,8 @@
 	return shedkeel.Permit{Granted: node.bucket.AllowN(instant(now), 1)}
 }
 
-// demandShares gives each node a share of the limit in proportion to its recent demand. Each
-// node knows the present demand of all others.
+// demandShares gives each node a share of the limit in proportion to the node's recentDemand. Each
+// node knows, without delay, the recentDemand of all nodes that it believes alive.
 type demandShares struct{}
 
 func (demandShares) ask(fleet *simFleet, node *simNode, answer func(shedkeel.Permit)) {
@@ -612,7 +618,7 @@
 	fleet.call(node, granter, func() shedkeel.Permit {
 		if granter.bucket == nil {
 			granter.bucket = rate.NewLimiter(rate.Limit(limit), block)
-			granter.bucket.AllowN(instant(fleet.now), block)
+			granter.bucket.AllowN(instant(fleet.now), block) // a new rate.Limiter is full: empty it
 		}
 		granter.bucket.SetLimitAt(instant(fleet.now), rate.Limit(limit))
 		granter.bucket.SetBurstAt(instant(fleet.now), block)
@@ -688,7 +694,7 @@
 // summary adds up the outcomes of several simulations.
 type summary struct {
 	count, violated    int     // number of outcomes, and of those whose worst is above 1
-	worst              float64 // the highest of all outcomes
+	worst              float64 // the highest worst of all outcomes
 	utilization, calls float64 // sums over all outcomes
 }
 
