--- a/route/router_test.go
+++ b/route/router_test.go
@@ -112,7 +112,7 @@
 	router := newRouter(10)
 	counts := map[string]int{}
 	for range 1000 {
-		choice, err := router.Choose(Request{Service: "s", Affinity: 5})
+		choice, err := router.Choose(Request{Service: "s", Affinity: 5}) // any prefix, the same for all requests
 		assert.NilError(t, err)
 		counts[choice.Name]++
 	}
@@ -131,6 +131,7 @@
 				now := time.Duration(0)
 				for index := range b.N {
 					now += time.Microsecond
+					// Without affinity, the product is 0; otherwise it differs between the requests.
 					choice, err := router.Choose(Request{Service: "s", Affinity: affinity * uint64(index*2654435761|1), Now: now})
 					if err != nil {
 						b.Fatal(err)
--- a/route/simulation_test.go
+++ b/route/simulation_test.go
@@ -40,7 +40,7 @@
 	// choose returns the index of a group and a function to call when the request has
 	// ended, or false if the request is refused.
 	choose(entry int, affinity uint64, now time.Duration) (int, func(time.Duration), bool)
-	// update passes load reports to an entry.
+	// update passes the targets with their load reports to an entry.
 	update(entry int, targets []Target, now time.Duration)
 }
 
@@ -104,7 +104,7 @@
 // baseline implements the baseline rules: random, round robin ("in turn"), and least
 // reported load.
 type baseline struct {
-	rule    string     // "random", "in turn" or "least reported"
+	rule    string     // "random", "in turn" (round robin) or "least reported"
 	random  *rand.Rand // for the rule "random"
 	turn    int        // number of choices so far
 	targets []Target   // as of the latest update of any entry: all entries share them
@@ -183,8 +183,8 @@
 
 // simulate offers a load, as a multiple of the capacity without cached prefixes, and
 // counts the requests answered in time: within simDeadline, with the first token within
-// firstTokenTarget. With outage set, a third of the groups fails for the middle third of
-// the simulation.
+// firstTokenTarget. With outage set, every third group is down for the middle third of the
+// simulation.
 func simulate(rule routingRule, load float64, outage bool) outcome {
 	random := rand.New(rand.NewPCG(11, 11))
 	servers := make([]*server, simGroups)
@@ -214,7 +214,7 @@
 	return result
 }
 
-// loadReports returns the load reports of all servers.
+// loadReports returns the load reports of all servers. A server that is down reports a load of 0.
 func loadReports(servers []*server, now time.Duration) []Target {
 	targets := targetsOf(len(servers), 0) // laggedReports sets UsableUntil
 	for index, server := range servers {
@@ -226,7 +226,8 @@
 }
 
 // laggedReports returns what entries know now: the reports from lag ticks ago, or the
-// first reports if fewer ticks have passed, with targets that are usable for another 3 s.
+// first reports if fewer ticks have passed, with targets that are usable for another 3 s, also
+// those of servers that are down.
 func laggedReports(reports [][]Target, lag int, now time.Duration) []Target {
 	targets := slices.Clone(reports[max(len(reports)-1-lag, 0)])
 	for index := range targets {
@@ -245,8 +246,8 @@
 	return count
 }
 
-// arrive routes one request and queues it at its group. The request is lost if the rule refuses it
-// or the group has failed.
+// arrive routes one request from a random entry and queues it at its group. The request is lost if
+// the rule refuses it or the group is down.
 func arrive(rule routingRule, servers []*server, random *rand.Rand, now time.Duration, result *outcome) {
 	result.offered++
 	// Half of the requests are for a tenth of the prefixes. The other half is for all prefixes.
@@ -254,7 +255,7 @@
 	if random.IntN(2) == 0 {
 		prefix /= 10
 	}
-	affinity := (prefix+1)*0x9e3779b97f4a7c15 | 1 // distributes the prefixes over the slots; never 0, which is no affinity
+	affinity := (prefix+1)*0x9e3779b97f4a7c15 | 1 // distributes the prefixes over the slots of the Router; never 0, which is no affinity
 	group, end, found := rule.choose(random.IntN(simEntries), affinity, now)
 	if !found {
 		return
--- a/serve/budget.go
+++ b/serve/budget.go
@@ -16,18 +16,18 @@
 	Ratio        float64       // retries per request
 	Window       time.Duration // over which requests and retries are counted
 	FixedRetries float64       // retries per window, independent of the number of requests
-	// SafetyFactor is the fraction of the bound that is used. A fraction below 1 lets the
-	// bound hold in every sliding window, also after requests that allowed a retry have left
-	// the window.
+	// SafetyFactor is the fraction of the bound that is used. A retry can stay in the window
+	// after the requests that allowed it have left the window. A fraction below 1 leaves a
+	// reserve, so that the full bound holds in every sliding window then too.
 	SafetyFactor float64
 	// StartedAt is when the process started. The process's share of FixedRetries grows from
 	// 0 to its full size over the window after StartedAt, because the process does not know
 	// which retries it sent before a restart.
 	StartedAt time.Duration
 	// RandomOffset is a random number from 0 to 1, drawn once per process. It is added to
-	// the bound, so that a process allows one retry more than the whole number of its bound
-	// with a probability equal to the bound's fractional part. Without the offset, no process could
-	// retry where there are more processes than allowed retries.
+	// the bound, so that a process allows one retry more than its bound rounded down, with a
+	// probability equal to the bound's fractional part. Without the offset, no process could
+	// retry if there are more processes than allowed retries.
 	RandomOffset float64
 
 	mutex    sync.Mutex
--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -78,8 +78,8 @@
 
 func (check fixedCheck) Stopped(context.Context, string) bool { return bool(check) }
 
-// TestGuardedRequests checks requests with each judgment of the guard, and requests that servers
-// ran when they terminated: the status must say correctly whether the request may have run, a
+// TestGuardedRequests checks requests with each judgment of the guard, and requests that a server
+// ran when the server terminated: the status must say correctly whether the request may have run, a
 // quarantined request must run on one server only, and servers must be reported to the guard if
 // the connection to them broke and they have terminated.
 func TestGuardedRequests(t *testing.T) {
@@ -207,7 +207,7 @@
 	}{
 		"waits, stream":   {"/s/x", step{delay: 300 * time.Millisecond, events: 3}, 502},
 		"waits, plain":    {"/safe/x", step{delay: 300 * time.Millisecond, body: "ok"}, 502},
-		"stream started":  {"/s/x", step{events: 200}, 200},
+		"stream started":  {"/s/x", step{events: 200}, 200}, // takes over 60 ms with slowBackend, which delays each read by 1 ms
 		"another request": {"/s/y", step{delay: 300 * time.Millisecond, events: 3}, 200},
 	}
 	for name, test := range cases {
--- a/serve/retryafter_test.go
+++ b/serve/retryafter_test.go
@@ -12,9 +12,10 @@
 )
 
 // TestRetryAfter checks the range and the jitter of Retry-After for the causes that do not
-// depend on when a server accepts requests again. A range of several times begins at three
-// quarters of its upper end, because of retryJitter. Where the upper end is not a constant of this package, it is
-// maxWaitFraction of the deadline, or the length of the outage if that is shorter.
+// depend on when a server accepts requests again. Unless the shortest and the longest time of a
+// case are equal, the shortest is three quarters of the longest, because of retryJitter. A longest
+// time that is not a constant of this package is maxWaitFraction of the deadline, or the length of
+// the outage if that is shorter.
 func TestRetryAfter(t *testing.T) {
 	const longOutage = 30 * time.Second
 	cases := map[string]struct {
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -214,9 +214,8 @@
 func newHarness(t *testing.T, steps ...step) *harness {
 	t.Helper()
 	harness := &harness{backend: &backend{steps: steps}}
-	// The backend is a fake: no connection is made to the addresses.
 	table := &dispatch.Table{Random: rand.NewPCG(1, 2)}
-	servers := []dispatch.Server{}
+	servers := []dispatch.Server{} // the backend is a fake: no connection is made to their addresses
 	for index := range 3 {
 		name := shedkeel.InstanceID(fmt.Sprint("p", index))
 		servers = append(servers, dispatch.Server{Service: "plain", Instance: name, Address: "plain:1", Slots: 4})
@@ -316,7 +315,7 @@
 }
 
 // TestRequestValidation checks the status for requests that are refused before they are
-// sent, that a second key of an account is accepted, and that a public route needs no key.
+// sent, that a second key of an account is accepted, and that a public route ignores the key.
 func TestRequestValidation(t *testing.T) {
 	cases := map[string]struct {
 		path   string
@@ -327,7 +326,7 @@
 		"no route":              {"/none/", nil, "", 404},
 		"unknown key":           {"/safe/x", []string{"Key", "k9"}, "", 401},
 		"second key of account": {"/safe/x", []string{"Key", "k2"}, "", 200},
-		"public needs no key":   {"/safe/open/x", []string{"Key", "k9"}, "", 200},
+		"unknown key, public":   {"/safe/open/x", []string{"Key", "k9"}, "", 200},
 		"body too large":        {"/safe/x", nil, strings.Repeat("x", 101), 413}, // one byte above Limits.BodyBytes
 		"invalid deadline":      {"/safe/x", []string{"Deadline", "soon"}, "", 400},
 	}
@@ -459,9 +458,9 @@
 }
 
 // TestStalledStreamRetriesHedge lets a stream stall while all other groups are avoided for
-// half a second, so that the first hedge finds no server. If the hedge were not tried again at
-// later stall signals, the stream would not resume at another group and would end at the
-// caller's deadline.
+// half a second, so that the first hedge finds no server. Without another try at a later stall
+// signal, the stream would not resume at another group and would end at its deadline, the route's
+// timeout of 2 s.
 func TestStalledStreamRetriesHedge(t *testing.T) {
 	harness := newHarness(t, step{events: 5, stallAfter: 2}, step{events: 5})
 	for _, other := range []shedkeel.GroupID{"g1", "g2"} {
@@ -502,14 +501,14 @@
 	assert.Equal(t, exhaust(2), 1, "the refunded retry is allowed again")
 	budget.Refund("other", now)
 	assert.Equal(t, exhaust(2), 0, "a refund to another service has no effect")
-	for range 10 {
+	for range 10 { // each allows half a retry (Ratio)
 		budget.CountRequest("s", now)
 	}
 	assert.Equal(t, exhaust(2), 5, "Ratio times the requests")
-	now += 9 * time.Second
+	now += 9 * time.Second // the retries are still in the window of 10 s
 	assert.Equal(t, exhaust(2), 0, "retries count for a whole window")
-	now += 2 * time.Second
-	assert.Equal(t, exhaust(2), 2, "then the retries no longer count")
+	now += 2 * time.Second // 11 s after the retries
+	assert.Equal(t, exhaust(2), 2, "after a window, neither the retries nor the requests count")
 	budget.Set(0, 5*time.Second, 8)
 	assert.Equal(t, exhaust(2), 4, "half of the new FixedRetries")
 }
@@ -535,7 +534,7 @@
 	harness.RetryBudgetNodes = func() int { return 9 } // ServingNodes returns 1: the other nodes are stopping
 	request := httptest.NewRequest(http.MethodPost, "/s/x", nil)
 	onTime, late, refused := 0, 0, 0
-	for range 2 * capacity {
+	for range 2 * capacity { // more than are admitted on time and as late together
 		exchange := &exchange{handler: harness.Handler, request: request, service: "llm", call: shedkeel.Call{Model: "m"}, view: harness.CurrentConfig().View}
 		_, err := exchange.choose(t.Context())
 		switch {
--- a/serve/stream.go
+++ b/serve/stream.go
@@ -26,8 +26,8 @@
 	*exchange
 	updates    chan update
 	sources    []*source // the active sources, at most two
-	lastNumber int64     // number of the last forwarded event whose ID is a number, at first of the event after which the caller resumes; 0: none
-	lastID     string    // ID of the last forwarded event that has one, at first of the event after which the caller resumes; "": none
+	lastNumber int64     // number of the last forwarded event whose ID is a number; at first that of the event after which the caller resumes; 0: none
+	lastID     string    // ID of the last forwarded event that has an ID; at first that of the event after which the caller resumes; "": none
 	lastErr    error     // error of the source that failed last
 	timing     timing
 }
