--- a/contain/simulation_test.go
+++ b/contain/simulation_test.go
@@ -104,7 +104,7 @@
 	node      int  // index of the node
 	attempts  int  // how often the node has sent it to a server
 	mayRetry  bool // its caller sends it once more if it fails
-	exclusive bool // sent while the request is quarantined: until it ends or exclusiveUntil passes, nodes that know of the quarantine send no other copy
+	exclusive bool // with oneAtATime: sent while the request is quarantined; until this copy ends or exclusiveUntil passes, nodes that know of the quarantine send no other copy
 	done      bool // failed or withdrawn
 }
 
@@ -214,15 +214,17 @@
 	return !cutOff && !simulation.during(storeUnavailable)
 }
 
-// readStore merges the record in the store into the ledger of a node.
+// readStore merges the record in the store into the ledger of a node, with the strategy persisted
+// and if the store answers the node.
 func (simulation *simulation) readStore(index int) {
 	if simulation.strategy.persisted && simulation.storeReachable(index) {
 		simulation.mergeRecord(index, simulation.stored)
 	}
 }
 
-// arrive delivers a copy of the request to a random node. The node sends it to a server
-// unless the request is contained, or is quarantined while an exclusive copy is running.
+// arrive delivers a copy of the request to a random node. The node sends the copy to a server,
+// unless the node is frozen or the request is contained. With oneAtATime, the node sends a copy of
+// a quarantined request as an exclusive copy, and none before exclusiveUntil.
 func (simulation *simulation) arrive(mayRetry bool) {
 	index := simulation.random.IntN(len(simulation.nodes))
 	if simulation.nodes[index].frozen {
