--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -9,10 +9,10 @@
 	"shedkeel.org/shedkeel"
 )
 
-// requestPermits asks for a permit at the time from, and then each time that the interval every
-// has passed, for the given length of time. It returns the times at which permits were granted.
-func requestPermits(granter *Granter, request PermitRequest, from, every, length time.Duration) (granted []time.Duration) {
-	for now := from; now < from+length; now += every {
+// requestPermits asks for a permit at start and then after each interval, until length has passed.
+// It returns the times at which permits were granted.
+func requestPermits(granter *Granter, request PermitRequest, start, interval, length time.Duration) (granted []time.Duration) {
+	for now := start; now < start+length; now += interval {
 		if granter.Grant(request, now).Granted {
 			granted = append(granted, now)
 		}
--- a/ratelimit/sharing_test.go
+++ b/ratelimit/sharing_test.go
@@ -166,7 +166,7 @@
 	knownSince     time.Duration // when the node learned that the server has a limit; below 0: it does not know of one
 
 	granter       Granter       // for singleGranter
-	bucket        *rate.Limiter // token bucket: in leasedBlocks, the granter's, from which it grants blocks; in the other schemes, the one that take uses
+	bucket        *rate.Limiter // token bucket: in leasedBlocks, the granter's, from which it grants blocks; in evenShares, demandShares and twoSenders, the one that take uses
 	leasedPermits int           // for leasedBlocks: permits of its block that it has not used
 	leaseEnd      time.Duration // for leasedBlocks: when the permits of the block expire
 	recentDemand  float64       // for demandShares: number of requests that arrived at the node, halved each second
