--- a/route/simulation_test.go
+++ b/route/simulation_test.go
@@ -181,9 +181,9 @@
 	return outcome.firstTokenTimes[int(rank*float64(len(outcome.firstTokenTimes)-1))]
 }
 
-// simulate offers a load, as a multiple of the capacity without cached prefixes, and
-// counts the requests answered in time: within simDeadline, with the first token within
-// firstTokenTarget. With outage set, every third group is down for the middle third of the
+// simulate offers a load, as a multiple of the capacity that the groups have if no prefix is
+// cached, and counts the requests answered in time: within simDeadline, with the first token
+// within firstTokenTarget. With outage set, every third group is down for the middle third of the
 // simulation.
 func simulate(rule routingRule, load float64, outage bool) outcome {
 	random := rand.New(rand.NewPCG(11, 11))
@@ -319,8 +319,8 @@
 		"random":             func() routingRule { return &baseline{rule: "random", random: rand.New(rand.NewPCG(5, 5))} },
 		"in turn":            func() routingRule { return &baseline{rule: "in turn"} },
 		"least reported":     func() routingRule { return &baseline{rule: "least reported"} },
-		"ours":               func() routingRule { return newGatedRule(300 * time.Millisecond) },
-		"ours, no gate":      func() routingRule { return newPackageRule(0) }, // DefaultBound, without admission control
+		"ours":               func() routingRule { return newGatedRule(300 * time.Millisecond) }, // refuses requests that would wait longer
+		"ours, no gate":      func() routingRule { return newPackageRule(0) },                    // DefaultBound, without admission control
 		"ours, wait of 0":    func() routingRule { return newGatedRule(0) },
 		"ours, wait of 1s":   func() routingRule { return newGatedRule(time.Second) },
 		"ours, no affinity":  func() routingRule { return newPackageRule(-1) },  // without admission control
--- a/serve/budget_test.go
+++ b/serve/budget_test.go
@@ -55,7 +55,7 @@
 						nodes[index] = newBudget(now) // the counts are lost
 					}
 				}
-				for range int(test.requests*step.Seconds() + random.Float64()) {
+				for range int(test.requests*step.Seconds() + random.Float64()) { // the requests of a step, rounded up or down at random
 					node := nodes[random.IntN(len(nodes))]
 					requests = append(requests, now)
 					node.CountRequest("s", now)
--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -213,15 +213,15 @@
 	for name, test := range cases {
 		runFakeTime(t, name, func(t *testing.T) {
 			harness := newHarness(t, test.step)
-			canceled := newExchange() // has the digest that is passed to CancelCopies
-			canceled.handler = harness.Handler
-			canceled.call.Target, canceled.account, canceled.body = test.path, &shedkeel.KeyedAccount{ID: "clerk"}, []byte("body")
+			digested := newExchange() // CancelCopies is called with the digest of this exchange
+			digested.handler = harness.Handler
+			digested.call.Target, digested.account, digested.body = test.path, &shedkeel.KeyedAccount{ID: "clerk"}, []byte("body")
 			if name == "another request" {
-				canceled.call.Target = "/s/x"
+				digested.call.Target = "/s/x"
 			}
 			go func() {
 				time.Sleep(60 * time.Millisecond) // until the request waits for its answer, or part of the stream has been forwarded
-				harness.CancelCopies(canceled.computeDigest())
+				harness.CancelCopies(digested.computeDigest())
 			}()
 			if name == "stream started" {
 				harness.Backend = slowBackend{harness.backend} // otherwise the stream would end before CancelCopies is called
--- a/serve/permit.go
+++ b/serve/permit.go
@@ -19,10 +19,10 @@
 )
 
 // chooseWithPermit chooses the best server that needs no permit or for which a permit is
-// granted now. It asks for at most maxPermitRequests permits, and keeps new requests from a
-// server whose permit is refused until the time that the refusal states. If no server is
-// found, it waits for the next permit with awaitPermit if mayWait is set, and otherwise returns
-// the error of noServerError.
+// granted now. If Limits is nil, no server needs one. chooseWithPermit asks for at most
+// maxPermitRequests permits; after a refusal, it keeps new requests from the server for the Wait of
+// the refusal. If no server is found, it waits for the next permit with awaitPermit if mayWait is
+// set, and otherwise returns the error of noServerError.
 func (exchange *exchange) chooseWithPermit(ctx context.Context, query dispatch.Query, mayWait bool) (*dispatch.Choice, error) {
 	for requested := 0; ; requested++ {
 		query.UnlimitedOnly = requested >= maxPermitRequests
--- a/serve/permit_test.go
+++ b/serve/permit_test.go
@@ -51,7 +51,8 @@
 		"a permit is free":         {map[shedkeel.InstanceID]time.Duration{"p0": 0, "p1": 0, "p2": 0}, 200, 1, 0, 0},
 		"one server without limit": {map[shedkeel.InstanceID]time.Duration{"p0": late, "p1": late}, 200, 1, 0, 0},
 		"a permit comes in time":   {map[shedkeel.InstanceID]time.Duration{"p0": soon, "p1": soon, "p2": soon}, 200, 1, soon, 0},
-		// 200 ms is below 225 ms: maxWaitFraction of the timeout of 1 s, less the largest jitter.
+		// late and a minute both reach the longest Retry-After, which is maxWaitFraction of the timeout
+		// of 1 s: 300 ms, less a jitter of at most a quarter.
 		"no permit comes in time": {map[shedkeel.InstanceID]time.Duration{"p0": late, "p1": late, "p2": late}, 503, 0, 0, 200 * time.Millisecond},
 		"no permit for a minute":  {map[shedkeel.InstanceID]time.Duration{"p0": time.Minute, "p1": time.Minute, "p2": time.Minute}, 503, 0, 0, 200 * time.Millisecond},
 	}
@@ -70,7 +71,7 @@
 			assert.Equal(t, got.Code, test.status, got.Body.String())
 			assert.Equal(t, len(harness.backend.requests), test.sent)
 			took := time.Since(began)
-			assert.Assert(t, took >= test.minTime && took < 200*time.Millisecond, "took %s", took)
+			assert.Assert(t, took >= test.minTime && took < 200*time.Millisecond, "took %s, expected at least %s and less than 200 ms", took, test.minTime)
 			wait, _ := strconv.ParseFloat(got.Header().Get("Retry-After"), 64)
 			assert.Assert(t, wait >= test.minRetryAfter.Seconds() && (test.minRetryAfter > 0) == (wait > 0), "Retry-After is %v s", wait)
 		})
--- a/serve/reader_test.go
+++ b/serve/reader_test.go
@@ -23,8 +23,8 @@
 		path string
 		step step
 	}{
-		"a long answer": {"/safe/x", step{body: strings.Repeat("x", 512<<10)}},
-		"a long stream": {"/s/x", step{events: 1 << 20}}, // about a million events
+		"a long answer": {"/safe/x", step{body: strings.Repeat("x", 512<<10)}}, // 512 KiB
+		"a long stream": {"/s/x", step{events: 1 << 20}},                       // about a million events
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/serve/send.go
+++ b/serve/send.go
@@ -222,8 +222,8 @@
 	return nil
 }
 
-// observeLimit records what the answer states about the server's rate limit, if the
-// answer belongs to this request. It always records a stated limit, also one that cannot be
+// observeLimit passes to Handler.Limits what the answer states about the server's rate limit, if
+// the answer belongs to this request. It always passes a stated limit, also one that cannot be
 // parsed, but the absence of a limit only for a signed success, which proves the absence.
 func (exchange *exchange) observeLimit(answer shedkeel.BackendAnswer, status int, choice *dispatch.Choice) {
 	if exchange.handler.Limits == nil || answer.ID != exchange.call.ID {
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -227,7 +227,7 @@
 	harness.provenAt.Store(int64(harness.clock.Now()))
 	harness.Handler = &Handler{
 		Protocol: testProtocol{}, Backend: harness.backend, Table: table, Timers: &harness.clock,
-		Budget:           &Budget{Ratio: 0.2, Window: 10 * time.Second, FixedRetries: 10, SafetyFactor: 1},
+		Budget:           &Budget{Ratio: 0.2, Window: 10 * time.Second, FixedRetries: 10, SafetyFactor: 1}, // allows 10 retries and one for every five requests
 		CurrentConfig:    func() ConfigState { return ConfigState{View: view, ProvenAt: time.Duration(harness.provenAt.Load())} },
 		RetryBudgetNodes: func() int { return 1 }, ServingNodes: func() int { return 1 }, MaxConfigAge: time.Second,
 	}
@@ -531,7 +531,7 @@
 func TestModelAdmission(t *testing.T) {
 	harness := newHarness(t)
 	capacity := 3 * 8                                  // three groups of eight slots
-	harness.RetryBudgetNodes = func() int { return 9 } // ServingNodes returns 1: the other nodes are stopping
+	harness.RetryBudgetNodes = func() int { return 9 } // must have no effect: ServingNodes, which returns 1, divides the slots
 	request := httptest.NewRequest(http.MethodPost, "/s/x", nil)
 	onTime, late, refused := 0, 0, 0
 	for range 2 * capacity { // more than are admitted on time and as late together
--- a/serve/stream.go
+++ b/serve/stream.go
@@ -79,8 +79,8 @@
 }
 
 // stallSignal returns the channel that signals that the only source has stalled. It returns
-// nil, from which a receive blocks forever, if there is no source or a second one, if the
-// source was hedged since its last forwarded event, or if mayFailOver does not allow another
+// nil, from which a receive blocks forever, if the number of sources is not one, if the source
+// was hedged since its last forwarded event, or if mayFailOver does not allow another
 // source.
 func (stream *stream) stallSignal() <-chan struct{} {
 	if len(stream.sources) != 1 || stream.sources[0].hedged || !stream.mayFailOver() {
