--- a/contain/ledger.go
+++ b/contain/ledger.go
@@ -193,7 +193,7 @@
 			victim = entry
 		}
 	}
-	ledger.startRound(victim, victim.blame.Round) // subtracts the entry from ledger.blamed
+	ledger.startRound(victim, victim.blame.Round) // subtracts the entry from ledger.withServers
 	delete(ledger.entries, victim.blame.Request)
 }
 
--- a/serve/permit_test.go
+++ b/serve/permit_test.go
@@ -71,7 +71,7 @@
 			assert.Equal(t, got.Code, test.status, got.Body.String())
 			assert.Equal(t, len(harness.backend.requests), test.sent)
 			took := time.Since(began)
-			assert.Assert(t, took >= test.minTime && took < 200*time.Millisecond, "took %s, expected at least %s and less than 200 ms", took, test.minTime)
+			assert.Assert(t, took >= test.minTime && took < 200*time.Millisecond, "answered after %s: too early, or not within 200 ms", took)
 			wait, _ := strconv.ParseFloat(got.Header().Get("Retry-After"), 64)
 			assert.Assert(t, wait >= test.minRetryAfter.Seconds() && (test.minRetryAfter > 0) == (wait > 0), "Retry-After is %v s", wait)
 		})
