--- a/contain/simulation_test.go
+++ b/contain/simulation_test.go
@@ -311,7 +311,7 @@
 	if simulation.failedServers == containThreshold {
 		simulation.thirdFailure = simulation.now
 	}
-	server := shedkeel.InstanceID(fmt.Sprintf("%p@%d", failed, failed.incarnation))
+	server := shedkeel.InstanceID(fmt.Sprintf("%p@%d", failed, failed.incarnation)) // differs between all instances of all heads
 	copies := failed.copies
 	failed.copies, failed.unavailable = nil, true
 	failed.incarnation++
--- a/ratelimit/sharing_test.go
+++ b/ratelimit/sharing_test.go
@@ -365,7 +365,9 @@
 }
 
 // suspected returns the intervals in which node a believes that node b is dead: those in which
-// b is down or partitioned from a, with a delay of detection that depends on the two nodes.
+// b is down, frozen or partitioned from a, with a delay of detection that depends on the two nodes.
+// Without a partition, a can suspect b at a time between suspectMin and recoverMax if one of their
+// indexes is even and the other odd, because the delays also apply to the empty interval.
 func (fleet *simFleet) suspected(a, b *simNode) []interval {
 	// detectionDelay returns a delay between least and most, always the same for the two nodes.
 	detectionDelay := func(least, most time.Duration) time.Duration {
--- a/route/router_test.go
+++ b/route/router_test.go
@@ -82,6 +82,7 @@
 // that the loss of a group moves only the prefixes of that group.
 func TestAffinity(t *testing.T) {
 	const prefixes = 500
+	// chooseAll returns the name of the target chosen for each prefix.
 	chooseAll := func(router *Router) map[int]string {
 		targets := map[int]string{}
 		for prefix := range prefixes {
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -253,12 +253,12 @@
 	for index := 0; index+1 < len(header); index += 2 {
 		request.Header.Set(header[index], header[index+1])
 	}
-	recorder := result{ResponseRecorder: httptest.NewRecorder()}
+	answer := result{ResponseRecorder: httptest.NewRecorder()}
 	func() {
-		defer func() { recorder.broken = recover() != nil }()
-		harness.ServeHTTP(recorder.ResponseRecorder, request)
+		defer func() { answer.broken = recover() != nil }()
+		harness.ServeHTTP(answer.ResponseRecorder, request)
 	}()
-	return recorder
+	return answer
 }
 
 // events returns the text of the events whose numbers are at least from and at most to.
