--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -78,8 +78,8 @@
 
 func (check fixedCheck) Stopped(context.Context, string) bool { return bool(check) }
 
-// TestGuardedRequests checks requests with each judgment of the guard, and requests that servers
-// ran when they terminated: the status must say correctly whether the request may have run, a
+// TestGuardedRequests checks requests with each judgment of the guard, and requests that a server
+// ran when the server terminated: the status must say correctly whether the request may have run, a
 // quarantined request must run on one server only, and servers must be reported to the guard if
 // the connection to them broke and they have terminated.
 func TestGuardedRequests(t *testing.T) {
@@ -207,21 +207,21 @@
 	}{
 		"waits, stream":   {"/s/x", step{delay: 300 * time.Millisecond, events: 3}, 502},
 		"waits, plain":    {"/safe/x", step{delay: 300 * time.Millisecond, body: "ok"}, 502},
-		"stream started":  {"/s/x", step{events: 200}, 200},
+		"stream started":  {"/s/x", step{events: 200}, 200}, // takes over 60 ms with slowBackend, which delays each read by 1 ms
 		"another request": {"/s/y", step{delay: 300 * time.Millisecond, events: 3}, 200},
 	}
 	for name, test := range cases {
 		runFakeTime(t, name, func(t *testing.T) {
 			harness := newHarness(t, test.step)
-			canceled := newExchange() // has the digest that is passed to CancelCopies
-			canceled.handler = harness.Handler
-			canceled.call.Target, canceled.account, canceled.body = test.path, &shedkeel.KeyedAccount{ID: "clerk"}, []byte("body")
+			digested := newExchange() // CancelCopies is called with the digest of this exchange
+			digested.handler = harness.Handler
+			digested.call.Target, digested.account, digested.body = test.path, &shedkeel.KeyedAccount{ID: "clerk"}, []byte("body")
 			if name == "another request" {
-				canceled.call.Target = "/s/x"
+				digested.call.Target = "/s/x"
 			}
 			go func() {
 				time.Sleep(60 * time.Millisecond) // until the request waits for its answer, or part of the stream has been forwarded
-				harness.CancelCopies(canceled.computeDigest())
+				harness.CancelCopies(digested.computeDigest())
 			}()
 			if name == "stream started" {
 				harness.Backend = slowBackend{harness.backend} // otherwise the stream would end before CancelCopies is called
--- a/serve/stream.go
+++ b/serve/stream.go
@@ -26,8 +26,8 @@
 	*exchange
 	updates    chan update
 	sources    []*source // the active sources, at most two
-	lastNumber int64     // number of the last forwarded event whose ID is a number, at first of the event after which the caller resumes; 0: none
-	lastID     string    // ID of the last forwarded event that has one, at first of the event after which the caller resumes; "": none
+	lastNumber int64     // number of the last forwarded event whose ID is a number; at first that of the event after which the caller resumes; 0: none
+	lastID     string    // ID of the last forwarded event that has an ID; at first that of the event after which the caller resumes; "": none
 	lastErr    error     // error of the source that failed last
 	timing     timing
 }
@@ -79,8 +79,8 @@
 }
 
 // stallSignal returns the channel that signals that the only source has stalled. It returns
-// nil, from which a receive blocks forever, if there is no source or a second one, if the
-// source was hedged since its last forwarded event, or if mayFailOver does not allow another
+// nil, from which a receive blocks forever, if the number of sources is not one, if the source
+// was hedged since its last forwarded event, or if mayFailOver does not allow another
 // source.
 func (stream *stream) stallSignal() <-chan struct{} {
 	if len(stream.sources) != 1 || stream.sources[0].hedged || !stream.mayFailOver() {
