--- a/group/fleet_test.go
+++ b/group/fleet_test.go
@@ -101,7 +101,7 @@
 	for _, box := range fleet.boxes {
 		fleet.updateBox(box)
 	}
-	input := shedkeel.PlanInput{Now: fleet.now, Zone: "z", Config: fleet.config, Table: fleet.table, Boxes: fleet.views(), Placement: fleet.placement.Clone()}
+	input := shedkeel.PlanInput{Now: fleet.now, Zone: "z", Config: fleet.config, Parameters: fleet.table, Boxes: fleet.views(), Placement: fleet.placement.Clone()}
 	var output shedkeel.PlanOutput
 	if fleet.isOutage(fleet.now) {
 		fleet.fallBack(input)
--- a/group/form.go
+++ b/group/form.go
@@ -115,15 +115,15 @@
 
 // formGroup forms one group of the service from free boxes, in the order of
 // sortWarmFirst, and reports whether it did. Of the fabric domains with enough
-// free boxes for the group and the table's spares, it uses the one with the fewest.
-// If no domain has enough and the table allows it, the group spans domains. No group
+// free boxes for the group and the Spares parameter, it uses the one with the fewest.
+// If no domain has enough and the parameters allow it, the group spans domains. No group
 // is formed within a domain that findSilentDomains has marked, but the free boxes of
 // such a domain may join a group that spans domains.
 func (round *round) formGroup(service shedkeel.Service) bool {
 	best := shedkeel.DomainID("")
 	found := false
 	for _, domain := range slices.Sorted(maps.Keys(round.free)) {
-		surplus := len(round.free[domain]) - round.input.Table.Spares - service.Members
+		surplus := len(round.free[domain]) - round.input.Parameters.Spares - service.Members
 		if surplus < 0 || round.silentDomains[domain] {
 			continue
 		}
@@ -136,7 +136,7 @@
 	if !found {
 		boxes = round.allFreeBoxes()
 		best = ""
-		if !round.input.Table.CrossDomain || len(boxes) < service.Members+round.input.Table.Spares {
+		if !round.input.Parameters.CrossDomain || len(boxes) < service.Members+round.input.Parameters.Spares {
 			return false
 		}
 	}
@@ -154,11 +154,11 @@
 }
 
 // prefetchOrders returns the orders to load weights for boxes that are in no group
-// yet: for the substitutes that repairs have chosen and, if the table's WarmSpares
+// yet: for the substitutes that repairs have chosen and, if the parameter WarmSpares
 // is set, for all free boxes. A free box that is no chosen substitute loads the
 // weights of the mainService of its domain.
 func (round *round) prefetchOrders() []shedkeel.Order {
-	if round.input.Table.WarmSpares {
+	if round.input.Parameters.WarmSpares {
 		for _, domain := range slices.Sorted(maps.Keys(round.free)) {
 			service := round.mainService(domain)
 			for _, view := range round.free[domain] {
--- a/group/planner.go
+++ b/group/planner.go
@@ -55,7 +55,7 @@
 	round.trackDraining()
 	round.retire()
 	round.repairGroups()
-	if input.Table.Consolidate {
+	if input.Parameters.Consolidate {
 		round.consolidate()
 	}
 	round.formGroups()
@@ -165,7 +165,7 @@
 			silent[view.Box.Domain]++
 		}
 	}
-	fraction := round.input.Table.DomainFailureFraction
+	fraction := round.input.Parameters.DomainFailureFraction
 	for domain, count := range total {
 		if fraction > 0 && silent[domain] > 1 && float64(silent[domain]) >= fraction*float64(count) {
 			round.silentDomains[domain] = true
--- a/group/repair.go
+++ b/group/repair.go
@@ -104,10 +104,10 @@
 // instead of ReplaceAfter, because a replacement is then cheap and waiting is rarely
 // worth it.
 func (round *round) withinReplaceAfter(group *shedkeel.Group, member shedkeel.Member) bool {
-	replaceAfter := round.input.Table.ReplaceAfter
+	replaceAfter := round.input.Parameters.ReplaceAfter
 	for _, substitute := range round.substitutes(group, 1) {
 		if hasWeights(substitute, group.Service) {
-			replaceAfter = round.input.Table.WarmReplaceAfter
+			replaceAfter = round.input.Parameters.WarmReplaceAfter
 			continue
 		}
 		round.prefetch[substitute.Box.ID] = group.Service
@@ -117,13 +117,13 @@
 
 // substitutes returns up to count free boxes for the group, in the order of
 // sortWarmFirst. They come from the group's domain, or from all domains if the
-// group spans several or if its domain has too few and the table allows
+// group spans several or if its domain has too few and the parameters allow
 // cross-domain groups. The group's own boxes that restarted without their state
 // and respond again also count as free. They are sorted after the other boxes of the
 // same loadRank, so that a box that has just restarted is the last choice of its rank.
 func (round *round) substitutes(group *shedkeel.Group, count int) []shedkeel.BoxView {
 	candidates := slices.Clone(round.free[group.Domain])
-	if group.Domain == "" || round.input.Table.CrossDomain && len(candidates) < count {
+	if group.Domain == "" || round.input.Parameters.CrossDomain && len(candidates) < count {
 		candidates = round.allFreeBoxes()
 	}
 	for _, member := range group.Members {
--- a/group/reserve.go
+++ b/group/reserve.go
@@ -102,7 +102,7 @@
 		case conditionLost:
 			missing = append(missing, member.Box)
 		case conditionSilent:
-			if silent >= round.input.Table.WarmReplaceAfter {
+			if silent >= round.input.Parameters.WarmReplaceAfter {
 				missing = append(missing, member.Box)
 			}
 		case conditionHealthy, conditionLeaving:
--- a/interfaces.go
+++ b/interfaces.go
@@ -209,12 +209,12 @@
 
 // PlanInput is the complete input of a planner.
 type PlanInput struct {
-	Now       time.Duration // time of planning, on the clock of BoxView.LastReply
-	Zone      ZoneID
-	Config    Config
-	Table     PlannerParameters // result of the policy program
-	Boxes     map[BoxID]BoxView
-	Placement Placement // the current placement of the zone
+	Now        time.Duration // time of planning, on the clock of BoxView.LastReply
+	Zone       ZoneID
+	Config     Config
+	Parameters PlannerParameters // result of the policy program
+	Boxes      map[BoxID]BoxView
+	Placement  Placement // the current placement of the zone
 }
 
 // Decision is a record of an action that the planner took or decided against, with
--- a/keeper/plan.go
+++ b/keeper/plan.go
@@ -193,7 +193,7 @@
 	}
 	zone.probeRemaining(ctx, boxes, &input)
 	input.Now = keeper.Timers.Now()
-	input.Table = zone.refreshPolicyTable(config, boxes)
+	input.Parameters = zone.refreshPolicyTable(config, boxes)
 	return input, true
 }
 
