--- a/node/explain.go
+++ b/node/explain.go
@@ -9,8 +9,8 @@
 	"shedkeel.org/shedkeel"
 )
 
-// EventLines is the content type of log lines, one JSON object per line.
-const EventLines = "application/x-ndjson"
+// EventLinesContentType is the content type of log lines, one JSON object per line.
+const EventLinesContentType = "application/x-ndjson"
 
 // Explanation is what a node knows about a replica group.
 type Explanation struct {
@@ -103,7 +103,7 @@
 		notFound(writer, fmt.Sprintf("none of the latest events of node %s tells of request %s; ask the node that its caller sent it to, or read its log", node.Settings.Node, id))
 		return
 	}
-	writer.Header().Set("Content-Type", EventLines)
+	writer.Header().Set("Content-Type", EventLinesContentType)
 	writer.Header().Set("X-Content-Type-Options", "nosniff")
 	for _, line := range lines {
 		_, _ = writer.Write(line) //nolint:gosec // JSON lines with nosniff, so no browser interprets them; an error means that the client disconnected
--- a/operator/client.go
+++ b/operator/client.go
@@ -119,7 +119,7 @@
 		return responseError(response)
 	}
 	limited := io.LimitReader(response.Body, maxResponseBytes)
-	if report, ok := answer.(*RequestReport); ok && response.Header.Get("Content-Type") == node.EventLines {
+	if report, ok := answer.(*RequestReport); ok && response.Header.Get("Content-Type") == node.EventLinesContentType {
 		return report.read(limited)
 	}
 	return json.NewDecoder(limited).Decode(answer)
