--- a/keeper/fallback.go
+++ b/keeper/fallback.go
@@ -40,7 +40,7 @@
 	if !keeper.storeUnavailable || 2*live <= known {
 		return false
 	}
-	return zone.lease.ExpiredFor(now, zone.lease.TTL) && zone.placement.PlannerEpoch == zone.lease.Holder().Epoch
+	return zone.lease.ExpiredFor(now, zone.lease.TTL) && zone.placement.PlannerEpoch == zone.lease.LastRecord().Epoch
 }
 
 // applyFallback replaces lost members by reserve boxes, publishes the fallback if it
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -175,5 +175,5 @@
 // latest epoch in which this node was the holder.
 func (lease *Lease) HeldSince() time.Duration { return lease.gainedAt }
 
-// Holder returns the last known record.
-func (lease *Lease) Holder() Record { return lease.record }
+// LastRecord returns the last known record.
+func (lease *Lease) LastRecord() Record { return lease.record }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -151,11 +151,11 @@
 	for range 5 {
 		renew()
 	}
-	newest := first.Holder().Generation
+	newest := first.LastRecord().Generation
 	*service = backup
 	renew() // fails with a conflict and reads the older record
 	renew()
-	assert.Assert(t, first.Holder().Generation > newest, "the generation must exceed the one that other nodes saw before the restore")
+	assert.Assert(t, first.LastRecord().Generation > newest, "the generation must exceed the one that other nodes saw before the restore")
 	_, holds := first.Held(now, 0)
 	assert.Assert(t, holds)
 }
