--- a/group/naive.go
+++ b/group/naive.go
@@ -9,18 +9,18 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Naive is a simple planner that Planner is compared with. It removes a group as
+// NaivePlanner is a simple planner that Planner is compared with. It removes a group as
 // soon as a member is silent, restarted, leaving or no longer listed, and forms
 // groups from the free boxes of one fabric domain in the order of their IDs. It
 // ignores operators' drains and the parameters that the policy returns (Table in the
 // input).
-type Naive struct {
+type NaivePlanner struct {
 	MissAfter time.Duration // zero: DefaultMissAfter
 }
 
 // Plan returns the next placement of one availability zone, and the orders that
 // Reconcile derives from the placement in the input, which is the committed one.
-func (naive *Naive) Plan(input shedkeel.PlanInput) shedkeel.PlanOutput {
+func (naive *NaivePlanner) Plan(input shedkeel.PlanInput) shedkeel.PlanOutput {
 	missAfter := naive.MissAfter
 	if missAfter == 0 {
 		missAfter = DefaultMissAfter
--- a/group/planner_test.go
+++ b/group/planner_test.go
@@ -254,14 +254,14 @@
 	}
 }
 
-// TestBothPlannersKeepInvariants runs Planner and Naive on random losses. Both must
+// TestBothPlannersKeepInvariants runs Planner and NaivePlanner on random losses. Both must
 // keep each box in at most one group, and isWhole, which uses ProbeVerdict, must agree
 // with referenceWhole for every group. The planners are not compared with each
 // other.
 func TestBothPlannersKeepInvariants(t *testing.T) {
 	planners := map[string]func() shedkeel.Planner{
 		"planner": func() shedkeel.Planner { return &Planner{} },
-		"naive":   func() shedkeel.Planner { return &Naive{} },
+		"naive":   func() shedkeel.Planner { return &NaivePlanner{} },
 	}
 	for name, planner := range planners {
 		t.Run(name, func(t *testing.T) {
--- a/group/trace_test.go
+++ b/group/trace_test.go
@@ -217,7 +217,7 @@
 func measure(candidate candidate, length time.Duration) result {
 	var planner shedkeel.Planner = &Planner{}
 	if candidate.naive {
-		planner = &Naive{}
+		planner = &NaivePlanner{}
 	}
 	boxes := cmp.Or(candidate.boxes, traceBoxes)
 	fleet := newFleet(planner, candidate.table, traceDomains, boxes, candidate.groups, traceMembers)
@@ -305,9 +305,9 @@
 
 // TestTrace measures planners on one loss trace; the measures are those of fleet.
 // With 16 groups, Planner under the shipped policy karadere must have at most a
-// fifth of the group downtime of Naive and no more stranded accelerator time. With
+// fifth of the group downtime of NaivePlanner and no more stranded accelerator time. With
 // 18 groups, under nafha it must have at most half of the stranded accelerator time
-// of Naive and no more group downtime. The table of measures is printed with -v;
+// of NaivePlanner and no more group downtime. The table of measures is printed with -v;
 // -days lengthens the trace.
 func TestTrace(t *testing.T) {
 	length := time.Duration(*days) * 24 * time.Hour
