--- a/serving.go
+++ b/serving.go
@@ -111,7 +111,7 @@
 	Slots          int           // requests that a group runs concurrently
 	StepsPerPass   int           // steps of one pass; a stream sends an event at least once per pass
 	Chunk          int           // maximum prompt tokens that one step reads
-	Step           time.Duration // duration of a step, without the time that running requests add (StepPerRequest) and the time to read prompts
+	StepTime       time.Duration // duration of a step, without the time that running requests add (StepPerRequest) and the time to read prompts
 	StepPerRequest time.Duration // time that each running request adds to a step
 	ReadPerSecond  float64       // prompt tokens read per second; 0: the times are not known
 	LoadsPerSecond float64       // maximum rate of load starts on all boxes together
@@ -127,7 +127,7 @@
 		return 0
 	}
 	reading := time.Duration(float64(engine.Chunk) / engine.ReadPerSecond * float64(time.Second))
-	step := reading + engine.Step + time.Duration(engine.Slots)*engine.StepPerRequest
+	step := reading + engine.StepTime + time.Duration(engine.Slots)*engine.StepPerRequest
 	return time.Duration(float64(engine.StepsPerPass) * float64(step) * model.EffectiveSlowdown())
 }
 
