--- a/interfaces.go
+++ b/interfaces.go
@@ -98,7 +98,7 @@
 	CallGet      StoreCall = "get"       // Store.Get
 	CallGetStale StoreCall = "get_stale" // GetStale
 	CallList     StoreCall = "list"      // List and Store.Watch, one call per page of the list
-	CallWatch    StoreCall = "watch"     // Changes and Store.Watch, one call per wait for changes
+	CallChanges  StoreCall = "watch"     // Changes and Store.Watch, one call per wait for changes
 	CallCommit   StoreCall = "commit"    // Commit and Store.Swap
 	CallGrant    StoreCall = "grant"     // Grant
 	CallRenew    StoreCall = "renew"     // Renew
