--- a/group/planner_test.go
+++ b/group/planner_test.go
@@ -302,9 +302,9 @@
 	return true
 }
 
-// TestInspect checks the verdict of ProbeVerdict on a group of two for each state of the
+// TestProbeVerdict checks the verdict of ProbeVerdict on a group of two for each state of the
 // second member.
-func TestInspect(t *testing.T) {
+func TestProbeVerdict(t *testing.T) {
 	group := shedkeel.Group{ID: "g", Epoch: 2, Members: []shedkeel.Member{{Box: "a", Boot: "1"}, {Box: "b", Boot: "1"}}}
 	ready := shedkeel.BoxState{Boot: "1", Phase: shedkeel.PhaseReady, Assigned: group.Assignment()}
 	with := func(change func(*shedkeel.BoxState)) shedkeel.BoxState {
--- a/mutants_test.go
+++ b/mutants_test.go
@@ -152,7 +152,7 @@
 		"entry/send.go", "if try.entry.Timers.Now() >= try.choice.UsableUntil {", "if false {", "TestFrozenBetweenChoiceAndSend", "./entry",
 	},
 	"whole groups only: the boot ID is not compared": {
-		"group/reconcile.go", "case state.Boot != member.Boot || state.Assigned", "case state.Assigned", "TestInspect", "./group",
+		"group/reconcile.go", "case state.Boot != member.Boot || state.Assigned", "case state.Assigned", "TestProbeVerdict", "./group",
 	},
 	"whole groups only: the age of a digest counts from its receipt": {
 		"member/exchange.go", "digestFromWire(digest, sent)", "digestFromWire(digest, now)", "TestDigestNeverLooksYounger", "./member",
