--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -196,10 +196,10 @@
 	}
 }
 
-// TestCallBackCancelsWaitingCopies checks that CancelCopies cancels a request with the given digest
+// TestCancelCopies checks that CancelCopies cancels a request with the given digest
 // that waits for its answer, and that a stream whose answer has started and a request with
 // another digest go on. A canceled request gets 502, because it may have run.
-func TestCallBackCancelsWaitingCopies(t *testing.T) {
+func TestCancelCopies(t *testing.T) {
 	cases := map[string]struct {
 		path   string
 		step   step
