--- a/mutants_test.go
+++ b/mutants_test.go
@@ -143,7 +143,7 @@
 		"mirror/follower.go", "peer, wait = follower.randomPeer(), retryDelay", "peer, wait = follower.randomPeer(), 0", "TestFollowersLeaveRefusedUpstream", "./mirror",
 	},
 	"suspended box: deadlines rely only on the runtime's timers": {
-		"serve/guard.go", "if now > exchange.deadline {", "if false {", "TestExpireAfterBoxSuspension", "./serve",
+		"serve/guard.go", "if now > exchange.deadline {", "if false {", "TestCancelOverdueAfterBoxSuspension", "./serve",
 	},
 	"whole groups only: permits expire far too late": {
 		"member/permit.go", "permit.Until = finding.wholeAt + input.Window", "permit.Until = finding.wholeAt + 1000*input.Window", "TestScenarios/whole_groups", ".",
--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -234,11 +234,11 @@
 	}
 }
 
-// TestExpireAfterBoxSuspension advances the handler's clock but not the timers of contexts, as
+// TestCancelOverdueAfterBoxSuspension advances the handler's clock but not the timers of contexts, as
 // after a suspension of the box, and calls CancelOverdue. Requests whose deadline has passed must
 // end at once, and other requests go on until their answer after 400 ms. The timeouts of the
 // routes are 1 and 2 s.
-func TestExpireAfterBoxSuspension(t *testing.T) {
+func TestCancelOverdueAfterBoxSuspension(t *testing.T) {
 	cases := map[string]struct {
 		path      string
 		suspended time.Duration // by which the handler's clock advances while the request waits
