--- a/mutants_test.go
+++ b/mutants_test.go
@@ -332,7 +332,7 @@
 		"formation/repair.go", "case round.planner.released[assignment]:", "case false:", "TestGroupsFollowDemand", "./formation",
 	},
 	"nodes: a difference is applied to any base revision of its era": {
-		"transfer/difference.go", "if base.Revision != baseRevision ||", "if base.Revision.Era != baseRevision.Era ||", "TestEncodeDifference", "./transfer",
+		"transfer/difference.go", "if base.Revision != baseRevision ||", "if base.Revision.Era != baseRevision.Era ||", "TestEncodeDifference$", "./transfer",
 	},
 	"nodes: former formations are kept far too long": {
 		"formation/planner.go", "if now-at <= retentionTime {", "if now-at <= 1000*retentionTime {", "TestFormerFormationsAreForgotten", "./formation",
--- a/transfer/difference_test.go
+++ b/transfer/difference_test.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestDifferRandom checks on random values of two letters, which have much in common, that
+// TestEncodeDifferenceRandom checks on random values of two letters, which have much in common, that
 // a difference restores the record.
-func TestDifferRandom(t *testing.T) {
+func TestEncodeDifferenceRandom(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 9))
 	for range 10_000 {
 		value := func() []byte {
