--- a/mutants_test.go
+++ b/mutants_test.go
@@ -221,7 +221,7 @@
 		"node/fleet.go", "return !isNode || fleet.node.gossip.mayServeCallers(shedkeel.NodeID(id))", "return !isNode || id != \"\"", "TestGoneNodes", "./node",
 	},
 	"failure detection: an isolated node removes records": {
-		"node/remover.go", "node.stopping.Load() || node.gossip.isolated()", "node.stopping.Load()", "TestRemoverTakes", "./node",
+		"node/remover.go", "node.stopping.Load() || node.gossip.isolated()", "node.stopping.Load()", "TestRemoverRemovesDeadNodes", "./node",
 	},
 	"failure detection: an isolated node suspects all others": {
 		"swim/detector.go", "if peer.liveness == shedkeel.Alive && !detector.Isolated(now) {", "if peer.liveness == shedkeel.Alive {", "TestPartitions|TestIsolated", "./swim",
--- a/node/remover_test.go
+++ b/node/remover_test.go
@@ -51,10 +51,10 @@
 	}
 }
 
-// TestRemoverTakes checks which records a node removes: those records of dead nodes that have no
+// TestRemoverRemovesDeadNodes checks which records a node removes: those records of dead nodes that have no
 // lease, even if all other nodes are dead. It must remove each of these records once. A node
 // that is cut off, or whose copy is older than outageAge, must remove none.
-func TestRemoverTakes(t *testing.T) {
+func TestRemoverRemovesDeadNodes(t *testing.T) {
 	cases := map[string]struct {
 		liveness    shedkeel.Liveness
 		count       int           // how many of the five other nodes have this liveness
