--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -165,9 +165,9 @@
 	assert.Equal(t, len(store.changes), 2, "the blame is written again")
 }
 
-// TestLoadsAreKeptAgain checks that the leader stores running model loads again after a restore
+// TestLoadsAreStoredAgain checks that the leader stores running model loads again after a restore
 // of the key-value service, and otherwise does not store the same loads twice.
-func TestLoadsAreKeptAgain(t *testing.T) {
+func TestLoadsAreStoredAgain(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
 	writes := 0
 	store.commit = func(shedkeel.Transaction) (int64, error) { writes++; return 3, nil } // 3: the write's revision
