--- a/group/planner_test.go
+++ b/group/planner_test.go
@@ -254,14 +254,14 @@
 	}
 }
 
-// TestBothPlannersKeepInvariants runs Planner and Naive on random losses. Both must
+// TestBothPlannersKeepInvariants runs Planner and NaivePlanner on random losses. Both must
 // keep each box in at most one group, and isWhole, which uses ProbeVerdict, must agree
 // with referenceWhole for every group. The planners are not compared with each
 // other.
 func TestBothPlannersKeepInvariants(t *testing.T) {
 	planners := map[string]func() shedkeel.Planner{
 		"planner": func() shedkeel.Planner { return &Planner{} },
-		"naive":   func() shedkeel.Planner { return &Naive{} },
+		"naive":   func() shedkeel.Planner { return &NaivePlanner{} },
 	}
 	for name, planner := range planners {
 		t.Run(name, func(t *testing.T) {
@@ -302,9 +302,9 @@
 	return true
 }
 
-// TestInspect checks the verdict of ProbeVerdict on a group of two for each state of the
+// TestProbeVerdict checks the verdict of ProbeVerdict on a group of two for each state of the
 // second member.
-func TestInspect(t *testing.T) {
+func TestProbeVerdict(t *testing.T) {
 	group := shedkeel.Group{ID: "g", Epoch: 2, Members: []shedkeel.Member{{Box: "a", Boot: "1"}, {Box: "b", Boot: "1"}}}
 	ready := shedkeel.BoxState{Boot: "1", Phase: shedkeel.PhaseReady, Assigned: group.Assignment()}
 	with := func(change func(*shedkeel.BoxState)) shedkeel.BoxState {
--- a/mutants_test.go
+++ b/mutants_test.go
@@ -143,7 +143,7 @@
 		"mirror/follower.go", "peer, wait = follower.randomPeer(), retryDelay", "peer, wait = follower.randomPeer(), 0", "TestFollowersLeaveRefusedUpstream", "./mirror",
 	},
 	"suspended box: deadlines rely only on the runtime's timers": {
-		"serve/guard.go", "if now > exchange.deadline {", "if false {", "TestExpireAfterBoxSuspension", "./serve",
+		"serve/guard.go", "if now > exchange.deadline {", "if false {", "TestCancelOverdueAfterBoxSuspension", "./serve",
 	},
 	"whole groups only: permits expire far too late": {
 		"member/permit.go", "permit.Until = finding.wholeAt + input.Window", "permit.Until = finding.wholeAt + 1000*input.Window", "TestScenarios/whole_groups", ".",
@@ -152,7 +152,7 @@
 		"entry/send.go", "if try.entry.Timers.Now() >= try.choice.UsableUntil {", "if false {", "TestFrozenBetweenChoiceAndSend", "./entry",
 	},
 	"whole groups only: the boot ID is not compared": {
-		"group/reconcile.go", "case state.Boot != member.Boot || state.Assigned", "case state.Assigned", "TestInspect", "./group",
+		"group/reconcile.go", "case state.Boot != member.Boot || state.Assigned", "case state.Assigned", "TestProbeVerdict", "./group",
 	},
 	"whole groups only: the age of a digest counts from its receipt": {
 		"member/exchange.go", "digestFromWire(digest, sent)", "digestFromWire(digest, now)", "TestDigestNeverLooksYounger", "./member",
@@ -221,7 +221,7 @@
 		"node/fleet.go", "return !isNode || fleet.node.gossip.mayServeCallers(shedkeel.NodeID(id))", "return !isNode || id != \"\"", "TestGoneNodes", "./node",
 	},
 	"failure detection: an isolated node removes records": {
-		"node/remover.go", "node.stopping.Load() || node.gossip.isolated()", "node.stopping.Load()", "TestRemoverTakes", "./node",
+		"node/remover.go", "node.stopping.Load() || node.gossip.isolated()", "node.stopping.Load()", "TestRemoverRemovesDeadNodes", "./node",
 	},
 	"failure detection: an isolated node suspects all others": {
 		"swim/detector.go", "if peer.liveness == shedkeel.Alive && !detector.Isolated(now) {", "if peer.liveness == shedkeel.Alive {", "TestPartitions|TestIsolated", "./swim",
@@ -332,7 +332,7 @@
 		"formation/repair.go", "case round.planner.released[assignment]:", "case false:", "TestGroupsFollowDemand", "./formation",
 	},
 	"nodes: a difference is applied to any base revision of its era": {
-		"transfer/difference.go", "if base.Revision != baseRevision ||", "if base.Revision.Era != baseRevision.Era ||", "TestEncodeDifference", "./transfer",
+		"transfer/difference.go", "if base.Revision != baseRevision ||", "if base.Revision.Era != baseRevision.Era ||", "TestEncodeDifference$", "./transfer",
 	},
 	"nodes: former formations are kept far too long": {
 		"formation/planner.go", "if now-at <= retentionTime {", "if now-at <= 1000*retentionTime {", "TestFormerFormationsAreForgotten", "./formation",
--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -196,10 +196,10 @@
 	}
 }
 
-// TestCallBackCancelsWaitingCopies checks that CancelCopies cancels a request with the given digest
+// TestCancelCopies checks that CancelCopies cancels a request with the given digest
 // that waits for its answer, and that a stream whose answer has started and a request with
 // another digest go on. A canceled request gets 502, because it may have run.
-func TestCallBackCancelsWaitingCopies(t *testing.T) {
+func TestCancelCopies(t *testing.T) {
 	cases := map[string]struct {
 		path   string
 		step   step
@@ -234,11 +234,11 @@
 	}
 }
 
-// TestExpireAfterBoxSuspension advances the handler's clock but not the timers of contexts, as
+// TestCancelOverdueAfterBoxSuspension advances the handler's clock but not the timers of contexts, as
 // after a suspension of the box, and calls CancelOverdue. Requests whose deadline has passed must
 // end at once, and other requests go on until their answer after 400 ms. The timeouts of the
 // routes are 1 and 2 s.
-func TestExpireAfterBoxSuspension(t *testing.T) {
+func TestCancelOverdueAfterBoxSuspension(t *testing.T) {
 	cases := map[string]struct {
 		path      string
 		suspended time.Duration // by which the handler's clock advances while the request waits
