--- a/dispatch/backoff_simulation_test.go
+++ b/dispatch/backoff_simulation_test.go
@@ -57,7 +57,7 @@
 	id       shedkeel.InstanceID
 	running  int
 	from, to time.Duration           // period of the overload
-	stated   map[int][]statedBackoff // the backoffs that the server has asked for, by node
+	stated   map[int][]statedBackoff // the backoffs that the server has asked for, by index of the node
 }
 
 // statedBackoff is a backoff that a server asked a node for.
@@ -102,8 +102,9 @@
 	heap.Push(&simulation.events, simEvent{simulation.now + wait, run})
 }
 
-// newSimulation returns a simulation with that many nodes and servers. The first servers, as
-// many as overloaded says, each have an overload of 2 to 9 s that begins between 4 and 5 s.
+// newSimulation returns a simulation with that many nodes and servers. The parameter overloaded
+// is how many of the servers become overloaded. Each of these has one overload, which begins 4 to
+// 5 s after the start of the simulation and lasts 2 to 9 s.
 func newSimulation(strategy strategy, seed uint64, nodes, servers, overloaded int) *simulation {
 	simulation := &simulation{strategy: strategy, random: rand.New(rand.NewPCG(seed, 11))}
 	var listed []Server
@@ -138,8 +139,9 @@
 	}
 }
 
-// send sends a request, which the excluded servers have rejected, to another server. The
-// request is lost if no other server is usable or the request was sent simMaxAttempts times.
+// send sends a request of a node to a server that is not excluded. The excluded servers have
+// rejected the request before. The request is lost if no other server is usable or the request was
+// sent simMaxAttempts times.
 func (simulation *simulation) send(node int, excluded []shedkeel.InstanceID) {
 	choice := simulation.nodes[node].Choose(Query{Service: "s", Exclude: excluded, Now: simulation.now})
 	if choice == nil || len(excluded) == simMaxAttempts {
@@ -149,11 +151,11 @@
 	simulation.after(link, func() { simulation.arrive(node, choice, excluded, link) })
 }
 
-// arrive delivers a request to its server, which runs or rejects it. An overloaded server asks
-// for a backoff of 3 s, a server whose slots are taken for one of 500 ms. A node violates a backoff,
-// once, when the third of its requests arrives during the backoff; requests in the first 500 ms do
-// not count. A backoff of 500 ms can thus practically not be violated. link is the delay after
-// which the rejection reaches the node.
+// arrive delivers a request to its server, which runs or rejects the request. An overloaded server
+// asks for a backoff of 3 s; a server that only has no free slot asks for a backoff of 500 ms. A
+// backoff counts as violated, once, when the third request of the node arrives during the backoff.
+// Requests in the first 500 ms of the backoff do not count, so a backoff of 500 ms can practically
+// not be violated. link is the delay after which the rejection reaches the node.
 func (simulation *simulation) arrive(node int, choice *Choice, excluded []shedkeel.InstanceID, link time.Duration) {
 	server := simulation.servers[0]
 	for _, other := range simulation.servers {
@@ -230,6 +232,8 @@
 	for _, nodes := range nodeCounts {
 		for _, overloaded := range []int{2, 6, servers} {
 			for _, load := range []float64{0.5, 0.9} { // share of the capacity of all servers
+				// best is the highest share that a strategy without violations served; current and
+				// violations are those of the last strategy, once the loop has ended.
 				best, current, violations := 0.0, 0.0, 0
 				for _, candidate := range strategies {
 					var sum simulation
--- a/dispatch/condition_test.go
+++ b/dispatch/condition_test.go
@@ -46,7 +46,7 @@
 // server is rate-limited.
 func TestConditions(t *testing.T) {
 	const backoff = 3 * time.Second
-	servers := []shedkeel.InstanceID{"a@1", "b@1"}
+	servers := []shedkeel.InstanceID{"a@1", "b@1"} // one instance each of the servers a and b (shedkeel.NewInstanceID)
 	cases := map[string]struct {
 		apply func(*Table)
 		at    time.Duration // time of the choices
@@ -67,6 +67,7 @@
 		t.Run(name, func(t *testing.T) {
 			table := plainTable(servers...)
 			test.apply(table)
+			// Six requests are enough for each usable server to be chosen.
 			assert.DeepEqual(t, table.chooseAll(6, test.at), test.want)
 			_, found := table.NextPermit(Query{Service: "s", Now: test.at})
 			assert.Assert(t, !found)
@@ -138,6 +139,7 @@
 			table.conditions["b"].backoffUntil, table.conditions["b"].needsProbe = 0, false
 			test.outcome(first)
 			table.servers[first.key()].failureRate = 0 // so that only the condition decides
+			// Of four further requests, a gets at least one unless its probe is unanswered.
 			assert.Equal(t, slices.Contains(table.chooseAll(4, end), "a"), test.more)
 		})
 	}
--- a/dispatch/spread.go
+++ b/dispatch/spread.go
@@ -26,14 +26,13 @@
 	// always has a group that is not busy, and small enough that the calls of Recommend take
 	// a few hundredths of one CPU core.
 	groupsPerPartition = 24
-	// slowThreshold is how many times the median of its model's groups
-	// (medianLatencyRatio) a group's latency ratio must at least be for the group to count
-	// as slow. Each process sees few responses of a group, and smaller differences are due
-	// to chance.
+	// slowThreshold is the minimum ratio of a group's latency ratio to the median of its model's
+	// groups (medianLatencyRatio) at which the group counts as slow. Each process sees few
+	// responses of a group, and smaller differences are due to chance.
 	slowThreshold = 2.0
-	// reportExpiry is how long the last report of a process counts towards the running
-	// requests of all processes. A process that sends no report for that long has few
-	// requests running.
+	// reportExpiry is how long the last report of a process counts towards the running requests of
+	// all processes. Reports come with requests (Recommend), so a process that sends no report for
+	// that long has few requests running.
 	reportExpiry = 3 * time.Second
 	// remoteZoneDelay is added to the expected wait of a group in another availability
 	// zone. The round trip of the link takes 1 to 2 ms.
--- a/dispatch/spread_test.go
+++ b/dispatch/spread_test.go
@@ -24,8 +24,8 @@
 // group that had received two or more others within prefillWindow before. The group prefills
 // the prompts of all these requests at the same time.
 func (spreadSimulation *spreadSimulation) countConcurrentPrefills(seed uint64) int {
-	// A group prefills one prompt of 1,400 tokens, in 61 ms at 23,000 tokens per second, and
-	// runs a step in this time.
+	// In 80 ms a group can prefill one prompt of 1,400 tokens, which takes 61 ms at 23,000 tokens
+	// per second, and run one step of its engine besides.
 	const prefillWindow = 80 * time.Millisecond
 	random := rand.New(rand.NewPCG(seed, 1))
 	var servers []Server
@@ -79,9 +79,11 @@
 	return count
 }
 
-// TestSpreadKeepsPromptsApart compares 57 processes that each choose groups on their own
-// with 57 that follow the recommendations of a single process. With recommendations, less than
-// a tenth as many requests may have their prompts prefilled together with two or more others.
+// TestSpreadKeepsPromptsApart compares 57 processes that each choose groups on their own with 57
+// that follow the recommendations of a single process. With recommendations, less than a tenth as
+// many requests may have their prompts prefilled together with two or more others. The numbers of
+// processes, groups and requests per second are an example in which each process sends only a few
+// of the requests that run on a group.
 func TestSpreadKeepsPromptsApart(t *testing.T) {
 	alone := &spreadSimulation{processes: 57, groups: 9, rate: 85}
 	spread := &spreadSimulation{processes: 57, groups: 9, rate: 85, spread: true}
@@ -103,8 +105,8 @@
 		servers = append(servers, Server{Service: "s", Model: "m", Instance: name, Zone: "z", Slots: 26, PrefillRate: 46_000})
 	}
 	table.Replace(servers)
-	// By process. In total, 26 requests fill the slots of the group full, and 13 half of the
-	// slots of the group half.
+	// Running requests of each process, by group. In total, 26 requests run on the group "full"
+	// and 13 on the group "half". Each group has 26 slots.
 	running := []map[shedkeel.InstanceID]int{{"full": 9, "half": 4}, {"full": 9, "half": 5}, {"full": 8, "half": 4}}
 	now := time.Minute
 	ask := func(process int) shedkeel.InstanceID {
@@ -140,8 +142,8 @@
 	cases := map[string]struct {
 		alter    func(*Table, *Server) // changes the state of the second group
 		zone     shedkeel.ZoneID       // of the reporter
-		maxCount int                   // bounds on the requests of ten that the second group gets
-		minCount int
+		maxCount int                   // the second group gets at most this many of the ten requests
+		minCount int                   // and at least this many
 	}{
 		"equal, and the reporter is in the first's zone": {func(*Table, *Server) {}, "z", 5, 5},
 		"avoided":            {func(table *Table, server *Server) { table.AvoidGroup(server.Group, now, time.Second) }, "z", 0, 0},
@@ -266,7 +268,8 @@
 	}
 }
 
-// BenchmarkSpread measures Recommend in a full partition with reports of 380 processes.
+// BenchmarkSpread measures Recommend in a full partition with reports of 380 processes, as an
+// example of a large fleet.
 func BenchmarkSpread(b *testing.B) {
 	table := &Table{}
 	var servers []Server
--- a/dispatch/stall.go
+++ b/dispatch/stall.go
@@ -105,11 +105,11 @@
 	return gap
 }
 
-// FindStalled finds the stalled servers: those with running requests that have sent nothing
-// for expectedMaxGap plus stallMargin. It avoids each for avoidDuration from now. It returns
-// each new stall, and a continuing stall again after stallReportInterval. Each time that it
-// returns a stall it notifies all requests that run on the server; at other times it notifies
-// those that have received no notice of the stall.
+// FindStalled finds the stalled servers: those that run requests of this process and have sent
+// nothing for expectedMaxGap plus stallMargin. It avoids each of them for avoidDuration from now.
+// It returns each new stall, and a continuing stall again after stallReportInterval. Each time
+// that it returns a stall, it notifies all requests that run on the server; at other times it
+// notifies the requests that have received no notice of the stall.
 func (table *Table) FindStalled(now time.Duration) []Stall {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -159,12 +159,12 @@
 	}
 }
 
-// AvoidGroup keeps new requests from the group of that epoch for the duration, or until the
-// group responds to this process (RecordResponse), because a liveness probe or another node has
-// found that the group has lost a member or stalls. It notifies the requests that run there and
-// have no notice yet. It does nothing for a group that has sent an event to this process within
-// the last maxDecodeGap, or for which the first request after an idle period was chosen within
-// that time.
+// AvoidGroup keeps new requests from the group of that epoch for the duration, or until the group
+// responds to this process (RecordResponse). It is called when a liveness probe or another node
+// has found that the group has lost a member or stalls. It notifies the requests that run there
+// and have no notice yet. It does nothing for a group that has sent an event to this process
+// within the last maxDecodeGap, or for which the first request after an idle period was chosen
+// within that time.
 func (table *Table) AvoidGroup(group shedkeel.Assignment, now, duration time.Duration) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
--- a/dispatch/table_test.go
+++ b/dispatch/table_test.go
@@ -39,7 +39,7 @@
 	return at
 }
 
-// TestChooseLeastBusy checks that requests go to the servers with the fewest running ones.
+// TestChooseLeastBusy checks that requests go to the servers with the fewest running requests.
 func TestChooseLeastBusy(t *testing.T) {
 	table := testTable("a", "b", "c")
 	counts := map[shedkeel.InstanceID]int{}
