--- a/formation/correlated_loss_test.go
+++ b/formation/correlated_loss_test.go
@@ -12,7 +12,7 @@
 
 // TestServersLostTogether kills two members of a group, not its head, at the same moment, as a
 // fault of their domain does. The probe of the second member fails 50 ms after that of the first.
-// Between the two, the planner must not form the group again with the second member, which
+// Between these results, the planner must not form the group again with the second member, which
 // would never answer the order to join.
 func TestServersLostTogether(t *testing.T) {
 	t.Parallel()
--- a/formation/demand_test.go
+++ b/formation/demand_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestLossesMoveNoGroups has half of the large model's groups lose three members, more than
-// their domains have spares for. No group may be ordered to close for that, since the lost
+// TestLossesMoveNoGroups has half of the large model's groups lose three members, more than their
+// domains have spares for. No group may be ordered to close because of these losses: the lost
 // servers are replaced 20 s later, and a minute after that all groups must serve again.
 func TestLossesMoveNoGroups(t *testing.T) {
 	fleet := newFakeFleet(3, 6, 8) // seed 3; six domains of eight servers
--- a/formation/fake_test.go
+++ b/formation/fake_test.go
@@ -58,16 +58,16 @@
 	engine      *shedkeel.Engine
 	random      *rand.Rand
 	now         time.Duration
-	servers     map[shedkeel.InstanceID]*fakeServer
+	servers     map[shedkeel.InstanceID]*fakeServer // all instances, those that died or restarted included
 	lateOrders  []lateOrder
 	answerLoss  float64 // probability that an order is not answered and is carried out late (deliver)
 	violations  []string
-	lastServer  int    // number in the name of the server that was added last
-	laterTerms  uint64 // number of terms (plannerOfTerm) after the first one
-	demand      map[shedkeel.ModelID]shedkeel.ModelDemand
-	orderCounts map[shedkeel.GroupOrderKind]int // orders sent
-	lagSteps    int                             // by how many steps of testStep the list lags
-	history     [][]shedkeel.Instance           // the list at each call of instances
+	lastServer  int                                       // number in the name of the server that was added last
+	laterTerms  uint64                                    // number of terms (plannerOfTerm) after the first one
+	demand      map[shedkeel.ModelID]shedkeel.ModelDemand // Input.Demand of the plans in run; nil: not measured
+	orderCounts map[shedkeel.GroupOrderKind]int           // orders sent
+	lagSteps    int                                       // by how many steps of testStep the list lags
+	history     [][]shedkeel.Instance                     // the list at each call of instances
 }
 
 // lateOrder is an unanswered order and the time at which it is carried out.
@@ -406,7 +406,7 @@
 	epochs := uint64(0)
 	return &Planner{NextEpoch: func() uint64 {
 		epochs++
-		return term<<20 + epochs
+		return term<<20 + epochs // each term has room for a million epochs
 	}}
 }
 
--- a/formation/fleet_test.go
+++ b/formation/fleet_test.go
@@ -20,11 +20,11 @@
 	assert.Equal(t, len(fleet.violations), 0, "%v", fleet.violations)
 }
 
-// TestRulesHoldUnderFaults kills servers and replaces planners while some orders are not
-// answered and are carried out late. It checks that no rule of the package comment is
-// violated and that, a minute after the last fault, at least four groups of each model serve.
-// With all servers, six groups of each would serve; here servers are lost in random domains and
-// added to other random domains, so a domain may lack servers for a group of each model.
+// TestRulesHoldUnderFaults kills servers and replaces planners while some orders are not answered
+// and are carried out late. It checks that no rule of the package comment is violated and that, a
+// minute after the last fault, at least four groups of each model serve. With all servers, six
+// groups of each model would serve. Here servers are lost in random domains and added to other
+// random domains, so a domain may lack servers for a group of each model.
 func TestRulesHoldUnderFaults(t *testing.T) {
 	t.Parallel()
 	seeds := 40
@@ -360,8 +360,8 @@
 }
 
 // TestReadyHeadMayBeOpening has two groups lose a member each. One head is open; the other was
-// ordered to open and is still listed as ready. The planner must first order heads to leave,
-// and may order a server to join a group only once they have confirmed that they left.
+// ordered to open and is still listed as ready. The planner must first order heads to leave, and
+// may order a server to join a group only once these heads have confirmed that they left.
 // Otherwise the head that is listed as ready could become a substitute while it serves.
 func TestReadyHeadMayBeOpening(t *testing.T) {
 	member := func(id string, group shedkeel.GroupID, rank int, state shedkeel.MemberState) shedkeel.Instance {
--- a/formation/form.go
+++ b/formation/form.go
@@ -23,7 +23,8 @@
 	return found
 }
 
-// isBeingProbed reports whether a liveness probe of the server is pending.
+// isBeingProbed reports whether a liveness probe of the server is pending and the server does not
+// count as dead already.
 func (round *round) isBeingProbed(instance *shedkeel.Instance) bool {
 	return round.input.ProbePending[instance.ID] && !round.input.Dead[instance.ID]
 }
@@ -49,9 +50,9 @@
 	return round.formerHeadMayServe(instance.Member.Assignment())
 }
 
-// substitutes returns up to count free backend servers, those that join the model
-// fastest first. Under traffic it leaves out servers that have to load the weights
-// first, because the other members of the group would be idle meanwhile.
+// substitutes returns up to count free backend servers, in order of joinCost. Under traffic it
+// leaves out servers that have to load the weights first, because the other members of the group
+// would be idle meanwhile.
 func (round *round) substitutes(domain shedkeel.DomainID, model *shedkeel.Model, count int) []*shedkeel.Instance {
 	if count <= 0 {
 		return nil
@@ -132,10 +133,10 @@
 // picker returns up to count free servers of a domain for a model.
 type picker func(domain shedkeel.DomainID, model *shedkeel.Model, count int) []*shedkeel.Instance
 
-// candidates returns up to count free servers that have the model's weights, are loading
-// them, or could load them, in order of loadCost. A server whose host holds only the weights
-// of other models counts if the model's need is at least convertNeedRatio times that of the
-// first of them, or if the engine no longer has that one.
+// candidates returns up to count free servers that have the model's weights, are loading them, or
+// could load them, in order of loadCost. A server whose host holds only the weights of other
+// models counts if the model's need is at least convertNeedRatio times that of the first of these
+// other models, or if the engine no longer has that first model.
 func (round *round) candidates(domain shedkeel.DomainID, model *shedkeel.Model, count int, counts map[shedkeel.ModelID]int) []*shedkeel.Instance {
 	found := slices.DeleteFunc(round.free(domain), func(instance *shedkeel.Instance) bool {
 		if joinCost(instance, model.ID) < costLoad || len(instance.Staged) == 0 {
@@ -188,10 +189,10 @@
 	return counts
 }
 
-// nextGroup returns the model that needs another group most, among those for which domainFor
-// finds a domain, and that domain. The model is nil if there is none. The donor of a
-// reallocation gets no group beyond minGroups. A model with minGroups whose need is below
-// minNeedRatio gets groups only in domains without groups.
+// nextGroup returns, of the models for which domainFor finds a domain, the one that needs another
+// group most, and that domain. The model is nil if there is none. The donor of a reallocation gets
+// no group beyond minGroups. A model with minGroups whose need is below minNeedRatio gets groups
+// only in domains without groups.
 func (round *round) nextGroup(counts map[shedkeel.ModelID]int, pick picker) (*shedkeel.Model, shedkeel.DomainID) {
 	var best *shedkeel.Model
 	var bestDomain shedkeel.DomainID
@@ -234,10 +235,10 @@
 }
 
 // domainFor returns the domain for a new group of the model, and whether there is one. Of the
-// settled domains (settleTime) for which pick returns enough servers and that keep their
-// spares (minSparesOf) after the group is formed, it chooses the one with the fewest free
-// servers beyond these. Small groups thus leave the larger gaps to larger groups. A domain
-// without groups need not keep spares.
+// settled domains (settleTime) for which pick returns enough servers and that keep their spares
+// (minSparesOf) after the group is formed, it chooses the one that then has the fewest other free
+// servers. Small groups thus leave the larger gaps to larger groups. A domain without groups need
+// not keep spares.
 //
 // With useSpares, no domain need keep its spares. With onlyEmpty, only domains without groups
 // count. nextGroup sets onlyEmpty for a model that needs a group much less than another does.
@@ -257,7 +258,7 @@
 			continue
 		}
 		if useSpares || empty {
-			spares = 0 // without a group, spares have nothing to replace
+			spares = 0 // with useSpares the group is worth the spares; without groups, spares have nothing to replace
 		}
 		room := len(round.free(domain)) - model.Size - spares
 		if room >= 0 && room < fewestFree && len(pick(domain, model, model.Size)) == model.Size {
@@ -272,9 +273,9 @@
 //
 // An eighth (spareShare) is rounded up as far as pairLossSpares, because servers are lost in
 // pairs: with one spare among ten servers, the second loss has no substitute. Above
-// pairLossSpares, an eighth is rounded down: rounded up, an eighth of 27 servers is four, and
-// with groups of 12 and 6 nine servers then stay free, because there is no room beside the four
-// spares for another group of 6.
+// pairLossSpares, an eighth is rounded down: rounded up, an eighth of 27 servers is four, and with
+// groups of 12 and of 6 servers, nine servers then stay free, because there is no room beside the
+// four spares for another group of 6.
 func minSpares(servers int) int {
 	part := float64(servers) * spareShare
 	return max(int(part), min(int(math.Ceil(part)), pairLossSpares))
@@ -291,11 +292,11 @@
 // three, so the loss of three suffices.
 const shortageRatio = 1.3
 
-// lacksGroups reports whether a model has lost so many groups, compared with another model,
-// that one more group is worth the spares of a domain: its need is at least shortageRatio
-// times that of the other model, by the shares of the work as well as by the configured
-// shares. Both must show the shortage, because spares are for losses, not for demand above the
-// configured share.
+// lacksGroups reports whether a model has lost so many groups, compared with another model, that
+// one more group is worth the spares of a domain: its need is at least shortageRatio times that of
+// the other model, by the shares of the work as well as by the configured shares. Both must show
+// the shortage, because spares are for losses, not for demand above the configured share. Without
+// traffic, no model counts as lacking groups.
 func (round *round) lacksGroups(model *shedkeel.Model, counts map[shedkeel.ModelID]int) bool {
 	if !round.input.Traffic {
 		return false // while the first groups are formed, models lack groups only for the moment
--- a/formation/loads_test.go
+++ b/formation/loads_test.go
@@ -41,7 +41,7 @@
 	t.Parallel()
 	fleet := newFakeFleet(7, 1, 8) // seed 7; one domain of eight servers
 	planner := plannerOfTerm(2)
-	fleet.run(planner, settleTime+time.Second, underTraffic)
+	fleet.run(planner, settleTime+time.Second, underTraffic) // until loads are ordered; none is complete by then
 	ordered := slices.Collect(maps.Keys(planner.Loading()))
 	assert.Assert(t, len(ordered) > 0)
 	for _, id := range ordered {
--- a/formation/planner.go
+++ b/formation/planner.go
@@ -67,9 +67,9 @@
 )
 
 const (
-	// maxUnanswered is the number of consecutive unanswered orders after which a
-	// server is skipped. Even if a third of all answers is lost, two consecutive
-	// losses are rare.
+	// maxUnanswered is the number of consecutive unanswered orders after which a server is
+	// skipped. Even if a third of all answers is lost, the answers to two consecutive orders are
+	// both lost in only one of nine cases.
 	maxUnanswered = 2
 	// unreachableBackoff is how long a server is skipped after it has left
 	// maxUnanswered consecutive orders unanswered.
@@ -159,7 +159,7 @@
 type formingGroup struct {
 	epoch         uint64
 	model         shedkeel.ModelID
-	members       []shedkeel.InstanceID
+	members       []shedkeel.InstanceID        // by rank, the head first
 	headConfirmed bool                         // the head has confirmed its join order or is listed as joined; the others may be ordered to join
 	confirmed     map[shedkeel.InstanceID]bool // members that confirmed their order to join
 }
--- a/formation/reallocate.go
+++ b/formation/reallocate.go
@@ -155,9 +155,9 @@
 // domain without a reallocation can release enough. Free servers of the domain beyond its
 // spares become members of the new group too.
 //
-// Of the open groups with all members listed, it chooses the one with the lowest cost: the
-// number of groups to release times that of the domain's servers, plus the number of members
-// that have to load the recipient's weights. Among domains of equal size, the fewest
+// Of the open groups with all members listed, it chooses the one with the lowest cost: the number
+// of groups to release, multiplied by the number of the domain's servers, plus the number of
+// members that have to load the recipient's weights. Among domains of equal size, the fewest
 // releases thus take precedence over the fewest loads.
 func (round *round) groupToRelease(from, to *shedkeel.Model) (group *observedGroup, groups int) {
 	var best *observedGroup
--- a/formation/repair.go
+++ b/formation/repair.go
@@ -11,9 +11,9 @@
 // first the head, and the others once the head has joined or confirmed its order. It abandons
 // formations that are complete or can't complete any more.
 //
-// An order without an answer is sent again after orderRetryInterval. A confirmed one is sent
-// again only after twice that time, which equals listDelay, if the list does not show yet that
-// the member has joined.
+// An order without an answer is sent again after orderRetryInterval. A confirmed order is sent
+// again after twice that interval, which equals listDelay, unless the list shows by then that the
+// member has joined.
 func (round *round) continueForming() {
 	for id, forming := range round.planner.forming {
 		if !round.stillForming(id, forming) {
@@ -103,8 +103,8 @@
 	}
 }
 
-// replaceSlow forms an open group again without its slow members, because the slowest member
-// sets the speed of its group. It does nothing if there are not substitutes for all slow
+// replaceSlow forms an open group again without its slow members, because the slowest member sets
+// the speed of its group. It does nothing if there are not enough substitutes for all slow
 // members. If the head is slow, it only orders the head to leave; once the head has left, the
 // group is repaired.
 func (round *round) replaceSlow(group *observedGroup) {
@@ -125,9 +125,9 @@
 	}
 }
 
-// reconcile decides whether to leave a group unchanged, open it, close it, wait for it or
-// repair it. Members of the group that it does not reserve are free for other groups unless
-// the head may serve (inActiveGroup).
+// reconcile decides whether to leave a group unchanged, open it, close it, wait for it or repair
+// it. Members that reconcile does not reserve are free for other groups unless the head may serve
+// (inActiveGroup).
 func (round *round) reconcile(group *observedGroup) {
 	assignment := group.assignment()
 	intact, draining := true, false
@@ -188,10 +188,10 @@
 	})
 }
 
-// toleratesUnlisted reports whether a group is not repaired for now although a member is not
-// listed, because the group works: it is open, its requests are not stalled, its listed
-// members are usable, and no unlisted member is known to have restarted. If a member has been
-// unlisted for unlistedGrace and there are substitutes, toleratesUnlisted orders the head to
+// toleratesUnlisted reports whether a group is left unrepaired for now although a member is not
+// listed. That is so if the group works: the group is open, its requests are not stalled, its
+// listed members are usable, and no unlisted member is known to have restarted. If a member has
+// been unlisted for unlistedGrace and there are substitutes, toleratesUnlisted orders the head to
 // close, so that the group finishes its requests before the repair.
 func (round *round) toleratesUnlisted(group *observedGroup, intact bool) bool {
 	assignment := group.assignment()
--- a/formation/stage.go
+++ b/formation/stage.go
@@ -70,11 +70,10 @@
 	}
 }
 
-// expendableMembers returns the members of a domain's open groups of the model with the
-// smallest groups, except those of one group. It considers only groups whose members are all
-// listed. Releasing a group of that model costs least. The hosts of the excepted group keep
-// their own model's weights, so that the group can be formed without a load if all servers of
-// the domain restart.
+// expendableMembers returns the members of a domain's open groups of the model with the smallest
+// groups, because the release of a small group costs least. It leaves out one of these groups,
+// whose hosts keep their own model's weights, so that the group can be formed without a load if
+// all servers of the domain restart. It considers only groups whose members are all listed.
 //
 // Before traffic starts, a load takes a tenth of the time that it takes under traffic.
 // The weights of another model on these hosts save a load of 12 to 16 s when the demand for
@@ -210,9 +209,10 @@
 	return round.leastCovered(round.modelIDs(), domain, staged)
 }
 
-// leastCovered returns the model, of those given, that has the fewest spares per member in
-// the domain. Of equal ones it returns the one with the fewest spares. staged holds, for each
-// model, the number of free servers that have its weights on their hosts or load them.
+// leastCovered returns the model, of those given, with the most members in the domain per spare;
+// the spare that is to load the model counts too. Of models with the same ratio it returns the one
+// with the fewest spares. staged holds, for each model, the number of the domain's free servers
+// that have its weights on their hosts or load them.
 func (round *round) leastCovered(models []shedkeel.ModelID, domain shedkeel.DomainID, staged map[shedkeel.ModelID]int) shedkeel.ModelID {
 	members := round.memberCounts(domain)
 	best := models[0]
--- a/formation/wait.go
+++ b/formation/wait.go
@@ -43,7 +43,7 @@
 	Server shedkeel.InstanceID // "": the group or the domain as a whole
 	Domain shedkeel.DomainID
 	Reason WaitReason
-	Since  time.Duration // first of the consecutive plans that recorded the wait
+	Since  time.Duration // time of the first of the consecutive plans that recorded the wait
 	Bound  time.Duration // the longest expected duration; 0: not bounded
 }
 
--- a/formation/wait_test.go
+++ b/formation/wait_test.go
@@ -138,8 +138,8 @@
 }
 
 // TestWaits has a planner wait for a head that is partitioned from it, in a domain without
-// substitutes, and checks that the wait has ended headTimeout (its bound) and 6 s after the start
-// of the partition. It also checks Overdue for a wait with a bound and for one without.
+// substitutes. It checks that the wait has ended 6 s plus headTimeout, the bound of the wait,
+// after the partition began. It also checks Overdue for a wait with a bound and for one without.
 func TestWaits(t *testing.T) {
 	fleet := newFakeFleet(3, 1, 8) // seed 3; one domain of eight servers
 	planner := plannerOfTerm(1)
