--- a/node/remover.go
+++ b/node/remover.go
@@ -29,9 +29,9 @@
 // hash orders the live nodes, and each of them removes the record at its turn if the record
 // still exists. Callers are not sent to the dead node in the meantime.
 //
-// No single node is responsible for all removals, because that node might stall: with one
-// responsible node that stalls for 4 s, ten of 66 nodes that lose power stay in the directory
-// for 8 s.
+// No single node is responsible for all removals, because that node might stall. If ten of 66
+// nodes lose power and a single responsible node stalls for 4 s, the ten nodes stay
+// listed for 8 s.
 type remover struct {
 	node *Node
 
@@ -59,7 +59,7 @@
 func (remover *remover) dueRecords(nodes []nodeRecord, now time.Duration) []nodeRecord {
 	remover.mutex.Lock()
 	defer remover.mutex.Unlock()
-	alive := slices.DeleteFunc(slices.Clone(nodes), func(record nodeRecord) bool { return !remover.node.gossip.mayServeCallers(record.ID) })
+	live := slices.DeleteFunc(slices.Clone(nodes), func(record nodeRecord) bool { return !remover.node.gossip.mayServeCallers(record.ID) }) // alive or suspected
 	previous := remover.dueAt
 	remover.dueAt = map[shedkeel.NodeID]time.Duration{}
 	var found []nodeRecord
@@ -69,7 +69,7 @@
 		}
 		due, known := previous[record.ID]
 		if !known {
-			due = now + removalStagger*time.Duration(remover.removalRank(alive, record.ID))
+			due = now + removalStagger*time.Duration(remover.removalRank(live, record.ID))
 		}
 		if now >= due {
 			found = append(found, record)
@@ -80,12 +80,12 @@
 	return found
 }
 
-// removalRank returns how many of the live nodes precede this one in the order in which
-// they remove a dead node's record.
-func (remover *remover) removalRank(alive []nodeRecord, dead shedkeel.NodeID) int {
+// removalRank returns how many of the live nodes precede this node in the order in which the
+// live nodes remove a dead node's record.
+func (remover *remover) removalRank(live []nodeRecord, dead shedkeel.NodeID) int {
 	ownHash := pairHash(dead, remover.node.Settings.Node)
 	rank := 0
-	for _, record := range alive {
+	for _, record := range live {
 		if pairHash(dead, record.ID) < ownHash {
 			rank++
 		}
--- a/node/remover_test.go
+++ b/node/remover_test.go
@@ -40,8 +40,8 @@
 						continue
 					}
 					node, _ := newListedNode(t, record.ID, nodes)
-					alive := slices.DeleteFunc(slices.Clone(nodes), func(record nodeRecord) bool { return record.ID == deadID })
-					nodesByRank[node.remover.removalRank(alive, deadID)]++
+					live := slices.DeleteFunc(slices.Clone(nodes), func(record nodeRecord) bool { return record.ID == deadID })
+					nodesByRank[node.remover.removalRank(live, deadID)]++
 				}
 				for rank := range len(nodes) - 1 {
 					assert.Equal(t, nodesByRank[rank], 1, "nodes with rank %d for the removal of %s", rank, deadID)
@@ -155,7 +155,7 @@
 	advance(2 * registrationRetry)
 	assert.Equal(t, store.renewCalls, 2, "the node is alive and writes its removed record again")
 
-	restarted, restartedStore := newNodeWithCountHint(t, 295)
+	restarted, restartedStore := newNodeWithCountHint(t, 295) // a fleet of the same size
 	restarted.Incarnation = "second"
 	restarted.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 1030}, AsOf: restarted.Timers.Now(), Records: []shedkeel.Record{{Key: written.Key, Value: written.Value, Revision: shedkeel.Revision{Number: 1030}}}})
 	restarted.member.tick(t.Context())
