--- a/node/gossip.go
+++ b/node/gossip.go
@@ -32,7 +32,7 @@
 
 	mutex          sync.Mutex
 	detector       shedkeel.FailureDetector
-	addresses      map[shedkeel.NodeID]netip.AddrPort
+	addresses      map[shedkeel.NodeID]netip.AddrPort    // of the listed nodes whose records state an IP address and port for gossip
 	seenChanges    uint64                                // the detector's change count at the last call of livenessChanged
 	loggedExcluded map[shedkeel.NodeID]shedkeel.Liveness // listed nodes to which callers may not be sent (see mayServe), as last logged
 }
--- a/node/lease.go
+++ b/node/lease.go
@@ -22,7 +22,7 @@
 	ttl  time.Duration // lease time to ask for; the key-value service may grant less
 
 	id         atomic.Pointer[shedkeel.LeaseID] // nil: none
-	validUntil atomic.Int64                     // lower bound of the lease's expiry, on this node's clock
+	validUntil atomic.Int64                     // lower bound of the lease's expiry on this node's clock, as a time.Duration
 }
 
 // valid reports whether the lease is certainly still in force. It returns false if no lease is
--- a/node/member.go
+++ b/node/member.go
@@ -54,11 +54,11 @@
 	node          *Node
 	lease         lease
 	dirty         atomic.Bool  // the record must be written again
-	nodeCountHint atomic.Int64 // number of nodes, as reported by a seed or the size record at the start
+	nodeCountHint atomic.Int64 // number of nodes that a seed or the record of the fleet's size reported at the start; 0: none
 	listed        atomic.Bool  // the last call of step succeeded: the key-value service has the record
 	unleased      atomic.Bool  // the record needs no lease: other nodes remove it if this node is dead
 
-	startedAt atomic.Int64 // when the node started, as a time.Duration; 0: not set yet
+	startedAt atomic.Int64 // when tick was first called, as a time.Duration; 0: not yet
 
 	lastAttempt time.Duration // when step was last called; 0: never. Only the goroutine of run uses it
 }
--- a/node/nodes.go
+++ b/node/nodes.go
@@ -14,7 +14,7 @@
 // nodeRecord is what a node publishes about itself.
 type nodeRecord struct {
 	ID          shedkeel.NodeID `json:"id"`
-	Incarnation string          `json:"incarnation"`
+	Incarnation string          `json:"incarnation"` // unique to each start of the process
 	Zone        shedkeel.ZoneID `json:"zone"`
 	Callers     string          `json:"callers"`          // host:port for callers' requests
 	Control     string          `json:"control"`          // host:port for other nodes' calls
--- a/node/peers.go
+++ b/node/peers.go
@@ -32,8 +32,9 @@
 	granters      map[shedkeel.InstanceID]shedkeel.NodeID // cache for the method granter; nil: empty, as after a change of alive
 	known         map[shedkeel.NodeID]*peer               // clients of the other listed nodes
 	seeds         []*peer                                 // from the settings; asked while no other node is listed, and followed as startupSeed says
-	startupRelays []*peer                                 // relays that this node asked for its first copy
-	// random is used only with the mutex held, and is not shared with other parts.
+	startupRelays []*peer                                 // relays from which this node may get its first copy (see dialStartupRelays)
+	// random picks the partition to ask for a recommendation (see randomPartition). The mutex
+	// guards random, and nothing else uses this source of random numbers.
 	random shedkeel.Random
 
 	encoder   transfer.Encoder
@@ -43,12 +44,12 @@
 
 // peer is the client of one other node.
 type peer struct {
-	id            shedkeel.NodeID
-	node          *Node
-	wire          *wire.Peer
-	priorityWire  *wire.Peer // connection for calls that must not wait while wire connects
-	followFailure failure    // when Relay last found that the peer should not be followed for followBackoff
-	spreadFailure failure    // when the peer last failed to answer as a spreader; it is not asked again for spreaderBackoff
+	id            shedkeel.NodeID // of the other node; its address if it is a seed or a startup relay
+	node          *Node           // this node, not the other one
+	wire          *wire.Peer      // connection for most calls
+	priorityWire  *wire.Peer      // connection for calls that must not wait while wire connects
+	followFailure failure         // when Relay last found the peer unfit to follow; choose passes over the peer for followBackoff
+	spreadFailure failure         // when the peer last failed to answer as a spreader; it is not asked again for spreaderBackoff
 }
 
 // prepare creates the clients of the seeds. A seed's address serves as its ID, because its
@@ -180,7 +181,8 @@
 
 // aliveWithSelf returns the alive nodes in the order of compareNodes, this node's index among
 // them, and whether this node is listed. An unlisted node is inserted at its place in the
-// order, because it follows other nodes as well. The caller holds the mutex.
+// order, because it follows other nodes as well, and its index decides which ones (see
+// followOrder). The caller holds the mutex.
 //
 // Suspected nodes are left out, so a duty that one node has for the whole fleet passes to
 // the next node in the order as soon as the node with the duty is suspected.
--- a/node/subscribers.go
+++ b/node/subscribers.go
@@ -10,7 +10,7 @@
 // subscriberTTL is how long a node counts as a subscriber after its last relay call.
 const subscriberTTL = 5 * time.Second
 
-// subscribers are the nodes that asked this node for records, or whether it has a copy,
+// subscribers are the nodes that asked this node for records, or whether this node has a copy,
 // within subscriberTTL. The zero value is empty.
 type subscribers struct {
 	mutex     sync.Mutex
@@ -30,8 +30,9 @@
 	subscribers.lastAsked[id] = now
 }
 
-// count returns the number of nodes that asked within subscriberTTL, plus 1 for this node.
-// It removes nodes that have not asked within that time.
+// count returns the number of nodes that asked within subscriberTTL, plus 1 for this node,
+// because the result serves as an estimate of the fleet's size (see knownNodeCount). count
+// removes nodes that have not asked within that time.
 func (subscribers *subscribers) count(now time.Duration) int {
 	subscribers.mutex.Lock()
 	defer subscribers.mutex.Unlock()
