--- a/node/follow.go
+++ b/node/follow.go
@@ -81,7 +81,8 @@
 
 // followOrder returns the indexes of the nodes that the node at index own may follow, the
 // preferred ones first. The index own in the result means that the node follows the
-// key-value service itself. In a fleet of one node, index 1 is beyond the end of nodes.
+// key-value service itself. The result contains index 1 also in a fleet of one node, which has no
+// node at that index.
 //
 // The first reservedNodes nodes and the relays follow a source. The other nodes prefer the
 // relays to the sources, and relays of their own availability zone to relays of other zones.
@@ -120,8 +121,10 @@
 	return cmp.Compare(pairHash(own, a), pairHash(own, b))
 }
 
-// pairHash returns a hash of two names that is the same in all processes. The names of
-// a fleet's nodes are similar, so the bits of the FNV hash are mixed further.
+// pairHash returns a hash of two names that is the same in all processes. It mixes the
+// bits of the FNV hash further: the names of a fleet's nodes are similar, and FNV hashes of names
+// that differ only in their last characters differ little in the high bits, which decide the
+// order of two hashes.
 func pairHash[A, B ~string](a A, b B) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(string(a) + "\x00" + string(b))) // never fails
--- a/node/relay.go
+++ b/node/relay.go
@@ -125,11 +125,11 @@
 
 // handleRelay answers a relay call. It waits until the mirror has changes that the calling
 // node lacks, or has any copy if the call only asks whether there is one (OnlyKnown), but at
-// most for the time that the call states. It answers at once if this node has a copy, follows
-// the key-value service and gets no response from it. The reply to OnlyKnown, or of a node
-// without a copy, states only whether there is a copy and how many nodes this node knows.
-// handleRelay also records the calling node as a subscriber, and fetches that node's
-// configuration if it is newer than this node's.
+// most for the time that the call states, or until ctx ends. It answers at once if this node
+// has a copy, follows the key-value service and gets no response from it. The reply to
+// OnlyKnown, or of a node without a copy, states only whether there is a copy and how many
+// nodes this node knows. handleRelay also records the calling node as a subscriber, and fetches
+// that node's configuration if it is newer than this node's.
 func (peers *peers) handleRelay(ctx context.Context, call *wire.RelayCall) *wire.Reply {
 	own := &peers.node.mirror
 	peers.node.subscribers.note(shedkeel.NodeID(call.GetNode()), peers.node.Timers.Now())
