--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -182,8 +182,8 @@
 func TestSuspectedRelayIsReplaced(t *testing.T) {
 	nodes := fleetOf(300, 9) // nine large boxes in each zone, so that each zone has all its relays
 	relays := relayIndexes(nodes)
-	assert.Assert(t, len(relays) > 3)
-	own := nodes[250] // on a small box, so no relay
+	assert.Assert(t, len(relays) > 3) // enough to replace the followed node several times
+	own := nodes[250]                 // on a small box, so no relay
 	node, _ := newListedNode(t, own.ID, nodes)
 	detector := &fakeDetector{liveness: map[shedkeel.NodeID]shedkeel.Liveness{}}
 	node.gossip.detector = detector
--- a/node/prober_test.go
+++ b/node/prober_test.go
@@ -18,7 +18,7 @@
 type fakeEngines struct {
 	shedkeel.GroupEngines
 	up    map[string]bool
-	born  map[string]int64 // the start time that a server reports
+	born  map[string]int64 // the start times that servers report, by address; 0: none
 	delay time.Duration    // delay with which this node notices that a query has timed out
 	asked atomic.Int64     // number of queries
 }
--- a/node/registrar_test.go
+++ b/node/registrar_test.go
@@ -57,7 +57,7 @@
 				}
 				return 7, nil // the revision of the write
 			}}
-			node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}})
+			node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}}) // a copy without records
 			var asking sync.WaitGroup
 			written := make([]bool, test.nodes)
 			for index := range test.nodes {
--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -88,13 +88,13 @@
 			`"group":{"name":"m/d/1","epoch":%d,"rank":0,"state":"open"}}`, orders, epoch)
 		return shedkeel.Record{Key: "servers/i-1", Value: []byte(value), Revision: revision}
 	}
-	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 9}, Records: []shedkeel.Record{member(shedkeel.Revision{Number: 9}, 6, 4)}})
-	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: 1, Number: 5}, AsOf: timers.Now(), Records: []shedkeel.Record{member(shedkeel.Revision{Era: 1, Number: 5}, 5, 2)}})
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 9}, Records: []shedkeel.Record{member(shedkeel.Revision{Number: 9}, 6, 4)}})                                     // epoch 6, 4 orders
+	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Era: 1, Number: 5}, AsOf: timers.Now(), Records: []shedkeel.Record{member(shedkeel.Revision{Era: 1, Number: 5}, 5, 2)}}) // the snapshot has epoch 5 and 2 orders
 	assert.Equal(t, node.fleet.groupServices()["s"][0].Member.Epoch, uint64(6))
 	assert.Equal(t, node.fleet.highestEpoch(), uint64(6))
-	node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Era: 1, Number: 6}, AsOf: timers.Now(), Records: []shedkeel.Record{member(shedkeel.Revision{Era: 1, Number: 6}, 7, 6)}})
+	node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Era: 1, Number: 6}, AsOf: timers.Now(), Records: []shedkeel.Record{member(shedkeel.Revision{Era: 1, Number: 6}, 7, 6)}}) // epoch 7, 6 orders
 	assert.Equal(t, node.fleet.groupServices()["s"][0].Member.Epoch, uint64(7))
-	node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Era: 1, Number: 7}, AsOf: timers.Now(), Records: []shedkeel.Record{member(shedkeel.Revision{Era: 1, Number: 7}, 8, 1)}})
+	node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Era: 1, Number: 7}, AsOf: timers.Now(), Records: []shedkeel.Record{member(shedkeel.Revision{Era: 1, Number: 7}, 8, 1)}}) // epoch 8, but only 1 order
 	assert.Equal(t, node.fleet.groupServices()["s"][0].Member.Epoch, uint64(8), "within an era the later record wins")
 }
 
@@ -104,8 +104,8 @@
 // snapshot lacks.
 func TestLeadEndsWithTheEra(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
-	var last shedkeel.Transaction
-	store.commit = func(change shedkeel.Transaction) (int64, error) { last = change; return 2, nil } // 2: the write's revision
+	var lastChange shedkeel.Transaction
+	store.commit = func(change shedkeel.Transaction) (int64, error) { lastChange = change; return 2, nil } // 2: the write's revision
 	elect(t, node, timers)
 	assert.Assert(t, node.controller.leading(timers.Now()))
 	lead := node.mirror.Get(leaderKey) // the snapshot contains this record
@@ -117,8 +117,8 @@
 
 	store.granted.Era = 1 // later leases are of the new era
 	elect(t, node, timers)
-	assert.DeepEqual(t, last.If[0], shedkeel.Condition{Key: leaderKey, Revision: lead.Revision})
-	assert.Equal(t, last.Put[0].Lease.Era, int64(1))
+	assert.DeepEqual(t, lastChange.If[0], shedkeel.Condition{Key: leaderKey, Revision: lead.Revision})
+	assert.Equal(t, lastChange.Put[0].Lease.Era, int64(1))
 	assert.Assert(t, node.controller.nextTerm(shedkeel.Record{}) > termsPerEra, "no term is stored, but servers may have stored terms of the first era")
 }
 
