--- a/node/follow.go
+++ b/node/follow.go
@@ -97,7 +97,8 @@
 	if relay := slices.Index(relays, own); own < reservedNodes || relay >= 0 {
 		// If neither source is available, the first relay follows the key-value service
 		// itself. Each other relay follows the first available relay before it, or the
-		// key-value service if no relay before it is available.
+		// key-value service if no relay before it is available. The first reservedNodes nodes
+		// are no relays: for them, relay is -1, and the result has only the sources.
 		return slices.Concat(sourceIndexes[:], relays[:relay+1])
 	}
 	far := func(index int) bool { return nodes[index].Zone != nodes[own].Zone }
--- a/node/relay.go
+++ b/node/relay.go
@@ -178,8 +178,9 @@
 	return encoded
 }
 
-// knownNodeCount returns the larger of fleet.nodeCount, which is replaced by 0 while this node
-// has no copy, and the number of subscribers plus 1 for this node.
+// knownNodeCount returns how many nodes this node knows: the larger of fleet.nodeCount and
+// subscribers.count. It leaves out fleet.nodeCount while this node has no copy, because
+// fleet.nodeCount returns assumedNodes while no node is listed.
 func (peers *peers) knownNodeCount() uint32 {
 	listed := 0
 	if peers.node.mirror.State().Known {
--- a/node/waits_test.go
+++ b/node/waits_test.go
@@ -27,7 +27,7 @@
 	planner := &formation.Planner{NextEpoch: func() uint64 { return 9 }} // above the group's epoch
 	controller.planners["s"] = planner
 	member := shedkeel.Instance{ID: "b", Domain: "d", Member: &shedkeel.Membership{Group: "m/d/1", Epoch: 7, Rank: 1, State: shedkeel.MemberReady}}
-	engine := &shedkeel.Engine{Models: []shedkeel.Model{{ID: "m", Size: 2, Share: 1}}}
+	engine := &shedkeel.Engine{Models: []shedkeel.Model{{ID: "m", Size: 2, Share: 1}}} // groups of two members
 	plan := func() {
 		// The head, of rank 0, is not among the instances.
 		planner.Plan(formation.Input{Now: timers.Now(), Engine: engine, Instances: []shedkeel.Instance{member}, Traffic: true})
