--- a/node/admin.go
+++ b/node/admin.go
@@ -46,7 +46,7 @@
 // it is warm. A server to which both apply has two dumps.
 type LimitDump struct {
 	Server  shedkeel.InstanceID `json:"server"`
-	Rate    float64             `json:"rate"`    // requests per second of all nodes together
+	Rate    float64             `json:"rate"`    // requests per second that the server accepts from all nodes together
 	For     string              `json:"for"`     // how long the server has stated a limit without a break; empty: the dump is of the cold state
 	Cold    string              `json:"cold"`    // how much longer the server stays cold; empty: the dump is of a stated limit
 	Granter shedkeel.NodeID     `json:"granter"` // the node that grants the permits to send the server requests; empty: no node is known
--- a/node/cold_test.go
+++ b/node/cold_test.go
@@ -27,7 +27,7 @@
 	const rate, coldFor = 100, 3 * time.Second // requests a second, and for how long the server is cold
 	cases := map[string]struct {
 		path   string
-		server func(*testCluster) string
+		server func(*testCluster) string // returns the ID of the server to make cold
 		// makeCold makes the server cold for coldFor. After an evacuation the server is cold for
 		// the configured cold_start_s, which is therefore the same.
 		makeCold func(*testCluster, string)
@@ -51,7 +51,7 @@
 			cluster := newServingCluster(t)
 			server := test.server(cluster)
 			test.makeCold(cluster, server)
-			since := time.Now()
+			coldSince := time.Now()
 			// The nodes must learn in this time that the server is cold: those that have not learned
 			// it would send the server too many requests. The load ends half a second before the
 			// server is warm.
@@ -59,7 +59,7 @@
 			statuses := cluster.sendLoad(cluster.nodes, test.path, rate, coldFor-time.Second)
 			arrivals := cluster.fleet.Arrivals(server)
 			most := platformstandin.MaxArrivals(arrivals, time.Second)
-			t.Logf("statuses %v; %d arrivals in %s, most in a second %d, allowed %d", statuses, len(arrivals), time.Since(since), most, maxColdRate)
+			t.Logf("statuses %v; %d arrivals in %s, most in a second %d, allowed %d", statuses, len(arrivals), time.Since(coldSince), most, maxColdRate)
 			assert.Assert(t, most <= maxColdRate, "%d requests in a second, allowed %d", most, maxColdRate)
 			assert.Assert(t, most > 0, "the cold server got no requests")
 			assert.Equal(t, statuses[0], 0, "requests got no complete answer")
--- a/node/config.go
+++ b/node/config.go
@@ -21,13 +21,14 @@
 // from other nodes. The zero value has no configuration.
 type configCopy struct {
 	mutex      sync.Mutex
-	value      []byte
+	value      []byte // value of the configuration record; nil: no configuration
 	compressed []byte // value, compressed; nil: not computed yet
 
-	newerThanStore atomic.Bool // the key-value service has an older configuration
+	newerThanStore atomic.Bool // the key-value service has an older configuration than this node
 	fetching       atomic.Bool // a request to another node for a newer configuration is running
 }
 
+// set replaces the configuration by the value of another configuration record.
 func (configCopy *configCopy) set(value []byte) {
 	configCopy.mutex.Lock()
 	defer configCopy.mutex.Unlock()
@@ -125,10 +126,10 @@
 	}
 }
 
-// fetchConfig starts a request for the configuration of the node with the ID, which has stated
-// that its configuration has the given version, if that version is newer than this node's. It
-// does nothing if this node has no configuration yet, a fetch is running, or the other node is
-// not listed.
+// fetchConfig processes the version that the node with the ID has stated for its configuration.
+// If that version is newer than this node's, fetchConfig starts a request for that node's
+// configuration. It does nothing if this node has no configuration yet, a fetch is running, or
+// the other node is not listed.
 func (peers *peers) fetchConfig(id shedkeel.NodeID, version int64) {
 	fleet := &peers.node.fleet
 	own := fleet.configVersion()
@@ -143,8 +144,9 @@
 	go peer.runFetchConfig()
 }
 
-// runFetchConfig asks the peer for an update. If the peer's configuration is newer than the
-// key-value service's, it comes with the reply, and requestUpdate applies it.
+// runFetchConfig asks the peer for an update and waits at most a second for the reply. If the
+// peer's configuration is newer than this node's and than the key-value service's, the reply
+// contains that configuration (see newerConfig), and requestUpdate applies it.
 func (peer *peer) runFetchConfig() {
 	defer peer.node.fleet.activeConfig.fetching.Store(false)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
--- a/node/config_test.go
+++ b/node/config_test.go
@@ -66,6 +66,7 @@
 			}
 			_, err := peers[from].Relay(t.Context(), nodes[from].mirror.State().At, 0) // 0: without a wait for changes
 			assert.NilError(t, err)
+			// Wait until the configuration has arrived, for at most 5 s.
 			for end := time.Now().Add(5 * time.Second); nodes["new"].fleet.configVersion() != 7 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
--- a/node/contain_test.go
+++ b/node/contain_test.go
@@ -62,7 +62,7 @@
 // to find the deadly request and to release it.
 func TestRequestThatEndsServersIsContained(t *testing.T) {
 	cluster := newDeadlyCluster(t, 3)
-	for try := range 12 {
+	for try := range 12 { // four times to each of the three nodes
 		status, body := cluster.sendDeadly(try % 3)
 		assert.Assert(t, status != 200, "the deadly request was answered: %s", body)
 	}
@@ -92,7 +92,7 @@
 	operator.PrintStatus(&printed, answer)
 	assert.Assert(t, strings.Contains(printed.String(), "request "+digest[1]+" is contained"), printed.String())
 
-	_, err = cluster.data.Commit(shedkeel.Transaction{Remove: []string{"shedkeel/blames/" + digest[1]}})
+	_, err = cluster.data.Commit(shedkeel.Transaction{Remove: []string{"shedkeel/blames/" + digest[1]}}) // the key of the blame's record (blamePrefix)
 	assert.NilError(t, err)
 	cluster.eventually("the request is released", func() bool {
 		answer, err := client.Status(t.Context())
@@ -105,7 +105,7 @@
 // service before they serve, so that the request terminates no more servers.
 func TestContainedAfterLossOfAllNodes(t *testing.T) {
 	cluster := newDeadlyCluster(t, 2)
-	for try := range 4 {
+	for try := range 4 { // twice to each node
 		cluster.sendDeadly(try % 2)
 	}
 	time.Sleep(time.Second) // until the blame is written to the key-value service
--- a/node/controller.go
+++ b/node/controller.go
@@ -36,19 +36,19 @@
 	lease  lease // the leader's lease; while it is not valid, this node gives no orders
 
 	mutex         sync.Mutex
-	resigned      bool
-	leads         bool   // this node has been elected; whether it may give orders also depends on its lease, see leading
-	term          uint64 // the term in which this node leads or last led
-	epochs        uint64 // number of epochs given out in the term
-	planners      map[shedkeel.ServiceID]*formation.Planner
-	suspects      map[shedkeel.Assignment]time.Duration // groups reported as not responding whose members are not probed yet, with the time of the report
-	noticedAt     map[shedkeel.Assignment]time.Duration // when a report that a group does not respond was last accepted
-	probing       map[shedkeel.InstanceID]bool          // a probe of the server is in progress
-	dead          map[shedkeel.InstanceID]time.Duration // the servers that a probe found dead, with the time of their next probe
-	vacantSince   time.Duration                         // since when elect has waited for this node's turn because there is no leader; 0: it does not wait
-	orphanedSince time.Duration                         // since when the leader record has been invalid, as isOrphaned defines it; 0: it is valid, or elect has not checked it
-	usageLoggedAt time.Duration                         // when the use of servers was last logged
-	sizeCheckedAt time.Duration                         // when maintainFleetSize last checked the size of the fleet; 0: never
+	resigned      bool                                      // resign was called: this node does not stand for election again
+	leads         bool                                      // this node has been elected; whether it may give orders also depends on its lease, see leading
+	term          uint64                                    // the term in which this node leads or last led
+	epochs        uint64                                    // number of epochs given out in the term
+	planners      map[shedkeel.ServiceID]*formation.Planner // of this node's latest leadership, by service
+	suspects      map[shedkeel.Assignment]time.Duration     // groups reported as not responding whose members are not probed yet, with the time of the report
+	noticedAt     map[shedkeel.Assignment]time.Duration     // when a report that a group does not respond was last accepted
+	probing       map[shedkeel.InstanceID]bool              // a probe of the server is in progress
+	dead          map[shedkeel.InstanceID]time.Duration     // the servers that a probe found dead, with the time of their next probe
+	vacantSince   time.Duration                             // since when elect has waited for this node's turn because there is no leader; 0: it does not wait
+	orphanedSince time.Duration                             // since when the leader record has been invalid, as isOrphaned defines it; 0: it is valid, or elect has not checked it
+	usageLoggedAt time.Duration                             // when the use of servers was last logged
+	sizeCheckedAt time.Duration                             // when maintainFleetSize last checked the size of the fleet; 0: never
 	// era is the era of the key-value service that this node follows, and eraSince is when
 	// the node began to follow it. Only run uses them.
 	era      int64
@@ -117,9 +117,9 @@
 
 // plan runs one planning round: it starts the probes that are due (see probeSuspects), sends
 // the orders that the planner of each service returns, and stores the loads in progress. Every
-// usageLogInterval it also logs the use of servers and overdue waits. It does nothing while no
-// configuration is known, the mirror's copy is older than maxMirrorAge, or recordsRewritten
-// returns false.
+// usageLogInterval it also logs the use of servers and overdue waits (see logUsage and
+// logOverdueWaits). It does nothing while no configuration is known, the mirror's copy is older
+// than maxMirrorAge, or recordsRewritten returns false.
 func (controller *controller) plan(ctx context.Context, now time.Duration) {
 	node := controller.node
 	view := node.fleet.view.Load()
@@ -191,8 +191,8 @@
 	return planner
 }
 
-// runOrder sends one order and reports the outcome to the planner. If this node's lease is no
-// longer valid, it does neither.
+// runOrder sends one order, then reports the outcome to the planner and logs it. If the leader's
+// lease is no longer valid, it does nothing.
 func (controller *controller) runOrder(ctx context.Context, planner *formation.Planner, action formation.Action) {
 	node := controller.node
 	order := action.Order
--- a/node/copies_test.go
+++ b/node/copies_test.go
@@ -13,8 +13,8 @@
 	"shedkeel.org/shedkeel/mirror"
 )
 
-// fleetRecords returns the records of a fleet with the given numbers of servers, all in
-// groups, of nodes, and of routes in the configuration.
+// fleetRecords returns the records of a fleet with the given numbers of servers and nodes, and a
+// configuration with the given number of routes. All servers are members of groups.
 func fleetRecords(servers, nodes, routes int) []shedkeel.Record {
 	random := rand.New(rand.NewPCG(1, 2)) // the same records in each run
 	var records []shedkeel.Record
--- a/node/corrupt_test.go
+++ b/node/corrupt_test.go
@@ -64,7 +64,7 @@
 	t.Run("no heartbeat comes", func(t *testing.T) {
 		node, apply := newGroupNode(t)
 		apply(0, corrupt)
-		apply(unreadableRecordHold/2, shedkeel.Record{Key: "servers/i-0", Value: []byte(`[]`), Revision: shedkeel.Revision{Number: 5}})
+		apply(unreadableRecordHold/2, shedkeel.Record{Key: "servers/i-0", Value: []byte(`[]`), Revision: shedkeel.Revision{Number: 5}}) // unreadable too: a list in place of an object
 		assert.Equal(t, len(node.fleet.instances), 2)
 		apply(unreadableRecordHold / 2)
 		assert.Equal(t, len(node.fleet.instances), 1, "a second corrupt write prolonged the hold")
@@ -76,6 +76,7 @@
 	})
 	t.Run("together with valid records", func(t *testing.T) {
 		node, apply := newGroupNode(t)
+		// The unreadable record is that of a server that is not listed.
 		apply(0, shedkeel.Record{Key: "servers/odd", Value: []byte(`null`), Revision: shedkeel.Revision{Number: 4}}, serverRecord(5, 7, 0, shedkeel.MemberClosing))
 		assert.Equal(t, len(node.fleet.instances), 2)
 		assert.Equal(t, node.usableGroups(), 0, "the valid record was not applied")
--- a/node/demand.go
+++ b/node/demand.go
@@ -16,9 +16,9 @@
 	// demandInterval is how often the leader polls the spreaders (see peers.spreader) for
 	// the demand for each model.
 	demandInterval = time.Second
-	// demandTimeout bounds each call to a spreader, which normally takes some milliseconds.
+	// demandTimeout bounds each call to a spreader. A call normally takes some milliseconds.
 	demandTimeout = 300 * time.Millisecond
-	// demandLogPolls is the number of polls from one log of the demand to the next.
+	// demandLogPolls is the number of polls after which the leader logs the demand again.
 	demandLogPolls = 5
 )
 
@@ -49,10 +49,11 @@
 	}
 }
 
-// runPoll asks all nodes that may have spread requests for the demand in these requests, for
-// each service that has replica groups, and releases pollMutex, which the caller has locked.
-// The demand of a node that does not answer is left out: planners only compare the models with
-// each other, for which the answers of the other nodes suffice.
+// runPoll polls the demand for the models of each service that has replica groups: it asks all
+// nodes that may have spread requests of the service (see peers.demand). It leaves out the demand
+// of a node that does not answer: planners only compare the models with each other, and the
+// answers of the other nodes suffice for that. The caller has locked pollMutex; runPoll unlocks
+// it.
 func (demands *demands) runPoll() {
 	defer demands.pollMutex.Unlock()
 	node := demands.controller.node
@@ -100,9 +101,10 @@
 	return total
 }
 
-// spreaders returns the other live nodes that may have spread requests for a service: the
-// spreader of each partition of a model's groups, and the first nodes (see reservedNodes),
-// which replace spreaders that do not answer.
+// spreaders returns the other live nodes that may have spread requests for a service. These are
+// the first reservedNodes live nodes, which replace spreaders that do not answer, and the
+// MaxPartitions nodes after them, which are the spreaders of the partitions of a model's groups
+// (see peers.spreader).
 func (peers *peers) spreaders(service shedkeel.ServiceID) []*peer {
 	partitions := peers.node.table.MaxPartitions(service)
 	peers.mutex.Lock()
--- a/node/demand_test.go
+++ b/node/demand_test.go
@@ -23,12 +23,12 @@
 	leaderNode, timers := newTestNode(t)
 	leaderNode.Settings.Wire.Key = "k" // the key of serveWire
 	leaderNode.Settings.Node = "a"
-	down := listenHere(t)
+	down := listenHere(t) // the address of b, at which nothing listens once it is closed
 	assert.NilError(t, down.Close())
 	leaderNode.peers.update([]nodeRecord{{ID: "a"}, {ID: "b", Control: down.Addr().String()}, {ID: "c", Control: listener.Addr().String()}})
 	defer leaderNode.peers.close()
 	spread := func(node *Node, model shedkeel.ModelID) {
-		node.table.Recommend(dispatch.Query{Service: "s", Model: model, PromptTokens: 100, MaxAnswerTokens: 10, Now: timers.Now()}, dispatch.Reporter{Process: "x"})
+		node.table.Recommend(dispatch.Query{Service: "s", Model: model, PromptTokens: 100, MaxAnswerTokens: 10, Now: timers.Now()}, dispatch.Reporter{Process: "x"}) // x: the node that asks for the recommendation
 	}
 	spread(spreaderNode, "m")
 	spread(spreaderNode, "m")
@@ -38,7 +38,7 @@
 		"m": {Requests: 3, PromptTokens: 300, AnswerTokens: 30},
 		"n": {Requests: 1, PromptTokens: 100, AnswerTokens: 10},
 	})
-	assert.Equal(t, len(leaderNode.peers.demand("other")), 0)
+	assert.Equal(t, len(leaderNode.peers.demand("other")), 0) // a service without requests
 }
 
 // TestDemandDecays checks that of a burst of 100 requests, fewer than 2 count after 20 s,
--- a/node/directory_test.go
+++ b/node/directory_test.go
@@ -31,7 +31,7 @@
 func TestDirectoryLeavesOutDeadNodes(t *testing.T) {
 	cases := map[string]struct {
 		deadNodes int
-		fault     func(cluster *testCluster, keys []string) // called once the dead nodes are listed
+		fault     func(cluster *testCluster, keys []string) // called once the dead nodes are listed; keys are those of their records
 	}{
 		"their records stay, and the store is unavailable": {2, func(cluster *testCluster, _ []string) {
 			cluster.data.SetFaults(standin.Faults{Outage: true})
--- a/node/election.go
+++ b/node/election.go
@@ -16,9 +16,9 @@
 	// electionStagger is how much later each further node, in the order of compareNodes,
 	// stands for election, so that nodes seldom write at the same time.
 	electionStagger = 60 * time.Millisecond
-	// initialSettleTime is for how long the list of nodes must not have grown before the
-	// first election of a fleet: while a fleet starts, each node knows few of the nodes
-	// that precede it.
+	// initialSettleTime is how long the list of nodes must stay without a new node before the
+	// first election of a fleet. While a fleet starts, each node knows few of the nodes that
+	// precede it in the order of compareNodes, so too many nodes would stand for election.
 	initialSettleTime = 500 * time.Millisecond
 	// maxInitialSettle bounds the wait until the list of nodes stops growing.
 	maxInitialSettle = 3 * time.Second
@@ -55,8 +55,9 @@
 	Node        shedkeel.NodeID `json:"node"`
 	Incarnation string          `json:"incarnation"`
 	Term        uint64          `json:"term"`
-	// Lease and Era identify the lease that the record was written with. The node may hold
-	// another lease by now, because a write of unknown outcome may take effect late.
+	// Lease and Era identify the lease that the record was written with. A write whose outcome
+	// is unknown may take effect after the node has been granted another lease, so the record
+	// may name a lease that the node no longer holds.
 	Lease int64 `json:"lease"`
 	Era   int64 `json:"era,omitempty"`
 }
@@ -151,9 +152,9 @@
 
 // elect lets this node stand for election if there is no leader and the node's turn has come
 // (see electionDelay). An orphaned leader record counts as no leader (see isOrphaned). If the
-// leader record names this node already, the node becomes the leader. A node that has
-// resigned, is not listed, or whose mirror has no copy or one older than maxMirrorAge does
-// neither.
+// leader record is this node's own already, the node becomes the leader (see becomeLeader). A
+// node does neither if it has resigned, if it is not listed, or if its mirror has no copy or one
+// older than maxMirrorAge.
 func (controller *controller) elect(ctx context.Context, now time.Duration) {
 	node := controller.node
 	state := node.mirror.State()
@@ -229,7 +230,8 @@
 	}
 	// The key-value service may have been restored from a snapshot that lacks the latest
 	// terms, and the servers known to this node may report no epoch of those terms. The term
-	// is therefore also above all terms of earlier eras.
+	// is therefore also above all terms of earlier eras. The era is capped so that all terms of
+	// the era are at most maxTerm.
 	era := min(uint64(controller.node.mirror.State().At.Era), maxTerm/termsPerEra-1)
 	return max(term.Term, controller.node.fleet.highestEpoch()/epochsPerTerm, era*termsPerEra) + 1
 }
--- a/node/election_test.go
+++ b/node/election_test.go
@@ -17,11 +17,11 @@
 // to the function commit.
 type leaseStore struct {
 	Store
-	granted     shedkeel.LeaseID
-	renewed     map[shedkeel.LeaseID]int
-	released    []shedkeel.LeaseID
-	unavailable bool // renewals fail
-	renewCalls  int  // calls of Renew
+	granted     shedkeel.LeaseID         // the lease granted last
+	renewed     map[shedkeel.LeaseID]int // number of successful renewals of each lease
+	released    []shedkeel.LeaseID       // in the order of the calls of Release
+	unavailable bool                     // renewals fail
+	renewCalls  int                      // calls of Renew, including those that failed
 	// commit returns the number of the revision that the commit creates.
 	commit func(shedkeel.Transaction) (int64, error)
 }
@@ -58,7 +58,7 @@
 	store := &leaseStore{renewed: map[shedkeel.LeaseID]int{}, commit: func(shedkeel.Transaction) (int64, error) { return 2, nil }}
 	node.Store = store
 	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
-	assert.Assert(t, node.member.step(t.Context()))
+	assert.Assert(t, node.member.step(t.Context())) // lists the node, with lease number 1
 	return node, timers, store
 }
 
@@ -126,6 +126,8 @@
 	}
 	elect(t, node, timers)
 	timers.Advance(2 * leaderTTL) // the first lease expires
+	// The copy of the records is current again: with one older than maxMirrorAge, the node would not
+	// stand for election.
 	node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 1}, AsOf: timers.Now()})
 	store.commit = func(shedkeel.Transaction) (int64, error) { return 0, &shedkeel.ConflictError{What: "lead"} }
 	elect(t, node, timers) // the node gets another lease, but its second write fails
@@ -181,8 +183,8 @@
 func TestFirstElectionIsOfFew(t *testing.T) {
 	const (
 		lag   = 250 * time.Millisecond // until other nodes see a write
-		tick  = 50 * time.Millisecond
-		batch = 10 // nodes that are listed per tick
+		tick  = 50 * time.Millisecond  // between two calls of elect
+		batch = 10                     // nodes that are listed per tick
 	)
 	all := fleetOf(100, 3) // 100 nodes, in each zone 3 of them on large boxes
 	var nodes []*Node
@@ -210,12 +212,12 @@
 	joinOrder := slices.Clone(all)
 	slices.Reverse(joinOrder)
 	wonAt := time.Duration(0)
-	// The loop ends when the other nodes would see the leader's record.
+	// The loop ends when the other nodes would see the leader's record, after 3 s at the latest.
 	for now := time.Duration(0); now < 3*time.Second && (elected == "" || now < wonAt+lag); now += tick {
 		known := slices.Clone(joinOrder[:min(len(joinOrder), batch*(1+int(now/tick)))])
 		slices.SortFunc(known, compareNodes)
 		for index, node := range nodes {
-			if now < time.Duration(len(joinOrder)/batch)*tick {
+			if now < time.Duration(len(joinOrder)/batch)*tick { // the list of nodes still grows
 				node.peers.update(known)
 			}
 			node.mirror.Apply(mirror.Update{At: shedkeel.Revision{Number: 1}, AsOf: clocks[index].Now()})
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -65,7 +65,7 @@
 			delete(statuses, http.StatusOK)
 			assert.Equal(t, len(statuses), 0, "the other zone must serve all requests: also got %v", statuses)
 
-			cluster.start(3)
+			cluster.start(3) // a fourth node
 			cluster.eventually("a node that starts serves", func() bool {
 				status, _ := cluster.send(cluster.nodes[3].callers, shedkeel.NewNonce(), test.path, "key-1", 50)
 				return status == http.StatusOK
--- a/node/explain.go
+++ b/node/explain.go
@@ -26,7 +26,7 @@
 // MemberDump is a backend server whose record names a replica group.
 type MemberDump struct {
 	Server   shedkeel.InstanceID  `json:"server"`
-	Rank     int                  `json:"rank"`
+	Rank     int                  `json:"rank"` // position in the group; 0: the head
 	Epoch    uint64               `json:"epoch"`
 	State    shedkeel.MemberState `json:"state"`
 	Draining bool                 `json:"draining"`
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -45,7 +45,7 @@
 // servers and groups that may get requests, and the nodes.
 type fleet struct {
 	node         *Node
-	view         atomic.Pointer[serve.View]
+	view         atomic.Pointer[serve.View] // of the active configuration; nil: there is none
 	activeConfig configCopy
 
 	mutex             sync.Mutex
@@ -187,7 +187,8 @@
 // removeOrRetain handles a deleted record: it calls remove or retains the record, and reports
 // whether it called remove. In an outage of the key-value service, leases of live owners may
 // have expired. Until outageUntil, removeOrRetain therefore retains the record if its owner may
-// write it again; tick removes it later. The caller holds the mutex.
+// write it again. If the owner does not, tick removes the record later. The caller holds the
+// mutex.
 func (fleet *fleet) removeOrRetain(key string, now time.Duration, remove func()) bool {
 	if now >= fleet.outageUntil || !fleet.ownerMayRewrite(key) {
 		remove()
@@ -332,7 +333,8 @@
 
 // groupServerOf returns the dispatch entry of a replica group, addressed by its head. If the
 // configuration lacks the group's model, the entry has no MaxEventGap and no DelayPerRequest,
-// and its PrefillRate is that of the engine.
+// and its PrefillRate is that of the engine. Otherwise the model's EffectiveSlowdown divides the
+// PrefillRate and multiplies the DelayPerRequest.
 func groupServerOf(head *shedkeel.Instance, engine *shedkeel.Engine) dispatch.Server {
 	server := serverOf(head)
 	server.Model = formation.ModelOf(head.Member.Group)
--- a/node/fleetsize.go
+++ b/node/fleetsize.go
@@ -60,10 +60,10 @@
 	return slices.Equal(size.Relays, current.Relays) && max(change, -change) <= sizeTolerance*float64(size.Nodes)
 }
 
-// maintainFleetSize writes the record of the fleet's size if the stored record is unreadable
-// or not close to the current one (see isCloseTo). It checks this once per sizeCheckInterval,
-// but not at its first call. It logs an error; the next check tries again. Only the leader
-// calls it.
+// maintainFleetSize writes the record of the fleet's size if the stored record is missing,
+// unreadable or not close to the current one (see isCloseTo). It checks this once per
+// sizeCheckInterval, but not at its first call. It logs an error; the next check tries again.
+// Only the leader calls it.
 func (controller *controller) maintainFleetSize(ctx context.Context, now time.Duration) {
 	node := controller.node
 	if now-controller.sizeCheckedAt < sizeCheckInterval {
@@ -98,8 +98,8 @@
 // fleet has no relays, or if the size record is invalid. At the fleet's first start, when there
 // is no size record, only a seed and a node without seeds list the records. In all other cases
 // this node gets the records from other nodes. advise also records the number of nodes that a
-// valid size record states. It returns the error of the key-value service if that does not
-// answer.
+// valid size record states, unless a higher number is recorded. If the call to the key-value service
+// fails, advise returns the error.
 func (peers *peers) advise(ctx context.Context) (mirror.Advice, error) {
 	node := peers.node
 	record, err := node.Store.GetStale(ctx, sizeKey)
--- a/node/fleetsize_test.go
+++ b/node/fleetsize_test.go
@@ -12,7 +12,7 @@
 	"shedkeel.org/shedkeel/mirror"
 )
 
-// staleStore answers stale reads with a fixed record.
+// staleStore answers stale reads with a fixed record. The zero record does not exist.
 type staleStore struct {
 	leaseStore
 	record shedkeel.Record
@@ -98,7 +98,7 @@
 		timers.Advance(sizeCheckInterval)
 		node.controller.maintainFleetSize(t.Context(), timers.Now())
 	}
-	check(fleetOf(200, 3))
+	check(fleetOf(200, 3)) // 200 nodes; in each zone, 3 of them have large boxes
 	assert.Equal(t, len(written), 0, "the size was written at the first check, when other nodes may not be listed yet")
 	check(withControlAddresses(fleetOf(300, 3)))
 	check(withControlAddresses(fleetOf(295, 3)))
--- a/node/guard.go
+++ b/node/guard.go
@@ -24,8 +24,8 @@
 	blamePrefix = "shedkeel/blames/"
 	// blameTimeout bounds a call that sends a blame to another node.
 	blameTimeout = 500 * time.Millisecond
-	// trialTimeout bounds the call that asks a decider for a trial, for which a request
-	// waits.
+	// trialTimeout bounds the call that asks a decider for a trial. A request waits for that
+	// call.
 	trialTimeout = 50 * time.Millisecond
 	// trialExpiry is the age from which a trial whose end was not reported counts as ended.
 	trialExpiry = 10 * time.Second
@@ -39,7 +39,8 @@
 	// writeInterval is the time between two checks for blames that must be written.
 	writeInterval = 100 * time.Millisecond
 	// writeStagger is how much later each further decider writes a blame that the key-value
-	// service lacks. By then, all nodes have long known of an earlier decider's write.
+	// service lacks. By then, all nodes have long known of an earlier decider's write, so a
+	// further decider writes only if no earlier one has.
 	writeStagger = time.Second
 )
 
--- a/node/guard_test.go
+++ b/node/guard_test.go
@@ -187,7 +187,7 @@
 // a request and their order, and that each node is the first decider of some requests.
 func TestDecidersAgree(t *testing.T) {
 	firstDeciders := map[shedkeel.NodeID]int{}
-	for range 40 {
+	for range 40 { // about ten requests for each of the four nodes as the first decider
 		request := shedkeel.RequestDigest(shedkeel.NewNonce())
 		var agreed []shedkeel.NodeID
 		for _, record := range fourNodes {
--- a/node/limits.go
+++ b/node/limits.go
@@ -20,7 +20,7 @@
 	// badLimitLogInterval is the least time between two logs of an unreadable limit of
 	// the same server.
 	badLimitLogInterval = time.Minute
-	// permitTimeout bounds a call for a permit, for which a request waits.
+	// permitTimeout bounds a call for a permit. A request waits for that call.
 	permitTimeout = 30 * time.Millisecond
 	// permitRetryDelay is for how long a node sends a server no requests when the server's
 	// granter is unknown or does not answer, or when the nodes disagree on the granter.
@@ -257,8 +257,9 @@
 	}
 }
 
-// tick drops the permits of servers that have another granter now, ends the reduced
-// rates of servers that are no longer cold, and sends changed limits.
+// tick ends the reduced rates of servers that are no longer cold, and sends changed limits. If
+// the set of alive nodes has changed, it also drops the permits of servers whose granter is not
+// this node.
 func (limits *limits) tick() {
 	if version := limits.node.peers.aliveVersion.Load(); version != limits.aliveVersion {
 		limits.aliveVersion = version
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -15,7 +15,7 @@
 // of a server, and that each node is the granter of some servers.
 func TestGrantersAgree(t *testing.T) {
 	counts := map[shedkeel.NodeID]int{}
-	for range 40 {
+	for range 40 { // about ten servers for each of the four nodes as the granter
 		server := shedkeel.InstanceID(shedkeel.NewNonce())
 		var agreed shedkeel.NodeID
 		for _, record := range fourNodes {
@@ -31,7 +31,7 @@
 }
 
 // TestFractionOfLimitFollowsAliveNodes checks which fraction of the listed nodes a node sees
-// alive, and since when. The node may grant that fraction of a limit: the other nodes may be
+// alive, and when the set of alive nodes last changed. The node may grant that fraction of a limit: the other nodes may be
 // alive on the other side of a network partition. Stopping nodes do not count.
 func TestFractionOfLimitFollowsAliveNodes(t *testing.T) {
 	node, timers := newListedNode(t, "a", fourNodes)
@@ -87,6 +87,7 @@
 		t.Run(name, func(t *testing.T) {
 			node, timers := newListedNode(t, "a", fourNodes)
 			timers.Advance(time.Minute) // longer than handoverDelay of package ratelimit, in which a new granter grants nothing
+			// The server stated the limit once, 100 ms ago.
 			reported := &wire.ServerLimit{Server: newServerID(node, test.own), Rate: test.rate, AgeMs: 100, SinceMs: 100}
 			ask := func() bool {
 				call := &wire.PermitCall{Node: "b", Limit: reported, PatienceMs: 20} // the first permit at a rate of 50 becomes valid after 20 ms
@@ -123,6 +124,7 @@
 func TestNoPermitWithoutGranter(t *testing.T) {
 	node, timers := newListedNode(t, "a", fourNodes)
 	server := shedkeel.InstanceID(newServerID(node, false)) // its granter is another node, which does not run
+	// The request does not wait (0).
 	assert.Assert(t, node.limits.Acquire(t.Context(), server, 0).Granted, "no permit for a server that states no limit")
 	node.limits.Observe(server, shedkeel.StatedLimit{Stated: true, Rate: 2}, timers.Now())
 	permit := node.limits.Acquire(t.Context(), server, time.Second) // the request can wait for a second
--- a/node/notice_test.go
+++ b/node/notice_test.go
@@ -56,9 +56,10 @@
 	lead, err := json.Marshal(leadRecord{Node: "planner"})
 	assert.NilError(t, err)
 	node.mirror.Apply(mirror.Update{Full: true, At: shedkeel.Revision{Number: 2}, AsOf: timers.Now(), Records: []shedkeel.Record{{Key: leaderKey, Value: lead, Revision: shedkeel.Revision{Number: 2}}}})
-	head := leader.fleet.groupServices()["s"][0]
+	head := leader.fleet.groupServices()["s"][0] // the head of the group comes first in the order of IDs
 	assert.Assert(t, !head.Draining)
 	node.handler.OnDraining(head.ID)
+	// Wait until the leader has processed the notice, for at most 5 s.
 	for end := time.Now().Add(5 * time.Second); !leader.table.Draining()[head.ID] && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
--- a/node/notices.go
+++ b/node/notices.go
@@ -15,12 +15,12 @@
 	// lost: longer than reprobeInterval, since the leader repeats the notice at each failed
 	// probe of the lost member.
 	lostGroupAvoidTime = reprobeInterval + reprobeInterval/2
-	// noticeTimeout bounds the sending of a notice.
+	// noticeTimeout bounds a call that sends a notice.
 	noticeTimeout = 500 * time.Millisecond
 )
 
-// reportSuspect reports to the leader, if one is known, that a group does not respond to this
-// node. The leader finds out whether a member is lost. Only the leader is told, because a group
+// reportSuspect reports to the leader, if it is known and listed, that a group does not respond
+// to this node. The leader finds out whether a member is lost. Only the leader is told, because a group
 // that prefills long prompts does not respond for a while either: if each node told all others,
 // all nodes would avoid that group and send its requests to the remaining groups.
 func (peers *peers) reportSuspect(group shedkeel.Assignment) {
@@ -36,8 +36,8 @@
 
 // reportDraining reports to the leader that a backend server has stated in an answer to this
 // node that it drains. The leader may not learn this otherwise: the leader may send that server
-// no requests itself, and the server's record may not state it. If this node leads or no leader
-// is known, reportDraining does nothing.
+// no requests itself, and the server's record may not state it. If this node leads, or if no
+// leader is known or the leader is not listed, reportDraining does nothing.
 func (peers *peers) reportDraining(server shedkeel.InstanceID) {
 	if peer := peers.peer(peers.node.controller.leader()); peer != nil {
 		go peer.runSendNotice(&wire.NoticeCall{Draining: string(server)})
--- a/node/operator_test.go
+++ b/node/operator_test.go
@@ -45,8 +45,8 @@
 	assert.NilError(t, err)
 	var printed bytes.Buffer
 	operator.PrintExplanation(&printed, explanation)
-	assert.Assert(t, strings.Contains(printed.String(), "order to an engine"), printed.String())
-	assert.Equal(t, len(explanation.Node.Members), 2) // the size of the model m0's groups
+	assert.Assert(t, strings.Contains(printed.String(), "order to an engine"), printed.String()) // the text of event.OrderSent
+	assert.Equal(t, len(explanation.Node.Members), 2)                                            // the size of the model m0's groups
 
 	id := shedkeel.NewNonce()
 	cluster.eventually("a node that has its configuration refuses an unknown key", func() bool {
--- a/node/paces_test.go
+++ b/node/paces_test.go
@@ -36,7 +36,7 @@
 				paces.update("a", pace)
 			}
 			assert.Equal(t, paces.isSlow("a"), test.slow)
-			paces.removeUnlisted(map[shedkeel.ServiceID][]shedkeel.Instance{"llm": {{ID: "b"}}})
+			paces.removeUnlisted(map[shedkeel.ServiceID][]shedkeel.Instance{"llm": {{ID: "b"}}}) // only b is listed
 			assert.Assert(t, !paces.isSlow("a"), "a server that is no longer listed counts as slow")
 		})
 	}
