--- a/node/fleetsize.go
+++ b/node/fleetsize.go
@@ -98,8 +98,8 @@
 // fleet has no relays, or if the size record is invalid. At the fleet's first start, when there
 // is no size record, only a seed and a node without seeds list the records. In all other cases
 // this node gets the records from other nodes. advise also records the number of nodes that a
-// valid size record states, unless a higher number is recorded. If the call to the key-value service
-// fails, advise returns the error.
+// valid size record states, unless a higher number is recorded. If the call to the key-value
+// service fails, advise returns the error.
 func (peers *peers) advise(ctx context.Context) (mirror.Advice, error) {
 	node := peers.node
 	record, err := node.Store.GetStale(ctx, sizeKey)
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -31,8 +31,9 @@
 }
 
 // TestFractionOfLimitFollowsAliveNodes checks which fraction of the listed nodes a node sees
-// alive, and when the set of alive nodes last changed. The node may grant that fraction of a limit: the other nodes may be
-// alive on the other side of a network partition. Stopping nodes do not count.
+// alive, and when the set of alive nodes last changed. The node may grant that fraction of a
+// limit: the other nodes may be alive on the other side of a network partition. Stopping nodes
+// do not count.
 func TestFractionOfLimitFollowsAliveNodes(t *testing.T) {
 	node, timers := newListedNode(t, "a", fourNodes)
 	fraction, settled := node.peers.aliveFraction()
--- a/node/notices.go
+++ b/node/notices.go
@@ -20,9 +20,9 @@
 )
 
 // reportSuspect reports to the leader, if it is known and listed, that a group does not respond
-// to this node. The leader finds out whether a member is lost. Only the leader is told, because a group
-// that prefills long prompts does not respond for a while either: if each node told all others,
-// all nodes would avoid that group and send its requests to the remaining groups.
+// to this node. The leader finds out whether a member is lost. Only the leader is told, because
+// a group that prefills long prompts does not respond for a while either: if each node told all
+// others, all nodes would avoid that group and send its requests to the remaining groups.
 func (peers *peers) reportSuspect(group shedkeel.Assignment) {
 	leader := peers.node.controller.leader()
 	if leader == peers.node.Settings.Node {
