--- a/serve/backoff_test.go
+++ b/serve/backoff_test.go
@@ -102,7 +102,7 @@
 		least, most float64       // Retry-After, in seconds
 	}{
 		"ends soon": {100 * time.Millisecond, 0.08, 0.13}, // the length, and up to a quarter more by retryJitter
-		"ends late": {time.Minute, 0.2, 0.3},              // at most 0.3 of the second that the caller waits
+		"ends late": {time.Minute, 0.2, 0.3},              // the longest wait is maxWaitFraction of the timeout of 1 s, less up to a quarter by retryJitter
 	}
 	for name, test := range cases {
 		runFakeTime(t, name, func(t *testing.T) {
--- a/serve/budget_test.go
+++ b/serve/budget_test.go
@@ -23,8 +23,8 @@
 	)
 	cases := map[string]struct {
 		nodes        int
-		requests     float64 // per second, over all nodes
-		fixedRetries float64
+		requests     float64                     // per second, over all nodes
+		fixedRetries float64                     // Budget.FixedRetries: of all nodes together, per window
 		restarts     func(node, second int) bool // whether the node restarts at the start of the second
 		minUsed      float64                     // fraction of the bound that must be used in some window
 	}{
--- a/serve/ended.go
+++ b/serve/ended.go
@@ -31,8 +31,8 @@
 // endCheck is the check of one server.
 type endCheck struct {
 	firstFailure time.Duration // when the failure that led to the check was reported
-	once         sync.Once
-	ended        bool // the server is known to have terminated
+	once         sync.Once     // calls probe
+	ended        bool          // the server is known to have terminated
 }
 
 // endedSince reports whether the server has terminated, and when the failure that led to the
--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -162,6 +162,7 @@
 	guard := &fixedGuard{idle: true}
 	harness.Timers, harness.Guard, harness.ServerCheck = timers, guard, fixedCheck(true)
 	harness.Table.Replace([]dispatch.Server{{Service: "plain", Instance: "p", Address: "plain:1", Slots: 4}})
+	// choose advances the clock first, so that each choice is made at another time.
 	choose := func() *dispatch.Choice {
 		timers.Advance(time.Second)
 		return harness.Table.Choose(dispatch.Query{Service: "plain", Now: timers.Now()})
@@ -253,7 +254,7 @@
 		runFakeTime(t, name, func(t *testing.T) {
 			harness := newHarness(t, step{delay: 400 * time.Millisecond, events: 2})
 			timers := &timer.Manual{}
-			timers.Advance(harness.clock.Now())
+			timers.Advance(harness.clock.Now()) // the time of harness.provenAt: the configuration counts as current
 			harness.Timers = timers
 			go func() {
 				time.Sleep(50 * time.Millisecond) // until the request waits for its answer
--- a/serve/handler.go
+++ b/serve/handler.go
@@ -134,10 +134,10 @@
 	writer          http.ResponseWriter
 	request         *http.Request
 	call            shedkeel.Call
-	view            *View
+	view            *View // the configuration that the request is served by
 	route           *shedkeel.Route
-	account         *shedkeel.KeyedAccount
-	service         shedkeel.ServiceID
+	account         *shedkeel.KeyedAccount // the account of the request's key; nil: the route needs no key
+	service         shedkeel.ServiceID     // the route's target that targetService picked; "": the route has none
 	body            []byte
 	configAge       time.Duration // time from when the configuration was last proven current to startedAt
 	startedAt       time.Duration
@@ -362,7 +362,8 @@
 	return handler.Meter
 }
 
-// log writes an event with the request's ID, route and configuration version.
+// log writes an event with the request's ID and, once the route is known, the route and the
+// configuration version.
 func (exchange *exchange) log(kind event.Event, fields ...slog.Attr) {
 	fields = append(fields, slog.String("request", exchange.call.ID))
 	if exchange.route != nil {
--- a/serve/meter.go
+++ b/serve/meter.go
@@ -8,23 +8,23 @@
 
 // Meter holds the metrics of request handling. The zero value records nothing.
 type Meter struct {
-	answered         tally.Counter
-	refused          [len(causeNames)]tally.Counter // by cause
-	failed           tally.Counter
-	aborted          tally.Counter
-	hedges           tally.Counter
-	failedAttempts   tally.Counter
-	retriesDenied    tally.Counter
-	noServer         tally.Counter
-	noRecommendation tally.Counter
-	backoffs         tally.Counter
-	firstEvent       tally.Histogram
-	longestPause     tally.Histogram
-	answerTime       tally.Histogram
+	answered         tally.Counter                  // requests for which a server's answer was forwarded, of any status
+	refused          [len(causeNames)]tally.Counter // requests refused with 503, by cause
+	failed           tally.Counter                  // requests that got another error status from the handler itself
+	aborted          tally.Counter                  // requests that ended with errAborted
+	hedges           tally.Counter                  // sources started beside a stalled source
+	failedAttempts   tally.Counter                  // attempts that were logged as event.AttemptFailed
+	retriesDenied    tally.Counter                  // retries that the retry budget did not allow
+	noServer         tally.Counter                  // attempts for which chooseWithPermit found no server
+	noRecommendation tally.Counter                  // calls of Handler.Recommend that returned false
+	backoffs         tally.Counter                  // answers in which a server asked for a backoff
+	firstEvent       tally.Histogram                // of completed streams: time from the request to the first event; 0: no event
+	longestPause     tally.Histogram                // of completed streams: longest time between two forwarded events; 0: fewer than two
+	answerTime       tally.Histogram                // of the requests in answered: time from the request to the end of the answer
 }
 
 // NewMeter returns a meter that reports to the scope. Its histogram buckets are densest around
-// the latency objectives of the users' sites, 150 to 500 ms, and end at the sites' deadlines.
+// the usual latency objectives, 150 to 500 ms, and end at the usual deadlines of callers.
 func NewMeter(scope tally.Scope) *Meter {
 	buckets := tally.DurationBuckets{}
 	for _, millis := range []int{20, 50, 100, 150, 200, 250, 300, 400, 500, 700, 1000, 1500, 2500, 4000, 8000} {
--- a/serve/reader_test.go
+++ b/serve/reader_test.go
@@ -29,6 +29,8 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			var steps []step
+			// One step more than there are requests: if one request is sent twice, each attempt
+			// still gets the long answer. After the last step, the fake backend answers "ok".
 			for range callers + 1 {
 				steps = append(steps, test.step)
 			}
--- a/serve/retryafter.go
+++ b/serve/retryafter.go
@@ -9,12 +9,13 @@
 	// retrySoon is the shortest Retry-After. It applies when another process can serve
 	// the caller at once, or this process can within milliseconds.
 	retrySoon = 50 * time.Millisecond
-	// retryRepair is about the time in which a failed member of a replica group is
-	// replaced, or in which slots of full servers become free.
+	// retryRepair is the wait for causeNoCapacity, causeNotRun and causeQuarantined. It is
+	// about the time in which a failed member of a replica group is replaced, or in which
+	// slots of full servers become free. maxWaitFraction and the jitter may shorten it.
 	retryRepair = 700 * time.Millisecond
-	// retryOutage is the shortest wait, before the jitter and the bound by
-	// maxWaitFraction, in an outage of the key-value service in which no process can
-	// serve the caller. An outage that has lasted longer than retryOutage is assumed to
+	// retryOutage is the shortest wait in an outage of the key-value service, because no
+	// process can serve the caller then. maxWaitFraction and the jitter may still shorten
+	// the wait. An outage that has lasted longer than retryOutage is assumed to
 	// last as long again (see retryStaleConfig).
 	retryOutage = 1200 * time.Millisecond
 	// maxWaitFraction is the longest Retry-After, as a fraction of the time that the
@@ -94,9 +95,9 @@
 	return max(retryOutage, now-since)
 }
 
-// remaining returns how long the caller still waits. For a request that is refused before
-// prepare sets callerDeadline, this is by the caller's own deadline, or by defaultTimeout if
-// the caller states none.
+// remaining returns how long the caller still waits. While prepare has not set callerDeadline,
+// the caller is taken to wait from startedAt for the timeout that it stated (call.Deadline), or
+// for defaultTimeout if it stated none.
 func (exchange *exchange) remaining() time.Duration {
 	until := exchange.callerDeadline
 	if until == 0 {
--- a/serve/source.go
+++ b/serve/source.go
@@ -24,10 +24,10 @@
 	choice      *dispatch.Choice
 	context     context.Context //nolint:containedctx // its scope is this attempt
 	cancel      context.CancelFunc
-	response    *http.Response
-	resumeAfter string // ID of the event after which the server is to resume; "": it starts at the beginning
-	hedged      bool   // a second source was started because this source stalled
-	lastNumber  int64  // number of the source's last event that was forwarded, 0 if its ID is not a number; at first stream.lastNumber
+	response    *http.Response // nil until send has returned the answer
+	resumeAfter string         // ID of the event after which the server is to resume; "": it starts at the beginning
+	hedged      bool           // a second source was started because this source stalled
+	lastNumber  int64          // number of the source's last event that was forwarded, 0 if its ID is not a number; at first stream.lastNumber
 }
 
 // loop sends the request and delivers each event to the stream, and finally the error with
--- a/serve/stream.go
+++ b/serve/stream.go
@@ -89,10 +89,10 @@
 	return stream.sources[0].choice.Stalled
 }
 
-// mayFailOver reports whether the stream may run on another server too, by the route, MaxRuns
-// and the guard. Every source counts towards MaxRuns unless its server refused the stream or
-// was not reached: a server whose source was canceled may already have started to run the
-// stream.
+// mayFailOver reports whether the route, MaxRuns and the guard allow the stream to run on
+// another server too. A quarantined stream may run on one server only. Every source counts
+// towards MaxRuns unless its server refused the stream or was not reached: a server whose source
+// was canceled may already have started to run the stream.
 func (stream *stream) mayFailOver() bool {
 	return stream.route.Repeatable() && stream.runs < stream.route.MaxRuns && !stream.quarantined && stream.guardAllows()
 }
@@ -109,6 +109,7 @@
 		stream.timing.hedges++
 		count(stream.handler.meter().hedges)
 	}
+	// This event is also logged if no second source was started; outcome is then the reason.
 	stream.log(event.StreamMoved, slog.String("from", string(stalled.choice.Instance)), slog.Int64("after", stream.lastNumber), slog.String("outcome", outcome))
 }
 
@@ -176,8 +177,8 @@
 }
 
 // sourceEnded processes the end of a source. It returns true when the stream is complete: the
-// source ended with errStreamEnd, and its last event is the last event forwarded. Otherwise
-// the source has failed, and sourceEnded calls failOver. The end of a source that was canceled
+// source ended with errStreamEnd, and its lastNumber is that of the stream. Otherwise the
+// source has failed, and sourceEnded calls failOver. The end of a source that was canceled
 // before has no effect.
 func (stream *stream) sourceEnded(ctx context.Context, update update) (bool, error) {
 	active := false
