--- a/route/router.go
+++ b/route/router.go
@@ -55,7 +55,7 @@
 	targets  []*target
 	usable   []*target // targets that were usable at the last update
 	slots    [prefixSlots][targetsPerSlot]*target
-	inFlight int // requests of this process in flight
+	inFlight int // requests of this process in flight, also at targets that are not usable or were removed
 	load     int // sum of the loads of the usable targets, as of the last update
 	capacity int // sum of the capacities of the usable targets
 }
@@ -71,8 +71,8 @@
 // change is a change of a target's load that the target's last report may not include: a request
 // was sent or has ended.
 type change struct {
-	at    time.Duration
-	delta int // 1: a request was sent; -1: a request has ended
+	at    time.Duration // when the request was sent or ended
+	delta int           // 1: a request was sent; -1: a request has ended
 }
 
 // Choice is the target chosen for a request. The caller must call End once.
@@ -239,10 +239,11 @@
 }
 
 // chooseByPrefix returns the first target of the prefix's slot that the request allows and
-// whose load is at most one request above the bound times the mean load. The mean load is the
-// load of the pool at the last update plus its requests in flight, divided by the number of
-// usable targets. chooseByPrefix returns nil if there is no such target, the request has no
-// affinity or the router's Bound is negative.
+// whose load is at most one request above the bound times the mean load. The mean load is
+// pool.load plus pool.inFlight, divided by the number of usable targets. A request that was in
+// flight at a usable target at the last update, and still is, counts in both, which raises the
+// limit. chooseByPrefix returns nil if there is no such target, the request has no affinity or
+// the router's Bound is negative.
 func (router *Router) chooseByPrefix(pool *targetPool, request Request) *target {
 	bound := router.Bound
 	if bound == 0 {
--- a/route/simulation_test.go
+++ b/route/simulation_test.go
@@ -111,6 +111,8 @@
 }
 
 func (baseline *baseline) choose(_ int, _ uint64, now time.Duration) (int, func(time.Duration), bool) {
+	// All rules look at the targets in order, from the one at offset on. The rules random and
+	// in turn take the first usable target.
 	best := -1
 	baseline.turn++
 	offset := baseline.turn
@@ -137,15 +139,15 @@
 // server simulates a replica group: a queue, slots and a cache of prefixes.
 type server struct {
 	up      bool
-	running []*job // at most simSlots
-	queue   []*job
+	running []*job   // at most simSlots
+	queue   []*job   // requests that wait for a slot, the oldest first
 	cache   []uint64 // cached prefixes, the most recently used last
 }
 
 // job is a request at a server.
 type job struct {
-	arrived time.Duration
-	prefix  uint64
+	arrived time.Duration       // when the request arrived at an entry
+	prefix  uint64              // identifies the prompt's prefix
 	first   time.Duration       // when the first token is sent
 	ends    time.Duration       // when the answer ends
 	run     time.Duration       // time from the first token to the end of the answer
@@ -236,7 +238,7 @@
 	return targets
 }
 
-// poisson draws a Poisson-distributed number.
+// poisson draws a Poisson-distributed number with the given mean.
 func poisson(random *rand.Rand, mean float64) int {
 	count, product, limit := 0, random.Float64(), math.Exp(-mean)
 	for product > limit {
