--- a/contain/simulation_test.go
+++ b/contain/simulation_test.go
@@ -20,7 +20,7 @@
 // two servers are recorded.
 type strategy struct {
 	keepsLedger      bool // nodes record failed servers in their ledgers
-	decider          bool // after the first failure, a node sends the record to the decider: one node, the same for all senders, here node 0, which combines the failures that different nodes record
+	decider          bool // after the first failure, a node sends the record to node 0, the decider, which combines the failures that different nodes record
 	broadcast        bool // from the second failure on, a node sends the record to all nodes
 	persisted        bool // from the second failure on, a node writes the record to the store, from which all nodes read it
 	withdrawsQueued  bool // from the second failure on, a node withdraws the copies that it has sent
@@ -94,8 +94,8 @@
 // head is the server that heads a replica group, and to which requests for the group are
 // sent.
 type head struct {
-	incarnation int // incremented with each failure
-	unavailable bool
+	incarnation int            // incremented with each failure
+	unavailable bool           // for recoveryTime after each failure
 	copies      []*requestCopy // sent to the current incarnation
 }
 
@@ -324,9 +324,11 @@
 }
 
 // copyLost handles the loss of a copy at the node that sent it, unless the copy is done. With
-// keepsLedger, the node records the failed server. The node sends the copy again if this was the
-// first attempt, the copy is not exclusive, the request is unblamed and the node is not frozen.
-// Otherwise the copy fails, and its caller sends it once more if mayRetry is set.
+// keepsLedger, the node records the failed server. The loss of an exclusive copy ends
+// the wait until exclusiveUntil, so that the next exclusive copy can be sent. The node sends the
+// copy again if this was the first attempt, the copy is not exclusive, the request is unblamed and
+// the node is not frozen. Otherwise the copy fails, and its caller sends it once more if mayRetry
+// is set.
 func (simulation *simulation) copyLost(sent *requestCopy, server shedkeel.InstanceID) {
 	if sent.done {
 		return
--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -73,9 +73,9 @@
 	for index, want := range []shedkeel.Permit{
 		{Granted: true, Wait: 500 * time.Millisecond},
 		{Granted: true, Wait: time.Second}, // as long as MaxWait allows
-		{Wait: 1500 * time.Millisecond},
-		{Wait: 2 * time.Second}, // 500 ms after the refusal before, at a rate of 2 per second
-		{Wait: maxRetryWait},    // 2.5 s without this bound
+		{Wait: 1500 * time.Millisecond},    // refused: the permit would become valid after MaxWait
+		{Wait: 2 * time.Second},            // 500 ms after the refusal before, at a rate of 2 per second
+		{Wait: maxRetryWait},               // 2.5 s without this bound
 	} {
 		assert.Equal(t, granter.Grant(request, now), want, "request %d", index)
 	}
--- a/ratelimit/sharing_test.go
+++ b/ratelimit/sharing_test.go
@@ -147,7 +147,7 @@
 	nodes    []*simNode
 	ranked   []*simNode // in the order in which rendezvous hashing ranks them for the server
 	attempts []attempt
-	offered  int // requests that arrived at nodes
+	offered  int // requests that arrived at running nodes
 	calls    int // calls between nodes
 }
 
@@ -160,8 +160,8 @@
 // simNode is one node of the fleet.
 type simNode struct {
 	index          int
-	hash           uint64 // order of the node in simFleet.ranked; detection delays depend on it too
-	killed, frozen []interval
+	hash           uint64        // order of the node in simFleet.ranked; detection delays depend on it too
+	killed, frozen []interval    // when the node is down, and when it is suspended
 	blockedUntil   time.Duration // until when the node asks for no permit, after a refusal
 	knownSince     time.Duration // when the node learned that the server has a limit; below 0: it does not know of one
 
