--- a/serve/ended.go
+++ b/serve/ended.go
@@ -39,7 +39,7 @@
 // check was reported. If no positive result is cached, it calls probe to find out, once for all
 // concurrent callers. Only a positive result is cached: after a negative result, the next call
 // probes again.
-func (endedServers *endedServers) endedSince(server shedkeel.InstanceID, now time.Duration, probe func() bool) (at time.Duration, ended bool) {
+func (endedServers *endedServers) endedSince(server shedkeel.InstanceID, now time.Duration, probe func() bool) (firstFailureAt time.Duration, ended bool) {
 	check := endedServers.entry(server, now)
 	check.once.Do(func() { check.ended = probe() })
 	if !check.ended {
@@ -82,12 +82,12 @@
 	if exchange.handler.ServerCheck == nil || !isDisconnect(failure) || !choice.Listed() {
 		return
 	}
-	at, ended := exchange.handler.endedServers.endedSince(choice.Instance, now, func() bool { return exchange.handler.serverEnded(choice.Address) })
+	firstFailureAt, ended := exchange.handler.endedServers.endedSince(choice.Instance, now, func() bool { return exchange.handler.serverEnded(choice.Address) })
 	if !ended {
 		return
 	}
 	exchange.freshConnection.Store(true)
-	if choice.ChosenAt > at {
+	if choice.ChosenAt > firstFailureAt {
 		return
 	}
 	exchange.log(event.ServerEnded, slog.String("server", string(choice.Instance)), slog.String("digest", string(exchange.digest())))
