--- a/serve/plain.go
+++ b/serve/plain.go
@@ -11,9 +11,9 @@
 	"shedkeel.org/shedkeel/event"
 )
 
-// maxServersTried is the number of servers, including those that refuse the connection, after
-// which no further attempt replaces a failed attempt. It does not bound the second sources of
-// stalled streams.
+// maxServersTried is the number of servers chosen for one request, including those that refuse
+// the connection, from which on a failed attempt is not replaced. The second source of a
+// stalled stream (see hedge) counts too, but is started even if this number has been reached.
 const maxServersTried = 4
 
 // bufferedAnswer is a complete answer of a server.
@@ -23,9 +23,10 @@
 }
 
 // servePlain serves a request that has a single answer. After a failed attempt it tries another
-// server, if the deadline, the guard, maxServersTried and, unless the attempt did not run,
-// mayRetry allow that. It forwards the first answer with a status below 500. If there is none,
-// it forwards the latest answer with a 5xx status; without such an answer it returns an error.
+// server, if the deadline, the guard and maxServersTried allow that. If the failed attempt ran
+// or may have run, mayRetry must allow it too. servePlain forwards the first answer with a
+// status below 500. If there is none, it forwards the latest answer with a 5xx status; without
+// such an answer it returns an error.
 func (exchange *exchange) servePlain(ctx context.Context) error {
 	var serverFailure bufferedAnswer // the latest answer with a 5xx status
 	var reason error
@@ -37,7 +38,9 @@
 			break
 		}
 		answer, err := exchange.tryServer(ctx, choice)
-		// A 5xx answer is forwarded at once if the request may not run again.
+		// A 5xx answer is forwarded here if the route is not repeatable or the request is
+		// quarantined. exchange.runs does not count this attempt yet, so the 5xx answer of the
+		// last run that MaxRuns allows is forwarded after the loop.
 		if err == nil && (answer.response.StatusCode < http.StatusInternalServerError || !exchange.mayRetry()) {
 			exchange.reportAnswer()
 			exchange.answerAttrs = []slog.Attr{slog.String("server", string(choice.Instance))}
