--- a/revision_test.go
+++ b/revision_test.go
@@ -9,7 +9,8 @@
 // TestRevisions checks that revisions are ordered by era first and number second,
 // and how they are printed.
 func TestRevisions(t *testing.T) {
-	// In ascending order. {1, 0} sorts after all of era 0, although no record has it.
+	// In ascending order. No record has the number 0, but {1, 0} can still be compared: it
+	// sorts after all revisions of era 0.
 	ordered := []Revision{{}, {0, 7}, {0, 1000}, {1, 0}, {1, 7}, {2, 3}}
 	for i, a := range ordered {
 		for j, b := range ordered {
