--- a/ratelimit.go
+++ b/ratelimit.go
@@ -11,7 +11,7 @@
 type StatedLimit struct {
 	Stated bool
 	Rate   float64 // requests per second; 0: the server accepts none
-	Err    error   // the stated limit cannot be parsed; it is ignored
+	Err    error   // not nil: the answer states a limit that cannot be parsed; Stated is false, and the limit known before stays in force
 }
 
 // ServerLimit is the known rate limit of a backend server. Times are durations on the
@@ -50,7 +50,8 @@
 	// the server had none at that time.
 	Observe(server InstanceID, limit StatedLimit, sent time.Duration)
 	// Acquire requests a permit to send one request. The permit is granted at once if
-	// the server neither limits its rate nor is cold. patience is how long the request
-	// can wait.
-	Acquire(ctx context.Context, server InstanceID, patience time.Duration) Permit
+	// the server neither limits its rate nor is cold. Otherwise it is granted only if
+	// its Wait is at most maxWait, which is how long the request can wait. It is
+	// refused if the wait would be longer, or if no process can decide now.
+	Acquire(ctx context.Context, server InstanceID, maxWait time.Duration) Permit
 }
