--- a/node/explain.go
+++ b/node/explain.go
@@ -48,7 +48,8 @@
 	return mux
 }
 
-// serveDump answers with the node's state.
+// serveDump answers with the node's state, at both paths that operator.Client uses for it:
+// /v1/status, which keepers also serve, and /v1/dump, which keepers and entries also serve.
 func (node *Node) serveDump(writer http.ResponseWriter, _ *http.Request) {
 	writeJSON(writer, http.StatusOK, node.dump())
 }
