--- a/node/evacuated_test.go
+++ b/node/evacuated_test.go
@@ -9,11 +9,13 @@
 )
 
 // TestEvacuationsFollowRecords checks which zones are evacuated after records of evacuations
-// were written, removed, or lost when the key-value service was restored from a snapshot. A
+// were written, removed, or lost when the key-value service was restored from a snapshot. An
+// evacuation whose record was lost in a restore goes on, because no operator has ended it. A
 // record that names no zone has no effect.
 func TestEvacuationsFollowRecords(t *testing.T) {
-	// record returns the record of an evacuation. gone returns its removal: lost in a restore of
-	// the key-value service, or else by an operator, who ends the evacuation.
+	// record returns the record of an evacuation. gone returns the record's removal. If lost is
+	// true, the record was lost in a restore of the key-value service. Otherwise an operator
+	// removed it to end the evacuation.
 	record := func(zone string) shedkeel.Record { return shedkeel.Record{Key: "evacuated/" + zone} }
 	gone := func(zone string, lost bool) shedkeel.Record {
 		return shedkeel.Record{Key: "evacuated/" + zone, Removed: true, LostInRestore: lost}
