--- a/mutants_test.go
+++ b/mutants_test.go
@@ -62,7 +62,7 @@
 		"mirror/bootstrap.go", "|| bootstrap.firstStart.Load()", "", "TestSimultaneousStart", "./mirror",
 	},
 	"fleet start: the first election does not wait until the list of nodes has settled": {
-		"node/election.go", "if term.Revision.Exists() {\n\t\treturn place", "if true {\n\t\treturn place", "TestFirstElectionIsOfFew", "./node",
+		"node/election.go", "if term.Revision.Exists() {\n\t\treturn place", "if true {\n\t\treturn place", "TestOneNodeStandsInFirstElection", "./node",
 	},
 	"fleet start: registrations are not collected into batches": {
 		"node/registrar.go", "timer := time.NewTimer(registerBatchDelay)", "timer := time.NewTimer(0)", "TestRegistrationsAreWrittenTogether", "./node",
--- a/node/election_test.go
+++ b/node/election_test.go
@@ -62,9 +62,9 @@
 	return node, timers, store
 }
 
-// elect has a node that knows no other nodes stand for election. It calls controller.elect twice,
-// initialSettleTime apart: in the first election of a fleet, the node's electionDelay is over
-// only at the second call. The clock then advances by electionStagger.
+// elect makes a node stand for election. The node must know no other nodes. elect calls
+// controller.elect twice, initialSettleTime apart: in the first election of a fleet, the node's
+// electionDelay is over only at the second call. The clock then advances by electionStagger.
 func elect(t *testing.T, node *Node, timers *timer.Manual) {
 	for _, wait := range []time.Duration{initialSettleTime, electionStagger} {
 		node.controller.elect(t.Context(), timers.Now())
@@ -156,9 +156,9 @@
 	assert.Assert(t, node.controller.nextEpoch() > before)
 }
 
-// TestLeadersLease checks that a node leads no longer than its leader's lease lasts, even
-// while its membership lease keeps it listed, and that a node that resigns releases its
-// leader's lease.
+// TestLeadersLease checks that a node leads no longer than the lease of its leader record lasts,
+// even while its membership lease keeps it listed, and that a node that resigns releases the
+// lease of its leader record.
 func TestLeadersLease(t *testing.T) {
 	node, timers, store := newListedCandidate(t)
 	elect(t, node, timers)
@@ -175,12 +175,12 @@
 	assert.Assert(t, !node.controller.leading(timers.Now()))
 }
 
-// TestFirstElectionIsOfFew has the nodes of a new fleet learn of each other within half a
+// TestOneNodeStandsInFirstElection has the nodes of a new fleet learn of each other within half a
 // second. A record that a node writes reaches the others a quarter of a second later. Only the
 // first node in the order of compareNodes may stand for election, and it must win. If nodes do
 // not wait until the list of nodes has settled (see initialSettleTime), each node knows few of
-// the nodes that precede it, and in a fleet of 142 nodes, 88 stand for election.
-func TestFirstElectionIsOfFew(t *testing.T) {
+// the nodes that precede it: with 142 nodes instead of this test's 100, 88 stood for election.
+func TestOneNodeStandsInFirstElection(t *testing.T) {
 	const (
 		lag   = 250 * time.Millisecond // until other nodes see a write
 		tick  = 50 * time.Millisecond  // between two calls of elect
