--- a/node/spread_test.go
+++ b/node/spread_test.go
@@ -11,8 +11,9 @@
 )
 
 // TestSpreader checks which node is the spreader that a node asks where to send a request. The
-// order of fourNodes is a, b, c, d. The first two (see reservedNodes) spread requests only if no
-// other node does.
+// order of fourNodes is a, b, c, d. One of the first two (see reservedNodes) is asked in
+// place of a partition's spreader if there are no other nodes, or if a call to that spreader has
+// failed within the last spreaderBackoff. The spreaders of other partitions do not replace it.
 func TestSpreader(t *testing.T) {
 	cases := map[string]struct {
 		own       shedkeel.NodeID
