--- a/formation/forget_test.go
+++ b/formation/forget_test.go
@@ -32,8 +32,8 @@
 	}
 	const maxEntries = 10 // six or seven formations within retentionTime, and some that are about to expire
 	sizes := map[string]int{
-		"lastMembers": len(planner.lastMembers), "headMissingSince": len(planner.headMissingSince), "leftAt": len(planner.leftAt),
-		"memberMissingSince": len(planner.memberMissingSince), "lastReported": len(planner.lastReported), "sentAt": len(planner.sentAt), "standbyOrderedAt": len(planner.standbyOrderedAt),
+		"lastMembers": len(planner.lastMembers), "headMissingSince": len(planner.headUnusableSince), "leftAt": len(planner.leftAt),
+		"memberMissingSince": len(planner.memberUnlistedSince), "lastReported": len(planner.lastReported), "sentAt": len(planner.sentAt), "standbyOrderedAt": len(planner.standbyOrderedAt),
 	}
 	for name, size := range sizes {
 		assert.Assert(t, size <= maxEntries, "%s has %d entries", name, size)
--- a/formation/planner.go
+++ b/formation/planner.go
@@ -22,8 +22,8 @@
 //   - A member is used in another group only when the head of its formation can't be
 //     serving: the head has confirmed that it left, its server has restarted, it is
 //     listed as broken, or it has been unusable for headTimeout, longer than network
-//     partitions last. If a later formation of the group has replaced the formation,
-//     it suffices that the list shows the head outside the replaced one.
+//     partitions last. If the group has a later formation, it suffices that the list
+//     shows the head in another formation or in none.
 package formation
 
 import (
@@ -42,8 +42,8 @@
 	// settleTime is the minimum time since the last backend server joined a domain
 	// before new groups are planned there, so that the domain is planned as a whole.
 	settleTime = 800 * time.Millisecond
-	// headTimeout is how long a head must be unreachable before the members of its
-	// group may be used in other groups. Only time distinguishes a lost head from
+	// headTimeout is how long a head must be unusable (round.usable) before the members
+	// of its group may be used in other groups. Only time distinguishes a lost head from
 	// one that is partitioned from the planner and the list and still serves.
 	// Partitions of 10 s occur, and the head is listed again up to 2 s after their end, so
 	// the timeout is well above 12 s. The group itself may be formed again immediately,
@@ -107,23 +107,23 @@
 type Planner struct {
 	NextEpoch func() uint64 // returns the epoch for a new formation, higher than all earlier ones
 
-	firstListed        map[shedkeel.InstanceID]time.Duration // when the instance was first listed
-	lastArrival        map[shedkeel.DomainID]time.Duration   // when the last instance joined the domain
-	sentAt             map[orderKey]time.Duration            // when the order was last sent
-	forming            map[shedkeel.GroupID]*formingGroup
-	lastReported       map[shedkeel.Assignment]time.Duration               // when a listed server last reported the formation
-	headMissingSince   map[shedkeel.Assignment]time.Duration               // when the head was first found unusable
-	lastMembers        map[shedkeel.Assignment]map[int]shedkeel.InstanceID // the members when last listed, by rank
-	leftAt             map[shedkeel.Assignment]time.Duration               // when the head confirmed that it left
-	reservedUntil      map[shedkeel.InstanceID]time.Duration               // members of abandoned formations; not used in other groups before this time
-	memberMissingSince map[shedkeel.Assignment]time.Duration               // when a member was first found unlisted
-	loadStarts         []time.Duration                                     // when loads from the weight store were ordered, by stage or join orders
-	loading            map[shedkeel.InstanceID]loading                     // loads onto hosts that were ordered and have not finished
-	pendingJoins       map[shedkeel.ServerID][]pendingJoin                 // unanswered join orders
-	unanswered         map[shedkeel.InstanceID]int                         // consecutive unanswered orders
-	skippedUntil       map[shedkeel.InstanceID]time.Duration               // not used before this time
-	standbyOrderedAt   map[shedkeel.InstanceID]time.Duration               // when the spare was ordered to go on standby
-	lastGroupIndex     int                                                 // index in the name of the group that was named last
+	firstListed         map[shedkeel.InstanceID]time.Duration // when the instance was first listed
+	lastArrival         map[shedkeel.DomainID]time.Duration   // when the last instance joined the domain
+	sentAt              map[orderKey]time.Duration            // when the order was last sent
+	forming             map[shedkeel.GroupID]*formingGroup
+	lastReported        map[shedkeel.Assignment]time.Duration               // when a listed server last reported the formation
+	headUnusableSince   map[shedkeel.Assignment]time.Duration               // when the head was first found unusable
+	lastMembers         map[shedkeel.Assignment]map[int]shedkeel.InstanceID // the members when last listed, by rank
+	leftAt              map[shedkeel.Assignment]time.Duration               // when the head confirmed that it left
+	reservedUntil       map[shedkeel.InstanceID]time.Duration               // members of abandoned formations; not used in other groups before this time
+	memberUnlistedSince map[shedkeel.Assignment]time.Duration               // when a member was first found unlisted
+	loadStarts          []time.Duration                                     // when loads from the weight store were ordered, by stage or join orders
+	loading             map[shedkeel.InstanceID]loading                     // loads onto hosts that were ordered and have not finished
+	pendingJoins        map[shedkeel.ServerID][]pendingJoin                 // unanswered join orders
+	unanswered          map[shedkeel.InstanceID]int                         // consecutive unanswered orders
+	skippedUntil        map[shedkeel.InstanceID]time.Duration               // not used before this time
+	standbyOrderedAt    map[shedkeel.InstanceID]time.Duration               // when the spare was ordered to go on standby
+	lastGroupIndex      int                                                 // index in the name of the group that was named last
 	// Reallocation of servers from a model with too many groups to another model, at
 	// most one per domain at a time.
 	reallocations    map[shedkeel.DomainID]*reallocation
@@ -235,9 +235,10 @@
 }
 
 // AdoptLoads takes over the loads that a previous planner ordered, except those of models
-// that the engine does not have. A second order would restart a load. Each load is tracked for
-// 1.25 times its duration at full speed (Model.Load) from now. Call AdoptLoads before the first
-// call of Plan.
+// that the engine does not have. While a load is tracked, the planner does not order its server
+// to stage that model again or another one: an order for another model seems to restart the load
+// (docs/PLATFORM.md, "Questions"). Each load is tracked for 1.25 times its duration at full speed
+// (Model.Load) from now. Call AdoptLoads before the first call of Plan.
 func (planner *Planner) AdoptLoads(models map[shedkeel.InstanceID]shedkeel.ModelID, engine *shedkeel.Engine, now time.Duration) {
 	planner.loading = map[shedkeel.InstanceID]loading{}
 	for id, model := range models {
@@ -285,10 +286,11 @@
 	return planner.lastRound.input.Now
 }
 
-// abandonForming stops tracking a formation in progress, also one that is complete. It
-// reserves the members for listDelay, because the list may not show yet which of them have
-// joined. Otherwise a member could be ordered to join another group immediately, and carry
-// out that order when this formation is complete after all and serves.
+// abandonForming stops tracking the formation of the group in planner.forming: it is complete,
+// can't complete any more, or a member has refused to join. abandonForming reserves the members
+// for listDelay, because the list may not show yet which of them have joined. Without the
+// reservation, a member that has joined but is not yet listed as joined could be ordered into
+// another group. It would then leave this formation while the formation serves.
 func (planner *Planner) abandonForming(group shedkeel.GroupID) {
 	for _, member := range planner.forming[group].members {
 		planner.reservedUntil[member] = planner.lastPlanTime() + listDelay
@@ -304,11 +306,11 @@
 		planner.sentAt = map[orderKey]time.Duration{}
 		planner.forming = map[shedkeel.GroupID]*formingGroup{}
 		planner.lastReported = map[shedkeel.Assignment]time.Duration{}
-		planner.headMissingSince = map[shedkeel.Assignment]time.Duration{}
+		planner.headUnusableSince = map[shedkeel.Assignment]time.Duration{}
 		planner.lastMembers = map[shedkeel.Assignment]map[int]shedkeel.InstanceID{}
 		planner.leftAt = map[shedkeel.Assignment]time.Duration{}
 		planner.reservedUntil = map[shedkeel.InstanceID]time.Duration{}
-		planner.memberMissingSince = map[shedkeel.Assignment]time.Duration{}
+		planner.memberUnlistedSince = map[shedkeel.Assignment]time.Duration{}
 		planner.pendingJoins = map[shedkeel.ServerID][]pendingJoin{}
 		planner.unanswered = map[shedkeel.InstanceID]int{}
 		planner.skippedUntil = map[shedkeel.InstanceID]time.Duration{}
@@ -353,9 +355,9 @@
 		}
 		delete(planner.lastReported, assignment)
 		delete(planner.lastMembers, assignment)
-		delete(planner.headMissingSince, assignment)
+		delete(planner.headUnusableSince, assignment)
 		delete(planner.leftAt, assignment)
 		delete(planner.released, assignment)
-		delete(planner.memberMissingSince, assignment)
+		delete(planner.memberUnlistedSince, assignment)
 	}
 }
--- a/formation/repair.go
+++ b/formation/repair.go
@@ -136,11 +136,11 @@
 		draining = draining || member != nil && member.Draining
 	}
 	if intact {
-		delete(round.planner.memberMissingSince, assignment)
+		delete(round.planner.memberUnlistedSince, assignment)
 	}
 	state := group.headState()
 	if round.usable(group.head()) {
-		delete(round.planner.headMissingSince, assignment)
+		delete(round.planner.headUnusableSince, assignment)
 	} else {
 		round.recordHeadMissing(assignment)
 	}
@@ -203,10 +203,10 @@
 			return false
 		}
 	}
-	since, known := round.planner.memberMissingSince[assignment]
+	since, known := round.planner.memberUnlistedSince[assignment]
 	if !known {
 		since = round.input.Now
-		round.planner.memberMissingSince[assignment] = since
+		round.planner.memberUnlistedSince[assignment] = since
 	}
 	if round.input.Now-since < unlistedGrace {
 		return true
@@ -374,10 +374,10 @@
 // recordHeadMissing returns the time since which a formation's head is not usable. If no time
 // is stored, it stores the current time and returns that.
 func (round *round) recordHeadMissing(assignment shedkeel.Assignment) time.Duration {
-	since, known := round.planner.headMissingSince[assignment]
+	since, known := round.planner.headUnusableSince[assignment]
 	if !known {
 		since = round.input.Now
-		round.planner.headMissingSince[assignment] = since
+		round.planner.headUnusableSince[assignment] = since
 	}
 	return since
 }
