--- a/formation/correlated_loss_test.go
+++ b/formation/correlated_loss_test.go
@@ -10,10 +10,10 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestServersLostTogether kills two members of a group, not its head, at the same moment, as a
-// fault of their domain does. The probe of the second member fails 50 ms after that of the first.
-// Between these results, the planner must not form the group again with the second member, which
-// would never answer the order to join.
+// TestServersLostTogether kills two members of a group, both of rank 2 or higher, at the same
+// moment, as a fault of their domain does. The probe of the second member fails 50 ms after that
+// of the first. Between these results, the planner must not form the group again with the second
+// member, which would never answer the order to join.
 func TestServersLostTogether(t *testing.T) {
 	t.Parallel()
 	fleet := newFakeFleet(3, 2, 16) // seed 3; two domains of 16 servers
