--- a/formation/names.go
+++ b/formation/names.go
@@ -35,7 +35,8 @@
 }
 
 // standbyPart takes the place of the domain in the names of standby formations.
-// These names end in an instance ID instead of an index, so parseGroupName rejects them.
+// These names end in an instance ID instead of an index, so parseGroupName rejects them,
+// unless the instance ID is a number.
 const standbyPart = "standby"
 
 // standbyName returns the name of the formation in which a spare is on standby.
