--- a/dispatch/table_test.go
+++ b/dispatch/table_test.go
@@ -183,8 +183,9 @@
 	assert.Equal(t, len(table.FindStalled(start+stallReportInterval)), 1)
 }
 
-// TestAvoidNoticeOfAnotherNode checks that AvoidGroup keeps requests from a group for the
-// given time, unless the group responds to this process.
+// TestAvoidNoticeOfAnotherNode checks that AvoidGroup, which is called among others when another
+// node reports a group, keeps requests from the group for the given time, unless the group sent
+// an event to this process within the last maxDecodeGap.
 func TestAvoidNoticeOfAnotherNode(t *testing.T) {
 	table := testTable("a", "b")
 	group := shedkeel.Assignment{Group: "a", Epoch: 1}
