--- a/dispatch/condition.go
+++ b/dispatch/condition.go
@@ -32,8 +32,8 @@
 // isDraining reports whether the server has said in an answer that it drains.
 func (condition *condition) isDraining() bool { return condition != nil && condition.draining }
 
-// accepts reports whether the server accepts requests of this process: it neither drains nor
-// backs off.
+// accepts reports whether the server accepts requests of this process: the server does not
+// drain, and the backoff that it asked this process for is over.
 func (condition *condition) accepts(now time.Duration) bool {
 	return condition == nil || !condition.draining && condition.backoffUntil <= now
 }
@@ -162,9 +162,9 @@
 }
 
 // BackoffEnd returns the time at which the first server of the query's service and model
-// accepts requests again after a backoff. backsOff is false if some server accepts requests
-// now, or if none backs off. Servers that are avoided or drain do not count.
-func (table *Table) BackoffEnd(query Query) (end time.Duration, backsOff bool) {
+// accepts requests again after a backoff. allBackedOff is false if some server accepts requests
+// now, or if there is no server left to consider. Servers that are avoided or drain do not count.
+func (table *Table) BackoffEnd(query Query) (end time.Duration, allBackedOff bool) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	for _, state := range table.pools[poolKey{query.Service, query.Model}] {
@@ -174,9 +174,9 @@
 		if state.condition.accepts(query.Now) {
 			return 0, false
 		}
-		if !backsOff || state.condition.backoffUntil < end {
-			end, backsOff = state.condition.backoffUntil, true
+		if !allBackedOff || state.condition.backoffUntil < end {
+			end, allBackedOff = state.condition.backoffUntil, true
 		}
 	}
-	return end, backsOff
+	return end, allBackedOff
 }
