--- a/formation/fake_test.go
+++ b/formation/fake_test.go
@@ -346,11 +346,9 @@
 	}
 }
 
-// deliver sends a plan's orders to the servers and reports to the planner whether each order was
-// confirmed, refused or not answered. Orders to dead, unreachable and partitioned servers are lost
-// and not answered. With probability answerLoss, an order to another server is not answered and
-// is carried out 2 to 12 s late, unless the server has died by then. deliver also counts each
-// order in orderCounts and applies checkOrder to it.
+// deliver sends a plan's orders to the servers and reports each result to the planner. Orders to
+// dead, unreachable and partitioned servers are lost. With probability answerLoss, another order is
+// not answered and is carried out 2 to 12 s late, unless the server has died by then.
 func (fleet *fakeFleet) deliver(planner *Planner, actions []Action) {
 	for _, action := range actions {
 		fleet.orderCounts[action.Order.Kind]++
--- a/formation/fleet_test.go
+++ b/formation/fleet_test.go
@@ -20,11 +20,10 @@
 	assert.Equal(t, len(fleet.violations), 0, "%v", fleet.violations)
 }
 
-// TestRulesHoldUnderFaults kills servers and replaces planners while some orders are not answered
-// and are carried out late. It checks that no rule of the package comment is violated and that, a
-// minute after the last fault, at least four groups of each model serve. With all servers, six
-// groups of each model would serve. Here servers are lost in random domains and added to other
-// random domains, so a domain may lack servers for a group of each model.
+// TestRulesHoldUnderFaults kills servers and replaces planners while some orders are carried out
+// late. It checks that no rule of the package comment is violated and that, a minute after the last
+// fault, at least four of the six possible groups of each model serve: losses may leave a domain too
+// small.
 func TestRulesHoldUnderFaults(t *testing.T) {
 	t.Parallel()
 	seeds := 40
@@ -79,12 +78,10 @@
 	}
 }
 
-// TestRulesHoldWhileServersArePartitioned partitions each server with probability 1/3 from the
-// planner and the list for 2 to 10 s, while the server goes on serving. Planners change
-// meanwhile. There are not enough substitutes, and the remaining members of a group must not
-// be used in other groups while its head serves. The test checks that no rule of the package
-// comment is violated and that, a minute after the last round, at least five groups of each model
-// serve.
+// TestRulesHoldWhileServersArePartitioned partitions each server with probability 1/3 for 2 to 10 s,
+// while it goes on serving, and changes planners. Substitutes are lacking, and members must not be
+// used elsewhere while their head serves. No rule of the package comment may be violated; five
+// groups of each model must serve a minute later.
 func TestRulesHoldWhileServersArePartitioned(t *testing.T) {
 	t.Parallel()
 	for seed := range 40 {
@@ -143,12 +140,10 @@
 	return slices.DeleteFunc(slices.Sorted(maps.Keys(fleet.servers)), func(id shedkeel.InstanceID) bool { return fleet.servers[id].diedAt != 0 })
 }
 
-// TestMemberThatRestarts checks that the group of the model large recovers within 3 s when its
-// head or its member of rank 1 restarts. A planner that took a restarted member for one that is
-// only unlisted would leave the group unchanged for unlistedGrace. In a domain without
-// substitutes, unlike that of this test, a planner that took a restarted head for an unreachable
-// one would also keep the other members from other groups for headTimeout, although only an
-// unreachable head may still serve.
+// TestMemberThatRestarts checks that a group recovers within 3 s when its head or its member of rank
+// 1 restarts. A planner that took a restarted member for an unlisted one would wait for
+// unlistedGrace; one that took a restarted head for an unreachable one would wait for headTimeout if
+// the domain had no substitutes.
 func TestMemberThatRestarts(t *testing.T) {
 	t.Parallel()
 	for name, rank := range map[string]int{"head": 0, "member": 1} {
@@ -422,11 +417,10 @@
 	assert.Assert(t, len(loads) > 20, "no more loads were ordered than one loadWindow allows")
 }
 
-// TestLateJoinOfRestartedServer restarts a member while an order to join its group, which the
-// previous instance did not answer, may still be carried out. It checks that the new instance
-// is not ordered to join another group, its own standby formation included, before
-// lateOrderTime has passed. Such an order could reach the new instance just after it has carried
-// out the late order, and take it out of a group whose head serves.
+// TestLateJoinOfRestartedServer restarts a member while an unanswered order to join its group may
+// still be carried out. An order to join another group or its own standby formation before
+// lateOrderTime has passed could follow the late order and take the new instance out of a group that
+// serves.
 func TestLateJoinOfRestartedServer(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
--- a/formation/form.go
+++ b/formation/form.go
@@ -234,17 +234,10 @@
 	return round.shares[model.ID] / float64(max(model.Size, 1))
 }
 
-// domainFor returns the domain for a new group of the model, and whether there is one. Of the
-// settled domains (settleTime) for which pick returns enough servers and that keep their spares
-// (minSparesOf) after the group is formed, it chooses the one that then has the fewest other free
-// servers. Small groups thus leave the larger gaps to larger groups. A domain without groups need
-// not keep spares.
-//
-// With useSpares, no domain need keep its spares. With onlyEmpty, only domains without groups
-// count. nextGroup sets onlyEmpty for a model that needs a group much less than another does.
-// If such a model could not even use a domain without groups, three free servers of a domain
-// could stay unused until another server joins: they would be kept for a model that has lost
-// its groups everywhere and whose groups are too large for the domain.
+// domainFor returns the domain for a new group of the model, and whether there is one: of the
+// settled domains (settleTime) with enough servers, the one with the fewest free servers left beyond
+// its spares (minSparesOf), so that larger gaps remain for larger groups. With useSpares, no domain
+// need keep spares; with onlyEmpty, only domains without groups count.
 func (round *round) domainFor(model *shedkeel.Model, pick picker, useSpares, onlyEmpty bool) (shedkeel.DomainID, bool) {
 	fewestFree := math.MaxInt
 	var bestDomain shedkeel.DomainID
@@ -254,6 +247,10 @@
 		}
 		spares := round.minSparesOf(domain)
 		empty := !round.hasGroups(domain)
+		// nextGroup sets onlyEmpty for a model that needs a group much less than another does. If
+		// such a model could not use even an empty domain, three free servers there could stay
+		// unused until another joins, kept for a model that has lost its groups everywhere and whose
+		// groups are too large for the domain.
 		if onlyEmpty && !empty {
 			continue
 		}
@@ -268,16 +265,14 @@
 	return bestDomain, fewestFree < math.MaxInt
 }
 
-// minSpares returns the minimum number of servers to keep free in a domain with the given
-// number of servers. More stay free if the rest is too small for another group.
-//
-// An eighth (spareShare) is rounded up as far as pairLossSpares, because servers are lost in
-// pairs: with one spare among ten servers, the second loss has no substitute. Above
-// pairLossSpares, an eighth is rounded down: rounded up, an eighth of 27 servers is four, and with
-// groups of 12 and of 6 servers, nine servers then stay free, because there is no room beside the
-// four spares for another group of 6.
+// minSpares returns the minimum number of servers to keep free in a domain of that size. More stay
+// free if the rest is too small for another group. An eighth (spareShare) is rounded up as far as
+// pairLossSpares, because servers are lost in pairs: with one spare among ten servers, the second
+// loss has no substitute.
 func minSpares(servers int) int {
 	part := float64(servers) * spareShare
+	// Above pairLossSpares, an eighth is rounded down: rounded up to four of 27 servers, it leaves
+	// no room for another group of 6 beside groups of 12 and of 6, and nine servers stay free.
 	return max(int(part), min(int(math.Ceil(part)), pairLossSpares))
 }
 
@@ -292,11 +287,10 @@
 // three, so the loss of three suffices.
 const shortageRatio = 1.3
 
-// lacksGroups reports whether a model has lost so many groups, compared with another model, that
-// one more group is worth the spares of a domain: its need is at least shortageRatio times that of
-// the other model, by the shares of the work as well as by the configured shares. Both must show
-// the shortage, because spares are for losses, not for demand above the configured share. Without
-// traffic, no model counts as lacking groups.
+// lacksGroups reports whether the model's need is at least shortageRatio times another model's, so
+// that one more group is worth the spares of a domain. It must be so by the shares of the work and
+// by the configured shares, because spares are for losses, not for demand above the configured
+// share.
 func (round *round) lacksGroups(model *shedkeel.Model, counts map[shedkeel.ModelID]int) bool {
 	if !round.input.Traffic {
 		return false // while the first groups are formed, models lack groups only for the moment
--- a/formation/planner.go
+++ b/formation/planner.go
@@ -1,29 +1,21 @@
-// Package formation decides which replica groups to form, repair and release where
-// the engines themselves keep the state of their groups. The planner's own state is
-// not authoritative: a new planner continues from what the engines report.
+// Package formation decides which replica groups to form, repair and release. The engines
+// keep the state of their groups, and a new planner continues from what they report. The
+// platform's list of servers (Input.Instances) lags behind the engines. All times are those
+// of a shedkeel.Timers clock.
 //
-// An instance is one start of a backend server: a restart makes another instance. A
-// formation is one configuration of a group: its members under one epoch. The member of
-// rank 0 is the head, which serves requests while it is open. To stage a model is to load
-// its weights onto a host. A spare is a free backend server that is kept as a substitute
-// for lost members; a spare is on standby while it waits, warmed up, in a formation of
-// its own. To release a group is to close it and have its head leave, so that its members
-// are free. The list is the platform's list of backend servers with their memberships
-// (Input.Instances); it lags behind the engines.
-//
-// All times are those of a shedkeel.Timers clock.
+// An instance is one start of a backend server: a restart makes another. A formation is one
+// configuration of a group: its members under one epoch. The member of rank 0, the head,
+// serves requests while it is open. To stage a model is to load its weights onto a host. A
+// spare is a free server kept as a substitute; on standby, it waits, warmed up, in a
+// formation of its own. To release a group is to close it and have its head leave, so that
+// its members are free.
 //
 // Three rules keep groups consistent even if orders are lost or carried out late:
 //
-//   - Each formation has a unique epoch, and engines refuse epochs lower than the
-//     highest that they have seen.
-//   - A head is ordered to open only when every member reports that it is ready in
-//     that formation.
-//   - A member is used in another group only when the head of its formation can't be
-//     serving: the head has confirmed that it left, its server has restarted, it is
-//     listed as broken, or it has been unusable for headTimeout, longer than network
-//     partitions last. If the group has a later formation, it suffices that the list
-//     shows the head in another formation or in none.
+//   - Formations have unique epochs; engines refuse epochs below the highest that they have seen.
+//   - A head is ordered to open only when every member reports that it is ready in that formation.
+//   - A member is used in another group only when the head of its formation can't be serving
+//     (headMayServe, formerHeadMayServe).
 package formation
 
 import (
@@ -42,12 +34,10 @@
 	// settleTime is the minimum time since the last backend server joined a domain
 	// before new groups are planned there, so that the domain is planned as a whole.
 	settleTime = 800 * time.Millisecond
-	// headTimeout is how long a head must be unusable (round.usable) before the members
-	// of its group may be used in other groups. Only time distinguishes a lost head from
-	// one that is partitioned from the planner and the list and still serves.
-	// Partitions of 10 s occur, and the head is listed again up to 2 s after their end, so
-	// the timeout is well above 12 s. The group itself may be formed again immediately,
-	// under a new epoch.
+	// headTimeout is how long a head must be unusable (round.usable) before the members of its
+	// group may be used in other groups; the group may be formed again at once. Only time tells
+	// a lost head from a partitioned one that serves: partitions of 10 s occur, and the head is
+	// listed up to 2 s after their end.
 	headTimeout = 20 * time.Second
 	// listDelay is the longest time until the list shows the effect of an answered
 	// order.
@@ -188,11 +178,9 @@
 	return round.actions
 }
 
-// Confirmed records that an engine accepted the order. For an order to join a formation in
-// progress it records that the member has confirmed, and if that member is the head, the other
-// members may be ordered to join. For an order to stage it records that the load is confirmed. For
-// an order to leave it records that the head has left, and if a reallocation releases the group,
-// the group's members are free from then on.
+// Confirmed records that an engine accepted the order. Once the head has confirmed an order to join,
+// the other members may be ordered to join. Once it has confirmed an order to leave, the members of
+// a group that a reallocation releases are free.
 func (planner *Planner) Confirmed(order shedkeel.GroupOrder) {
 	delete(planner.unanswered, order.To)
 	planner.confirmLoad(order)
@@ -234,11 +222,10 @@
 	return found
 }
 
-// AdoptLoads takes over the loads that a previous planner ordered, except those of models
-// that the engine does not have. While a load is tracked, the planner does not order its server
-// to stage that model again or another one: an order for another model seems to restart the load
-// (docs/PLATFORM.md, "Questions"). Each load is tracked for 1.25 times its duration at full speed
-// (Model.Load) from now. Call AdoptLoads before the first call of Plan.
+// AdoptLoads takes over the loads of known models that a previous planner ordered, for 1.25 times
+// their duration at full speed (Model.Load). Meanwhile the planner orders no load from the server:
+// an order for another model seems to restart the load (docs/PLATFORM.md, "Questions"). Call
+// AdoptLoads before the first call of Plan.
 func (planner *Planner) AdoptLoads(models map[shedkeel.InstanceID]shedkeel.ModelID, engine *shedkeel.Engine, now time.Duration) {
 	planner.loading = map[shedkeel.InstanceID]loading{}
 	for id, model := range models {
@@ -286,11 +273,9 @@
 	return planner.lastRound.input.Now
 }
 
-// abandonForming stops tracking the formation of the group in planner.forming: it is complete,
-// can't complete any more, or a member has refused to join. abandonForming reserves the members
-// for listDelay, because the list may not show yet which of them have joined. Without the
-// reservation, a member that has joined but is not yet listed as joined could be ordered into
-// another group. It would then leave this formation while the formation serves.
+// abandonForming stops tracking the formation of the group. It reserves the members for listDelay: a
+// member that has joined but is not listed as joined yet could otherwise be ordered into another
+// group and leave this formation while it serves.
 func (planner *Planner) abandonForming(group shedkeel.GroupID) {
 	for _, member := range planner.forming[group].members {
 		planner.reservedUntil[member] = planner.lastPlanTime() + listDelay
--- a/formation/reallocate.go
+++ b/formation/reallocate.go
@@ -100,11 +100,9 @@
 	}
 }
 
-// imbalance returns a donor and a recipient, or nil for both if the models are balanced. The
-// donor keeps at least minGroups. The recipient's need must be at least reallocationNeedRatio
-// times the donor's need after the release. In addition, the donor must have excessGroups
-// more than its fair share, or the recipient's demand must be raised. Of several such pairs
-// it returns one with the recipient that needs a group most.
+// imbalance returns a donor and a recipient, or nil for both if the models are balanced. The donor
+// keeps at least minGroups. Of several pairs that satisfy reallocationNeedRatio and excessGroups, it
+// returns one with the recipient that needs a group most.
 func (round *round) imbalance(counts map[shedkeel.ModelID]int) (from, to *shedkeel.Model) {
 	models := round.input.Engine.Models
 	for index := range models {
@@ -150,15 +148,9 @@
 	return float64(boxes) * round.shares[model.ID] / max(total, math.SmallestNonzeroFloat64) / float64(max(model.Size, 1))
 }
 
-// groupToRelease returns the group of the donor to release first for a group of the
-// recipient, and how many groups its domain has to release in total. The group is nil if no
-// domain without a reallocation can release enough. Free servers of the domain beyond its
-// spares become members of the new group too.
-//
-// Of the open groups with all members listed, it chooses the one with the lowest cost: the number
-// of groups to release, multiplied by the number of the domain's servers, plus the number of
-// members that have to load the recipient's weights. Among domains of equal size, the fewest
-// releases thus take precedence over the fewest loads.
+// groupToRelease returns the donor's group to release first for a group of the recipient, and how
+// many its domain has to release in total. The group is nil if no domain without a reallocation can
+// release enough. Free servers beyond the spares become members of the new group too.
 func (round *round) groupToRelease(from, to *shedkeel.Model) (group *observedGroup, groups int) {
 	var best *observedGroup
 	var lowestCost, groupCount int
@@ -171,6 +163,7 @@
 		if groups > round.openGroups(from, group.domain) {
 			continue
 		}
+		// The fewest releases take precedence over the fewest loads among domains of equal size.
 		cost := groups*len(round.byDomain[group.domain]) + len(round.membersWithoutModel(group, to.ID))
 		if best == nil || cost < lowestCost {
 			best, lowestCost, groupCount = group, cost, groups
@@ -198,13 +191,9 @@
 	})
 }
 
-// continueReallocation orders the next step of a reallocation: the members of the current
-// group load the recipient's weights, then the head closes, then the head leaves. Once the
-// head has left, nextRelease selects the next group. It returns false when the reallocation
-// is complete, is no longer possible, or has taken releaseTimeout for the current group.
-//
-// The reason given in the orders is that the donor has more groups than its work needs, even if
-// the donor releases the group only because the recipient's demand is raised (imbalance).
+// continueReallocation orders the next step of a reallocation: the members of the current group load
+// the recipient's weights, then the head closes, then it leaves. It returns false when the
+// reallocation is complete, no longer possible, or has taken releaseTimeout for the current group.
 func (round *round) continueReallocation(reallocation *reallocation) bool {
 	if round.hasLeft(reallocation.group) && !round.nextRelease(reallocation) {
 		return false
@@ -219,6 +208,7 @@
 		round.stageMembers(lacking, reallocation.to)
 	case state == shedkeel.MemberOpen:
 		reallocation.committed = true
+		// The text is the same if only the recipient's demand is raised (imbalance).
 		round.orderHead(group, shedkeel.OrderClose, "its model has more groups than its work needs")
 	case state == shedkeel.MemberReady:
 		round.orderHead(group, shedkeel.OrderLeave, "its model has more groups than its work needs")
--- a/formation/repair.go
+++ b/formation/repair.go
@@ -7,13 +7,9 @@
 	"shedkeel.org/shedkeel"
 )
 
-// continueForming reserves the members of formations in progress and orders them to join:
-// first the head, and the others once the head has joined or confirmed its order. It abandons
-// formations that are complete or can't complete any more.
-//
-// An order without an answer is sent again after orderRetryInterval. A confirmed order is sent
-// again after twice that interval, which equals listDelay, unless the list shows by then that the
-// member has joined.
+// continueForming reserves the members of formations in progress and orders them to join, the head
+// first. It abandons formations that are complete or can't complete any more. An order without an
+// answer is sent again after orderRetryInterval.
 func (round *round) continueForming() {
 	for id, forming := range round.planner.forming {
 		if !round.stillForming(id, forming) {
@@ -32,6 +28,8 @@
 				break
 			}
 			instance := round.byID[member]
+			// A confirmed order is sent again after listDelay, which is twice orderRetryInterval,
+			// unless the list shows by then that the member has joined.
 			if hasJoined(instance, id, forming.epoch) || forming.confirmed[member] && round.input.Now-round.planner.sentAt[orderKey{shedkeel.OrderJoin, member, forming.epoch}] < 2*orderRetryInterval {
 				continue
 			}
@@ -87,11 +85,10 @@
 	round.dismissFormerHeads()
 }
 
-// reserveRestarted reserves a server that has restarted as long as a join order to an earlier
-// instance may still be carried out and the head of the ordered formation may serve. The new
-// instance may carry out that order, because engines check only the server name and forget on
-// a restart the highest epoch that they accepted. The new instance may thus be a member of a
-// serving group before the list shows the membership.
+// reserveRestarted reserves a restarted server while a join order to an earlier instance may be
+// carried out and the head of that formation may serve. Engines check only the server name and
+// forget their highest epoch on a restart, so the new instance may be in that group before it is
+// listed there.
 func (round *round) reserveRestarted() {
 	for index := range round.input.Instances {
 		instance := &round.input.Instances[index]
@@ -177,22 +174,18 @@
 	}
 }
 
-// hasProbePending reports whether a liveness probe of a member is pending.
-//
-// Servers that share a fault are lost at the same moment, but their probes time out
-// one after the other. A group that is formed again at the first result can have other
-// lost servers among its members, and then waits 0.3 to 3 s for them.
+// hasProbePending reports whether a liveness probe of a member is pending. Servers that share a
+// fault are lost together, but their probes time out one after the other: a group formed again at
+// the first result can include other lost servers, and waits 0.3 to 3 s for them.
 func (round *round) hasProbePending(group *observedGroup) bool {
 	return slices.ContainsFunc(group.members, func(member *shedkeel.Instance) bool {
 		return member != nil && round.isBeingProbed(member)
 	})
 }
 
-// toleratesUnlisted reports whether a group is left unrepaired for now although a member is not
-// listed. That is so if the group works: the group is open, its requests are not stalled, its
-// listed members are usable, and no unlisted member is known to have restarted. If a member has
-// been unlisted for unlistedGrace and there are substitutes, toleratesUnlisted orders the head to
-// close, so that the group finishes its requests before the repair.
+// toleratesUnlisted reports whether a group that works is left unrepaired for now although a member
+// is not listed. After unlistedGrace, if there are substitutes, it orders the head to close, so that
+// the group finishes its requests before the repair.
 func (round *round) toleratesUnlisted(group *observedGroup, intact bool) bool {
 	assignment := group.assignment()
 	if intact || round.input.Stalled[assignment] || !round.usable(group.head()) || group.headState() != shedkeel.MemberOpen {
@@ -246,17 +239,15 @@
 	round.addOrder(shedkeel.GroupOrder{Kind: kind, To: group.head().ID, Group: group.id, Epoch: group.epoch}, reason)
 }
 
-// survivors returns the usable members in order of rank, except those that are in a
-// formation in progress.
-//
-// The list lags, so it may still show a member in this group that was ordered into another
-// formation. If this group were formed again with that member, the member could carry out the
-// newer order late, and so leave the other formation while its head serves. Formations that
-// began in this round count as in progress: a member of a group whose head has restarted is
-// free, and may have become a substitute in another group in this round.
+// survivors returns the usable members in order of rank, except those in a formation in progress.
+// The list lags and may still show such a member here: if this group were formed again with it, the
+// member could carry out the newer order late and so leave the other formation while that one
+// serves.
 func (round *round) survivors(group *observedGroup) []*shedkeel.Instance {
 	var found []*shedkeel.Instance
 	for _, member := range group.members {
+		// inForming includes formations begun in this round: when a head has restarted, its members
+		// are free and may already be substitutes in another group.
 		if round.usable(member) && !round.inForming[member.ID] {
 			found = append(found, member)
 		}
@@ -278,11 +269,9 @@
 	}
 }
 
-// repair forms the group again from its survivors and substitutes, under the same name and a
-// new epoch. Without enough substitutes, the members are free if the head can't be serving.
-// Otherwise repair waits while a free server of the domain is being probed. If none is being
-// probed, it orders a usable head to leave, or waits for an unusable head until headTimeout has
-// passed.
+// repair forms the group again from its survivors and substitutes, under the same name and a new
+// epoch. Without enough substitutes, it frees the members once the head can't be serving
+// (headMayServe); until then it waits, or orders a usable head to leave.
 func (round *round) repair(group *observedGroup) {
 	members := round.survivors(group)
 	round.reserve(members) // so that they are not chosen as substitutes
@@ -309,16 +298,15 @@
 	}
 }
 
-// headMayServe reports whether the head of a group may be serving. A head for which
-// headHasEnded does not serve. A usable head may serve in every listed state but broken: an
-// order to open, even one of a previous planner, may be in transit to a head that is not
-// open, and an open head counts even if its requests are stalled. An unusable head may serve
-// until headTimeout has passed.
+// headMayServe reports whether the head of a group may be serving: not if headHasEnded. A usable
+// head may serve in every listed state but broken, because an order to open, even of a previous
+// planner, may be in transit. An unusable head may serve until headTimeout has passed.
 func (round *round) headMayServe(group *observedGroup) bool {
 	if round.headHasEnded(group.assignment()) {
 		return false
 	}
 	if round.usable(group.head()) {
+		// An open head counts even if its requests are stalled.
 		return group.headState() != shedkeel.MemberBroken
 	}
 	return round.input.Now-round.recordHeadMissing(group.assignment()) < headTimeout
--- a/formation/slow_test.go
+++ b/formation/slow_test.go
@@ -10,11 +10,9 @@
 	"shedkeel.org/shedkeel"
 )
 
-// TestSlowMembersAreReplaced checks the order for an open group of two, with and without a
-// spare, when one of the servers is five times slower than normal. A slow member is replaced by
-// a join order for the fast members and the spare. A slow head is first ordered to leave; its
-// group is repaired afterwards (replaceSlow). Without a spare, or if only the spare is slow, no
-// order is sent.
+// TestSlowMembersAreReplaced checks the order for an open group of two when one server is five times
+// slower than normal: a join order with the spare replaces a slow member, and a slow head is first
+// ordered to leave (replaceSlow). Without a fast spare, no order is sent.
 func TestSlowMembersAreReplaced(t *testing.T) {
 	// server returns a member of the group small/d/1, or a server without a membership if rank
 	// is -1. Each server has loaded the model small.
--- a/formation/stage.go
+++ b/formation/stage.go
@@ -49,12 +49,10 @@
 	round.stageSecondModel(domain, free, staged)
 }
 
-// stageSecondModel orders servers for which hostCopyIsRedundant to load another model onto
-// their hosts, as far as mayPrefetch allows. It considers the candidates, which are spares,
-// and before traffic starts also expendableMembers. staged is as for leastCovered.
-//
-// Such a spare can then replace a member of either of two models. Otherwise the second loss
-// of a member of the same model in a domain waits 12 to 16 s for a load.
+// stageSecondModel orders spares (candidates) for which hostCopyIsRedundant to load another model
+// onto their hosts, as far as mayPrefetch allows, and before traffic also expendableMembers.
+// Otherwise the second loss of a member of the same model in a domain waits 12 to 16 s for a load.
+// staged is as for leastCovered.
 func (round *round) stageSecondModel(domain shedkeel.DomainID, candidates []*shedkeel.Instance, staged map[shedkeel.ModelID]int) {
 	if !round.input.Traffic {
 		candidates = append(candidates, round.expendableMembers(domain)...)
@@ -70,14 +68,10 @@
 	}
 }
 
-// expendableMembers returns the members of a domain's open groups of the model with the smallest
-// groups, because the release of a small group costs least. It leaves out one of these groups,
-// whose hosts keep their own model's weights, so that the group can be formed without a load if
-// all servers of the domain restart. It considers only groups whose members are all listed.
-//
-// Before traffic starts, a load takes a tenth of the time that it takes under traffic.
-// The weights of another model on these hosts save a load of 12 to 16 s when the demand for
-// that model exceeds its configured share.
+// expendableMembers returns the members of a domain's open, fully listed groups of the model with
+// the smallest groups, whose release costs least. Another model's weights on their hosts save a load
+// of 12 to 16 s when its demand exceeds its configured share. Before traffic starts, a load takes a
+// tenth of the time.
 func (round *round) expendableMembers(domain shedkeel.DomainID) []*shedkeel.Instance {
 	var found []*shedkeel.Instance
 	excepted := false
@@ -85,6 +79,8 @@
 		if group.domain != domain || group.headState() != shedkeel.MemberOpen || slices.Contains(group.members, nil) || !round.hasSmallestGroups(group.model) {
 			continue
 		}
+		// The hosts of one group keep their own model's weights, so that it can be formed without a
+		// load if all servers of the domain restart.
 		if excepted {
 			found = append(found, group.members...)
 		}
@@ -116,11 +112,9 @@
 // mayPrefetch reports whether a load ahead of need may begin.
 func (round *round) mayPrefetch() bool { return round.mayLoadWithin(prefetchShare) }
 
-// mayLoad reports whether another load from the weight store may begin. It limits the
-// loads that are ordered within loadWindow (Engine.LoadsPerSecond), and the concurrent loads
-// to what the store serves at full speed (Engine.LoadsAtOnce). Twelve concurrent loads of
-// 16 s, where six run at full speed, all finish after 32 s; in two batches of six, the first
-// six servers are available after 16 s.
+// mayLoad reports whether another load from the weight store may begin, within Engine.LoadsPerSecond
+// and Engine.LoadsAtOnce. Twelve concurrent loads of 16 s, where six run at full speed, all finish
+// after 32 s; in two batches, the first six servers are available after 16 s.
 func (round *round) mayLoad() bool { return round.mayLoadWithin(1) }
 
 // mayLoadWithin reports whether another load may begin if only a part, from 0 to 1, of the
--- a/formation/wait_test.go
+++ b/formation/wait_test.go
@@ -46,12 +46,10 @@
 	return planner
 }
 
-// TestGroupServesWhereverServersSuffice simulates histories with all faults that a planner
-// waits for: orders lost or late, servers that die, restart, are unreachable or are not
-// listed, and planners that take over. In each domain with enough servers, a group must serve
-// at some time in the 20 s that follow recoveryTime without faults. The group need not serve
-// all of that time, since it may close to make room for a group of another model. At the end,
-// no wait may have exceeded its bound.
+// TestGroupServesWhereverServersSuffice simulates histories with all faults that a planner waits
+// for. In each domain with enough servers, a group must serve at some time in the 20 s after
+// recoveryTime without faults; it may close to make room for another model. No wait may exceed its
+// bound.
 func TestGroupServesWhereverServersSuffice(t *testing.T) {
 	t.Parallel()
 	for seed := range *histories {
