--- a/node/gossip.go
+++ b/node/gossip.go
@@ -203,11 +203,10 @@
 	return gossip.detector.Isolated(gossip.node.Timers.Now())
 }
 
-// logExclusions logs which of the listed nodes are newly excluded since the last call, and which
-// nodes are no longer excluded. A node is excluded while it is listed but callers may not be
-// sent to it (see mayServe). The log line names at most maxLoggedNodes of each kind, and states
-// how many nodes are excluded now. If there is no node of either kind, logExclusions logs
-// nothing.
+// logExclusions logs which listed nodes are newly excluded since the last call and which are no
+// longer excluded, or nothing if there is neither. A node is excluded while callers may not be
+// sent to it (see mayServe). The log line names at most maxLoggedNodes of each kind and states
+// the number of all excluded nodes.
 func (gossip *gossip) logExclusions(nodes []nodeRecord) {
 	gossip.mutex.Lock()
 	excluded := map[shedkeel.NodeID]shedkeel.Liveness{}
--- a/node/guard.go
+++ b/node/guard.go
@@ -44,16 +44,10 @@
 	writeStagger = time.Second
 )
 
-// guard keeps requests that terminate backend servers from terminating more of them. A
-// blame names a request, by its digest, and the instances of servers that have terminated
-// while running it. All requests with the same digest share a blame. When a blame is cleared, its
-// next round begins, and the servers of earlier rounds no longer count.
-//
-// A trial is an attempt to send a quarantined request to a server. Each request has up to
-// deciderCount deciders (see deciders), nodes that allow or refuse trials of it; the first one
-// that answers decides. A blame with one server is sent only to the first decider that answers.
-// A blame with two or more servers is sent to all nodes and written to the key-value service,
-// so that the blame survives the loss of all nodes.
+// guard keeps requests that terminate backend servers from terminating more of them. A blame
+// names the requests with one digest, and the instances that have terminated while running them.
+// Blames with two or more servers are written to the key-value service, so that they survive the
+// loss of all nodes. Clearing a blame begins its next round, without the earlier servers.
 type guard struct {
 	node   *Node
 	ledger contain.Ledger
@@ -199,11 +193,10 @@
 	return &wire.Reply{Kind: &wire.Reply_Blame{Blame: &wire.BlameReply{Allowed: allowed}}}
 }
 
-// AcquireAttempt reports whether a trial of a quarantined request is allowed now. One node, the
-// first decider that answers, decides for all nodes and allows one trial of the request
-// at a time. If the trial is allowed, the caller must call done when the trial has ended. If the
-// trial is refused, the caller must not call done, which would end the trial in progress. If no
-// decider answers, the trial is not allowed and done is nil.
+// AcquireAttempt reports whether a trial of a quarantined request is allowed now. The first
+// decider that answers decides for all nodes and allows one trial of the request at a time. The
+// caller must call done when an allowed trial has ended, but not after a refusal, which would end
+// the trial in progress. If no decider answers, the trial is refused and done is nil.
 func (guard *guard) AcquireAttempt(ctx context.Context, request shedkeel.RequestDigest) (done func(), allowed bool) {
 	blame := guard.ledger.Blame(request)
 	for _, id := range guard.node.peers.deciders(request) {
@@ -231,8 +224,9 @@
 	return reply.GetBlame().GetAllowed(), err
 }
 
-// allowTrial reports whether a trial of a request may start now: the request is not
-// contained and no other trial of it is in progress. If so, it records the trial.
+// allowTrial reports whether a trial of a request, an attempt to send it to a server, may start
+// now: the request is not contained and no other trial of it is in progress. If so, it records
+// the trial.
 func (guard *guard) allowTrial(request shedkeel.RequestDigest) bool {
 	now := guard.node.Timers.Now()
 	guard.mutex.Lock()
@@ -344,16 +338,14 @@
 	}
 }
 
-// recordChange returns the change that makes a record agree with the blame, and whether a
-// change is needed. Only quarantined and contained requests have a record. Their record is
-// written unless its round and its number of servers are at least those of the blame. The
-// record of an unblamed request is removed unless its round is later. A record that is
-// unreadable or names another request is replaced or removed. The change takes effect only if
-// the stored record still has the revision of the given one.
+// recordChange returns the change that makes a record agree with the blame, and whether a change
+// is needed. Only quarantined and contained requests have a record. The change takes effect only
+// if the stored record still has the revision of the given one.
 func recordChange(blame shedkeel.Blame, record shedkeel.Record) (shedkeel.Transaction, bool) {
 	key := blamePrefix + string(blame.Request)
 	exists := record.Revision.Exists()
 	var written shedkeel.Blame
+	// A record that is unreadable or names another request is replaced or removed.
 	readable := exists && json.Unmarshal(record.Value, &written) == nil && written.Request == blame.Request
 	current := readable && written.Round >= blame.Round && len(written.Servers) >= len(blame.Servers)
 	change := shedkeel.Transaction{If: []shedkeel.Condition{{Key: key, Revision: record.Revision}}}
@@ -401,17 +393,15 @@
 	return found
 }
 
-// applyRecord processes a record of a blame from the key-value service: it merges the blame
-// into the ledger. If the record was removed, applyRecord clears the blame: the request was
-// answered, or an operator has released the request. A record that was lost in a restore
-// changes nothing. A record that is unreadable or names another request than its key is
-// skipped.
+// applyRecord processes a record of a blame from the key-value service: it merges the blame into
+// the ledger, or clears the blame if the record was removed. It skips a record that is unreadable
+// or names another request than its key.
 func (guard *guard) applyRecord(record shedkeel.Record) {
 	request := shedkeel.RequestDigest(strings.TrimPrefix(record.Key, blamePrefix))
 	if record.LostInRestore {
 		return // recheckAll has scheduled the blame to be written again
 	}
-	if record.Removed {
+	if record.Removed { // the request was answered, or an operator has released it
 		if before, now := guard.ledger.Clear(request); len(before.Servers) > 0 {
 			guard.blameChanged(now)
 		}
--- a/node/guard_test.go
+++ b/node/guard_test.go
@@ -43,10 +43,9 @@
 	return shedkeel.Record{Key: blamePrefix + string(blame.Request), Value: value, Revision: shedkeel.Revision{Number: 5}}
 }
 
-// TestRecordChange checks when a blame is written to the key-value service: when the request is
-// quarantined or contained, and its record is missing, names fewer servers, is of an earlier
-// round, is unreadable or names another request. A blame with one server is not written, since
-// tens of requests run on a server that terminates. The record of a blame that was cleared since
+// TestRecordChange guards against blames of quarantined or contained requests whose records in
+// the key-value service are missing, outdated or unreadable. A blame with one server is not
+// written, since tens of requests run on a server that terminates. The record of a cleared blame
 // is removed, unless the record is of a later round.
 func TestRecordChange(t *testing.T) {
 	missing := shedkeel.Record{}
--- a/node/lapse_test.go
+++ b/node/lapse_test.go
@@ -11,11 +11,10 @@
 	"shedkeel.org/shedkeel/mirror"
 )
 
-// TestGoneServers deletes a server's record after the node's copy of the records has reached
-// some age. If the copy was older than outageAge, which counts as an outage of the key-value
-// service, the server must stay in use for deletedRecordHold; otherwise the server must be
-// removed at once. Copies of 1.7 s occur in a healthy fleet, so even one of 2 s must not count as
-// an outage.
+// TestGoneServers deletes a server's record when the node's copy of the records has some age. The
+// server must stay in use for deletedRecordHold if the copy was older than outageAge, as in an
+// outage of the key-value service, else it must be removed at once. A copy of 2 s must not count
+// as an outage, since copies of 1.7 s occur in a healthy fleet.
 func TestGoneServers(t *testing.T) {
 	cases := map[string]struct {
 		age          time.Duration // of the copy when the record is deleted
@@ -42,11 +41,10 @@
 	}
 }
 
-// TestGoneNodes deletes the record of a node when the copy of the records is older than
-// outageAge, as in an outage of the key-value service. The node's lease may have expired in the
-// outage, so a node that is alive or suspected is retained for deletedRecordHold, in which it can
-// write its record again. A node that the failure detector finds dead or to have left must not be
-// retained: it does not write its record again, and would stay listed for that time.
+// TestGoneNodes deletes a node's record after an outage of the key-value service, in which the
+// node's lease may have expired. A node that is alive or suspected is retained for
+// deletedRecordHold, in which it can write its record again. A node that is dead or has left must
+// not be retained: it does not write its record again and would stay listed.
 func TestGoneNodes(t *testing.T) {
 	cases := map[string]struct {
 		before       shedkeel.Liveness // of the node when its record is deleted
--- a/node/limits.go
+++ b/node/limits.go
@@ -35,16 +35,14 @@
 	neverStatedAgeMs = 1 << 40
 )
 
-// limits enforces the rate limits of backend servers over all nodes: limits that
-// servers state in their answers, and the reduced rates of cold servers. For each server, one
-// node, the granter, gives all nodes the permits to send the server requests, so that the sum
-// of their requests keeps the rate. A node that sees a stated limit change reports the change
-// to the granter, which reports it to all other nodes. All nodes learn from a server's record
-// that the server is cold; calls for permits and their answers state this too.
+// limits enforces the rate limits of backend servers over all nodes. For each server, one node,
+// the granter, gives all nodes the permits to send the server requests, so that the sum of their
+// requests keeps the rate. A node that sees a stated limit change reports the change to the
+// granter, which reports it to all other nodes.
 type limits struct {
 	node    *Node
-	known   ratelimit.Limits
-	cold    ratelimit.ColdServers
+	known   ratelimit.Limits      // limits that servers state in their answers
+	cold    ratelimit.ColdServers // known from servers' records, permit calls and their answers
 	granter ratelimit.Granter
 
 	mutex       sync.Mutex
@@ -179,11 +177,10 @@
 	return limits.granter.Grant(request, limits.node.Timers.Now())
 }
 
-// requestPermit asks the peer, which is the server's granter, for a permit, and merges the
-// limit that the answer states. If the peer does not answer within permitTimeout, the permit
-// is refused with a wait of permitRetryDelay. No other node grants permits in the granter's
-// place: if two nodes each granted the server's rate, the server would get twice as many
-// requests.
+// requestPermit asks the peer, which is the server's granter, for a permit, and merges the limit
+// that the answer states. Without an answer within permitTimeout it refuses the permit with a
+// wait of permitRetryDelay: if a second node granted the server's rate in the granter's place,
+// the server would get twice as many requests.
 func (limits *limits) requestPermit(ctx context.Context, peer *peer, server shedkeel.InstanceID, maxWait time.Duration) shedkeel.Permit {
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
--- a/node/member.go
+++ b/node/member.go
@@ -32,11 +32,10 @@
 	returnToLeasesAt = unleasedFrom * 3 / 4
 	// renewalsPerTTL is how many times a lease is renewed within its lease time.
 	renewalsPerTTL = 3
-	// registrationRetry is the delay after a failed call to the key-value service if that
-	// service has answered any node since; maxRegistrationRetry is the delay if it has not.
-	// A failed call costs ten times as much as a renewal, and retries during an outage are
-	// useless. registrationRetry is also the minimum time between attempts to write a
-	// record without a lease while this node's copy lacks the record or has another one.
+	// registrationRetry is the delay after a failed call to the key-value service if that service
+	// has answered any node since, else maxRegistrationRetry: a failed call costs ten times as
+	// much as a renewal, and retries in an outage are useless. It is also the minimum time between
+	// attempts to write a record without a lease that is not current in this node's copy.
 	registrationRetry    = 500 * time.Millisecond
 	maxRegistrationRetry = 4 * time.Second
 	// nodeCountHintTTL is how long after its start a node uses the number of nodes that a
@@ -210,11 +209,10 @@
 	}
 }
 
-// commitRecord writes the record and returns the revision of the write. If the record needs
-// no lease, commitRecord asks the node that this node follows to write the record, together
-// with the records of other nodes. If there is no such node, or the write by that node fails,
-// this node writes the record to the key-value service itself. A stopping node always writes
-// its record itself, because it can't wait for other nodes.
+// commitRecord writes the record and returns the revision of the write. If the record needs no
+// lease, commitRecord first asks the node that this node follows to write it together with the
+// records of other nodes. A stopping node always writes its record itself, because it can't wait
+// for other nodes.
 func (membership *membership) commitRecord(ctx context.Context, put shedkeel.Put) (shedkeel.Revision, error) {
 	node := membership.node
 	if membership.unleased.Load() && !node.stopping.Load() {
--- a/node/node.go
+++ b/node/node.go
@@ -31,11 +31,10 @@
 )
 
 const (
-	// DirectoryKeep is how long callers may cache an answer of the directory, which tells
-	// them the addresses of the nodes (see Addresses). Some callers cache it for
-	// maxDirectoryKeepFactor times as long. A stopping node accepts requests until all
-	// cached answers have expired, but for at most 3/8 of the grace time. A request that is
-	// accepted later might not finish within the grace time.
+	// DirectoryKeep is how long callers may cache an answer of the directory, which tells them
+	// the addresses of the nodes (see Addresses). A stopping node accepts requests until all
+	// cached answers have expired, but for at most 3/8 of the grace time, since a request that
+	// is accepted later might not finish in time.
 	DirectoryKeep = time.Second
 	// maxDirectoryKeepFactor is how many times DirectoryKeep some callers cache an answer.
 	maxDirectoryKeepFactor = 3
@@ -47,12 +46,10 @@
 	// is a reserve: the bound on retries must hold in every sliding window, also after
 	// requests that allowed a retry have left the window.
 	retryBudgetFraction = 0.7
-	// proofAgeFraction is the fraction of the bound Bounds.Revoke for which a proof that
-	// the configuration is current stays valid. With a bound of 5 s a proof is valid for
-	// 3.8 s. The remainder covers the time of up to 1 s for which a watch may miss changes.
-	// A proof may already be 1.1 s old when the connection to the key-value service is
-	// lost, so with a smaller fraction a node would refuse requests while the platform
-	// still counts the node as connected.
+	// proofAgeFraction is the fraction of Bounds.Revoke (3.8 s of 5 s) for which a proof of
+	// the configuration stays valid. The rest covers the up to 1 s for which a watch may miss
+	// changes. A proof may be 1.1 s old when the key-value service is lost, so with a smaller
+	// fraction a node would refuse requests while the platform still counts it as connected.
 	proofAgeFraction = 0.76
 	// silenceTick is how often backend servers with running requests are checked for
 	// silence.
@@ -243,12 +240,10 @@
 	return server
 }
 
-// stop announces in this node's record and by gossip that this node stops, so that the directory
-// leaves the node out. From then on the node asks callers to close their connections. If the
-// node is the leader, it resigns. It keeps serving while callers may still have its address
-// cached, but for at most 3/8 of the grace time. It then refuses new requests and waits for the
-// running requests. It aborts the requests that still run stopMargin before the end of the
-// grace time. stop returns an error only if the server for callers failed to close.
+// stop announces in this node's record and by gossip that this node stops, and resigns as leader.
+// The node keeps serving while callers may have its address cached, but for at most 3/8 of the
+// grace time. It then waits for the running requests, and aborts them stopMargin before the end
+// of the grace time. stop returns an error only if the server for callers failed to close.
 func (node *Node) stop(callers *http.Server) error {
 	stopStarted := node.Timers.Now()
 	node.Log.Write(event.Stopping)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -357,11 +357,10 @@
 	}
 }
 
-// restartMembers restarts the member after the head in each group but one under its former ID
-// while streams run. The restarted member is in no group. A stream that the restart breaks off
-// must not count as complete, and another group must complete that stream. At least as many
-// groups as before must serve again. No order and no request of the test so far may have broken
-// a rule of the stand-in servers (see platformstandin.Fleet.Violations).
+// restartMembers restarts a member of each group but one under its former ID, without a group,
+// while streams run. A stream that this breaks off must not count as complete, and another group
+// must complete it. As many groups as before must serve again, and no order or request so far may
+// have broken a rule of the stand-in servers (see platformstandin.Fleet.Violations).
 func (cluster *testCluster) restartMembers() {
 	heads := cluster.fleet.OpenHeads()["m0"]
 	cluster.interruptStreams("again-", func() {
--- a/node/nodes.go
+++ b/node/nodes.go
@@ -129,14 +129,9 @@
 }
 
 // Addresses returns the addresses for callers of the nodes that serve, those of the given
-// availability zone first. It leaves out stopping nodes, and this node while it is not
-// ready. A ready node includes itself even if it is not listed; its address then comes
-// directly after those of the given zone.
-//
-// A record does not prove that its node is alive: a node that lost power stays listed
-// during an outage of the key-value service or until another node removes the record, and
-// callers would fail to connect to the lost node. Addresses therefore also leaves out other
-// nodes that the failure detector considers neither alive nor suspected.
+// availability zone first. A ready node includes itself even if it is not listed. Other nodes
+// that are neither alive nor suspected are left out, because a node that lost power stays listed
+// until its record is removed, which an outage of the key-value service delays.
 func (node *Node) Addresses(zone string) []string {
 	fleet := &node.fleet
 	fleet.mutex.Lock()
--- a/node/peers.go
+++ b/node/peers.go
@@ -180,12 +180,9 @@
 }
 
 // aliveWithSelf returns the alive nodes in the order of compareNodes, this node's index among
-// them, and whether this node is listed. An unlisted node is inserted at its place in the
-// order, because it follows other nodes as well, and its index decides which ones (see
-// followOrder). The caller holds the mutex.
-//
-// Suspected nodes are left out, so a duty that one node has for the whole fleet passes to
-// the next node in the order as soon as the node with the duty is suspected.
+// them, and whether this node is listed. An unlisted node is inserted, because its index decides
+// which nodes it follows (see followOrder). Suspected nodes are left out, so that their duties
+// for the whole fleet pass to the next node at once. The caller holds the mutex.
 func (peers *peers) aliveWithSelf() (nodes []nodeRecord, own int, listed bool) {
 	record := peers.node.ownRecord()
 	index, listed := slices.BinarySearchFunc(peers.alive, record, compareNodes)
--- a/node/prober.go
+++ b/node/prober.go
@@ -48,11 +48,9 @@
 }
 
 // probe asks a server for its report. It returns nil if the server answers, errRestarted if
-// the answer comes from another instance of the server, an error that wraps errInconclusive
-// if the lack of an answer does not prove the server dead, or otherwise the reason why the
-// server counts as dead. It first waits while maxConcurrentProbes other probes are in
-// progress. Witnesses are the addresses of other servers; if the server does not answer,
-// probe asks some of them to find out whether this node reaches any server.
+// another instance of it answers, an error that wraps errInconclusive if the lack of an answer
+// does not prove the server dead, or else the reason why it counts as dead. Witnesses are the
+// addresses of other servers, which show whether this node reaches any server.
 func (prober *prober) probe(ctx context.Context, instance shedkeel.Instance, witnesses []string) error {
 	prober.once.Do(func() { prober.slots = make(chan struct{}, maxConcurrentProbes) })
 	prober.slots <- struct{}{}
--- a/node/probes.go
+++ b/node/probes.go
@@ -85,11 +85,10 @@
 	}
 }
 
-// suspectedDomains returns the domains of the suspected groups. The free servers of these
-// domains are probed together with the members, because a free server replaces a lost
-// member, and servers that share a fault fail together. Without these probes, if 38 servers
-// are cut off and six groups are short of members, three of these groups are formed with a
-// substitute that is cut off too, and are ready 0.9 s later than the other three.
+// suspectedDomains returns the domains of the suspected groups. The free servers of these domains
+// are probed together with the members, because a free server replaces a lost member, and servers
+// that share a fault fail together. Without these probes, groups that are formed with a
+// substitute that is cut off too are ready 0.9 s later.
 func suspectedDomains(suspects map[shedkeel.Assignment]time.Duration, instances []shedkeel.Instance) map[shedkeel.DomainID]bool {
 	found := map[shedkeel.DomainID]bool{}
 	for _, instance := range instances {
--- a/node/relay.go
+++ b/node/relay.go
@@ -21,16 +21,14 @@
 	copyTimeoutMargin = 3 * time.Second
 )
 
-// Relay requests the changes since a revision from the peer's mirror, or a complete copy if
-// the revision is zero. The peer answers once there are changes, or after the wait. The peer
-// is not followed for followBackoff if the call fails before ctx ends, if the peer follows
-// the key-value service and gets no response from it, or if the peer's copy is older than
-// maxCopyAge. The update's AsOf is minus the age of the peer's copy; mirror.Follower adds the
-// time at which it sent the request.
+// Relay requests the changes since a revision from the peer's mirror, or a complete copy if the
+// revision is zero. The peer answers once there are changes, or after the wait. The update's AsOf
+// is minus the age of the peer's copy; mirror.Follower adds the time at which it sent the
+// request.
 func (peer *peer) Relay(ctx context.Context, since shedkeel.Revision, wait time.Duration) (mirror.Update, error) {
 	update, err := peer.fetchUpdate(ctx, since, wait)
 	if err != nil && ctx.Err() == nil || err == nil && (update.SourceUnreachable || -update.AsOf > peer.maxCopyAge()) {
-		peer.followFailure.record(peer.node.Timers.Now())
+		peer.followFailure.record(peer.node.Timers.Now()) // the peer is not followed for followBackoff
 	}
 	return update, err
 }
@@ -123,13 +121,10 @@
 	return transfer.Decode(sent, era)
 }
 
-// handleRelay answers a relay call. It waits until the mirror has changes that the calling
-// node lacks, or has any copy if the call only asks whether there is one (OnlyKnown), but at
-// most for the time that the call states, or until ctx ends. It answers at once if this node
-// has a copy, follows the key-value service and gets no response from it. The reply to
-// OnlyKnown, or of a node without a copy, states only whether there is a copy and how many
-// nodes this node knows. handleRelay also records the calling node as a subscriber, and fetches
-// that node's configuration if it is newer than this node's.
+// handleRelay answers a relay call once the mirror has changes that the calling node lacks, or
+// any copy for OnlyKnown, at the latest after the call's wait or when ctx ends. The reply to
+// OnlyKnown, or of a node without a copy, states only whether there is a copy and how many nodes
+// this node knows. The calling node is recorded as a subscriber.
 func (peers *peers) handleRelay(ctx context.Context, call *wire.RelayCall) *wire.Reply {
 	own := &peers.node.mirror
 	peers.node.subscribers.note(shedkeel.NodeID(call.GetNode()), peers.node.Timers.Now())
@@ -190,10 +185,8 @@
 }
 
 // encodeRecord encodes a record for a node that asks for the changes after since: as the
-// difference from the former value, if the node accepts differences and has the former value,
-// and transfer.EncodeDifference returns a difference, else complete. A deleted record is always
-// sent complete. A difference saves most of the bytes of a server's heartbeat, which changes
-// only one number.
+// difference from the former value if the node can apply one, else complete. A difference saves
+// most of the bytes of a server's heartbeat, which changes only one number.
 func (peers *peers) encodeRecord(record shedkeel.Record, since shedkeel.Revision, differences bool) *wire.StoreRecord {
 	former := peers.node.mirror.Previous(record.Key)
 	usable := former.Revision.Exists() && !former.Revision.After(since) && record.Revision.After(former.Revision)
--- a/node/removal.go
+++ b/node/removal.go
@@ -8,10 +8,9 @@
 
 const (
 	// restoredServerHold is how long a server gets no requests after its removed record has
-	// reappeared because the key-value service was restored from an older snapshot. If the
-	// server has terminated, its record is removed again within the time of three heartbeats
-	// (see unreadableRecordHold). Heartbeats are at most 1.2 s apart, so the record is
-	// removed before the hold ends.
+	// reappeared in a restored snapshot of the key-value service. The record of a terminated
+	// server is removed again before the hold ends: within three heartbeats, which are at most
+	// 1.2 s apart (see unreadableRecordHold).
 	restoredServerHold = 5 * time.Second
 	// removalRetention is how long the removal of a server's record is remembered.
 	removalRetention = time.Minute
@@ -37,11 +36,10 @@
 	(*removals)[server] = removal{era: era, until: now + removalRetention}
 }
 
-// recordReturn handles the arrival of a server's record that was written or restored in the
-// given era. If the record was removed in an earlier era, it may come from the restored
-// snapshot: the server is withheld for restoredServerHold. If the record was removed in the
-// same era, the server has written the record again, and the removal is forgotten. Nothing
-// changes if no removal of the record is remembered, or if the server is withheld already.
+// recordReturn handles the arrival of a server's record that was written or restored in the given
+// era. If the record was removed in an earlier era, it may come from the restored snapshot, and
+// the server is withheld for restoredServerHold. If it was removed in the same era, the server
+// has written it again.
 func (removals removals) recordReturn(server shedkeel.InstanceID, era int64, now time.Duration) {
 	known, removed := removals[server]
 	switch {
--- a/node/remover.go
+++ b/node/remover.go
@@ -24,14 +24,9 @@
 )
 
 // remover removes the records of dead nodes from the key-value service. In a large fleet (see
-// needsNoLease) records have no lease, so that an idle fleet makes no calls to stay listed.
-// Any live node, that is, any alive or suspected node, may remove a dead node's record: a
-// hash orders the live nodes, and each of them removes the record at its turn if the record
-// still exists. Callers are not sent to the dead node in the meantime.
-//
-// No single node is responsible for all removals, because that node might stall. If ten of 66
-// nodes lose power and a single responsible node stalls for 4 s, the ten nodes stay
-// listed for 8 s.
+// needsNoLease) records have no lease, so that an idle fleet makes no calls to stay listed. The
+// alive and suspected nodes try in turn, in the order of a hash: if a single node were
+// responsible and stalled for 4 s, dead nodes would stay listed for 8 s.
 type remover struct {
 	node *Node
 
--- a/node/restore.go
+++ b/node/restore.go
@@ -7,11 +7,9 @@
 	"shedkeel.org/shedkeel/mirror"
 )
 
-// handleRestore handles a restore of the key-value service from an older snapshot. Records
-// that this node wrote after the snapshot was taken, and leases that this node has acquired
-// since then, may be lost. handleRestore makes the fleet retain lost records, requests another
-// write of this node's record, and schedules all blames of requests for a check whether they
-// must be written again. The mirror calls handleRestore before it reports the changed records.
+// handleRestore handles a restore of the key-value service from an older snapshot. Records that
+// this node wrote after the snapshot was taken, and leases that it has acquired since then, may
+// be lost. The mirror calls handleRestore before it reports the changed records.
 func (node *Node) handleRestore(restore mirror.Restore) {
 	node.Log.Write(event.StoreRestored, slog.String("from", restore.From.String()), slog.String("to", restore.To.String()), slog.Int("lost", restore.Lost))
 	node.fleet.retainLostRecords()
--- a/node/restored_service_test.go
+++ b/node/restored_service_test.go
@@ -19,11 +19,10 @@
 	lostChanges = 300
 )
 
-// TestRestoredServiceIsFollowed restores the key-value service from a snapshot that lacks the
-// latest changes. Changes that are made after the restore must take effect at all nodes within
-// maxApplyDelay of the end of the outage: a new configuration, which adds and removes API keys,
-// and the drain of a server, which must get no further requests. Afterwards at least two groups
-// must serve, and no order or request may have broken a rule of the stand-in servers.
+// TestRestoredServiceIsFollowed guards against nodes that miss changes after a restore of the
+// key-value service from an older snapshot: a new configuration and the drain of a server must
+// take effect at all nodes within maxApplyDelay of the end of the outage. No order or request may
+// have broken a rule of the stand-in servers.
 func TestRestoredServiceIsFollowed(t *testing.T) {
 	cases := map[string]struct {
 		restores int // number of restores from the same snapshot, each after an outage
--- a/node/spread.go
+++ b/node/spread.go
@@ -37,12 +37,10 @@
 	return at != 0 && now-at < span
 }
 
-// recommendGroup recommends the group to which a request is best sent. The groups of
-// a model are split into partitions; recommendGroup picks a partition at random and asks its
-// spreader, or decides itself if this node is the spreader. It returns false if there is no
-// spreader to ask or the spreader does not answer within spreadTimeout. A spreader that fails to
-// answer is not asked again for spreaderBackoff, unless the failure is due to the end of ctx.
-// The load is that of this node's running requests on the model's groups.
+// recommendGroup recommends the group to which a request is best sent. It asks the spreader of a
+// random partition of the model's groups, or decides itself if this node is the spreader. It
+// returns false if there is no spreader to ask or the spreader does not answer within
+// spreadTimeout. The load is that of this node's running requests on the model's groups.
 func (peers *peers) recommendGroup(ctx context.Context, query dispatch.Query, load dispatch.Load) (dispatch.Recommendation, bool) {
 	query.Partitions = peers.node.table.Partitions(query.Service, query.Model)
 	if query.Partitions > 1 {
@@ -69,7 +67,7 @@
 	reply, err := peer.priorityWire.Do(callCtx, &wire.Call{Kind: &wire.Call_Spread{Spread: call}})
 	answer := reply.GetSpread()
 	if err != nil || answer == nil {
-		if ctx.Err() == nil {
+		if ctx.Err() == nil { // the spreader failed to answer; it is not asked again for spreaderBackoff
 			peer.spreadFailure.record(peers.node.Timers.Now())
 		}
 		return dispatch.Recommendation{}, false
@@ -89,13 +87,10 @@
 	return int(peers.random.Uint64() % uint64(partitions))
 }
 
-// spreader returns the spreader of a partition of a model's groups, or nil and true if the
-// spreader is this node. A spreader spreads requests: it assigns the requests of all nodes to
-// the groups of the partition. Each partition has a spreader of its own if there are enough
-// live nodes after the first reservedNodes ones. If there are no such nodes, or a call to the
-// partition's spreader has failed within the last spreaderBackoff, one of the first
-// reservedNodes live nodes replaces the spreader. If calls to these nodes have failed too,
-// spreader returns nil and false.
+// spreader returns the spreader of a partition of a model's groups, which assigns the requests of
+// all nodes to these groups, or nil and true if it is this node. If the partition has none of its
+// own, or a call to it failed within spreaderBackoff, one of the first reservedNodes alive nodes
+// replaces it. If calls to these failed too, spreader returns nil and false.
 func (peers *peers) spreader(partition int, now time.Duration) (asked *peer, own bool) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
