--- a/contain/simulation_test.go
+++ b/contain/simulation_test.go
@@ -323,12 +323,10 @@
 	}
 }
 
-// copyLost handles the loss of a copy at the node that sent it, unless the copy is done. With
-// keepsLedger, the node records the failed server. The loss of an exclusive copy ends
-// the wait until exclusiveUntil, so that the next exclusive copy can be sent. The node sends the
-// copy again if this was the first attempt, the copy is not exclusive, the request is unblamed and
-// the node is not frozen. Otherwise the copy fails, and its caller sends it once more if mayRetry
-// is set.
+// copyLost handles the loss of an unfinished copy at the node that sent it. The node sends the copy
+// once more if the request is unblamed and the copy is not exclusive; otherwise the copy fails, and
+// its caller retries it once if mayRetry is set. The loss of an exclusive copy ends the wait until
+// exclusiveUntil, so that the next one can be sent.
 func (simulation *simulation) copyLost(sent *requestCopy, server shedkeel.InstanceID) {
 	if sent.done {
 		return
@@ -431,11 +429,10 @@
 	})
 }
 
-// TestContainmentStrategies runs the same simulations with each strategy and logs their
-// outcomes. It checks the bound of the strategy in use: from convergenceTime after the third
-// failure on, connected nodes make at most three more attempts to send a copy of the request to a
-// server, whatever the fault. The test takes this bound from containThreshold, which otherwise
-// is a number of servers.
+// TestContainmentStrategies runs the same simulations with each strategy and logs the outcomes. For
+// the strategy in use it checks that, from convergenceTime after the third failure on, connected
+// nodes make at most three more attempts to send a copy, whatever the fault. The bound has the
+// value of containThreshold, which otherwise is a number of servers.
 func TestContainmentStrategies(t *testing.T) {
 	strategies := map[string]strategy{
 		"1 nothing recorded":             {}, // each copy has two attempts at most (see copyLost)
