--- a/dispatch/backoff_simulation_test.go
+++ b/dispatch/backoff_simulation_test.go
@@ -151,11 +151,10 @@
 	simulation.after(link, func() { simulation.arrive(node, choice, excluded, link) })
 }
 
-// arrive delivers a request to its server, which runs or rejects the request. An overloaded server
-// asks for a backoff of 3 s; a server that only has no free slot asks for a backoff of 500 ms. A
-// backoff counts as violated, once, when the third request of the node arrives during the backoff.
-// Requests in the first 500 ms of the backoff do not count, so a backoff of 500 ms can practically
-// not be violated. link is the delay after which the rejection reaches the node.
+// arrive delivers a request to its server, which runs or rejects it. A backoff counts as violated,
+// once, when the third request of the node arrives during it. The first 500 ms do not count, so a
+// backoff of 500 ms can practically not be violated. link is the delay after which the rejection
+// reaches the node.
 func (simulation *simulation) arrive(node int, choice *Choice, excluded []shedkeel.InstanceID, link time.Duration) {
 	server := simulation.servers[0]
 	for _, other := range simulation.servers {
--- a/dispatch/condition.go
+++ b/dispatch/condition.go
@@ -17,10 +17,9 @@
 )
 
 // condition is what one instance of a backend server has said in its answers about whether it
-// accepts requests: for how long this process is to back off, and whether the server drains. The
-// answer that said that the server drains may have gone to another process. A condition is kept
-// when the server's group is formed again, and for conditionRetention when the server is
-// unlisted.
+// accepts requests. Another process may have received the answer that said that the server drains.
+// A condition is kept when the server's group is formed again, and for conditionRetention when the
+// server is unlisted.
 type condition struct {
 	backoffUntil  time.Duration // the server accepts no requests of this process before this time
 	needsProbe    bool          // the server has asked for a backoff and has answered no request sent since the backoff ended
--- a/dispatch/spread.go
+++ b/dispatch/spread.go
@@ -20,11 +20,10 @@
 	// defaultDelayPerRequest is the assumed Server.DelayPerRequest of groups that state
 	// none.
 	defaultDelayPerRequest = time.Millisecond
-	// groupsPerPartition is the highest average number of groups in a partition. The groups
-	// of a model are split into partitions by groupHash, and one process spreads the requests
-	// over the groups of each partition. The number is large enough that a partition nearly
-	// always has a group that is not busy, and small enough that the calls of Recommend take
-	// a few hundredths of one CPU core.
+	// groupsPerPartition is the highest average number of groups in a partition, over which one
+	// process spreads the requests. It is large enough that a partition nearly always has a group
+	// that is not busy, and small enough that the calls of Recommend take a few hundredths of one
+	// CPU core.
 	groupsPerPartition = 24
 	// slowThreshold is the minimum ratio of a group's latency ratio to the median of its model's
 	// groups (medianLatencyRatio) at which the group counts as slow. Each process sees few
@@ -93,14 +92,9 @@
 	at      time.Duration
 }
 
-// Recommend returns the group of the query's partition that fastestGroup chooses, given the
-// requests assigned to the groups before, and assigns this request to that group. If there is
-// no such group, the result has no head. Before it chooses, Recommend records the request as
-// demand and replaces the reporter's last report. The result counts the requests of all
-// reports that have not expired, and does not include this request.
-//
-// For each partition of a model's groups, one process calls Recommend for the requests of all
-// processes. Each process alone knows few of the requests that run on a group, and prompts
+// Recommend assigns the request to the group that fastestGroup chooses, if any, and returns it. It
+// also records the request as demand and replaces the reporter's last report. One process calls it
+// for all requests of a partition: each process alone knows few requests of a group, and prompts
 // that a group prefills at the same time delay each other.
 func (table *Table) Recommend(query Query, reporter Reporter) Recommendation {
 	table.mutex.Lock()
@@ -108,6 +102,7 @@
 	key := poolKey{query.Service, query.Model}
 	table.recordDemand(query)
 	current := table.recordReport(key, reporter, query.Now)
+	// Running counts the requests of all unexpired reports, without this request.
 	recommendation := Recommendation{Running: table.totalRunning(key, query.Now)}
 	if best := table.fastestGroup(query, reporter.Zone); best != nil {
 		best.assigned.prefill += best.prefillTime(query.PromptTokens)
@@ -136,13 +131,10 @@
 	return hash.Sum32()
 }
 
-// recordReport replaces the last report of a process. Of the requests in the previous report
-// and those assigned since, it expects remainingShare to be still running. To the workload of
-// each group it adds the difference between the running requests that the process reports now
-// and those that it expected. The caller must hold table.mutex.
-//
-// Assignments alone are a poor estimate of the running requests, because streams last longer
-// on groups that run more streams.
+// recordReport replaces the last report of a process and corrects the workload of each group by the
+// difference between the reported and the expected running requests. Assignments alone are a poor
+// estimate, because streams last longer on groups that run more streams. The caller must hold
+// table.mutex.
 func (table *Table) recordReport(key poolKey, reporter Reporter, now time.Duration) report {
 	if table.reports == nil {
 		table.reports = map[poolKey]map[string]report{}
@@ -217,12 +209,9 @@
 	return max(ratios[(len(ratios)-1)/2], 1)
 }
 
-// expectedWait returns the estimated time to the first event in seconds, multiplied by
-// expectedAttempts and, for a slow group (slowThreshold), by the ratio of its latency ratio to
-// medianRatio, the median of the model's groups. The estimate is the sum of
-// idleFirstEventTime, the pending prefill, the delay by running requests, the wait for a slot
-// if none is free, and remoteZoneDelay if the group is not in the given zone. It does not
-// include the prefill of the request itself.
+// expectedWait returns the estimated time to the first event in seconds, without the prefill of the
+// request itself. The result is higher for a group that fails requests (expectedAttempts) or is
+// slow (slowThreshold). medianRatio is the median latency ratio of the model's groups.
 func (serverState *serverState) expectedWait(zone shedkeel.ZoneID, medianRatio float64, now time.Duration) float64 {
 	serverState.assigned.decay(now)
 	delayPerRequest := serverState.DelayPerRequest
--- a/dispatch/spread_test.go
+++ b/dispatch/spread_test.go
@@ -79,11 +79,10 @@
 	return count
 }
 
-// TestSpreadKeepsPromptsApart compares 57 processes that each choose groups on their own with 57
-// that follow the recommendations of a single process. With recommendations, less than a tenth as
-// many requests may have their prompts prefilled together with two or more others. The numbers of
-// processes, groups and requests per second are an example in which each process sends only a few
-// of the requests that run on a group.
+// TestSpreadKeepsPromptsApart compares 57 processes that follow the recommendations of a single
+// process with 57 that choose on their own, each sending few of a group's requests. With
+// recommendations, less than a tenth as many requests may have their prompts prefilled together
+// with two or more others.
 func TestSpreadKeepsPromptsApart(t *testing.T) {
 	alone := &spreadSimulation{processes: 57, groups: 9, rate: 85}
 	spread := &spreadSimulation{processes: 57, groups: 9, rate: 85, spread: true}
--- a/dispatch/stall.go
+++ b/dispatch/stall.go
@@ -24,11 +24,10 @@
 	// reported in a traffic burst are false alarms, and each false alarm causes a prompt to
 	// be prefilled twice. Callers wait 2 s for the first event.
 	maxFirstEventTime = 800 * time.Millisecond
-	// stallMargin is added to the longest expected time without events or answers before a
-	// server counts as stalled. The margin covers delays of the links and of this process's timers.
-	// A smaller margin would rescue no further stream, since a first event from another
-	// group takes 180 to 240 ms, and each false alarm causes a prompt to be prefilled twice
-	// (docs/PLATFORM.md).
+	// stallMargin is added to the longest expected time without events or answers before a server
+	// counts as stalled, for delays of links and timers. A smaller margin would rescue no further
+	// stream, since a first event from another group takes 180 to 240 ms, and each false alarm
+	// causes a prompt to be prefilled twice (docs/PLATFORM.md).
 	stallMargin = 60 * time.Millisecond
 	// plainStallTimeout is the longest time for which a plain server with running requests
 	// is expected to send no answer. The server counts as stalled stallMargin later.
@@ -105,11 +104,10 @@
 	return gap
 }
 
-// FindStalled finds the stalled servers: those that run requests of this process and have sent
-// nothing for expectedMaxGap plus stallMargin. It avoids each of them for avoidDuration from now.
-// It returns each new stall, and a continuing stall again after stallReportInterval. Each time
-// that it returns a stall, it notifies all requests that run on the server; at other times it
-// notifies the requests that have received no notice of the stall.
+// FindStalled returns the servers that run requests of this process and have sent nothing for
+// expectedMaxGap plus stallMargin, and avoids them for avoidDuration from now. It returns a
+// continuing stall again, and notifies the requests on the server again, after stallReportInterval;
+// before, it notifies only those that have received no notice.
 func (table *Table) FindStalled(now time.Duration) []Stall {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -160,11 +158,9 @@
 }
 
 // AvoidGroup keeps new requests from the group of that epoch for the duration, or until the group
-// responds to this process (RecordResponse). It is called when a liveness probe or another node
-// has found that the group has lost a member or stalls. It notifies the requests that run there
-// and have no notice yet. It does nothing for a group that has sent an event to this process
-// within the last maxDecodeGap, or for which the first request after an idle period was chosen
-// within that time.
+// responds to this process (RecordResponse), and notifies the requests that run there. It is called
+// when a liveness probe or another node has found that the group has lost a member or stalls. It
+// does nothing if the group's lastActivity is within the last maxDecodeGap.
 func (table *Table) AvoidGroup(group shedkeel.Assignment, now, duration time.Duration) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
--- a/dispatch/table.go
+++ b/dispatch/table.go
@@ -1,16 +1,13 @@
-// Package dispatch chooses the backend server or replica group that a request is sent
-// to. It weighs the requests that this process has running on each server, the
-// response times and failures that it has seen, and whether the server has stopped
-// responding. Table.Choose chooses for the requests of this process; Table.Recommend
-// spreads the requests of all processes over the groups of a model. A process is one node,
-// with a Table of its own.
+// Package dispatch chooses the backend server or replica group that a request is sent to. It weighs
+// the running requests of this process, the response times and the failures of each server.
+// Table.Choose chooses for the requests of this process; Table.Recommend spreads the requests of
+// all processes over the groups of a model. A process is one node, with its own Table.
 //
-// A server is a plain server, which sends one answer to a request, or the head of a replica
-// group, which sends the answer as a stream of events. The latency ratio of a server is the
-// moving average of the ratio of actual to expected times to the first event or the answer. A
-// server is stalled if it has sent nothing for longer than expected while requests run there
-// (Table.FindStalled). No new requests are sent to a server while it is avoided, as it is
-// after a stall.
+// A server is a plain server, which sends one answer to a request, or the head of a replica group,
+// which sends a stream of events. Its latency ratio is the moving average of the ratio of actual to
+// expected times to the first event or the answer. It is stalled if it has sent nothing for longer
+// than expected while requests run there (Table.FindStalled). No new requests are sent to a server
+// while it is avoided, as it is after a stall.
 //
 // All times are those of a shedkeel.Timers clock.
 package dispatch
@@ -45,11 +42,10 @@
 	// nothing for more than half of stallMargin beyond expectedMaxGap. After the whole
 	// stallMargin the server counts as stalled and is avoided.
 	unresponsiveCost = 4
-	// maxPreferredCostRatio is the highest ratio of the cost of a request's preferred
-	// server (Query.Preferred) to the cost of the cheapest server at which the preferred
-	// server is chosen. A server with two running requests of this process costs three times
-	// as much as an idle server and is still chosen. A server that is unresponsive, much
-	// slower or fails most requests costs more and is not chosen.
+	// maxPreferredCostRatio is the highest ratio of the cost of the preferred server
+	// (Query.Preferred) to that of the cheapest at which the preferred one is chosen. It is still
+	// chosen with two running requests, at three times the cost of an idle server, but not if it is
+	// unresponsive, much slower or fails most requests.
 	maxPreferredCostRatio = 3.5
 	// remoteZoneCost multiplies the cost of a server in another availability zone. The
 	// factor is close to 1, because the delay of the link is small compared with the time of
@@ -236,11 +232,9 @@
 	return false
 }
 
-// cost is what Choose minimizes: one more than the running requests of this process on the
-// server, times the penalties for latency, failures, a lack of events or answers
-// (unresponsiveCost), another availability zone and an unanswered probe. The penalty for
-// failures is failureCost times the failure rate, plus 1, for a plain server, and
-// expectedAttempts for a group. The caller must hold table.mutex.
+// cost is what Choose minimizes: one more than the running requests of this process on the server,
+// times the penalties for latency, failures, a lack of events or answers, another availability zone
+// and an unanswered probe. The caller must hold table.mutex.
 func (table *Table) cost(candidate *serverState, now time.Duration) float64 {
 	candidate.decayPenalties(now)
 	cost := float64(len(candidate.running)+1) * candidate.latencyRatio
