--- a/group/form.go
+++ b/group/form.go
@@ -113,12 +113,10 @@
 	}
 }
 
-// formGroup forms one group of the service from free boxes, in the order of
-// sortWarmFirst, and reports whether it did. Of the fabric domains with enough
-// free boxes for the group and the Spares parameter, it uses the one with the fewest.
-// If no domain has enough and the parameters allow it, the group spans domains. No group
-// is formed within a domain that findSilentDomains has marked, but the free boxes of
-// such a domain may join a group that spans domains.
+// formGroup forms one group of the service from free boxes and reports whether it did. Of the
+// fabric domains with enough boxes for the group and Spares, it uses the one with the fewest. It
+// forms no group within a domain that findSilentDomains has marked, but the boxes of such a domain
+// may join a group that spans domains, if the parameters allow these.
 func (round *round) formGroup(service shedkeel.Service) bool {
 	best := shedkeel.DomainID("")
 	found := false
--- a/group/naive.go
+++ b/group/naive.go
@@ -9,11 +9,10 @@
 	"shedkeel.org/shedkeel"
 )
 
-// NaivePlanner is a simple planner that Planner is compared with. It removes a group as
-// soon as a member is silent, restarted, leaving or no longer listed, and forms
-// groups from the free boxes of one fabric domain in the order of their IDs. It
-// ignores operators' drains and the parameters that the policy returns (Table in the
-// input).
+// NaivePlanner is a simple planner that Planner is compared with. It removes a group as soon as a
+// member is silent, restarted, leaving or no longer listed, and forms groups from the free boxes of
+// one fabric domain by ID. It ignores operators' drains and the policy's parameters
+// (PlanInput.Parameters).
 type NaivePlanner struct {
 	MissAfter time.Duration // zero: DefaultMissAfter
 }
--- a/group/planner.go
+++ b/group/planner.go
@@ -15,29 +15,17 @@
 	// DefaultMissAfter is the time after which a box counts as silent, from its
 	// last answer to a probe.
 	DefaultMissAfter = 3 * time.Second
-	// DefaultDrainIdle is how long a group that receives no new requests must
-	// report no running or queued ones before the group is changed. It is longer
-	// than the time until all entries (the processes that send requests to groups)
-	// have stopped sending new requests to the group, and longer than the delay of
-	// the engines' reports.
+	// DefaultDrainIdle is how long a group that receives no new requests must report no running or
+	// queued ones before it is changed. It is longer than the delay of the engines' reports, and
+	// than the time until all entries (the processes that send requests to groups) have stopped
+	// sending new requests to the group.
 	DefaultDrainIdle = 8 * time.Second
 )
 
-// Planner is the planner used in production. The policy returns its parameters, which
-// are Table in the input. It follows four rules:
-//   - A member that lost its state is replaced at once, if possible by a box that
-//     has the weights loaded.
-//   - A silent member is replaced only after ReplaceAfter of the parameters, or
-//     WarmReplaceAfter if its substitute has the weights; meanwhile the substitute
-//     loads them.
-//   - A leaving member is replaced only when its group has no requests in flight
-//     and its substitute has the weights, unless the group must be changed anyway
-//     because another member has failed.
-//   - While at least two boxes of a fabric domain, and at least the fraction
-//     DomainFailureFraction of its boxes, are silent, the domain itself is presumed to
-//     have failed: no group of the domain is repaired, and none is formed in it.
-//
-// A Planner keeps state between calls and must not be used concurrently.
+// Planner is the planner used in production, with the parameters that the policy returns. It
+// replaces members that lost their state at once, silent ones after withinReplaceAfter and leaving
+// ones when the group is drained (repairGroup). It neither repairs nor forms groups in failed
+// domains (findSilentDomains). It keeps state and must not be used concurrently.
 type Planner struct {
 	MissAfter time.Duration // zero: DefaultMissAfter
 	DrainIdle time.Duration // zero: DefaultDrainIdle
--- a/group/planner_test.go
+++ b/group/planner_test.go
@@ -130,11 +130,10 @@
 // TestRecoveryTime checks how long a group with a lost member takes to be whole
 // again.
 func TestRecoveryTime(t *testing.T) {
-	// The two groups of 4 members take 8 boxes; a ninth box is a spare. The first
-	// 5 s of the bounds with a warm spare are ReplaceAfter. The last 5 s or
-	// 6 s of each bound allow for the time until a silent box is noticed
-	// (DefaultMissAfter) and the ticks until the orders are carried out. In the
-	// case within ReplaceAfter, 4 s are the pause itself and 1 s is a tick.
+	// The two groups of 4 members take 8 boxes; a ninth box is a spare. The first 5 s of the bounds
+	// with a warm spare are ReplaceAfter. The last 5 s or 6 s of each bound allow for
+	// DefaultMissAfter and the ticks until the orders are carried out. In the case within
+	// ReplaceAfter, 4 s are the pause and 1 s is a tick.
 	cases := map[string]struct {
 		table   shedkeel.PlannerParameters
 		boxes   int // in the only domain
@@ -216,10 +215,9 @@
 	}
 }
 
-// TestLeavingMemberIsReplacedWhenIdle checks that a leaving member is not replaced
-// while the group may run requests, that its substitute loads the weights before
-// the replacement, and that the group is whole soon after it: within joinTime and
-// less than 3 s for ticks and orders. A cold spare has not loaded the weights
+// TestLeavingMemberIsReplacedWhenIdle checks that a leaving member is not replaced while the group
+// may run requests or before its substitute has the weights, and that the group is then whole
+// within joinTime and less than 3 s for ticks and orders. A cold spare has not loaded the weights
 // before the member leaves.
 func TestLeavingMemberIsReplacedWhenIdle(t *testing.T) {
 	for name, warmSpares := range map[string]bool{"warm spare": true, "cold spare": false} {
--- a/group/reconcile.go
+++ b/group/reconcile.go
@@ -7,12 +7,10 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Reconcile returns the orders that bring the boxes into line with the placement
-// in the input: load orders for members that have not joined their group, and
-// release orders for boxes that report a group but are members of none. Boxes that
-// have never answered, and members whose box has restarted since it became a member,
-// get no order. Reconcile keeps no state: it returns an order again as long as the
-// probes show that the box has not carried it out, for example because it was lost.
+// Reconcile returns load orders for members that have not joined their group, and release orders
+// for boxes that report a group but are members of none. Boxes that have never answered, and
+// members whose box has restarted since it became a member, get no order. Reconcile keeps no state:
+// it returns an order, which may be lost, again until the probes show its effect.
 func Reconcile(input shedkeel.PlanInput) []shedkeel.Order {
 	var orders []shedkeel.Order
 	members := map[shedkeel.BoxID]bool{}
@@ -68,12 +66,10 @@
 	return orders
 }
 
-// ProbeVerdict returns the verdict on a group from one round of probes. The answers
-// map holds the members that answered; refused holds those that refused the
-// connection. The verdict is VerdictBroken if a member refused, or answered under
-// another boot or assignment, or is not ready; otherwise VerdictNoReply if a member did
-// not answer; otherwise VerdictDraining if a member reports that it is leaving; and
-// otherwise VerdictWhole: every member is ready under the group's assignment.
+// ProbeVerdict returns the verdict on a group from one round of probes. The first that applies is:
+// VerdictBroken if a member refused the connection, answered under another boot or assignment, or
+// is not ready; VerdictNoReply if one did not answer; VerdictDraining if one is leaving;
+// VerdictWhole.
 func ProbeVerdict(group shedkeel.Group, answers map[shedkeel.BoxID]shedkeel.BoxState, refused map[shedkeel.BoxID]bool) shedkeel.Verdict {
 	verdict := shedkeel.VerdictWhole
 	for _, member := range group.Members {
--- a/group/repair.go
+++ b/group/repair.go
@@ -39,11 +39,10 @@
 	}
 }
 
-// repairGroup replaces the failed members of a group, and its leaving members as
-// far as substitutes are left. If no member has failed, leaving members are replaced
-// only when the group is drained (see isDrained) and only by boxes that have the
-// weights. If there are too few substitutes for the failed members, it changes
-// nothing and adds the group to shortGroups.
+// repairGroup replaces the failed members of a group, and its leaving members as far as substitutes
+// are left. If no member has failed, leaving members are replaced only when the group is drained
+// (isDrained) and only by boxes that have the weights. If there are too few substitutes for the
+// failed members, it changes nothing and adds the group to shortGroups.
 func (round *round) repairGroup(group *shedkeel.Group) {
 	failed, leaving := round.membersToReplace(group)
 	if len(failed) == 0 && len(leaving) == 0 {
@@ -98,11 +97,10 @@
 	return failed, leaving
 }
 
-// withinReplaceAfter reports whether a silent member must not be replaced yet, because
-// it has been silent for less than ReplaceAfter. If the best substitute lacks the
-// weights, the method makes it load them. If it has them, the limit is WarmReplaceAfter
-// instead of ReplaceAfter, because a replacement is then cheap and waiting is rarely
-// worth it.
+// withinReplaceAfter reports whether a silent member must not be replaced yet. The limit is
+// ReplaceAfter, or WarmReplaceAfter if the best substitute has the weights, because a replacement
+// is then cheap and waiting is rarely worth it. A substitute without the weights is made to load
+// them.
 func (round *round) withinReplaceAfter(group *shedkeel.Group, member shedkeel.Member) bool {
 	replaceAfter := round.input.Parameters.ReplaceAfter
 	for _, substitute := range round.substitutes(group, 1) {
@@ -115,12 +113,10 @@
 	return round.input.Now-round.planner.silentSince[member.Box] < replaceAfter
 }
 
-// substitutes returns up to count free boxes for the group, in the order of
-// sortWarmFirst. They come from the group's domain, or from all domains if the
-// group spans several or if its domain has too few and the parameters allow
-// cross-domain groups. The group's own boxes that restarted without their state
-// and respond again also count as free. They are sorted after the other boxes of the
-// same loadRank, so that a box that has just restarted is the last choice of its rank.
+// substitutes returns up to count free boxes for the group, in the order of sortWarmFirst: those of
+// its domain, or of all domains if the group spans several or its domain has too few and
+// CrossDomain is set. The group's own boxes that restarted without their state and respond again
+// come after the other boxes of the same loadRank.
 func (round *round) substitutes(group *shedkeel.Group, count int) []shedkeel.BoxView {
 	candidates := slices.Clone(round.free[group.Domain])
 	if group.Domain == "" || round.input.Parameters.CrossDomain && len(candidates) < count {
--- a/group/reserve.go
+++ b/group/reserve.go
@@ -11,12 +11,10 @@
 // another one.
 const reserveSilenceLimit = time.Minute
 
-// assignReserves gives each group a reserve if its domain has a free box. A reserve is a
-// box that the placement names in advance, so that it can replace a lost member while
-// the key-value service is not available and no new placement can be committed. Draining
-// groups and groups that span domains get none. Groups of unfenced services get none
-// either, because their engines do not check the epoch of orders and would carry out
-// those of a planner that another one has replaced.
+// assignReserves gives each group a reserve if its domain has a free box. The placement names the
+// reserve in advance, so that it can replace a lost member while the key-value service is not
+// available and no placement can be committed. Draining groups, groups that span domains and groups
+// of unfenced services get none.
 func (round *round) assignReserves() {
 	reserved := map[shedkeel.BoxID]bool{}
 	for index := range round.next.Groups {
@@ -32,6 +30,8 @@
 	for index := range round.next.Groups {
 		group := &round.next.Groups[index]
 		service := round.input.Config.Service(group.Service)
+		// The engines of unfenced services do not check the epoch of orders and would carry out
+		// those of a planner that another one has replaced.
 		if group.Reserve != nil || group.Draining || service == nil || service.Unfenced {
 			continue
 		}
@@ -62,13 +62,10 @@
 	return round.silentDomains[group.Domain] || round.input.Now-round.planner.silentSince[box] < reserveSilenceLimit
 }
 
-// Fallback decides, while the key-value service is not available, which groups
-// use their reserve, and returns for each of them the member that the reserve
-// replaces. A group is repaired only if it is not draining, exactly one member has
-// lost its state, is no longer listed or has been silent for at least
-// WarmReplaceAfter, and the reserve responds and has the weights. Groups in domains that
-// findSilentDomains has marked are not repaired. Each group has a single reserve, so it
-// is repaired at most once.
+// Fallback decides, while the key-value service is not available, which groups use their reserve,
+// and returns the member that each reserve replaces. A group qualifies if it is not draining or in
+// a silent domain (findSilentDomains), has lost exactly one member (lostMembers) and its reserve is
+// ready (reserveReady). Having one reserve, a group is repaired at most once.
 func (planner *Planner) Fallback(input shedkeel.PlanInput) map[shedkeel.GroupID]shedkeel.BoxID {
 	planner.trackSilence(input)
 	round := newRound(planner, input)
--- a/group/trace_test.go
+++ b/group/trace_test.go
@@ -245,12 +245,10 @@
 	return result{fleet.groupDown, fleet.stranded, fleet.crossDomain}
 }
 
-// lowerBound returns the group downtime that no planner can avoid with 4 groups in
-// each domain of traceBoxes boxes. Each unannounced loss of a box takes a serving
-// group down for the shorter of the loss's duration and joinTime, the time to join
-// a substitute that has the weights; this is multiplied by the share of boxes that
-// are in groups. The loss of a domain or zone takes its groups down for the loss's
-// duration.
+// lowerBound returns the group downtime that no planner can avoid with 4 groups in each domain of
+// traceBoxes boxes. Each unannounced loss of a box in a group takes the group down for the loss's
+// duration, or for joinTime if a substitute that has the weights joins sooner. The loss of a domain
+// or zone takes its groups down for the loss's duration.
 func lowerBound(losses []loss) time.Duration {
 	bound := time.Duration(0)
 	for _, loss := range losses {
@@ -267,11 +265,10 @@
 	return bound
 }
 
-// candidates returns the planners and tables to compare. The shipped policy karadere
-// favors group uptime and keeps spares that have the weights; nafha keeps no spares
-// and lets groups span domains. With 36 boxes in each of 4 domains, 16 groups leave
-// 4 boxes of each domain over; 18 groups need all boxes, so 2 of them must span
-// domains. With 32 boxes in each domain, 16 groups leave none over.
+// candidates returns the planners and tables to compare. The shipped policy karadere favors group
+// uptime and keeps spares that have the weights; nafha keeps no spares and lets groups span
+// domains. Of 36 boxes in each of 4 domains, 16 groups leave 4 per domain over, and 18 groups need
+// all, so 2 must span domains. Of 32 boxes, 16 groups leave none over.
 func candidates(t *testing.T) []candidate {
 	t.Helper()
 	karadere, nafha := shippedTable(t, "karadere"), shippedTable(t, "nafha")
@@ -303,12 +300,10 @@
 	}
 }
 
-// TestTrace measures planners on one loss trace; the measures are those of fleet.
-// With 16 groups, Planner under the shipped policy karadere must have at most a
-// fifth of the group downtime of NaivePlanner and no more stranded accelerator time. With
-// 18 groups, under nafha it must have at most half of the stranded accelerator time
-// of NaivePlanner and no more group downtime. The table of measures is printed with -v;
-// -days lengthens the trace.
+// TestTrace measures planners on one loss trace. With 16 groups, karadere must have at most a fifth
+// of the group downtime of NaivePlanner and no more stranded accelerator time; with 18 groups,
+// nafha must have at most half of its stranded accelerator time and no more group downtime. -v
+// prints the measures (see fleet); -days lengthens the trace.
 func TestTrace(t *testing.T) {
 	length := time.Duration(*days) * 24 * time.Hour
 	measured := candidates(t)
