--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -14,22 +14,17 @@
 )
 
 const (
-	// watchWait is how long the service holds a watch while nothing changes. The
-	// response proves the age of the copy as of the time when the watch began, so
-	// just before the next response the copy is up to twice watchWait old. The value
-	// is small, since a watch may get no response at all: the watch, its time-out and
-	// the delay before a follower turns to other peers must still let a change reach
+	// watchWait is how long the service holds a watch while nothing changes. Just before the next
+	// response, the copy is up to twice that old. The value is small, since a watch may get no
+	// response: the watch, its time-out and the turn to other peers must still let a change reach
 	// every node within the 2 s that the platform allows for a server that leaves.
 	watchWait = 350 * time.Millisecond
 	// RelayWait is how long a peer holds a request for changes while nothing changes.
 	RelayWait = 300 * time.Millisecond
-	// baseStaleAge is the age at which the copy of a process counts as stale if the
-	// process follows a peer that follows the service; the process then queries the
-	// service itself. The age covers two watches by the peer, two requests to the peer,
-	// which arrive at any moment of a watch, and their responses. Follower.staleAge adds
-	// one request for each further peer on the way. While no record changes, no copy may
-	// get this old: otherwise the processes would leave their upstream and query the
-	// service.
+	// baseStaleAge is the age at which the copy of a process that follows a peer of the service
+	// counts as stale. It covers two watches by the peer, two requests to it, which arrive at any
+	// moment of a watch, and their responses; Follower.staleAge adds further peers. If copies got
+	// this old while no record changes, processes would leave their upstream and query the service.
 	baseStaleAge = 2*watchWait + 2*RelayWait + 200*time.Millisecond
 	// upstreamDisconnectedTime is for how long a process treats its copy as stale,
 	// and queries the service and random peers, after its upstream has reported that
@@ -38,11 +33,9 @@
 	// ageProofWait is how long the service holds a watch that is sent to prove the
 	// age of a stale copy.
 	ageProofWait = 50 * time.Millisecond
-	// batchDelayPerRecord, minBatchDelay and maxBatchDelay set how long a process
-	// waits after changes before it queries again, so that one response holds more
-	// changes: each response costs a call, and the more records there are, the more
-	// often one of them changes. 260 records give a delay of 0.1 s. Without the upper
-	// bound, the 3,300 records of 300 boxes would delay a change of the
+	// batchDelayPerRecord, minBatchDelay and maxBatchDelay set the wait after changes before the
+	// next query: each response costs a call, and more records change more often. 260 records give
+	// 0.1 s. Without the upper bound, the 3,300 records of 300 boxes would delay a change of the
 	// configuration by 1.3 s of the 3 s within which it must be in force.
 	batchDelayPerRecord = 400 * time.Microsecond
 	minBatchDelay       = 25 * time.Millisecond
--- a/mirror/health.go
+++ b/mirror/health.go
@@ -104,14 +104,10 @@
 	return health.confirmedAt
 }
 
-// Outage reports whether the service is down for all processes, as far as this one can
-// tell, and since when. It reports an outage if this process gets no response from the
-// service and has recently reached a peer: a process that reaches no peer may itself be
-// cut off. A process that has no peers relies on its own queries.
-//
-// A process without a copy that leaves the queries to others (see bootstrappingSince)
-// reports an outage too: it reaches a peer but gets no copy, and so cannot serve its
-// callers.
+// Outage reports whether the service is down for all processes, as far as this one can tell, and
+// since when. A process that has recently reached no peer may itself be cut off and reports no
+// outage; one that has no peers relies on its own queries. A process without a copy that leaves the
+// queries to others (bootstrappingSince) reports one, as it cannot serve its callers.
 func (follower *Follower) Outage() (since time.Duration, unresponsive bool) {
 	now := follower.Timers.Now()
 	noPeers := len(follower.Peers()) == 0
--- a/mirror/idle_test.go
+++ b/mirror/idle_test.go
@@ -16,11 +16,10 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// These tests cover a fleet in which no record changes. When the copies of followers
-// became up to 1.7 s old but counted as stale from 1.5 s on, all 65 followers of a fleet of
-// 66 nodes left their upstream during each watch and queried the service and each other in
-// turn: their logs showed 60 changes of the upstream to "any process" each half second. If
-// the service refused some of the followers, changes of the configuration then came late.
+// These tests cover a fleet in which no record changes. When copies became up to 1.7 s old but
+// counted as stale from 1.5 s on, all followers left their upstream during each watch and queried
+// the service and each other in turn. If the service refused some of the followers, changes of the
+// configuration then came late.
 
 // followerPeer makes a follower available as a peer. It responds once its copy changes,
 // or after the whole wait.
