--- a/ratelimit/limits.go
+++ b/ratelimit/limits.go
@@ -28,13 +28,10 @@
 // Idle reports whether no server is known to limit its rate.
 func (limits *Limits) Idle() bool { return limits.inUse.Load() == 0 }
 
-// Observe records what an answer that was received now states about the server's limit. The
-// answer is to a request that was sent at the time sent: an answer without a limit only
-// proves that the server had no limit at that time, and so lifts the known limit if the AsOf of
-// that limit is earlier than sent. The Err of the stated limit must be nil: a limit that cannot be
-// parsed would count as the absence of a limit. Observe returns the known limit, and whether its
-// Rate or Lifted changed. For an answer without a limit while no limit is in use, it returns an
-// empty limit.
+// Observe records what an answer received now states about the server's limit, and returns the
+// known limit, and whether its Rate or Lifted changed. An answer without a limit only lifts one
+// with an AsOf before sent, the time of the request; if no limit is in use, the result is empty.
+// limit.Err must be nil: a limit that cannot be parsed would count as no limit.
 func (limits *Limits) Observe(server shedkeel.InstanceID, limit shedkeel.StatedLimit, sent, now time.Duration) (shedkeel.ServerLimit, bool) {
 	if !limit.Stated {
 		if limits.Idle() {
