--- a/route/router.go
+++ b/route/router.go
@@ -238,12 +238,10 @@
 	return target != nil && target.UsableUntil > request.Now && !slices.Contains(request.Exclude, target.Name)
 }
 
-// chooseByPrefix returns the first target of the prefix's slot that the request allows and
-// whose load is at most one request above the bound times the mean load. The mean load is
-// pool.load plus pool.inFlight, divided by the number of usable targets. A request that was in
-// flight at a usable target at the last update, and still is, counts in both, which raises the
-// limit. chooseByPrefix returns nil if there is no such target, the request has no affinity or
-// the router's Bound is negative.
+// chooseByPrefix returns the first target of the prefix's slot that the request allows and whose
+// load is at most one request above the bound times the mean load. Requests in flight since before
+// the last update count in both pool.load and pool.inFlight, which raises the limit. It returns nil
+// if there is no such target, no affinity or a negative Bound.
 func (router *Router) chooseByPrefix(pool *targetPool, request Request) *target {
 	bound := router.Bound
 	if bound == 0 {
