--- a/serve/budget.go
+++ b/serve/budget.go
@@ -7,11 +7,10 @@
 	"shedkeel.org/shedkeel"
 )
 
-// Budget is a retry budget. It bounds the retries that all processes together send to a
-// service in each window: Ratio times the requests for the service, plus FixedRetries.
-// Each process uses Ratio times its own requests and an equal share of FixedRetries, so
-// that the total bound holds even when processes cannot reach each other. Its methods are
-// safe for concurrent use.
+// Budget is a retry budget. It bounds the retries of all processes for a service in each window to
+// Ratio times the requests plus FixedRetries. Each process counts its own requests and an equal
+// share of FixedRetries, so that the bound holds even when processes cannot reach each other. Its
+// methods are safe for concurrent use.
 type Budget struct {
 	Ratio        float64       // retries per request
 	Window       time.Duration // over which requests and retries are counted
--- a/serve/ended.go
+++ b/serve/ended.go
@@ -71,12 +71,10 @@
 	}
 }
 
-// reportServerEnd checks, after an attempt has failed by a disconnect (isDisconnect), whether
-// the server has terminated. If so, it makes later attempts of the request use new connections,
-// and logs the termination and reports it to the guard. It neither logs nor reports if the
-// server was chosen for the attempt after the first failure at the server, because the server
-// had already terminated then. It does not check a server that is no longer listed or has
-// stated that it drains, because the termination of such a server is planned.
+// reportServerEnd checks, after an attempt has failed by a disconnect, whether the server has
+// terminated. If so, later attempts use new connections, and it logs the termination and reports it
+// to the guard, unless the server had already terminated when it was chosen. It ignores servers
+// that are unlisted or drain, because their termination is planned.
 func (exchange *exchange) reportServerEnd(choice *dispatch.Choice, failure error) {
 	now := exchange.handler.Timers.Now()
 	if exchange.handler.ServerCheck == nil || !isDisconnect(failure) || !choice.Listed() {
--- a/serve/guard_test.go
+++ b/serve/guard_test.go
@@ -133,11 +133,10 @@
 	return ""
 }
 
-// TestFreshConnectionAfterServerEnd checks that a request that a server ran when it terminated
-// is sent to the next server over a new connection. Servers often terminate together: if the
-// next server has terminated too, an attempt over a pooled connection fails without an answer,
-// and the termination of that server would be blamed on the request, which the server never
-// received.
+// TestFreshConnectionAfterServerEnd checks that a request that a server ran when it terminated is
+// sent to the next server over a new connection. If that server has terminated too, an attempt over
+// a pooled connection fails without an answer, and the request would be blamed for the termination
+// of a server that never received it.
 func TestFreshConnectionAfterServerEnd(t *testing.T) {
 	for name, serverEnded := range map[string]bool{"server terminated": true, "server alive": false} {
 		for _, path := range []string{"/s/x", "/safe/x"} {
--- a/serve/permit.go
+++ b/serve/permit.go
@@ -18,11 +18,10 @@
 	permitWaitFraction = 0.5
 )
 
-// chooseWithPermit chooses the best server that needs no permit or for which a permit is
-// granted now. If Limits is nil, no server needs one. chooseWithPermit asks for at most
-// maxPermitRequests permits; after a refusal, it keeps new requests from the server for the Wait of
-// the refusal. If no server is found, it waits for the next permit with awaitPermit if mayWait is
-// set, and otherwise returns the error of noServerError.
+// chooseWithPermit chooses the best server that needs no permit (with nil Limits, none does) or for
+// which one is granted now. It asks for at most maxPermitRequests permits and sends no new requests
+// to a server for the Wait of its refusal. If no server is found, it calls awaitPermit if mayWait
+// is set, and otherwise returns the error of noServerError.
 func (exchange *exchange) chooseWithPermit(ctx context.Context, query dispatch.Query, mayWait bool) (*dispatch.Choice, error) {
 	for requested := 0; ; requested++ {
 		query.UnlimitedOnly = requested >= maxPermitRequests
@@ -46,12 +45,10 @@
 	return exchange.awaitPermit(ctx, query)
 }
 
-// awaitPermit acquires a permit for the server that is likely to have the next permit, and
-// waits until the permit is valid. The wait is at most permitWaitFraction of the route's
-// objective, and ends by the request's deadline. If no permit is granted that is valid within
-// that time, it returns errLimited and sets exchange.retryIn to the Wait of the refusal. It
-// returns the error of noServerError if no usable server limits its rate or Limits is nil, and
-// errNoServer if the server is no longer usable after the wait or the context has ended.
+// awaitPermit waits for the next permit, for at most permitWaitFraction of the route's objective
+// and until the deadline. It returns errLimited if no permit is granted in that time, and sets
+// exchange.retryIn; the error of noServerError if no usable server limits its rate or Limits is
+// nil; and errNoServer if the server is then no longer usable or the context has ended.
 func (exchange *exchange) awaitPermit(ctx context.Context, query dispatch.Query) (*dispatch.Choice, error) {
 	server, found := exchange.handler.Table.NextPermit(query)
 	if !found || exchange.handler.Limits == nil {
--- a/serve/plain.go
+++ b/serve/plain.go
@@ -23,10 +23,9 @@
 }
 
 // servePlain serves a request that has a single answer. After a failed attempt it tries another
-// server, if the deadline, the guard and maxServersTried allow that. If the failed attempt ran
-// or may have run, mayRetry must allow it too. servePlain forwards the first answer with a
-// status below 500. If there is none, it forwards the latest answer with a 5xx status; without
-// such an answer it returns an error.
+// server, if the deadline, the guard, maxServersTried and, for an attempt that may have run,
+// mayRetry allow that. It forwards the first answer with a status below 500, otherwise the latest
+// 5xx answer; without any answer it returns an error.
 func (exchange *exchange) servePlain(ctx context.Context) error {
 	var serverFailure bufferedAnswer // the latest answer with a 5xx status
 	var reason error
--- a/serve/retryafter_test.go
+++ b/serve/retryafter_test.go
@@ -11,11 +11,10 @@
 	"shedkeel.org/shedkeel/timer"
 )
 
-// TestRetryAfter checks the range and the jitter of Retry-After for the causes that do not
-// depend on when a server accepts requests again. Unless the shortest and the longest time of a
-// case are equal, the shortest is three quarters of the longest, because of retryJitter. A longest
-// time that is not a constant of this package is maxWaitFraction of the deadline, or the length of
-// the outage if that is shorter.
+// TestRetryAfter checks the range and the jitter of Retry-After for causes that do not depend on
+// when a server accepts requests again. Unless a range is a single time, it begins at three
+// quarters of its longest time (retryJitter). A longest time that is not a constant of this package
+// is maxWaitFraction of the deadline, or the length of the outage if shorter.
 func TestRetryAfter(t *testing.T) {
 	const longOutage = 30 * time.Second
 	cases := map[string]struct {
--- a/serve/send.go
+++ b/serve/send.go
@@ -82,21 +82,17 @@
 	latePriority = 9
 )
 
-// admitToModel is the admission control of a model. A request is on time if the requests on
-// time that run on the model use less than onTimeFraction of the model's slots; otherwise it
-// is late. admitToModel sets exchange.late, and query.Preferred if Recommend answers. It
-// returns errFull for a late request if the late requests that run reach lateFraction, and the
-// error of noServerError if no group is usable. However few the slots are, it admits one
-// request on time and one late request.
-//
-// Engines serve late requests after those on time. Under overload, some requests are thus
-// served on time: if all waited in one queue, all would be late.
+// admitToModel is the admission control of a model. It sets exchange.late, and query.Preferred if
+// Recommend answers. It returns errFull for a late request if the late requests reach lateFraction,
+// and the error of noServerError if no group is usable. Engines serve late requests last: if all
+// waited in one queue under overload, all would be late.
 func (exchange *exchange) admitToModel(query *dispatch.Query) error {
 	load := exchange.handler.Table.Load(query.Service, query.Model, query.Now)
 	running, capacity := exchange.modelCapacity(query, load) // even if no group is usable, because Recommend also reports the demand for the model
 	if load.Usable == 0 {
 		return exchange.noServerError(*query)
 	}
+	// However few the slots are, one request on time and one late request are admitted.
 	exchange.late = float64(running.OnTime) >= max(onTimeFraction*capacity, 1)
 	if exchange.late && float64(running.Late) >= max(lateFraction*capacity, 1) {
 		return errFull
@@ -202,11 +198,9 @@
 	return &target
 }
 
-// checkAnswer records what the answer states about the server. It returns an UnknownRunError
-// with errForeignAnswer if the answer has the ID of another request or is a success (a status
-// below 300) without an ID. Otherwise it returns a NotRunError if the answer is a refusal. For
-// an answer that is not a refusal, it returns errForeignAnswer, too, if the answer has a
-// Content-Encoding or is a success without a signature.
+// checkAnswer records what the answer states about the server. It returns a NotRunError for a
+// refusal, and an UnknownRunError with errForeignAnswer for the ID of another request, a success (a
+// status below 300) without an ID or a signature, or an answer with a Content-Encoding.
 func (exchange *exchange) checkAnswer(response *http.Response, choice *dispatch.Choice) error {
 	answer := exchange.handler.Protocol.Answer(response)
 	exchange.observeLimit(answer, response.StatusCode, choice)
--- a/serve/stream.go
+++ b/serve/stream.go
@@ -16,12 +16,10 @@
 // that reads slowly.
 const updateBuffer = 4
 
-// stream forwards a stream of events to its caller. Each attempt of the stream is a source.
-// When a source fails, another source replaces it, which resumes after the last forwarded
-// event. When a source stalls, a second source is started beside it, which is a hedge; the
-// source that delivers the next event first is kept and the other is canceled. mayFailOver and
-// the retry budget limit how often sources are replaced or hedged. The replacement of a source
-// that did not run has other limits (see failOver).
+// stream forwards a stream of events to its caller. Each attempt is a source. A source that fails
+// is replaced by one that resumes after the last forwarded event. Beside a stalled source, a hedge
+// is started, and the first to deliver the next event is kept. mayFailOver and the retry budget
+// limit both; other limits apply if a source did not run (failOver).
 type stream struct {
 	*exchange
 	updates    chan update
