--- a/swim/comparison_test.go
+++ b/swim/comparison_test.go
@@ -13,11 +13,10 @@
 )
 
 const (
-	// heartbeatInterval is the time between two heartbeats of a node in the detectors
-	// that swim is compared with, and heartbeatTimeout the time without a heartbeat after
-	// which the node counts as dead. With these values the detectors take as long as swim
-	// to detect a failure, and differ only in their cost and in which nodes they declare
-	// dead.
+	// heartbeatInterval is the time between heartbeats of a node in the detectors that swim is
+	// compared with; heartbeatTimeout is the time without one after which the node counts as dead.
+	// With these values the detectors take as long as swim to detect a failure, and differ only in
+	// their cost and in which nodes they declare dead.
 	heartbeatInterval = 500 * time.Millisecond
 	heartbeatTimeout  = 2 * time.Second
 	// watchersPerNode is how many others receive a node's heartbeats where only some
@@ -140,11 +139,10 @@
 	return shedkeel.Alive
 }
 
-// TestCompareDetectors measures failure detectors on the same fleets and seeds, and checks
-// the reasons for the choice of swim. Its cost per node does not grow with the fleet, while
-// heartbeats to all take more at 300 nodes than the 20 kB/s that a node may use for control.
-// It detects any set of nodes that fail at once, while a ring of watchers misses nodes whose
-// watchers fail with them.
+// TestCompareDetectors checks the reasons for the choice of swim on the same fleets and seeds. Its
+// cost per node does not grow with the fleet, while heartbeats to all take more at 300 nodes than
+// the 20 kB/s that a node may use for control. It detects any set of nodes that fail at once, while
+// a ring of watchers misses nodes whose watchers fail with them.
 func TestCompareDetectors(t *testing.T) {
 	detectors := map[string]func(shedkeel.NodeID, shedkeel.Random) shedkeel.FailureDetector{
 		"swim": func(id shedkeel.NodeID, random shedkeel.Random) shedkeel.FailureDetector {
--- a/swim/detector.go
+++ b/swim/detector.go
@@ -48,11 +48,10 @@
 	// stalled: others may suspect it, and its open probes prove nothing about their
 	// targets.
 	stallThreshold = 600 * time.Millisecond
-	// startupTrustTime is for how long after its own start a node presumes newly listed
-	// nodes to be alive, as all of a fleet may start together. A node that is listed
-	// later counts as alive once any node has received a message from it. Its record may
-	// have been written late, or read from an old copy, when the node was already dead:
-	// without this rule such a node counted as alive for another 2.3 s.
+	// startupTrustTime is for how long after its own start a node presumes newly listed nodes to be
+	// alive, as all of a fleet may start together. A node listed later counts as alive once any
+	// node has received a message from it: its record may be late or old, and without this rule a
+	// dead node counted as alive for another 2.3 s.
 	startupTrustTime = 3 * time.Second
 	// announceFanout is to how many nodes a node sends an update about itself at once.
 	announceFanout = 5
--- a/swim/receive.go
+++ b/swim/receive.go
@@ -167,11 +167,10 @@
 	}
 }
 
-// handleSuspicion applies another node's suspicion, unless this node knows that the
-// suspected node was alive after the suspicion began. It applies a suspicion of an older
-// incarnation too, as the node that raised it may not know the newest one: when such
-// suspicions were ignored, a dead node in a fleet of 300 counted as alive for up to 4.9 s
-// instead of 3 s.
+// handleSuspicion applies another node's suspicion, unless this node knows that the suspected node
+// was alive after the suspicion began. It applies an older incarnation too, as its sender may not
+// know the newest: if it did not, a dead node in a fleet of 300 would count as alive for up to 4.9
+// s instead of 3 s.
 func (detector *Detector) handleSuspicion(now time.Duration, peer *peer, update shedkeel.GossipUpdate) {
 	since := now - update.Age
 	switch {
