--- a/capacity_test.go
+++ b/capacity_test.go
@@ -27,9 +27,8 @@
 
 // keeperFleet is a fleet of keeper processes. The stand-ins of the engines, the key-value
 // service and the box list run in the test process, so that the measured processes are
-// keepers only. host gives the first three bytes of all addresses. The last byte is N for
-// keeper N, 200 and more for the engines, 250 for the key-value service and 251 for the box
-// list.
+// keepers only. The last byte of an address is N for keeper N, 200 and more for the
+// engines, 250 for the key-value service and 251 for the box list.
 type keeperFleet struct {
 	host    string // first three bytes of its loopback addresses
 	store   *standin.Store
@@ -63,11 +62,12 @@
 
 // measureKeepers starts a fleet, waits until all groups are whole, and adds a line to the
 // table: the mean and worst usage of its keepers, the calls of the fleet to the key-value
-// service, and the result of notWholeFraction. The index gives each fleet its own
-// loopback addresses. Their second byte depends on the process, and their third byte is at
-// least 200: the fleets of the scripts (see fleetCount) use the numbers from 1 on.
+// service, and the result of notWholeFraction.
 func measureKeepers(t *testing.T, table *tabwriter.Writer, index, keepers, groups int) {
 	t.Helper()
+	// The second byte of the addresses depends on the process and the third on the index, so
+	// that each fleet has its own. The third byte is at least 200: the fleets of the scripts
+	// (see fleetCount) use the numbers from 1 on.
 	fleet := &keeperFleet{host: fmt.Sprintf("127.%d.%d", 10+os.Getpid()%200, 200+index), store: standin.NewStore(), dir: t.TempDir()}
 	defer fleet.stop()
 	fleet.serve(t, fleet.host+".250:2379", (&platformstandin.Store{Data: fleet.store}).Handler())
@@ -176,10 +176,7 @@
 }
 
 // apply applies a configuration with the given number of groups. It retries for about
-// 20 s, since the keepers may still be starting. A full rack (rackBoxes) has the boxes for
-// four groups (capacityMembers each), with 4 boxes left over. The fleet has only spareBoxes
-// more boxes than its groups need, so some groups must consist of boxes of several racks:
-// the policy allows this (cross_domain).
+// 20 s, since the keepers may still be starting.
 func (fleet *keeperFleet) apply(t *testing.T, client *operator.Client, groups int) {
 	t.Helper()
 	// EntryBoxes must be positive. It has no effect here: only rates of accounts are divided
@@ -187,6 +184,8 @@
 	wanted := shedkeel.Config{EntryBoxes: 9, Services: []shedkeel.Service{{
 		ID: "model", Kind: shedkeel.KindModel, Groups: groups, Members: capacityMembers, Zones: []shedkeel.ZoneID{"z1"}, Capacity: 4, Timeout: shedkeel.Duration(time.Minute),
 	}}}
+	// A full rack has the boxes for four groups and 4 more. The fleet has only spareBoxes more
+	// boxes than its groups need, so some groups must have boxes of several racks.
 	wanted.Policy = shedkeel.Policy{Name: "p", Program: "def plan(facts):\n    return table(cross_domain = True)\n"}
 	var err error
 	for range 100 { // 100 tries, 200 ms apart
--- a/instance_test.go
+++ b/instance_test.go
@@ -36,9 +36,7 @@
 
 // TestEqualExceptSequence changes each field of a record in turn, and the Epoch in
 // Member, and checks that EqualExceptSequence notices every change except that of
-// Sequence. The test finds the fields by reflection, so that it also covers fields that
-// are added later. It sets a field to its zero value to change it, except Draining, which is
-// false in the record and is set to true.
+// Sequence. It finds the fields by reflection, to cover fields that are added later.
 func TestEqualExceptSequence(t *testing.T) {
 	record := func() shedkeel.Instance {
 		return shedkeel.Instance{
@@ -54,7 +52,7 @@
 		other := record()
 		field := reflect.ValueOf(&other).Elem().Field(index)
 		field.SetZero()
-		if fields.Field(index).Name == "Draining" {
+		if fields.Field(index).Name == "Draining" { // false in the record
 			field.SetBool(true)
 		}
 		assert.Equal(t, known.EqualExceptSequence(&other), fields.Field(index).Name == "Sequence", "changed field: %s", fields.Field(index).Name)
--- a/interfaces.go
+++ b/interfaces.go
@@ -68,24 +68,24 @@
 	GetStale(ctx context.Context, key string) (Record, error)
 }
 
-// LeasedStore writes records that are removed when their lease ends. Leases of
-// an earlier era have ended: for such a lease, Commit and Renew return a
-// LeaseEndedError and Release does nothing. All methods return an UnavailableError
-// if the key-value service was not available and nothing was changed, and an
-// UnknownOutcomeError if the change may or may not have taken effect, because the reply was
-// lost or, for Commit, because a later era became known during the call.
+// LeasedStore writes records that are removed when their lease ends. Leases of an earlier
+// era have ended. All methods return an UnavailableError if the key-value service was not
+// available and nothing was changed, and an UnknownOutcomeError if the reply was lost, so
+// that the change may or may not have taken effect.
 type LeasedStore interface {
 	// Commit applies all changes or none, and returns the new revision. It returns a
-	// ConflictError if a condition does not hold, and a LeaseEndedError if the lease of
-	// a put has ended. A condition with a revision of an earlier era does not hold.
+	// ConflictError if a condition does not hold or its revision is of an earlier era, a
+	// LeaseEndedError if the lease of a put has ended, and an UnknownOutcomeError also if a
+	// later era became known during the call.
 	Commit(ctx context.Context, change Transaction) (Revision, error)
 	// Grant returns a new lease and the time to live that the key-value service gave it.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, time.Duration, error)
 	// Renew restarts the lease's time to live when the key-value service receives the
 	// call. It returns a LeaseEndedError if the lease has ended.
 	Renew(ctx context.Context, lease LeaseID) error
-	// Release ends the lease and removes its records. It returns a LeaseEndedError if the
-	// key-value service does not know the lease.
+	// Release ends the lease and removes its records. It does nothing for a lease of an
+	// earlier era, and returns a LeaseEndedError if the key-value service does not know the
+	// lease.
 	Release(ctx context.Context, lease LeaseID) error
 }
 
--- a/scenario_load_test.go
+++ b/scenario_load_test.go
@@ -137,10 +137,7 @@
 	}
 }
 
-// record counts an outcome, and checks an answer with the outcome answered. A complete
-// answer contains the prompt and word19, the last of its 20 words. A stream has 21 events: one
-// for each word, and the end marker. An answer contains its prompt twice, as text and as
-// message or delta content, so a third prompt in it belongs to another request. text is the
+// record counts an outcome, and checks an answer with the outcome answered. text is the
 // answer, or the error if the call failed.
 func (load *load) record(outcome, prompt, text string) {
 	load.mutex.Lock()
@@ -148,7 +145,11 @@
 	switch outcome {
 	case "answered":
 		load.answered++
+		// A complete answer contains the prompt and word19, the last of its 20 words. It contains
+		// its prompt twice, as text and as message or delta content, so a third prompt in it belongs
+		// to another request.
 		complete := strings.Contains(text, prompt+" ") && strings.Contains(text, "word19") && strings.Count(text, "load-") <= 2
+		// A stream has 21 events: one for each word, and the end marker.
 		if strings.Contains(text, "data:") {
 			complete = complete && strings.HasSuffix(text, "data: [DONE]\n\n") && strings.Count(text, "data: ") == 21
 		}
@@ -192,11 +193,9 @@
 }
 
 // cmdCharges sends charges, which are calls that must run at most once (see charge): charges
-// COUNT PREFIX URL... The name of a charge is PREFIX and its number. cmdCharges sends each
-// charge concurrently through all the given entry boxes, under the same idempotency key.
-// Then it checks with the counts of plain-1 and plain-2 that no charge ran twice, that a
-// charge did not run if all its outcomes are not-run, and that it ran once if one of its
-// outcomes is answered.
+// COUNT PREFIX URL... Each charge goes through all entry boxes at once under one idempotency
+// key. No charge may run twice; one must not run if all its outcomes are not-run, and must
+// run once if one of them is answered. PREFIX and a number name a charge.
 func cmdCharges(script *testscript.TestScript, _ bool, args []string) {
 	fleet := fleetOf(script)
 	count, err := strconv.Atoi(args[0])
--- a/scenario_test.go
+++ b/scenario_test.go
@@ -100,10 +100,9 @@
 func fleetOf(script *testscript.TestScript) *fleet { return script.Value(fleetKey{}).(*fleet) }
 
 // address returns the address for a port of a host, whose number is the last byte of its
-// loopback address. Node N is host N. Host 100+N has the relay to the keeper of node N and
-// the relay from node N to the key-value service. The key-value service is host 10, the box
-// list host 11, plain server N host 11+N, and the engine of box N host 20+N. cmdFleet,
-// startBackends and settings choose the ports.
+// loopback address. Node N is host N, the key-value service host 10, the box list host 11,
+// plain server N host 11+N, the engine of box N host 20+N. Host 100+N has the relays to the
+// keeper of node N and from node N to the key-value service.
 func (fleet *fleet) address(hostNumber, port int) string {
 	return fmt.Sprintf("%s.%d:%d", fleet.host, hostNumber, port)
 }
@@ -656,11 +655,10 @@
 	return response.StatusCode
 }
 
-// cmdCall makes a call and checks its status and outcome: call STATUS OUTCOME METHOD
-// URL [BODY [KEY]]. KEY is the idempotency key. The outcome is that of the header
-// Shedkeel-Outcome, or cut if the connection breaks during the answer. An answer with the
-// outcome not-run must have a Retry-After header. cmdCall writes the body to the file answer
-// and sets REQUEST to the request's ID.
+// cmdCall makes a call and checks its status and outcome: call STATUS OUTCOME METHOD URL
+// [BODY [KEY]]. KEY is the idempotency key. OUTCOME is that of the header Shedkeel-Outcome,
+// or cut if the connection breaks during the answer; not-run requires a Retry-After header.
+// cmdCall writes the body to the file answer and sets REQUEST to the request's ID.
 func cmdCall(script *testscript.TestScript, _ bool, args []string) {
 	args = append(args, "", "") // BODY and KEY may be left out
 	request, err := http.NewRequest(args[2], args[3], strings.NewReader(args[4]))
--- a/shedkeel.go
+++ b/shedkeel.go
@@ -1,17 +1,16 @@
-// Package shedkeel defines the types of a shedkeel fleet: boxes, replica groups,
-// services, client accounts and the records that are stored in the platform's
-// key-value service. It also defines the interfaces that the other packages
-// implement and use.
+// Package shedkeel defines the types of a shedkeel fleet, such as boxes, replica groups,
+// services, client accounts and the records in the platform's key-value service, and the
+// interfaces that the other packages implement and use.
 //
 // A Box runs an engine: a backend server that loads the weights of a model and, as a
-// member of a replica group, computes the answers to requests. Nodes, which are of
-// two kinds, control replica groups and serve callers:
+// member of a replica group, computes the answers to requests. Two kinds of nodes control
+// replica groups and serve callers:
 //
-//   - An entry box runs an entry, the proxy for callers, and a keeper, the control
-//     process. Both use Config, Placement and Group; keepers send an Order to a Box. An
-//     entry box is not itself a Box: it runs no engine and is in no replica group.
-//   - A process of the program shedkeel-node does the work of an entry and a keeper. It
-//     uses ServingConfig, Instance and Membership, and sends a GroupOrder to a Box.
+//   - An entry box runs an entry, the proxy for callers, and a keeper, the control process.
+//     Both use Config, Placement and Group; keepers send an Order to a Box. An entry box is
+//     not a Box: it runs no engine and is in no replica group.
+//   - A process of the program shedkeel-node does the work of both. It uses ServingConfig,
+//     Instance and Membership, and sends a GroupOrder to a Box.
 package shedkeel
 
 import (
@@ -289,10 +288,9 @@
 type Verdict uint8
 
 // The verdicts. Only VerdictWhole renews a group's permit to receive requests (see
-// member.Permit); VerdictBroken and VerdictDraining revoke the permit. A member that
-// does not reply is no evidence that the group is broken, so VerdictNoReply only lets
-// the current permit expire. If VerdictNoReply lasts beyond the permit, the group counts
-// as broken.
+// member.Permit); VerdictBroken and VerdictDraining revoke it. A missing reply does not
+// prove that the group is broken, so VerdictNoReply only lets the current permit expire; if
+// it lasts beyond the permit, the group counts as broken.
 const (
 	VerdictNoReply  Verdict = iota // some member did not reply, and the group is not broken
 	VerdictWhole                   // every member replied that it is ready, with the group's Assignment and the Boot of its Member
