--- a/admit/admit.go
+++ b/admit/admit.go
@@ -127,10 +127,9 @@
 }
 
 // Enter admits a request, or returns a NotRunError with the time after which to retry
-// (from minRetryAfter to maxRetryAfter). It refuses a request whose estimated wait
-// exceeds the request's deadline. While the service is busy (see busyFraction), Enter
-// also refuses requests of accounts that have their fair share in flight. The caller must
-// call Leave for each admitted request.
+// (minRetryAfter to maxRetryAfter). It refuses a request whose estimated wait exceeds its
+// deadline and, while the service is busy, one whose account has its fair share in
+// flight. The caller must call Leave for each admitted request.
 func (gate *Gate) Enter(request Request) error {
 	gate.mutex.Lock()
 	defer gate.mutex.Unlock()
@@ -154,11 +153,9 @@
 	return nil
 }
 
-// wait estimates how long a request is queued at a target before it begins. load
-// is the number of requests at the target without this one, capacity the number of
-// requests that the target runs concurrently. The estimate assumes that each request runs
-// for the mean run time. It is 0 if the target has a free slot, the capacity is 0 or less, or
-// no request has completed yet.
+// wait estimates how long a request is queued at a target that has load other requests
+// and runs capacity requests concurrently, each for the mean run time. It is 0 if the
+// target has a free slot, the capacity is 0 or less, or no request has completed yet.
 func (usage *usage) wait(load, capacity int) time.Duration {
 	if capacity <= 0 || load < capacity {
 		return 0
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -75,9 +75,8 @@
 
 // TestFlood sends far more requests of one account than a busy service can run, and
 // checks that the other accounts get their weighted shares. The weights 1 (light),
-// 3 (heavy) and 1 (flood) divide 40 slots into 8, 24 and 8. In the end, flood may have one
-// request more than its share in flight, light may have one less, and heavy must have at
-// least three times as many as light, less 3.
+// 3 (heavy) and 1 (flood) divide 40 slots into 8, 24 and 8. The bounds allow flood one
+// request more and light one less.
 func TestFlood(t *testing.T) {
 	gate := &Gate{}
 	running := map[shedkeel.AccountID]int{}
