--- a/claim/committer.go
+++ b/claim/committer.go
@@ -65,11 +65,10 @@
 	return &Committer{queue: make(chan pendingRequest, queueLength), shard: newShard(), headStale: true}
 }
 
-// Claim requests the right to run a call and waits until the request is decided and,
-// if it is granted, the claim is written. It returns an error if the queue is full,
-// ctx ends first, or the batch cannot be decided or written. Every error is an
-// UnavailableError. After an error, the attempt must never run, although its claim may
-// have been stored. Claim may be called concurrently.
+// Claim requests the right to run a call and waits until the request is decided and a
+// granted claim is written. Every error is an UnavailableError; after an error, the
+// attempt must never run, although its claim may have been stored. Claim may be called
+// concurrently.
 func (committer *Committer) Claim(ctx context.Context, request Request) (Result, error) {
 	pending := pendingRequest{request: request, answer: make(chan outcome, 1)}
 	select {
@@ -129,11 +128,6 @@
 // commit decides a batch and answers its requests. After a conflict it reads the head
 // and decides again, up to maxTries times. If all tries conflict, or after another
 // error, it refuses all requests.
-//
-// A batch without new claims needs no write, so commit answers it even if the
-// key-value service is not available, unless headStale is set. Such answers are safe
-// even if another process has since written the head: a claim is replaced only by a
-// request whose InsteadOf names the claim's attempt, and that attempt never runs.
 func (committer *Committer) commit(ctx context.Context, batch []pendingRequest) {
 	var err error
 	for range maxTries {
@@ -147,6 +141,9 @@
 		for index, pending := range batch {
 			results[index] = committer.shard.decide(pending.request, committer.currentMinute())
 		}
+		// Without new claims the batch needs no write, so that it is answered even if the service
+		// is not available. Such answers are safe even if another process has written the head: a
+		// claim is replaced only by a request whose InsteadOf names its attempt, which never runs.
 		if len(committer.shard.pendingClaims) > 0 {
 			err = committer.writeHead(ctx)
 			var conflict *shedkeel.ConflictError
@@ -226,11 +223,10 @@
 	return nil
 }
 
-// writeHead writes the head with the batch's claims, by compare-and-swap against the
-// known revision. Before that, it removes expired segments from the head, and moves
-// the head's claims to a segment if there are more than sealThreshold. After the
-// write, it adds the batch's claims to those in memory and clears the expired
-// segments. If writing a segment or the head fails, it sets headStale.
+// writeHead writes the head with the batch's claims by compare-and-swap against the known
+// revision. It drops expired segments, and seals the head's claims if there are more than
+// sealThreshold. After the write it updates the claims in memory; if a write fails, it sets
+// headStale.
 func (committer *Committer) writeHead(ctx context.Context) error {
 	nonce := committer.Nonce()
 	next := committer.shard.nextHead(nonce)
--- a/claim/head.go
+++ b/claim/head.go
@@ -113,11 +113,10 @@
 // try.
 func (shard *shard) beginBatch() { shard.pendingClaims = map[string]Claim{} }
 
-// decide decides one request, given the known claims and those that the batch has
-// granted so far, and adds a new claim to pendingClaims. A repeated request of the
-// attempt that holds the claim is granted again. A request whose InsteadOf names that
-// attempt replaces its claim. Neither is granted if the digests differ. nowMinute is
-// the current time in minutes since the Unix epoch.
+// decide decides one request, given the known claims and those that the batch has granted
+// so far, and adds a new claim to pendingClaims. A claimed key is granted only with the
+// claim's digest, to the claim's attempt or to a request whose InsteadOf names it, which
+// replaces the claim. nowMinute is the time in minutes since the Unix epoch.
 func (shard *shard) decide(request Request, nowMinute int64) Result {
 	current, found := shard.pendingClaims[request.Key]
 	if !found {
