--- a/config/node.go
+++ b/config/node.go
@@ -50,11 +50,10 @@
 type NodeBounds struct {
 	Grace  shedkeel.Duration `toml:"grace"`  // from SIGTERM until the platform kills the process
 	Revoke shedkeel.Duration `toml:"revoke"` // from the removal of an API key until no request runs with it
-	// RefuseStaleKeys rejects requests that need an API key unless the node has
-	// confirmed recently that its configuration is current: within the fraction
-	// proofAgeFraction (package node) of Revoke. Without RefuseStaleKeys the node uses
-	// the newest configuration that it knows, and a removed key works for as long as
-	// the key-value service is unreachable.
+	// RefuseStaleKeys rejects requests that need an API key unless the node has confirmed
+	// within the fraction proofAgeFraction (package node) of Revoke that its configuration
+	// is current. Without it, a removed key works for as long as the key-value service is
+	// unreachable.
 	RefuseStaleKeys bool              `toml:"refuse_stale_keys"`
 	Directory       shedkeel.Duration `toml:"directory"`    // longest time for which callers may cache a directory answer
 	RetryRatio      float64           `toml:"retry_ratio"`  // retries allowed per request, over all nodes
