--- a/engine/client.go
+++ b/engine/client.go
@@ -54,12 +54,10 @@
 	return state, err
 }
 
-// SendOrder sends an order to the engine at order.Address. It prevents net/http from
-// retrying the order and closes the connection afterwards. The client's timeout keeps a
-// delayed order from being sent late. The error is a ConflictError if the engine rejects
-// the order with status 409, and an UnknownOutcomeError if no answer came, even if the
-// connection could not be opened. It is untyped for any other status than 200 and for an
-// order from which no HTTP request can be built.
+// SendOrder sends an order to the engine at order.Address, at most once. The error is a
+// ConflictError if the engine rejects the order with status 409, an UnknownOutcomeError if
+// no answer came, even if the connection could not be opened, and untyped for any other
+// status than 200 and for an order from which no HTTP request can be built.
 func (control *Control) SendOrder(ctx context.Context, order shedkeel.Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -69,8 +67,10 @@
 	if err != nil {
 		return err
 	}
+	// Keeps net/http from retrying the order.
 	request.GetBody = nil
 	request.Close = true
+	// The client's timeout keeps a delayed order from being sent late.
 	response, err := control.Client.Do(request)
 	if err != nil {
 		return &shedkeel.UnknownOutcomeError{What: fmt.Sprintf("order %s to %s", order.Kind, order.Box), Cause: err}
--- a/engine/event.go
+++ b/engine/event.go
@@ -13,11 +13,10 @@
 // ErrEventTooLong is returned for an event of a stream that is longer than 1 MiB.
 var ErrEventTooLong = errors.New("an event of the stream is too long")
 
-// ReadEvent reads the next server-sent event of a stream, including the blank line
-// that terminates the event. A blank line that follows no other line counts as an event.
-// ReadEvent never returns a part of an event: at the end of the stream the error is
-// io.EOF between two events and io.ErrUnexpectedEOF within one. For an event that is too
-// long the error is ErrEventTooLong, and any other error of the reader is returned as is.
+// ReadEvent reads the next server-sent event of a stream, with the blank line that
+// terminates it. A blank line that follows no other line counts as an event. The error is
+// io.EOF at the end of the stream, io.ErrUnexpectedEOF if the stream ends within an event,
+// ErrEventTooLong, or any other error of the reader, as is.
 func ReadEvent(reader *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
--- a/engine/transport.go
+++ b/engine/transport.go
@@ -25,14 +25,10 @@
 // errConnSealed is the error of a write to a connection after seal.
 var errConnSealed = errors.New("write to a connection that was closed because its request failed")
 
-// Transport sends each request to a backend server at most once. The zero value
-// is ready to use.
-//
-// net/http retries a request by itself if a reused connection proves to be closed
-// and the request is replayable: it has no body or a body that GetBody can
-// rewind, and its method is GET, HEAD, OPTIONS or TRACE or it carries an
-// Idempotency-Key. Transport gives every request a body that cannot be rewound, so
-// that net/http never retries.
+// Transport sends each request to a backend server at most once: it gives each a body that
+// cannot be rewound. net/http would retry a request without a body, or with one that GetBody
+// rewinds, on a closed reused connection, if the method is GET, HEAD, OPTIONS or TRACE or
+// the request has an Idempotency-Key. The zero value is ready to use.
 type Transport struct {
 	DialTimeout time.Duration // zero means one second
 	IdleTimeout time.Duration // after which an idle connection is closed; zero means 30 seconds
--- a/engine/transport_test.go
+++ b/engine/transport_test.go
@@ -212,11 +212,9 @@
 	}
 }
 
-// TestIdleConnectionClosed sends requests to a server that closes the connection
-// after each answer. The number of runs must be at least the number of answered
-// requests, and at most the number of requests that did not fail with a NotRunError: a
-// request that runs twice, or runs although it failed with a NotRunError, adds to the
-// runs.
+// TestIdleConnectionClosed sends requests to a server that closes the connection after
+// each answer. A request that runs twice, or runs although it failed with a NotRunError,
+// raises the number of runs above that of the requests without a NotRunError.
 func TestIdleConnectionClosed(t *testing.T) {
 	const requests = 300
 	script := make([]string, requests)
