--- a/entry/entry.go
+++ b/entry/entry.go
@@ -178,13 +178,13 @@
 	cancel()
 }
 
-// addressExpiry returns when the last /v1/entries answer that lists this entry
-// expires. started is when the entry began to stop. Other entries list it for at most
-// the permit time plus DefaultLiveTime after that: a keeper that receives no new
-// heartbeat of this node counts the node as dead after DefaultLiveTime, and an entry
-// whose last sync is older than the permit time answers no /v1/entries requests.
-// Callers may cache an answer for the DirectoryTTL setting.
+// addressExpiry returns when the last /v1/entries answer that lists this entry expires, if
+// the entry began to stop at the time started. Callers may cache an answer for the
+// DirectoryTTL setting.
 func (entry *Entry) addressExpiry(started time.Duration) time.Duration {
+	// Other entries list this one for at most this long: a keeper without new heartbeats of this
+	// node counts it as dead after DefaultLiveTime, and an entry whose last sync is older than
+	// the permit time answers no /v1/entries requests.
 	propagation := time.Duration(entry.Settings.Timing.Permit) + member.DefaultLiveTime
 	return max(started+propagation, time.Duration(entry.lastAdvertised.Load())) + time.Duration(entry.Settings.Entry.DirectoryTTL)
 }
--- a/entry/outcome.go
+++ b/entry/outcome.go
@@ -51,10 +51,9 @@
 func (refusal *refusal) Error() string { return refusal.text }
 
 // writeError sends an error response. The outcome is refused for a refusal and a body
-// that is too large; not-run for a NotRunError, with status 429 if the cause is
-// overload and 503 otherwise; and unknown for all other errors, with status 504 if the
-// call is still running and 502 otherwise. Call writeError as soon as the error
-// occurs, without waiting for the caller's time limit.
+// that is too large; not-run for a NotRunError, with status 429 on overload and 503
+// otherwise; and unknown for all other errors, with status 504 if the call still runs and
+// 502 otherwise. Call it at once, without waiting for the caller's time limit.
 func (entry *Entry) writeError(writer http.ResponseWriter, err error) {
 	var refused *refusal
 	var notRun *shedkeel.NotRunError
--- a/entry/plain.go
+++ b/entry/plain.go
@@ -149,12 +149,10 @@
 	return complete, err
 }
 
-// claim acquires the right to run the call under its idempotency key. It returns nil
-// if the claim is granted, and the stored answer if an earlier attempt has run the
-// call. The error is a NotRunError if the claim cannot be decided, a refusal if the
-// key was used for another request, a stillRunningError if an earlier attempt is
-// running or maxClaimTries were not enough, and an UnknownRunError if the result of
-// the earlier attempt is not known.
+// claim acquires the right to run the call under its idempotency key, or returns the answer
+// of an earlier attempt. The error is a NotRunError if the claim cannot be decided, a refusal
+// if the key was used for another request, a stillRunningError if an earlier attempt runs or
+// after maxClaimTries, and an UnknownRunError if the earlier attempt's result is unknown.
 func (entry *Entry) claim(ctx context.Context, call *call, key string) (*answer, error) {
 	request := &wire.ClaimCall{
 		Account: string(call.caller.account.ID), Key: string(call.service.ID) + "/" + key,
--- a/entry/send.go
+++ b/entry/send.go
@@ -70,11 +70,9 @@
 	return err
 }
 
-// nextTry chooses a server for the next try of a call, one that has not been tried
-// yet, and passes the call through the admission gate if the gate has not admitted it.
-// It fails if no server is usable, or if the time limit, the limits on retries or the
-// gate do not allow another try. The error is a NotRunError, or an UnknownRunError if
-// an earlier try may have run. The caller must call end on the try.
+// nextTry chooses an untried server for the next try of a call and, if the admission gate
+// has not admitted the call yet, passes the call through it. The error is a NotRunError, or
+// an UnknownRunError if an earlier try may have run. The caller must call end on the try.
 func (entry *Entry) nextTry(ctx context.Context, call *call) (*try, error) {
 	now := entry.Timers.Now()
 	remaining := call.timeout - (now - call.began)
