--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -150,11 +150,10 @@
 	store.saved = snapshot{revision: store.revision, data: maps.Clone(store.data), leases: leases, leaseOfKey: maps.Clone(store.leaseOfKey), lastLease: store.lastLease}
 }
 
-// Restore returns to the snapshot, like a service that is restored from a backup.
-// Later writes are lost, and their revision and lease numbers are assigned again, in a
-// new era. Leases begin a full TTL. Restore deletes the history and wakes all watches: those
-// that wait for changes after another revision than that of the snapshot end with a
-// CompactedError.
+// Restore returns to the snapshot, like a service that is restored from a backup. The
+// numbers of later revisions and leases are assigned again, in a new era, and leases begin
+// a full TTL. Watches for changes after another revision than that of the snapshot end with
+// a CompactedError.
 func (store *Store) Restore() {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -214,11 +213,10 @@
 	return found, store.currentRevision()
 }
 
-// Changes returns the changes below the prefix after the revision since, and the
-// current revision. If there are no such changes, it waits for one, for at most wait, and
-// then returns none and no error. The error is that of the context if the context ends, and
-// a CompactedError if the history no longer reaches back to since, or if since is later
-// than the current revision, as it can be after Restore. The era of since is ignored.
+// Changes returns the changes below the prefix after the revision since, whose era it
+// ignores, and the current revision. It waits up to wait for a change, and then returns none
+// and no error. It returns a CompactedError if the history does not reach back to since or
+// since is later than the current revision, as after Restore, and ctx's error if ctx ends.
 func (store *Store) Changes(ctx context.Context, prefix string, since shedkeel.Revision, wait time.Duration) ([]shedkeel.Record, shedkeel.Revision, error) {
 	end := time.NewTimer(wait)
 	defer end.Stop()
