--- a/keeper/agree.go
+++ b/keeper/agree.go
@@ -75,12 +75,10 @@
 	}
 }
 
-// fencePlacement writes the placement again under the new epoch before planning
-// starts. The write changes the record's revision, so that later compare-and-swap
-// writes of a former holder fail. It starts from the stored placement, or from the
-// merged one if that has a higher generation, and includes the reserve boxes that a
-// fallback has put in use. It reports whether the write succeeded. It writes nothing
-// if the stored placement cannot be read or decoded.
+// fencePlacement writes the placement again under the new epoch before planning starts, so
+// that later compare-and-swap writes of a former holder fail. The placement includes the
+// reserve boxes that a fallback has put in use. fencePlacement reports whether the write
+// succeeded.
 func (zone *zonePlanner) fencePlacement(ctx context.Context) bool {
 	record, err := zone.keeper.Store.Get(ctx, zone.placementKey())
 	if err != nil {
--- a/keeper/calls.go
+++ b/keeper/calls.go
@@ -55,13 +55,10 @@
 	return reply
 }
 
-// handleClaim decides a claim for an idempotency key. It forwards the claim to the
-// keeper that should write the key's shard. It decides the claim here if that is this
-// keeper, if the claim was forwarded already, or if the other keeper certainly did not
-// receive the call. Compare-and-swap makes a decision by any keeper safe; forwarding
-// needs fewer writes. The status is UNAVAILABLE if it is unknown whether the other
-// keeper handled the forwarded claim, or if the committer here returns an error. The
-// claim may have been stored in either case.
+// handleClaim decides a claim for an idempotency key, or forwards it to the keeper that
+// should write the key's shard. Compare-and-swap makes a decision by any keeper safe;
+// forwarding needs fewer writes. The status is UNAVAILABLE if forwarding has an unknown
+// outcome or the committer here returns an error; the claim may then have been stored.
 func (keeper *Keeper) handleClaim(ctx context.Context, call *wire.ClaimCall) *wire.ClaimReply {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -71,6 +68,7 @@
 	if !call.GetForwarded() && owner.ID != keeper.Settings.Node {
 		reply, err := keeper.forwardClaim(ctx, owner, call)
 		var unavailable *shedkeel.UnavailableError
+		// With an UnavailableError, the other keeper certainly did not receive the claim.
 		if !errors.As(err, &unavailable) {
 			return reply
 		}
--- a/keeper/fallback.go
+++ b/keeper/fallback.go
@@ -26,28 +26,27 @@
 	Fallback(input shedkeel.PlanInput) map[shedkeel.GroupID]shedkeel.BoxID
 }
 
-// canFallBack reports whether this keeper may use the reserve boxes of its zone. All
-// of these must hold: this keeper was the last holder of the lease that it knows of,
-// and the placement was written in its epoch; the lease expired at least one TTL ago,
-// so that this keeper would know of a later holder; the store is unavailable; and more
-// than half of the nodes in the table are live, so that this keeper is not on the
-// smaller side of a partition.
+// canFallBack reports whether this keeper may use the reserve boxes of its zone. It must
+// have been the last holder of the lease that it knows of, the placement must be of its
+// epoch, and the store must be unavailable.
 func (zone *zonePlanner) canFallBack(now time.Duration) bool {
 	keeper := zone.keeper
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
 	live, known := len(keeper.table.Live(now)), len(keeper.table.Nodes())
+	// Unless more than half of the nodes are live, this keeper may be on the smaller side of a
+	// partition.
 	if !keeper.storeUnavailable || 2*live <= known {
 		return false
 	}
+	// One TTL after the lease expired, this keeper would know of a later holder.
 	return zone.lease.ExpiredFor(now, zone.lease.TTL) && zone.placement.PlannerEpoch == zone.lease.LastRecord().Epoch
 }
 
-// applyFallback replaces lost members by reserve boxes, publishes the fallback if it
-// has changed, and sends the orders for it under the epoch of the placement. It does
-// nothing if the planner has no fallback, if there is no input for the planner, or if
-// no group uses its reserve box. Engines refuse these orders once a planner with a
-// newer epoch has sent them orders. The next agreed placement ends the fallback.
+// applyFallback replaces lost members by reserve boxes, publishes the fallback if it has
+// changed, and sends its orders under the epoch of the placement. Engines refuse these
+// orders once a planner with a newer epoch has sent them orders. The next agreed placement
+// ends the fallback.
 func (zone *zonePlanner) applyFallback(ctx context.Context) {
 	planner, supported := zone.planner.(fallbackPlanner)
 	input, ready := zone.gatherInput(ctx)
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -200,11 +200,10 @@
 	}
 }
 
-// markSettled marks the keeper as settled: it knows the records in force, because the
-// key-value service or enough other keepers (see exchangeWith) have answered it. On
-// the first call, markSettled logs source, which names the one or the other. Until the
-// keeper is settled, it neither plans nor reports ready, and the entry on this box
-// ignores its sync replies.
+// markSettled marks the keeper as settled: it knows the records in force, from the key-value
+// service or from enough other keepers (see exchangeWith); source names which, for the log.
+// Until then, the keeper neither plans nor reports ready, and the entry on this box ignores
+// its sync replies.
 func (keeper *Keeper) markSettled(source string) {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
--- a/keeper/plan.go
+++ b/keeper/plan.go
@@ -355,11 +355,9 @@
 	pending.Wait()
 }
 
-// sendOrder sends one order if the lease stays valid for the lifetime of an order or
-// the planner is in fallback. It does not send an unfenced order in a fallback, or
-// before all orders of a former holder have expired. It logs errors. It returns when
-// the call ended, or the current time if it sent nothing, and whether the outcome of
-// the order is unknown.
+// sendOrder sends one order if the lease stays valid for the lifetime of an order or the
+// planner is in fallback, and logs errors. It returns when the call ended, or the current
+// time if it sent nothing, and whether the outcome of the order is unknown.
 func (zone *zonePlanner) sendOrder(ctx context.Context, order shedkeel.Order) (time.Duration, bool) {
 	keeper := zone.keeper
 	orderLife := time.Duration(keeper.Settings.Timing.OrderLife)
