--- a/lease/lease.go
+++ b/lease/lease.go
@@ -82,10 +82,9 @@
 }
 
 // NextWrite returns the write that this node should make now, if any: a renewal by the
-// holder, or an attempt to take a lease that does not exist or whose record has not
-// changed for a TTL. Before such an attempt a candidate waits one more renewal
-// interval for each rank above 0, so that the candidate with rank 0 tries first. The
-// caller reports the outcome by WriteSucceeded or WriteFailed.
+// holder, or an attempt to take a lease that does not exist or has not changed for a TTL. A
+// candidate waits one more renewal interval for each rank above 0, so that rank 0 tries
+// first. The caller reports the outcome by WriteSucceeded or WriteFailed.
 func (lease *Lease) NextWrite(now time.Duration, rank int) (Write, bool) {
 	if !lease.known || lease.inFlight {
 		return Write{}, false
