--- a/member/permit.go
+++ b/member/permit.go
@@ -31,14 +31,10 @@
 // the same digest, which last for one Window, have long expired.
 const leavingWindows = 10
 
-// Permits returns the permit of every group of the placements. The permit of a group
-// that a watcher found whole under its current epoch lasts for the Window after the
-// newest such finding, so Until may be in the past. A newer finding that the group is
-// broken or draining revokes the permit at once. A silent finding only stops the
-// renewal, but a group that is found silent more than the Window after it was last
-// found whole counts as broken. For a group that was never found whole, that Window
-// counts from the start of the local clock. A group that is draining or has a member
-// on a box in Leaving has no permit.
+// Permits returns the permit of every group of the placements. A permit lasts for the
+// Window after the newest whole finding under the group's epoch, so Until may be in the
+// past. A newer broken or draining finding revokes it at once; a silent one only stops the
+// renewal. A group that is draining or has a member on a box in Leaving has no permit.
 func (input *PermitInput) Permits(placements []shedkeel.Placement) []Permit {
 	findings := input.findings()
 	leaving := input.Leaving()
--- a/member/table.go
+++ b/member/table.go
@@ -71,11 +71,10 @@
 	records map[string]Record
 	digests map[shedkeel.NodeID]Digest
 
-	// config and placements cache the decoded records. configGeneration is the
-	// generation of the decoded configuration; placementGenerations are those of
-	// the decoded placements and fallbacks, by record key. Decoding a placement
-	// takes about a millisecond, and Config and Placements are called several
-	// times a tick.
+	// config and placements cache the decoded records: decoding a placement takes about a
+	// millisecond, and Config and Placements are called several times a tick. The
+	// generations are those of the decoded records; placementGenerations has them by record
+	// key, with those of the fallbacks.
 	config               shedkeel.Config
 	configGeneration     uint64
 	placements           []shedkeel.Placement
--- a/member/table_test.go
+++ b/member/table_test.go
@@ -27,11 +27,10 @@
 	return tables
 }
 
-// TestRecordGenerationNeverFalls exchanges versions of one record between 7 nodes
-// in random order, with repeats and concurrent writers, and with a partition of
-// nodes 0 to 2 from the others in the first 150 of 200 steps. The generation that a
-// node knows may never fall, and after each node has exchanged with its neighbor in
-// the list as many times as there are nodes, all must know the newest one.
+// TestRecordGenerationNeverFalls exchanges versions of one record between 7 nodes in random
+// order, with repeats, concurrent writers and a partition. The generation that a node knows
+// may never fall, and after each node has exchanged with its neighbor in the list as many
+// times as there are nodes, all must know the newest one.
 func TestRecordGenerationNeverFalls(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 2))
