--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -241,9 +241,8 @@
 
 // runLimited checks, after the given time, that the server received no more requests than
 // its limit allows, and removes the limit. It ignores requests within limitPropagation of
-// the announcement, before all nodes must know the limit. Each node that starts or
-// resumes after the announcement may send requestsBeforeLimitKnown more. If the test ends
-// earlier, runLimited checks nothing.
+// the announcement, before all nodes must know the limit. Each node that starts or resumes
+// after the announcement may send requestsBeforeLimitKnown more.
 func (cluster *cluster) runLimited(id string, limit float64, length time.Duration) {
 	announced := time.Now()
 	select {
