--- a/wire/closing_test.go
+++ b/wire/closing_test.go
@@ -35,10 +35,9 @@
 }
 
 // TestClosingWhileCallsWait closes a session while calls wait for their replies and the
-// connection reports its closing late. The waiting calls must not spin until the session
-// has ended: on a single core without preemption the session would never end. The limit of
-// a quarter of closeDelay, 100 ms, lies between the 491 ms of processor time of spinning
-// calls and the 1.4 ms of calls with expired deadlines.
+// connection reports its closing late. Calls that spin until the session has ended use more
+// than closeDelay of processor time, and on a single core without preemption the session
+// would never end. The limit is a quarter of closeDelay, 100 ms.
 func TestClosingWhileCallsWait(t *testing.T) {
 	const closeDelay = 400 * time.Millisecond
 	handler := &echo{release: make(chan struct{})}
--- a/wire/link.go
+++ b/wire/link.go
@@ -9,13 +9,9 @@
 )
 
 // link is a yamux session that tracks its open streams, so that it can expire their
-// deadlines before the session closes.
-//
-// While a yamux session closes, a blocked read on one of its streams spins until the
-// session has ended. In TestClosingWhileCallsWait, with 16 calls and a session that
-// takes 400 ms to end, the spinning reads used 491 ms of processor time. With expired
-// deadlines the calls used 1.4 ms. On a single core without preemption the session never
-// ended.
+// deadlines before the session closes. Otherwise a blocked read on a stream spins until the
+// closing session has ended, and on a single core without preemption the session never
+// ends; see TestClosingWhileCallsWait.
 type link struct {
 	*yamux.Session
 
--- a/wire/session.go
+++ b/wire/session.go
@@ -40,18 +40,14 @@
 	Handle(ctx context.Context, call *Call) *Reply
 }
 
-// yamuxConfig returns the configuration of sessions on both sides. Each side sends
-// keepalives with pauses of KeepAliveInterval. It closes the session if the other side does
-// not reply to a keepalive within ConnectionWriteTimeout, or does not accept a stream
-// within StreamOpenTimeout. It resets a stream that it has closed if the other side does
-// not close the stream within StreamCloseTimeout.
+// yamuxConfig returns the configuration of sessions on both sides.
 func yamuxConfig() *yamux.Config {
 	config := yamux.DefaultConfig()
 	config.LogOutput = io.Discard
-	config.KeepAliveInterval = 2 * time.Second
-	config.ConnectionWriteTimeout = 2 * time.Second
-	config.StreamOpenTimeout = 2 * time.Second
-	config.StreamCloseTimeout = 10 * time.Second
+	config.KeepAliveInterval = 2 * time.Second      // pause between keepalives
+	config.ConnectionWriteTimeout = 2 * time.Second // closes the session if a keepalive gets no reply
+	config.StreamOpenTimeout = 2 * time.Second      // closes the session if a stream is not accepted
+	config.StreamCloseTimeout = 10 * time.Second    // resets a closed stream that the other side does not close
 	return config
 }
 
@@ -68,11 +64,10 @@
 	link  *link
 }
 
-// Do sends a call, whose Key it sets, and returns its reply. The error is an
-// UnavailableError if no session could be opened, so that the call was certainly not
-// handled. For every other failure it is an UnknownOutcomeError, also if the other process
-// replied with an error, such as for a wrong key. Such a failure closes the session, with
-// its other calls, unless the cause is the end of ctx.
+// Do sends a call, whose Key it sets, and returns its reply. The error is an UnavailableError
+// if no session could be opened, so that the call was certainly not handled, and otherwise an
+// UnknownOutcomeError, also if the other process replied with an error, such as for a wrong
+// key. A failure closes the session, with its other calls, unless its cause is the end of ctx.
 func (peer *Peer) Do(ctx context.Context, call *Call) (*Reply, error) {
 	link, err := peer.open(ctx)
 	if err != nil {
